--- /dev/null
+++ b/test/simulation/digest-check.ts
@@ -0,0 +1,39 @@
+/** The expected digests of the scenarios, and how a play differs from them. */
+import { createHash } from 'node:crypto';
+import { readFileSync, writeFileSync } from 'node:fs';
+import { digestOf, digestScenarios, type ScenarioDigest } from './digest-scenarios.js';
+
+const EXPECTED = new URL('../digests.json', import.meta.url);
+const SHORT_DIGITS = 12;
+
+/** Digests by name of the scenario. */
+export type Digests = Record<string, string>;
+
+/** The digests that are kept in `test/digests.json`. */
+export function expectedDigests(): Digests {
+  return JSON.parse(readFileSync(EXPECTED, 'utf8')) as Digests;
+}
+
+/** Makes these digests the expected ones. */
+export function writeDigests(digests: Digests): void {
+  writeFileSync(EXPECTED, `${JSON.stringify(digests, null, 2)}\n`);
+}
+
+/** Plays every scenario; `played` is told of each. */
+export async function playDigests(
+  played: (name: string, result: ScenarioDigest) => void = () => undefined,
+): Promise<Digests> {
+  const digests: Digests = {};
+  for (const scenario of digestScenarios) {
+    const result = await digestOf(scenario);
+    digests[scenario.name] = result.digest;
+    played(scenario.name, result);
+  }
+  return digests;
+}
+
+/** One short hash over all digests, for the body of a commit. */
+export function totalOf(digests: Digests): string {
+  const sorted = Object.entries(digests).sort(([a], [b]) => (a < b ? -1 : 1));
+  return createHash('sha256').update(JSON.stringify(sorted)).digest('hex').slice(0, SHORT_DIGITS);
+}
--- /dev/null
+++ b/test/simulation/digest-scenarios.ts
@@ -0,0 +1,186 @@
+/** The scenarios of the behaviour digest: fixed seeds that between them reach most of the program. */
+import type { JobSpec } from '../../src/controller/wire/jobs.js';
+import { shrinking, small, type Deployment } from './deployment.js';
+import { longJobs } from './fault-scenario.js';
+import { injectFaults, type Fault } from './faults.js';
+import { shortLeases } from './short-leases.js';
+import { Simulation, type FaultRates } from './simulation.js';
+import { TrafficDigest } from './traffic-digest.js';
+
+const quiet: FaultRates = { everyMs: Infinity, doubled: 0, errors: 0, bootFails: 0 };
+const rough: FaultRates = { everyMs: 9000, doubled: 0.02, errors: 0.03, bootFails: 0.1 };
+/** Of the jobs at random times this share is cancelled, within so long. */
+const CANCELLED_SHARE = 0.2;
+const CANCELLED_WITHIN_MS = 40_000;
+
+/** Operators look at every controller so often. */
+const LOOK_EVERY_MS = 11_000;
+/** Spot machines are taken so long after the notice. */
+const NOTICE_MS = 15_000;
+/** The metrics are asked for within this time, at the end. */
+const SCRAPE_MS = 100;
+
+/** A scenario of which a digest is kept. */
+export interface DigestScenario {
+  name: string;
+  deployment: Deployment;
+  seed: number;
+  rates: FaultRates;
+  /** Jobs of the deployment's kinds, at random times of the first four fifths. */
+  randomJobs: number;
+  /** What happens besides, from the start. */
+  faults: Fault[];
+  /** So often a spot machine is taken back, after a notice; where it is left out, none is. */
+  noticeEveryMs?: number;
+  playMs: number;
+}
+
+const services: Partial<JobSpec> = {
+  ...{ kind: 'service', tasks: 3, cpus: 2, gpus: 0, memoryGb: 2, types: null, zone: null },
+  ...{ oneZone: false, spread: true, checkpointS: 0, saveS: 0, deadlineS: null },
+};
+const gangs: Partial<JobSpec> = {
+  ...{ kind: 'gang', class: 'train', tasks: 3, cpus: 4, gpus: 2, memoryGb: 8, types: null },
+  ...{ zone: null, oneZone: true, spread: false, estimateS: 40, checkpointS: 10, saveS: 2 },
+};
+
+/** The scenarios, each of which takes a few seconds at most. */
+export const digestScenarios: DigestScenario[] = [
+  {
+    ...{ name: 'quiet', deployment: small, seed: 1, rates: quiet, randomJobs: 30 },
+    ...{ faults: [], playMs: 200_000 },
+  },
+  {
+    ...{ name: 'random faults', deployment: small, seed: 4, rates: rough, randomJobs: 30 },
+    ...{ faults: [], playMs: 240_000 },
+  },
+  {
+    ...{ name: 'short leases', deployment: shortLeases, seed: 2, rates: rough, randomJobs: 24 },
+    ...{ faults: [], playMs: 240_000 },
+  },
+  {
+    ...{ name: 'services, gangs and cancellations', deployment: small, seed: 5 },
+    ...{ rates: { ...quiet, errors: 0.03 }, randomJobs: 12, playMs: 180_000 },
+    faults: [
+      { kind: 'jobs', count: 4, like: services, at: 1 },
+      { kind: 'jobs', count: 6, like: { ...gangs, priority: 'low' }, at: 2 },
+      { kind: 'odd requests', at: 5, for: 20 },
+      { kind: 'jobs', count: 3, like: { ...gangs, priority: 'high', deadlineS: 90 }, at: 20 },
+      { kind: 'cancelled', count: 3, at: 30 },
+      { kind: 'machines lost', share: 0.3, at: 40 },
+      { kind: 'jobs', count: 30, like: { ...longJobs, tasks: 10, spot: true }, at: 45 },
+      { kind: 'stream', perSecond: 2, cancelled: 0.3, like: { estimateS: 5 }, at: 60, for: 15 },
+      { kind: 'close looks', cancelled: 3, at: 80, for: 20 },
+      { kind: 'machines restart', share: 0.3, back: 1, at: 100 },
+      { kind: 'cancelled', count: 3, hang: 20, at: 110 },
+    ],
+  },
+  {
+    ...{ name: 'failovers and an outage', deployment: small, seed: 6, rates: quiet },
+    ...{ randomJobs: 12, playMs: 230_000 },
+    faults: [
+      { kind: 'jobs', count: 12, like: longJobs, at: 0 },
+      { kind: 'jobs', count: 2, like: services, at: 1 },
+      { kind: 'ended', who: 'leader', back: 4, at: 20 },
+      { kind: 'isolated', who: 'leader', at: 40, for: 25 },
+      { kind: 'cancelled', count: 3, elsewhere: true, at: 45 },
+      { kind: 'outage', at: 75, for: 25 },
+      { kind: 'late writes', share: 0.2, at: 105, for: 15 },
+      { kind: 'refused', who: 'leader', at: 125, for: 15 },
+      { kind: 'elections', at: 145, for: 6 },
+      { kind: 'no workers', who: 'leader', at: 165, for: 15 },
+      { kind: 'standing still', who: 'leader', at: 185, for: 12 },
+      { kind: 'unwatched', who: 'others', at: 200, for: 10 },
+    ],
+  },
+  {
+    ...{ name: 'spot notices and falling limits', deployment: shrinking, seed: 7, rates: quiet },
+    ...{ randomJobs: 10, noticeEveryMs: 9000, playMs: 200_000 },
+    faults: [
+      { kind: 'jobs', count: 8, like: { ...services, spot: true, spread: false }, at: 0 },
+      { kind: 'jobs', count: 6, like: { ...longJobs, spot: true }, at: 2 },
+      { kind: 'limits fall', at: 60 },
+      { kind: 'jobs', count: 20, like: { estimateS: 5, tasks: 10 }, at: 62 },
+      { kind: 'late commands', share: 0.3, at: 80, for: 40 },
+      { kind: 'late reports', share: 0.2, at: 80, for: 40 },
+      { kind: 'reports for the next leader', share: 0.2, after: 1, at: 90, for: 30 },
+      { kind: 'ended', who: 'leader', back: 0.3, at: 100 },
+      { kind: 'zone cut', zone: 'a', inside: 'follower', at: 130, for: 30 },
+    ],
+  },
+];
+
+/** Spot machines are taken back one after the other, each after a notice. */
+function takeSpotMachines({ sim, cloud }: Simulation, everyMs: number): void {
+  const again = (): void => {
+    sim.after(everyMs, again);
+    const worker = cloud.workers.find(({ spot }) => spot);
+    if (worker === undefined) return;
+    worker.warn(NOTICE_MS);
+    sim.after(NOTICE_MS, () => cloud.take(worker.id));
+  };
+  sim.after(everyMs, again);
+}
+
+function submitRandomJobs(simulation: Simulation, count: number, withinMs: number): void {
+  const { sim } = simulation;
+  for (let i = 0; i < count; i++)
+    sim.after(sim.between(0, withinMs), () => {
+      const cancelled = sim.random() < CANCELLED_SHARE;
+      const cancelAfterMs = cancelled ? sim.between(0, CANCELLED_WITHIN_MS) : null;
+      simulation.user(simulation.randomJob(), cancelAfterMs);
+    });
+}
+
+/** Operators look at every controller now and then, and some requests are for nothing that is there. */
+function observeControllers(simulation: Simulation): void {
+  const look = (): void => {
+    for (const host of simulation.hosts)
+      for (const path of [
+        '/ready',
+        '/cluster',
+        '/cluster?after=cloud-2',
+        '/submissions',
+        '/nowhere',
+      ])
+        simulation.ask('GET', path, undefined, () => undefined, host);
+    simulation.ask('POST', '/submissions', 'not a job', () => undefined);
+    simulation.sim.after(LOOK_EVERY_MS, look);
+  };
+  look();
+}
+
+/** What a scenario's play has given. */
+export interface ScenarioDigest {
+  /** sha256 in hex. */
+  digest: string;
+  /** Events that it is made of, by kind. */
+  counts: ReadonlyMap<string, number>;
+}
+
+/** Plays a scenario; `digest` gets all that enters and leaves its controllers. */
+export async function playDigestScenario(
+  scenario: DigestScenario,
+  digest: TrafficDigest,
+): Promise<void> {
+  const { deployment, seed, rates, playMs, noticeEveryMs } = scenario;
+  const version = digest.recordedVersion();
+  const simulation = new Simulation(deployment, seed, rates, undefined, () => version);
+  submitRandomJobs(simulation, scenario.randomJobs, playMs * 0.8);
+  observeControllers(simulation);
+  injectFaults(simulation, scenario.faults);
+  if (noticeEveryMs !== undefined) takeSpotMachines(simulation, noticeEveryMs);
+  simulation.play(playMs);
+  for (const host of simulation.hosts)
+    simulation.ask('GET', '/metrics', undefined, () => undefined, host);
+  simulation.play(SCRAPE_MS);
+  // The texts of the metrics come by promises, after all that virtual time brings.
+  await new Promise(setImmediate);
+}
+
+/** Plays a scenario and hashes what enters and leaves its controllers. */
+export async function digestOf(scenario: DigestScenario): Promise<ScenarioDigest> {
+  const digest = new TrafficDigest();
+  await playDigestScenario(scenario, digest);
+  return { digest: digest.finish(), counts: digest.counts };
+}
