--- /dev/null
+++ b/test/simulation/stored-forms.ts
@@ -0,0 +1,94 @@
+/** Collects one of each form that controllers store or send each other, with its bytes. */
+import { decodePeer } from '../../src/controller/peers/message.js';
+import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
+import { playDigestScenario, type DigestScenario } from './digest-scenarios.js';
+import type { Transaction } from './state-store.js';
+import { TrafficDigest } from './traffic-digest.js';
+
+/** A stored value, as the state service gets it: its key, and the CBOR bytes in hex. */
+export interface StoredExample {
+  key: string;
+  bytes: string;
+}
+
+/** A record in a page: its key and its JSON text. */
+export interface RecordExample {
+  key: string;
+  text: string;
+}
+
+/** One example of each form; a longer one shows more than a shorter one. */
+export interface StoredForms {
+  /** Values at the state service, by prefix of the key. */
+  values: Record<string, StoredExample>;
+  /** Records within pages, by prefix of the key. */
+  records: Record<string, RecordExample>;
+  /** Messages between controllers in hex, by the fields that they fill. */
+  messages: Record<string, string>;
+}
+
+/** The kind of a key: all up to its first slash. */
+function kindOf(key: string): string {
+  const slash = key.indexOf('/');
+  return slash < 0 ? key : key.slice(0, slash + 1);
+}
+
+/** Jobs end in two ways, which are two kinds of values. */
+function kindOfValue(key: string, value: unknown): string {
+  const kind = kindOf(key);
+  return kind === 'final/' ? `${kind} ${(value as { state: string }).state}` : kind;
+}
+
+function filledFields(frame: Uint8Array): string {
+  const message = Object.entries(decodePeer(Buffer.from(frame)));
+  const filled = message.filter(([, value]) =>
+    Array.isArray(value) ? value.length > 0 : value !== null,
+  );
+  return filled.map(([name]) => name).join('+');
+}
+
+/** The longest example of each form in what leaves the controllers. */
+class StoredFormsCollector extends TrafficDigest {
+  readonly forms: StoredForms = { values: {}, records: {}, messages: {} };
+
+  override add(kind: string, details: readonly (string | number)[], bytes: Uint8Array): void {
+    super.add(kind, details, bytes);
+    if (kind === 'frame sent') this.addMessage(bytes);
+    else if (kind === 'call' && details.includes('/multi'))
+      for (const { set, value } of (decodeBody(Buffer.from(bytes)) as Transaction).writes ?? [])
+        if (set !== undefined) this.addValue(set, value);
+  }
+
+  private addMessage(frame: Uint8Array): void {
+    const { messages } = this.forms;
+    const fields = filledFields(frame);
+    const hex = Buffer.from(frame).toString('hex');
+    if (hex.length > (messages[fields]?.length ?? 0)) messages[fields] = hex;
+  }
+
+  private addValue(key: string, value: unknown): void {
+    const { values } = this.forms;
+    const bytes = encodeBody(value).toString('hex');
+    const kind = kindOfValue(key, value);
+    if (bytes.length > (values[kind]?.bytes.length ?? 0)) values[kind] = { key, bytes };
+    if (kind === 'page/') this.addRecords((value as { entries: (string | null)[] }).entries);
+  }
+
+  private addRecords(entries: readonly (string | null)[]): void {
+    const { records } = this.forms;
+    for (let i = 0; i + 1 < entries.length; i += 2) {
+      const key = entries[i] ?? '';
+      const text = entries[i + 1] ?? null;
+      const kind = text === null ? `${kindOf(key)} deleted` : kindOf(key);
+      const shown = text ?? 'null';
+      if (shown.length > (records[kind]?.text.length ?? 0)) records[kind] = { key, text: shown };
+    }
+  }
+}
+
+/** The forms that the present version writes in these scenarios. */
+export async function storedFormsOf(scenarios: readonly DigestScenario[]): Promise<StoredForms> {
+  const collector = new StoredFormsCollector();
+  for (const scenario of scenarios) await playDigestScenario(scenario, collector);
+  return collector.forms;
+}
--- /dev/null
+++ b/test/stored-forms.test.ts
@@ -0,0 +1,210 @@
+/**
+ * The bytes of stored records and of messages between controllers, as version 0.1.0 writes them. They
+ * can't change: a leader reads what an older one has left, and versions serve beside each other.
+ */
+import assert from 'node:assert/strict';
+import { readFileSync } from 'node:fs';
+import { describe, it } from 'node:test';
+import { Core } from '../src/controller/core/core.js';
+import { Completions } from '../src/controller/jobs/completions.js';
+import { finalRecord, readFinal } from '../src/controller/jobs/job-records.js';
+import { LearnedFigures } from '../src/controller/leader/learned-figures.js';
+import { readLeader } from '../src/controller/leadership/leader-record.js';
+import {
+  readPromiseRequest,
+  writePromiseRequest,
+} from '../src/controller/leadership/promise-request.js';
+import { decodePeer, encodePeer } from '../src/controller/peers/message.js';
+import { GangReservations } from '../src/controller/placement/gang-reservations.js';
+import { defaultProperties } from '../src/controller/settings/properties.js';
+import { Settings } from '../src/controller/settings/settings.js';
+import { Pages } from '../src/controller/store/pages.js';
+import { decodeBody, encodeBody } from '../src/controller/wire/cbor.js';
+import { readCatalogue, writeCatalogue } from '../src/controller/wire/cloud.js';
+import { readJob, writeJob } from '../src/controller/wire/jobs.js';
+import { MachineStore } from '../src/controller/workers/machine-store.js';
+import { MachineRegistry } from '../src/controller/workers/registry.js';
+import { TokenSync } from '../src/controller/workers/token-sync.js';
+import { readRecord, writeRecord } from '../src/controller/workers/record.js';
+import type { Assignment } from '../src/controller/workers/assignment.js';
+import type { Machine } from '../src/controller/workers/machine.js';
+import { alone } from './platform.js';
+import { digestScenarios } from './simulation/digest-scenarios.js';
+import { storedFormsOf, type StoredForms } from './simulation/stored-forms.js';
+import { acceptedJob, FakeClock, idleEnv } from './stand-ins.js';
+import { storedAtOnce } from './stored.js';
+
+const FIXTURE = new URL('fixtures/stored-forms.json', import.meta.url);
+const forms = JSON.parse(readFileSync(FIXTURE, 'utf8')) as StoredForms;
+const settings = new Settings(alone(), defaultProperties());
+const VALUE_BYTES = 16 * 1024;
+
+function valueOf(kind: string): unknown {
+  return decodeBody(Buffer.from(forms.values[kind]?.bytes ?? '', 'hex'));
+}
+
+function assertSameBytes(kind: string, value: unknown): void {
+  assert.equal(encodeBody(value).toString('hex'), forms.values[kind]?.bytes);
+}
+
+function recordOf(kind: string): { key: string; value: unknown; text: string } {
+  const { key = '', text = '' } = forms.records[kind] ?? {};
+  return { key, text, value: JSON.parse(text) as unknown };
+}
+
+describe('stored records and messages, as the present version writes them', () => {
+  it('are in their kinds and to the byte as they were recorded', async () => {
+    assert.deepEqual(await storedFormsOf(digestScenarios.slice(3, 5)), forms);
+  });
+
+  it('are here of every kind', () => {
+    const values = ['catalogue', 'final/ cancelled', 'final/ done', 'lead', 'live/', 'page/'];
+    assert.deepEqual(Object.keys(forms.values).sort(), values);
+    const records = ['h/', 'i/', 'learned/', 'm/', 'p/'];
+    const kinds = Object.keys(forms.records).filter((kind) => !kind.endsWith(' deleted'));
+    assert.deepEqual(kinds.sort(), records);
+    const fields = ['accepted', 'finals', 'progress', 'reply', 'request', 'status'];
+    for (const field of fields) assert.ok(forms.messages[field] !== undefined, field);
+  });
+});
+
+describe('a value of the state service', () => {
+  it('tells who leads', () => {
+    const leader = readLeader(valueOf('lead'), 7);
+    assert.ok(leader !== null);
+    assert.equal(leader.term, 7);
+    const { host, identity, lease } = leader;
+    assertSameBytes('lead', { host, identity, lease });
+  });
+
+  for (const state of ['done', 'cancelled'] as const)
+    it(`tells that a job has ended as ${state}`, () => {
+      const value = valueOf(`final/ ${state}`);
+      assert.equal(readFinal(value), state);
+      assertSameBytes(`final/ ${state}`, finalRecord(state, (value as { at: number }).at));
+    });
+
+  it('has an accepted job, which is written alike', () => {
+    const { job, at } = valueOf('live/') as { job: unknown; at: number };
+    const spec = readJob(job);
+    assert.equal(`live/${spec.id}`, forms.values['live/']?.key);
+    assert.equal(typeof at, 'number');
+    assertSameBytes('live/', { job: writeJob(spec), at });
+  });
+
+  it('has the catalogue of machine types, which is written alike', () => {
+    const types = readCatalogue(valueOf('catalogue'));
+    assert.deepEqual(
+      types.map(({ name }) => name),
+      ['big', 'small'],
+    );
+    assertSameBytes('catalogue', writeCatalogue(types));
+  });
+
+  it('has a page of records, which is written alike', () => {
+    const { key = '' } = forms.values['page/'] ?? {};
+    const value = valueOf('page/') as { seq: number; entries: (string | null)[] };
+    const pages = new Pages(() => VALUE_BYTES);
+    pages.load([{ key, value, version: 3 }]);
+    const page = pages.pages.get(key);
+    assert.ok(page !== undefined);
+    const live = value.entries.flatMap((entry, i) =>
+      i % 2 === 0 && value.entries[i + 1] !== null ? [entry, value.entries[i + 1]] : [],
+    );
+    // Nothing else has an older value of what was deleted: it goes as the page is read.
+    assert.deepEqual(pages.value(page, value.seq), { seq: value.seq, entries: live });
+  });
+});
+
+describe('a record in a page', () => {
+  it('has the tasks on a machine, which are written alike', () => {
+    const { value, text } = recordOf('m/');
+    const wall = 1.8e12;
+    const read = readRecord(value, wall);
+    assert.ok(read !== null && read.tasks.length > 1);
+    const { session, type: typeName, zone, spot, addr } = read;
+    const assignments = read.tasks.map((task, i): [string, Assignment] => [
+      String(i),
+      { ...task, since: task.at - wall } as unknown as Assignment,
+    ]);
+    const machine = { session, typeName, zone, spot, addr, assignments: new Map(assignments) };
+    const written = writeRecord(machine as unknown as Machine, settings, 0, wall);
+    assert.equal(JSON.stringify(written), text);
+  });
+
+  it('has the done tasks of a job, which are written alike', () => {
+    const { key, value, text } = recordOf('p/');
+    const id = key.split('/')[1] ?? '';
+    const tasks = Buffer.from(value as string, 'base64').length * 8;
+    const job = acceptedJob({ id, tasks });
+    new Completions(storedAtOnce({ [key]: value }), () => undefined).load(new Map([[id, job]]));
+    assert.ok(job.doneCount > 0);
+    const records = storedAtOnce();
+    const completions = new Completions(records, () => undefined);
+    for (const [task, done] of job.done.entries()) if (done === 1) completions.add(job, task);
+    completions.flush();
+    assert.deepEqual([...records.list('')], [{ key, value: JSON.parse(text) as unknown }]);
+  });
+
+  it('has the images on a machine, which are written alike', () => {
+    const { key, value } = recordOf('i/');
+    const clock = new FakeClock(1000);
+    const core = new Core(idleEnv(clock), clock.log);
+    const registry = new MachineRegistry(core, settings, new TokenSync(core, 1), () => undefined);
+    const events = { restored: () => undefined, recorded: () => undefined };
+    const records = storedAtOnce({ [key]: value });
+    const store = new MachineStore(core, settings, records, registry, events);
+    store.load();
+    const machine = registry.obtain(key.slice('i/'.length));
+    assert.ok(machine.images.size > 1);
+    records.set(key, undefined, 'lazy');
+    store.markImagesChanged(machine);
+    store.flush();
+    assert.deepEqual([...records.list('')], [{ key, value }]);
+  });
+
+  it('has the machines that a gang has reserved', () => {
+    const { key, value } = recordOf('h/');
+    const id = key.slice('h/'.length);
+    const job = acceptedJob({ id, kind: 'gang' });
+    const clock = new FakeClock(1000);
+    const core = new Core(idleEnv(clock), clock.log);
+    const records = storedAtOnce({ [key]: value });
+    type Parts = ConstructorParameters<typeof GangReservations>[0];
+    new GangReservations({ core, records } as unknown as Parts).load({
+      jobs: new Map([[id, job]]),
+    });
+    assert.deepEqual(job.reservation?.machines, value);
+  });
+
+  it('has what was learned of a class, which is written alike', () => {
+    const { key, value, text } = recordOf('learned/');
+    const { since } = (value as { arrivals: { since: number } }).arrivals;
+    // The process starts as the record does, and its clock is the time of day.
+    const clock = new FakeClock(since);
+    const learned = new LearnedFigures(new Core(idleEnv(clock), clock.log), settings);
+    clock.time += 600_000;
+    learned.load(storedAtOnce({ [key]: value }), []);
+    const records = storedAtOnce();
+    learned.save(records);
+    assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
+  });
+});
+
+describe('a message between controllers', () => {
+  for (const [fields, hex] of Object.entries(forms.messages))
+    it(`of ${fields === '' ? 'nothing' : fields} is read, and written alike`, () => {
+      const message = decodePeer(Buffer.from(hex, 'hex'));
+      const filled = Object.entries(message).filter(([, value]) =>
+        Array.isArray(value) ? value.length > 0 : value !== null,
+      );
+      assert.equal(filled.map(([name]) => name).join('+'), fields);
+      assert.equal(encodePeer(message).toString('hex'), hex);
+    });
+
+  it('asks for a promise with the term in CBOR', () => {
+    const body = Buffer.from('a1647465726d1a0001e240', 'hex');
+    assert.equal(readPromiseRequest(body), 123_456);
+    assert.deepEqual(writePromiseRequest(123_456), body);
+  });
+});
