--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,6 +1,6 @@
 /** One controller: its slices put together, and the way of requests to them. */
-import { Core } from './core/core.js';
-import type { Env, Logger } from './core/env.js';
+import { EventLoop } from './runtime/event-loop.js';
+import type { Runtime, Logger } from './runtime/runtime.js';
 import { Catalogue } from './fleet/catalogue.js';
 import { Frontend, type Answer, type FrontendHooks } from './jobs/frontend.js';
 import { ProgressCache } from './jobs/progress.js';
@@ -16,8 +16,8 @@
 import { Peers, type PeerEvents } from './peers/peers.js';
 import { Routes } from './routes.js';
 import type { Settings } from './settings/settings.js';
-import { StateClient } from './store/client.js';
-import { Rate } from './store/shares.js';
+import { StateStoreClient } from './store/client.js';
+import { DecayingRate } from './store/write-share.js';
 import { encodeBody } from './wire/cbor.js';
 import type { JobAnswer } from './wire/jobs.js';
 import { readReport } from './wire/workers.js';
@@ -37,10 +37,10 @@
 
 /** One of a deployment's equal controllers, of which one leads. */
 export class Controller {
-  readonly core: Core;
+  readonly eventLoop: EventLoop;
   /** Loaded a little after the start, which is to be short. */
   metrics: MetricsSink | null = null;
-  private readonly client: StateClient;
+  private readonly client: StateStoreClient;
   private readonly leadership: Leadership;
   private readonly peers: Peers;
   private readonly frontend: Frontend;
@@ -50,34 +50,34 @@
   private readonly learned: LearnedFigures;
   private readonly progress = new ProgressCache();
   /** Reports of workers that this node has sent on to the leader. */
-  private readonly forwardedReports: Rate;
+  private readonly forwardedReports: DecayingRate;
   /** This node's term as leader, from its election until it learns of the end. */
   private leaderTerm: LeaderTerm | null = null;
 
   constructor(
-    env: Env,
+    runtime: Runtime,
     log: Logger,
     private readonly settings: Settings,
     identity: string,
   ) {
-    const core = new Core(env, log);
-    this.core = core;
-    this.forwardedReports = new Rate(() => env.now(), settings.reportMs);
-    this.learned = new LearnedFigures(core, settings);
-    this.client = new StateClient(core, settings);
-    this.catalogue = new Catalogue(core, settings, this.client, () =>
+    const eventLoop = new EventLoop(runtime, log);
+    this.eventLoop = eventLoop;
+    this.forwardedReports = new DecayingRate(() => runtime.now(), settings.reportMs);
+    this.learned = new LearnedFigures(eventLoop, settings);
+    this.client = new StateStoreClient(eventLoop, settings);
+    this.catalogue = new Catalogue(eventLoop, settings, this.client, () =>
       this.leaderTerm?.ready === true ? this.leaderTerm : null,
     );
     const ask = askOver(() => this.peers);
     const events = this.leadershipEvents();
-    this.leadership = new Leadership(core, settings, this.client, identity, events, ask);
+    this.leadership = new Leadership(eventLoop, settings, this.client, identity, events, ask);
     this.peers = new Peers(
-      core,
+      eventLoop,
       settings.platform.peers.map((peer) => peer.host),
       () => this.status(identity),
       this.peerEvents(),
     );
-    this.frontend = new Frontend(core, settings, this.client, this.frontendHooks());
+    this.frontend = new Frontend(eventLoop, settings, this.client, this.frontendHooks());
     this.readiness = new Readiness(
       settings,
       this.client,
@@ -132,8 +132,8 @@
   }
 
   private createRoutes(): Routes {
-    const { core, settings, client, peers, leadership, frontend } = this;
-    return new Routes(core, settings, client, peers, leadership, frontend, {
+    const { eventLoop, settings, client, peers, leadership, frontend } = this;
+    return new Routes(eventLoop, settings, client, peers, leadership, frontend, {
       leads: () => this.leads,
       ready: () => this.readiness.ready,
       report: (body, respond) => this.report(body, respond),
@@ -149,10 +149,10 @@
     return {
       host: this.settings.platform.host,
       identity,
-      stateOkAgeMs: Number.isFinite(client.okAgeMs) ? client.okAgeMs : -1,
+      stateOkAgeMs: Number.isFinite(client.sinceSuccessMs) ? client.sinceSuccessMs : -1,
       leaderHost: leadership.leader?.host ?? '',
       term: leadership.leader?.term ?? 0,
-      wantedWrites: client.part.wanted,
+      wantedWrites: client.writeDemand.writesPerSecond,
       strayReports: this.forwardedReports.perSecond,
     };
   }
@@ -165,12 +165,12 @@
   /** Begins to follow the others, or to lead. */
   start(): void {
     const { reportMs } = this.settings;
-    this.core.post('start', () => {
+    this.eventLoop.post('start', () => {
       this.leadership.start();
       this.catalogue.load();
       this.peers.start(reportMs / STATUSES_PER_REPORT, reportMs / NEWS_PER_REPORT);
-      this.core.every(this.tickMs, 'tick', () => this.tick());
-      this.core.onBatchEnd(() => this.leaderTerm?.batchEnd());
+      this.eventLoop.every(this.tickMs, 'tick', () => this.tick());
+      this.eventLoop.onBatchEnd(() => this.leaderTerm?.batchEnd());
     });
   }
 
@@ -180,8 +180,11 @@
 
   private tick(): void {
     const heard = this.peers.heard(this.settings.reportMs);
-    this.client.shareWrites(
-      heard.map((peer) => ({ leads: peer.leaderHost === peer.host, wanted: peer.wantedWrites })),
+    this.client.updateWriteShare(
+      heard.map((peer) => ({
+        isLeader: peer.leaderHost === peer.host,
+        writesPerSecond: peer.wantedWrites,
+      })),
     );
     this.catalogue.refreshIfDue();
     this.leaderTerm?.tick(heard, this.tickMs);
@@ -210,10 +213,10 @@
   }
 
   private elected(term: number): void {
-    const { core, settings, client, leadership, peers, frontend } = this;
+    const { eventLoop, settings, client, leadership, peers, frontend } = this;
     const { progress, catalogue, learned } = this;
     const leaderTerm = new LeaderTerm(term, {
-      ...{ core, settings, client, leadership, peers, frontend, progress, catalogue, learned },
+      ...{ eventLoop, settings, client, leadership, peers, frontend, progress, catalogue, learned },
       entitled: () => this.entitled,
       mayAnswerWorkers: () => this.mayAnswerWorkers,
       takenOver: () => this.leaderTerm?.ready === true,
@@ -233,12 +236,12 @@
 
   /** Bytes of a frame from another controller. */
   peerFrame(bytes: Buffer): void {
-    this.core.post('peer', () => this.peers.receive(bytes));
+    this.eventLoop.post('peer', () => this.peers.receive(bytes));
   }
 
   /** A connection from another controller was dropped for what came on it. */
   peerBroken(err: Error): void {
-    this.core.post('peer', () => this.peers.dropped(err));
+    this.eventLoop.post('peer', () => this.peers.dropped(err));
   }
 
   /** A request to the API. */
@@ -257,7 +260,7 @@
     const common = { settings, term, table, workers, placement, fleet, types, after };
     respond({
       status: 200,
-      body: clusterView({ ...common, acting: this.entitled, now: this.core.now() }),
+      body: clusterView({ ...common, acting: this.entitled, now: this.eventLoop.now() }),
     });
   }
 
--- a/src/controller/fleet/catalogue.ts
+++ b/src/controller/fleet/catalogue.ts
@@ -1,8 +1,8 @@
 /** The machine types that the cloud offers, read at the start and refreshed now and then. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
-import type { Records } from '../store/records.js';
+import type { StateStoreClient } from '../store/client.js';
+import type { RecordStore } from '../store/record-store.js';
 import { readCatalogue, writeCatalogue, type MachineType } from '../wire/cloud.js';
 
 const CATALOGUE_KEY = 'catalogue';
@@ -17,7 +17,7 @@
 export interface CatalogueWriter {
   /** The term is over. */
   readonly closed: boolean;
-  readonly records: Pick<Records, 'transact'>;
+  readonly records: Pick<RecordStore, 'transact'>;
 }
 
 /** The cloud's machine types as this node knows them. */
@@ -26,9 +26,9 @@
   private knownAt = -Infinity;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly client: Pick<StateClient, 'get' | 'tokens'>,
+    private readonly client: Pick<StateStoreClient, 'read' | 'requestTokens'>,
     /** This node's term as leader, if it has taken over. */
     private readonly writer: () => CatalogueWriter | null,
   ) {}
@@ -40,8 +40,8 @@
 
   /** Reads what a leader has stored, and asks the cloud where there is nothing. */
   load(): void {
-    this.client.tokens.force();
-    this.client.get(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
+    this.client.requestTokens.forceTake();
+    this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
       if (got.kind === 'ok' && got.value !== null && this.known === null)
         this.take(got.value.value);
       if (this.known === null) this.askCloud();
@@ -51,15 +51,15 @@
   /** Asks the cloud again if the types are old. */
   refreshIfDue(): void {
     const refreshMs = this.settings.workerLeaseMs * REFRESH_LEASES;
-    if (this.known === null || this.core.now() - this.knownAt <= refreshMs) return;
-    this.knownAt = this.core.now();
+    if (this.known === null || this.eventLoop.now() - this.knownAt <= refreshMs) return;
+    this.knownAt = this.eventLoop.now();
     this.askCloud();
   }
 
   /** Stores the machine types for nodes that start while the cloud does not answer. */
   share(writer: CatalogueWriter): void {
-    this.client.tokens.force();
-    this.client.get(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
+    this.client.requestTokens.forceTake();
+    this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
       if (got.kind === 'failed' || writer.closed) return;
       if (got.value !== null && this.known === null) this.take(got.value.value);
       if (this.known === null) return;
@@ -76,10 +76,10 @@
 
   private askCloud(): void {
     const to = this.settings.platform.cloud;
-    this.core.env.call(
+    this.eventLoop.runtime.call(
       { to, method: 'GET', path: '/catalog', timeoutMs: CLOUD_TIMEOUT_MS },
       (reply) => {
-        this.core.post('catalogue', () => {
+        this.eventLoop.post('catalogue', () => {
           const before = JSON.stringify(this.known);
           if (reply.status === 200) this.take(reply.body);
           if (this.known === null) this.loadLater();
@@ -90,8 +90,8 @@
   }
 
   private loadLater(): void {
-    const delayMs = RETRY_MS + RETRY_MS * this.core.env.random();
-    this.core.after(delayMs, 'catalogue', () => this.load());
+    const delayMs = RETRY_MS + RETRY_MS * this.eventLoop.runtime.random();
+    this.eventLoop.after(delayMs, 'catalogue', () => this.load());
   }
 
   private shareChange(): void {
@@ -102,9 +102,9 @@
   private take(body: unknown): void {
     try {
       this.known = readCatalogue(body);
-      this.knownAt = this.core.now();
+      this.knownAt = this.eventLoop.now();
     } catch (err) {
-      this.core.log.warn({ err }, 'broken catalogue');
+      this.eventLoop.log.warn({ err }, 'broken catalogue');
     }
   }
 }
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -1,7 +1,7 @@
 /** The cloud's API for machines, called within its limit of requests. */
-import type { Core } from '../core/core.js';
-import type { Reply } from '../core/env.js';
-import { Tokens } from '../core/tokens.js';
+import type { EventLoop } from '../runtime/event-loop.js';
+import type { Reply } from '../runtime/runtime.js';
+import { TokenBucket } from '../runtime/token-bucket.js';
 import type { Settings } from '../settings/settings.js';
 import {
   readMachines,
@@ -41,14 +41,14 @@
 
 /** Calls of the leader to the cloud. */
 export class CloudClient {
-  private readonly tokens: Tokens;
+  private readonly tokens: TokenBucket;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
   ) {
     const { rps } = settings.platform.cloudLimits;
-    this.tokens = new Tokens(() => core.now(), rps * LEADER_RATE_SHARE, Math.max(1, rps));
+    this.tokens = new TokenBucket(() => eventLoop.now(), rps * LEADER_RATE_SHARE, Math.max(1, rps));
   }
 
   /** Reads the list of machines, page by page; `null` if any page failed. */
@@ -68,9 +68,9 @@
     from: string,
     done: (machines: ListedMachine[] | null) => void,
   ): void {
-    if (!this.tokens.take()) {
+    if (!this.tokens.tryTake()) {
       const waitMs = Math.max(LEAST_TOKEN_WAIT_MS, this.tokens.waitMs());
-      this.core.after(waitMs, 'list-token', () => this.listPage(found, from, done));
+      this.eventLoop.after(waitMs, 'list-token', () => this.listPage(found, from, done));
       return;
     }
     const path = `/machines?limit=${LIST_PAGE_SIZE}${from === '' ? '' : `&from=${from}`}`;
@@ -89,14 +89,14 @@
     try {
       return readMachines(reply.body);
     } catch (err) {
-      this.core.log.warn({ err }, 'broken machine list');
+      this.eventLoop.log.warn({ err }, 'broken machine list');
       return null;
     }
   }
 
   /** Takes the token that a release needs; false if it has to wait. */
   mayRelease(): boolean {
-    return this.tokens.take();
+    return this.tokens.tryTake();
   }
 
   /** Returns machines to the cloud; the caller has taken the token. */
@@ -108,7 +108,7 @@
 
   /** Takes the token that a rental needs; false if it has to wait. */
   mayRent(): boolean {
-    return this.tokens.take(1, RENT_TOKEN_RESERVE);
+    return this.tokens.tryTake(1, RENT_TOKEN_RESERVE);
   }
 
   /** Rents machines; the caller has taken the token. */
@@ -124,7 +124,7 @@
     try {
       return { kind: 'rented', machineIds: readRented(reply.body) };
     } catch (err) {
-      this.core.log.warn({ err }, 'broken answer to a rental');
+      this.eventLoop.log.warn({ err }, 'broken answer to a rental');
       return { kind: 'refused' };
     }
   }
@@ -138,11 +138,14 @@
   ): void {
     const to = this.settings.platform.cloud;
     const content = body === undefined ? {} : { body };
-    this.core.env.call({ to, method, path, ...content, timeoutMs: CALL_TIMEOUT_MS }, (reply) => {
-      this.core.post(command, () => {
-        if (reply.status === STATUS_TOO_MANY_REQUESTS) this.tokens.rejected(RATE_LIMIT_PAUSE_MS);
-        done(reply);
-      });
-    });
+    this.eventLoop.runtime.call(
+      { to, method, path, ...content, timeoutMs: CALL_TIMEOUT_MS },
+      (reply) => {
+        this.eventLoop.post(command, () => {
+          if (reply.status === STATUS_TOO_MANY_REQUESTS) this.tokens.pauseFor(RATE_LIMIT_PAUSE_MS);
+          done(reply);
+        });
+      },
+    );
   }
 }
--- a/src/controller/fleet/fleet.test.ts
+++ b/src/controller/fleet/fleet.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { ManualEnv, silentLogger } from '../../../test/manual-env.js';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
 import { alone } from '../../../test/platform.js';
-import { Core } from '../core/core.js';
+import { EventLoop } from '../runtime/event-loop.js';
 import type { Shortage } from '../placement/placement-pass.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import { readCatalogue, type ListedMachine, type MachineType } from '../wire/cloud.js';
 import type { JobSpec } from '../wire/jobs.js';
 import { Machine } from '../workers/machine.js';
@@ -66,16 +66,16 @@
 }
 
 function setUp() {
-  const env = new ManualEnv();
-  const core = new Core(env, silentLogger);
+  const runtime = new ManualRuntime();
+  const eventLoop = new EventLoop(runtime, silentLogger);
   const workers = new Machines();
   const booting: BootingMachines = new Map();
-  return { env, core, workers, booting };
+  return { runtime, eventLoop, workers, booting };
 }
 
 describe('cloud client', () => {
   it('reads the list page by page', () => {
-    const { env, core } = setUp();
+    const { runtime, eventLoop } = setUp();
     const page = (id: string, more: boolean) => ({
       kilns: [...[{ id, address: 'x:1', model: 'plain', hall: 'a', loaners: false }]].map(
         (machine) => ({ ...machine, status: 'running', age_s: 1 }),
@@ -83,9 +83,9 @@
       has_next: more,
     });
     const lists: (ListedMachine[] | null)[] = [];
-    new CloudClient(core, settings).listMachines((machines) => lists.push(machines));
-    assert.equal(env.answer(200, page('n-1', true)).path, '/machines?limit=500');
-    assert.equal(env.answer(200, page('n-2', false)).path, '/machines?limit=500&from=n-1');
+    new CloudClient(eventLoop, settings).listMachines((machines) => lists.push(machines));
+    assert.equal(runtime.answer(200, page('n-1', true)).path, '/machines?limit=500');
+    assert.equal(runtime.answer(200, page('n-2', false)).path, '/machines?limit=500&from=n-1');
     assert.deepEqual(
       lists.map((list) => list?.map((machine) => machine.id)),
       [['n-1', 'n-2']],
@@ -95,23 +95,23 @@
   // A list of several thousand machines needs more calls than there are tokens at once; it failed at
   // the first page without one, and nothing was rented then.
   it('reads a list of any length, within the rate and with calls left for rentals', () => {
-    const { env, core } = setUp();
-    const cloud = new CloudClient(core, settings);
+    const { runtime, eventLoop } = setUp();
+    const cloud = new CloudClient(eventLoop, settings);
     const pages = 24;
     const lists: (ListedMachine[] | null)[] = [];
     cloud.listMachines((machines) => lists.push(machines));
     let asked = 0;
     for (let ms = 0; lists.length === 0 && ms < 60_000; ms += 50) {
-      if (env.calls.length > 0) {
+      if (runtime.calls.length > 0) {
         asked++;
         const id = `n-${String(asked).padStart(6, '0')}`;
         const machine = { id, address: 'x:1', model: 'plain', hall: 'a', loaners: false };
-        env.answer(200, {
+        runtime.answer(200, {
           kilns: [{ ...machine, status: 'running', age_s: 1 }],
           has_next: asked < pages,
         });
       }
-      env.advance(50);
+      runtime.advance(50);
     }
     assert.equal(lists[0]?.length, pages);
     const { rps } = settings.platform.cloudLimits;
@@ -120,8 +120,8 @@
   });
 
   it('tells rentals that are refused from those that may have been made', () => {
-    const { env, core } = setUp();
-    const cloud = new CloudClient(core, settings);
+    const { runtime, eventLoop } = setUp();
+    const cloud = new CloudClient(eventLoop, settings);
     const results: RentalResult[] = [];
     const request = { name: 't7-1', kind: { type: plain, zone: 'a', spot: false }, count: 1 };
     for (const [status, body] of [
@@ -131,7 +131,7 @@
       [200, { kilns: ['n-1'] }],
     ] as const) {
       cloud.rent(request, (result) => results.push(result));
-      env.answer(status, body);
+      runtime.answer(status, body);
     }
     assert.deepEqual(results, [
       { kind: 'lost' },
@@ -142,49 +142,57 @@
   });
 
   it('pauses when the cloud has said that there are too many calls', () => {
-    const { env, core } = setUp();
-    const cloud = new CloudClient(core, settings);
+    const { runtime, eventLoop } = setUp();
+    const cloud = new CloudClient(eventLoop, settings);
     cloud.release(['n-1'], () => undefined);
-    env.answer(429);
+    runtime.answer(429);
     assert.ok(!cloud.mayRelease());
-    env.advance(1000);
+    runtime.advance(1000);
     assert.ok(cloud.mayRelease());
   });
 });
 
 describe('machine releases', () => {
   it('are repeated until the cloud confirms, and remembered for a while', () => {
-    const { env, core, workers } = setUp();
+    const { runtime, eventLoop, workers } = setUp();
     const machine = workers.add('n-1');
-    const cloud = new CloudClient(core, settings);
-    const releases = new MachineReleases(core, settings, { workers, cloud, acting: () => true });
+    const cloud = new CloudClient(eventLoop, settings);
+    const releases = new MachineReleases(eventLoop, settings, {
+      workers,
+      cloud,
+      acting: () => true,
+    });
     releases.release(['n-1'], 'test');
     assert.ok(machine.leaving);
-    env.answer(500);
+    runtime.answer(500);
     assert.equal(workers.machines.size, 1);
-    env.advance(1000);
-    env.answer(200);
+    runtime.advance(1000);
+    runtime.answer(200);
     assert.equal(workers.machines.size, 0);
-    env.advance(lagMs);
+    runtime.advance(lagMs);
     assert.ok(releases.has('n-1'));
-    env.advance(lagMs * 3 + 5000);
+    runtime.advance(lagMs * 3 + 5000);
     assert.ok(!releases.has('n-1'));
   });
 
   it('go out in batches of a hundred, and only from an acting leader', () => {
-    const { env, core, workers } = setUp();
+    const { runtime, eventLoop, workers } = setUp();
     let acting = false;
-    const cloud = new CloudClient(core, settings);
-    const releases = new MachineReleases(core, settings, { workers, cloud, acting: () => acting });
+    const cloud = new CloudClient(eventLoop, settings);
+    const releases = new MachineReleases(eventLoop, settings, {
+      workers,
+      cloud,
+      acting: () => acting,
+    });
     releases.release(
       Array.from({ length: 150 }, (_, index) => `n-${index}`),
       'test',
     );
-    assert.equal(env.calls.length, 0);
+    assert.equal(runtime.calls.length, 0);
     acting = true;
-    env.advance(1000);
+    runtime.advance(1000);
     assert.deepEqual(
-      env.calls.map(({ call }) => (call.body as { kilns: string[] }).kilns.length),
+      runtime.calls.map(({ call }) => (call.body as { kilns: string[] }).kilns.length),
       [100, 50],
     );
   });
@@ -192,14 +200,14 @@
 
 describe('machine list', () => {
   function read(entries: Partial<ListedMachine>[], known: string[], releasing: string[] = []) {
-    const { env, core, workers, booting } = setUp();
+    const { runtime, eventLoop, workers, booting } = setUp();
     for (const id of known) workers.add(id);
     const released: string[] = [];
     const listed = entries.map((entry): ListedMachine => ({
       ...{ id: 'n-1', addr: 'x:1', type: 'plain', zone: 'a', spot: false, ageS: 2 },
       ...{ state: 'running', ...entry },
     }));
-    const list = new MachineList(core, settings, {
+    const list = new MachineList(eventLoop, settings, {
       ...{ workers, booting, types: () => [plain], acting: () => true },
       cloud: { listMachines: (done) => done(listed), listIntervalMs: () => 0 },
       releases: {
@@ -208,7 +216,7 @@
       },
     });
     list.step(0);
-    return { env, list, workers, booting, released };
+    return { runtime, list, workers, booting, released };
   }
 
   it('updates the known, returns the failed and expects the others to come up', () => {
@@ -237,11 +245,11 @@
   });
 
   it('takes a machine for absent only when it has long not been listed', () => {
-    const { env, list, workers } = read([], ['n-1']);
+    const { runtime, list, workers } = read([], ['n-1']);
     const machine = workers.machines.get('n-1');
     assert.equal(machine?.listed, 'running');
-    env.advance(lagMs * 4 + settings.reportMs + 1);
-    list.step(env.now());
+    runtime.advance(lagMs * 4 + settings.reportMs + 1);
+    list.step(runtime.now());
     assert.equal(machine.listed, 'absent');
   });
 });
@@ -250,9 +258,9 @@
   const quiet: WorkOutlook = { noWork: false, rentalsRefused: false, arrivalsStopped: false };
 
   function search() {
-    const { core, workers, booting } = setUp();
+    const { eventLoop, workers, booting } = setUp();
     const lacking: Shortage[] = [];
-    const unused = new UnusedMachines(core, settings, {
+    const unused = new UnusedMachines(eventLoop, settings, {
       ...{ workers, booting, placement: { lacking } },
       releases: { has: () => false },
     });
@@ -313,9 +321,9 @@
 
 describe('renting', () => {
   it('repeats a lost request under its name and pauses after a refusal', () => {
-    const { env, core, workers, booting } = setUp();
-    const cloud = new CloudClient(core, settings);
-    const renting = new Renting(core, settings, {
+    const { runtime, eventLoop, workers, booting } = setUp();
+    const cloud = new CloudClient(eventLoop, settings);
+    const renting = new Renting(eventLoop, settings, {
       ...{ workers, cloud, booting, acting: () => true },
       placement: { lacking: [] },
     });
@@ -328,14 +336,14 @@
     renting.seen(spec, 0);
     renting.step(0, [plain], true);
     assert.ok(renting.busy);
-    const first = env.answer(0);
-    const second = env.answer(200, { kilns: [] });
+    const first = runtime.answer(0);
+    const second = runtime.answer(200, { kilns: [] });
     assert.deepEqual(second.body, first.body);
     assert.equal((first.body as { hire: string }).hire, 't7-1');
     assert.ok(!renting.busy);
     assert.ok(renting.refused(0));
     renting.step(0, [plain], true);
-    assert.equal(env.calls.length, 0);
+    assert.equal(runtime.calls.length, 0);
   });
 });
 
@@ -343,38 +351,43 @@
   const body = { models: [{ name: 'plain', cores: 8, mem_gb: 64, halls: ['a'] }] };
 
   function load() {
-    const { env, core } = setUp();
+    const { runtime, eventLoop } = setUp();
     const client = {
-      tokens: { force: () => undefined },
-      get: (_key: string, _timeoutMs: number, done: (got: unknown) => void) =>
+      requestTokens: { forceTake: () => undefined },
+      read: (_key: string, _timeoutMs: number, done: (got: unknown) => void) =>
         done({ kind: 'ok', value: null }),
     };
-    const catalogue = new Catalogue(core, settings, client as unknown as StateClient, () => null);
+    const catalogue = new Catalogue(
+      eventLoop,
+      settings,
+      client as unknown as StateStoreClient,
+      () => null,
+    );
     catalogue.load();
-    return { env, catalogue };
+    return { runtime, catalogue };
   }
 
   it('asks the cloud until it answers, and again when the types are old', () => {
-    const { env, catalogue } = load();
-    env.answer(503);
+    const { runtime, catalogue } = load();
+    runtime.answer(503);
     assert.equal(catalogue.types, null);
-    env.advance(1000);
-    assert.equal(env.answer(200, body).path, '/catalog');
+    runtime.advance(1000);
+    assert.equal(runtime.answer(200, body).path, '/catalog');
     assert.deepEqual(catalogue.types, readCatalogue(body));
     catalogue.refreshIfDue();
-    assert.equal(env.calls.length, 0);
-    env.advance(settings.workerLeaseMs * 3 + 1);
+    assert.equal(runtime.calls.length, 0);
+    runtime.advance(settings.workerLeaseMs * 3 + 1);
     catalogue.refreshIfDue();
     catalogue.refreshIfDue();
-    assert.equal(env.calls.length, 1);
+    assert.equal(runtime.calls.length, 1);
   });
 
   it('keeps what it knows when the cloud answers something broken', () => {
-    const { env, catalogue } = load();
-    env.answer(200, body);
-    env.advance(settings.workerLeaseMs * 3 + 1);
+    const { runtime, catalogue } = load();
+    runtime.answer(200, body);
+    runtime.advance(settings.workerLeaseMs * 3 + 1);
     catalogue.refreshIfDue();
-    env.answer(200, 'broken');
+    runtime.answer(200, 'broken');
     assert.deepEqual(catalogue.types, readCatalogue(body));
   });
 });
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -1,5 +1,5 @@
 /** Which machines there are: rents what waiting work lacks, returns what is of no use. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/table.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
@@ -34,7 +34,7 @@
   private steppedAt = -Infinity;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly types: () => MachineType[] | null,
     private readonly table: JobTable,
@@ -42,17 +42,17 @@
     placement: Placement,
     private readonly acting: () => boolean,
   ) {
-    this.workAt = core.now();
+    this.workAt = eventLoop.now();
     const memoryMs = settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio');
     const leastMs = settings.workerLeaseMs * LEAST_SILENCE_LEASES;
-    this.arrivals = new Arrivals(memoryMs, leastMs, core.now());
-    const cloud = new CloudClient(core, settings);
+    this.arrivals = new Arrivals(memoryMs, leastMs, eventLoop.now());
+    const cloud = new CloudClient(eventLoop, settings);
     const common = { workers, placement, cloud, booting: this.bootingMachines, types, acting };
-    this.releases = new MachineReleases(core, settings, common);
-    this.list = new MachineList(core, settings, { ...common, releases: this.releases });
-    this.unused = new UnusedMachines(core, settings, { ...common, releases: this.releases });
-    this.renting = new Renting(core, settings, common);
-    this.silentReplicas = new SilentReplicas(core, settings, workers, (machines) =>
+    this.releases = new MachineReleases(eventLoop, settings, common);
+    this.list = new MachineList(eventLoop, settings, { ...common, releases: this.releases });
+    this.unused = new UnusedMachines(eventLoop, settings, { ...common, releases: this.releases });
+    this.renting = new Renting(eventLoop, settings, common);
+    this.silentReplicas = new SilentReplicas(eventLoop, settings, workers, (machines) =>
       this.releaseSilent(machines),
     );
   }
@@ -60,7 +60,7 @@
   /** Called about once a second. */
   step(): void {
     if (!this.acting()) return;
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     this.list.step(now);
     this.noteWork(now);
     this.noteArrivals(now);
@@ -106,7 +106,7 @@
   private releaseSilent(machines: readonly Machine[]): void {
     const ids = machines.map((machine) => machine.id).filter((id) => !this.releases.has(id));
     if (ids.length === 0 || !this.acting()) return;
-    this.core.log.info({ machines: ids }, 'silent machines with replicas are returned');
+    this.eventLoop.log.info({ machines: ids }, 'silent machines with replicas are returned');
     this.releases.release(ids, 'silent with replicas');
   }
 
--- a/src/controller/fleet/machine-list.ts
+++ b/src/controller/fleet/machine-list.ts
@@ -1,5 +1,5 @@
 /** The cloud's list of machines, read now and then and compared with those known. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { ListedMachine, MachineType } from '../wire/cloud.js';
 import type { Machine } from '../workers/machine.js';
@@ -34,7 +34,7 @@
   private readAt = -Infinity;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly context: MachineListContext,
   ) {}
@@ -62,17 +62,17 @@
     this.context.cloud.listMachines((machines) => {
       this.reading = false;
       if (machines === null) {
-        this.readAt = this.core.now() - RETRY_LAG_SHARE * this.lagMs;
+        this.readAt = this.eventLoop.now() - RETRY_LAG_SHARE * this.lagMs;
         return;
       }
-      this.readAt = this.core.now();
+      this.readAt = this.eventLoop.now();
       if (this.context.acting()) this.apply(machines);
     });
   }
 
   private apply(listed: readonly ListedMachine[]): void {
     this.complete = true;
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     const ids = new Set<string>();
     for (const entry of listed) {
       ids.add(entry.id);
--- a/src/controller/fleet/machine-releases.ts
+++ b/src/controller/fleet/machine-releases.ts
@@ -1,5 +1,5 @@
 /** Returns machines to the cloud and repeats that until the cloud has confirmed it. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Workers } from '../workers/workers.js';
 import type { CloudClient } from './cloud-client.js';
@@ -26,7 +26,7 @@
   private readonly ids = new Set<string>();
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly context: MachineReleasesContext,
   ) {}
@@ -59,18 +59,22 @@
   }
 
   private sendLater(delayMs: number, batch: string[], reason: string): void {
-    this.core.after(delayMs, 'release', () => this.send(batch, reason));
+    this.eventLoop.after(delayMs, 'release', () => this.send(batch, reason));
   }
 
   private released(batch: string[], reason: string): void {
-    this.core.log.info({ machines: batch, reason }, 'machines returned');
+    this.eventLoop.log.info({ machines: batch, reason }, 'machines returned');
     for (const id of batch) {
       const machine = this.context.workers.machines.get(id);
       if (machine !== undefined) this.context.workers.gone(machine);
     }
     const { listLagS } = this.settings.platform.cloudLimits;
-    this.core.after(listLagS * 1000 * FORGET_LAGS + FORGET_MARGIN_MS, 'forget-released', () => {
-      for (const id of batch) this.ids.delete(id);
-    });
+    this.eventLoop.after(
+      listLagS * 1000 * FORGET_LAGS + FORGET_MARGIN_MS,
+      'forget-released',
+      () => {
+        for (const id of batch) this.ids.delete(id);
+      },
+    );
   }
 }
--- a/src/controller/fleet/renting.ts
+++ b/src/controller/fleet/renting.ts
@@ -1,5 +1,5 @@
 /** Rents machines for work that lacks room. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { MachineKind } from '../placement/machine-kind.js';
 import type { Settings } from '../settings/settings.js';
@@ -34,7 +34,7 @@
   private openRequests = 0;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly context: RentingContext,
   ) {
@@ -139,7 +139,7 @@
     const machineIds = result.kind === 'rented' ? result.machineIds : [];
     if (result.kind === 'rented') this.addBooting(request, orderedAt, machineIds);
     if (result.kind === 'rented' && machineIds.length >= count) this.backoff.succeeded(kind);
-    else this.backoff.refused(kind, this.core.now(), machineIds.length > 0);
+    else this.backoff.refused(kind, this.eventLoop.now(), machineIds.length > 0);
   }
 
   private addBooting(request: RentalRequest, orderedAt: number, machineIds: string[]): void {
@@ -152,7 +152,7 @@
           knownSince: orderedAt,
           running: false,
         });
-    this.core.log.info(
+    this.eventLoop.log.info(
       { hire: name, offer: kindKey(kind), asked: count, machines: machineIds },
       'machines rented',
     );
--- a/src/controller/fleet/silent-replicas.test.ts
+++ b/src/controller/fleet/silent-replicas.test.ts
@@ -2,12 +2,12 @@
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
 import { storedAtOnce } from '../../../test/stored.js';
-import { Core } from '../core/core.js';
-import type { Call, Env, Logger, Reply } from '../core/env.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
 import { JobTable, type Job } from '../jobs/table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import { writeJob, type JobSpec } from '../wire/jobs.js';
 import type { TaskReport } from '../wire/workers.js';
 import { makeToken } from '../workers/token.js';
@@ -35,38 +35,44 @@
   private readonly replies: { at: number; done: (reply: Reply) => void; reply: Reply }[] = [];
   private readonly soon: (() => void)[] = [];
   private readonly timers: { at: number; run: () => void }[] = [];
-  private readonly core: Core;
+  private readonly eventLoop: EventLoop;
   readonly table: JobTable;
   readonly workers: Workers;
   private readonly watch: SilentReplicas;
 
   constructor() {
-    const env: Env = {
+    const runtime: Runtime = {
       startedAt: -Infinity,
       now: () => this.now,
-      wall: () => this.now,
+      wallClock: () => this.now,
       random: () => 0.5,
-      soon: (run) => this.soon.push(run),
-      timer: (ms, run) => {
+      defer: (run) => this.soon.push(run),
+      startTimer: (ms, run) => {
         this.timers.push({ at: this.now + ms, run });
         return { cancel: nothing };
       },
       call: (call, done) => this.call(call, done),
-      mayCall: () => true,
+      hasSpareConnection: () => true,
       sendPeer: nothing,
     };
-    this.core = new Core(env, quiet);
+    this.eventLoop = new EventLoop(runtime, quiet);
     const records = storedAtOnce();
-    this.table = new JobTable(this.core, settings, {} as unknown as StateClient, records, {
-      ...{ torn: nothing, added: nothing, changed: nothing, recorded: nothing, ended: nothing },
-      vanished: nothing,
-      closed: (job) => this.workers.jobClosed(job),
-    });
-    this.workers = new Workers(this.core, settings, TERM, records, this.table, {
+    this.table = new JobTable(
+      this.eventLoop,
+      settings,
+      {} as unknown as StateStoreClient,
+      records,
+      {
+        ...{ torn: nothing, added: nothing, changed: nothing, recorded: nothing, ended: nothing },
+        vanished: nothing,
+        closed: (job) => this.workers.jobClosed(job),
+      },
+    );
+    this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
       type: () => undefined,
       ...{ higherTerm: nothing, changed: nothing, ran: nothing },
     });
-    this.watch = new SilentReplicas(this.core, settings, this.workers, (machines) => {
+    this.watch = new SilentReplicas(this.eventLoop, settings, this.workers, (machines) => {
       for (const m of machines) {
         m.leaving = true;
         this.released.push(m.id);
--- a/src/controller/fleet/silent-replicas.ts
+++ b/src/controller/fleet/silent-replicas.ts
@@ -1,5 +1,5 @@
 /** Silent machines whose replicas of services are started elsewhere before their lease has run out. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment } from '../workers/assignment.js';
 import type { Machine } from '../workers/machine.js';
@@ -27,7 +27,7 @@
   private readonly answeredAt = new Map<string, number>();
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly workers: Workers,
     private readonly release: (machines: Machine[]) => void,
@@ -44,26 +44,29 @@
 
   private ask(machine: Machine): void {
     const { id, addr } = machine;
-    if (addr === '' || !this.core.env.mayCall(addr)) return;
+    if (addr === '' || !this.eventLoop.runtime.hasSpareConnection(addr)) return;
     this.asked.add(id);
     const timeoutMs = this.settings.reportMs * ANSWER_RATIO;
-    this.core.env.call({ to: addr, method: 'GET', path: '/inspect', timeoutMs }, (reply) => {
-      this.core.post('inspected', () => {
-        this.asked.delete(id);
-        if (reply.status === 200) this.answeredAt.set(id, this.core.now());
-        else if (this.workers.machines.get(id) === machine) this.unanswered(machine);
-      });
-    });
+    this.eventLoop.runtime.call(
+      { to: addr, method: 'GET', path: '/inspect', timeoutMs },
+      (reply) => {
+        this.eventLoop.post('inspected', () => {
+          this.asked.delete(id);
+          if (reply.status === 200) this.answeredAt.set(id, this.eventLoop.now());
+          else if (this.workers.machines.get(id) === machine) this.unanswered(machine);
+        });
+      },
+    );
   }
 
   private unanswered(machine: Machine): void {
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     if (this.allowed(now) <= 0 || this.chosen.includes(machine)) return;
     if (!this.silent(machine, now) || !this.worthwhile(machine, now)) return;
     this.chosenAt.push(now);
     this.chosen.push(machine);
     if (this.chosen.length > 1) return;
-    this.core.after(this.settings.reportMs * GATHER_RATIO, 'release-silent', () => {
+    this.eventLoop.after(this.settings.reportMs * GATHER_RATIO, 'release-silent', () => {
       this.release(this.chosen.splice(0));
     });
   }
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -1,5 +1,5 @@
 /** Finds the machines that are of no use any more. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
 import type { Machine } from '../workers/machine.js';
@@ -43,7 +43,7 @@
 /** Machines that never came up, have failed, are silent or idle. */
 export class UnusedMachines {
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly context: UnusedMachinesContext,
   ) {}
@@ -87,7 +87,7 @@
       if (!late) continue;
       booting.delete(id);
       found.push(id);
-      this.core.log.info({ machine: id }, 'machine never came up');
+      this.eventLoop.log.info({ machine: id }, 'machine never came up');
     }
     return found;
   }
@@ -127,7 +127,7 @@
       if (now - machine.firstSeen > silentMs * 2) this.context.workers.gone(machine);
       return false;
     }
-    this.core.log.info({ machine: machine.id }, 'silent machine is returned');
+    this.eventLoop.log.info({ machine: machine.id }, 'silent machine is returned');
     return true;
   }
 
@@ -137,7 +137,7 @@
     if (alike < MIN_IDLE_ALIKE && !noWork) return false;
     idleAlike.set(idleKey(machine), alike - 1);
     machine.leaving = true;
-    this.core.log.info({ machine: machine.id }, 'idle machine is returned');
+    this.eventLoop.log.info({ machine: machine.id }, 'idle machine is returned');
     return true;
   }
 }
--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -41,7 +41,7 @@
     const { known, client } = this.context;
     const ended = known.finalState(id);
     if (ended !== undefined) return this.queries.reply(id, ended, respond);
-    if (client.down || attemptsLeft === 0) return retryLater(this.context, respond);
+    if (client.isUnavailable || attemptsLeft === 0) return retryLater(this.context, respond);
     const version = known.liveVersion(id);
     if (version === undefined) this.readVersion(cancellation);
     else this.write(cancellation, version);
@@ -54,8 +54,9 @@
   private readVersion(cancellation: Cancellation): void {
     const { id, respond } = cancellation;
     const { client } = this.context;
-    if (!client.tokens.take(1, tokenReserve.submissions)) return retryLater(this.context, respond);
-    client.get(liveKey(id), CALL_TIMEOUT_MS, (got) => this.versionRead(cancellation, got));
+    if (!client.requestTokens.tryTake(1, tokenReserve.submissions))
+      return retryLater(this.context, respond);
+    client.read(liveKey(id), CALL_TIMEOUT_MS, (got) => this.versionRead(cancellation, got));
   }
 
   private versionRead(cancellation: Cancellation, got: ReadResult<Item | null>): void {
@@ -75,7 +76,7 @@
 
   private write(cancellation: Cancellation, version: number): void {
     const { id, respond } = cancellation;
-    const { core, writes } = this.context;
+    const { eventLoop, writes } = this.context;
     const added = writes.add({
       conditions: [
         { key: liveKey(id), version },
@@ -83,7 +84,10 @@
       ],
       writes: [
         { delete: liveKey(id) },
-        { put: finalKey(id), value: finalRecord('cancelled', Math.round(core.env.wall())) },
+        {
+          put: finalKey(id),
+          value: finalRecord('cancelled', Math.round(eventLoop.runtime.wallClock())),
+        },
       ],
       done: (result) => this.settle(cancellation, result),
     });
--- a/src/controller/jobs/completions.ts
+++ b/src/controller/jobs/completions.ts
@@ -1,5 +1,5 @@
 /** Which tasks are done, on record: a bit for each task, in records of a fixed number of tasks. */
-import type { Records } from '../store/records.js';
+import type { RecordStore } from '../store/record-store.js';
 import type { Job } from './job.js';
 
 /** Tasks whose completion one record holds. */
@@ -50,7 +50,7 @@
   private readonly unwritten = new Map<Job, Set<number>>();
 
   constructor(
-    private readonly records: Pick<Records, 'list' | 'has' | 'set'>,
+    private readonly records: Pick<RecordStore, 'list' | 'has' | 'set'>,
     /** The completion of this task is on record. */
     private readonly recorded: (job: Job, task: number) => void,
   ) {}
--- a/src/controller/jobs/feed.test.ts
+++ b/src/controller/jobs/feed.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
-import { Core } from '../core/core.js';
-import type { Env, Logger } from '../core/env.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Runtime, Logger } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
 import { SettingsError } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import { JobFeed } from './feed.js';
 
 const settings = new Settings(alone(), defaultProperties());
@@ -25,26 +25,26 @@
   readonly feed: JobFeed;
 
   constructor() {
-    const env: Env = {
+    const runtime: Runtime = {
       startedAt: -Infinity,
       now: () => this.now,
-      wall: () => this.now,
+      wallClock: () => this.now,
       random: () => 0.5,
-      soon: (fn) => fn(),
-      timer: (ms, fn) => {
+      defer: (fn) => fn(),
+      startTimer: (ms, fn) => {
         this.timers.push({ at: this.now + ms, fn });
         return { cancel: nothing };
       },
       call: nothing,
-      mayCall: () => true,
+      hasSpareConnection: () => true,
       sendPeer: nothing,
     };
     const client = {
-      follow: (_: string, from: number, holdMs: number, done: Followed) =>
+      watch: (_: string, from: number, holdMs: number, done: Followed) =>
         this.follows.push({ from, holdMs, done }),
-      range: (_: string, __: number, done: Followed) => this.ranges.push(done),
-    } as unknown as StateClient;
-    this.feed = new JobFeed(new Core(env, silent), settings, client, {
+      readPrefix: (_: string, __: number, done: Followed) => this.ranges.push(done),
+    } as unknown as StateStoreClient;
+    this.feed = new JobFeed(new EventLoop(runtime, silent), settings, client, {
       all: (items) => this.seen.push(`all ${items.length}`),
       changes: (events) => this.seen.push(...events.map((e) => `${e.kind} ${e.key}`)),
     });
--- a/src/controller/jobs/feed.ts
+++ b/src/controller/jobs/feed.ts
@@ -1,7 +1,7 @@
 /** The leader's watch on the jobs that have not ended. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import type { Event, Item } from '../wire/state.js';
 import { LIVE_PREFIX } from './job-records.js';
 
@@ -36,9 +36,9 @@
   private closed = false;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly client: StateClient,
+    private readonly client: StateStoreClient,
     private readonly hooks: FeedHooks,
   ) {}
 
@@ -61,12 +61,12 @@
 
   /** Time since the last moment of which everything is known. */
   get ageMs(): number {
-    return this.core.now() - this.knownAt;
+    return this.eventLoop.now() - this.knownAt;
   }
 
   /** There was a gap: the view counts again once a read that is sent from now on has come back. */
   catchUp(): void {
-    this.since = this.core.now();
+    this.since = this.eventLoop.now();
     if (this.revision >= 0) this.follow(0);
   }
 
@@ -75,7 +75,7 @@
   }
 
   private again(round: number, ms: number, next: () => void): void {
-    this.core.after(ms, 'follow-jobs', () => {
+    this.eventLoop.after(ms, 'follow-jobs', () => {
       if (!this.closed && round === this.round) next();
     });
   }
@@ -84,10 +84,10 @@
   private follow(holdMs: number): void {
     if (this.closed) return;
     const round = ++this.round;
-    const sentAt = this.core.now();
+    const sentAt = this.eventLoop.now();
     // One that gets lost must not keep the next from being asked for as long as its time-out lasts.
     if (holdMs > 0) this.again(round, holdMs * LOST_HOLDS, () => this.follow(0));
-    this.client.follow(LIVE_PREFIX, this.revision, holdMs, (got) => {
+    this.client.watch(LIVE_PREFIX, this.revision, holdMs, (got) => {
       if (this.closed || round !== this.round) return;
       if (got.kind === 'too-old') return this.reload();
       if (got.kind === 'failed')
@@ -102,8 +102,8 @@
 
   private reload(): void {
     const round = ++this.round;
-    const sentAt = this.core.now();
-    this.client.range(LIVE_PREFIX, this.holdMs, (got) => {
+    const sentAt = this.eventLoop.now();
+    this.client.readPrefix(LIVE_PREFIX, this.holdMs, (got) => {
       if (this.closed || round !== this.round) return;
       if (got.kind === 'failed')
         return this.again(round, this.settings.reportMs / 10, () => this.reload());
--- a/src/controller/jobs/frontend-context.ts
+++ b/src/controller/jobs/frontend-context.ts
@@ -1,8 +1,8 @@
 /** What the parts of the users' side share. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { Batcher } from '../store/batcher.js';
-import type { StateClient } from '../store/client.js';
+import type { GroupCommit } from '../store/group-commit.js';
+import type { StateStoreClient } from '../store/client.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { JobAnswer } from '../wire/jobs.js';
 import type { KnownJobs } from './known-jobs.js';
@@ -41,18 +41,18 @@
 
 /** Shared by submissions, status queries and cancellations of one node. */
 export interface FrontendContext {
-  readonly core: Core;
+  readonly eventLoop: EventLoop;
   readonly settings: Settings;
-  readonly client: StateClient;
+  readonly client: StateStoreClient;
   readonly hooks: FrontendHooks;
   readonly known: KnownJobs;
   /** Group commit of submissions and cancellations. */
-  readonly writes: Batcher;
+  readonly writes: GroupCommit;
 }
 
 /** Tells the user to ask again later. */
 export function retryLater({ writes, client }: FrontendContext, respond: Respond): void {
-  const seconds = Math.max(writes.waitMs(), client.down ? DOWN_RETRY_MS : 0) / 1000;
+  const seconds = Math.max(writes.waitMs(), client.isUnavailable ? DOWN_RETRY_MS : 0) / 1000;
   const retryAfterS = Math.max(1, Math.ceil(seconds));
   respond({ status: 503, body: { error: 'not now' }, retryAfterS });
 }
--- a/src/controller/jobs/frontend.test.ts
+++ b/src/controller/jobs/frontend.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
-import { Core } from '../core/core.js';
-import type { Call, Env, Logger, Reply } from '../core/env.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { StateClient } from '../store/client.js';
+import { StateStoreClient } from '../store/client.js';
 import { Frontend, type Answer } from './frontend.js';
 import { finalKey, liveKey } from './job-records.js';
 
 const teams = '[[params.teams]]\nname = "t"\ncpus_max = 8.0\n';
 const next = { rps: 100, writeRps: 60, valueKb: 2, txnOps: 16 };
-const settings = new Settings({ ...alone(teams), stateNext: next }, defaultProperties());
+const settings = new Settings({ ...alone(teams), upcomingStateLimits: next }, defaultProperties());
 const nothing = (): void => undefined;
 const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 
@@ -26,28 +26,28 @@
 class Node {
   readonly answers: Answer[] = [];
   private readonly soon: (() => void)[] = [];
-  private readonly core: Core;
+  private readonly eventLoop: EventLoop;
   private readonly frontend: Frontend;
 
-  constructor(call: Env['call']) {
+  constructor(call: Runtime['call']) {
     let now = 0;
-    this.core = new Core(
+    this.eventLoop = new EventLoop(
       {
         startedAt: -Infinity,
         now: () => now,
-        wall: () => now,
+        wallClock: () => now,
         random: () => 0.5,
-        soon: (fn) => this.soon.push(fn),
-        timer: () => ({ cancel: nothing }),
+        defer: (fn) => this.soon.push(fn),
+        startTimer: () => ({ cancel: nothing }),
         call,
-        mayCall: () => true,
+        hasSpareConnection: () => true,
         sendPeer: nothing,
       },
       silent,
     );
-    const client = new StateClient(this.core, settings);
+    const client = new StateStoreClient(this.eventLoop, settings);
     client.setRole(true);
-    this.frontend = new Frontend(this.core, settings, client, {
+    this.frontend = new Frontend(this.eventLoop, settings, client, {
       types: () => [
         {
           ...{ name: 'g', cpus: 16, gpus: 0, memoryGb: 64, cacheGb: 10, fetchGbPerS: 1 },
@@ -63,7 +63,7 @@
   }
 
   submit(body: unknown): void {
-    this.core.post('submit', () => this.frontend.submit(body, (a) => this.answers.push(a)));
+    this.eventLoop.post('submit', () => this.frontend.submit(body, (a) => this.answers.push(a)));
     this.run();
   }
 
--- a/src/controller/jobs/frontend.ts
+++ b/src/controller/jobs/frontend.ts
@@ -1,8 +1,8 @@
 /** The users' side of a controller: submissions, status queries and cancellations. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import { Batcher } from '../store/batcher.js';
-import { tokenReserve, type StateClient } from '../store/client.js';
+import { GroupCommit } from '../store/group-commit.js';
+import { tokenReserve, type StateStoreClient } from '../store/client.js';
 import type { FinalState } from '../wire/jobs.js';
 import { Cancellations } from './cancellations.js';
 import { CALL_TIMEOUT_MS, type FrontendHooks, type Respond } from './frontend-context.js';
@@ -23,15 +23,20 @@
   private readonly submissions: Submissions;
   private readonly cancellations: Cancellations;
 
-  constructor(core: Core, settings: Settings, client: StateClient, hooks: FrontendHooks) {
+  constructor(
+    eventLoop: EventLoop,
+    settings: Settings,
+    client: StateStoreClient,
+    hooks: FrontendHooks,
+  ) {
     this.known = new KnownJobs(settings.get('jobs.final.cache'));
-    const writes = new Batcher(core, client, {
+    const writes = new GroupCommit(eventLoop, client, {
       timeoutMs: CALL_TIMEOUT_MS,
-      queueMs: CALL_TIMEOUT_MS,
-      reserve: tokenReserve.submissions,
-      everyMs: 0,
+      maxQueueMs: CALL_TIMEOUT_MS,
+      tokenReserve: tokenReserve.submissions,
+      minIntervalMs: 0,
     });
-    const context = { core, settings, client, hooks, known: this.known, writes };
+    const context = { eventLoop, settings, client, hooks, known: this.known, writes };
     this.queries = new StatusQueries(context);
     this.submissions = new Submissions(context, this.queries);
     this.cancellations = new Cancellations(context, this.queries);
--- a/src/controller/jobs/services.test.ts
+++ b/src/controller/jobs/services.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
-import { Core } from '../core/core.js';
-import type { Call, Env, Logger, Reply } from '../core/env.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { StateClient } from '../store/client.js';
+import { StateStoreClient } from '../store/client.js';
 import { Frontend, type Answer } from './frontend.js';
 
 const teams = '[[params.teams]]\nname = "t"\ncpus_max = 8.0\ngpus_max = 4.0\n';
@@ -61,29 +61,29 @@
 class Node {
   private now = 0;
   private readonly soon: (() => void)[] = [];
-  private readonly core: Core;
+  private readonly eventLoop: EventLoop;
   private readonly frontend: Frontend;
 
   constructor(store: Store) {
-    const env: Env = {
+    const runtime: Runtime = {
       startedAt: -Infinity,
       now: () => this.now,
-      wall: () => this.now,
+      wallClock: () => this.now,
       random: () => 0.5,
-      soon: (run) => this.soon.push(run),
-      timer: (_ms, run) => {
+      defer: (run) => this.soon.push(run),
+      startTimer: (_ms, run) => {
         this.soon.push(run);
         return { cancel: nothing };
       },
       call: (call, done) => done(store.answer(call)),
-      mayCall: () => true,
+      hasSpareConnection: () => true,
       sendPeer: nothing,
     };
-    this.core = new Core(env, silent);
-    const client = new StateClient(this.core, settings);
+    this.eventLoop = new EventLoop(runtime, silent);
+    const client = new StateStoreClient(this.eventLoop, settings);
     client.setRole(true);
     const type = { name: 'g', cpus: 16, gpus: 4, memoryGb: 64, cacheGb: 10, fetchGbPerS: 1 };
-    this.frontend = new Frontend(this.core, settings, client, {
+    this.frontend = new Frontend(this.eventLoop, settings, client, {
       types: () => [{ ...type, price: 1, spotPrice: 1, bootS: 1, zones: ['a'] }],
       ...{ progress: () => null, accepted: nothing, cancelled: nothing },
     });
@@ -93,7 +93,7 @@
     // By then there are tokens for calls.
     this.now += 60_000;
     const answers: Answer[] = [];
-    this.core.post('ask', () => question(this.frontend, (a) => answers.push(a)));
+    this.eventLoop.post('ask', () => question(this.frontend, (a) => answers.push(a)));
     for (let run = this.soon.shift(); run !== undefined; run = this.soon.shift()) run();
     return answers[0] ?? assert.fail('no answer');
   }
--- a/src/controller/jobs/status-queries.ts
+++ b/src/controller/jobs/status-queries.ts
@@ -1,5 +1,5 @@
 /** Users' questions about jobs: what is current, confirmed by the state service. */
-import { Batcher } from '../store/batcher.js';
+import { GroupCommit } from '../store/group-commit.js';
 import { tokenReserve } from '../store/client.js';
 import type { TransactionResult } from '../store/results.js';
 import { isJobId, writeAnswer, type FinalState } from '../wire/jobs.js';
@@ -25,22 +25,22 @@
 /** Finds out and answers what is current, many jobs in one transaction that only compares. */
 export class StatusQueries {
   /** Questions whether jobs that are known to have been accepted have ended. */
-  private readonly knownQueries: Batcher;
+  private readonly knownQueries: GroupCommit;
   /** Questions about jobs that this node has not heard of. */
-  private readonly unknownQueries: Batcher;
+  private readonly unknownQueries: GroupCommit;
   /** Questions that have not left yet, with all who wait for their answers. */
   private readonly queued = new Map<string, StandingCallback[]>();
 
   constructor(private readonly context: FrontendContext) {
-    const { core, client, settings } = context;
+    const { eventLoop, client, settings } = context;
     const options = {
       timeoutMs: CALL_TIMEOUT_MS,
-      queueMs: CALL_TIMEOUT_MS,
-      reserve: tokenReserve.polls,
-      everyMs: settings.reportMs / QUERIES_PER_REPORT,
+      maxQueueMs: CALL_TIMEOUT_MS,
+      tokenReserve: tokenReserve.polls,
+      minIntervalMs: settings.reportMs / QUERIES_PER_REPORT,
     };
-    this.knownQueries = new Batcher(core, client, options);
-    this.unknownQueries = new Batcher(core, client, options);
+    this.knownQueries = new GroupCommit(eventLoop, client, options);
+    this.unknownQueries = new GroupCommit(eventLoop, client, options);
   }
 
   /** Answers a user's question about a job. */
@@ -64,7 +64,7 @@
   ask(id: string, done: StandingCallback): void {
     const ended = this.context.known.finalState(id);
     if (ended !== undefined) return done(ended);
-    if (this.context.client.down) return done('unsure');
+    if (this.context.client.isUnavailable) return done('unsure');
     const waiting = this.queued.get(id);
     if (waiting !== undefined) waiting.push(done);
     else this.send(id, done);
@@ -87,7 +87,7 @@
       writes: [],
       // Only a question that has not left may be shared: one on its way may find the state from
       // before an answer that this user got elsewhere meanwhile.
-      sent: close,
+      onSent: close,
       done: (result) => this.answered(id, known, result, settle),
     });
     if (added) this.queued.set(id, waiters);
@@ -101,7 +101,7 @@
     settle: StandingCallback,
   ): void {
     if (result.kind === 'ok') settle(known ? 'live' : 'absent');
-    else if (result.kind === 'conflict') this.readStanding(id, result.failed, settle);
+    else if (result.kind === 'conflict') this.readStanding(id, result.failedKeys, settle);
     else settle('unsure');
   }
 
@@ -118,8 +118,8 @@
 
   private readEnd(id: string, done: (state: FinalState | null) => void): void {
     const { client, known } = this.context;
-    if (!client.tokens.take(1, tokenReserve.reads)) return done(null);
-    client.get(finalKey(id), CALL_TIMEOUT_MS, (got) => {
+    if (!client.requestTokens.tryTake(1, tokenReserve.reads)) return done(null);
+    client.read(finalKey(id), CALL_TIMEOUT_MS, (got) => {
       const state = got.kind === 'ok' && got.value !== null ? readFinal(got.value.value) : null;
       if (state !== null) known.learnFinal(id, state);
       done(state);
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -1,6 +1,6 @@
 /** Users' submissions: judged, and put on record once however often they are repeated. */
 import type { TransactionResult } from '../store/results.js';
-import { sizeOf } from '../store/pages.js';
+import { storedSize } from '../store/page-table.js';
 import { WireError } from '../wire/cbor.js';
 import { readJob, readJobId, writeAnswer, writeJob, type JobSpec } from '../wire/jobs.js';
 import { admit } from './admission.js';
@@ -44,7 +44,7 @@
       return readJob(body);
     } catch (error) {
       if (!(error instanceof WireError)) throw error;
-      this.context.core.log.debug({ reason: error.message, body }, 'malformed submission');
+      this.context.eventLoop.log.debug({ reason: error.message, body }, 'malformed submission');
       this.refuse(readJobId(body), { status: 400, body: { error: error.message } }, respond);
       return null;
     }
@@ -67,13 +67,13 @@
   }
 
   private record(spec: JobSpec, respond: Respond): void {
-    const { core, client } = this.context;
-    const value = { job: writeJob(spec), at: Math.round(core.env.wall()) };
-    if (sizeOf(value) > client.limits.valueBytes) {
+    const { eventLoop, client } = this.context;
+    const value = { job: writeJob(spec), at: Math.round(eventLoop.runtime.wallClock()) };
+    if (storedSize(value) > client.limits.maxValueBytes) {
       const refusal = { status: 400, body: { error: 'models: too many or too long' } };
       return this.refuse(spec.id, refusal, respond);
     }
-    if (client.down) return retryLater(this.context, respond);
+    if (client.isUnavailable) return retryLater(this.context, respond);
     const waiting = this.queued.get(spec.id);
     if (waiting !== undefined) waiting.push(respond);
     else this.create(spec.id, value, respond);
@@ -92,7 +92,7 @@
       writes: [{ put: liveKey(id), value }],
       // A repeat that comes once the transaction has left may not share its answer: meanwhile the
       // user may have been told at another node that the job has ended.
-      sent: close,
+      onSent: close,
       done: (result) => this.settle(id, result, waiters, close),
     });
     if (added) this.queued.set(id, waiters);
@@ -110,7 +110,7 @@
       const body = writeAnswer({ id, state: 'queued' });
       answer((respond) => respond({ status: 201, body }));
     } else if (result.kind === 'conflict') {
-      this.queries.readStanding(id, result.failed, (standing) =>
+      this.queries.readStanding(id, result.failedKeys, (standing) =>
         answer((respond) => this.queries.reply(id, standing, respond)),
       );
     } else answer((respond) => retryLater(this.context, respond));
--- a/src/controller/jobs/table.ts
+++ b/src/controller/jobs/table.ts
@@ -1,8 +1,8 @@
 /** The leader's table of jobs: how they become known, are done and end. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
-import type { Records } from '../store/records.js';
+import type { StateStoreClient } from '../store/client.js';
+import type { RecordStore } from '../store/record-store.js';
 import { isMap } from '../wire/cbor.js';
 import { readJob, type FinalState, type JobSpec } from '../wire/jobs.js';
 import type { Cause } from '../wire/workers.js';
@@ -41,10 +41,10 @@
   private readonly completions: Completions;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly client: StateClient,
-    private readonly records: Records,
+    private readonly client: StateStoreClient,
+    private readonly records: RecordStore,
     private readonly hooks: TableHooks,
   ) {
     this.completions = new Completions(records, (job, task) => hooks.recorded(job, task));
@@ -58,7 +58,7 @@
     this.jobs.set(id, job);
     this.hooks.added(job);
     const { class: className, team, tasks, image, imageGb } = job.spec;
-    this.core.log.debug(
+    this.eventLoop.log.debug(
       { job: id, class: className, team, tasks, image, gb: imageGb },
       'job known',
     );
@@ -68,8 +68,8 @@
   private read(id: string, value: unknown, version: number): Job | null {
     const spec = this.readSpec(id, value);
     if (spec === null || !isMap(value)) return null;
-    const now = this.core.now();
-    const wall = this.core.env.wall();
+    const now = this.eventLoop.now();
+    const wall = this.eventLoop.runtime.wallClock();
     const acceptedAt = typeof value['at'] === 'number' ? value['at'] : wall;
     return new Job(spec, now - Math.max(0, wall - acceptedAt), version, now);
   }
@@ -79,7 +79,7 @@
       if (!isMap(value)) throw new Error('not a map');
       return readJob(value['job']);
     } catch (err) {
-      this.core.log.error({ job: id, err }, 'unreadable job record');
+      this.eventLoop.log.error({ job: id, err }, 'unreadable job record');
       return null;
     }
   }
@@ -132,7 +132,7 @@
     job.reservation = null;
     this.jobs.delete(job.spec.id);
     this.completions.remove(job);
-    this.core.log.info({ job: job.spec.id, state, exits: job.exits }, 'job ended');
+    this.eventLoop.log.info({ job: job.spec.id, state, exits: job.exits }, 'job ended');
     this.hooks.ended(job.spec.id, state);
     this.hooks.closed(job);
   }
@@ -162,7 +162,7 @@
     if (job.closed !== null || job.done[task] === 1) return;
     // Twice in the list would be twice on machines.
     if (job.assigned.has(task) || job.pending.has(task)) return;
-    if (job.pending.length === 0) job.waitingSince = this.core.now();
+    if (job.pending.length === 0) job.waitingSince = this.eventLoop.now();
     job.pending.push(task);
     this.hooks.changed();
   }
@@ -184,7 +184,10 @@
       ],
       [
         { delete: liveKey(id) },
-        { put: finalKey(id), value: finalRecord('done', Math.round(this.core.env.wall())) },
+        {
+          put: finalKey(id),
+          value: finalRecord('done', Math.round(this.eventLoop.runtime.wallClock())),
+        },
       ],
       (result) => {
         if (result === 'ok') this.close(job, 'done');
@@ -194,8 +197,8 @@
   }
 
   private findEnd(job: Job): void {
-    this.client.tokens.force();
-    this.client.get(finalKey(job.spec.id), this.settings.leaderLeaseMs / 4, (got) => {
+    this.client.requestTokens.forceTake();
+    this.client.read(finalKey(job.spec.id), this.settings.leaderLeaseMs / 4, (got) => {
       if (job.closed !== null) return;
       const state = got.kind === 'ok' && got.value !== null ? readFinal(got.value.value) : null;
       if (state !== null) this.close(job, state);
@@ -204,8 +207,8 @@
   }
 
   private findEndLater(job: Job): void {
-    const delayMs = this.client.down ? FIND_END_RETRY_DOWN_MS : FIND_END_RETRY_MS;
-    this.core.after(delayMs, 'find-end', () => {
+    const delayMs = this.client.isUnavailable ? FIND_END_RETRY_DOWN_MS : FIND_END_RETRY_MS;
+    this.eventLoop.after(delayMs, 'find-end', () => {
       if (job.closed !== null) return;
       if (job.vanished) return this.findEnd(job);
       job.ending = false;
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -1,5 +1,5 @@
 /** What only the leader has: made anew for each term and dropped whole with it. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Catalogue } from '../fleet/catalogue.js';
 import { Fleet } from '../fleet/fleet.js';
 import { JobFeed } from '../jobs/feed.js';
@@ -14,8 +14,8 @@
 import { reservationKey } from '../placement/gang-reservations.js';
 import { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
-import { Records } from '../store/records.js';
+import type { StateStoreClient } from '../store/client.js';
+import { RecordStore } from '../store/record-store.js';
 import type { Event, Item } from '../wire/state.js';
 import { Workers } from '../workers/workers.js';
 import { isIsolated } from './isolation.js';
@@ -30,9 +30,9 @@
 
 /** The parts of the node that a leader works with; they outlast its term. */
 export interface LeaderContext {
-  core: Core;
+  eventLoop: EventLoop;
   settings: Settings;
-  client: StateClient;
+  client: StateStoreClient;
   leadership: Leadership;
   peers: Peers;
   frontend: Frontend;
@@ -56,7 +56,7 @@
   ready = false;
   /** The term is over. */
   closed = false;
-  readonly records: Records;
+  readonly records: RecordStore;
   readonly table: JobTable;
   readonly workers: Workers;
   readonly placement: Placement;
@@ -70,31 +70,31 @@
     readonly term: number,
     private readonly context: LeaderContext,
   ) {
-    const { core, settings } = context;
-    this.since = core.now();
+    const { eventLoop, settings } = context;
+    this.since = eventLoop.now();
     this.records = this.createRecords();
     this.table = this.createTable();
     this.workers = this.createWorkers();
     this.placement = this.createPlacement();
     this.fleet = this.createFleet();
     this.feed = this.createFeed();
-    this.passes = new PassScheduler(core, settings, this.placement, (tookMs) =>
+    this.passes = new PassScheduler(eventLoop, settings, this.placement, (tookMs) =>
       context.passFinished(tookMs),
     );
   }
 
-  private createRecords(): Records {
-    const { core, settings, client, leadership } = this.context;
-    return new Records(core, settings, client, {
-      fence: { key: LEADER_KEY, version: this.term },
-      mayWrite: () => leadership.acting,
+  private createRecords(): RecordStore {
+    const { eventLoop, settings, client, leadership } = this.context;
+    return new RecordStore(eventLoop, settings, client, {
+      fencingCondition: { key: LEADER_KEY, version: this.term },
+      leaseAllowsWrites: () => leadership.acting,
       onFenced: () => leadership.stepDown('another leader'),
     });
   }
 
   private createTable(): JobTable {
-    const { core, settings, client, frontend, peers } = this.context;
-    return new JobTable(core, settings, client, this.records, {
+    const { eventLoop, settings, client, frontend, peers } = this.context;
+    return new JobTable(eventLoop, settings, client, this.records, {
       torn: (job) => this.workers.stopJob(job, 0, 'gang lost a part'),
       vanished: (job) => this.workers.stopAll(job, 'job ended'),
       closed: (job) => this.jobClosed(job),
@@ -109,8 +109,8 @@
   }
 
   private createWorkers(): Workers {
-    const { core, settings, catalogue, leadership, learned } = this.context;
-    return new Workers(core, settings, this.term, this.records, this.table, {
+    const { eventLoop, settings, catalogue, leadership, learned } = this.context;
+    return new Workers(eventLoop, settings, this.term, this.records, this.table, {
       type: (name) => catalogue.types?.find((type) => type.name === name),
       higherTerm: (term) => leadership.higherTerm(term),
       changed: () => this.context.placementDue(),
@@ -122,9 +122,9 @@
   }
 
   private createPlacement(): Placement {
-    const { core, settings, leadership, learned } = this.context;
+    const { eventLoop, settings, leadership, learned } = this.context;
     return new Placement(
-      core,
+      eventLoop,
       settings,
       this.table,
       this.workers,
@@ -136,9 +136,9 @@
   }
 
   private createFleet(): Fleet {
-    const { core, settings, catalogue } = this.context;
+    const { eventLoop, settings, catalogue } = this.context;
     return new Fleet(
-      core,
+      eventLoop,
       settings,
       () => catalogue.types,
       this.table,
@@ -149,8 +149,8 @@
   }
 
   private createFeed(): JobFeed {
-    const { core, settings, client } = this.context;
-    return new JobFeed(core, settings, client, {
+    const { eventLoop, settings, client } = this.context;
+    return new JobFeed(eventLoop, settings, client, {
       all: (items) => this.jobsReloaded(items),
       changes: (events) => this.jobsChanged(events),
     });
@@ -161,7 +161,7 @@
   private jobAdded(job: Job): void {
     // What the leader before knew it has counted itself.
     const { reserve } = this.context.learned;
-    if (this.context.takenOver()) reserve.arrived(job, this.context.core.now());
+    if (this.context.takenOver()) reserve.arrived(job, this.context.eventLoop.now());
   }
 
   private jobClosed(job: Job): void {
@@ -200,7 +200,7 @@
 
   /** Begins to read what the leaders before have left. */
   start(): void {
-    new Takeover(this.context.core, this.context.client, this).start();
+    new Takeover(this.context.eventLoop, this.context.client, this).start();
   }
 
   /** Takes in what the leaders before have left. */
@@ -212,7 +212,7 @@
     this.placement.load();
     this.table.settle();
     this.ready = true;
-    this.context.core.log.info(
+    this.context.eventLoop.log.info(
       { term: this.term, jobs: jobs.length, machines: this.workers.machines.size },
       'leading',
     );
@@ -262,9 +262,9 @@
   }
 
   private isolated(heard: readonly PeerStatus[]): boolean {
-    const { core, settings } = this.context;
+    const { eventLoop, settings } = this.context;
     // Not again at once: a takeover costs, and one after the other would leave nobody to answer.
-    const settled = core.now() - this.since > settings.workerLeaseMs / 2;
+    const settled = eventLoop.now() - this.since > settings.workerLeaseMs / 2;
     if (settings.platform.peers.length === 0 || !settled) return false;
     const reach = {
       reportMs: settings.reportMs,
@@ -275,10 +275,10 @@
   }
 
   private saveLearnedIfDue(): void {
-    const { core, settings, learned } = this.context;
+    const { eventLoop, settings, learned } = this.context;
     const everyMs = settings.workerLeaseMs / LEARNED_PER_LEASE;
-    if (core.now() - this.learnedSavedAt <= everyMs) return;
-    this.learnedSavedAt = core.now();
+    if (eventLoop.now() - this.learnedSavedAt <= everyMs) return;
+    this.learnedSavedAt = eventLoop.now();
     learned.save(this.records);
   }
 
--- a/src/controller/leader/leader.test.ts
+++ b/src/controller/leader/leader.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
-import { ManualEnv, silentLogger } from '../../../test/manual-env.js';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
 import { storedAtOnce } from '../../../test/stored.js';
-import { Core } from '../core/core.js';
+import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import { isIsolated, type LeaderReach } from './isolation.js';
 import { LearnedFigures } from './learned-figures.js';
 import { PassScheduler } from './pass-scheduler.js';
@@ -18,7 +18,7 @@
 describe('pass scheduler', () => {
   /** A placement whose passes take `slices` slices of `sliceMs`. */
   function schedule(slices: number, sliceMs: number) {
-    const env = new ManualEnv();
+    const runtime = new ManualRuntime();
     const seen = { begun: 0, finished: [] as number[] };
     let left = 0;
     const placement = {
@@ -30,14 +30,17 @@
         left = slices;
       },
       advance: () => {
-        env.advance(sliceMs);
+        runtime.advance(sliceMs);
         return --left === 0;
       },
     };
-    const scheduler = new PassScheduler(new Core(env, silentLogger), settings, placement, (ms) =>
-      seen.finished.push(ms),
+    const scheduler = new PassScheduler(
+      new EventLoop(runtime, silentLogger),
+      settings,
+      placement,
+      (ms) => seen.finished.push(ms),
     );
-    return { env, seen, scheduler };
+    return { runtime, seen, scheduler };
   }
 
   it('runs a pass slice by slice and tells what the slices took', () => {
@@ -50,9 +53,9 @@
   });
 
   it('begins none that is not due', () => {
-    const { env, seen, scheduler } = schedule(1, 1);
+    const { runtime, seen, scheduler } = schedule(1, 1);
     scheduler.step();
-    env.advance(intervalMs * 10);
+    runtime.advance(intervalMs * 10);
     scheduler.step();
     assert.equal(seen.begun, 1);
     scheduler.request();
@@ -62,13 +65,13 @@
 
   it('rests for the interval, and three times as long as a pass took', () => {
     const tookMs = intervalMs;
-    const { env, seen, scheduler } = schedule(1, tookMs);
+    const { runtime, seen, scheduler } = schedule(1, tookMs);
     scheduler.step();
     scheduler.request();
-    env.advance(tookMs * 3 - 1);
+    runtime.advance(tookMs * 3 - 1);
     scheduler.step();
     assert.equal(seen.begun, 1);
-    env.advance(1);
+    runtime.advance(1);
     scheduler.step();
     assert.equal(seen.begun, 2);
   });
@@ -94,10 +97,10 @@
 });
 
 describe('takeover', () => {
-  type RangeDone = Parameters<StateClient['range']>[2];
+  type RangeDone = Parameters<StateStoreClient['readPrefix']>[2];
 
   function begin() {
-    const env = new ManualEnv();
+    const runtime = new ManualRuntime();
     const reads: { prefix: string; done: RangeDone }[] = [];
     const heir = {
       closed: false as boolean,
@@ -107,19 +110,19 @@
       takeOver: (inheritance: Inheritance) => void heir.inherited.push(inheritance),
     } satisfies Heir & Record<string, unknown>;
     const client = {
-      range: (prefix: string, _timeoutMs: number, done: RangeDone) =>
+      readPrefix: (prefix: string, _timeoutMs: number, done: RangeDone) =>
         void reads.push({ prefix, done }),
     };
-    new Takeover(new Core(env, silentLogger), client, heir).start();
-    return { env, reads, heir };
+    new Takeover(new EventLoop(runtime, silentLogger), client, heir).start();
+    return { runtime, reads, heir };
   }
 
   const item = { key: 'live/req-1', value: {}, version: 3 };
 
   it('reads jobs, then pages, and repeats what failed', () => {
-    const { env, reads, heir } = begin();
+    const { runtime, reads, heir } = begin();
     reads.shift()?.done({ kind: 'failed' });
-    env.advance(500);
+    runtime.advance(500);
     const jobs = reads.shift();
     assert.equal(jobs?.prefix, 'live/');
     jobs.done({ kind: 'ok', value: { items: [item], revision: 9 } });
@@ -129,23 +132,23 @@
   });
 
   it('stops when the term is over', () => {
-    const { env, reads, heir } = begin();
+    const { runtime, reads, heir } = begin();
     heir.closed = true;
     reads.shift()?.done({ kind: 'failed' });
-    env.advance(500);
+    runtime.advance(500);
     assert.deepEqual(reads, []);
   });
 });
 
 describe('learned figures', () => {
   it('come back from the records as they were saved', () => {
-    const core = new Core(new ManualEnv(), silentLogger);
+    const eventLoop = new EventLoop(new ManualRuntime(), silentLogger);
     const records = storedAtOnce({ learned: { ratios: { c: [1, 2] } } });
-    const before = new LearnedFigures(core, settings);
+    const before = new LearnedFigures(eventLoop, settings);
     before.load(records, []);
     before.save(records);
     assert.ok(!records.has('learned'), 'the single record of older versions stays');
-    const after = new LearnedFigures(core, settings);
+    const after = new LearnedFigures(eventLoop, settings);
     after.load(records, []);
     assert.deepEqual(before.estimates.export(), { c: [1, 2] });
     assert.deepEqual(after.estimates.export(), before.estimates.export());
--- a/src/controller/leader/learned-figures.ts
+++ b/src/controller/leader/learned-figures.ts
@@ -1,11 +1,11 @@
 /** What was learned of classes of jobs, kept on record from one leader to the next. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../jobs/table.js';
 import { Estimates } from '../placement/estimates.js';
 import { Reserve } from '../placement/reserve.js';
 import type { Settings } from '../settings/settings.js';
-import { sizeOf } from '../store/pages.js';
-import type { Records } from '../store/records.js';
+import { storedSize } from '../store/page-table.js';
+import type { RecordStore } from '../store/record-store.js';
 import { isMap } from '../wire/cbor.js';
 
 const LEARNED_KEY = 'learned';
@@ -18,7 +18,7 @@
   readonly reserve: Reserve;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
   ) {
     const reserveSettings = {
@@ -26,7 +26,7 @@
       share: settings.get('placement.reserve.share'),
       spare: settings.get('placement.reserve.spare'),
     };
-    this.reserve = new Reserve(reserveSettings, this.estimates, core.now(), (className) =>
+    this.reserve = new Reserve(reserveSettings, this.estimates, eventLoop.now(), (className) =>
       settings.startWithinMs(className),
     );
   }
@@ -34,27 +34,32 @@
   /** A task of the job has ended after `tookMs`, having been on its machine since `assignedAt`. */
   taskRan(job: Job, tookMs: number, assignedAt: number): void {
     this.estimates.observe(job.spec, tookMs);
-    this.reserve.ended(job.spec, this.core.now() - assignedAt);
+    this.reserve.ended(job.spec, this.eventLoop.now() - assignedAt);
   }
 
   /**
    * Takes in what the leaders before have recorded, and then the live jobs, which must have been read:
    * counted before the records, they would make these look outdated.
    */
-  load(records: Pick<Records, 'list'>, liveJobs: Iterable<Job>): void {
+  load(records: Pick<RecordStore, 'list'>, liveJobs: Iterable<Job>): void {
     const recorded = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
     for (const { ratios } of recorded) this.estimates.import(ratios);
     const arrivals = recorded.map((record) => record['arrivals']);
-    this.reserve.takeOver(arrivals, liveJobs, this.core.now(), this.core.env.wall());
+    this.reserve.takeOver(
+      arrivals,
+      liveJobs,
+      this.eventLoop.now(),
+      this.eventLoop.runtime.wallClock(),
+    );
   }
 
   /**
    * Records the figures, a record for each class: all classes together may be larger than a value.
    * The versions before read every record under this key, and wrote a single one.
    */
-  save(records: Pick<Records, 'set'>): void {
+  save(records: Pick<RecordStore, 'set'>): void {
     const ratios = this.estimates.export();
-    const arrivals = this.reserve.export(this.core.now(), this.core.env.wall());
+    const arrivals = this.reserve.export(this.eventLoop.now(), this.eventLoop.runtime.wallClock());
     const maxBytes = this.settings.valueBytes * MAX_VALUE_SHARE;
     for (const className of new Set([...Object.keys(ratios), ...arrivals.keys()])) {
       const ratio = ratios[className];
@@ -62,7 +67,7 @@
         ratios: ratio === undefined ? {} : { [className]: ratio },
         arrivals: arrivals.get(className) ?? null,
       };
-      if (sizeOf(value) < maxBytes) records.set(`${LEARNED_KEY}/${className}`, value, 'lazy');
+      if (storedSize(value) < maxBytes) records.set(`${LEARNED_KEY}/${className}`, value, 'lazy');
     }
     records.set(LEARNED_KEY, undefined, 'lazy');
   }
--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -1,5 +1,5 @@
 /** When placement passes begin and go on, so that requests are served between their slices. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
 
@@ -22,7 +22,7 @@
   private tookMs = 0;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly placement: SlicedPlacement,
     /** A pass is over. */
@@ -36,11 +36,11 @@
 
   /** Goes on with the pass, or begins one when it is due. */
   step(): void {
-    const sliceStart = this.core.now();
+    const sliceStart = this.eventLoop.now();
     if (!this.placement.passing && !this.begin(sliceStart)) return;
     const sliceMs = this.settings.reportMs * this.settings.get('placement.slice.ratio');
     const over = this.placement.advance(sliceStart + sliceMs);
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     this.tookMs += now - sliceStart;
     this.lastSliceEndedAt = now;
     if (over) this.finished(this.tookMs);
@@ -74,7 +74,7 @@
   private wakeAfter(delayMs: number): void {
     if (this.timerSet) return;
     this.timerSet = true;
-    this.core.after(delayMs, 'pass', () => {
+    this.eventLoop.after(delayMs, 'pass', () => {
       this.timerSet = false;
     });
   }
--- a/src/controller/leader/takeover.ts
+++ b/src/controller/leader/takeover.ts
@@ -1,8 +1,8 @@
 /** Reads what the leaders before have left, once this node has been elected. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import { LIVE_PREFIX } from '../jobs/job-records.js';
-import type { StateClient } from '../store/client.js';
-import { PAGES } from '../store/pages.js';
+import type { StateStoreClient } from '../store/client.js';
+import { PAGE_PREFIX } from '../store/page-table.js';
 import type { Item } from '../wire/state.js';
 
 const READ_TIMEOUT_MS = 3000;
@@ -36,8 +36,8 @@
 /** The reads of one takeover; each is repeated until it is answered or the term is over. */
 export class Takeover {
   constructor(
-    private readonly core: Core,
-    private readonly client: Pick<StateClient, 'range'>,
+    private readonly eventLoop: EventLoop,
+    private readonly client: Pick<StateStoreClient, 'readPrefix'>,
     private readonly heir: Heir,
   ) {}
 
@@ -45,15 +45,15 @@
   start(): void {
     this.read(LIVE_PREFIX, ({ items: jobs, revision, sentAt }) => {
       this.heir.jobsRead(jobs);
-      this.read(PAGES, ({ items: pages }) => {
+      this.read(PAGE_PREFIX, ({ items: pages }) => {
         this.heir.takeOver({ jobs, revision, sentAt, pages });
       });
     });
   }
 
   private read(prefix: string, done: (read: RangeRead) => void): void {
-    const sentAt = this.core.now();
-    this.client.range(prefix, READ_TIMEOUT_MS, (got) => {
+    const sentAt = this.eventLoop.now();
+    this.client.readPrefix(prefix, READ_TIMEOUT_MS, (got) => {
       if (this.heir.closed) return;
       if (got.kind === 'failed') return this.readLater(prefix, done);
       done({ items: got.value.items, revision: got.value.revision, sentAt });
@@ -61,7 +61,7 @@
   }
 
   private readLater(prefix: string, done: (read: RangeRead) => void): void {
-    this.core.after(RETRY_MS, 'load', () => {
+    this.eventLoop.after(RETRY_MS, 'load', () => {
       if (!this.heir.closed) this.read(prefix, done);
     });
   }
--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -1,7 +1,7 @@
 /** An attempt to become leader: a lease is granted and the leader's key made under it. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import type { TransactionResult } from '../store/results.js';
 import { LEADER_KEY, readLeader } from './leader-record.js';
 
@@ -25,9 +25,9 @@
   private running = false;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly client: StateClient,
+    private readonly client: StateStoreClient,
     private readonly identity: string,
   ) {}
 
@@ -44,12 +44,12 @@
   start(done: ElectionCallback): void {
     if (this.running) return;
     this.running = true;
-    const sentAt = this.core.now();
+    const sentAt = this.eventLoop.now();
     const decided: ElectionCallback = (won) => {
       this.running = false;
       done(won);
     };
-    this.client.grant(this.settings.leaderLeaseMs, this.timeoutMs, (granted) => {
+    this.client.grantLease(this.settings.leaderLeaseMs, this.timeoutMs, (granted) => {
       if (granted.kind === 'failed') decided(null);
       else this.makeKey({ lease: granted.value, sentAt }, decided);
     });
@@ -58,8 +58,8 @@
   private makeKey(candidacy: Candidacy, decided: ElectionCallback): void {
     const { lease } = candidacy;
     const value = { host: this.settings.platform.host, identity: this.identity, lease };
-    this.client.tokens.force();
-    this.client.multi(
+    this.client.requestTokens.forceTake();
+    this.client.transact(
       [{ key: LEADER_KEY, version: 0 }],
       [{ put: LEADER_KEY, value, lease }],
       this.timeoutMs,
@@ -79,8 +79,8 @@
   }
 
   private readKey(candidacy: Candidacy, decided: ElectionCallback): void {
-    this.client.tokens.force();
-    this.client.get(LEADER_KEY, this.timeoutMs, (got) => {
+    this.client.requestTokens.forceTake();
+    this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
       const item = got.kind === 'ok' ? got.value : null;
       const leader = item === null ? null : readLeader(item.value, item.version);
       if (leader?.identity === this.identity && leader.lease === candidacy.lease)
@@ -90,7 +90,7 @@
   }
 
   private lost(candidacy: Candidacy, decided: ElectionCallback): void {
-    this.client.revoke(candidacy.lease, this.timeoutMs, () => undefined);
+    this.client.revokeLease(candidacy.lease, this.timeoutMs, () => undefined);
     decided(null);
   }
 }
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -1,7 +1,7 @@
 /** Election, renewal and hand-over of the lead among the controllers. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import type { ReadResult } from '../store/results.js';
 import type { Event, Item } from '../wire/state.js';
 import { Election, type WonElection } from './election.js';
@@ -59,17 +59,17 @@
   private generation = 0;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly client: StateClient,
+    private readonly client: StateStoreClient,
     readonly identity: string,
     private readonly events: LeadershipEvents,
     askPromise: AskPromise,
   ) {
     const peers = settings.platform.peers.map(({ host }) => host);
-    this.promise = new TakeoverPromise(core, settings);
-    this.extension = new LeaseExtension(core, settings, peers, askPromise);
-    this.election = new Election(core, settings, client, identity);
+    this.promise = new TakeoverPromise(eventLoop, settings);
+    this.extension = new LeaseExtension(eventLoop, settings, peers, askPromise);
+    this.election = new Election(eventLoop, settings, client, identity);
   }
 
   /** Finds out who leads, and takes the lead if nobody does. */
@@ -103,7 +103,7 @@
 
   /** The lease still runs, counted from when its last successful renewal was sent. */
   get acting(): boolean {
-    return this.ownTerm !== null && this.core.now() < this.actUntil;
+    return this.ownTerm !== null && this.eventLoop.now() < this.actUntil;
   }
 
   /** Who leads, as far as this node knows. */
@@ -114,7 +114,7 @@
   /** Somebody has shown a term above ours: there is a later leader. */
   higherTerm(term: number): void {
     if (this.ownTerm === null || term <= this.ownTerm.term) return;
-    this.core.log.warn({ term: this.ownTerm.term, seen: term }, 'a later term was seen');
+    this.eventLoop.log.warn({ term: this.ownTerm.term, seen: term }, 'a later term was seen');
     this.stepDown('higher term');
   }
 
@@ -139,7 +139,7 @@
   stepDown(reason: string): void {
     const { ownTerm } = this;
     if (ownTerm === null) return;
-    this.core.log.info({ term: ownTerm.term, reason }, 'no longer leader');
+    this.eventLoop.log.info({ term: ownTerm.term, reason }, 'no longer leader');
     this.ownTerm = null;
     this.actUntil = -Infinity;
     this.extension.end();
@@ -148,14 +148,14 @@
     this.client.setRole(false);
     // The lease goes too: otherwise a late copy of the request that made the key could make it
     // once more under a lease that nobody renews.
-    this.client.revoke(ownTerm.lease, this.timeoutMs, () => undefined);
+    this.client.revokeLease(ownTerm.lease, this.timeoutMs, () => undefined);
     this.events.deposed();
     this.retry();
   }
 
   /** Gives the lead to a node that may be better placed. */
   handOver(reason: string): void {
-    this.yieldsUntil = this.core.now() + this.settings.workerLeaseMs;
+    this.yieldsUntil = this.eventLoop.now() + this.settings.workerLeaseMs;
     this.yielded = false;
     this.stepDown(reason);
   }
@@ -163,9 +163,9 @@
   /** The key is free. Who has handed over takes it only if no other node does within a moment. */
   private contend(): void {
     this.noLeader();
-    if (this.yielded || this.core.now() >= this.yieldsUntil) return this.elect();
+    if (this.yielded || this.eventLoop.now() >= this.yieldsUntil) return this.elect();
     this.yielded = true;
-    this.core.after(this.settings.leaderLeaseMs / 2, OBSERVE_COMMAND, () => this.observe());
+    this.eventLoop.after(this.settings.leaderLeaseMs / 2, OBSERVE_COMMAND, () => this.observe());
   }
 
   private get timeoutMs(): number {
@@ -174,16 +174,17 @@
 
   private retry(): void {
     const ms =
-      this.settings.leaderLeaseMs * (RETRY_RATIO + RETRY_JITTER_RATIO * this.core.env.random());
-    this.core.after(ms, OBSERVE_COMMAND, () => this.observe());
+      this.settings.leaderLeaseMs *
+      (RETRY_RATIO + RETRY_JITTER_RATIO * this.eventLoop.runtime.random());
+    this.eventLoop.after(ms, OBSERVE_COMMAND, () => this.observe());
   }
 
   /** Finds out who leads, then waits for a change, then observes again. */
   private observe(): void {
     if (this.observing || this.election.inProgress || this.ownTerm !== null) return;
     this.observing = true;
-    this.client.tokens.force();
-    this.client.get(LEADER_KEY, this.timeoutMs, (got) => {
+    this.client.requestTokens.forceTake();
+    this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
       this.observing = false;
       if (this.ownTerm === null) this.observed(got);
     });
@@ -198,8 +199,8 @@
     if (leader === null) return this.retry();
     if (leader.host === this.settings.platform.host && leader.identity !== this.identity) {
       // The key is of an earlier process of this very host, which has ended: one runs at a time.
-      this.core.log.info({ term: leader.term }, 'ending the lease of the process before');
-      this.client.revoke(leader.lease, this.timeoutMs, () => this.observe());
+      this.eventLoop.log.info({ term: leader.term }, 'ending the lease of the process before');
+      this.client.revokeLease(leader.lease, this.timeoutMs, () => this.observe());
       return;
     }
     this.info = leader;
@@ -209,7 +210,7 @@
   /** Waits for a change of the leader's key after a revision. */
   private follow(revision: number): void {
     this.observing = true;
-    this.client.follow(LEADER_KEY, revision, this.settings.leaderLeaseMs, (got) => {
+    this.client.watch(LEADER_KEY, revision, this.settings.leaderLeaseMs, (got) => {
       this.observing = false;
       if (this.ownTerm !== null) return;
       if (got.kind === 'ok') this.changed(got.value.events, revision, got.value.revision);
@@ -239,7 +240,7 @@
     this.info = { host: this.settings.platform.host, identity: this.identity, lease, term };
     this.generation++;
     this.client.setRole(true);
-    this.core.log.info({ term }, 'elected leader');
+    this.eventLoop.log.info({ term }, 'elected leader');
     this.renewLater(this.generation, this.settings.renewMs);
     this.beginOncePromisesEnd(this.generation, term);
   }
@@ -249,11 +250,13 @@
     if (generation !== this.generation) return;
     const { remainingMs } = this.promise;
     if (remainingMs === 0) return this.events.elected(term);
-    this.core.after(remainingMs, BEGIN_COMMAND, () => this.beginOncePromisesEnd(generation, term));
+    this.eventLoop.after(remainingMs, BEGIN_COMMAND, () =>
+      this.beginOncePromisesEnd(generation, term),
+    );
   }
 
   private renewLater(generation: number, ms: number): void {
-    this.core.after(ms, RENEW_COMMAND, () => {
+    this.eventLoop.after(ms, RENEW_COMMAND, () => {
       if (generation === this.generation) this.renew(generation);
     });
   }
@@ -261,8 +264,8 @@
   private renew(generation: number): void {
     const { ownTerm } = this;
     if (ownTerm === null) return;
-    const sentAt = this.core.now();
-    this.client.extend(ownTerm.lease, this.timeoutMs, (outcome) => {
+    const sentAt = this.eventLoop.now();
+    this.client.renewLease(ownTerm.lease, this.timeoutMs, (outcome) => {
       if (generation !== this.generation) return;
       if (outcome === 'ended') return this.stepDown('lease ended');
       if (outcome === 'ok') this.renewed(ownTerm, sentAt);
@@ -284,7 +287,7 @@
     this.actUntil = Math.max(this.actUntil, sentAt + this.settings.leaderActsMs);
     this.extension.end();
     if (!gap) return;
-    this.core.log.info({ term: ownTerm.term }, 'lease renewed after a gap');
+    this.eventLoop.log.info({ term: ownTerm.term }, 'lease renewed after a gap');
     this.events.resumed();
   }
 }
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -7,7 +7,7 @@
  * From its last renewal on either its lease ran or all the others were bound, so nobody else has acted:
  * a leader that has let a gap come up gets no extension any more until its lease is renewed.
  */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 
 /** Rounds of requests while one promise lasts. */
@@ -30,7 +30,7 @@
   private wanted: object | null = null;
 
   constructor(
-    private readonly core: Pick<Core, 'after' | 'now'>,
+    private readonly eventLoop: Pick<EventLoop, 'after' | 'now'>,
     private readonly settings: Pick<Settings, 'promiseMs'>,
     private readonly peers: readonly string[],
     private readonly ask: AskPromise,
@@ -38,7 +38,7 @@
 
   /** All others are bound by promises at this moment. */
   get active(): boolean {
-    return this.core.now() < this.promisedUntil;
+    return this.eventLoop.now() < this.promisedUntil;
   }
 
   /**
@@ -53,7 +53,7 @@
       if (this.wanted !== wanted || this.gap) return;
       if (!useful()) return this.end();
       this.round(term, wanted, leaseUntil);
-      this.core.after(this.settings.promiseMs / ROUNDS_PER_PROMISE, 'promises', next);
+      this.eventLoop.after(this.settings.promiseMs / ROUNDS_PER_PROMISE, 'promises', next);
     };
     next();
   }
@@ -67,7 +67,7 @@
 
   private round(term: number, wanted: object, leaseUntil: () => number): void {
     const { promiseMs } = this.settings;
-    const askedAt = this.core.now();
+    const askedAt = this.eventLoop.now();
     let missing = this.peers.length;
     for (const host of this.peers)
       this.ask(host, term, promiseMs, (promised) => {
@@ -79,7 +79,7 @@
 
   private promised(askedAt: number, leaseUntil: number): void {
     // Before this moment another may have acted.
-    this.gap = this.core.now() >= Math.max(leaseUntil, this.promisedUntil);
+    this.gap = this.eventLoop.now() >= Math.max(leaseUntil, this.promisedUntil);
     if (this.gap) return;
     this.promisedUntil = Math.max(this.promisedUntil, askedAt + this.settings.promiseMs);
   }
--- a/src/controller/leadership/promises.test.ts
+++ b/src/controller/leadership/promises.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { ManualEnv, silentLogger } from '../../../test/manual-env.js';
-import { Core } from '../core/core.js';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
+import { EventLoop } from '../runtime/event-loop.js';
 import { LeaseExtension } from './lease-extension.js';
 import { answerPromise } from './promise-exchange.js';
 import { readPromiseRequest, writePromiseRequest } from './promise-request.js';
@@ -12,23 +12,23 @@
 
 describe('a promise not to act as leader', () => {
   it('lasts longer than the leader counts on it', () => {
-    const env = new ManualEnv();
-    const promise = new TakeoverPromise(new Core(env, silentLogger), settings);
+    const runtime = new ManualRuntime();
+    const promise = new TakeoverPromise(new EventLoop(runtime, silentLogger), settings);
     const remaining = (): number => promise.remainingMs;
     assert.equal(remaining(), 0);
     promise.give();
     assert.ok(remaining() > PROMISE_MS);
-    env.advance(PROMISE_MS + 3);
+    runtime.advance(PROMISE_MS + 3);
     assert.equal(remaining(), 0);
   });
 
   // A process that is back within the time may have given a promise just before it ended.
   it('is taken to have been given just before the process started', () => {
-    const env = new ManualEnv();
-    env.advance(1000);
+    const runtime = new ManualRuntime();
+    runtime.advance(1000);
     const startedAt = 900;
-    const core = { now: () => env.now(), env: { startedAt } };
-    const promise = new TakeoverPromise(core, settings);
+    const eventLoop = { now: () => runtime.now(), runtime: { startedAt } };
+    const promise = new TakeoverPromise(eventLoop, settings);
     assert.ok(promise.remainingMs > PROMISE_MS - 100);
   });
 
@@ -44,10 +44,10 @@
 describe('the extension of a lease', () => {
   /** A leader with two peers, whose lease has so much left; `answers` settles each request. */
   function setUp(leaseLeftMs: number) {
-    const env = new ManualEnv();
+    const runtime = new ManualRuntime();
     const asked: { host: string; answer: (promised: boolean) => void }[] = [];
     const extension = new LeaseExtension(
-      new Core(env, silentLogger),
+      new EventLoop(runtime, silentLogger),
       settings,
       ['kiln-1', 'kiln-2'],
       (host, _term, _timeoutMs, done) => void asked.push({ host, answer: done }),
@@ -61,55 +61,55 @@
     const answer = (...promised: boolean[]): void => {
       for (const each of promised) asked.shift()?.answer(each);
     };
-    return { env, asked, extension, answer, stop: () => (useful = false) };
+    return { runtime, asked, extension, answer, stop: () => (useful = false) };
   }
 
   it('lasts while all the others promise again and again', () => {
-    const { env, extension, answer } = setUp(50);
+    const { runtime, extension, answer } = setUp(50);
     for (let round = 0; round < 20; round++) {
       answer(true, true);
       assert.ok(extension.active);
-      env.advance(PROMISE_MS / 3);
+      runtime.advance(PROMISE_MS / 3);
     }
-    env.advance(PROMISE_MS);
+    runtime.advance(PROMISE_MS);
     assert.ok(!extension.active, 'nobody has promised lately');
   });
 
   it('needs the promise of every other controller', () => {
-    const { env, extension, answer } = setUp(50);
+    const { runtime, extension, answer } = setUp(50);
     answer(true, false);
-    env.advance(10);
+    runtime.advance(10);
     assert.ok(!extension.active);
   });
 
   it('counts from when it asked, not from the answers', () => {
-    const { env, extension, answer } = setUp(1000);
-    env.advance(90);
+    const { runtime, extension, answer } = setUp(1000);
+    runtime.advance(90);
     answer(true, true);
-    env.advance(PROMISE_MS - 91);
+    runtime.advance(PROMISE_MS - 91);
     assert.ok(extension.active);
-    env.advance(1);
+    runtime.advance(1);
     assert.ok(!extension.active);
   });
 
   // Another may have led, ended and come back without a memory of it.
   it('does not begin again once there was a gap', () => {
-    const { env, extension, answer, asked } = setUp(50);
-    env.advance(60);
+    const { runtime, extension, answer, asked } = setUp(50);
+    runtime.advance(60);
     answer(true, true);
     assert.ok(!extension.active);
     asked.length = 0;
-    env.advance(PROMISE_MS * 3);
+    runtime.advance(PROMISE_MS * 3);
     assert.equal(asked.length, 0);
     extension.end();
     assert.ok(!extension.active);
   });
 
   it('ends when it is of no use', () => {
-    const { env, extension, answer, asked, stop } = setUp(50);
+    const { runtime, extension, answer, asked, stop } = setUp(50);
     answer(true, true);
     stop();
-    env.advance(PROMISE_MS / 3);
+    runtime.advance(PROMISE_MS / 3);
     assert.equal(asked.length, 0);
     assert.ok(!extension.active);
   });
--- a/src/controller/leadership/takeover-promise.ts
+++ b/src/controller/leadership/takeover-promise.ts
@@ -1,5 +1,5 @@
 /** What this controller has promised a leader that the state service does not serve. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import { DRIFT, type Settings } from '../settings/settings.js';
 
 /** Clocks of two machines, and timers that fire early by a part of a millisecond. */
@@ -15,10 +15,12 @@
   private until: number;
 
   constructor(
-    private readonly core: Pick<Core, 'now'> & { env: Pick<Core['env'], 'startedAt'> },
+    private readonly eventLoop: Pick<EventLoop, 'now'> & {
+      runtime: Pick<EventLoop['runtime'], 'startedAt'>;
+    },
     private readonly settings: Pick<Settings, 'promiseMs'>,
   ) {
-    this.until = core.env.startedAt + this.lengthMs;
+    this.until = eventLoop.runtime.startedAt + this.lengthMs;
   }
 
   private get lengthMs(): number {
@@ -27,11 +29,11 @@
 
   /** Promises not to act as leader for as long as a promise lasts, from now on. */
   give(): void {
-    this.until = Math.max(this.until, this.core.now() + this.lengthMs);
+    this.until = Math.max(this.until, this.eventLoop.now() + this.lengthMs);
   }
 
   /** Time until this controller may act as leader, as far as promises are concerned. */
   get remainingMs(): number {
-    return Math.max(0, this.until - this.core.now());
+    return Math.max(0, this.until - this.eventLoop.now());
   }
 }
--- a/src/controller/core/log.ts
+++ b/src/controller/node/logger.ts
@@ -1,9 +1,9 @@
 /** The log of a controller. */
 import pino from 'pino';
-import type { Logger } from './env.js';
+import type { Logger } from '../runtime/runtime.js';
 
 /** Structured lines on standard error, written at once. */
-export function makeLog(level: string, host: string): Logger {
+export function createLogger(level: string, host: string): Logger {
   return pino(
     { level, base: { host }, timestamp: pino.stdTimeFunctions.isoTime },
     pino.destination({ dest: 2, sync: true }),
--- a/src/controller/core/node-env.ts
+++ b/src/controller/node/node-runtime.ts
@@ -4,17 +4,17 @@
 import type { Sockets } from '../http/sockets.js';
 import { frame } from '../peers/framing.js';
 import { decodeBody, encodeBody } from '../wire/cbor.js';
-import type { Call, Env, Reply, Timer } from './env.js';
-import { PeerLink } from './peer-link.js';
+import type { Call, Runtime, Reply, Timer } from '../runtime/runtime.js';
+import { PeerLink } from '../peers/peer-link.js';
 
 /** Connections to one address at most, and how long one is kept without use. */
-const CONNECTIONS_PER_HOST = 12;
+const MAX_CONNECTIONS_PER_HOST = 12;
 const CONNECTION_IDLE_MS = 30_000;
 /** The largest answer that is read. */
-const ANSWER_BYTES = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /** What the environment is given at start. */
-export interface NodeEnvOptions {
+export interface NodeRuntimeOptions {
   sockets: Sockets;
   random: () => number;
   peers: { host: string; addr: string }[];
@@ -23,7 +23,7 @@
 }
 
 /** The world as Node gives it: clocks, timers, sockets. */
-export class NodeEnv implements Env {
+export class NodeRuntime implements Runtime {
   private readonly client: HttpClient;
   private readonly sockets: Sockets;
   private readonly links = new Map<string, PeerLink>();
@@ -31,14 +31,14 @@
   /** The steady clock counts from the start of the process. */
   readonly startedAt = 0;
 
-  constructor(options: NodeEnvOptions) {
+  constructor(options: NodeRuntimeOptions) {
     this.random = options.random;
     this.sockets = options.sockets;
     this.client = new HttpClient({
       sockets: options.sockets,
-      perHost: CONNECTIONS_PER_HOST,
+      perHost: MAX_CONNECTIONS_PER_HOST,
       idleMs: CONNECTION_IDLE_MS,
-      maxBodyBytes: ANSWER_BYTES,
+      maxBodyBytes: MAX_RESPONSE_BYTES,
     });
     for (const { host, addr } of options.peers)
       this.links.set(host, new PeerLink(addr, options.peerRetryMs));
@@ -50,17 +50,17 @@
   }
 
   /** Time of day in milliseconds. */
-  wall(): number {
+  wallClock(): number {
     return Date.now();
   }
 
   /** Runs `fn` once the present events have been handled. */
-  soon(fn: () => void): void {
+  defer(fn: () => void): void {
     setImmediate(fn);
   }
 
   /** Runs `fn` once after `ms`. */
-  timer(ms: number, fn: () => void): Timer {
+  startTimer(ms: number, fn: () => void): Timer {
     const timeout = setTimeout(fn, ms);
     return { cancel: () => clearTimeout(timeout) };
   }
@@ -74,7 +74,7 @@
   }
 
   /** Sockets are not short, or a connection to the address is open. */
-  mayCall(to: string): boolean {
+  hasSpareConnection(to: string): boolean {
     return !this.sockets.short || this.client.connected(to);
   }
 
--- a/src/controller/operators/readiness.test.ts
+++ b/src/controller/operators/readiness.test.ts
@@ -4,7 +4,12 @@
 
 describe('readiness', () => {
   function setUp() {
-    const state = { okAgeMs: Infinity, down: false, elsewhere: false, typesKnown: false };
+    const state = {
+      sinceSuccessMs: Infinity,
+      isUnavailable: false,
+      elsewhere: false,
+      typesKnown: false,
+    };
     const peers = { stateServedElsewhere: () => state.elsewhere };
     const readiness = new Readiness({ leaderLeaseMs: 1000 }, state, peers, () => state.typesKnown);
     return { state, readiness };
@@ -15,19 +20,19 @@
     assert.ok(!readiness.ready);
     state.typesKnown = true;
     assert.ok(!readiness.ready);
-    state.okAgeMs = 0;
+    state.sinceSuccessMs = 0;
     assert.ok(readiness.ready);
   });
 
   it('ends only while the state service serves others and not this node', () => {
     const { state, readiness } = setUp();
-    Object.assign(state, { typesKnown: true, okAgeMs: 0 });
+    Object.assign(state, { typesKnown: true, sinceSuccessMs: 0 });
     assert.ok(readiness.ready);
-    Object.assign(state, { okAgeMs: 400, down: true });
+    Object.assign(state, { sinceSuccessMs: 400, isUnavailable: true });
     assert.ok(readiness.ready);
     state.elsewhere = true;
     assert.ok(!readiness.ready);
-    state.okAgeMs = 399;
+    state.sinceSuccessMs = 399;
     assert.ok(readiness.ready);
   });
 });
--- a/src/controller/peers/forwarding.ts
+++ b/src/controller/peers/forwarding.ts
@@ -1,5 +1,5 @@
 /** Requests of users that a peer answers in this controller's place. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { ForwardedReply, ForwardedRequest } from './message.js';
 
 /** From how many the first id of a forwarded request is drawn. */
@@ -14,11 +14,11 @@
   private lastId: number;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly send: (host: string, request: ForwardedRequest) => void,
   ) {
     // The process before on this host has counted too, and answers to it may still be on their way.
-    this.lastId = Math.floor(core.env.random() * FIRST_IDS);
+    this.lastId = Math.floor(eventLoop.runtime.random() * FIRST_IDS);
   }
 
   /** Has the peer `host` answer a request. */
@@ -29,7 +29,7 @@
     done: ReplyHandler,
   ): void {
     const id = ++this.lastId;
-    const timer = this.core.after(timeoutMs, 'forward-timeout', () => settle(null));
+    const timer = this.eventLoop.after(timeoutMs, 'forward-timeout', () => settle(null));
     const settle: ReplyHandler = (reply) => {
       if (!this.waiting.delete(id)) return;
       timer.cancel();
--- a/src/controller/peers/peers.test.ts
+++ b/src/controller/peers/peers.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { Core } from '../core/core.js';
-import type { Env, Logger } from '../core/env.js';
-import { uniform } from '../core/random.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Runtime, Logger } from '../runtime/runtime.js';
+import { seededRandom } from '../runtime/random.js';
 import { EncodingError } from './encoding.js';
 import { frame, FrameTooLargeError, Unframer } from './framing.js';
 import { decodePeer, EMPTY_MESSAGE, encodePeer, type PeerMessage } from './message.js';
@@ -51,21 +51,21 @@
     const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
     const ids: number[] = [];
     for (const seed of [1, 2]) {
-      const random = uniform(seed);
-      const env: Env = {
+      const random = seededRandom(seed);
+      const runtime: Runtime = {
         startedAt: -Infinity,
         now: () => 0,
-        wall: () => 0,
+        wallClock: () => 0,
         random,
-        soon: nothing,
-        timer: () => ({ cancel: nothing }),
+        defer: nothing,
+        startTimer: () => ({ cancel: nothing }),
         call: nothing,
-        mayCall: () => true,
+        hasSpareConnection: () => true,
         sendPeer: (_, bytes) => ids.push(decodePeer(bytes).request?.id ?? -1),
       };
       const { status } = message;
       assert.ok(status);
-      const peers = new Peers(new Core(env, silent), ['kiln-2'], () => status, {
+      const peers = new Peers(new EventLoop(runtime, silent), ['kiln-2'], () => status, {
         ...{ accepted: nothing, status: nothing, final: nothing, progress: nothing },
         request: nothing,
       });
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -1,5 +1,5 @@
 /** The exchange of news between the controllers of a deployment. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { FinalState } from '../wire/jobs.js';
 import { RequestForwarder, type ReplyHandler } from './forwarding.js';
 import {
@@ -44,19 +44,21 @@
   unreadable = 0;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly hosts: string[],
     private readonly own: () => PeerStatus,
     private readonly events: PeerEvents,
   ) {
-    this.statuses = new PeerStatuses(() => core.now());
-    this.forwarder = new RequestForwarder(core, (host, request) => this.sendOne(host, { request }));
+    this.statuses = new PeerStatuses(() => eventLoop.now());
+    this.forwarder = new RequestForwarder(eventLoop, (host, request) =>
+      this.sendOne(host, { request }),
+    );
   }
 
   /** Begins to tell the own status every `statusMs`, and news within `newsMs`. */
   start(statusMs: number, newsMs: number): void {
     this.newsMs = newsMs;
-    this.core.every(statusMs, 'peer-status', () => this.send([], this.own()));
+    this.eventLoop.every(statusMs, 'peer-status', () => this.send([], this.own()));
   }
 
   /** Tells the others of a job's end, with what else comes within a moment. */
@@ -74,7 +76,7 @@
   private sendSoon(): void {
     if (this.sending) return;
     this.sending = true;
-    this.core.after(this.newsMs, 'peer-news', () => {
+    this.eventLoop.after(this.newsMs, 'peer-news', () => {
       this.sending = false;
       this.send([], null);
     });
@@ -102,11 +104,11 @@
 
   private sendAll(message: PeerMessage): void {
     const bytes = encodePeer(message);
-    for (const host of this.hosts) this.core.env.sendPeer(host, bytes);
+    for (const host of this.hosts) this.eventLoop.runtime.sendPeer(host, bytes);
   }
 
   private sendOne(host: string, part: Partial<PeerMessage>): void {
-    this.core.env.sendPeer(host, encodePeer({ ...EMPTY_MESSAGE, ...part }));
+    this.eventLoop.runtime.sendPeer(host, encodePeer({ ...EMPTY_MESSAGE, ...part }));
   }
 
   /** Takes a message of another controller; one that can't be read is dropped and counted. */
@@ -124,7 +126,7 @@
   /** Counts and logs what came from another controller and can't be read. */
   dropped(err: unknown): void {
     this.unreadable++;
-    this.core.log.warn({ err }, 'broken message from a peer');
+    this.eventLoop.log.warn({ err }, 'broken message from a peer');
   }
 
   private take(message: PeerMessage): void {
--- a/src/controller/placement/gang-reservations.ts
+++ b/src/controller/placement/gang-reservations.ts
@@ -1,8 +1,8 @@
 /** Reservations of gangs that cannot start yet: kept on record until the gang starts or ends. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { GangReservation, Job, JobTable } from '../jobs/table.js';
 import type { Settings } from '../settings/settings.js';
-import type { Records } from '../store/records.js';
+import type { RecordStore } from '../store/record-store.js';
 import type { Assignment } from '../workers/assignment.js';
 import { setBlockedReason } from './blocked-reason.js';
 import type { Estimates } from './estimates.js';
@@ -44,9 +44,9 @@
 
 /** What reservations rely on. */
 export interface GangReservationParts {
-  core: Pick<Core, 'log' | 'now'>;
+  eventLoop: Pick<EventLoop, 'log' | 'now'>;
   settings: Pick<Settings, 'get' | 'reportMs'>;
-  records: Pick<Records, 'list' | 'set'>;
+  records: Pick<RecordStore, 'list' | 'set'>;
   estimates: Pick<Estimates, 'fetchMs'>;
   targets: Pick<Targets, 'find'>;
   preemption: Pick<Preemption, 'stopAll'>;
@@ -58,14 +58,14 @@
 
   /** The reservations of the leaders before, read at takeover. */
   load({ jobs }: Pick<JobTable, 'jobs'>): void {
-    const { core, records } = this.parts;
+    const { eventLoop, records } = this.parts;
     for (const { key, value } of records.list(KEY_PREFIX)) {
       const job = jobs.get(key.slice(KEY_PREFIX.length));
       if (job === undefined || !Array.isArray(value)) records.set(key, undefined, 'lazy');
       else {
         job.reservation = {
           machines: value.map(String),
-          since: core.now(),
+          since: eventLoop.now(),
           fillAt: Infinity,
           readyAt: Infinity,
           searchedAt: -Infinity,
@@ -174,14 +174,14 @@
   }
 
   private keep(pass: PlacementPass, job: Job, found: GangRoom): void {
-    const { core, records } = this.parts;
+    const { eventLoop, records } = this.parts;
     const { fillAt, readyAt, victims } = found;
     const machines = found.rooms.map((room) => room.machine.id);
     if (job.reservation?.machines.join() !== machines.join())
       records.set(reservationKey(job.spec.id), machines, 'lazy');
     const since = job.reservation?.since ?? pass.now;
     job.reservation = { machines, since, fillAt, readyAt, searchedAt: pass.now };
-    core.log.debug(
+    eventLoop.log.debug(
       {
         job: job.spec.id,
         guaranteed: job.guaranteed,
--- a/src/controller/placement/parts.test.ts
+++ b/src/controller/placement/parts.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
-import type { Logger } from '../core/env.js';
+import type { Logger } from '../runtime/runtime.js';
 import { Job } from '../jobs/table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -372,7 +372,7 @@
   const written = new Map<string, unknown>();
   let searches = 0;
   const reservations = new GangReservations({
-    core: { log: silent, now: () => 5 },
+    eventLoop: { log: silent, now: () => 5 },
     settings,
     records: {
       *list() {
@@ -420,7 +420,7 @@
     let stopped = 0;
     const victim = { ...assign(job(), machine('n-1')), saveS: SAVE_S };
     const reservations = new GangReservations({
-      core: { log: silent, now: () => 0 },
+      eventLoop: { log: silent, now: () => 0 },
       settings,
       records: { list: () => [][Symbol.iterator](), set: nothing },
       estimates: { fetchMs: () => 0 },
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -1,8 +1,8 @@
 /** Placement of what waits: the parts of a pass put together, and its beginning and end. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job, JobTable } from '../jobs/table.js';
 import type { Settings } from '../settings/settings.js';
-import type { Records } from '../store/records.js';
+import type { RecordStore } from '../store/record-store.js';
 import type { Machine } from '../workers/machine.js';
 import { recordRoom } from '../workers/record.js';
 import type { Workers } from '../workers/workers.js';
@@ -52,11 +52,11 @@
   private readonly arrays: ArrayPlacer;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly table: JobTable,
     private readonly workers: Workers,
-    records: Records,
+    records: RecordStore,
     readonly estimates: Estimates,
     private readonly reserve: Reserve,
     hooks: PlacementHooks,
@@ -66,8 +66,8 @@
     const latestStarts = new LatestStarts(settings, estimates);
     const candidates = new CandidateFinder(settings, estimates);
     const starter = new TaskStarter(workers, () => hooks.exhausted());
-    const preemption = new Preemption(core, settings, workers, targets);
-    const shared = { core, settings, teams, records, estimates, targets };
+    const preemption = new Preemption(eventLoop, settings, workers, targets);
+    const shared = { eventLoop, settings, teams, records, estimates, targets };
     const reservations = new GangReservations({ ...shared, preemption });
     this.guarantees = new Guarantees(settings.platform.teams);
     this.drain = new Drain(settings, workers, estimates, (machine, now) =>
@@ -108,7 +108,7 @@
 
   /** Begins a pass over all that waits now. */
   begin(): void {
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     this.guarantees.mark(this.table.jobs.values());
     const rooms = new Rooms(this.workers.machines.values(), recordRoom(this.settings));
     for (const room of rooms.all) room.closed = !this.usable(room.machine, now);
@@ -128,7 +128,7 @@
   advance(deadline: number): boolean {
     const pass = this.current;
     if (pass === null) return true;
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     // Reports have come since: what is free is read anew, what must not be used is left out.
     if (pass.isStarted()) pass.resume(now, (machine) => this.usable(machine, now));
     while (!pass.isFinished()) {
@@ -136,7 +136,7 @@
       if (queued?.job.closed !== null || !waits(queued.job, pass.now)) continue;
       if (queued.job.spec.kind === 'gang') this.gangs.place(pass, queued.job);
       else this.arrays.place(pass, queued);
-      if (this.core.now() >= deadline && !pass.isFinished()) return false;
+      if (this.eventLoop.now() >= deadline && !pass.isFinished()) return false;
     }
     this.lacking = pass.shortages;
     this.current = null;
--- a/src/controller/placement/preemption.ts
+++ b/src/controller/placement/preemption.ts
@@ -1,5 +1,5 @@
 /** Stopping of tasks for work that goes before them, and its limit. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../jobs/table.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment } from '../workers/assignment.js';
@@ -25,7 +25,7 @@
   private throttledAt = -Infinity;
 
   constructor(
-    private readonly core: Pick<Core, 'log' | 'now'>,
+    private readonly eventLoop: Pick<EventLoop, 'log' | 'now'>,
     private readonly settings: Pick<Settings, 'get' | 'workerLeaseMs'>,
     private readonly workers: TaskStopper,
     private readonly cost: StopCost,
@@ -34,7 +34,7 @@
   /** Stops all of the victims or, where that is too much at a time, none. */
   stopAll(victims: readonly Assignment[], preemptor: Job): boolean {
     if (victims.length === 0) return true;
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     const { workerLeaseMs } = this.settings;
     this.recent = this.recent.filter((at) => now - at < workerLeaseMs);
     const share = this.settings.get('placement.preempt.share');
@@ -48,10 +48,10 @@
   }
 
   private warn(victims: readonly Assignment[], preemptor: Job, limit: number): void {
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     this.throttledAt = now;
     const lostMs = victims.reduce((sum, victim) => sum + this.cost.lostMs(victim, now), 0);
-    this.core.log.warn(
+    this.eventLoop.log.warn(
       {
         job: preemptor.spec.id,
         team: preemptor.spec.team,
@@ -69,10 +69,10 @@
     const { job } = victim;
     if (job === null) return;
     job.preemptions++;
-    preemptor.grantedUntil = this.core.now() + this.settings.workerLeaseMs;
+    preemptor.grantedUntil = this.eventLoop.now() + this.settings.workerLeaseMs;
     this.count++;
-    this.recent.push(this.core.now());
-    this.core.log.info(
+    this.recent.push(this.eventLoop.now());
+    this.eventLoop.log.info(
       {
         job: victim.jobId,
         task: victim.task,
--- a/src/controller/placement/services.test.ts
+++ b/src/controller/placement/services.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Core } from '../core/core.js';
-import type { Env, Logger } from '../core/env.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Runtime, Logger } from '../runtime/runtime.js';
 import { JobTable, type Job } from '../jobs/table.js';
 import { alone } from '../../../test/platform.js';
 import { storedAtOnce } from '../../../test/stored.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import type { MachineType } from '../wire/cloud.js';
 import { writeJob, type JobSpec } from '../wire/jobs.js';
 import type { Cause, TaskReport } from '../wire/workers.js';
@@ -71,32 +71,32 @@
       ...{ session: 1, token: makeToken(TERM, 0), noticeS: null, tasks: [] },
       ...{ images: new Set(part.images ?? []), fetchedAt: new Map<string, number>() },
     }));
-    const env: Env = {
+    const runtime: Runtime = {
       startedAt: -Infinity,
       now: () => this.now,
-      wall: () => this.now,
+      wallClock: () => this.now,
       random: () => 0.5,
-      soon: nothing,
-      timer: () => ({ cancel: nothing }),
+      defer: nothing,
+      startTimer: () => ({ cancel: nothing }),
       call: nothing,
       sendPeer: nothing,
-      mayCall: () => false,
+      hasSpareConnection: () => false,
     };
-    const core = new Core(env, silent);
+    const eventLoop = new EventLoop(runtime, silent);
     const records = storedAtOnce();
-    this.table = new JobTable(core, settings, {} as unknown as StateClient, records, {
+    this.table = new JobTable(eventLoop, settings, {} as unknown as StateStoreClient, records, {
       ...{ torn: nothing, added: nothing, changed: nothing, recorded: nothing, ended: nothing },
       vanished: (job) => this.workers.stopAll(job, 'job ended'),
       closed: (job) => this.workers.jobClosed(job),
     });
-    this.workers = new Workers(core, settings, TERM, records, this.table, {
+    this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
       type: () => type,
       ...{ higherTerm: nothing, changed: nothing, ran: nothing },
     });
     const estimates = new Estimates();
     const reserve = new Reserve({ memoryMs: 1000, share: 0, spare: 0 }, estimates, 0, () => null);
     this.placement = new Placement(
-      ...([core, settings, this.table, this.workers, records, estimates, reserve] as const),
+      ...([eventLoop, settings, this.table, this.workers, records, estimates, reserve] as const),
       { exhausted: nothing },
     );
     for (const w of this.machines)
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -1,11 +1,11 @@
 /** The paths of the API, and which node answers. */
-import type { Core } from './core/core.js';
+import type { EventLoop } from './runtime/event-loop.js';
 import type { Answer, Frontend } from './jobs/frontend.js';
 import type { Leadership } from './leadership/leadership.js';
 import type { ForwardedReply } from './peers/message.js';
 import type { Peers } from './peers/peers.js';
 import type { Settings } from './settings/settings.js';
-import type { StateClient } from './store/client.js';
+import type { StateStoreClient } from './store/client.js';
 import { decodeBody, WireError } from './wire/cbor.js';
 
 /** Where workers send their reports. */
@@ -52,9 +52,9 @@
   private readonly endpoints: ReadonlyMap<string, Endpoint>;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly client: StateClient,
+    private readonly client: StateStoreClient,
     private readonly peers: Peers,
     private readonly leadership: Leadership,
     private readonly frontend: Frontend,
@@ -65,12 +65,12 @@
 
   /** Answers a request here, or has the node answer that can. */
   request(method: string, path: string, body: Buffer, respond: Respond): void {
-    this.core.post('request', () => {
-      const from = this.core.now();
+    this.eventLoop.post('request', () => {
+      const from = this.eventLoop.now();
       const route = path.split('/', 2)[1]?.split('?', 1)[0] ?? '';
       const answer = (a: Answer): void => {
         const known = a.status !== 404 || route === 'submissions' ? route : 'other';
-        this.source.counted(known, a.status, this.core.now() - from);
+        this.source.counted(known, a.status, this.eventLoop.now() - from);
         respond(a);
       };
       if (route === 'submissions') this.withHelp(method, path, body, answer);
@@ -97,7 +97,7 @@
     const help = (): boolean => {
       if (answered || helping) return helping;
       const slow = this.settings.reportMs / 25;
-      if (this.client.failingFor === 0 && this.client.stalledMs < slow) return false;
+      if (this.client.consecutiveFailures === 0 && this.client.stalledMs < slow) return false;
       const host = this.peers.served(this.settings.reportMs / 2);
       if (host === null) return false;
       helping = true;
@@ -108,12 +108,12 @@
       });
       return true;
     };
-    const late = this.core.after(this.settings.reportMs / 25, 'late', () => void help());
+    const late = this.eventLoop.after(this.settings.reportMs / 25, 'late', () => void help());
     this.handle(method, path, body, (a) => {
       if (a.status !== 503) return answer(a);
       own = a;
       // Out of tokens is not a reason: the peers' are for their own users.
-      if (helping || (this.client.failingFor > 0 && help())) return;
+      if (helping || (this.client.consecutiveFailures > 0 && help())) return;
       answer(a);
     });
   }
@@ -136,7 +136,7 @@
     } catch (err) {
       if (err instanceof WireError) respond({ status: 400, body: { error: err.message } });
       else {
-        this.core.log.error({ path, err }, 'request failed');
+        this.eventLoop.log.error({ path, err }, 'request failed');
         respond({ status: 500, body: { error: 'internal' } });
       }
     }
--- a/src/controller/run.ts
+++ b/src/controller/run.ts
@@ -2,11 +2,11 @@
 import net from 'node:net';
 import { randomBytes } from 'node:crypto';
 import { Controller } from './controller.js';
-import type { Logger } from './core/env.js';
-import { HeapBudget, memoryWarning, type MemoryQuota } from './core/heap-budget.js';
-import { makeLog, LOG_LEVELS } from './core/log.js';
-import { NodeEnv } from './core/node-env.js';
-import { uniform } from './core/random.js';
+import type { Logger } from './runtime/runtime.js';
+import { HeapBudget, memoryWarning, type MemoryQuota } from './runtime/heap-budget.js';
+import { createLogger, LOG_LEVELS } from './node/logger.js';
+import { NodeRuntime } from './node/node-runtime.js';
+import { seededRandom } from './runtime/random.js';
 import type { Response } from './http/parser.js';
 import { HttpServer, type Handler } from './http/server.js';
 import { Sockets } from './http/sockets.js';
@@ -35,7 +35,7 @@
 
 function openLog(host: string): Logger {
   const wanted = process.env['LOG_LEVEL'] ?? 'info';
-  return makeLog(LOG_LEVELS.includes(wanted) ? wanted : 'info', host);
+  return createLogger(LOG_LEVELS.includes(wanted) ? wanted : 'info', host);
 }
 
 /** Starts a controller on this machine; it runs until the process is killed. */
@@ -48,13 +48,13 @@
   const sockets = new Sockets(
     Math.floor(platform.quota.sockets * settings.get('http.sockets.ratio')),
   );
-  const env = new NodeEnv({
+  const runtime = new NodeRuntime({
     sockets,
-    random: uniform(seed.readInt32LE(0)),
+    random: seededRandom(seed.readInt32LE(0)),
     peers: platform.peers,
     peerRetryMs: settings.reportMs / 3,
   });
-  const controller = new Controller(env, log, settings, identity);
+  const controller = new Controller(runtime, log, settings, identity);
   const fail = (err: Error): void => {
     log.error({ err }, 'cannot listen');
     process.exit(1);
--- a/src/controller/core/env.ts
+++ b/src/controller/runtime/runtime.ts
@@ -22,23 +22,23 @@
 }
 
 /** Clocks, timers, chance and I/O. */
-export interface Env {
+export interface Runtime {
   /** When this process started, or a moment before, on the steady clock. */
   readonly startedAt: number;
   /** Steady clock in milliseconds. */
   now(): number;
   /** Time of day in milliseconds. */
-  wall(): number;
+  wallClock(): number;
   /** Uniform in [0, 1). */
   random(): number;
   /** Runs `fn` soon, after what is already waiting. */
-  soon(fn: () => void): void;
+  defer(fn: () => void): void;
   /** Runs `fn` once after `ms`. */
-  timer(ms: number, fn: () => void): Timer;
+  startTimer(ms: number, fn: () => void): Timer;
   /** Sends a request; `done` is called once, at the time-out at the latest. */
   call(call: Call, done: (reply: Reply) => void): void;
   /** Sockets are not short: a call that could be spared may be made. */
-  mayCall(to: string): boolean;
+  hasSpareConnection(to: string): boolean;
   /** Best effort; a frame to another controller may be lost. */
   sendPeer(host: string, frame: Buffer): void;
 }
--- a/src/controller/core/tokens.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -3,9 +3,9 @@
  * for those above it, so that under load polls go without before submissions, and submissions
  * before the leader's records and its lease.
  */
-export class Tokens {
-  private level: number;
-  private at: number;
+export class TokenBucket {
+  private available: number;
+  private refilledAt: number;
   private blockedUntil = 0;
 
   constructor(
@@ -13,8 +13,8 @@
     private ratePerS: number,
     private burst: number,
   ) {
-    this.level = burst;
-    this.at = now();
+    this.available = burst;
+    this.refilledAt = now();
   }
 
   /** Changes rate and burst; what the bucket holds stays, up to the burst. */
@@ -22,7 +22,7 @@
     this.refill();
     this.ratePerS = ratePerS;
     this.burst = burst;
-    this.level = Math.min(this.level, burst);
+    this.available = Math.min(this.available, burst);
   }
 
   /** The rate at which tokens come. */
@@ -31,38 +31,41 @@
   }
 
   /** Takes `count` tokens if that leaves `reserve` (a share of the burst) behind. */
-  take(count = 1, reserve = 0): boolean {
+  tryTake(count = 1, reserve = 0): boolean {
     this.refill();
     if (this.now() < this.blockedUntil) return false;
-    if (this.level - count < reserve * this.burst) return false;
-    this.level -= count;
+    if (this.available - count < reserve * this.burst) return false;
+    this.available -= count;
     return true;
   }
 
   /** For calls that must go out whatever the level (lease renewals): later callers pay. */
-  force(count = 1): void {
+  forceTake(count = 1): void {
     this.refill();
-    this.level -= count;
+    this.available -= count;
   }
 
   /** The service itself said "too many": it counts more than we do. */
-  rejected(pauseMs: number): void {
+  pauseFor(pauseMs: number): void {
     this.refill();
-    this.level = Math.min(this.level, 0);
+    this.available = Math.min(this.available, 0);
     this.blockedUntil = this.now() + pauseMs;
   }
 
   /** Milliseconds until `count` tokens are there, keeping `reserve`. */
   waitMs(count = 1, reserve = 0): number {
     this.refill();
-    const lack = count + reserve * this.burst - this.level;
+    const lack = count + reserve * this.burst - this.available;
     const refill = lack <= 0 ? 0 : (lack / this.ratePerS) * 1000;
     return Math.max(refill, this.blockedUntil - this.now(), 0);
   }
 
   private refill(): void {
     const now = this.now();
-    this.level = Math.min(this.burst, this.level + ((now - this.at) / 1000) * this.ratePerS);
-    this.at = now;
+    this.available = Math.min(
+      this.burst,
+      this.available + ((now - this.refilledAt) / 1000) * this.ratePerS,
+    );
+    this.refilledAt = now;
   }
 }
--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -22,7 +22,7 @@
   };
   stateLimits: StateLimits;
   /** Limits that the state service will have from some moment on, without notice. */
-  stateNext: StateLimits;
+  upcomingStateLimits: StateLimits;
   cloudLimits: { rps: number; listLagS: number };
   quota: { cores: number; ramMb: number; sockets: number };
 }
@@ -217,7 +217,7 @@
     ),
     workers: readWorkers(workers, 'params.workers.'),
     stateLimits,
-    stateNext: readStateLimits(next, 'params.state.next.', stateLimits),
+    upcomingStateLimits: readStateLimits(next, 'params.state.next.', stateLimits),
     cloudLimits: readCloudLimits(cloud, 'params.cloud.'),
     quota: readQuota(quota, 'params.quota.'),
   };
--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from 'node:test';
 import { settingsOf, usual, type PlatformParts } from '../../../test/platform.js';
 
-import { memoryWarning } from '../core/heap-budget.js';
+import { memoryWarning } from '../runtime/heap-budget.js';
 import { readPlatform, SettingsError } from './platform.js';
 import { defaultProperties, formatProperties, readProperties } from './properties.js';
 import { Settings } from './settings.js';
--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -78,8 +78,8 @@
 
   /** Largest value at the state service, now and after its limits have changed. */
   get valueBytes(): number {
-    const { stateLimits, stateNext } = this.platform;
-    return Math.min(stateLimits.valueKb, stateNext.valueKb) * 1024;
+    const { stateLimits, upcomingStateLimits } = this.platform;
+    return Math.min(stateLimits.valueKb, upcomingStateLimits.valueKb) * 1024;
   }
 
   /** How long a controller is bound by a promise not to act as leader. */
--- a/src/controller/store/batch.ts
+++ b/src/controller/store/batch.ts
@@ -7,15 +7,15 @@
   conditions: Condition[];
   writes: Write[];
   /** The entry is on its way: whoever asks from now on must ask anew. */
-  sent?: () => void;
+  onSent?: () => void;
   done: (r: TransactionResult) => void;
 }
 
 /** Bytes of a transaction, with room for its frame below the service's 64 KiB. */
-const TRANSACTION_BYTES = 60 * 1024;
+const MAX_TRANSACTION_BYTES = 60 * 1024;
 
 /** The service takes this many conditions for each write of the largest transaction. */
-export const CONDITIONS_PER_WRITE = 4;
+export const MAX_CONDITIONS_PER_WRITE = 4;
 
 /** One transaction as it is gathered. */
 export class Batch<Entry extends BatchEntry> {
@@ -29,7 +29,7 @@
   constructor(private readonly maxWrites: number) {}
 
   /** Nothing has been added. */
-  get empty(): boolean {
+  get isEmpty(): boolean {
     return this.entries.length === 0;
   }
 
@@ -37,9 +37,9 @@
   fits(entry: Entry, bytes: number): boolean {
     const conditions = this.conditions.length + entry.conditions.length;
     return (
-      conditions <= CONDITIONS_PER_WRITE * this.maxWrites &&
+      conditions <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.writes.length + entry.writes.length <= this.maxWrites &&
-      this.bytes + bytes <= TRANSACTION_BYTES &&
+      this.bytes + bytes <= MAX_TRANSACTION_BYTES &&
       // Two entries on one key would share their fate: the second waits for the next batch.
       !entry.conditions.some(({ key }) => this.keys.has(key))
     );
--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -1,24 +1,24 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { ManualEnv, silentLogger } from '../../../test/manual-env.js';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
 import { oneOf, usual } from '../../../test/platform.js';
-import { Core } from '../core/core.js';
+import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { StateClient } from './client.js';
+import { StateStoreClient } from './client.js';
 
 describe('state client', () => {
   /** How long after its end a watch without an answer is given up. */
   function graceMs(leaseS: number, cancelS: number): number {
-    const env = new ManualEnv();
+    const runtime = new ManualRuntime();
     const platform = oneOf(['kiln-0'], 'kiln-0', { ...usual, leaseS, cancelS });
-    const client = new StateClient(
-      new Core(env, silentLogger),
+    const client = new StateStoreClient(
+      new EventLoop(runtime, silentLogger),
       new Settings(platform, defaultProperties()),
     );
     const holdMs = 1000;
-    client.follow('lead', 1, holdMs, () => undefined);
-    return (env.calls[0]?.call.timeoutMs ?? NaN) - holdMs;
+    client.watch('lead', 1, holdMs, () => undefined);
+    return (runtime.calls[0]?.call.timeoutMs ?? NaN) - holdMs;
   }
 
   it('gives a lost watch up in proportion to the lease, at 22 s after 2 s', () => {
--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -1,10 +1,10 @@
 /** Client of the state service. */
-import type { Core } from '../core/core.js';
-import type { Reply } from '../core/env.js';
-import { Tokens } from '../core/tokens.js';
-import { Limits } from './limits.js';
+import type { EventLoop } from '../runtime/event-loop.js';
+import type { Reply } from '../runtime/runtime.js';
+import { TokenBucket } from '../runtime/token-bucket.js';
+import { StateStoreLimits } from './limits.js';
 import type { ReadResult, RenewalOutcome, TransactionResult } from './results.js';
-import { Rate, writeShare, type Part } from './shares.js';
+import { DecayingRate, writeShare, type WriteDemand } from './write-share.js';
 import type { Settings } from '../settings/settings.js';
 import {
   readEvents,
@@ -46,30 +46,30 @@
 const WATCH_ANSWER_LEASES = 0.7;
 
 /** Calls to the state service, paid for with tokens, their answers read. */
-export class StateClient {
-  readonly tokens: Tokens;
-  readonly writeTokens: Tokens;
-  readonly limits: Limits;
-  private okAt = -Infinity;
+export class StateStoreClient {
+  readonly requestTokens: TokenBucket;
+  readonly writeTokens: TokenBucket;
+  readonly limits: StateStoreLimits;
+  private succeededAt = -Infinity;
   private failedAt = -Infinity;
-  private failing = 0;
-  private leads = false;
-  private readonly written: Rate;
+  private failures = 0;
+  private isLeader = false;
+  private readonly writeRate: DecayingRate;
   /** Writes that wait for tokens. */
-  queued = 0;
+  queuedWrites = 0;
   /** When calls were sent that are not answered yet, watches left out; the oldest first. */
-  private readonly open = new Map<number, number>();
-  private calls = 0;
+  private readonly openCalls = new Map<number, number>();
+  private lastCall = 0;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
   ) {
-    const now = (): number => core.now();
-    this.limits = new Limits(settings.platform, now, settings.workerLeaseMs * 2);
-    this.tokens = new Tokens(now, 1, 1);
-    this.writeTokens = new Tokens(now, 1, 1);
-    this.written = new Rate(now, WANTED_MS);
+    const now = (): number => eventLoop.now();
+    this.limits = new StateStoreLimits(settings.platform, now, settings.workerLeaseMs * 2);
+    this.requestTokens = new TokenBucket(now, 1, 1);
+    this.writeTokens = new TokenBucket(now, 1, 1);
+    this.writeRate = new DecayingRate(now, WANTED_MS);
     this.setRole(false);
   }
 
@@ -79,48 +79,51 @@
     const followers = this.settings.get('state.followers.requests.ratio');
     const theirs = peers.length > 0 ? followers : 0;
     const share = leader ? 1 - theirs : theirs / Math.max(1, peers.length);
-    const rps = this.limits.inForce.rps * this.settings.get('state.headroom.ratio') * share;
-    this.tokens.setRate(rps, rps);
-    this.leads = leader;
-    this.shareWrites([]);
+    const rps = this.limits.current.rps * this.settings.get('state.headroom.ratio') * share;
+    this.requestTokens.setRate(rps, rps);
+    this.isLeader = leader;
+    this.updateWriteShare([]);
   }
 
   /** What this node would write, for the others to know. */
-  get part(): Part {
-    return { leads: this.leads, wanted: this.written.perSecond + this.queued / QUEUE_S };
+  get writeDemand(): WriteDemand {
+    return {
+      isLeader: this.isLeader,
+      writesPerSecond: this.writeRate.perSecond + this.queuedWrites / QUEUE_S,
+    };
   }
 
   /** Puts are shared by what each node wants, as far as the others have told. */
-  shareWrites(heard: readonly Part[]): void {
+  updateWriteShare(heard: readonly WriteDemand[]): void {
     const { peers } = this.settings.platform;
-    const limit = this.limits.inForce.writeRps * this.settings.get('state.headroom.ratio');
+    const limit = this.limits.current.writeRps * this.settings.get('state.headroom.ratio');
     const parts = peers.map((_, index) => heard[index] ?? null);
     const followers = this.settings.get('state.followers.writes.ratio');
-    const rate = limit * writeShare(this.part, parts, followers, limit);
+    const rate = limit * writeShare(this.writeDemand, parts, followers, limit);
     // A transaction takes all its writes at once, so the burst must hold a useful one.
     this.writeTokens.setRate(rate, Math.max(rate, 4));
   }
 
   /** Milliseconds since the service last carried something out for this node. */
-  get okAgeMs(): number {
-    return this.core.now() - this.okAt;
+  get sinceSuccessMs(): number {
+    return this.eventLoop.now() - this.succeededAt;
   }
 
   /** Calls that failed since the last that did not. */
-  get failingFor(): number {
-    return this.failing;
+  get consecutiveFailures(): number {
+    return this.failures;
   }
 
   /** The last calls failed: what is asked now would most likely fail too. */
-  get down(): boolean {
-    return this.failing >= 2 && this.failedAt > this.okAt;
+  get isUnavailable(): boolean {
+    return this.failures >= 2 && this.failedAt > this.succeededAt;
   }
 
   /** How long the service has kept an answer back while it gave no other. */
   get stalledMs(): number {
-    const oldest = this.open.values().next();
-    if (oldest.done === true || this.okAt >= oldest.value) return 0;
-    return this.core.now() - oldest.value;
+    const oldest = this.openCalls.values().next();
+    if (oldest.done === true || this.succeededAt >= oldest.value) return 0;
+    return this.eventLoop.now() - oldest.value;
   }
 
   private call(
@@ -131,26 +134,29 @@
     name: string,
     done: (reply: Reply) => void,
   ): void {
-    const call = ++this.calls;
-    if (name !== 'follow') this.open.set(call, this.core.now());
-    this.core.env.call(
+    const call = ++this.lastCall;
+    if (name !== 'follow') this.openCalls.set(call, this.eventLoop.now());
+    this.eventLoop.runtime.call(
       { to: this.settings.platform.state, method, path, body, timeoutMs },
       (reply) => {
-        this.core.post(name, () => {
-          this.open.delete(call);
+        this.eventLoop.post(name, () => {
+          this.openCalls.delete(call);
           if (reply.status === 0 || reply.status === 503) {
-            this.failing++;
-            this.failedAt = this.core.now();
+            this.failures++;
+            this.failedAt = this.eventLoop.now();
           } else if (reply.status === 429) {
-            this.tokens.rejected(100);
-            this.writeTokens.rejected(100);
-            if (this.limits.tooMany()) {
-              this.core.log.info(this.limits.inForce, 'the state service has lowered its rates');
-              this.setRole(this.leads);
+            this.requestTokens.pauseFor(100);
+            this.writeTokens.pauseFor(100);
+            if (this.limits.recordRateRefusal()) {
+              this.eventLoop.log.info(
+                this.limits.current,
+                'the state service has lowered its rates',
+              );
+              this.setRole(this.isLeader);
             }
           } else {
-            this.failing = 0;
-            this.okAt = this.core.now();
+            this.failures = 0;
+            this.succeededAt = this.eventLoop.now();
           }
           done(reply);
         });
@@ -163,19 +169,19 @@
     try {
       return { kind: 'ok', value: read(reply.body) };
     } catch (err) {
-      this.core.log.warn({ err }, 'broken answer from the state service');
+      this.eventLoop.log.warn({ err }, 'broken answer from the state service');
       return { kind: 'failed' };
     }
   }
 
   /** Carries out all writes if all conditions hold, and none otherwise. */
-  multi(
+  transact(
     conditions: Condition[],
     writes: Write[],
     timeoutMs: number,
     done: (result: TransactionResult) => void,
   ): void {
-    this.written.count(writes.length);
+    this.writeRate.count(writes.length);
     this.call('POST', '/multi', writeTransaction(conditions, writes), timeoutMs, 'txn', (reply) => {
       done(this.transactionResult(reply));
     });
@@ -184,25 +190,25 @@
   private transactionResult(reply: Reply): TransactionResult {
     try {
       if (reply.status === 200) return { kind: 'ok', revision: readRevision(reply.body) };
-      if (reply.status === 409) return { kind: 'conflict', failed: readFailed(reply.body) };
+      if (reply.status === 409) return { kind: 'conflict', failedKeys: readFailed(reply.body) };
     } catch (err) {
-      this.core.log.warn({ err }, 'broken answer from the state service');
+      this.eventLoop.log.warn({ err }, 'broken answer from the state service');
       return { kind: 'unknown' };
     }
     if (reply.status === 400) {
       if (isNoLease(reply.body)) return { kind: 'no-lease' };
-      this.core.log.warn(
-        { answer: reply.body, ...this.limits.inForce },
+      this.eventLoop.log.warn(
+        { answer: reply.body, ...this.limits.current },
         'refused by the state service',
       );
-      this.limits.tooLarge();
+      this.limits.recordSizeRefusal();
       return { kind: 'too-large' };
     }
     return { kind: reply.status === 429 || reply.status === 503 ? 'refused' : 'unknown' };
   }
 
   /** null: the key does not exist. */
-  get(key: string, timeoutMs: number, done: (result: ReadResult<Item | null>) => void): void {
+  read(key: string, timeoutMs: number, done: (result: ReadResult<Item | null>) => void): void {
     this.call('GET', `/keys/${key}`, undefined, timeoutMs, 'get', (reply) => {
       if (reply.status === 404) done({ kind: 'ok', value: null });
       else done(this.parse(reply, readItem));
@@ -210,7 +216,7 @@
   }
 
   /** All keys of a prefix, page by page; the revision is that of the first page. */
-  range(
+  readPrefix(
     prefix: string,
     timeoutMs: number,
     done: (result: ReadResult<{ items: Item[]; revision: number }>) => void,
@@ -219,7 +225,7 @@
     let revision = -1;
     const page = (from: string | null): void => {
       const after = from === null ? '' : `&from=${from}`;
-      this.tokens.force();
+      this.requestTokens.forceTake();
       this.call(
         'GET',
         `/keys?starts=${prefix}${after}&limit=1000`,
@@ -241,35 +247,35 @@
   }
 
   /** Asks for a lease of `ttlMs`; gives its id. */
-  grant(ttlMs: number, timeoutMs: number, done: (result: ReadResult<number>) => void): void {
-    this.tokens.force();
+  grantLease(ttlMs: number, timeoutMs: number, done: (result: ReadResult<number>) => void): void {
+    this.requestTokens.forceTake();
     this.call('POST', '/holds', { life_ms: ttlMs }, timeoutMs, 'grant', (reply) => {
       done(this.parse(reply, readLease));
     });
   }
 
   /** Renews a lease. */
-  extend(lease: number, timeoutMs: number, done: (outcome: RenewalOutcome) => void): void {
-    this.tokens.force();
+  renewLease(lease: number, timeoutMs: number, done: (outcome: RenewalOutcome) => void): void {
+    this.requestTokens.forceTake();
     this.call('POST', `/holds/${lease}/extend`, {}, timeoutMs, 'extend', (reply) => {
       done(reply.status === 200 ? 'ok' : reply.status === 404 ? 'ended' : 'failed');
     });
   }
 
   /** Ends a lease, and with it all keys that are bound to it. */
-  revoke(lease: number, timeoutMs: number, done: () => void): void {
-    this.tokens.force();
+  revokeLease(lease: number, timeoutMs: number, done: () => void): void {
+    this.requestTokens.forceTake();
     this.call('DELETE', `/holds/${lease}`, undefined, timeoutMs, 'revoke', done);
   }
 
   /** One round of a watch. `too-old`: the keys must be read again. */
-  follow(
+  watch(
     prefix: string,
     from: number,
     holdMs: number,
     done: (result: ReadResult<{ events: Event[]; revision: number }> | { kind: 'too-old' }) => void,
   ): void {
-    this.tokens.force();
+    this.requestTokens.forceTake();
     const path = `/follow?starts=${prefix}&from=${from}&hold_ms=${Math.round(holdMs)}`;
     const timeoutMs = holdMs + this.settings.leaderLeaseMs * WATCH_ANSWER_LEASES;
     this.call('GET', path, undefined, timeoutMs, 'follow', (reply) => {
--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -3,8 +3,8 @@
 import type { TransactionResult } from './results.js';
 import type { Commit } from './commit-builder.js';
 import type { Page } from './page.js';
-import type { Waiters } from './pending-writes.js';
-import type { RecordsContext } from './records-context.js';
+import type { StoredCallbacks } from './pending-writes.js';
+import type { RecordStoreContext } from './record-store-context.js';
 import type { PendingTransaction } from './transaction-queue.js';
 
 /** How long nothing is sent after the service has refused a call, or not answered. */
@@ -19,7 +19,7 @@
 
 interface SentCommit extends Commit {
   sentPages: SentPage[];
-  waiting: Waiters;
+  callbacks: StoredCallbacks;
 }
 
 /** What the owner of a sender wants to know. */
@@ -36,11 +36,11 @@
   /** Nothing is to be sent before. */
   pauseUntil = 0;
   /** Puts and deletes sent. */
-  writes = 0;
+  writesSent = 0;
   private closed = false;
 
   constructor(
-    private readonly context: RecordsContext,
+    private readonly context: RecordStoreContext,
     private readonly fenceKey: string,
     private readonly hooks: CommitSenderHooks,
   ) {}
@@ -59,19 +59,19 @@
     const sequence = this.context.pages.nextSequence();
     const writes: Write[] = commit.pages.map((page) => ({
       put: page.key,
-      value: this.context.pages.value(page, sequence),
+      value: this.context.pages.pageValue(page, sequence),
     }));
     const sentPages = commit.pages.map((page) => ({
       page,
       keys: new Set([...page.entries].map((entry) => entry.key)),
     }));
     for (const transaction of commit.transactions) writes.push(...transaction.writes);
-    const waiting = this.context.pending.startFlight(commit.entries);
-    const sent: SentCommit = { ...commit, sentPages, waiting };
-    this.writes += writes.length;
-    this.context.client.tokens.force();
+    const callbacks = this.context.pending.markSent(commit.entries);
+    const sent: SentCommit = { ...commit, sentPages, callbacks };
+    this.writesSent += writes.length;
+    this.context.client.requestTokens.forceTake();
     this.inFlight = true;
-    this.context.client.multi(commit.conditions, writes, this.timeoutMs, (result) => {
+    this.context.client.transact(commit.conditions, writes, this.timeoutMs, (result) => {
       this.inFlight = false;
       if (!this.closed) this.settle(sent, result);
     });
@@ -79,32 +79,33 @@
 
   private settle(sent: SentCommit, result: TransactionResult): void {
     for (const entry of sent.entries) entry.inFlight = false;
-    if (result.kind === 'ok') this.committed(sent, result.revision);
-    else if (result.kind === 'conflict' && result.failed.includes(this.fenceKey))
+    if (result.kind === 'ok') this.onCommitted(sent, result.revision);
+    else if (result.kind === 'conflict' && result.failedKeys.includes(this.fenceKey))
       this.hooks.onFenced();
-    else this.failed(sent, result);
+    else this.onFailed(sent, result);
   }
 
-  private committed(sent: SentCommit, revision: number): void {
-    for (const { page, keys } of sent.sentPages) this.context.pages.written(page, keys, revision);
-    this.context.pending.stored(sent.entries, sent.waiting);
+  private onCommitted(sent: SentCommit, revision: number): void {
+    for (const { page, keys } of sent.sentPages)
+      this.context.pages.markWritten(page, keys, revision);
+    this.context.pending.markStored(sent.entries, sent.callbacks);
     for (const transaction of sent.transactions) transaction.done('ok');
   }
 
-  private failed(sent: SentCommit, result: TransactionResult): void {
-    const failedKeys = new Set(result.kind === 'conflict' ? result.failed : []);
+  private onFailed(sent: SentCommit, result: TransactionResult): void {
+    const failedKeys = new Set(result.kind === 'conflict' ? result.failedKeys : []);
     for (const { page, keys } of sent.sentPages) {
       // After no response the same condition goes out again: of the two copies only one can win,
       // and if it is the first, the second fails on this page and the page is read.
-      if (failedKeys.has(page.key)) page.unsure = true;
-      if (result.kind === 'unknown') this.context.pages.perhapsWritten(page, keys);
+      if (failedKeys.has(page.key)) page.versionUnknown = true;
+      if (result.kind === 'unknown') this.context.pages.markPerhapsWritten(page, keys);
     }
-    this.context.pending.putBack(sent.entries, sent.waiting);
+    this.context.pending.putBack(sent.entries, sent.callbacks);
     this.settleTransactions(sent.transactions, failedKeys);
     this.hooks.onFailed();
     if (result.kind === 'conflict') return;
     const pauseMs = result.kind === 'refused' ? REFUSED_PAUSE_MS : FAILED_PAUSE_MS;
-    this.pauseUntil = this.context.core.now() + pauseMs;
+    this.pauseUntil = this.context.eventLoop.now() + pauseMs;
   }
 
   /** Those whose own conditions failed are over; the others go again, in their order. */
@@ -117,18 +118,18 @@
   }
 
   /** Finds out which version of a page is stored, before it is written again. */
-  reread(page: Page): void {
+  rereadPage(page: Page): void {
     this.inFlight = true;
-    this.context.client.tokens.force();
-    this.context.client.get(page.key, this.timeoutMs, (result) => {
+    this.context.client.requestTokens.forceTake();
+    this.context.client.read(page.key, this.timeoutMs, (result) => {
       this.inFlight = false;
       if (this.closed) return;
       if (result.kind === 'failed') {
-        this.pauseUntil = this.context.core.now() + REFUSED_PAUSE_MS;
+        this.pauseUntil = this.context.eventLoop.now() + REFUSED_PAUSE_MS;
         return;
       }
       page.version = result.value?.version ?? 0;
-      page.unsure = false;
+      page.versionUnknown = false;
     });
   }
 }
--- a/src/controller/store/limits.ts
+++ b/src/controller/store/limits.ts
@@ -15,15 +15,15 @@
  * today's limits and those to come from the start: that costs little, and what is written then stays
  * writable. Rates are used in full until the service refuses, for they are what is scarce.
  */
-export class Limits {
+export class StateStoreLimits {
   private rates: { rps: number; writeRps: number };
   private refusals: number[] = [];
   /** How often sizes were halved, and when last. */
-  private halved = 0;
+  private halvingCount = 0;
   private halvedAt = -Infinity;
 
   constructor(
-    private readonly platform: Pick<Platform, 'stateLimits' | 'stateNext'>,
+    private readonly platform: Pick<Platform, 'stateLimits' | 'upcomingStateLimits'>,
     private readonly now: () => number,
     /** After this time without a refusal twice the size is tried again. */
     private readonly retryMs: number,
@@ -33,12 +33,12 @@
   }
 
   private get halvings(): number {
-    return Math.max(0, this.halved - Math.floor((this.now() - this.halvedAt) / this.retryMs));
+    return Math.max(0, this.halvingCount - Math.floor((this.now() - this.halvedAt) / this.retryMs));
   }
 
   /** The limits to keep to now. */
-  get inForce(): StateLimits {
-    const { stateLimits: today, stateNext: next } = this.platform;
+  get current(): StateLimits {
+    const { stateLimits: today, upcomingStateLimits: next } = this.platform;
     const part = 2 ** this.halvings;
     const valueKb = Math.min(today.valueKb, next.valueKb);
     const txnOps = Math.min(today.txnOps, next.txnOps);
@@ -50,23 +50,23 @@
   }
 
   /** The largest value that may be written now. */
-  get valueBytes(): number {
-    return this.inForce.valueKb * 1024;
+  get maxValueBytes(): number {
+    return this.current.valueKb * 1024;
   }
 
   /**
    * The service has refused a value or a transaction for its size: what follows is smaller. It may
    * have found another fault; so after a while more is tried again.
    */
-  tooLarge(): void {
-    this.halved = Math.min(this.halvings + 1, MOST_HALVINGS);
+  recordSizeRefusal(): void {
+    this.halvingCount = Math.min(this.halvings + 1, MOST_HALVINGS);
     this.halvedAt = this.now();
   }
 
   /** The service has refused for too many requests or changes. True: the rates to come are in force. */
-  tooMany(): boolean {
+  recordRateRefusal(): boolean {
     const now = this.now();
-    const { rps, writeRps } = this.platform.stateNext;
+    const { rps, writeRps } = this.platform.upcomingStateLimits;
     if (rps >= this.rates.rps && writeRps >= this.rates.writeRps) return false;
     this.refusals = this.refusals.filter((at) => now - at < WITHIN_MS);
     this.refusals.push(now);
--- a/src/controller/store/pages.ts
+++ b/src/controller/store/page-table.ts
@@ -1,27 +1,27 @@
 /** Packs the leader's records into pages, the values that the state service stores. */
 import { isMap } from '../wire/cbor.js';
 import type { Item } from '../wire/state.js';
-import { newEntry, newPage, PAGE_HEAD_BYTES, type Entry, type Page } from './page.js';
+import { newEntry, newPage, EMPTY_PAGE_BYTES, type RecordEntry, type Page } from './page.js';
 
 /** Prefix of the pages' keys at the state service. */
-export const PAGES = 'page/';
+export const PAGE_PREFIX = 'page/';
 
 /**
  * Room of a page that new entries fill, as a share of the largest value. Small pages cost little to
  * rewrite; but where values are small themselves, each put should carry what it can.
  */
-const FILL = 0.4;
-const FILL_SMALL = 0.8;
-const SMALL_BYTES = 2048;
+const FILL_RATIO = 0.4;
+const SMALL_VALUE_FILL_RATIO = 0.8;
+const SMALL_VALUE_BYTES = 2048;
 /** A page is filled again once no more than this share of that room is still in use. */
-const REUSE = 0.25;
+const REUSE_RATIO = 0.25;
 /** JSON of an entry beside its key and text. */
 const ENTRY_BYTES = 8;
 /** JSON of `null`. */
 const NULL_BYTES = 4;
 
 /** Size of a value as the state service counts it. */
-export function sizeOf(value: unknown): number {
+export function storedSize(value: unknown): number {
   return JSON.stringify(value).length;
 }
 
@@ -29,14 +29,14 @@
 interface StoredPage {
   sequence: number;
   /** Keys and texts in turn. */
-  list: unknown[];
+  keysAndJson: unknown[];
 }
 
 function readPage(value: unknown): StoredPage | null {
   if (!isMap(value)) return null;
   const { seq, entries } = value;
   if (typeof seq !== 'number' || !Array.isArray(entries)) return null;
-  return { sequence: seq, list: entries };
+  return { sequence: seq, keysAndJson: entries };
 }
 
 /**
@@ -45,24 +45,24 @@
  * most of its entries becomes the head again, with those that stayed. Values left behind in other
  * pages are told from newer ones by the sequence number of the page.
  */
-export class Pages {
-  readonly entries = new Map<string, Entry>();
+export class PageTable {
+  readonly entries = new Map<string, RecordEntry>();
   readonly pages = new Map<string, Page>();
-  private head: Page | null = null;
+  private openPage: Page | null = null;
   private sequence = 0;
-  private nextNumber = 0;
+  private nextPageNumber = 0;
 
   /** `valueBytes`: the largest value, which may become smaller. */
   constructor(private readonly valueBytes: () => number) {}
 
   private get fillBytes(): number {
     const most = this.valueBytes();
-    return Math.min(most * FILL_SMALL, Math.max(most * FILL, SMALL_BYTES));
+    return Math.min(most * SMALL_VALUE_FILL_RATIO, Math.max(most * FILL_RATIO, SMALL_VALUE_BYTES));
   }
 
   /** Whether the entry can be written at all. */
-  writable(entry: Entry): boolean {
-    return PAGE_HEAD_BYTES + entry.bytes <= this.valueBytes();
+  fitsInPage(entry: RecordEntry): boolean {
+    return EMPTY_PAGE_BYTES + entry.bytes <= this.valueBytes();
   }
 
   /** All pages as they were read at takeover. */
@@ -71,30 +71,30 @@
     for (const item of items) {
       const page = this.page(item.key);
       page.version = item.version;
-      const number = Number(item.key.slice(PAGES.length));
-      if (number >= this.nextNumber) this.nextNumber = number + 1;
+      const number = Number(item.key.slice(PAGE_PREFIX.length));
+      if (number >= this.nextPageNumber) this.nextPageNumber = number + 1;
       const stored = readPage(item.value);
       if (stored !== null) this.loadPage(page, stored, newest);
     }
-    for (const entry of this.entries.values()) this.dropIfGone(entry);
+    for (const entry of this.entries.values()) this.dropIfObsolete(entry);
   }
 
   /** `newest`: by key, the highest sequence number among the pages that were loaded before. */
   private loadPage(page: Page, stored: StoredPage, newest: Map<string, number>): void {
-    const { sequence, list } = stored;
+    const { sequence, keysAndJson } = stored;
     this.sequence = Math.max(this.sequence, sequence);
-    for (let i = 0; i + 1 < list.length; i += 2) {
-      const key = list[i];
-      const text = list[i + 1];
+    for (let i = 0; i + 1 < keysAndJson.length; i += 2) {
+      const key = keysAndJson[i];
+      const text = keysAndJson[i + 1];
       if (typeof key !== 'string' || (text !== null && typeof text !== 'string')) continue;
-      page.stored.add(key);
+      page.storedKeys.add(key);
       const entry = this.entry(key);
-      entry.copies++;
+      entry.storedCopies++;
       if (sequence <= (newest.get(key) ?? -1)) continue;
       newest.set(key, sequence);
       this.resize(entry, text);
       this.move(entry, page);
-      entry.safe = page;
+      entry.durablePage = page;
     }
   }
 
@@ -107,7 +107,7 @@
     return page;
   }
 
-  private entry(key: string): Entry {
+  private entry(key: string): RecordEntry {
     let entry = this.entries.get(key);
     if (entry === undefined) {
       entry = newEntry(key);
@@ -116,38 +116,39 @@
     return entry;
   }
 
-  private resize(entry: Entry, text: string | null): void {
-    const bytes = sizeOf(entry.key) + (text === null ? NULL_BYTES : sizeOf(text)) + ENTRY_BYTES;
+  private resize(entry: RecordEntry, text: string | null): void {
+    const bytes =
+      storedSize(entry.key) + (text === null ? NULL_BYTES : storedSize(text)) + ENTRY_BYTES;
     if (entry.page !== null) entry.page.bytes += bytes - entry.bytes;
     entry.bytes = bytes;
-    entry.text = text;
+    entry.json = text;
   }
 
   /** `undefined` deletes. Returns null if nothing is known of what is to be deleted. */
-  set(key: string, value: unknown): Entry | null {
+  set(key: string, value: unknown): RecordEntry | null {
     if (value === undefined && !this.entries.has(key)) return null;
     const entry = this.entry(key);
     const text = value === undefined ? null : JSON.stringify(value);
-    if (entry.page !== null && text === entry.text) return entry;
+    if (entry.page !== null && text === entry.json) return entry;
     this.resize(entry, text);
     entry.dirty = true;
     return entry;
   }
 
   /** The page that the entry's newest value should go to. */
-  target(entry: Entry): Page {
-    if (this.head !== null && this.headTakes(this.head, entry)) return this.head;
+  targetPage(entry: RecordEntry): Page {
+    if (this.openPage !== null && this.openPageTakes(this.openPage, entry)) return this.openPage;
     const emptiest = this.emptiestReusable();
     const reusable =
       emptiest !== null &&
-      emptiest.bytes <= this.fillBytes * REUSE &&
+      emptiest.bytes <= this.fillBytes * REUSE_RATIO &&
       emptiest.bytes + entry.bytes <= this.fillBytes;
-    this.head = reusable ? emptiest : this.page(`${PAGES}${this.nextNumber++}`);
-    return this.head;
+    this.openPage = reusable ? emptiest : this.page(`${PAGE_PREFIX}${this.nextPageNumber++}`);
+    return this.openPage;
   }
 
-  private headTakes(head: Page, entry: Entry): boolean {
-    if (head.unsure) return false;
+  private openPageTakes(head: Page, entry: RecordEntry): boolean {
+    if (head.versionUnknown) return false;
     const present = entry.page === head;
     const bytes = present ? head.bytes : head.bytes + entry.bytes;
     if (bytes <= this.fillBytes || head.entries.size === 0) return true;
@@ -158,9 +159,9 @@
   private emptiestReusable(): Page | null {
     let emptiest: Page | null = null;
     for (const page of this.pages.values()) {
-      if (page.unsure || page === this.head) continue;
+      if (page.versionUnknown || page === this.openPage) continue;
       if (emptiest !== null && page.bytes >= emptiest.bytes) continue;
-      if (!this.guarded(page)) emptiest = page;
+      if (!this.holdsLastDurableCopy(page)) emptiest = page;
     }
     return emptiest;
   }
@@ -170,16 +171,16 @@
    * surely been written yet. Were the page written without it, a leader that ended then would leave a
    * record behind nowhere.
    */
-  private guarded(page: Page): boolean {
-    for (const key of page.stored) {
+  private holdsLastDurableCopy(page: Page): boolean {
+    for (const key of page.storedKeys) {
       const entry = this.entries.get(key);
-      if (entry?.safe === page && entry.page !== page) return true;
+      if (entry?.durablePage === page && entry.page !== page) return true;
     }
     return false;
   }
 
   /** Makes `page` the one that has the entry's newest value. */
-  move(entry: Entry, page: Page): void {
+  move(entry: RecordEntry, page: Page): void {
     if (entry.page === page) return;
     if (entry.page !== null) {
       entry.page.entries.delete(entry);
@@ -191,9 +192,9 @@
   }
 
   /** What is written. Every commit has a later number than all before. */
-  value(page: Page, sequence: number): unknown {
+  pageValue(page: Page, sequence: number): unknown {
     const entries: (string | null)[] = [];
-    for (const entry of page.entries) entries.push(entry.key, entry.text);
+    for (const entry of page.entries) entries.push(entry.key, entry.json);
     return { seq: sequence, entries };
   }
 
@@ -203,43 +204,43 @@
   }
 
   /** The page may have been written with these keys: no answer came. */
-  perhapsWritten(page: Page, keys: Set<string>): void {
+  markPerhapsWritten(page: Page, keys: Set<string>): void {
     for (const key of keys) {
       const entry = this.entries.get(key);
-      if (entry === undefined || page.stored.has(key)) continue;
-      page.stored.add(key);
-      entry.copies++;
+      if (entry === undefined || page.storedKeys.has(key)) continue;
+      page.storedKeys.add(key);
+      entry.storedCopies++;
     }
   }
 
   /** The page has been written with these keys and no others. */
-  written(page: Page, keys: Set<string>, version: number): void {
-    this.perhapsWritten(page, keys);
+  markWritten(page: Page, keys: Set<string>, version: number): void {
+    this.markPerhapsWritten(page, keys);
     page.version = version;
-    for (const key of page.stored) {
+    for (const key of page.storedKeys) {
       if (keys.has(key)) continue;
-      page.stored.delete(key);
+      page.storedKeys.delete(key);
       const entry = this.entries.get(key);
       if (entry === undefined) continue;
-      entry.copies--;
-      this.dropIfGone(entry);
+      entry.storedCopies--;
+      this.dropIfObsolete(entry);
     }
     for (const key of keys) {
       const entry = this.entries.get(key);
       if (entry === undefined) continue;
-      entry.safe = page;
-      this.dropIfGone(entry);
+      entry.durablePage = page;
+      this.dropIfObsolete(entry);
     }
   }
 
   /** A deletion has to stay on record for as long as some other page may have an older value. */
-  private dropIfGone(entry: Entry): void {
+  private dropIfObsolete(entry: RecordEntry): void {
     const { page } = entry;
-    if (entry.text !== null || page === null || entry.dirty || entry.inFlight) return;
-    const elsewhere = entry.copies - (page.stored.has(entry.key) ? 1 : 0);
+    if (entry.json !== null || page === null || entry.dirty || entry.inFlight) return;
+    const elsewhere = entry.storedCopies - (page.storedKeys.has(entry.key) ? 1 : 0);
     if (elsewhere > 0) return;
     page.entries.delete(entry);
-    page.stored.delete(entry.key);
+    page.storedKeys.delete(entry.key);
     page.bytes -= entry.bytes;
     this.entries.delete(entry.key);
   }
--- a/src/controller/store/records-context.ts
+++ b/src/controller/store/record-store-context.ts
@@ -1,17 +1,17 @@
 /** What the parts of the leader's records share. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { StateClient } from './client.js';
-import type { Pages } from './pages.js';
+import type { StateStoreClient } from './client.js';
+import type { PageTable } from './page-table.js';
 import type { PendingWrites } from './pending-writes.js';
 import type { TransactionQueue } from './transaction-queue.js';
 
 /** The queues and pages of one leader's term, and the means to write them. */
-export interface RecordsContext {
-  readonly core: Core;
+export interface RecordStoreContext {
+  readonly eventLoop: EventLoop;
   readonly settings: Settings;
-  readonly client: StateClient;
-  readonly pages: Pages;
+  readonly client: StateStoreClient;
+  readonly pages: PageTable;
   readonly pending: PendingWrites;
   readonly transactions: TransactionQueue;
 }
--- a/src/controller/store/records.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -2,19 +2,19 @@
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
 import { alone } from '../../../test/platform.js';
-import { Core } from '../core/core.js';
-import type { Env, Logger } from '../core/env.js';
-import { uniform } from '../core/random.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Runtime, Logger } from '../runtime/runtime.js';
+import { seededRandom } from '../runtime/random.js';
 import { defaultProperties } from '../settings/properties.js';
 import type { StateLimits } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
 import type { Condition, Item, Write } from '../wire/state.js';
-import type { StateClient } from './client.js';
+import type { StateStoreClient } from './client.js';
 import type { TransactionResult } from './results.js';
-import { Limits } from './limits.js';
-import { PAGES, sizeOf } from './pages.js';
-import { Records } from './records.js';
-import { Tokens } from '../core/tokens.js';
+import { StateStoreLimits } from './limits.js';
+import { PAGE_PREFIX, storedSize } from './page-table.js';
+import { RecordStore } from './record-store.js';
+import { TokenBucket } from '../runtime/token-bucket.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const { stateLimits } = settings.platform;
@@ -30,11 +30,11 @@
   private timers: { at: number; run: () => void }[] = [];
   /** What the service takes, and what the leader knows of it. */
   takes: StateLimits;
-  limits: Limits;
+  limits: StateStoreLimits;
   tooLarge = 0;
   private readonly random: () => number;
-  private readonly core: Core;
-  records: Records;
+  private readonly eventLoop: EventLoop;
+  records: RecordStore;
 
   constructor(
     seed: number,
@@ -42,24 +42,28 @@
     takes: StateLimits = stateLimits,
   ) {
     this.takes = takes;
-    this.limits = new Limits({ stateLimits: takes, stateNext: takes }, () => this.now, 3_600_000);
-    this.random = uniform(seed);
-    const env: Env = {
+    this.limits = new StateStoreLimits(
+      { stateLimits: takes, upcomingStateLimits: takes },
+      () => this.now,
+      3_600_000,
+    );
+    this.random = seededRandom(seed);
+    const runtime: Runtime = {
       startedAt: -Infinity,
       now: () => this.now,
-      wall: () => this.now,
+      wallClock: () => this.now,
       random: this.random,
-      soon: (fn) => this.after(0, fn),
-      timer: (ms, fn) => {
+      defer: (fn) => this.after(0, fn),
+      startTimer: (ms, fn) => {
         this.after(ms, fn);
         return { cancel: nothing };
       },
       call: nothing,
       sendPeer: nothing,
-      mayCall: () => true,
+      hasSpareConnection: () => true,
     };
-    this.core = new Core(env, silent);
-    this.core.onBatchEnd(() => this.records.flush());
+    this.eventLoop = new EventLoop(runtime, silent);
+    this.eventLoop.onBatchEnd(() => this.records.flush());
     this.records = this.elect();
   }
 
@@ -69,7 +73,7 @@
 
   /** Lets the time pass, after the commands that are due. */
   run(ms: number): void {
-    this.core.post('commands', nothing);
+    this.eventLoop.post('commands', nothing);
     const until = this.now + ms;
     for (;;) {
       const due = this.timers.filter((t) => t.at <= until).sort((a, b) => a.at - b.at)[0];
@@ -82,45 +86,45 @@
   }
 
   /** Another leader begins, with what the one before has left. */
-  elect(): Records {
-    (this.records as Records | undefined)?.close();
+  elect(): RecordStore {
+    (this.records as RecordStore | undefined)?.close();
     const term = ++this.ledger;
     this.entries.set('lead', { key: 'lead', value: 1, version: term });
     const now = (): number => this.now;
     const client = {
-      tokens: new Tokens(now, 100, 100),
-      writeTokens: new Tokens(now, 30, 30),
-      queued: 0,
+      requestTokens: new TokenBucket(now, 100, 100),
+      writeTokens: new TokenBucket(now, 30, 30),
+      queuedWrites: 0,
       limits: this.limits,
-      multi: (c: Condition[], w: Write[], _ms: number, done: (r: TransactionResult) => void) =>
-        this.multi(c, w, done),
-      get: (key: string, _ms: number, done: (r: unknown) => void) =>
+      transact: (c: Condition[], w: Write[], _ms: number, done: (r: TransactionResult) => void) =>
+        this.transact(c, w, done),
+      read: (key: string, _ms: number, done: (r: unknown) => void) =>
         this.after(5, () => this.answer(() => done({ kind: 'ok', value: this.entries.get(key) }))),
-    } as unknown as StateClient;
-    this.records = new Records(this.core, settings, client, {
-      fence: { key: 'lead', version: term },
-      mayWrite: () => true,
+    } as unknown as StateStoreClient;
+    this.records = new RecordStore(this.eventLoop, settings, client, {
+      fencingCondition: { key: 'lead', version: term },
+      leaseAllowsWrites: () => true,
       onFenced: nothing,
     });
-    const pages = [...this.entries.values()].filter((i) => i.key.startsWith(PAGES));
+    const pages = [...this.entries.values()].filter((i) => i.key.startsWith(PAGE_PREFIX));
     this.records.load(JSON.parse(JSON.stringify(pages)) as Item[]);
     return this.records;
   }
 
   private answer(done: () => void): void {
-    this.core.post('answer', done);
+    this.eventLoop.post('answer', done);
   }
 
-  private multi(
+  private transact(
     conditions: Condition[],
     writes: Write[],
     done: (r: TransactionResult) => void,
   ): void {
-    const known = this.limits.inForce;
+    const known = this.limits.current;
     assert.ok(writes.length <= known.txnOps);
     assert.ok(conditions.length <= 4 * known.txnOps);
-    assert.ok(sizeOf([conditions, writes]) <= 64 * 1024);
-    const sizes = writes.map((w) => ('put' in w ? sizeOf(w.value) : 0));
+    assert.ok(storedSize([conditions, writes]) <= 64 * 1024);
+    const sizes = writes.map((w) => ('put' in w ? storedSize(w.value) : 0));
     for (const size of sizes) assert.ok(size <= known.valueKb * 1024, 'a value too large');
     const { txnOps, valueKb } = this.takes;
     const fits =
@@ -129,7 +133,7 @@
       sizes.every((size) => size <= valueKb * 1024);
     if (!fits) {
       this.tooLarge++;
-      this.limits.tooLarge();
+      this.limits.recordSizeRefusal();
       return this.after(5, () => this.answer(() => done({ kind: 'too-large' })));
     }
     this.puts += writes.length;
@@ -150,7 +154,7 @@
 
   private apply(conditions: Condition[], writes: Write[]): TransactionResult {
     const failed = conditions.filter((c) => (this.entries.get(c.key)?.version ?? 0) !== c.version);
-    if (failed.length > 0) return { kind: 'conflict', failed: failed.map((c) => c.key) };
+    if (failed.length > 0) return { kind: 'conflict', failedKeys: failed.map((c) => c.key) };
     const version = ++this.ledger;
     for (const w of writes)
       if ('put' in w) this.entries.set(w.put, { key: w.put, value: w.value, version });
@@ -171,7 +175,7 @@
       let called = 0;
       fc.assert(
         fc.property(fc.nat(1e9), (seed) => {
-          const random = uniform(seed);
+          const random = seededRandom(seed);
           const s = new Service(seed, 0.3, limits);
           const keys = Array.from({ length: count }, (_, i) => `k/${i}`);
           /** By key: values set so far, and the index of the last that was called stored. */
@@ -209,7 +213,7 @@
   // The operators' change: the limits fall without notice, also in the middle of a commit.
   it('splits what it writes once the service takes less, and loses nothing', () => {
     const s = new Service(3, 0);
-    const random = uniform(3);
+    const random = seededRandom(3);
     const last = new Map<string, unknown>();
     for (let step = 0; step < 300; step++) {
       if (step === 100) s.takes = { ...stateLimits, valueKb: 2, txnOps: 4 };
@@ -234,7 +238,11 @@
     for (let i = 0; i < 5; i++) s.records.set(`k/${i}`, 'y'.repeat(900), 'urgent');
     s.run(2000);
     s.takes = { ...stateLimits, valueKb: 2, txnOps: 8 };
-    s.limits = new Limits({ stateLimits, stateNext: s.takes }, () => s.now, 3_600_000);
+    s.limits = new StateStoreLimits(
+      { stateLimits, upcomingStateLimits: s.takes },
+      () => s.now,
+      3_600_000,
+    );
     const next = s.elect();
     assert.equal(new Map([...next.list('k/')].map((e) => [e.key, e.value])).get('k/large'), large);
     let stored = 0;
@@ -277,7 +285,7 @@
     s.run(2000);
     assert.equal(stored, 3000);
     assert.ok(s.puts - before <= 100 * 30 * 0.6, `${s.puts - before} puts`);
-    const pages = [...s.entries.keys()].filter((k) => k.startsWith(PAGES)).length;
+    const pages = [...s.entries.keys()].filter((k) => k.startsWith(PAGE_PREFIX)).length;
     assert.ok(pages < 40, `${pages} pages for 400 records of 130 bytes`);
   });
 });
--- a/src/controller/store/records.ts
+++ b/src/controller/store/record-store.ts
@@ -1,23 +1,23 @@
 /** The leader's write-ahead records: what it has decided, stored before it is acted upon. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Condition, Item, Write } from '../wire/state.js';
-import { tokenReserve, type StateClient } from './client.js';
+import { tokenReserve, type StateStoreClient } from './client.js';
 import { CommitPlanner } from './commit-planner.js';
 import { CommitSender } from './commit-sender.js';
 import type { Page } from './page.js';
-import { Pages } from './pages.js';
-import { PendingWrites, type StoredCallback, type Urgency } from './pending-writes.js';
+import { PageTable } from './page-table.js';
+import { PendingWrites, type StoredCallback, type WritePriority } from './pending-writes.js';
 import { TransactionQueue, type PendingTransaction } from './transaction-queue.js';
 
-export type { Urgency } from './pending-writes.js';
+export type { WritePriority } from './pending-writes.js';
 
 /** What ties the records to the term of one leader. */
-export interface RecordsOptions {
+export interface RecordStoreOptions {
   /** Key and version that every transaction is conditional on: the leader's own. */
-  fence: Condition;
+  fencingCondition: Condition;
   /** Whether the leader's lease allows it to write. */
-  mayWrite: () => boolean;
+  leaseAllowsWrites: () => boolean;
   /** Another leader holds the key. */
   onFenced: () => void;
 }
@@ -37,8 +37,8 @@
  * So a copy that the network delivers late finds either another leader or a newer version, and
  * cannot put an old list of assignments over a newer one.
  */
-export class Records {
-  private readonly pages: Pages;
+export class RecordStore {
+  private readonly pages: PageTable;
   private readonly pending = new PendingWrites();
   private readonly transactions: TransactionQueue;
   private readonly planner: CommitPlanner;
@@ -47,19 +47,19 @@
   private timerAt = Infinity;
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     settings: Settings,
-    private readonly client: StateClient,
-    private readonly options: RecordsOptions,
+    private readonly client: StateStoreClient,
+    private readonly options: RecordStoreOptions,
   ) {
-    this.pages = new Pages(() => client.limits.valueBytes);
+    this.pages = new PageTable(() => client.limits.maxValueBytes);
     this.transactions = new TransactionQueue(client);
     const { pages, pending, transactions } = this;
-    const context = { core, settings, client, pages, pending, transactions };
+    const context = { eventLoop, settings, client, pages, pending, transactions };
     this.planner = new CommitPlanner(context);
-    this.sender = new CommitSender(context, options.fence.key, {
+    this.sender = new CommitSender(context, options.fencingCondition.key, {
       onFenced: () => options.onFenced(),
-      onFailed: () => this.planner.pagesAtOnce(),
+      onFailed: () => this.planner.allowPagesNow(),
     });
   }
 
@@ -72,8 +72,8 @@
   }
 
   /** Puts and deletes sent, for the operators' figures. */
-  get writes(): number {
-    return this.sender.writes;
+  get writesSent(): number {
+    return this.sender.writesSent;
   }
 
   /** What the leaders before have left. */
@@ -83,21 +83,21 @@
 
   /** Keys and values under a prefix, as they were loaded or set. */
   *list(prefix: string): Iterable<{ key: string; value: unknown }> {
-    for (const { key, text } of [...this.pages.entries.values()])
-      if (text !== null && key.startsWith(prefix))
-        yield { key, value: JSON.parse(text) as unknown };
+    for (const { key, json } of [...this.pages.entries.values()])
+      if (json !== null && key.startsWith(prefix))
+        yield { key, value: JSON.parse(json) as unknown };
   }
 
   /** Whether a value is set. */
   has(key: string): boolean {
-    return this.pages.entries.get(key)?.text != null;
+    return this.pages.entries.get(key)?.json != null;
   }
 
   /** `undefined` deletes. */
-  set(key: string, value: unknown, urgency: Urgency, stored?: StoredCallback): void {
+  set(key: string, value: unknown, urgency: WritePriority, stored?: StoredCallback): void {
     const entry = this.pages.set(key, value);
     if (entry === null || (!entry.dirty && !entry.inFlight)) return stored?.();
-    if (stored !== undefined) this.pending.wait(entry, stored);
+    if (stored !== undefined) this.pending.whenStored(entry, stored);
     if (entry.dirty) this.pending.add(entry, urgency);
   }
 
@@ -114,42 +114,42 @@
   /** Sends the next commit if one is due and may go out; otherwise wakes up when it may. */
   flush(): void {
     if (this.closed || this.sender.inFlight || this.backlog === 0) return;
-    const now = this.core.now();
-    if (!this.options.mayWrite()) return this.flushLater(NO_LEASE_RETRY_MS);
+    const now = this.eventLoop.now();
+    if (!this.options.leaseAllowsWrites()) return this.flushLater(NO_LEASE_RETRY_MS);
     const { pauseUntil } = this.sender;
     if (now < pauseUntil) return this.flushLater(pauseUntil - now);
     const due = this.planner.due(now);
     if (!due.pages && this.transactions.length === 0)
-      return this.flushLater(this.planner.nextPagesAt - now);
+      return this.flushLater(this.planner.nextPagesDueAt - now);
     const waitMs = this.tokensWaitMs;
     if (waitMs > 0) return this.flushLater(waitMs);
     const unsure = this.unsurePage();
-    if (unsure !== null) return this.sender.reread(unsure);
-    const commit = this.planner.plan(due, this.options.fence);
+    if (unsure !== null) return this.sender.rereadPage(unsure);
+    const commit = this.planner.plan(due, this.options.fencingCondition);
     if (commit === null) this.flushLater(NO_TOKENS_RETRY_MS);
     else this.sender.send(commit);
   }
 
   private get tokensWaitMs(): number {
-    const { tokens, writeTokens } = this.client;
+    const { requestTokens, writeTokens } = this.client;
     return Math.max(
-      tokens.waitMs(1, tokenReserve.records),
+      requestTokens.waitMs(1, tokenReserve.records),
       writeTokens.waitMs(1, tokenReserve.records),
     );
   }
 
   private unsurePage(): Page | null {
-    for (const page of this.pages.pages.values()) if (page.unsure) return page;
+    for (const page of this.pages.pages.values()) if (page.versionUnknown) return page;
     return null;
   }
 
   /** The queue's next command flushes again; the timer sees to it that there is one. */
   private flushLater(ms: number): void {
     const waitMs = Math.max(MIN_TIMER_MS, ms);
-    const at = this.core.now() + waitMs;
+    const at = this.eventLoop.now() + waitMs;
     if (at >= this.timerAt) return;
     this.timerAt = at;
-    this.core.after(waitMs, 'records', () => {
+    this.eventLoop.after(waitMs, 'records', () => {
       if (this.timerAt === at) this.timerAt = Infinity;
     });
   }
--- a/src/controller/store/results.ts
+++ b/src/controller/store/results.ts
@@ -3,7 +3,7 @@
 /** Outcome of a transaction. */
 export type TransactionResult =
   | { kind: 'ok'; revision: number }
-  | { kind: 'conflict'; failed: string[] }
+  | { kind: 'conflict'; failedKeys: string[] }
   /** Surely not carried out: no tokens, 429 or 503. */
   | { kind: 'refused' }
   /** The lease named in a put has ended. Not carried out. */
--- a/src/controller/store/transaction-queue.ts
+++ b/src/controller/store/transaction-queue.ts
@@ -1,6 +1,6 @@
 /** Transactions on keys that other nodes write too, in the order in which they were asked for. */
 import type { Condition, Write } from '../wire/state.js';
-import type { StateClient } from './client.js';
+import type { StateStoreClient } from './client.js';
 
 /** Whether a transaction was carried out, or found one of its own conditions failed. */
 export type TransactionOutcome = 'ok' | 'conflict';
@@ -16,7 +16,7 @@
 export class TransactionQueue {
   private readonly transactions: PendingTransaction[] = [];
 
-  constructor(private readonly client: StateClient) {}
+  constructor(private readonly client: StateStoreClient) {}
 
   /** Transactions that wait. */
   get length(): number {
@@ -31,23 +31,23 @@
   /** Queues a transaction behind all others. */
   push(transaction: PendingTransaction): void {
     this.transactions.push(transaction);
-    this.client.queued += transaction.writes.length;
+    this.client.queuedWrites += transaction.writes.length;
   }
 
   /** Removes the transaction that `peek` has given. */
   shift(): void {
     const transaction = this.transactions.shift();
-    this.client.queued -= transaction?.writes.length ?? 0;
+    this.client.queuedWrites -= transaction?.writes.length ?? 0;
   }
 
   /** Puts a transaction that was not carried out before all others. */
   unshift(transaction: PendingTransaction): void {
     this.transactions.unshift(transaction);
-    this.client.queued += transaction.writes.length;
+    this.client.queuedWrites += transaction.writes.length;
   }
 
   /** Nothing will be sent any more. */
   close(): void {
-    for (const { writes } of this.transactions) this.client.queued -= writes.length;
+    for (const { writes } of this.transactions) this.client.queuedWrites -= writes.length;
   }
 }
--- a/src/controller/store/shares.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -1,11 +1,14 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { writeShare, type Part } from './shares.js';
+import { writeShare, type WriteDemand } from './write-share.js';
 
 const LIMIT = 30;
 const FOLLOWERS = 0.3;
-const part = (leads: boolean, wanted: number): Part => ({ leads, wanted });
+const part = (isLeader: boolean, writesPerSecond: number): WriteDemand => ({
+  isLeader,
+  writesPerSecond,
+});
 
 describe('shares of the puts', () => {
   it('are fixed by role where nothing is heard', () => {
