--- a/src/controller/store/shares.ts
+++ b/src/controller/store/write-share.ts
@@ -1,9 +1,9 @@
 /** How the controllers share the puts of the state service. */
 /** A controller's part in the state service's puts, as far as it is known. */
-export interface Part {
-  leads: boolean;
+export interface WriteDemand {
+  isLeader: boolean;
   /** Puts and deletes that it would make a second. */
-  wanted: number;
+  writesPerSecond: number;
 }
 
 /** Part of its even share that a controller counts for when it wants nothing: it may at any time. */
@@ -15,16 +15,17 @@
  * controller that is not heard of, which may use its fixed share in full.
  */
 export function writeShare(
-  own: Part,
-  peers: readonly (Part | null)[],
-  followers: number,
-  limit: number,
+  own: WriteDemand,
+  peers: readonly (WriteDemand | null)[],
+  followersShare: number,
+  writesPerSecondLimit: number,
 ): number {
-  const fixed = (part: Part): number => {
+  const fixed = (part: WriteDemand): number => {
     if (peers.length === 0) return 1;
-    return part.leads ? 1 - followers : followers / peers.length;
+    return part.isLeader ? 1 - followersShare : followersShare / peers.length;
   };
-  const weight = (part: Part): number => part.wanted + IDLE_RATIO * fixed(part) * limit;
+  const weight = (part: WriteDemand): number =>
+    part.writesPerSecond + IDLE_RATIO * fixed(part) * writesPerSecondLimit;
   let pool = fixed(own);
   let weights = weight(own);
   for (const peer of peers) {
@@ -36,32 +37,32 @@
 }
 
 /** A rate that follows what is counted over the last few seconds. */
-export class Rate {
-  private value = 0;
-  private at: number;
+export class DecayingRate {
+  private decayedSum = 0;
+  private decayedAt: number;
 
   constructor(
     private readonly now: () => number,
-    private readonly memoryMs: number,
+    private readonly timeConstantMs: number,
   ) {
-    this.at = now();
+    this.decayedAt = now();
   }
 
   /** Adds to what is counted. */
   count(amount: number): void {
     this.decay();
-    this.value += amount;
+    this.decayedSum += amount;
   }
 
   /** The rate now. */
   get perSecond(): number {
     this.decay();
-    return (this.value / this.memoryMs) * 1000;
+    return (this.decayedSum / this.timeConstantMs) * 1000;
   }
 
   private decay(): void {
     const now = this.now();
-    this.value *= Math.exp((this.at - now) / this.memoryMs);
-    this.at = now;
+    this.decayedSum *= Math.exp((this.decayedAt - now) / this.timeConstantMs);
+    this.decayedAt = now;
   }
 }
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -1,5 +1,5 @@
 /** The life of assignments: given, stopped, ended, and what follows for their jobs. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job, JobTable } from '../jobs/table.js';
 import type { Teams } from '../placement/teams.js';
 import {
@@ -33,7 +33,7 @@
   total = 0;
 
   constructor(
-    private readonly core: Pick<Core, 'now' | 'log'>,
+    private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly table: Pick<JobTable, 'jobs' | 'markDone' | 'putBack' | 'countExit'>,
     private readonly teams: Pick<Teams, 'add'>,
     private readonly failures: Pick<Failures, 'recordFailure' | 'recordSuccess'>,
@@ -42,11 +42,14 @@
 
   /** Gives the task to the machine; it starts once that is on record. */
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
-    const assignment = plannedAssignment(job, task, attempt, machine, this.core.now());
+    const assignment = plannedAssignment(job, task, attempt, machine, this.eventLoop.now());
     this.countIn(assignment);
     job.assigned.set(task, assignment);
     this.events.recordDue(machine);
-    this.core.log.debug({ job: job.spec.id, task, attempt, machine: machine.id }, 'task assigned');
+    this.eventLoop.log.debug(
+      { job: job.spec.id, task, attempt, machine: machine.id },
+      'task assigned',
+    );
   }
 
   /** Takes over a task that an earlier leader has left on the machine. */
@@ -68,9 +71,9 @@
       return;
     }
     if (assignment.stop !== null && assignment.stop.graceS <= graceS) return;
-    assignment.stop = { graceS, requestedAt: this.core.now(), reason, sentDirectly: false };
+    assignment.stop = { graceS, requestedAt: this.eventLoop.now(), reason, sentDirectly: false };
     this.events.commandDue(machine);
-    this.core.log.debug({ job: jobId, task, machine: machine.id, graceS, reason }, 'stop');
+    this.eventLoop.log.debug({ job: jobId, task, machine: machine.id, graceS, reason }, 'stop');
   }
 
   /** Stops a job as a whole; a gang's parts have to be told within `gang_peer_s` of each other. */
@@ -129,7 +132,7 @@
   /** The task has run to its end; the assignment stays until that is on record. */
   private complete(assignment: Assignment, job: Job): void {
     const { machine, task, runningAt } = assignment;
-    if (runningAt !== null) this.events.ran(assignment, this.core.now() - runningAt);
+    if (runningAt !== null) this.events.ran(assignment, this.eventLoop.now() - runningAt);
     this.failures.recordSuccess(machine);
     if (job.spec.kind === 'gang') this.completeGang(job);
     else this.table.markDone(job, task);
@@ -145,7 +148,7 @@
   private replace(assignment: Assignment, job: Job, outcome: Outcome): void {
     const { machine, task } = assignment;
     if (outcome !== 'unsent') this.table.countExit(job, outcome);
-    this.core.log.info(
+    this.eventLoop.log.info(
       { job: job.spec.id, task, machine: machine.id, outcome },
       'task off its machine',
     );
@@ -204,7 +207,7 @@
     }
     job?.all.delete(assignment);
     if (job?.assigned.get(task) === assignment) job.assigned.delete(task);
-    if (!machine.busy) machine.idleSince = this.core.now();
+    if (!machine.busy) machine.idleSince = this.eventLoop.now();
     this.events.recordDue(machine);
   }
 }
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
-import { acceptedJob, FakeClock, idleEnv } from '../../../test/stand-ins.js';
-import { Core } from '../core/core.js';
-import type { Call, Reply } from '../core/env.js';
+import { acceptedJob, FakeClock, idleRuntime } from '../../../test/stand-ins.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Call, Reply } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { attemptKey, plannedAssignment, type Assignment } from './assignment.js';
@@ -27,15 +27,15 @@
 
   constructor() {
     const clock = new FakeClock(1000);
-    const env = {
-      ...idleEnv(clock),
-      soon: (run: () => void) => run(),
+    const runtime = {
+      ...idleRuntime(clock),
+      defer: (run: () => void) => run(),
       call: (call: Call, done: (reply: Reply) => void) => this.calls.push({ call, done }),
     };
-    const core = new Core(env, clock.log);
-    const sync = new TokenSync(core, TERM);
+    const eventLoop = new EventLoop(runtime, clock.log);
+    const sync = new TokenSync(eventLoop, TERM);
     const alive = { isAlive: () => true };
-    this.commands = new DirectCommands(core, settings, sync, alive, (term) =>
+    this.commands = new DirectCommands(eventLoop, settings, sync, alive, (term) =>
       this.higherTerms.push(term),
     );
     Object.assign(this.machine, { addr: '10.1.0.1:9', session: 1, lastSeq: 4, synced: true });
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -1,6 +1,6 @@
 /** Starts and stops sent straight to workers, ahead of the answers to their reports. */
-import type { Core } from '../core/core.js';
-import type { Reply } from '../core/env.js';
+import type { EventLoop } from '../runtime/event-loop.js';
+import type { Reply } from '../runtime/runtime.js';
 import type { Settings } from '../settings/settings.js';
 import { readReport, writeDirect, type Order, type Report } from '../wire/workers.js';
 import { attemptKey, type Assignment } from './assignment.js';
@@ -36,7 +36,7 @@
   private readonly due = new Set<Machine>();
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Pick<Settings, 'reportMs'>,
     private readonly sync: TokenSync,
     private readonly liveness: Pick<Liveness, 'isAlive'>,
@@ -62,7 +62,7 @@
   private send(machine: Machine): void {
     // The answers to reports say the same a little later.
     if (machine.addr === '' || machine.openDirectCalls >= OPEN_CALLS_LIMIT) return;
-    if (!this.core.env.mayCall(machine.addr)) return;
+    if (!this.eventLoop.runtime.hasSpareConnection(machine.addr)) return;
     const command = this.commandFor(machine);
     if (command.orders.length === 0) return;
     this.markSent(machine, command.starts);
@@ -92,7 +92,7 @@
 
   private call(machine: Machine, command: Command): void {
     machine.openDirectCalls++;
-    this.core.env.call(
+    this.eventLoop.runtime.call(
       {
         to: machine.addr,
         method: 'POST',
@@ -101,7 +101,7 @@
         timeoutMs: this.settings.reportMs,
       },
       (reply) => {
-        this.core.post('direct', () => {
+        this.eventLoop.post('direct', () => {
           machine.openDirectCalls--;
           this.answered(machine, command, reply);
         });
@@ -126,7 +126,7 @@
     try {
       return readReport(body);
     } catch (err) {
-      this.core.log.warn({ machine: machine.id, err }, 'broken answer of a worker');
+      this.eventLoop.log.warn({ machine: machine.id, err }, 'broken answer of a worker');
       return null;
     }
   }
--- a/src/controller/workers/failures.ts
+++ b/src/controller/workers/failures.ts
@@ -1,5 +1,5 @@
 /** What the ends of tasks say of their machines and of their jobs. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../jobs/table.js';
 import type { Settings } from '../settings/settings.js';
 import type { Outcome } from './assignment.js';
@@ -32,7 +32,7 @@
 /** Puts failing machines into quarantine and delays failing jobs. */
 export class Failures {
   constructor(
-    private readonly core: Pick<Core, 'now' | 'log'>,
+    private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly settings: Settings,
   ) {}
 
@@ -44,7 +44,7 @@
 
   /** A task of the job ended on the machine without being completed. */
   recordFailure(machine: Machine, job: Job, outcome: Outcome): void {
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     const pausedUntil = now + this.settings.reportMs;
     if (job.standing && REPLICA_ENDED.has(outcome)) this.avoidMachine(machine, job, now);
     if (outcome === 'error') this.recordError(machine, job, now);
@@ -91,6 +91,6 @@
     machine.failedJobs.clear();
     const leases = Math.min(2 ** machine.quarantines, QUARANTINE_MAX_LEASES);
     machine.noPlacingBefore = now + this.settings.workerLeaseMs * leases;
-    this.core.log.warn({ machine: machine.id }, 'machine quarantined');
+    this.eventLoop.log.warn({ machine: machine.id }, 'machine quarantined');
   }
 }
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -1,5 +1,5 @@
 /** Which machines report, and for how long others have not. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Machine } from './machine.js';
 
@@ -15,18 +15,18 @@
   private toldAt: number;
 
   constructor(
-    private readonly core: Pick<Core, 'now'>,
+    private readonly eventLoop: Pick<EventLoop, 'now'>,
     private readonly settings: Settings,
     private readonly machines: ReadonlyMap<string, Machine>,
   ) {
-    const now = core.now();
+    const now = eventLoop.now();
     this.answeringSince = now;
     this.toldAt = now;
   }
 
   /** Told as time passes: whether this node may answer workers. */
   setAnswering(mayAnswer: boolean, intervalMs: number): void {
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     // A process that was held up has not answered either.
     const heldUp = now - this.toldAt > intervalMs * STANDSTILL_INTERVALS;
     if (!mayAnswer || heldUp) this.answeringSince = now;
@@ -36,19 +36,19 @@
   /** How long nothing was heard of the machine while its reports would have been answered. */
   silentMs(machine: Machine): number {
     const heardAt = Math.max(machine.lastReportAt, machine.firstSeen, this.answeringSince);
-    return this.core.now() - heardAt;
+    return this.eventLoop.now() - heardAt;
   }
 
   /** How long the machine has been answered without showing that it hears. */
   deafMs(machine: Machine): number {
     if (machine.synced) return 0;
-    return this.core.now() - Math.max(machine.unsyncedSince, this.answeringSince);
+    return this.eventLoop.now() - Math.max(machine.unsyncedSince, this.answeringSince);
   }
 
   /** Reports lately, and its session is not over. */
   isAlive(machine: Machine): boolean {
     const silentMs = this.settings.workerLeaseMs * this.settings.get('workers.silent.ratio');
-    const reportsLately = this.core.now() - machine.lastReportAt < silentMs;
+    const reportsLately = this.eventLoop.now() - machine.lastReportAt < silentMs;
     return reportsLately && machine.session >= machine.lowestValidSession;
   }
 
--- a/src/controller/workers/machine-store.test.ts
+++ b/src/controller/workers/machine-store.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
-import { acceptedJob, FakeClock, idleEnv } from '../../../test/stand-ins.js';
+import { acceptedJob, FakeClock, idleRuntime } from '../../../test/stand-ins.js';
 import { storedAtOnce } from '../../../test/stored.js';
-import { Core } from '../core/core.js';
+import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { Records } from '../store/records.js';
+import type { RecordStore } from '../store/record-store.js';
 import { plannedAssignment, type Assignment } from './assignment.js';
 import { imagesKey, machineKey, MachineStore } from './machine-store.js';
 import type { Machine } from './machine.js';
@@ -22,12 +22,12 @@
   readonly registry: MachineRegistry;
   readonly store: MachineStore;
 
-  constructor(readonly records: Records) {
+  constructor(readonly records: RecordStore) {
     const clock = new FakeClock(NOW);
-    const core = new Core(idleEnv(clock), clock.log);
-    const sync = new TokenSync(core, 1);
-    this.registry = new MachineRegistry(core, settings, sync, () => undefined);
-    this.store = new MachineStore(core, settings, records, this.registry, {
+    const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
+    const sync = new TokenSync(eventLoop, 1);
+    this.registry = new MachineRegistry(eventLoop, settings, sync, () => undefined);
+    this.store = new MachineStore(eventLoop, settings, records, this.registry, {
       restored: ({ id }, { jobId, task, attempt }, since) =>
         this.told.push(`${id} ${jobId}/${task}@${attempt} since ${since}`),
       recorded: ({ id }) => this.told.push(`recorded ${id}`),
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -1,7 +1,7 @@
 /** The records of machines: what of them is to be written, and what earlier leaders have left. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { Records, Urgency } from '../store/records.js';
+import type { RecordStore, WritePriority } from '../store/record-store.js';
 import type { Assignment } from './assignment.js';
 import type { Machine } from './machine.js';
 import { readRecord, writeRecord, type RecordedTask } from './record.js';
@@ -35,9 +35,9 @@
   private readonly imagesChanged = new Set<Machine>();
 
   constructor(
-    private readonly core: Core,
+    private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly records: Pick<Records, 'has' | 'list' | 'set'>,
+    private readonly records: Pick<RecordStore, 'has' | 'list' | 'set'>,
     private readonly registry: MachineRegistry,
     private readonly events: MachineStoreEvents,
   ) {}
@@ -51,7 +51,7 @@
   }
 
   private loadMachine(id: string, value: unknown): void {
-    const wall = this.core.env.wall();
+    const wall = this.eventLoop.runtime.wallClock();
     const record = readRecord(value, wall);
     if (record === null) return;
     const machine = this.registry.obtain(id);
@@ -59,7 +59,7 @@
     this.registry.describe(machine, record);
     for (const task of record.tasks) {
       const ageMs = Math.max(0, wall - task.at);
-      this.events.restored(machine, task, this.core.now() - ageMs);
+      this.events.restored(machine, task, this.eventLoop.now() - ageMs);
     }
   }
 
@@ -101,7 +101,12 @@
     const key = machineKey(machine.id);
     if (machine.assignments.size === 0 && !this.records.has(key)) return;
     const planned = [...machine.assignments.values()].filter(({ phase }) => phase === 'planned');
-    const value = writeRecord(machine, this.settings, this.core.now(), this.core.env.wall());
+    const value = writeRecord(
+      machine,
+      this.settings,
+      this.eventLoop.now(),
+      this.eventLoop.runtime.wallClock(),
+    );
     this.records.set(key, value, urgencyOf(planned), () => {
       for (const assignment of planned)
         if (assignment.phase === 'planned') assignment.phase = 'recorded';
@@ -111,7 +116,7 @@
 }
 
 /** Replicas go first, since each second without one is downtime. */
-function urgencyOf(planned: readonly Assignment[]): Urgency {
+function urgencyOf(planned: readonly Assignment[]): WritePriority {
   if (planned.some(({ job }) => job?.standing === true)) return 'first';
   return planned.length > 0 ? 'urgent' : 'lazy';
 }
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -1,5 +1,5 @@
 /** What a worker reports of its tasks, held against what is assigned to its machine. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/table.js';
 import { splitTask, type Order, type Report, type TaskReport } from '../wire/workers.js';
 import type { Assignment } from './assignment.js';
@@ -32,7 +32,7 @@
 /** Follows the tasks that reports show, and those that they lack. */
 export class Reconciliation {
   constructor(
-    private readonly core: Pick<Core, 'now' | 'log'>,
+    private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly table: Pick<JobTable, 'jobs' | 'markDone'>,
     private readonly assignments: Pick<Assignments, 'end'>,
     private readonly sync: Pick<TokenSync, 'voidDirectStart' | 'recordUnheardStart'>,
@@ -47,7 +47,7 @@
       if (!this.listedAssignment(handled, assignment, task)) return;
     } else if (task.state !== 'exited') {
       // Nothing on record and yet there: it should not be; it must not stay either.
-      this.core.log.warn({ task: task.name, machine: machine.id }, 'unexpected task');
+      this.eventLoop.log.warn({ task: task.name, machine: machine.id }, 'unexpected task');
       handled.orders.push({ op: 'stop', name: task.name, attempt: task.attempt, graceS: 0 });
       return;
     }
@@ -138,13 +138,16 @@
     if (state === 'running' || state === 'waiting') this.noteImage(assignment);
     // The run is timed only from a start that was seen, not from one of the leader before.
     const startSeen = assignment.sentSeq !== null;
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     if (state === 'running' && startSeen) assignment.runningAt ??= now;
     assignment.state = state;
     if (job !== null) job.changed = true;
     const { jobId, task, since } = assignment;
     const afterMs = now - since;
-    this.core.log.debug({ job: jobId, task, machine: machine.id, state, afterMs }, 'task state');
+    this.eventLoop.log.debug(
+      { job: jobId, task, machine: machine.id, state, afterMs },
+      'task state',
+    );
     this.events.changed();
   }
 
--- a/src/controller/workers/record.test.ts
+++ b/src/controller/workers/record.test.ts
@@ -4,7 +4,7 @@
 import { alone } from '../../../test/platform.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { sizeOf } from '../store/pages.js';
+import { storedSize } from '../store/page-table.js';
 import type { Assignment } from './assignment.js';
 import { Machine } from './machine.js';
 import { readRecord, writeRecord } from './record.js';
@@ -75,8 +75,8 @@
     fc.assert(
       fc.property(tasksOfMachine, (tasks) => {
         const machine = machineWith(tasks);
-        const empty = sizeOf(writeRecord(new Machine('n-1', 0, settings), settings, NOW, WALL));
-        const written = sizeOf(writeRecord(machine, settings, NOW, WALL)) - empty;
+        const empty = storedSize(writeRecord(new Machine('n-1', 0, settings), settings, NOW, WALL));
+        const written = storedSize(writeRecord(machine, settings, NOW, WALL)) - empty;
         assert.ok(written <= machine.record.bytes, `${written} of ${machine.record.bytes}`);
         for (const a of machine.assignments.values()) machine.record.remove(a);
         assert.equal(machine.record.bytes, 0);
--- a/src/controller/workers/registry.ts
+++ b/src/controller/workers/registry.ts
@@ -1,5 +1,5 @@
 /** The machines that a leader knows. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
 import { Machine } from './machine.js';
@@ -27,7 +27,7 @@
   private readonly removedMachines = new Map<string, number>();
 
   constructor(
-    private readonly core: Pick<Core, 'now'>,
+    private readonly eventLoop: Pick<EventLoop, 'now'>,
     private readonly settings: Settings,
     private readonly sync: TokenSync,
     private readonly typeNamed: (name: string) => MachineType | undefined,
@@ -37,7 +37,7 @@
   obtain(id: string): Machine {
     const known = this.machines.get(id);
     if (known !== undefined) return known;
-    const machine = new Machine(id, this.core.now(), this.settings);
+    const machine = new Machine(id, this.eventLoop.now(), this.settings);
     machine.expectedToken = this.sync.tokenOf(machine);
     this.machines.set(id, machine);
     return machine;
@@ -66,14 +66,14 @@
   /** The machine is gone for ever. */
   remove(machine: Machine): void {
     this.machines.delete(machine.id);
-    this.removedMachines.set(machine.id, this.core.now());
+    this.removedMachines.set(machine.id, this.eventLoop.now());
     this.forgetRemoved();
   }
 
   private forgetRemoved(): void {
     const rememberedMs = this.settings.workerLeaseMs * REMOVED_MACHINE_LEASES;
     for (const [id, removedAt] of this.removedMachines) {
-      if (this.core.now() - removedAt <= rememberedMs) return;
+      if (this.eventLoop.now() - removedAt <= rememberedMs) return;
       this.removedMachines.delete(id);
     }
   }
--- a/src/controller/workers/report-handler.ts
+++ b/src/controller/workers/report-handler.ts
@@ -1,5 +1,5 @@
 /** Reports of workers: what they prove, and the orders in their answers. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import { writeOrders, type Report } from '../wire/workers.js';
 import type { Machine } from './machine.js';
@@ -28,7 +28,7 @@
   private reports = 0;
 
   constructor(
-    private readonly core: Pick<Core, 'now'>,
+    private readonly eventLoop: Pick<EventLoop, 'now'>,
     private readonly settings: Settings,
     private readonly registry: MachineRegistry,
     private readonly sessions: Pick<Sessions, 'begin'>,
@@ -44,7 +44,7 @@
     if (this.registry.wasRemoved(report.machine)) return REFUSED;
     const machine = this.registry.obtain(report.machine);
     if (isOutdated(report, machine)) return REFUSED;
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     this.registry.update(machine, report);
     if (report.session > machine.session) this.sessions.begin(machine, report.session);
     this.renew(machine, report, now);
--- a/src/controller/workers/sessions.ts
+++ b/src/controller/workers/sessions.ts
@@ -1,5 +1,5 @@
 /** Sessions of workers: when one begins, and when its lease has surely run out. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignments } from './assignments.js';
 import type { Machine } from './machine.js';
@@ -16,7 +16,7 @@
 /** Begins and ends the sessions of machines. */
 export class Sessions {
   constructor(
-    private readonly core: Pick<Core, 'now' | 'log'>,
+    private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly settings: Pick<Settings, 'workerGoneMs'>,
     private readonly sync: Pick<TokenSync, 'requireNewToken'>,
     private readonly assignments: Pick<Assignments, 'endAll' | 'endBefore'>,
@@ -36,7 +36,7 @@
 
   /** Ends what must be gone by now: sessions whose lease has surely run out. */
   endExpired(machines: Iterable<Machine>): void {
-    const now = this.core.now();
+    const now = this.eventLoop.now();
     for (const machine of machines) {
       const ended = machine.lowestValidSession > machine.session;
       if (ended || now - machine.leaseRenewedAt <= this.settings.workerGoneMs) continue;
@@ -49,7 +49,7 @@
     machine.lowestValidSession = session + 1;
     this.sync.requireNewToken(machine);
     if (machine.assignments.size > 0)
-      this.core.log.info({ machine: id, session }, 'lease of a silent machine ran out');
+      this.eventLoop.log.info({ machine: id, session }, 'lease of a silent machine ran out');
     this.assignments.endAll(machine);
     this.events.changed();
   }
--- a/src/controller/workers/token-sync.ts
+++ b/src/controller/workers/token-sync.ts
@@ -1,5 +1,5 @@
 /** Whether workers hear their leader, by the tokens that their reports show. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import { attemptKey } from './assignment.js';
 import type { Machine } from './machine.js';
 import { EPOCH_LIMIT, makeToken, termOf } from './token.js';
@@ -10,7 +10,7 @@
 /** Raises and checks the tokens of one leader's workers. */
 export class TokenSync {
   constructor(
-    private readonly core: Pick<Core, 'now'>,
+    private readonly eventLoop: Pick<EventLoop, 'now'>,
     /** The leader's term. */
     readonly term: number,
   ) {}
@@ -34,7 +34,7 @@
     if (machine.epoch < EPOCH_LIMIT) machine.epoch++;
     machine.expectedToken = this.tokenOf(machine);
     machine.synced = false;
-    machine.unsyncedSince = this.core.now();
+    machine.unsyncedSince = this.eventLoop.now();
   }
 
   /** Takes note of the token that a report shows; true if the machine is known to hear from now on. */
--- a/src/controller/workers/workers.test.ts
+++ b/src/controller/workers/workers.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Core } from '../core/core.js';
-import type { Call, Env, Logger, Reply } from '../core/env.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
 import { JobTable, type Job } from '../jobs/table.js';
 import { alone } from '../../../test/platform.js';
 import { storedAtOnce } from '../../../test/stored.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { StateClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
 import { writeJob, type JobSpec } from '../wire/jobs.js';
 import type { Report, TaskReport } from '../wire/workers.js';
 import { makeToken, termOf } from './token.js';
@@ -33,38 +33,44 @@
   now = 1000;
   readonly calls: { call: Call; done: (r: Reply) => void }[] = [];
   private readonly soon: (() => void)[] = [];
-  readonly core: Core;
+  readonly eventLoop: EventLoop;
   readonly table: JobTable;
   readonly workers: Workers;
   readonly torn: Job[] = [];
 
   constructor(job: JobSpec, record?: unknown) {
-    const env: Env = {
+    const runtime: Runtime = {
       startedAt: -Infinity,
       now: () => this.now,
-      wall: () => this.now,
+      wallClock: () => this.now,
       random: () => 0.5,
-      soon: (fn) => this.soon.push(fn),
-      timer: () => ({ cancel: () => undefined }),
+      defer: (fn) => this.soon.push(fn),
+      startTimer: () => ({ cancel: () => undefined }),
       call: (call, done) => this.calls.push({ call, done }),
-      mayCall: () => true,
+      hasSpareConnection: () => true,
       sendPeer: () => undefined,
     };
-    this.core = new Core(env, silent);
+    this.eventLoop = new EventLoop(runtime, silent);
     const records = storedAtOnce(record === undefined ? {} : { 'm/n-1': record });
-    this.table = new JobTable(this.core, settings, {} as unknown as StateClient, records, {
-      torn: (j) => {
-        this.torn.push(j);
-        this.workers.stopJob(j, 0, 'torn');
+    this.table = new JobTable(
+      this.eventLoop,
+      settings,
+      {} as unknown as StateStoreClient,
+      records,
+      {
+        torn: (j) => {
+          this.torn.push(j);
+          this.workers.stopJob(j, 0, 'torn');
+        },
+        added: () => undefined,
+        changed: () => undefined,
+        vanished: () => undefined,
+        closed: () => undefined,
+        recorded: () => undefined,
+        ended: () => undefined,
       },
-      added: () => undefined,
-      changed: () => undefined,
-      vanished: () => undefined,
-      closed: () => undefined,
-      recorded: () => undefined,
-      ended: () => undefined,
-    });
-    this.workers = new Workers(this.core, settings, TERM, records, this.table, {
+    );
+    this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
       type: () => undefined,
       higherTerm: () => undefined,
       changed: () => undefined,
@@ -277,10 +283,10 @@
     const asked: ((r: unknown) => void)[] = [];
     const ended: string[] = [];
     const client = {
-      tokens: { force: () => undefined },
-      get: (_key: string, _ms: number, done: (r: unknown) => void) => asked.push(done),
-    } as unknown as StateClient;
-    const table = new JobTable(b.core, settings, client, storedAtOnce(), {
+      requestTokens: { forceTake: () => undefined },
+      read: (_key: string, _ms: number, done: (r: unknown) => void) => asked.push(done),
+    } as unknown as StateStoreClient;
+    const table = new JobTable(b.eventLoop, settings, client, storedAtOnce(), {
       ...{ torn: nothing, added: nothing, changed: nothing },
       ...{ vanished: nothing, closed: nothing, recorded: nothing },
       ended: (id, state) => ended.push(`${id} ${state}`),
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -1,9 +1,9 @@
 /** The leader's view of the machines and of every task that may be on one. */
-import type { Core } from '../core/core.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job, JobTable } from '../jobs/table.js';
 import { Teams } from '../placement/teams.js';
 import type { Settings } from '../settings/settings.js';
-import type { Records } from '../store/records.js';
+import type { RecordStore } from '../store/record-store.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { Report } from '../wire/workers.js';
 import type { Assignment } from './assignment.js';
@@ -47,40 +47,49 @@
   private readonly commands: DirectCommands;
 
   constructor(
-    core: Core,
+    eventLoop: EventLoop,
     settings: Settings,
     readonly term: number,
-    records: Records,
+    records: RecordStore,
     table: JobTable,
     private readonly hooks: WorkersHooks,
   ) {
-    const sync = new TokenSync(core, term);
+    const sync = new TokenSync(eventLoop, term);
     const changed = (): void => hooks.changed();
     const higherTerm = (seen: number): void => hooks.higherTerm(seen);
     const recordDue = (machine: Machine): void => this.store.markChanged(machine);
     const commandDue = (machine: Machine): void => this.commands.request(machine);
 
     this.teams = new Teams(settings.platform.teams);
-    this.registry = new MachineRegistry(core, settings, sync, (name) => hooks.type(name));
+    this.registry = new MachineRegistry(eventLoop, settings, sync, (name) => hooks.type(name));
     this.machines = this.registry.machines;
-    this.liveness = new Liveness(core, settings, this.machines);
-    this.store = new MachineStore(core, settings, records, this.registry, {
+    this.liveness = new Liveness(eventLoop, settings, this.machines);
+    this.store = new MachineStore(eventLoop, settings, records, this.registry, {
       restored: (machine, task, since) => this.assignments.restore(machine, task, since),
       recorded: commandDue,
     });
-    this.assignments = new Assignments(core, table, this.teams, new Failures(core, settings), {
-      ran: (assignment, tookMs) => hooks.ran(assignment, tookMs),
-      ...{ changed, recordDue, commandDue },
-    });
+    this.assignments = new Assignments(
+      eventLoop,
+      table,
+      this.teams,
+      new Failures(eventLoop, settings),
+      {
+        ran: (assignment, tookMs) => hooks.ran(assignment, tookMs),
+        ...{ changed, recordDue, commandDue },
+      },
+    );
     this.running = this.assignments.byClass;
-    this.sessions = new Sessions(core, settings, sync, this.assignments, { changed, recordDue });
-    this.commands = new DirectCommands(core, settings, sync, this.liveness, higherTerm);
-    const reconciliation = new Reconciliation(core, table, this.assignments, sync, {
+    this.sessions = new Sessions(eventLoop, settings, sync, this.assignments, {
+      changed,
+      recordDue,
+    });
+    this.commands = new DirectCommands(eventLoop, settings, sync, this.liveness, higherTerm);
+    const reconciliation = new Reconciliation(eventLoop, table, this.assignments, sync, {
       changed,
       imagesChanged: (machine) => this.store.markImagesChanged(machine),
     });
     this.reports = new ReportHandler(
-      ...([core, settings, this.registry, this.sessions, sync, reconciliation] as const),
+      ...([eventLoop, settings, this.registry, this.sessions, sync, reconciliation] as const),
       { changed, higherTerm },
     );
   }
--- a/src/main.ts
+++ b/src/main.ts
@@ -3,7 +3,7 @@
 import { Command } from 'commander';
 import { ask } from './controller/operators/client.js';
 import { run } from './controller/run.js';
-import { oldGenerationMb } from './controller/core/heap-budget.js';
+import { oldGenerationMb } from './controller/runtime/heap-budget.js';
 import { readPlatform, SettingsError, type Platform } from './controller/settings/platform.js';
 import {
   defaultProperties,
--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Controller } from '../src/controller/controller.js';
-import type { Env } from '../src/controller/core/env.js';
+import type { Runtime } from '../src/controller/runtime/runtime.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { decodeBody, encodeBody } from '../src/controller/wire/cbor.js';
 import { answerScenarios } from './simulation/answer-scenarios.js';
@@ -28,16 +28,16 @@
 /** Answers a poll from memory for a moment, whatever other nodes have told since. */
 class Remembering extends Controller {
   private readonly answers = new Map<string, { at: number; answer: Parameters<Request[3]>[0] }>();
-  private readonly env: Env;
+  private readonly runtime: Runtime;
 
   constructor(...parts: ConstructorParameters<typeof Controller>) {
     super(...parts);
-    [this.env] = parts;
+    [this.runtime] = parts;
   }
 
   override request(...[method, path, bytes, respond]: Request): void {
     const known = this.answers.get(path);
-    const now = this.env.now();
+    const now = this.runtime.now();
     if (method === 'GET' && known !== undefined && now - known.at < REMEMBERED_MS)
       return respond(known.answer);
     super.request(method, path, bytes, (answer) => {
--- a/test/manual-env.ts
+++ b/test/manual-runtime.ts
@@ -1,4 +1,4 @@
-import type { Call, Env, Logger, Reply, Timer } from '../src/controller/core/env.js';
+import type { Call, Runtime, Logger, Reply, Timer } from '../src/controller/runtime/runtime.js';
 
 interface PendingTimer {
   at: number;
@@ -7,7 +7,7 @@
 }
 
 /** An environment for the tests of single modules: the test moves the clock and answers the calls. */
-export class ManualEnv implements Env {
+export class ManualRuntime implements Runtime {
   readonly calls: { call: Call; done: (reply: Reply) => void }[] = [];
   /** Long ago. */
   readonly startedAt = -Infinity;
@@ -19,7 +19,7 @@
     return this.time;
   }
 
-  wall(): number {
+  wallClock(): number {
     return this.time;
   }
 
@@ -27,11 +27,11 @@
     return 0.5;
   }
 
-  soon(fn: () => void): void {
+  defer(fn: () => void): void {
     this.queue.push(fn);
   }
 
-  timer(ms: number, fn: () => void): Timer {
+  startTimer(ms: number, fn: () => void): Timer {
     const timer = { at: this.time + ms, run: fn, cancelled: false };
     this.timers.push(timer);
     return {
@@ -45,7 +45,7 @@
     this.calls.push({ call, done });
   }
 
-  mayCall(): boolean {
+  hasSpareConnection(): boolean {
     return true;
   }
 
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -8,7 +8,7 @@
 import { fileURLToPath } from 'node:url';
 import { buildSync } from 'esbuild';
 import { parse } from 'smol-toml';
-import { growthPercent, oldGenerationMb } from '../src/controller/core/heap-budget.js';
+import { growthPercent, oldGenerationMb } from '../src/controller/runtime/heap-budget.js';
 import { settingsOf, usual } from './platform.js';
 
 const root = fileURLToPath(new URL('../', import.meta.url));
@@ -19,7 +19,7 @@
 
 /** The module under test, for a process that holds nothing else. */
 const [bundled] = buildSync({
-  entryPoints: [join(root, 'src/controller/core/heap-budget.ts')],
+  entryPoints: [join(root, 'src/controller/runtime/heap-budget.ts')],
   ...{ bundle: true, write: false, platform: 'node', format: 'cjs' },
 }).outputFiles;
 
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Controller } from '../src/controller/controller.js';
-import type { Logger } from '../src/controller/core/env.js';
+import type { Logger } from '../src/controller/runtime/runtime.js';
 import { Metrics } from '../src/controller/operators/metrics.js';
 import { EMPTY_MESSAGE, encodePeer } from '../src/controller/peers/message.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
@@ -9,7 +9,7 @@
 import { oneOf } from './platform.js';
 import { small } from './simulation/deployment.js';
 import { Network } from './simulation/network.js';
-import { ProcessEnv } from './simulation/process-env.js';
+import { ProcessRuntime } from './simulation/process-runtime.js';
 import { Sim } from './simulation/sim.js';
 
 const HOST = 'kiln-0';
@@ -28,9 +28,9 @@
       warn: (_, text) => this.warnings.push(text),
       error: (_, text) => this.errors.push(text),
     };
-    const env = new ProcessEnv(this.sim, new Network(this.sim), HOST, new Map());
+    const runtime = new ProcessRuntime(this.sim, new Network(this.sim), HOST, new Map());
     const settings = new Settings(oneOf(small.hosts, HOST, small.platform), defaultProperties());
-    this.controller = new Controller(env, log, settings, HOST);
+    this.controller = new Controller(runtime, log, settings, HOST);
     this.controller.metrics = new Metrics();
     this.controller.start();
   }
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -1,5 +1,5 @@
 /** The network between the hosts of a simulation. */
-import type { Call, Reply } from '../../src/controller/core/env.js';
+import type { Call, Reply } from '../../src/controller/runtime/runtime.js';
 import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
 import type { Sim } from './sim.js';
 
--- a/test/simulation/process-env.ts
+++ b/test/simulation/process-runtime.ts
@@ -1,10 +1,10 @@
 /** Clock, timers and network as one controller process sees them. */
-import type { Call, Env, Reply, Timer } from '../../src/controller/core/env.js';
+import type { Call, Runtime, Reply, Timer } from '../../src/controller/runtime/runtime.js';
 import type { Network } from './network.js';
 import type { Sim } from './sim.js';
 
 /** What a controller process runs on; everything stops when the process is killed. */
-export class ProcessEnv implements Env {
+export class ProcessRuntime implements Runtime {
   alive = true;
   /** Stands still until then, while its clocks run on; what comes meanwhile is taken afterwards. */
   private frozenUntil = 0;
@@ -27,7 +27,7 @@
     return this.offset + this.sim.now * this.drift;
   }
 
-  wall(): number {
+  wallClock(): number {
     return 1.7e12 + this.sim.now;
   }
 
@@ -35,11 +35,11 @@
     return this.sim.random();
   }
 
-  soon(fn: () => void): void {
-    this.timer(0, fn);
+  defer(fn: () => void): void {
+    this.startTimer(0, fn);
   }
 
-  timer(ms: number, fn: () => void): Timer {
+  startTimer(ms: number, fn: () => void): Timer {
     return this.sim.after(ms / this.drift, () => this.whenAwake(fn));
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Now and then sockets are short. */
-  mayCall(): boolean {
+  hasSpareConnection(): boolean {
     return this.sim.random() < 0.95;
   }
 
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -1,9 +1,9 @@
 /** The controller processes of a simulation: starts, ends, standstills, and what they log. */
 import type { Controller } from '../../src/controller/controller.js';
-import type { Logger } from '../../src/controller/core/env.js';
+import type { Logger } from '../../src/controller/runtime/runtime.js';
 import { oneOf } from '../platform.js';
 import type { Network } from './network.js';
-import { ProcessEnv } from './process-env.js';
+import { ProcessRuntime } from './process-runtime.js';
 import type { Deployment } from './deployment.js';
 import type { Sim } from './sim.js';
 import type { Version } from './version.js';
@@ -13,7 +13,7 @@
 
 interface Process {
   controller: Controller;
-  env: ProcessEnv;
+  runtime: ProcessRuntime;
 }
 
 /** Starts, ends and observes the process of each host. */
@@ -45,7 +45,7 @@
   /** Starts the host's process, unless it runs. */
   start(host: string): void {
     if (this.processes.has(host)) return;
-    const env = new ProcessEnv(this.sim, this.net, host, this.peers);
+    const runtime = new ProcessRuntime(this.sim, this.net, host, this.peers);
     const version = this.versionOf(host);
     const { hosts, platform } = this.deployment;
     const settings = new version.Settings(
@@ -53,18 +53,18 @@
       version.properties,
     );
     const name = `${host}-${this.starts++}`;
-    const controller = new version.Controller(env, this.observedLog(version), settings, name);
-    this.processes.set(host, { controller, env });
-    this.connect(host, { controller, env });
+    const controller = new version.Controller(runtime, this.observedLog(version), settings, name);
+    this.processes.set(host, { controller, runtime });
+    this.connect(host, { controller, runtime });
     controller.start();
   }
 
-  private connect(host: string, { controller, env }: Process): void {
-    this.peers.set(host, (bytes) => env.whenAwake(() => controller.peerFrame(bytes)));
+  private connect(host: string, { controller, runtime }: Process): void {
+    this.peers.set(host, (bytes) => runtime.whenAwake(() => controller.peerFrame(bytes)));
     this.net.listen(this.apiOf(host), host, (_, request, respond) => {
-      env.whenAwake(() => {
+      runtime.whenAwake(() => {
         controller.request(request.method, request.path, request.bytes, (answer) => {
-          if (env.alive) respond({ status: answer.status, body: answer.body ?? null });
+          if (runtime.alive) respond({ status: answer.status, body: answer.body ?? null });
         });
       });
     });
@@ -110,7 +110,7 @@
     const process = this.processes.get(host);
     if (process === undefined) return;
     for (const killed of this.onKill) killed(host, process.controller.leads);
-    process.env.alive = false;
+    process.runtime.alive = false;
     this.processes.delete(host);
     this.peers.delete(host);
     this.net.remove(this.apiOf(host));
@@ -136,6 +136,6 @@
 
   /** The host's process stands still. */
   freeze(host: string, ms: number): void {
-    this.processes.get(host)?.env.freeze(ms);
+    this.processes.get(host)?.runtime.freeze(ms);
   }
 }
--- a/test/simulation/production.ts
+++ b/test/simulation/production.ts
@@ -4,8 +4,12 @@
 import { join } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { parse } from 'smol-toml';
+import type { Runtime, Timer } from '../../src/controller/runtime/runtime.js';
 import type { Version } from './version.js';
 
+type ControllerClass = typeof import('../../src/controller/controller.js').Controller;
+type ControllerArgumentsAfterRuntime =
+  ConstructorParameters<ControllerClass> extends [Runtime, ...infer Rest] ? Rest : never;
 type ControllerModule = typeof import('../../src/controller/controller.js');
 type PlatformModule = typeof import('../../src/controller/settings/platform.js');
 type PropertiesModule = typeof import('../../src/controller/settings/properties.js');
@@ -71,6 +75,38 @@
   return place;
 }
 
+/** The runtime interface as the older versions know it, where its names differ. */
+interface OlderRuntime extends Pick<Runtime, 'startedAt' | 'now' | 'random' | 'call' | 'sendPeer'> {
+  wall(): number;
+  soon(task: () => void): void;
+  timer(ms: number, task: () => void): Timer;
+  mayCall(to: string): boolean;
+}
+
+/** Today's runtime by the older names. */
+function olderRuntime(runtime: Runtime): OlderRuntime {
+  return {
+    startedAt: runtime.startedAt,
+    now: () => runtime.now(),
+    random: () => runtime.random(),
+    call: (call, done) => runtime.call(call, done),
+    sendPeer: (host, bytes) => runtime.sendPeer(host, bytes),
+    wall: () => runtime.wallClock(),
+    soon: (task) => runtime.defer(task),
+    timer: (ms, task) => runtime.startTimer(ms, task),
+    mayCall: (to) => runtime.hasSpareConnection(to),
+  };
+}
+
+/** An older version's controller that runs on today's runtime. */
+function onOlderRuntime(OlderController: ControllerClass): ControllerClass {
+  return class extends OlderController {
+    constructor(runtime: Runtime, ...rest: ControllerArgumentsAfterRuntime) {
+      super(olderRuntime(runtime) as unknown as Runtime, ...rest);
+    }
+  };
+}
+
 /** Loads the sources of a commit beside the present ones. */
 async function load(name: string, commit: string): Promise<Version> {
   const base = pathToFileURL(join(extracted(commit), 'src', 'controller')).href;
@@ -79,7 +115,12 @@
   const properties = (await import(`${base}/settings/properties.ts`)) as PropertiesModule;
   const { Settings } = (await import(`${base}/settings/settings.ts`)) as SettingsModule;
   return {
-    ...{ name, Controller, Settings, readPlatform: platform.readPlatform },
+    ...{
+      name,
+      Controller: onOlderRuntime(Controller),
+      Settings,
+      readPlatform: platform.readPlatform,
+    },
     properties: properties.defaultProperties(),
   };
 }
--- a/test/simulation/report-loop.ts
+++ b/test/simulation/report-loop.ts
@@ -1,5 +1,5 @@
 /** The reports of one simulated worker: when they go out, and to which controller. */
-import type { Reply } from '../../src/controller/core/env.js';
+import type { Reply } from '../../src/controller/runtime/runtime.js';
 import type { MachineContext } from './machine-context.js';
 import type { Order } from './task.js';
 
--- a/test/simulation/sim.ts
+++ b/test/simulation/sim.ts
@@ -1,6 +1,6 @@
 /** Virtual time and the random numbers of a seeded run. */
-import type { Timer } from '../../src/controller/core/env.js';
-import { uniform } from '../../src/controller/core/random.js';
+import type { Timer } from '../../src/controller/runtime/runtime.js';
+import { seededRandom } from '../../src/controller/runtime/random.js';
 
 interface Event {
   at: number;
@@ -19,7 +19,7 @@
   readonly random: () => number;
 
   constructor(seed: number) {
-    this.random = uniform(seed);
+    this.random = seededRandom(seed);
   }
 
   /** Runs the function once so much time has passed. */
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -1,5 +1,5 @@
 /** A deployment put together: controllers, state service, cloud, machines, users, faults. */
-import type { Logger } from '../../src/controller/core/env.js';
+import type { Logger } from '../../src/controller/runtime/runtime.js';
 import type { Platform, StateLimits } from '../../src/controller/settings/platform.js';
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
 import { oneOf } from '../platform.js';
@@ -80,7 +80,7 @@
     const { hosts } = deployment;
     const platform = oneOf(hosts, hosts[0] ?? '', deployment.platform);
     const { state, stateLimits, workers } = platform;
-    this.limitsToCome = platform.stateNext;
+    this.limitsToCome = platform.upcomingStateLimits;
     this.sim = new Sim(seed);
     this.net = new Network(this.sim);
     this.net.doubled = rates.doubled;
--- a/test/simulation/state-service.ts
+++ b/test/simulation/state-service.ts
@@ -1,6 +1,6 @@
 /** The simulated state service: its paths, its limits and its faults. */
-import { Tokens } from '../../src/controller/core/tokens.js';
-import type { Reply } from '../../src/controller/core/env.js';
+import { TokenBucket } from '../../src/controller/runtime/token-bucket.js';
+import type { Reply } from '../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../src/controller/settings/platform.js';
 import type { Arrival, Network, Respond } from './network.js';
 import type { Sim } from './sim.js';
@@ -25,8 +25,8 @@
   private down = false;
   private slowUntil = 0;
   private readonly refused = new Set<string>();
-  private readonly requestTokens: Tokens;
-  private readonly putTokens: Tokens;
+  private readonly requestTokens: TokenBucket;
+  private readonly putTokens: TokenBucket;
   /** Transactions refused for their size; copies that the network made of older ones aside. */
   tooLarge = 0;
   /** Requests, puts and deletes served, and requests refused for being too many. */
@@ -56,8 +56,8 @@
   ) {
     const now = (): number => sim.now;
     this.store = new StateStore(now, (by, key) => this.unanswered.wasRead(by, key));
-    this.requestTokens = new Tokens(now, limits.rps, limits.rps);
-    this.putTokens = new Tokens(now, limits.writeRps, limits.writeRps);
+    this.requestTokens = new TokenBucket(now, limits.rps, limits.rps);
+    this.putTokens = new TokenBucket(now, limits.writeRps, limits.writeRps);
     net.listen(address, 'state', (from, request, respond) => this.serve(from, request, respond));
     this.expire();
   }
@@ -157,7 +157,7 @@
   }
 
   private takeTokens(puts: number): boolean {
-    if (!this.requestTokens.take() || (puts > 0 && !this.putTokens.take(puts))) {
+    if (!this.requestTokens.tryTake() || (puts > 0 && !this.putTokens.tryTake(puts))) {
       this.tooMany++;
       return false;
     }
--- a/test/simulation/state-store.ts
+++ b/test/simulation/state-store.ts
@@ -1,5 +1,5 @@
 /** What the simulated state service stores: entries, leases, the log of changes, watches. */
-import type { Reply } from '../../src/controller/core/env.js';
+import type { Reply } from '../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../src/controller/settings/platform.js';
 import type { Respond } from './network.js';
 
--- a/test/simulation/task.ts
+++ b/test/simulation/task.ts
@@ -1,5 +1,5 @@
 /** Tasks on a simulated machine, and the orders that concern them. */
-import type { Timer } from '../../src/controller/core/env.js';
+import type { Timer } from '../../src/controller/runtime/runtime.js';
 
 /** An order of a controller to a worker, as on the wire. */
 export interface Order {
--- a/test/simulation/traffic-digest.ts
+++ b/test/simulation/traffic-digest.ts
@@ -1,7 +1,7 @@
 /** A hash over all that enters and leaves the controllers of a simulation, in order. */
 import { createHash } from 'node:crypto';
 import { Controller } from '../../src/controller/controller.js';
-import type { Call, Env, Logger, Reply } from '../../src/controller/core/env.js';
+import type { Call, Runtime, Logger, Reply } from '../../src/controller/runtime/runtime.js';
 import { Metrics } from '../../src/controller/operators/metrics.js';
 import type { Settings } from '../../src/controller/settings/settings.js';
 import { encodeBody } from '../../src/controller/wire/cbor.js';
@@ -47,28 +47,28 @@
 }
 
 /** The runtime of a process; what it sends, and the replies to it, are recorded. */
-function recordedEnv(env: Env, name: string, digest: TrafficDigest): Env {
+function recordedEnv(runtime: Runtime, name: string, digest: TrafficDigest): Runtime {
   const add = (kind: string, details: readonly (string | number)[], bytes: Uint8Array): void =>
-    digest.add(kind, [name, env.now(), env.wall(), ...details], bytes);
+    digest.add(kind, [name, runtime.now(), runtime.wallClock(), ...details], bytes);
   return {
-    startedAt: env.startedAt,
-    now: () => env.now(),
-    wall: () => env.wall(),
-    random: () => env.random(),
-    soon: (run) => env.soon(run),
-    timer: (ms, run) => env.timer(ms, run),
-    mayCall: (to) => env.mayCall(to),
+    startedAt: runtime.startedAt,
+    now: () => runtime.now(),
+    wallClock: () => runtime.wallClock(),
+    random: () => runtime.random(),
+    defer: (run) => runtime.defer(run),
+    startTimer: (ms, run) => runtime.startTimer(ms, run),
+    hasSpareConnection: (to) => runtime.hasSpareConnection(to),
     call(call: Call, done: (reply: Reply) => void): void {
       const request = [call.to, call.method, call.path];
       add('call', [...request, call.timeoutMs], bytesOf(call.body));
-      env.call(call, (reply) => {
+      runtime.call(call, (reply) => {
         add('reply', [...request, reply.status], bytesOf(reply.body));
         done(reply);
       });
     },
     sendPeer(host: string, frame: Buffer): void {
       add('frame sent', [host], frame);
-      env.sendPeer(host, frame);
+      runtime.sendPeer(host, frame);
     },
   };
 }
@@ -82,10 +82,10 @@
       bytes: Uint8Array,
     ) => void;
 
-    constructor(env: Env, log: Logger, settings: Settings, identity: string) {
-      super(recordedEnv(env, identity, digest), log, settings, identity);
+    constructor(runtime: Runtime, log: Logger, settings: Settings, identity: string) {
+      super(recordedEnv(runtime, identity, digest), log, settings, identity);
       this.add = (kind, details, bytes) =>
-        digest.add(kind, [identity, env.now(), env.wall(), ...details], bytes);
+        digest.add(kind, [identity, runtime.now(), runtime.wallClock(), ...details], bytes);
       this.metrics = new Metrics();
       this.add('start', [], NO_BYTES);
     }
--- a/test/simulation/users.ts
+++ b/test/simulation/users.ts
@@ -1,5 +1,5 @@
 /** One user with one job. */
-import type { Timer } from '../../src/controller/core/env.js';
+import type { Timer } from '../../src/controller/runtime/runtime.js';
 import { writeJob, type JobSpec } from '../../src/controller/wire/jobs.js';
 import type { RuleChecker } from './rule-checker.js';
 import type { Sim } from './sim.js';
--- a/test/stand-ins.ts
+++ b/test/stand-ins.ts
@@ -1,5 +1,5 @@
 /** Stand-ins for the unit tests of single modules. */
-import type { Env, Logger } from '../src/controller/core/env.js';
+import type { Runtime, Logger } from '../src/controller/runtime/runtime.js';
 import { Job } from '../src/controller/jobs/table.js';
 import type { JobSpec } from '../src/controller/wire/jobs.js';
 
@@ -49,16 +49,16 @@
 }
 
 /** An environment in which nothing answers and no timer ends. */
-export function idleEnv(clock: FakeClock): Env {
+export function idleRuntime(clock: FakeClock): Runtime {
   return {
     startedAt: -Infinity,
     now: () => clock.time,
-    wall: () => clock.time,
+    wallClock: () => clock.time,
     random: () => 0.5,
-    soon: ignore,
-    timer: () => ({ cancel: ignore }),
+    defer: ignore,
+    startTimer: () => ({ cancel: ignore }),
     call: ignore,
-    mayCall: () => true,
+    hasSpareConnection: () => true,
     sendPeer: ignore,
   };
 }
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
-import { Core } from '../src/controller/core/core.js';
+import { EventLoop } from '../src/controller/runtime/event-loop.js';
 import { Completions } from '../src/controller/jobs/completions.js';
 import { finalRecord, readFinal } from '../src/controller/jobs/job-records.js';
 import { LearnedFigures } from '../src/controller/leader/learned-figures.js';
@@ -18,7 +18,7 @@
 import { GangReservations } from '../src/controller/placement/gang-reservations.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
-import { Pages } from '../src/controller/store/pages.js';
+import { PageTable } from '../src/controller/store/page-table.js';
 import { decodeBody, encodeBody } from '../src/controller/wire/cbor.js';
 import { readCatalogue, writeCatalogue } from '../src/controller/wire/cloud.js';
 import { readJob, writeJob } from '../src/controller/wire/jobs.js';
@@ -31,7 +31,7 @@
 import { alone } from './platform.js';
 import { digestScenarios } from './simulation/digest-scenarios.js';
 import { storedFormsOf, type StoredForms } from './simulation/stored-forms.js';
-import { acceptedJob, FakeClock, idleEnv } from './stand-ins.js';
+import { acceptedJob, FakeClock, idleRuntime } from './stand-ins.js';
 import { storedAtOnce } from './stored.js';
 
 const FIXTURE = new URL('fixtures/stored-forms.json', import.meta.url);
@@ -104,7 +104,7 @@
   it('has a page of records, which is written alike', () => {
     const { key = '' } = forms.values['page/'] ?? {};
     const value = valueOf('page/') as { seq: number; entries: (string | null)[] };
-    const pages = new Pages(() => VALUE_BYTES);
+    const pages = new PageTable(() => VALUE_BYTES);
     pages.load([{ key, value, version: 3 }]);
     const page = pages.pages.get(key);
     assert.ok(page !== undefined);
@@ -112,7 +112,7 @@
       i % 2 === 0 && value.entries[i + 1] !== null ? [entry, value.entries[i + 1]] : [],
     );
     // Nothing else has an older value of what was deleted: it goes as the page is read.
-    assert.deepEqual(pages.value(page, value.seq), { seq: value.seq, entries: live });
+    assert.deepEqual(pages.pageValue(page, value.seq), { seq: value.seq, entries: live });
   });
 });
 
@@ -149,11 +149,16 @@
   it('has the images on a machine, which are written alike', () => {
     const { key, value } = recordOf('i/');
     const clock = new FakeClock(1000);
-    const core = new Core(idleEnv(clock), clock.log);
-    const registry = new MachineRegistry(core, settings, new TokenSync(core, 1), () => undefined);
+    const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
+    const registry = new MachineRegistry(
+      eventLoop,
+      settings,
+      new TokenSync(eventLoop, 1),
+      () => undefined,
+    );
     const events = { restored: () => undefined, recorded: () => undefined };
     const records = storedAtOnce({ [key]: value });
-    const store = new MachineStore(core, settings, records, registry, events);
+    const store = new MachineStore(eventLoop, settings, records, registry, events);
     store.load();
     const machine = registry.obtain(key.slice('i/'.length));
     assert.ok(machine.images.size > 1);
@@ -168,10 +173,10 @@
     const id = key.slice('h/'.length);
     const job = acceptedJob({ id, kind: 'gang' });
     const clock = new FakeClock(1000);
-    const core = new Core(idleEnv(clock), clock.log);
+    const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
     const records = storedAtOnce({ [key]: value });
     type Parts = ConstructorParameters<typeof GangReservations>[0];
-    new GangReservations({ core, records } as unknown as Parts).load({
+    new GangReservations({ eventLoop, records } as unknown as Parts).load({
       jobs: new Map([[id, job]]),
     });
     assert.deepEqual(job.reservation?.machines, value);
@@ -182,7 +187,7 @@
     const { since } = (value as { arrivals: { since: number } }).arrivals;
     // The process starts as the record does, and its clock is the time of day.
     const clock = new FakeClock(since);
-    const learned = new LearnedFigures(new Core(idleEnv(clock), clock.log), settings);
+    const learned = new LearnedFigures(new EventLoop(idleRuntime(clock), clock.log), settings);
     clock.time += 600_000;
     learned.load(storedAtOnce({ [key]: value }), []);
     const records = storedAtOnce();
--- a/test/stored.ts
+++ b/test/stored.ts
@@ -1,9 +1,9 @@
-import type { Records } from '../src/controller/store/records.js';
+import type { RecordStore } from '../src/controller/store/record-store.js';
 
 /** Records for the tests of single slices: what is set is stored at once. */
-export function storedAtOnce(before: Record<string, unknown> = {}): Records {
+export function storedAtOnce(before: Record<string, unknown> = {}): RecordStore {
   const stored = new Map(Object.entries(before));
-  const records: Pick<Records, 'has' | 'list' | 'set' | 'transact'> = {
+  const records: Pick<RecordStore, 'has' | 'list' | 'set' | 'transact'> = {
     has: (key) => stored.has(key),
     *list(prefix) {
       for (const [key, value] of [...stored]) if (key.startsWith(prefix)) yield { key, value };
@@ -15,5 +15,5 @@
     },
     transact: () => undefined,
   };
-  return records as Records;
+  return records as RecordStore;
 }
