--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,7 +1,7 @@
 /** One controller: its slices put together, and the way of requests to them. */
 import { EventLoop } from './runtime/event-loop.js';
 import type { Runtime, Logger } from './runtime/runtime.js';
-import { Catalogue } from './fleet/catalogue.js';
+import { MachineTypeCatalogue } from './fleet/machine-type-catalogue.js';
 import { Frontend, type Answer, type FrontendHooks } from './jobs/frontend.js';
 import { ProgressCache } from './jobs/progress.js';
 import { LearnedFigures } from './leader/learned-figures.js';
@@ -11,7 +11,7 @@
 import { PROMISE_PATH } from './leadership/promise-request.js';
 import { setLeaderGauges, setNodeGauges, type MetricsSink } from './operators/gauges.js';
 import { Readiness } from './operators/readiness.js';
-import { clusterView } from './operators/view.js';
+import { clusterView } from './operators/cluster-view.js';
 import type { PeerStatus } from './peers/message.js';
 import { Peers, type PeerEvents } from './peers/peers.js';
 import { Routes } from './routes.js';
@@ -19,8 +19,8 @@
 import { StateStoreClient } from './store/client.js';
 import { DecayingRate } from './store/write-share.js';
 import { encodeBody } from './wire/cbor.js';
-import type { JobAnswer } from './wire/jobs.js';
-import { readReport } from './wire/workers.js';
+import type { JobStatus } from './wire/jobs.js';
+import { readHeartbeat } from './wire/workers.js';
 
 export type { MetricsSink } from './operators/gauges.js';
 
@@ -46,7 +46,7 @@
   private readonly frontend: Frontend;
   private readonly routes: Routes;
   private readonly readiness: Readiness;
-  private readonly catalogue: Catalogue;
+  private readonly catalogue: MachineTypeCatalogue;
   private readonly learned: LearnedFigures;
   private readonly progress = new ProgressCache();
   /** Reports of workers that this node has sent on to the leader. */
@@ -62,10 +62,10 @@
   ) {
     const eventLoop = new EventLoop(runtime, log);
     this.eventLoop = eventLoop;
-    this.forwardedReports = new DecayingRate(() => runtime.now(), settings.reportMs);
+    this.forwardedReports = new DecayingRate(() => runtime.now(), settings.heartbeatIntervalMs);
     this.learned = new LearnedFigures(eventLoop, settings);
     this.client = new StateStoreClient(eventLoop, settings);
-    this.catalogue = new Catalogue(eventLoop, settings, this.client, () =>
+    this.catalogue = new MachineTypeCatalogue(eventLoop, settings, this.client, () =>
       this.leaderTerm?.ready === true ? this.leaderTerm : null,
     );
     const ask = askOver(() => this.peers);
@@ -139,7 +139,7 @@
       report: (body, respond) => this.report(body, respond),
       cluster: (after, respond) => this.cluster(after, respond),
       scrape: (respond) => this.scrape(respond),
-      counted: (route, status, tookMs) => this.metrics?.request(route, status, tookMs),
+      counted: (route, status, tookMs) => this.metrics?.observeRequest(route, status, tookMs),
     });
   }
 
@@ -157,29 +157,32 @@
     };
   }
 
-  private jobProgress(id: string): JobAnswer | null {
+  private jobProgress(id: string): JobStatus | null {
     const job = this.leaderTerm?.table.jobs.get(id);
     return job === undefined ? this.progress.answer(id) : job.answer();
   }
 
   /** Begins to follow the others, or to lead. */
   start(): void {
-    const { reportMs } = this.settings;
+    const { heartbeatIntervalMs } = this.settings;
     this.eventLoop.post('start', () => {
       this.leadership.start();
       this.catalogue.load();
-      this.peers.start(reportMs / STATUSES_PER_REPORT, reportMs / NEWS_PER_REPORT);
+      this.peers.start(
+        heartbeatIntervalMs / STATUSES_PER_REPORT,
+        heartbeatIntervalMs / NEWS_PER_REPORT,
+      );
       this.eventLoop.every(this.tickMs, 'tick', () => this.tick());
       this.eventLoop.onBatchEnd(() => this.leaderTerm?.batchEnd());
     });
   }
 
   private get tickMs(): number {
-    return this.settings.reportMs / TICKS_PER_REPORT;
+    return this.settings.heartbeatIntervalMs / TICKS_PER_REPORT;
   }
 
   private tick(): void {
-    const heard = this.peers.heard(this.settings.reportMs);
+    const heard = this.peers.heard(this.settings.heartbeatIntervalMs);
     this.client.updateWriteShare(
       heard.map((peer) => ({
         isLeader: peer.leaderHost === peer.host,
@@ -221,7 +224,7 @@
       mayAnswerWorkers: () => this.mayAnswerWorkers,
       takenOver: () => this.leaderTerm?.ready === true,
       placementDue: () => this.leaderTerm?.passes.request(),
-      passFinished: (tookMs) => this.metrics?.pass(tookMs),
+      passFinished: (tookMs) => this.metrics?.observePlacementPass(tookMs),
     });
     this.leaderTerm = leaderTerm;
     leaderTerm.start();
@@ -260,7 +263,7 @@
     const common = { settings, term, table, workers, placement, fleet, types, after };
     respond({
       status: 200,
-      body: clusterView({ ...common, acting: this.entitled, now: this.eventLoop.now() }),
+      body: clusterView({ ...common, holdsLease: this.entitled, now: this.eventLoop.now() }),
     });
   }
 
@@ -270,16 +273,16 @@
       const body = { error: 'starting' };
       return respond({ status: 503, body, retryAfterS: RETRY_METRICS_S });
     }
-    metrics.unreadable(this.peers.unreadable);
+    metrics.setUnreadableMessages(this.peers.unreadable);
     setNodeGauges(metrics, this.entitled, this.leadership.leader?.term ?? 0);
     if (leaderTerm !== null) setLeaderGauges(metrics, leaderTerm);
     void metrics
-      .text()
+      .render()
       .then((text) => respond({ status: 200, raw: Buffer.from(text), type: METRICS_CONTENT_TYPE }));
   }
 
   private report(body: unknown, respond: Respond): void {
-    const report = readReport(body);
+    const report = readHeartbeat(body);
     const { leaderTerm } = this;
     if (leaderTerm === null) return this.sendToLeader(respond);
     // Elected but not entitled yet, or not any more: the worker tries on.
--- a/src/controller/fleet/arrivals.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -10,7 +10,7 @@
 const LEAST_JOBS = 8;
 
 /** A decaying count of jobs gives the mean gap between two of them. */
-export class Arrivals {
+export class ArrivalMonitor {
   /** The decaying count, as of the last job. */
   private weight = 0;
   private jobs = 0;
@@ -50,12 +50,12 @@
   }
 
   /** For a while no job could be seen (an outage, a pause of this process): silence starts anew. */
-  interrupted(now: number): void {
+  noteInterruption(now: number): void {
     this.silentSince = now;
   }
 
   /** No job has come for much longer than is usual between two. */
-  stopped(now: number): boolean {
+  haveStopped(now: number): boolean {
     if (this.jobs < LEAST_JOBS) return false;
     const gapMs = this.memoryMs / this.weight;
     return now - this.silentSince > Math.max(this.leastMs, gapMs * STOPPED_AFTER_GAPS);
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -4,10 +4,10 @@
 import { TokenBucket } from '../runtime/token-bucket.js';
 import type { Settings } from '../settings/settings.js';
 import {
-  readMachines,
-  readRented,
-  writeRelease,
-  writeRent,
+  readMachinePage,
+  readLaunchedIds,
+  writeReleaseRequest,
+  writeLaunchRequest,
   type ListedMachine,
 } from '../wire/cloud.js';
 import type { MachineKind } from '../placement/machine-kind.js';
@@ -29,14 +29,14 @@
 const STATUS_NO_RESPONSE = 0;
 
 /** Machines to be rented under a name that makes the request idempotent. */
-export interface RentalRequest {
+export interface LaunchRequest {
   name: string;
   kind: MachineKind;
   count: number;
 }
 
 /** What became of a request to rent: `lost` may have been carried out. */
-export type RentalResult =
+export type LaunchResult =
   { kind: 'rented'; machineIds: string[] } | { kind: 'refused' } | { kind: 'lost' };
 
 /** Calls of the leader to the cloud. */
@@ -84,10 +84,10 @@
     });
   }
 
-  private readPage(reply: Reply): ReturnType<typeof readMachines> | null {
+  private readPage(reply: Reply): ReturnType<typeof readMachinePage> | null {
     if (reply.status !== STATUS_OK) return null;
     try {
-      return readMachines(reply.body);
+      return readMachinePage(reply.body);
     } catch (err) {
       this.eventLoop.log.warn({ err }, 'broken machine list');
       return null;
@@ -95,34 +95,34 @@
   }
 
   /** Takes the token that a release needs; false if it has to wait. */
-  mayRelease(): boolean {
+  acquireReleaseToken(): boolean {
     return this.tokens.tryTake();
   }
 
   /** Returns machines to the cloud; the caller has taken the token. */
   release(machineIds: string[], done: (confirmed: boolean) => void): void {
-    this.call('released', 'POST', '/machines/release', writeRelease(machineIds), (reply) =>
+    this.call('released', 'POST', '/machines/release', writeReleaseRequest(machineIds), (reply) =>
       done(reply.status === STATUS_OK),
     );
   }
 
   /** Takes the token that a rental needs; false if it has to wait. */
-  mayRent(): boolean {
+  acquireLaunchToken(): boolean {
     return this.tokens.tryTake(1, RENT_TOKEN_RESERVE);
   }
 
   /** Rents machines; the caller has taken the token. */
-  rent(request: RentalRequest, done: (result: RentalResult) => void): void {
+  launch(request: LaunchRequest, done: (result: LaunchResult) => void): void {
     const { name, kind, count } = request;
-    const body = writeRent(name, kind.type.name, kind.zone, kind.spot, count);
-    this.call('rented', 'POST', '/machines', body, (reply) => done(this.rentalResult(reply)));
+    const body = writeLaunchRequest(name, kind.type.name, kind.zone, kind.spot, count);
+    this.call('rented', 'POST', '/machines', body, (reply) => done(this.launchResult(reply)));
   }
 
-  private rentalResult(reply: Reply): RentalResult {
+  private launchResult(reply: Reply): LaunchResult {
     if (reply.status === STATUS_NO_RESPONSE) return { kind: 'lost' };
     if (reply.status !== STATUS_OK) return { kind: 'refused' };
     try {
-      return { kind: 'rented', machineIds: readRented(reply.body) };
+      return { kind: 'rented', machineIds: readLaunchedIds(reply.body) };
     } catch (err) {
       this.eventLoop.log.warn({ err }, 'broken answer to a rental');
       return { kind: 'refused' };
@@ -136,7 +136,7 @@
     body: unknown,
     done: (reply: Reply) => void,
   ): void {
-    const to = this.settings.platform.cloud;
+    const to = this.settings.platform.cloudAddr;
     const content = body === undefined ? {} : { body };
     this.eventLoop.runtime.call(
       { to, method, path, ...content, timeoutMs: CALL_TIMEOUT_MS },
--- a/src/controller/fleet/fleet.test.ts
+++ b/src/controller/fleet/fleet.test.ts
@@ -11,16 +11,16 @@
 import type { JobSpec } from '../wire/jobs.js';
 import { Machine } from '../workers/machine.js';
 import type { BootingMachines } from './booting-machines.js';
-import { Catalogue } from './catalogue.js';
-import { CloudClient, type RentalResult } from './cloud-client.js';
-import { MachineList } from './machine-list.js';
-import { MachineReleases } from './machine-releases.js';
-import { Renting } from './renting.js';
-import { UnusedMachines, type WorkOutlook } from './unused-machines.js';
+import { MachineTypeCatalogue } from './machine-type-catalogue.js';
+import { CloudClient, type LaunchResult } from './cloud-client.js';
+import { MachineInventory } from './machine-inventory.js';
+import { ScaleIn } from './scale-in.js';
+import { ScaleOut } from './scale-out.js';
+import { UnusedMachines, type WorkloadState } from './unused-machines.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const lagMs = settings.platform.cloudLimits.listLagS * 1000;
-const silentMs = settings.workerGoneMs * settings.get('fleet.silent.ratio');
+const silentMs = settings.workerLeaseExpiryMs * settings.get('fleet.silent.ratio');
 const idleMs = settings.workerLeaseMs * settings.get('fleet.idle.ratio');
 const plain: MachineType = {
   ...{ name: 'plain', cpus: 8, gpus: 0, memoryGb: 64, cacheGb: 50, fetchGbPerS: 1 },
@@ -122,7 +122,7 @@
   it('tells rentals that are refused from those that may have been made', () => {
     const { runtime, eventLoop } = setUp();
     const cloud = new CloudClient(eventLoop, settings);
-    const results: RentalResult[] = [];
+    const results: LaunchResult[] = [];
     const request = { name: 't7-1', kind: { type: plain, zone: 'a', spot: false }, count: 1 };
     for (const [status, body] of [
       [0],
@@ -130,7 +130,7 @@
       [200, 'broken'],
       [200, { kilns: ['n-1'] }],
     ] as const) {
-      cloud.rent(request, (result) => results.push(result));
+      cloud.launch(request, (result) => results.push(result));
       runtime.answer(status, body);
     }
     assert.deepEqual(results, [
@@ -146,9 +146,9 @@
     const cloud = new CloudClient(eventLoop, settings);
     cloud.release(['n-1'], () => undefined);
     runtime.answer(429);
-    assert.ok(!cloud.mayRelease());
+    assert.ok(!cloud.acquireReleaseToken());
     runtime.advance(1000);
-    assert.ok(cloud.mayRelease());
+    assert.ok(cloud.acquireReleaseToken());
   });
 });
 
@@ -157,12 +157,8 @@
     const { runtime, eventLoop, workers } = setUp();
     const machine = workers.add('n-1');
     const cloud = new CloudClient(eventLoop, settings);
-    const releases = new MachineReleases(eventLoop, settings, {
-      workers,
-      cloud,
-      acting: () => true,
-    });
-    releases.release(['n-1'], 'test');
+    const scaleIn = new ScaleIn(eventLoop, settings, { workers, cloud, holdsLease: () => true });
+    scaleIn.release(['n-1'], 'test');
     assert.ok(machine.leaving);
     runtime.answer(500);
     assert.equal(workers.machines.size, 1);
@@ -170,26 +166,26 @@
     runtime.answer(200);
     assert.equal(workers.machines.size, 0);
     runtime.advance(lagMs);
-    assert.ok(releases.has('n-1'));
+    assert.ok(scaleIn.isReleasing('n-1'));
     runtime.advance(lagMs * 3 + 5000);
-    assert.ok(!releases.has('n-1'));
+    assert.ok(!scaleIn.isReleasing('n-1'));
   });
 
   it('go out in batches of a hundred, and only from an acting leader', () => {
     const { runtime, eventLoop, workers } = setUp();
-    let acting = false;
+    let holdsLease = false;
     const cloud = new CloudClient(eventLoop, settings);
-    const releases = new MachineReleases(eventLoop, settings, {
+    const scaleIn = new ScaleIn(eventLoop, settings, {
       workers,
       cloud,
-      acting: () => acting,
+      holdsLease: () => holdsLease,
     });
-    releases.release(
+    scaleIn.release(
       Array.from({ length: 150 }, (_, index) => `n-${index}`),
       'test',
     );
     assert.equal(runtime.calls.length, 0);
-    acting = true;
+    holdsLease = true;
     runtime.advance(1000);
     assert.deepEqual(
       runtime.calls.map(({ call }) => (call.body as { kilns: string[] }).kilns.length),
@@ -207,11 +203,11 @@
       ...{ id: 'n-1', addr: 'x:1', type: 'plain', zone: 'a', spot: false, ageS: 2 },
       ...{ state: 'running', ...entry },
     }));
-    const list = new MachineList(eventLoop, settings, {
-      ...{ workers, booting, types: () => [plain], acting: () => true },
+    const list = new MachineInventory(eventLoop, settings, {
+      ...{ workers, booting, types: () => [plain], holdsLease: () => true },
       cloud: { listMachines: (done) => done(listed), listIntervalMs: () => 0 },
-      releases: {
-        has: (id) => releasing.includes(id),
+      scaleIn: {
+        isReleasing: (id) => releasing.includes(id),
         release: (ids) => void released.push(...ids),
       },
     });
@@ -225,7 +221,7 @@
       ['n-1'],
       ['n-4'],
     );
-    assert.ok(list.complete);
+    assert.ok(list.synced);
     assert.equal(workers.machines.get('n-1')?.addr, 'x:1');
     assert.deepEqual(released, ['n-2']);
     assert.deepEqual(
@@ -235,8 +231,8 @@
           'n-3',
           {
             ...{ type: plain, zone: 'a', spot: false },
-            running: true,
-            since: -2000,
+            listedAsRunning: true,
+            requestedAt: -2000,
             knownSince: 0,
           },
         ],
@@ -248,21 +244,21 @@
     const { runtime, list, workers } = read([], ['n-1']);
     const machine = workers.machines.get('n-1');
     assert.equal(machine?.listed, 'running');
-    runtime.advance(lagMs * 4 + settings.reportMs + 1);
+    runtime.advance(lagMs * 4 + settings.heartbeatIntervalMs + 1);
     list.step(runtime.now());
     assert.equal(machine.listed, 'absent');
   });
 });
 
 describe('unused machines', () => {
-  const quiet: WorkOutlook = { noWork: false, rentalsRefused: false, arrivalsStopped: false };
+  const quiet: WorkloadState = { noWork: false, scaleOutRefused: false, arrivalsStopped: false };
 
   function search() {
     const { eventLoop, workers, booting } = setUp();
     const lacking: Shortage[] = [];
     const unused = new UnusedMachines(eventLoop, settings, {
       ...{ workers, booting, placement: { lacking } },
-      releases: { has: () => false },
+      scaleIn: { isReleasing: () => false },
     });
     return { workers, booting, unused };
   }
@@ -273,8 +269,8 @@
     workers.add('silent');
     workers.silence.set('silent', silentMs + 1);
     workers.add('up');
-    const listed = { type: plain, zone: 'a', spot: false, since: -Infinity };
-    booting.set('late', { ...listed, knownSince: 0, running: false });
+    const listed = { type: plain, zone: 'a', spot: false, requestedAt: -Infinity };
+    booting.set('late', { ...listed, knownSince: 0, listedAsRunning: false });
     assert.deepEqual(unused.find(0, quiet), ['late', 'failed', 'silent']);
     assert.equal(booting.size, 0);
   });
@@ -282,7 +278,13 @@
   // A new leader reads the list before machines have found it: those without a record were released.
   it('are not those that run by the list and have not found this leader yet', () => {
     const { booting, unused } = search();
-    const listed = { type: plain, zone: 'a', spot: false, since: -Infinity, running: true };
+    const listed = {
+      type: plain,
+      zone: 'a',
+      spot: false,
+      requestedAt: -Infinity,
+      listedAsRunning: true,
+    };
     booting.set('cut off', { ...listed, knownSince: 0 });
     assert.deepEqual(unused.find(silentMs, quiet), []);
     assert.deepEqual(unused.find(silentMs + 1, quiet), ['cut off']);
@@ -323,25 +325,32 @@
   it('repeats a lost request under its name and pauses after a refusal', () => {
     const { runtime, eventLoop, workers, booting } = setUp();
     const cloud = new CloudClient(eventLoop, settings);
-    const renting = new Renting(eventLoop, settings, {
-      ...{ workers, cloud, booting, acting: () => true },
+    const renting = new ScaleOut(eventLoop, settings, {
+      ...{ workers, cloud, booting, holdsLease: () => true },
       placement: { lacking: [] },
     });
     const spec: JobSpec = {
       ...{ id: 'req-1', class: 'c', team: 't', kind: 'array', priority: 'normal', tasks: 2 },
       ...{ cpus: 4, gpus: 0, memoryGb: 1, image: 'i', imageGb: 1, types: null, zone: null },
-      ...{ oneZone: false, spread: false, spot: false, estimateS: 10, checkpointS: 0, saveS: 0 },
+      ...{
+        singleZone: false,
+        spread: false,
+        spot: false,
+        estimatedRunS: 10,
+        checkpointIntervalS: 0,
+        checkpointSaveS: 0,
+      },
       deadlineS: null,
     };
-    renting.seen(spec, 0);
+    renting.observeJob(spec, 0);
     renting.step(0, [plain], true);
-    assert.ok(renting.busy);
+    assert.ok(renting.hasOpenRequests);
     const first = runtime.answer(0);
     const second = runtime.answer(200, { kilns: [] });
     assert.deepEqual(second.body, first.body);
     assert.equal((first.body as { hire: string }).hire, 't7-1');
-    assert.ok(!renting.busy);
-    assert.ok(renting.refused(0));
+    assert.ok(!renting.hasOpenRequests);
+    assert.ok(renting.capacityRefused(0));
     renting.step(0, [plain], true);
     assert.equal(runtime.calls.length, 0);
   });
@@ -357,7 +366,7 @@
       read: (_key: string, _timeoutMs: number, done: (got: unknown) => void) =>
         done({ kind: 'ok', value: null }),
     };
-    const catalogue = new Catalogue(
+    const catalogue = new MachineTypeCatalogue(
       eventLoop,
       settings,
       client as unknown as StateStoreClient,
--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -3,18 +3,18 @@
 import { needOf, wholeTasks } from '../placement/need.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { Machine } from '../workers/machine.js';
-import type { Demand } from './rental-plan.js';
+import type { CapacityDemand } from './scale-out-plan.js';
 
 /** How much room is kept ahead, and for how long after the last job of a class. */
 export interface HeadroomSettings {
   /** Tasks to have room for, as a share of the class's tasks that run. */
   ratio: number;
-  memoryMs: number;
+  retentionMs: number;
 }
 
-interface SeenClass {
+interface ObservedClass {
   spec: JobSpec;
-  seenAt: number;
+  observedAt: number;
 }
 
 /** Tasks of the job that fit on the machine beside what runs there. */
@@ -41,17 +41,17 @@
 
 /** Remembers the classes of jobs and asks for room ahead of their next jobs. */
 export class Headroom {
-  private readonly classes = new Map<string, SeenClass>();
+  private readonly classes = new Map<string, ObservedClass>();
 
   constructor(private readonly settings: HeadroomSettings) {}
 
   /** A job of the class is unfinished. */
-  seen(spec: JobSpec, now: number): void {
-    this.classes.set(spec.class, { spec, seenAt: now });
+  observeClass(spec: JobSpec, now: number): void {
+    this.classes.set(spec.class, { spec, observedAt: now });
   }
 
   /** Some room is to be kept at all. */
-  get wanted(): boolean {
+  get enabled(): boolean {
     return this.settings.ratio > 0;
   }
 
@@ -60,10 +60,10 @@
     now: number,
     machines: readonly Machine[],
     running: ReadonlyMap<string, number>,
-  ): Demand[] {
-    const demands: Demand[] = [];
-    for (const { spec, seenAt } of this.classes.values()) {
-      if (now - seenAt > this.settings.memoryMs) {
+  ): CapacityDemand[] {
+    const demands: CapacityDemand[] = [];
+    for (const { spec, observedAt } of this.classes.values()) {
+      if (now - observedAt > this.settings.retentionMs) {
         this.classes.delete(spec.class);
         continue;
       }
--- a/src/controller/fleet/machine-list.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -6,7 +6,7 @@
 import type { Workers } from '../workers/workers.js';
 import type { BootingMachines } from './booting-machines.js';
 import type { CloudClient } from './cloud-client.js';
-import type { MachineReleases } from './machine-releases.js';
+import type { ScaleIn } from './scale-in.js';
 
 /** Reports between two lists, at least. */
 const REPORTS_PER_LIST = 2;
@@ -16,27 +16,27 @@
 const ABSENT_LAGS = 4;
 
 /** What the list needs of the other parts of the leader. */
-export interface MachineListContext {
+export interface MachineInventoryContext {
   workers: Pick<Workers, 'machines' | 'setType'>;
   cloud: Pick<CloudClient, 'listIntervalMs' | 'listMachines'>;
-  releases: Pick<MachineReleases, 'has' | 'release'>;
+  scaleIn: Pick<ScaleIn, 'isReleasing' | 'release'>;
   booting: BootingMachines;
   types(): MachineType[] | null;
   /** The leader may act. */
-  acting(): boolean;
+  holdsLease(): boolean;
 }
 
 /** Keeps what is known of machines in step with the cloud's list. */
-export class MachineList {
+export class MachineInventory {
   /** A list has been read in this term. */
-  complete = false;
+  synced = false;
   private reading = false;
   private readAt = -Infinity;
 
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly context: MachineListContext,
+    private readonly context: MachineInventoryContext,
   ) {}
 
   private get lagMs(): number {
@@ -52,7 +52,7 @@
     const { cloud, workers } = this.context;
     return Math.max(
       this.lagMs,
-      this.settings.reportMs * REPORTS_PER_LIST,
+      this.settings.heartbeatIntervalMs * REPORTS_PER_LIST,
       cloud.listIntervalMs(workers.machines.size),
     );
   }
@@ -66,26 +66,26 @@
         return;
       }
       this.readAt = this.eventLoop.now();
-      if (this.context.acting()) this.apply(machines);
+      if (this.context.holdsLease()) this.apply(machines);
     });
   }
 
   private apply(listed: readonly ListedMachine[]): void {
-    this.complete = true;
+    this.synced = true;
     const now = this.eventLoop.now();
     const ids = new Set<string>();
     for (const entry of listed) {
       ids.add(entry.id);
-      if (!this.context.releases.has(entry.id)) this.applyEntry(entry, now);
+      if (!this.context.scaleIn.isReleasing(entry.id)) this.applyEntry(entry, now);
     }
     this.markAbsent(ids, now);
   }
 
   private applyEntry(entry: ListedMachine, now: number): void {
-    const { workers, releases } = this.context;
+    const { workers, scaleIn } = this.context;
     const known = workers.machines.get(entry.id);
     if (known !== undefined) this.update(known, entry, now);
-    else if (entry.state === 'failed') releases.release([entry.id], 'failed');
+    else if (entry.state === 'failed') scaleIn.release([entry.id], 'failed');
     else this.noteBooting(entry, now);
   }
 
@@ -105,18 +105,25 @@
     const running = state === 'running';
     const known = booting.get(id);
     if (known !== undefined) {
-      known.running ||= running;
+      known.listedAsRunning ||= running;
       return;
     }
     const type = this.context.types()?.find((offered) => offered.name === name);
     if (type === undefined) return;
-    booting.set(id, { type, zone, spot, running, since: now - ageS * 1000, knownSince: now });
+    booting.set(id, {
+      type,
+      zone,
+      spot,
+      listedAsRunning: running,
+      requestedAt: now - ageS * 1000,
+      knownSince: now,
+    });
   }
 
   /** Once listed a machine stays listed until it is gone; but a list may be older than the last. */
   private markAbsent(listedIds: ReadonlySet<string>, now: number): void {
     const shownMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
-    const absentMs = shownMs * ABSENT_LAGS + this.settings.reportMs;
+    const absentMs = shownMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
     for (const machine of this.context.workers.machines.values()) {
       if (listedIds.has(machine.id) || machine.listedAt === -Infinity) continue;
       if (now - machine.listedAt > absentMs) machine.listed = 'absent';
--- a/src/controller/fleet/catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -21,7 +21,7 @@
 }
 
 /** The cloud's machine types as this node knows them. */
-export class Catalogue {
+export class MachineTypeCatalogue {
   private known: MachineType[] | null = null;
   private knownAt = -Infinity;
 
@@ -57,7 +57,7 @@
   }
 
   /** Stores the machine types for nodes that start while the cloud does not answer. */
-  share(writer: CatalogueWriter): void {
+  publish(writer: CatalogueWriter): void {
     this.client.requestTokens.forceTake();
     this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
       if (got.kind === 'failed' || writer.closed) return;
@@ -75,7 +75,7 @@
   }
 
   private askCloud(): void {
-    const to = this.settings.platform.cloud;
+    const to = this.settings.platform.cloudAddr;
     this.eventLoop.runtime.call(
       { to, method: 'GET', path: '/catalog', timeoutMs: CLOUD_TIMEOUT_MS },
       (reply) => {
@@ -96,7 +96,7 @@
 
   private shareChange(): void {
     const writer = this.writer();
-    if (writer !== null) this.share(writer);
+    if (writer !== null) this.publish(writer);
   }
 
   private take(body: unknown): void {
--- a/src/controller/fleet/machine-releases.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -13,26 +13,26 @@
 const FORGET_MARGIN_MS = 5000;
 
 /** What releases need of the other parts of the leader. */
-export interface MachineReleasesContext {
+export interface ScaleInContext {
   workers: Pick<Workers, 'machines' | 'gone'>;
-  cloud: Pick<CloudClient, 'mayRelease' | 'release'>;
+  cloud: Pick<CloudClient, 'acquireReleaseToken' | 'release'>;
   /** The leader may act. */
-  acting(): boolean;
+  holdsLease(): boolean;
 }
 
 /** The machines that are being returned. */
-export class MachineReleases {
+export class ScaleIn {
   /** Kept until the cloud's list can't show them any more. */
   private readonly ids = new Set<string>();
 
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly context: MachineReleasesContext,
+    private readonly context: ScaleInContext,
   ) {}
 
   /** The machine is being returned, or was a moment ago. */
-  has(id: string): boolean {
+  isReleasing(id: string): boolean {
     return this.ids.has(id);
   }
 
@@ -50,8 +50,9 @@
   }
 
   private send(batch: string[], reason: string): void {
-    if (!this.context.acting()) return this.sendLater(RETRY_MS, batch, reason);
-    if (!this.context.cloud.mayRelease()) return this.sendLater(TOKEN_WAIT_MS, batch, reason);
+    if (!this.context.holdsLease()) return this.sendLater(RETRY_MS, batch, reason);
+    if (!this.context.cloud.acquireReleaseToken())
+      return this.sendLater(TOKEN_WAIT_MS, batch, reason);
     this.context.cloud.release(batch, (confirmed) => {
       if (confirmed) this.released(batch, reason);
       else this.sendLater(RETRY_MS, batch, reason);
--- a/src/controller/fleet/rental-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -10,39 +10,39 @@
 }
 
 /** A kind of machine as text: key of its pause, and its name in the log. */
-export function kindKey(kind: MachineKind): string {
+export function machineKindKey(kind: MachineKind): string {
   return `${kind.type.name}/${kind.zone}/${kind.spot ? 'spot' : 'ordinary'}`;
 }
 
 /** Exponential backoff for each kind of machine. */
-export class RentalBackoff {
+export class ScaleOutBackoff {
   private readonly pauses = new Map<string, Pause>();
 
   constructor(private readonly firstPauseMs: number) {}
 
   /** The cloud had all that was asked for. */
-  succeeded(kind: MachineKind): void {
-    this.pauses.delete(kindKey(kind));
+  recordSuccess(kind: MachineKind): void {
+    this.pauses.delete(machineKindKey(kind));
   }
 
   /** The cloud had fewer than asked for. `some`: it had a few, so the pause is the first again. */
-  refused(kind: MachineKind, now: number, some: boolean): void {
-    const before = this.pauses.get(kindKey(kind));
+  recordShortage(kind: MachineKind, now: number, some: boolean): void {
+    const before = this.pauses.get(machineKindKey(kind));
     const lengthMs =
       before === undefined || some
         ? this.firstPauseMs
         : Math.min(before.lengthMs * 2, this.firstPauseMs * MAX_PAUSE_FACTOR);
-    this.pauses.set(kindKey(kind), { until: now + lengthMs, lengthMs });
+    this.pauses.set(machineKindKey(kind), { until: now + lengthMs, lengthMs });
   }
 
   /** The kind may be asked for. */
-  mayRent(kind: MachineKind, now: number): boolean {
-    const pause = this.pauses.get(kindKey(kind));
+  allows(kind: MachineKind, now: number): boolean {
+    const pause = this.pauses.get(machineKindKey(kind));
     return pause === undefined || pause.until <= now;
   }
 
   /** Some kind is not to be had just now. */
-  anyRefused(now: number): boolean {
+  anyPaused(now: number): boolean {
     for (const pause of this.pauses.values()) if (pause.until > now) return true;
     return false;
   }
--- a/src/controller/fleet/rental-plan.test.ts
+++ b/src/controller/fleet/scale-out-plan.test.ts
@@ -7,8 +7,8 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { Headroom } from './headroom.js';
-import { RentalBackoff } from './rental-backoff.js';
-import { cheapestOffer, planRentals, type Offer } from './rental-plan.js';
+import { ScaleOutBackoff } from './scale-out-backoff.js';
+import { cheapestOffer, planScaleOut, type InstanceOffer } from './scale-out-plan.js';
 
 function machineType(name: string, gpus: number, price: number): MachineType {
   return {
@@ -24,13 +24,20 @@
   return {
     ...{ id: 'req-1', class: 'c', team: 't', kind: 'array', priority: 'normal', tasks: 2 },
     ...{ cpus: 4, gpus: 0, memoryGb: 1, image: 'i', imageGb: 1, types: null, zone: null },
-    ...{ oneZone: false, spread: false, spot: true, estimateS: 10, checkpointS: 0, saveS: 0 },
+    ...{
+      singleZone: false,
+      spread: false,
+      spot: true,
+      estimatedRunS: 10,
+      checkpointIntervalS: 0,
+      checkpointSaveS: 0,
+    },
     deadlineS: null,
     ...part,
   };
 }
 
-function offers(...types: MachineType[]): Offer[] {
+function offers(...types: MachineType[]): InstanceOffer[] {
   return types.flatMap((type) =>
     type.zones.flatMap((zone) =>
       [true, false].map((spot) => ({ kind: { type, zone, spot }, machinesInZone: 0 })),
@@ -62,8 +69,8 @@
   it('rents only what the booting machines do not hold', () => {
     const kind = { type: plain, zone: 'a', spot: true };
     const demand = { spec: spec({}), tasks: 4 };
-    assert.deepEqual(planRentals([demand], [kind, kind], offers(plain)), []);
-    const orders = planRentals([demand], [kind], offers(plain));
+    assert.deepEqual(planScaleOut([demand], [kind, kind], offers(plain)), []);
+    const orders = planScaleOut([demand], [kind], offers(plain));
     assert.deepEqual(
       orders.map((order) => order.count),
       [1],
@@ -71,7 +78,7 @@
   });
 
   it('makes at most four orders of fifty machines', () => {
-    const orders = planRentals([{ spec: spec({ zone: 'a' }), tasks: 1000 }], [], offers(plain));
+    const orders = planScaleOut([{ spec: spec({ zone: 'a' }), tasks: 1000 }], [], offers(plain));
     assert.deepEqual(
       orders.map((order) => order.count),
       [50, 50, 50, 50],
@@ -83,27 +90,27 @@
   const kind = { type: plain, zone: 'a', spot: true };
 
   it('doubles the pause of a refused kind up to eight times the first', () => {
-    const backoff = new RentalBackoff(100);
+    const backoff = new ScaleOutBackoff(100);
     let now = 0;
     for (const pauseMs of [100, 200, 400, 800, 800]) {
-      assert.ok(backoff.mayRent(kind, now));
-      backoff.refused(kind, now, false);
-      assert.ok(!backoff.mayRent(kind, now + pauseMs - 1));
-      assert.ok(backoff.anyRefused(now + pauseMs - 1));
+      assert.ok(backoff.allows(kind, now));
+      backoff.recordShortage(kind, now, false);
+      assert.ok(!backoff.allows(kind, now + pauseMs - 1));
+      assert.ok(backoff.anyPaused(now + pauseMs - 1));
       now += pauseMs;
     }
-    assert.ok(!backoff.anyRefused(now));
+    assert.ok(!backoff.anyPaused(now));
   });
 
   it('begins anew when the cloud had some or all', () => {
-    const backoff = new RentalBackoff(100);
-    backoff.refused(kind, 0, false);
-    backoff.refused(kind, 0, false);
-    backoff.refused(kind, 0, true);
-    assert.ok(backoff.mayRent(kind, 100));
-    backoff.refused(kind, 0, false);
-    backoff.succeeded(kind);
-    assert.ok(backoff.mayRent(kind, 0));
+    const backoff = new ScaleOutBackoff(100);
+    backoff.recordShortage(kind, 0, false);
+    backoff.recordShortage(kind, 0, false);
+    backoff.recordShortage(kind, 0, true);
+    assert.ok(backoff.allows(kind, 100));
+    backoff.recordShortage(kind, 0, false);
+    backoff.recordSuccess(kind);
+    assert.ok(backoff.allows(kind, 0));
   });
 });
 
@@ -118,8 +125,8 @@
   }
 
   it('asks for what does not fit, for a while after the last job', () => {
-    const headroom = new Headroom({ ratio: 0.5, memoryMs: 1000 });
-    headroom.seen(spec({}), 0);
+    const headroom = new Headroom({ ratio: 0.5, retentionMs: 1000 });
+    headroom.observeClass(spec({}), 0);
     const running = new Map([['c', 10]]);
     assert.deepEqual(
       headroom.demand(1000, [freeMachine()], running).map((demand) => demand.tasks),
@@ -130,8 +137,8 @@
   });
 
   it('asks for nothing where the machines have room', () => {
-    const headroom = new Headroom({ ratio: 0.5, memoryMs: 1000 });
-    headroom.seen(spec({}), 0);
+    const headroom = new Headroom({ ratio: 0.5, retentionMs: 1000 });
+    headroom.observeClass(spec({}), 0);
     assert.deepEqual(headroom.demand(0, [freeMachine()], new Map()), []);
   });
 });
--- a/src/controller/fleet/rental-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -15,35 +15,35 @@
 const ZONE_WEIGHT = 1e-3;
 
 /** Tasks of a job that lack room. */
-export interface Demand {
+export interface CapacityDemand {
   spec: JobSpec;
   tasks: number;
 }
 
 /** A kind of machine that can be rented, and how many machines its zone has. */
-export interface Offer {
+export interface InstanceOffer {
   kind: MachineKind;
   machinesInZone: number;
 }
 
 /** Machines of one kind to rent. */
-export interface RentalOrder {
+export interface PlannedLaunch {
   kind: MachineKind;
   count: number;
 }
 
 /** Free room of a machine that is booting or to be rented. */
-interface FreeRoom extends Need {
+interface FreeCapacity extends Need {
   kind: MachineKind;
 }
 
-function emptyMachine(kind: MachineKind): FreeRoom {
+function emptyMachine(kind: MachineKind): FreeCapacity {
   const { cpus, gpus, memoryGb } = kind.type;
   return { kind, cpus, gpus, memoryGb };
 }
 
 /** Takes room for as many of the tasks as fit; returns how many. */
-function takeRoom(room: FreeRoom, need: Need, tasks: number): number {
+function takeCapacity(room: FreeCapacity, need: Need, tasks: number): number {
   const taken = Math.min(tasks, wholeTasks(need, room.cpus, room.gpus, room.memoryGb));
   room.cpus -= need.cpus * taken;
   room.gpus -= need.gpus * taken;
@@ -52,7 +52,7 @@
 }
 
 /** Price per task, `null` if the offer holds none. Of equal offers the emptiest zone is cheapest. */
-function weightedPrice(demand: Demand, need: Need, offer: Offer): number | null {
+function weightedPrice(demand: CapacityDemand, need: Need, offer: InstanceOffer): number | null {
   const { spec, tasks } = demand;
   const { type, spot } = offer.kind;
   if (!isAllowed(spec, offer.kind)) return null;
@@ -70,9 +70,12 @@
 }
 
 /** The cheapest offer for the demand's tasks. */
-export function cheapestOffer(demand: Demand, offers: readonly Offer[]): Offer | null {
+export function cheapestOffer(
+  demand: CapacityDemand,
+  offers: readonly InstanceOffer[],
+): InstanceOffer | null {
   const need = needOf(demand.spec);
-  let best: Offer | null = null;
+  let best: InstanceOffer | null = null;
   let bestPrice = Infinity;
   for (const offer of offers) {
     const price = weightedPrice(demand, need, offer);
@@ -84,49 +87,49 @@
 }
 
 /** Orders of one round of renting, each for machines of one kind. */
-class RentalPlan {
-  readonly orders: RentalOrder[] = [];
-  private readonly openOrders = new Map<MachineKind, RentalOrder>();
-  private readonly rooms: FreeRoom[];
+class ScaleOutPlan {
+  readonly launches: PlannedLaunch[] = [];
+  private readonly openLaunches = new Map<MachineKind, PlannedLaunch>();
+  private readonly capacities: FreeCapacity[];
 
   constructor(
     booting: readonly MachineKind[],
-    private readonly offers: readonly Offer[],
+    private readonly offers: readonly InstanceOffer[],
   ) {
-    this.rooms = booting.map(emptyMachine);
+    this.capacities = booting.map(emptyMachine);
   }
 
-  add(demand: Demand): void {
+  add(demand: CapacityDemand): void {
     const { spec } = demand;
     const need = needOf(spec);
     let tasks = demand.tasks - this.placeOnBooting(demand, need);
     while (tasks > 0) {
       const offer = cheapestOffer({ spec, tasks }, this.offers);
-      if (offer === null || !this.orderOne(offer)) return;
+      if (offer === null || !this.addMachine(offer)) return;
       const room = emptyMachine(offer.kind);
-      this.rooms.push(room);
-      tasks -= takeRoom(room, need, tasks);
+      this.capacities.push(room);
+      tasks -= takeCapacity(room, need, tasks);
     }
   }
 
   /** Tasks that fit on what is booting or ordered already. */
-  private placeOnBooting({ spec, tasks }: Demand, need: Need): number {
+  private placeOnBooting({ spec, tasks }: CapacityDemand, need: Need): number {
     let placed = 0;
-    for (const room of this.rooms) {
+    for (const room of this.capacities) {
       if (placed === tasks) break;
-      if (isAllowed(spec, room.kind)) placed += takeRoom(room, need, tasks - placed);
+      if (isAllowed(spec, room.kind)) placed += takeCapacity(room, need, tasks - placed);
     }
     return placed;
   }
 
   /** False if no more orders may be made. */
-  private orderOne(offer: Offer): boolean {
-    let order = this.openOrders.get(offer.kind);
+  private addMachine(offer: InstanceOffer): boolean {
+    let order = this.openLaunches.get(offer.kind);
     if (order === undefined || order.count >= MAX_MACHINES_PER_ORDER) {
-      if (this.orders.length >= MAX_ORDERS) return false;
+      if (this.launches.length >= MAX_ORDERS) return false;
       order = { kind: offer.kind, count: 0 };
-      this.orders.push(order);
-      this.openOrders.set(offer.kind, order);
+      this.launches.push(order);
+      this.openLaunches.set(offer.kind, order);
     }
     order.count++;
     offer.machinesInZone++;
@@ -135,12 +138,12 @@
 }
 
 /** Orders for the demands, in their order, beyond what the booting machines hold. Counts offers up. */
-export function planRentals(
-  demands: readonly Demand[],
+export function planScaleOut(
+  demands: readonly CapacityDemand[],
   booting: readonly MachineKind[],
-  offers: readonly Offer[],
-): RentalOrder[] {
-  const plan = new RentalPlan(booting, offers);
+  offers: readonly InstanceOffer[],
+): PlannedLaunch[] {
+  const plan = new ScaleOutPlan(booting, offers);
   for (const demand of demands) plan.add(demand);
-  return plan.orders;
+  return plan.launches;
 }
--- a/src/controller/fleet/silent-replicas.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -8,11 +8,11 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
-import { writeJob, type JobSpec } from '../wire/jobs.js';
-import type { TaskReport } from '../wire/workers.js';
+import { writeJobSpec, type JobSpec } from '../wire/jobs.js';
+import type { TaskStatus } from '../wire/workers.js';
 import { makeToken } from '../workers/token.js';
 import { Workers } from '../workers/workers.js';
-import { SilentReplicas } from './silent-replicas.js';
+import { UnresponsiveReplicaHosts } from './unresponsive-replica-hosts.js';
 
 const TERM = 3;
 const MACHINES = 20;
@@ -31,14 +31,14 @@
   readonly answering = new Set<string>();
   readonly asked: string[] = [];
   readonly released: string[] = [];
-  private readonly there = new Map<string, TaskReport[]>();
+  private readonly there = new Map<string, TaskStatus[]>();
   private readonly replies: { at: number; done: (reply: Reply) => void; reply: Reply }[] = [];
   private readonly soon: (() => void)[] = [];
   private readonly timers: { at: number; run: () => void }[] = [];
   private readonly eventLoop: EventLoop;
   readonly table: JobTable;
   readonly workers: Workers;
-  private readonly watch: SilentReplicas;
+  private readonly watch: UnresponsiveReplicaHosts;
 
   constructor() {
     const runtime: Runtime = {
@@ -72,12 +72,17 @@
       type: () => undefined,
       ...{ higherTerm: nothing, changed: nothing, ran: nothing },
     });
-    this.watch = new SilentReplicas(this.eventLoop, settings, this.workers, (machines) => {
-      for (const m of machines) {
-        m.leaving = true;
-        this.released.push(m.id);
-      }
-    });
+    this.watch = new UnresponsiveReplicaHosts(
+      this.eventLoop,
+      settings,
+      this.workers,
+      (machines) => {
+        for (const m of machines) {
+          m.leaving = true;
+          this.released.push(m.id);
+        }
+      },
+    );
     this.run(2);
   }
 
@@ -98,11 +103,17 @@
     const spec: JobSpec = {
       ...{ id: `req-${this.table.jobs.size}`, class: 'c', team: 't', kind: 'service' },
       ...{ priority: 'production', tasks: machines.length, cpus: 1, gpus: 0, memoryGb: 1 },
-      ...{ image: 'i', imageGb: 1, types: null, zone: null, oneZone: false, spread: false },
-      ...{ spot: true, estimateS: 0, checkpointS: 0, saveS: 0, deadlineS: null },
+      ...{ image: 'i', imageGb: 1, types: null, zone: null, singleZone: false, spread: false },
+      ...{
+        spot: true,
+        estimatedRunS: 0,
+        checkpointIntervalS: 0,
+        checkpointSaveS: 0,
+        deadlineS: null,
+      },
       ...part,
     };
-    this.table.add(spec.id, { job: writeJob(spec), at: this.now }, 1);
+    this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
     const job = this.table.jobs.get(spec.id) ?? assert.fail();
     for (const [task, id] of machines.entries()) {
       job.pending.drop(task);
@@ -111,7 +122,13 @@
     this.workers.flush();
     for (const [task, id] of machines.entries()) {
       const name = `${spec.id}/${task}`;
-      const report: TaskReport = { name, attempt: 1, state: 'running', cause: null, saved: false };
+      const report: TaskStatus = {
+        name,
+        attempt: 1,
+        state: 'running',
+        cause: null,
+        checkpointSaved: false,
+      };
       this.there.set(id, [...(this.there.get(id) ?? []), report]);
     }
     this.run(3);
@@ -139,8 +156,8 @@
 
   private report(machine: string): void {
     this.workers.report({
-      ...{ machine, addr: machine, type: 'g', zone: 'a', spot: false, session: 1 },
-      ...{ seq: ++this.seq, token: makeToken(TERM, 0), noticeS: null },
+      ...{ machine, addr: machine, type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
+      ...{ sequence: ++this.seq, fencingToken: makeToken(TERM, 0), spotNoticeS: null },
       tasks: this.there.get(machine) ?? [],
     });
   }
@@ -160,7 +177,7 @@
 
 /** Longer than a silent machine with replicas is kept, and well within the worker's lease. */
 const SOON_S = Math.ceil(
-  settings.platform.workers.reportS * (settings.get('fleet.replicas.silent.ratio') + 1),
+  settings.platform.workers.heartbeatIntervalS * (settings.get('fleet.replicas.silent.ratio') + 1),
 );
 
 describe('a silent machine with replicas of services', () => {
@@ -168,7 +185,7 @@
     const f = new Fleet();
     const job = f.place({}, ['n-0', 'n-1']);
     f.silent.add('n-0');
-    f.run(settings.platform.workers.reportS);
+    f.run(settings.platform.workers.heartbeatIntervalS);
     assert.deepEqual(f.released, [], 'not for one late report');
     f.run(SOON_S);
     assert.deepEqual(f.released, ['n-0']);
@@ -200,7 +217,7 @@
   it('is kept while a gang of which it has a part goes on, for it may merely be cut off', () => {
     const f = new Fleet();
     f.place({}, ['n-0']);
-    const gang = f.place({ kind: 'gang', estimateS: 900 }, ['n-0', 'n-1']);
+    const gang = f.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
     f.silent.add('n-0');
     f.run(SOON_S);
     assert.deepEqual(f.asked, []);
@@ -212,7 +229,7 @@
   it('is kept when its lease has nearly run out anyway', () => {
     const f = new Fleet();
     f.place({}, ['n-0']);
-    const gang = f.place({ kind: 'gang', estimateS: 900 }, ['n-0', 'n-1']);
+    const gang = f.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
     f.silent.add('n-0');
     f.run(settings.platform.workers.leaseS - 1);
     f.exit(gang, 'n-1');
@@ -242,7 +259,7 @@
     f.place({}, ['n-0']);
     f.silent.add('n-0');
     f.run(SOON_S, false);
-    f.run(settings.platform.workers.reportS);
+    f.run(settings.platform.workers.heartbeatIntervalS);
     assert.deepEqual(f.released, []);
   });
 });
@@ -250,7 +267,7 @@
 describe('silent machines', () => {
   it('without replicas are left alone', () => {
     const f = new Fleet();
-    f.place({ kind: 'array', estimateS: 900 }, ['n-0']);
+    f.place({ kind: 'array', estimatedRunS: 900 }, ['n-0']);
     f.silent.add('n-0').add('n-1');
     f.run(SOON_S);
     assert.deepEqual([f.asked, f.released], [[], []]);
--- a/src/controller/fleet/silent-replicas.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -16,7 +16,7 @@
  * once the cloud has confirmed their release, everything on them is gone, and the replicas may start
  * elsewhere. A machine is asked before, since merely its report may have been lost.
  */
-export class SilentReplicas {
+export class UnresponsiveReplicaHosts {
   /** When machines were chosen, over the last lease of a worker. */
   private chosenAt: number[] = [];
   /** Machines to be released with the next call to the cloud. */
@@ -46,7 +46,7 @@
     const { id, addr } = machine;
     if (addr === '' || !this.eventLoop.runtime.hasSpareConnection(addr)) return;
     this.asked.add(id);
-    const timeoutMs = this.settings.reportMs * ANSWER_RATIO;
+    const timeoutMs = this.settings.heartbeatIntervalMs * ANSWER_RATIO;
     this.eventLoop.runtime.call(
       { to: addr, method: 'GET', path: '/inspect', timeoutMs },
       (reply) => {
@@ -66,7 +66,7 @@
     this.chosenAt.push(now);
     this.chosen.push(machine);
     if (this.chosen.length > 1) return;
-    this.eventLoop.after(this.settings.reportMs * GATHER_RATIO, 'release-silent', () => {
+    this.eventLoop.after(this.settings.heartbeatIntervalMs * GATHER_RATIO, 'release-silent', () => {
       this.release(this.chosen.splice(0));
     });
   }
@@ -81,9 +81,11 @@
   }
 
   private silent(machine: Machine, now: number): boolean {
-    const ms = this.settings.reportMs * this.settings.get('fleet.replicas.silent.ratio');
+    const ms = this.settings.heartbeatIntervalMs * this.settings.get('fleet.replicas.silent.ratio');
     const answeredAt = this.answeredAt.get(machine.id) ?? -Infinity;
-    return this.workers.silentMs(machine) > ms && now - answeredAt > this.settings.reportMs;
+    return (
+      this.workers.silentMs(machine) > ms && now - answeredAt > this.settings.heartbeatIntervalMs
+    );
   }
 
   private forgetAnswers(now: number): void {
@@ -94,8 +96,8 @@
   /** Whether a release would bring replicas back clearly sooner, at no loss to a gang that still runs. */
   private worthwhile(machine: Machine, now: number): boolean {
     if (machine.leaving || machine.session < machine.lowestValidSession) return false;
-    const leaseLeftMs = machine.leaseRenewedAt + this.settings.workerGoneMs - now;
-    if (leaseLeftMs < this.settings.reportMs) return false;
+    const leaseLeftMs = machine.leaseRenewedAt + this.settings.workerLeaseExpiryMs - now;
+    if (leaseLeftMs < this.settings.heartbeatIntervalMs) return false;
     const assignments = [...machine.assignments.values()].filter((a) => a.phase !== 'ended');
     return assignments.some(isReplica) && !assignments.some(isPartOfRunningGang);
   }
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -5,7 +5,7 @@
 import type { Machine } from '../workers/machine.js';
 import type { Workers } from '../workers/workers.js';
 import type { BootingMachines } from './booting-machines.js';
-import type { MachineReleases } from './machine-releases.js';
+import type { ScaleIn } from './scale-in.js';
 
 /** Idle machines go sooner by this factor while they may be in the way of a waiting gang. */
 const STUCK_IDLE_FACTOR = 1 / 8;
@@ -16,16 +16,16 @@
 export interface UnusedMachinesContext {
   workers: Pick<Workers, 'machines' | 'silentMs' | 'deafMs' | 'alive' | 'gone'>;
   placement: Pick<Placement, 'lacking'>;
-  releases: Pick<MachineReleases, 'has'>;
+  scaleIn: Pick<ScaleIn, 'isReleasing'>;
   booting: BootingMachines;
 }
 
 /** What is known of the work, for the decision on idle machines. */
-export interface WorkOutlook {
+export interface WorkloadState {
   /** There has been no work for long. */
   noWork: boolean;
   /** The cloud refuses some kinds of machines. */
-  rentalsRefused: boolean;
+  scaleOutRefused: boolean;
   /** No jobs have arrived for much longer than is usual. */
   arrivalsStopped: boolean;
 }
@@ -35,7 +35,11 @@
 }
 
 /** Once no jobs arrive any more, a machine is kept no longer than renting it again would take. */
-function idleLimitMs(machine: Machine, usualMs: number, { arrivalsStopped }: WorkOutlook): number {
+function idleLimitMs(
+  machine: Machine,
+  usualMs: number,
+  { arrivalsStopped }: WorkloadState,
+): number {
   const bootMs = (machine.type?.bootS ?? 0) * 1000;
   return arrivalsStopped ? Math.min(usualMs, bootMs) : usualMs;
 }
@@ -49,13 +53,13 @@
   ) {}
 
   /** The machines to return. Forgets those that are gone by themselves. */
-  find(now: number, outlook: WorkOutlook): string[] {
-    const silentMs = this.settings.workerGoneMs * this.settings.get('fleet.silent.ratio');
+  find(now: number, outlook: WorkloadState): string[] {
+    const silentMs = this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
     const idleMs = this.allowedIdleMs(now, outlook);
     const found = this.neverUp(now, silentMs);
     const idleAlike = this.idleByKind();
     for (const machine of [...this.context.workers.machines.values()]) {
-      if (this.context.releases.has(machine.id)) continue;
+      if (this.context.scaleIn.isReleasing(machine.id)) continue;
       if (machine.listed === 'failed') found.push(machine.id);
       else if (this.silent(machine, silentMs)) {
         if (this.silentToReturn(machine, now, silentMs)) found.push(machine.id);
@@ -81,9 +85,9 @@
         continue;
       }
       const bootMs = machine.type.bootS * bootRatio * 1000;
-      const late = machine.running
+      const late = machine.listedAsRunning
         ? now - machine.knownSince > silentMs
-        : now - machine.since > bootMs;
+        : now - machine.requestedAt > bootMs;
       if (!late) continue;
       booting.delete(id);
       found.push(id);
@@ -96,12 +100,12 @@
    * How long a machine may be idle. While a gang has long lacked room that the cloud refuses, what
    * stands idle may be in its way. Not sooner: a returned machine takes its images along.
    */
-  private allowedIdleMs(now: number, outlook: WorkOutlook): number {
+  private allowedIdleMs(now: number, outlook: WorkloadState): number {
     if (outlook.noWork) return 0;
     const idleMs = this.settings.workerLeaseMs * this.settings.get('fleet.idle.ratio');
     const longMs = this.settings.get('placement.cannot.fill.s') * 1000;
     const stuck =
-      outlook.rentalsRefused &&
+      outlook.scaleOutRefused &&
       this.context.placement.lacking.some(({ job }) => now - job.waitingSince > longMs);
     return stuck ? idleMs * STUCK_IDLE_FACTOR : idleMs;
   }
--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -1,22 +1,22 @@
 /** The HTTP client for calls to services, workers and the cloud. */
 import net from 'node:net';
-import { formatRequest, Parser, type Message } from './parser.js';
-import type { Sockets } from './sockets.js';
+import { formatRequest, HttpParser, type HttpMessage } from './parser.js';
+import type { SocketBudget } from './socket-budget.js';
 
 /** Limits of the client. */
 export interface ClientOptions {
   /** Shared with all else that opens sockets. */
-  sockets: Sockets;
+  sockets: SocketBudget;
   /** Connections kept or opened to one address. */
-  perHost: number;
+  maxConnectionsPerHost: number;
   /** An unused connection is closed after this time. */
-  idleMs: number;
+  idleTimeoutMs: number;
   maxBodyBytes: number;
 }
 
 interface Pending {
   bytes: Buffer;
-  done: (response: Message | null) => void;
+  done: (response: HttpMessage | null) => void;
   timer: NodeJS.Timeout;
   connection: Connection | null;
   settled: boolean;
@@ -24,7 +24,7 @@
 
 interface Connection {
   socket: net.Socket;
-  parser: Parser;
+  parser: HttpParser;
   current: Pending | null;
 }
 
@@ -41,10 +41,10 @@
   private readonly unused = new Set<Connection>();
 
   constructor(private readonly options: ClientOptions) {
-    options.sockets.onShort(() => this.shed());
+    options.sockets.onExhausted(() => this.closeLongestIdle());
   }
 
-  private shed(): boolean {
+  private closeLongestIdle(): boolean {
     for (const connection of this.unused) {
       this.unused.delete(connection);
       connection.socket.destroy();
@@ -54,7 +54,7 @@
   }
 
   /** Whether a request would find a connection at once without opening one. */
-  connected(to: string): boolean {
+  hasIdleConnection(to: string): boolean {
     return (this.hosts.get(to)?.idle.length ?? 0) > 0;
   }
 
@@ -65,7 +65,7 @@
     path: string,
     body: Buffer | null,
     timeoutMs: number,
-    done: (response: Message | null) => void,
+    done: (response: HttpMessage | null) => void,
   ): void {
     let host = this.hosts.get(to);
     if (host === undefined) {
@@ -83,7 +83,7 @@
     this.advance(to, host);
   }
 
-  private settle(pending: Pending, response: Message | null, drop: boolean): void {
+  private settle(pending: Pending, response: HttpMessage | null, drop: boolean): void {
     if (pending.settled) return;
     pending.settled = true;
     clearTimeout(pending.timer);
@@ -118,7 +118,7 @@
   }
 
   private open(to: string, host: Host): Connection | null {
-    if (host.connections.size >= this.options.perHost) return null;
+    if (host.connections.size >= this.options.maxConnectionsPerHost) return null;
     const colon = to.lastIndexOf(':');
     const socket = net.connect({
       host: to.slice(0, colon),
@@ -127,19 +127,19 @@
     });
     const connection: Connection = {
       socket,
-      parser: new Parser('response', {
+      parser: new HttpParser('response', {
         headBytes: 16 * 1024,
         bodyBytes: this.options.maxBodyBytes,
       }),
       current: null,
     };
     host.connections.add(connection);
-    this.options.sockets.add();
+    this.options.sockets.opened();
     socket.on('data', (bytes) => this.receive(to, host, connection, bytes));
     socket.on('error', () => socket.destroy());
     socket.on('timeout', () => socket.destroy());
     socket.on('close', () => {
-      this.options.sockets.remove();
+      this.options.sockets.closed();
       this.unused.delete(connection);
       host.connections.delete(connection);
       host.idle = host.idle.filter((other) => other !== connection);
@@ -152,7 +152,7 @@
   }
 
   private receive(to: string, host: Host, connection: Connection, bytes: Buffer): void {
-    let response: Message | null;
+    let response: HttpMessage | null;
     try {
       connection.parser.push(bytes);
       response = connection.parser.next();
@@ -169,7 +169,7 @@
     else {
       host.idle.push(connection);
       this.unused.add(connection);
-      connection.socket.setTimeout(this.options.idleMs);
+      connection.socket.setTimeout(this.options.idleTimeoutMs);
     }
     if (pending !== null) this.settle(pending, response, false);
     this.advance(to, host);
--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { formatRequest, formatResponse, HttpError, Parser } from './parser.js';
+import { formatRequest, formatResponse, HttpError, HttpParser } from './parser.js';
 
 const limits = { headBytes: 1024, bodyBytes: 4096 };
 
 function statusOf(text: string): number | null {
-  const p = new Parser('request', limits);
+  const p = new HttpParser('request', limits);
   try {
     p.push(Buffer.from(text, 'latin1'));
     p.next();
@@ -30,7 +30,7 @@
           const all = Buffer.concat(
             messages.map(([path, body]) => formatRequest('POST', 'h', path, Buffer.from(body))),
           );
-          const parser = new Parser('request', limits);
+          const parser = new HttpParser('request', limits);
           const got: [string, Uint8Array][] = [];
           let at = 0;
           for (let i = 0; at < all.length; i++) {
@@ -65,7 +65,7 @@
     );
     fc.assert(
       fc.property(fc.array(pieces, { maxLength: 12 }), (parts) => {
-        const parser = new Parser('request', limits);
+        const parser = new HttpParser('request', limits);
         try {
           for (const part of parts) {
             parser.push(part);
@@ -80,7 +80,7 @@
   });
 
   it('reads chunked bodies, with extensions and trailers', () => {
-    const p = new Parser('request', limits);
+    const p = new HttpParser('request', limits);
     p.push(
       Buffer.from(
         'POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\n2\r\nde\r\n0\r\nT: v\r\n\r\n',
--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -4,7 +4,7 @@
  */
 
 /** A request or a response. */
-export interface Message {
+export interface HttpMessage {
   /** Requests. */
   method: string;
   path: string;
@@ -16,7 +16,7 @@
 }
 
 /** Largest head and body that are taken. */
-export interface Limits {
+export interface MessageLimits {
   headBytes: number;
   bodyBytes: number;
 }
@@ -45,7 +45,7 @@
 type Stage = 'head' | 'sized' | 'chunk-size' | 'chunk' | 'chunk-end' | 'trailer';
 
 /** What reading one stage has brought: a whole message, or whether there is another stage to read. */
-type Step = Message | 'advanced' | 'incomplete';
+type Step = HttpMessage | 'advanced' | 'incomplete';
 
 function addHeader(headers: Map<string, string>, line: string): void {
   const colon = line.indexOf(':');
@@ -61,10 +61,10 @@
 }
 
 /** Parses the messages of one connection. */
-export class Parser {
+export class HttpParser {
   private data: Buffer = EMPTY;
   private stage: Stage = 'head';
-  private message: Message | null = null;
+  private message: HttpMessage | null = null;
   private need = 0;
   private chunks: Buffer[] = [];
   private chunked = 0;
@@ -72,7 +72,7 @@
 
   constructor(
     private readonly kind: 'request' | 'response',
-    private readonly limits: Limits,
+    private readonly limits: MessageLimits,
   ) {}
 
   /** Nothing of a message has arrived yet. */
@@ -86,7 +86,7 @@
   }
 
   /** The next whole message, or null while more bytes are needed. Throws HttpError. */
-  next(): Message | null {
+  next(): HttpMessage | null {
     for (;;) {
       const step = this.readStage();
       if (step === 'incomplete') return null;
@@ -163,7 +163,7 @@
     return this.cut(end + 2).toString('latin1', 0, end);
   }
 
-  private finish(body: Buffer): Message {
+  private finish(body: Buffer): HttpMessage {
     const message = this.message;
     if (message === null) throw new HttpError(400, 'no head');
     message.body = body;
@@ -199,7 +199,7 @@
       .split('\r\n');
   }
 
-  private startLine(line: string): Message {
+  private startLine(line: string): HttpMessage {
     const base = { headers: new Map<string, string>(), body: EMPTY, keepAlive: true };
     if (this.kind === 'request') {
       const match = /^([A-Z]{1,16}) (\/[\x21-\x7e]*) HTTP\/1\.([01])$/.exec(line);
@@ -217,7 +217,7 @@
     return { ...base, method: '', path: '', status: Number(match[2]), keepAlive: match[1] === '1' };
   }
 
-  private frame(message: Message): void {
+  private frame(message: HttpMessage): void {
     const connection = message.headers.get('connection')?.toLowerCase() ?? '';
     if (connection.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
     const coding = message.headers.get('transfer-encoding')?.toLowerCase();
@@ -253,19 +253,19 @@
 };
 
 /** A response to be written. */
-export interface Response {
+export interface HttpResponse {
   status: number;
   body: Buffer;
-  type?: string;
+  contentType?: string;
   retryAfterS?: number;
   allow?: string;
 }
 
 /** The bytes of a response; `close`: the connection ends after it. */
-export function formatResponse(response: Response, close: boolean): Buffer {
-  const { status, body, type, retryAfterS, allow } = response;
+export function formatResponse(response: HttpResponse, close: boolean): Buffer {
+  const { status, body, contentType, retryAfterS, allow } = response;
   let head = `HTTP/1.1 ${status} ${reasons[status] ?? 'Status'}\r\nContent-Length: ${body.length}\r\n`;
-  if (body.length > 0) head += `Content-Type: ${type ?? 'application/cbor'}\r\n`;
+  if (body.length > 0) head += `Content-Type: ${contentType ?? 'application/cbor'}\r\n`;
   if (retryAfterS !== undefined) head += `Retry-After: ${Math.max(1, Math.ceil(retryAfterS))}\r\n`;
   if (allow !== undefined) head += `Allow: ${allow}\r\n`;
   if (close) head += 'Connection: close\r\n';
--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -3,25 +3,28 @@
 import {
   formatResponse,
   HttpError,
-  Parser,
-  type Limits,
-  type Message,
-  type Response,
+  HttpParser,
+  type MessageLimits,
+  type HttpMessage,
+  type HttpResponse,
 } from './parser.js';
 
 /** Answers a request; `respond` may be called later. */
-export type Handler = (request: Message, respond: (response: Response) => void) => void;
+export type RequestHandler = (
+  request: HttpMessage,
+  respond: (response: HttpResponse) => void,
+) => void;
 
 /** What a connection needs of its server. */
 export interface ConnectionOptions {
-  limits: Limits;
+  limits: MessageLimits;
   /** A started request has to be whole within this time. */
-  readMs: number;
+  readTimeoutMs: number;
   /** An idle connection is closed after this time, by the path last asked for ('' before any). */
-  idleMs: (path: string) => number;
-  handler: Handler;
+  idleTimeoutMs: (path: string) => number;
+  handler: RequestHandler;
   /** Whether a request is in progress has changed. */
-  onIdle: (idle: boolean) => void;
+  onIdleChange: (idle: boolean) => void;
   onClose: () => void;
 }
 
@@ -29,7 +32,7 @@
 
 /** Reads requests from a socket and writes the responses in the same order. */
 export class ServerConnection {
-  private readonly parser: Parser;
+  private readonly parser: HttpParser;
   /** A request is being answered. */
   private busy = false;
   private ended = false;
@@ -41,8 +44,8 @@
     private readonly socket: net.Socket,
     private readonly options: ConnectionOptions,
   ) {
-    this.parser = new Parser('request', options.limits);
-    this.idleMs = options.idleMs('');
+    this.parser = new HttpParser('request', options.limits);
+    this.idleMs = options.idleTimeoutMs('');
     socket.setTimeout(this.idleMs, () => socket.destroy());
     socket.on('data', (bytes) => this.receive(bytes));
     socket.on('error', () => socket.destroy());
@@ -66,7 +69,7 @@
   /** Handles the next request if it is whole. */
   private advance(): void {
     if (this.busy || this.ended) return;
-    let request: Message | null;
+    let request: HttpMessage | null;
     try {
       request = this.parser.next();
     } catch (error) {
@@ -81,18 +84,18 @@
   private setDeadline(): void {
     const waiting = !this.busy && !this.parser.idle;
     if (waiting && this.deadline === null)
-      this.deadline = setTimeout(() => this.socket.destroy(), this.options.readMs);
+      this.deadline = setTimeout(() => this.socket.destroy(), this.options.readTimeoutMs);
     if (!waiting && this.deadline !== null) {
       clearTimeout(this.deadline);
       this.deadline = null;
     }
   }
 
-  private handle(request: Message): void {
+  private handle(request: HttpMessage): void {
     this.busy = true;
-    this.options.onIdle(false);
+    this.options.onIdleChange(false);
     this.setDeadline();
-    const idleMs = this.options.idleMs(request.path);
+    const idleMs = this.options.idleTimeoutMs(request.path);
     if (idleMs !== this.idleMs) {
       this.idleMs = idleMs;
       this.socket.setTimeout(idleMs);
@@ -105,7 +108,7 @@
     });
   }
 
-  private respond(response: Response, keepAlive: boolean): void {
+  private respond(response: HttpResponse, keepAlive: boolean): void {
     this.busy = false;
     if (this.ended || this.socket.destroyed) return;
     this.socket.write(formatResponse(response, !keepAlive));
@@ -113,7 +116,7 @@
       this.finish();
       return;
     }
-    this.options.onIdle(true);
+    this.options.onIdleChange(true);
     this.socket.resume();
     this.advance();
   }
@@ -127,7 +130,7 @@
   /** Sends what is written and closes. */
   private finish(): void {
     this.ended = true;
-    this.socket.setTimeout(this.options.readMs, () => this.socket.destroy());
+    this.socket.setTimeout(this.options.readTimeoutMs, () => this.socket.destroy());
     this.socket.end();
   }
 }
--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -3,7 +3,7 @@
 import { after, before, describe, it } from 'node:test';
 import { HttpClient } from './client.js';
 import { HttpServer } from './server.js';
-import { Sockets } from './sockets.js';
+import { SocketBudget } from './socket-budget.js';
 
 const port = 39_471;
 
@@ -17,10 +17,10 @@
             host: '127.0.0.1',
             port,
             limits: { headBytes: 1024, bodyBytes: 64 },
-            sockets: new Sockets(20),
+            sockets: new SocketBudget(20),
             maxSockets: 24,
-            readMs: 200,
-            idleMs: () => 2000,
+            readTimeoutMs: 200,
+            idleTimeoutMs: () => 2000,
           },
           (request, respond) => {
             if (request.path === '/silent') return;
@@ -71,7 +71,12 @@
 
   it('keeps connections, and reports no answer as none', async () => {
     const client = new HttpClient({
-      ...{ sockets: new Sockets(10), perHost: 1, idleMs: 50, maxBodyBytes: 1024 },
+      ...{
+        sockets: new SocketBudget(10),
+        maxConnectionsPerHost: 1,
+        idleTimeoutMs: 50,
+        maxBodyBytes: 1024,
+      },
     });
     const call = (path: string, body: string, ms: number): Promise<string | null> =>
       new Promise((resolve) => {
--- a/src/controller/http/server.ts
+++ b/src/controller/http/server.ts
@@ -1,24 +1,24 @@
 /** The HTTP server of the API. */
 import net from 'node:net';
-import type { Limits } from './parser.js';
-import { ServerConnection, type Handler } from './server-connection.js';
-import type { Sockets } from './sockets.js';
+import type { MessageLimits } from './parser.js';
+import { ServerConnection, type RequestHandler } from './server-connection.js';
+import type { SocketBudget } from './socket-budget.js';
 
-export type { Handler } from './server-connection.js';
+export type { RequestHandler } from './server-connection.js';
 
 /** Address and limits of a server. */
 export interface ServerOptions {
   host: string;
   port: number;
-  limits: Limits;
+  limits: MessageLimits;
   /** Shared with all else that opens sockets. */
-  sockets: Sockets;
+  sockets: SocketBudget;
   /** Connections at once; further ones are closed on arrival. */
   maxSockets: number;
   /** A started request has to be whole within this time. */
-  readMs: number;
+  readTimeoutMs: number;
   /** An idle connection is closed after this time, by the path last asked for ('' before any). */
-  idleMs: (path: string) => number;
+  idleTimeoutMs: (path: string) => number;
 }
 
 /** Serves HTTP/1.1 on `net`: one request at a time a connection, answered in order. */
@@ -29,14 +29,14 @@
 
   constructor(
     private readonly options: ServerOptions,
-    private readonly handler: Handler,
+    private readonly handler: RequestHandler,
   ) {
     this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
     this.server.maxConnections = options.maxSockets;
-    options.sockets.onShort(() => this.shed());
+    options.sockets.onExhausted(() => this.closeLongestIdle());
   }
 
-  private shed(): boolean {
+  private closeLongestIdle(): boolean {
     for (const socket of this.idle) {
       this.idle.delete(socket);
       socket.destroy();
@@ -57,20 +57,20 @@
   }
 
   private accept(socket: net.Socket): void {
-    const { sockets, limits, readMs, idleMs } = this.options;
-    sockets.add();
+    const { sockets, limits, readTimeoutMs, idleTimeoutMs } = this.options;
+    sockets.opened();
     this.idle.add(socket);
     new ServerConnection(socket, {
       limits,
-      readMs,
-      idleMs,
+      readTimeoutMs,
+      idleTimeoutMs,
       handler: this.handler,
-      onIdle: (idle) => {
+      onIdleChange: (idle) => {
         if (idle) this.idle.add(socket);
         else this.idle.delete(socket);
       },
       onClose: () => {
-        sockets.remove();
+        sockets.closed();
         this.idle.delete(socket);
       },
     });
--- a/src/controller/http/sockets.ts
+++ b/src/controller/http/socket-budget.ts
@@ -3,35 +3,35 @@
  * when they run short, connections that idle are closed, those missed least first, so that a new
  * one is always taken. Whoever lost an idle connection opens another when it has something to say.
  */
-export class Sockets {
+export class SocketBudget {
   private count = 0;
   private readonly shedders: (() => boolean)[] = [];
 
   constructor(private readonly limit: number) {}
 
   /** Sockets that are open now. */
-  get open(): number {
+  get openCount(): number {
     return this.count;
   }
 
   /** Calls that can wait for another way are better not made just now. */
-  get short(): boolean {
+  get exhausted(): boolean {
     return this.count >= this.limit;
   }
 
   /** `shed` closes an idle connection, if there is any. Those added first are asked first. */
-  onShort(shed: () => boolean): void {
+  onExhausted(shed: () => boolean): void {
     this.shedders.push(shed);
   }
 
   /** A socket has been opened. */
-  add(): void {
+  opened(): void {
     this.count++;
     if (this.count > this.limit) this.shedders.some((shed) => shed());
   }
 
   /** A socket has been closed. */
-  remove(): void {
+  closed(): void {
     this.count--;
   }
 }
--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -29,9 +29,9 @@
   const together = spec.kind !== 'array';
   const at = together ? spec.tasks : 1;
   const epsilon = 1e-9;
-  if (at * spec.cpus > Settings.cap(team.cpusMax) + epsilon)
+  if (at * spec.cpus > Settings.effectiveCap(team.maxCpus) + epsilon)
     return { refuse: 'more CPUs than the team may use' };
-  if (at * spec.gpus > Settings.cap(team.gpusMax) + epsilon)
+  if (at * spec.gpus > Settings.effectiveCap(team.maxGpus) + epsilon)
     return { refuse: 'more GPUs than the team may use' };
   if (types === null) return 'unknown-types';
   const fits = types.filter((t) => fitsType(spec, t));
@@ -41,7 +41,7 @@
   // They must find zones enough at one time.
   if (together && spec.spread && spec.tasks > 1) {
     const perZone = Math.ceil(spec.tasks / 2);
-    const usable = spec.oneZone ? 1 : zones.size;
+    const usable = spec.singleZone ? 1 : zones.size;
     if (perZone * usable < spec.tasks) return { refuse: 'too few zones to scatter its tasks over' };
   }
   return 'accept';
--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -2,7 +2,7 @@
 import { tokenReserve } from '../store/client.js';
 import type { ReadResult, TransactionResult } from '../store/results.js';
 import { isJobId } from '../wire/jobs.js';
-import type { Item } from '../wire/state.js';
+import type { KeyValue } from '../wire/state.js';
 import {
   CALL_TIMEOUT_MS,
   noSuchJob,
@@ -59,7 +59,7 @@
     client.read(liveKey(id), CALL_TIMEOUT_MS, (got) => this.versionRead(cancellation, got));
   }
 
-  private versionRead(cancellation: Cancellation, got: ReadResult<Item | null>): void {
+  private versionRead(cancellation: Cancellation, got: ReadResult<KeyValue | null>): void {
     const { id, respond } = cancellation;
     if (got.kind === 'failed') return retryLater(this.context, respond);
     if (got.value !== null) {
--- a/src/controller/jobs/completions.test.ts
+++ b/src/controller/jobs/completions.test.ts
@@ -10,7 +10,14 @@
   const spec: JobSpec = {
     ...{ id, class: 'c', team: 't', kind: 'array', priority: 'normal', tasks },
     ...{ cpus: 1, gpus: 0, memoryGb: 1, image: 'i', imageGb: 1, types: null, zone: null },
-    ...{ oneZone: false, spread: false, spot: true, estimateS: 10, checkpointS: 0, saveS: 0 },
+    ...{
+      singleZone: false,
+      spread: false,
+      spot: true,
+      estimatedRunS: 10,
+      checkpointIntervalS: 0,
+      checkpointSaveS: 0,
+    },
     deadlineS: null,
   };
   return new Job(spec, 0, 1, 0);
--- a/src/controller/jobs/feed.test.ts
+++ b/src/controller/jobs/feed.test.ts
@@ -88,7 +88,7 @@
   it('counts no more once older than the settings allow, whatever else is answered', () => {
     const b = new Bench();
     b.feed.start(7, b.now);
-    for (let ms = 0; ms < settings.viewMs + 1000; ms += 100) {
+    for (let ms = 0; ms < settings.maxWatchStalenessMs + 1000; ms += 100) {
       b.pass(100);
       b.last.done({ kind: 'failed' });
     }
@@ -135,8 +135,10 @@
 
   it('is bound by settings that let cancelled tasks end in time, or the start is refused', () => {
     const { workers } = alone();
-    assert.ok((settings.viewMs + settings.workerLeaseMs) / 1000 + 4 < workers.cancelS);
-    const tight = { ...alone(), workers: { ...workers, cancelS: workers.leaseS + 5 } };
+    assert.ok(
+      (settings.maxWatchStalenessMs + settings.workerLeaseMs) / 1000 + 4 < workers.cancelDeadlineS,
+    );
+    const tight = { ...alone(), workers: { ...workers, cancelDeadlineS: workers.leaseS + 5 } };
     assert.throws(
       () => new Settings(tight, defaultProperties()),
       (err: Error) => err instanceof SettingsError && /cancel_s.*lease_s/.test(err.message),
--- a/src/controller/jobs/feed.ts
+++ b/src/controller/jobs/feed.ts
@@ -2,15 +2,15 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
-import type { Event, Item } from '../wire/state.js';
+import type { WatchEvent, KeyValue } from '../wire/state.js';
 import { LIVE_PREFIX } from './job-records.js';
 
 /** What the feed tells the leader. */
 export interface FeedHooks {
   /** Every job that has not ended, and nothing else is live: read anew. */
-  all(items: Item[]): void;
+  all(items: KeyValue[]): void;
   /** Changes of live records, in their order. */
-  changes(events: Event[]): void;
+  changes(events: WatchEvent[]): void;
 }
 
 /** A watch that has been open for this many times its hold has been lost. */
@@ -56,7 +56,7 @@
 
   /** Whether a worker may be answered, or anything ordered or placed, on this view. */
   get current(): boolean {
-    return this.knownAt >= this.since && this.ageMs <= this.settings.viewMs;
+    return this.knownAt >= this.since && this.ageMs <= this.settings.maxWatchStalenessMs;
   }
 
   /** Time since the last moment of which everything is known. */
@@ -91,12 +91,12 @@
       if (this.closed || round !== this.round) return;
       if (got.kind === 'too-old') return this.reload();
       if (got.kind === 'failed')
-        return this.again(round, this.settings.reportMs / 20, () => this.follow(0));
+        return this.again(round, this.settings.heartbeatIntervalMs / 20, () => this.follow(0));
       this.revision = Math.max(this.revision, got.value.revision);
       this.knownAt = Math.max(this.knownAt, sentAt);
       this.hooks.changes(got.value.events);
       // Changes that come together are taken together.
-      this.again(round, this.settings.reportMs / 20, () => this.follow(this.holdMs));
+      this.again(round, this.settings.heartbeatIntervalMs / 20, () => this.follow(this.holdMs));
     });
   }
 
@@ -106,7 +106,7 @@
     this.client.readPrefix(LIVE_PREFIX, this.holdMs, (got) => {
       if (this.closed || round !== this.round) return;
       if (got.kind === 'failed')
-        return this.again(round, this.settings.reportMs / 10, () => this.reload());
+        return this.again(round, this.settings.heartbeatIntervalMs / 10, () => this.reload());
       this.hooks.all(got.value.items);
       this.start(got.value.revision, sentAt);
     });
--- a/src/controller/jobs/frontend-context.ts
+++ b/src/controller/jobs/frontend-context.ts
@@ -4,7 +4,7 @@
 import type { GroupCommit } from '../store/group-commit.js';
 import type { StateStoreClient } from '../store/client.js';
 import type { MachineType } from '../wire/cloud.js';
-import type { JobAnswer } from '../wire/jobs.js';
+import type { JobStatus } from '../wire/jobs.js';
 import type { KnownJobs } from './known-jobs.js';
 
 /** A response to a user's request. */
@@ -26,7 +26,7 @@
   /** The machine types of the cloud, as far as they are known. */
   types(): MachineType[] | null;
   /** Counts for display, if this node has them. */
-  progress(id: string): JobAnswer | null;
+  progress(id: string): JobStatus | null;
   /** This node has just accepted a job. */
   accepted(id: string): void;
   /** This node has just ended a job by cancelling it. */
--- a/src/controller/jobs/frontend.ts
+++ b/src/controller/jobs/frontend.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../settings/settings.js';
 import { GroupCommit } from '../store/group-commit.js';
 import { tokenReserve, type StateStoreClient } from '../store/client.js';
-import type { FinalState } from '../wire/jobs.js';
+import type { TerminalState } from '../wire/jobs.js';
 import { Cancellations } from './cancellations.js';
 import { CALL_TIMEOUT_MS, type FrontendHooks, type Respond } from './frontend-context.js';
 import { KnownJobs } from './known-jobs.js';
@@ -48,12 +48,12 @@
   }
 
   /** How a job ended that this node knows to have ended; the end is for ever. */
-  ended(id: string): FinalState | null {
+  ended(id: string): TerminalState | null {
     return this.known.finalState(id) ?? null;
   }
 
   /** A job has ended, as another controller or this node's leader says. */
-  learnFinal(id: string, state: FinalState): void {
+  learnFinal(id: string, state: TerminalState): void {
     this.known.learnFinal(id, state);
   }
 
--- a/src/controller/jobs/job-records.ts
+++ b/src/controller/jobs/job-records.ts
@@ -1,6 +1,6 @@
 /** Keys and values of jobs at the state service, which every controller reads and writes. */
 import { isMap } from '../wire/cbor.js';
-import type { FinalState } from '../wire/jobs.js';
+import type { TerminalState } from '../wire/jobs.js';
 
 /** Prefix of the keys of jobs that have not ended. */
 export const LIVE_PREFIX = 'live/';
@@ -16,12 +16,12 @@
 }
 
 /** The value of a job's final key; `at` is the time of its end in milliseconds. */
-export function finalRecord(state: FinalState, at: number): unknown {
+export function finalRecord(state: TerminalState, at: number): unknown {
   return { state, at };
 }
 
 /** The state in the value of a final key, or null where it can't be read. */
-export function readFinal(value: unknown): FinalState | null {
+export function readFinal(value: unknown): TerminalState | null {
   if (!isMap(value)) return null;
   const { state } = value;
   return state === 'done' || state === 'cancelled' ? state : null;
--- a/src/controller/jobs/job.ts
+++ b/src/controller/jobs/job.ts
@@ -1,5 +1,5 @@
 /** One unfinished job: its tasks, its assignments and what is known for placing it. */
-import type { FinalState, JobAnswer, JobSpec, Priority } from '../wire/jobs.js';
+import type { TerminalState, JobStatus, JobSpec, Priority } from '../wire/jobs.js';
 import type { Assignment } from '../workers/assignment.js';
 import { Pending } from './pending.js';
 
@@ -30,7 +30,7 @@
   /** Its answer may differ from what was last told. */
   changed = true;
   /** Cancelled, or its end is being written: nothing of it may be placed. */
-  closed: FinalState | null = null;
+  closed: TerminalState | null = null;
   ending = false;
   /** Its live record is gone, and its end is being read. */
   vanished = false;
@@ -123,9 +123,9 @@
   }
 
   /** What its user is told. */
-  answer(): JobAnswer {
+  answer(): JobStatus {
     const running = this.running;
-    const answer: JobAnswer = {
+    const answer: JobStatus = {
       id: this.spec.id,
       state: this.closed ?? (running > 0 ? 'running' : 'queued'),
       done: this.doneCount,
--- a/src/controller/jobs/known-jobs.ts
+++ b/src/controller/jobs/known-jobs.ts
@@ -1,5 +1,5 @@
 /** What one controller remembers of jobs, within a limit. */
-import type { FinalState } from '../wire/jobs.js';
+import type { TerminalState } from '../wire/jobs.js';
 
 /** A map that forgets its oldest entries. */
 class BoundedMap<Value> {
@@ -29,7 +29,7 @@
 
 /** Jobs that this node knows to be live or to have ended. */
 export class KnownJobs {
-  private readonly finals: BoundedMap<FinalState>;
+  private readonly finals: BoundedMap<TerminalState>;
   /** Versions of live records that this node has seen. */
   private readonly live: BoundedMap<number>;
 
@@ -40,7 +40,7 @@
   }
 
   /** How the job has ended; the end is for ever. */
-  finalState(id: string): FinalState | undefined {
+  finalState(id: string): TerminalState | undefined {
     return this.finals.get(id);
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** The job has ended. */
-  learnFinal(id: string, state: FinalState): void {
+  learnFinal(id: string, state: TerminalState): void {
     if (this.finals.get(id) !== undefined) return;
     this.finals.set(id, state);
     this.live.delete(id);
--- a/src/controller/jobs/progress.ts
+++ b/src/controller/jobs/progress.ts
@@ -1,6 +1,6 @@
 /** Counts of jobs for display, which the leader tells the other controllers. */
 import type { JobProgress } from '../peers/message.js';
-import type { JobAnswer } from '../wire/jobs.js';
+import type { JobStatus } from '../wire/jobs.js';
 import type { Job } from './table.js';
 
 const MAX_JOBS = 20_000;
@@ -26,7 +26,7 @@
   }
 
   /** The job's counts as users get them. */
-  answer(id: string): JobAnswer | null {
+  answer(id: string): JobStatus | null {
     const progress = this.jobs.get(id);
     if (progress === undefined) return null;
     const { blocked, ...rest } = progress;
--- a/src/controller/jobs/status-queries.ts
+++ b/src/controller/jobs/status-queries.ts
@@ -2,7 +2,7 @@
 import { GroupCommit } from '../store/group-commit.js';
 import { tokenReserve } from '../store/client.js';
 import type { TransactionResult } from '../store/results.js';
-import { isJobId, writeAnswer, type FinalState } from '../wire/jobs.js';
+import { isJobId, writeJobStatus, type TerminalState } from '../wire/jobs.js';
 import type { Condition } from '../wire/state.js';
 import {
   CALL_TIMEOUT_MS,
@@ -14,7 +14,7 @@
 import { finalKey, liveKey, readFinal } from './job-records.js';
 
 /** What is current for a job at the state service. */
-export type JobStanding = 'absent' | 'live' | FinalState | 'unsure';
+export type JobStanding = 'absent' | 'live' | TerminalState | 'unsure';
 
 /** Told what is current for a job. */
 export type StandingCallback = (standing: JobStanding) => void;
@@ -37,7 +37,7 @@
       timeoutMs: CALL_TIMEOUT_MS,
       maxQueueMs: CALL_TIMEOUT_MS,
       tokenReserve: tokenReserve.polls,
-      minIntervalMs: settings.reportMs / QUERIES_PER_REPORT,
+      minIntervalMs: settings.heartbeatIntervalMs / QUERIES_PER_REPORT,
     };
     this.knownQueries = new GroupCommit(eventLoop, client, options);
     this.unknownQueries = new GroupCommit(eventLoop, client, options);
@@ -54,10 +54,10 @@
     if (standing === 'unsure') return retryLater(this.context, respond);
     if (standing === 'absent') return respond(noSuchJob());
     if (standing !== 'live')
-      return respond({ status: 200, body: writeAnswer({ id, state: standing }) });
+      return respond({ status: 200, body: writeJobStatus({ id, state: standing }) });
     const progress = this.context.hooks.progress(id);
     const open = progress !== null && (progress.state === 'queued' || progress.state === 'running');
-    respond({ status: 200, body: writeAnswer(open ? progress : { id, state: 'queued' }) });
+    respond({ status: 200, body: writeJobStatus(open ? progress : { id, state: 'queued' }) });
   }
 
   /** Finds out what is current for a job. */
@@ -116,7 +116,7 @@
     done('live');
   }
 
-  private readEnd(id: string, done: (state: FinalState | null) => void): void {
+  private readEnd(id: string, done: (state: TerminalState | null) => void): void {
     const { client, known } = this.context;
     if (!client.requestTokens.tryTake(1, tokenReserve.reads)) return done(null);
     client.read(finalKey(id), CALL_TIMEOUT_MS, (got) => {
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -2,7 +2,13 @@
 import type { TransactionResult } from '../store/results.js';
 import { storedSize } from '../store/page-table.js';
 import { WireError } from '../wire/cbor.js';
-import { readJob, readJobId, writeAnswer, writeJob, type JobSpec } from '../wire/jobs.js';
+import {
+  readJobSpec,
+  readJobId,
+  writeJobStatus,
+  writeJobSpec,
+  type JobSpec,
+} from '../wire/jobs.js';
 import { admit } from './admission.js';
 import { retryLater, type Answer, type FrontendContext, type Respond } from './frontend-context.js';
 import { finalKey, liveKey } from './job-records.js';
@@ -41,7 +47,7 @@
   /** Null: malformed, and refused. */
   private parse(body: unknown, respond: Respond): JobSpec | null {
     try {
-      return readJob(body);
+      return readJobSpec(body);
     } catch (error) {
       if (!(error instanceof WireError)) throw error;
       this.context.eventLoop.log.debug({ reason: error.message, body }, 'malformed submission');
@@ -68,7 +74,7 @@
 
   private record(spec: JobSpec, respond: Respond): void {
     const { eventLoop, client } = this.context;
-    const value = { job: writeJob(spec), at: Math.round(eventLoop.runtime.wallClock()) };
+    const value = { job: writeJobSpec(spec), at: Math.round(eventLoop.runtime.wallClock()) };
     if (storedSize(value) > client.limits.maxValueBytes) {
       const refusal = { status: 400, body: { error: 'models: too many or too long' } };
       return this.refuse(spec.id, refusal, respond);
@@ -107,7 +113,7 @@
     if (result.kind === 'ok') {
       this.context.known.setLive(id, result.revision);
       this.context.hooks.accepted(id);
-      const body = writeAnswer({ id, state: 'queued' });
+      const body = writeJobStatus({ id, state: 'queued' });
       answer((respond) => respond({ status: 201, body }));
     } else if (result.kind === 'conflict') {
       this.queries.readStanding(id, result.failedKeys, (standing) =>
--- a/src/controller/jobs/table.ts
+++ b/src/controller/jobs/table.ts
@@ -4,8 +4,8 @@
 import type { StateStoreClient } from '../store/client.js';
 import type { RecordStore } from '../store/record-store.js';
 import { isMap } from '../wire/cbor.js';
-import { readJob, type FinalState, type JobSpec } from '../wire/jobs.js';
-import type { Cause } from '../wire/workers.js';
+import { readJobSpec, type TerminalState, type JobSpec } from '../wire/jobs.js';
+import type { ExitCause } from '../wire/workers.js';
 import { Completions } from './completions.js';
 import { finalKey, finalRecord, liveKey, readFinal } from './job-records.js';
 import { Job } from './job.js';
@@ -28,7 +28,7 @@
   /** Completion of this task is on record. */
   recorded(job: Job, task: number): void;
   /** A job's end is known. */
-  ended(id: string, state: FinalState): void;
+  ended(id: string, state: TerminalState): void;
 }
 
 /** Waits before an end that could not be read is looked for again. */
@@ -77,7 +77,7 @@
   private readSpec(id: string, value: unknown): JobSpec | null {
     try {
       if (!isMap(value)) throw new Error('not a map');
-      return readJob(value['job']);
+      return readJobSpec(value['job']);
     } catch (err) {
       this.eventLoop.log.error({ job: id, err }, 'unreadable job record');
       return null;
@@ -125,7 +125,7 @@
     if (job !== undefined) this.close(job, 'cancelled');
   }
 
-  private close(job: Job, state: FinalState): void {
+  private close(job: Job, state: TerminalState): void {
     if (job.closed !== null) return;
     job.closed = state;
     job.pending.keep(() => false);
@@ -138,7 +138,7 @@
   }
 
   /** An attempt of one of its tasks has ended so. */
-  countExit(job: Job, cause: Cause | 'lost'): void {
+  countExit(job: Job, cause: ExitCause | 'lost'): void {
     job.exits[cause] = (job.exits[cause] ?? 0) + 1;
   }
 
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -1,6 +1,6 @@
 /** What only the leader has: made anew for each term and dropped whole with it. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Catalogue } from '../fleet/catalogue.js';
+import type { MachineTypeCatalogue } from '../fleet/machine-type-catalogue.js';
 import { Fleet } from '../fleet/fleet.js';
 import { JobFeed } from '../jobs/feed.js';
 import { LIVE_PREFIX } from '../jobs/job-records.js';
@@ -16,7 +16,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import { RecordStore } from '../store/record-store.js';
-import type { Event, Item } from '../wire/state.js';
+import type { WatchEvent, KeyValue } from '../wire/state.js';
 import { Workers } from '../workers/workers.js';
 import { isIsolated } from './isolation.js';
 import type { LearnedFigures } from './learned-figures.js';
@@ -37,7 +37,7 @@
   peers: Peers;
   frontend: Frontend;
   progress: ProgressCache;
-  catalogue: Catalogue;
+  catalogue: MachineTypeCatalogue;
   learned: LearnedFigures;
   /** This node may act as leader, in whatever term. */
   entitled(): boolean;
@@ -171,14 +171,14 @@
     this.context.progress.delete(job.spec.id);
   }
 
-  private jobsReloaded(items: readonly Item[]): void {
+  private jobsReloaded(items: readonly KeyValue[]): void {
     const live = new Set(items.map((item) => item.key));
     this.jobsRead(items);
     for (const id of [...this.table.jobs.keys()])
       if (!live.has(LIVE_PREFIX + id)) this.table.removed(id);
   }
 
-  private jobsChanged(events: readonly Event[]): void {
+  private jobsChanged(events: readonly WatchEvent[]): void {
     for (const event of events) {
       if (event.kind === 'put') this.jobLive(event.key, event.value, event.version);
       else this.table.removed(event.key.slice(LIVE_PREFIX.length));
@@ -186,7 +186,7 @@
   }
 
   /** Jobs that were live when the state service said so. */
-  jobsRead(items: readonly Item[]): void {
+  jobsRead(items: readonly KeyValue[]): void {
     for (const item of items) this.jobLive(item.key, item.value, item.version);
   }
 
@@ -218,7 +218,7 @@
     );
     this.feed.start(revision, sentAt);
     this.context.placementDue();
-    this.context.catalogue.share(this);
+    this.context.catalogue.publish(this);
   }
 
   /** The term is over: nothing is written any more. */
@@ -244,7 +244,7 @@
     if (!this.ready) return;
     const { settings, leadership } = this.context;
     this.workers.answering(this.context.mayAnswerWorkers(), tickMs);
-    if (leadership.acting && this.feed.ageMs > settings.viewMs * STALE_VIEW_FACTOR) {
+    if (leadership.acting && this.feed.ageMs > settings.maxWatchStalenessMs * STALE_VIEW_FACTOR) {
       // Its lease keeps the others from leading, and it may not act itself.
       leadership.handOver('no view of the jobs');
       return;
@@ -267,7 +267,7 @@
     const settled = eventLoop.now() - this.since > settings.workerLeaseMs / 2;
     if (settings.platform.peers.length === 0 || !settled) return false;
     const reach = {
-      reportMs: settings.reportMs,
+      reportMs: settings.heartbeatIntervalMs,
       machineCount: this.workers.machines.size,
       overdue: (lateMs: number, heardBefore: boolean) => this.workers.overdue(lateMs, heardBefore),
     };
--- a/src/controller/leader/leader.test.ts
+++ b/src/controller/leader/leader.test.ts
@@ -13,7 +13,7 @@
 import { Takeover, type Heir, type Inheritance } from './takeover.js';
 
 const settings = new Settings(alone(), defaultProperties());
-const intervalMs = settings.reportMs * settings.get('placement.interval.ratio');
+const intervalMs = settings.heartbeatIntervalMs * settings.get('placement.interval.ratio');
 
 describe('pass scheduler', () => {
   /** A placement whose passes take `slices` slices of `sliceMs`. */
--- a/src/controller/leader/learned-figures.ts
+++ b/src/controller/leader/learned-figures.ts
@@ -27,7 +27,7 @@
       spare: settings.get('placement.reserve.spare'),
     };
     this.reserve = new Reserve(reserveSettings, this.estimates, eventLoop.now(), (className) =>
-      settings.startWithinMs(className),
+      settings.startObjectiveMs(className),
     );
   }
 
@@ -60,7 +60,7 @@
   save(records: Pick<RecordStore, 'set'>): void {
     const ratios = this.estimates.export();
     const arrivals = this.reserve.export(this.eventLoop.now(), this.eventLoop.runtime.wallClock());
-    const maxBytes = this.settings.valueBytes * MAX_VALUE_SHARE;
+    const maxBytes = this.settings.maxValueBytes * MAX_VALUE_SHARE;
     for (const className of new Set([...Object.keys(ratios), ...arrivals.keys()])) {
       const ratio = ratios[className];
       const value = {
--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -38,7 +38,7 @@
   step(): void {
     const sliceStart = this.eventLoop.now();
     if (!this.placement.passing && !this.begin(sliceStart)) return;
-    const sliceMs = this.settings.reportMs * this.settings.get('placement.slice.ratio');
+    const sliceMs = this.settings.heartbeatIntervalMs * this.settings.get('placement.slice.ratio');
     const over = this.placement.advance(sliceStart + sliceMs);
     const now = this.eventLoop.now();
     this.tookMs += now - sliceStart;
@@ -63,7 +63,8 @@
   }
 
   private waitMs(now: number): number {
-    const intervalMs = this.settings.reportMs * this.settings.get('placement.interval.ratio');
+    const intervalMs =
+      this.settings.heartbeatIntervalMs * this.settings.get('placement.interval.ratio');
     return Math.max(
       this.startedAt + intervalMs - now,
       this.lastSliceEndedAt + this.tookMs * PASS_REST_FACTOR - now,
--- a/src/controller/leader/takeover.ts
+++ b/src/controller/leader/takeover.ts
@@ -3,23 +3,23 @@
 import { LIVE_PREFIX } from '../jobs/job-records.js';
 import type { StateStoreClient } from '../store/client.js';
 import { PAGE_PREFIX } from '../store/page-table.js';
-import type { Item } from '../wire/state.js';
+import type { KeyValue } from '../wire/state.js';
 
 const READ_TIMEOUT_MS = 3000;
 const RETRY_MS = 200;
 
 /** All that is stored. From the election on no earlier leader can change it. */
 export interface Inheritance {
-  jobs: Item[];
+  jobs: KeyValue[];
   /** The state service's revision when the jobs were read. */
   revision: number;
   /** When the read of the jobs was sent. */
   sentAt: number;
-  pages: Item[];
+  pages: KeyValue[];
 }
 
 interface RangeRead {
-  items: Item[];
+  items: KeyValue[];
   revision: number;
   sentAt: number;
 }
@@ -29,7 +29,7 @@
   /** The term is over. */
   readonly closed: boolean;
   /** The live jobs have been read, the pages not yet. */
-  jobsRead(jobs: readonly Item[]): void;
+  jobsRead(jobs: readonly KeyValue[]): void;
   takeOver(inheritance: Inheritance): void;
 }
 
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import type { ReadResult } from '../store/results.js';
-import type { Event, Item } from '../wire/state.js';
+import type { WatchEvent, KeyValue } from '../wire/state.js';
 import { Election, type WonElection } from './election.js';
 import { LEADER_KEY, readLeader, type LeaderInfo } from './leader-record.js';
 import { LeaseExtension, type AskPromise } from './lease-extension.js';
@@ -190,7 +190,7 @@
     });
   }
 
-  private observed(got: ReadResult<Item | null>): void {
+  private observed(got: ReadResult<KeyValue | null>): void {
     if (got.kind === 'failed') return this.retry();
     const item = got.value;
     if (item === null) return this.contend();
@@ -218,7 +218,7 @@
     });
   }
 
-  private changed(events: readonly Event[], followedFrom: number, revision: number): void {
+  private changed(events: readonly WatchEvent[], followedFrom: number, revision: number): void {
     const last = events.filter((event) => event.key === LEADER_KEY).at(-1);
     if (last === undefined) this.follow(Math.max(followedFrom, revision));
     else if (last.kind === 'put') {
@@ -236,12 +236,12 @@
 
   private won({ term, lease, sentAt }: WonElection): void {
     this.ownTerm = { term, lease };
-    this.actUntil = sentAt + this.settings.leaderActsMs;
+    this.actUntil = sentAt + this.settings.usableLeaderLeaseMs;
     this.info = { host: this.settings.platform.host, identity: this.identity, lease, term };
     this.generation++;
     this.client.setRole(true);
     this.eventLoop.log.info({ term }, 'elected leader');
-    this.renewLater(this.generation, this.settings.renewMs);
+    this.renewLater(this.generation, this.settings.leaderRenewIntervalMs);
     this.beginOncePromisesEnd(this.generation, term);
   }
 
@@ -270,7 +270,10 @@
       if (outcome === 'ended') return this.stepDown('lease ended');
       if (outcome === 'ok') this.renewed(ownTerm, sentAt);
       else this.extend(ownTerm);
-      const waitMs = outcome === 'ok' ? this.settings.renewMs : this.settings.renewMs / 4;
+      const waitMs =
+        outcome === 'ok'
+          ? this.settings.leaderRenewIntervalMs
+          : this.settings.leaderRenewIntervalMs / 4;
       this.renewLater(generation, waitMs);
     });
   }
@@ -284,7 +287,7 @@
   private renewed(ownTerm: OwnTerm, sentAt: number): void {
     // Told even if the gap came while the renewal was on its way.
     const gap = !this.acting;
-    this.actUntil = Math.max(this.actUntil, sentAt + this.settings.leaderActsMs);
+    this.actUntil = Math.max(this.actUntil, sentAt + this.settings.usableLeaderLeaseMs);
     this.extension.end();
     if (!gap) return;
     this.eventLoop.log.info({ term: ownTerm.term }, 'lease renewed after a gap');
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -31,7 +31,7 @@
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'after' | 'now'>,
-    private readonly settings: Pick<Settings, 'promiseMs'>,
+    private readonly settings: Pick<Settings, 'leaseGrantMs'>,
     private readonly peers: readonly string[],
     private readonly ask: AskPromise,
   ) {}
@@ -53,7 +53,7 @@
       if (this.wanted !== wanted || this.gap) return;
       if (!useful()) return this.end();
       this.round(term, wanted, leaseUntil);
-      this.eventLoop.after(this.settings.promiseMs / ROUNDS_PER_PROMISE, 'promises', next);
+      this.eventLoop.after(this.settings.leaseGrantMs / ROUNDS_PER_PROMISE, 'promises', next);
     };
     next();
   }
@@ -66,11 +66,11 @@
   }
 
   private round(term: number, wanted: object, leaseUntil: () => number): void {
-    const { promiseMs } = this.settings;
+    const { leaseGrantMs } = this.settings;
     const askedAt = this.eventLoop.now();
     let missing = this.peers.length;
     for (const host of this.peers)
-      this.ask(host, term, promiseMs, (promised) => {
+      this.ask(host, term, leaseGrantMs, (promised) => {
         if (!promised || this.wanted !== wanted) return;
         missing--;
         if (missing === 0) this.promised(askedAt, leaseUntil());
@@ -81,6 +81,6 @@
     // Before this moment another may have acted.
     this.gap = this.eventLoop.now() >= Math.max(leaseUntil, this.promisedUntil);
     if (this.gap) return;
-    this.promisedUntil = Math.max(this.promisedUntil, askedAt + this.settings.promiseMs);
+    this.promisedUntil = Math.max(this.promisedUntil, askedAt + this.settings.leaseGrantMs);
   }
 }
--- a/src/controller/leadership/promises.test.ts
+++ b/src/controller/leadership/promises.test.ts
@@ -8,7 +8,7 @@
 import { TakeoverPromise } from './takeover-promise.js';
 
 const PROMISE_MS = 300;
-const settings = { promiseMs: PROMISE_MS };
+const settings = { leaseGrantMs: PROMISE_MS };
 
 describe('a promise not to act as leader', () => {
   it('lasts longer than the leader counts on it', () => {
--- a/src/controller/leadership/takeover-promise.ts
+++ b/src/controller/leadership/takeover-promise.ts
@@ -1,9 +1,9 @@
 /** What this controller has promised a leader that the state service does not serve. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import { DRIFT, type Settings } from '../settings/settings.js';
+import { MAX_CLOCK_DRIFT, type Settings } from '../settings/settings.js';
 
 /** Clocks of two machines, and timers that fire early by a part of a millisecond. */
-const CLOCK_FACTOR = 1 + 4 * DRIFT;
+const CLOCK_FACTOR = 1 + 4 * MAX_CLOCK_DRIFT;
 const CLOCK_MARGIN_MS = 2;
 
 /**
@@ -18,13 +18,13 @@
     private readonly eventLoop: Pick<EventLoop, 'now'> & {
       runtime: Pick<EventLoop['runtime'], 'startedAt'>;
     },
-    private readonly settings: Pick<Settings, 'promiseMs'>,
+    private readonly settings: Pick<Settings, 'leaseGrantMs'>,
   ) {
     this.until = eventLoop.runtime.startedAt + this.lengthMs;
   }
 
   private get lengthMs(): number {
-    return this.settings.promiseMs * CLOCK_FACTOR + CLOCK_MARGIN_MS;
+    return this.settings.leaseGrantMs * CLOCK_FACTOR + CLOCK_MARGIN_MS;
   }
 
   /** Promises not to act as leader for as long as a promise lasts, from now on. */
--- a/src/controller/node/node-runtime.ts
+++ b/src/controller/node/node-runtime.ts
@@ -1,7 +1,7 @@
 /** The environment of a controller in production: Node's clocks, timers and sockets. */
 import { HttpClient } from '../http/client.js';
-import type { Message } from '../http/parser.js';
-import type { Sockets } from '../http/sockets.js';
+import type { HttpMessage } from '../http/parser.js';
+import type { SocketBudget } from '../http/socket-budget.js';
 import { frame } from '../peers/framing.js';
 import { decodeBody, encodeBody } from '../wire/cbor.js';
 import type { Call, Runtime, Reply, Timer } from '../runtime/runtime.js';
@@ -15,7 +15,7 @@
 
 /** What the environment is given at start. */
 export interface NodeRuntimeOptions {
-  sockets: Sockets;
+  sockets: SocketBudget;
   random: () => number;
   peers: { host: string; addr: string }[];
   /** A connection to a peer is tried again after this time. */
@@ -25,7 +25,7 @@
 /** The world as Node gives it: clocks, timers, sockets. */
 export class NodeRuntime implements Runtime {
   private readonly client: HttpClient;
-  private readonly sockets: Sockets;
+  private readonly sockets: SocketBudget;
   private readonly links = new Map<string, PeerLink>();
   readonly random: () => number;
   /** The steady clock counts from the start of the process. */
@@ -36,8 +36,8 @@
     this.sockets = options.sockets;
     this.client = new HttpClient({
       sockets: options.sockets,
-      perHost: MAX_CONNECTIONS_PER_HOST,
-      idleMs: CONNECTION_IDLE_MS,
+      maxConnectionsPerHost: MAX_CONNECTIONS_PER_HOST,
+      idleTimeoutMs: CONNECTION_IDLE_MS,
       maxBodyBytes: MAX_RESPONSE_BYTES,
     });
     for (const { host, addr } of options.peers)
@@ -75,7 +75,7 @@
 
   /** Sockets are not short, or a connection to the address is open. */
   hasSpareConnection(to: string): boolean {
-    return !this.sockets.short || this.client.connected(to);
+    return !this.sockets.exhausted || this.client.hasIdleConnection(to);
   }
 
   /** Sends a message to a peer, or drops it while the peer is slow or away. */
@@ -86,7 +86,7 @@
 
 const NO_REPLY: Reply = { status: 0, body: null };
 
-function readReply({ status, body }: Message): Reply {
+function readReply({ status, body }: HttpMessage): Reply {
   try {
     return { status, body: body.length > 0 ? decodeBody(body) : null };
   } catch {
--- a/src/controller/operators/client.ts
+++ b/src/controller/operators/api-client.ts
@@ -1,12 +1,12 @@
 /** The operators' command line as a client of the API. */
 import { HttpClient } from '../http/client.js';
-import { Sockets } from '../http/sockets.js';
+import { SocketBudget } from '../http/socket-budget.js';
 import { decodeBody, encodeBody, isMap } from '../wire/cbor.js';
 
 const TIMEOUT_MS = 5000;
 
 /** A response of a controller. */
-export interface Outcome {
+export interface ApiResult {
   ok: boolean;
   text: string;
 }
@@ -16,7 +16,7 @@
   status: number,
   body: unknown,
   retryAfter: string | undefined,
-): Outcome {
+): ApiResult {
   const pretty = JSON.stringify(body, null, 2);
   if (status === 200 || status === 201) return { ok: true, text: pretty };
   const said = isMap(body) && typeof body['error'] === 'string' ? body['error'] : 'no reason given';
@@ -25,16 +25,16 @@
 }
 
 /** One request of an operator to a running service. */
-export function ask(
+export function callApi(
   api: string,
   method: 'GET' | 'POST',
   path: string,
   body: unknown,
-): Promise<Outcome> {
+): Promise<ApiResult> {
   const client = new HttpClient({
-    sockets: new Sockets(Infinity),
-    perHost: 1,
-    idleMs: 10,
+    sockets: new SocketBudget(Infinity),
+    maxConnectionsPerHost: 1,
+    idleTimeoutMs: 10,
     maxBodyBytes: 1024 * 1024,
   });
   const bytes = body === undefined ? null : encodeBody(body);
--- a/src/controller/operators/view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -6,7 +6,7 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { Machine } from '../workers/machine.js';
-import { clusterView, type ViewSource } from './view.js';
+import { clusterView, type ClusterViewSource } from './cluster-view.js';
 
 const MACHINES = 4500;
 const JOBS = 400;
@@ -27,7 +27,7 @@
     (_, index) => `n-${String(index).padStart(6, '0')}`,
   );
 
-  function source(after: string): ViewSource {
+  function source(after: string): ClusterViewSource {
     const machines = new Map(names.map((id) => [id, new Machine(id, 0, settings)]));
     const jobs = new Map<string, Job>();
     for (let i = 0; i < JOBS; i++) {
@@ -41,13 +41,13 @@
       jobs.set(id, job);
     }
     const parts = {
-      ...{ settings, after, term: 1, acting: true, now: 0, types: [] },
+      ...{ settings, after, term: 1, holdsLease: true, now: 0, types: [] },
       table: { jobs },
-      workers: { machines, assigned: 0, alive: () => true, teams: { state: () => [] } },
+      workers: { machines, assignedCount: 0, isAlive: () => true, teams: { state: () => [] } },
       placement: { lacking: [...jobs.values()].map((job) => ({ job, tasks: 1 })) },
-      fleet: { booting: 0 },
+      fleet: { bootingCount: 0 },
     };
-    return parts as unknown as ViewSource;
+    return parts as unknown as ClusterViewSource;
   }
 
   const view = (after = ''): View => clusterView(source(after)) as View;
--- a/src/controller/operators/view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -23,10 +23,10 @@
 }
 
 /** What the view is made of. */
-export interface ViewSource {
+export interface ClusterViewSource {
   settings: Settings;
   term: number;
-  acting: boolean;
+  holdsLease: boolean;
   now: number;
   types: MachineType[];
   table: JobTable;
@@ -38,7 +38,7 @@
 }
 
 /** The body of the answer to `/cluster`. */
-export function clusterView(source: ViewSource): unknown {
+export function clusterView(source: ClusterViewSource): unknown {
   const machines = [...source.workers.machines.values()];
   const jobs = [...source.table.jobs.values()];
   const lists = {
@@ -51,11 +51,11 @@
   return {
     leader: source.settings.platform.host,
     term: source.term,
-    acting: source.acting,
+    acting: source.holdsLease,
     jobs: jobs.length,
     pending_tasks: jobs.reduce((sum, job) => sum + job.pending.length, 0),
     assigned_tasks: source.workers.assigned,
-    booting: source.fleet.booting,
+    booting: source.fleet.bootingCount,
     machine_count: machines.length,
     teams: teamsView(source),
     ...Object.fromEntries(names.map((name) => [name, lists[name].entries])),
@@ -69,13 +69,13 @@
   return { entries: all.slice(0, LISTED).map(view), more: all.length > LISTED };
 }
 
-function machinesView(source: ViewSource, machines: readonly Machine[]): Listing {
+function machinesView(source: ClusterViewSource, machines: readonly Machine[]): Listing {
   const rest = machines.filter(({ id }) => id > source.after);
   rest.sort((one, other) => (one.id < other.id ? -1 : 1));
   return listed(rest, (machine) => machineView(source, machine));
 }
 
-function lackingView({ placement }: ViewSource): Listing {
+function lackingView({ placement }: ClusterViewSource): Listing {
   return listed(placement.lacking, ({ job, tasks }) => ({
     job: job.spec.id,
     class: job.spec.class,
@@ -83,7 +83,7 @@
   }));
 }
 
-function machineView(source: ViewSource, machine: Machine): unknown {
+function machineView(source: ClusterViewSource, machine: Machine): unknown {
   return {
     id: machine.id,
     type: machine.typeName,
@@ -97,26 +97,26 @@
   };
 }
 
-function machineState(source: ViewSource, machine: Machine): string {
+function machineState(source: ClusterViewSource, machine: Machine): string {
   if (machine.leaving) return 'leaving';
   if (machine.noticeAt !== null) return 'recalled';
   if (!source.workers.alive(machine)) return 'silent';
   return machine.noPlacingBefore > source.now ? 'quarantined' : 'up';
 }
 
-function teamsView(source: ViewSource): unknown {
+function teamsView(source: ClusterViewSource): unknown {
   return source.workers.teams.state().map(({ name, cpus, gpus, team }) => ({
     name,
     cpus,
     gpus,
-    guaranteed_cpus: team.cpus,
-    guaranteed_gpus: team.gpus,
-    most_cpus: team.cpusMax,
-    most_gpus: team.gpusMax,
+    guaranteed_cpus: team.guaranteedCpus,
+    guaranteed_gpus: team.guaranteedGpus,
+    most_cpus: team.maxCpus,
+    most_gpus: team.maxGpus,
   }));
 }
 
-function holdsView(source: ViewSource, jobs: Job[]): Listing {
+function holdsView(source: ClusterViewSource, jobs: Job[]): Listing {
   // To a tenth of a second; null: never.
   const seconds = (ms: number): number | null =>
     Number.isFinite(ms) ? Math.round((ms - source.now) / 100) / 10 : null;
@@ -149,7 +149,7 @@
   return { machines: names.slice(0, NAMES_OF_A_JOB), machine_count: names.length };
 }
 
-function placeableView(source: ViewSource, machines: Machine[], type: MachineType): unknown {
+function placeableView(source: ClusterViewSource, machines: Machine[], type: MachineType): unknown {
   const usable = machines.filter(
     (machine) =>
       machine.typeName === type.name && source.workers.alive(machine) && !machine.leaving,
--- a/src/controller/operators/gauges.ts
+++ b/src/controller/operators/gauges.ts
@@ -8,14 +8,19 @@
 /** Where figures go; `Metrics` is loaded a little after the start. */
 export type MetricsSink = Pick<
   Metrics,
-  'request' | 'pass' | 'preemptions' | 'unreadable' | 'gauge' | 'text'
+  | 'observeRequest'
+  | 'observePlacementPass'
+  | 'setPreemptions'
+  | 'setUnreadableMessages'
+  | 'setGauge'
+  | 'render'
 >;
 
 /** What a leader has to be measured. */
-export interface LeaderFigures {
+export interface LeaderState {
   table: Pick<JobTable, 'jobs'>;
   workers: Pick<Workers, 'machines'>;
-  fleet: Pick<Fleet, 'booting'>;
+  fleet: Pick<Fleet, 'bootingCount'>;
   placement: Pick<Placement, 'preemptions'>;
 }
 
@@ -25,30 +30,30 @@
 
 /** Figures that every node has. */
 export function setNodeGauges(metrics: MetricsSink, leading: boolean, term: number): void {
-  metrics.gauge('leading', '1 on the leader.', leading ? 1 : 0);
-  metrics.gauge('term', 'Term of the leader known here.', term);
-  metrics.gauge('memory_bytes', 'Memory that the process holds.', process.memoryUsage.rss());
+  metrics.setGauge('leading', '1 on the leader.', leading ? 1 : 0);
+  metrics.setGauge('term', 'Term of the leader known here.', term);
+  metrics.setGauge('memory_bytes', 'Memory that the process holds.', process.memoryUsage.rss());
 }
 
 /** Figures that only the leader has. */
-export function setLeaderGauges(metrics: MetricsSink, leader: LeaderFigures): void {
+export function setLeaderGauges(metrics: MetricsSink, leader: LeaderState): void {
   const jobs = [...leader.table.jobs.values()];
   const holding = jobs.filter((job) => job.reservation !== null);
   const services = jobs.filter((job) => job.standing);
-  metrics.gauge('jobs', 'Unfinished jobs.', jobs.length);
-  metrics.gauge('holds', 'Gangs that hold room.', holding.length);
-  metrics.gauge(
+  metrics.setGauge('jobs', 'Unfinished jobs.', jobs.length);
+  metrics.setGauge('holds', 'Gangs that hold room.', holding.length);
+  metrics.setGauge(
     'pending_tasks',
     'Tasks that wait for room.',
     sum(jobs, (job) => job.pending.length),
   );
-  metrics.gauge('services', 'Services that run until they are cancelled.', services.length);
-  metrics.gauge(
+  metrics.setGauge('services', 'Services that run until they are cancelled.', services.length);
+  metrics.setGauge(
     'replicas_missing',
     'Replicas of services that are not running.',
     sum(services, (job) => job.missing),
   );
-  metrics.gauge('machines', 'Machines known.', leader.workers.machines.size);
-  metrics.gauge('booting', 'Machines rented and not up yet.', leader.fleet.booting);
-  metrics.preemptions(leader.placement.preemptions);
+  metrics.setGauge('machines', 'Machines known.', leader.workers.machines.size);
+  metrics.setGauge('booting', 'Machines rented and not up yet.', leader.fleet.bootingCount);
+  metrics.setPreemptions(leader.placement.preemptions);
 }
--- a/src/controller/operators/metrics.ts
+++ b/src/controller/operators/metrics.ts
@@ -36,30 +36,30 @@
   private readonly gauges = new Map<string, Gauge>();
 
   /** A request has been answered. */
-  request(route: string, status: number, ms: number): void {
+  observeRequest(route: string, status: number, ms: number): void {
     this.requests.inc({ route, status: String(status) });
     this.seconds.observe({ route }, ms / 1000);
   }
 
   /** A placement pass has ended. */
-  pass(ms: number): void {
+  observePlacementPass(ms: number): void {
     this.passes.observe(ms / 1000);
   }
 
   /** Tasks stopped so far to make room. */
-  preemptions(total: number): void {
+  setPreemptions(total: number): void {
     this.preempted.reset();
     this.preempted.inc(total);
   }
 
   /** Messages of other controllers dropped since the process began. */
-  unreadable(total: number): void {
+  setUnreadableMessages(total: number): void {
     this.unreadableMessages.reset();
     this.unreadableMessages.inc(total);
   }
 
   /** Sets a gauge, which is made with the first value. */
-  gauge(name: string, help: string, value: number): void {
+  setGauge(name: string, help: string, value: number): void {
     let g = this.gauges.get(name);
     if (g === undefined) {
       g = new Gauge({ name: `bitternvale_${name}`, help, registers: [this.registry] });
@@ -69,7 +69,7 @@
   }
 
   /** All metrics as they are scraped. */
-  text(): Promise<string> {
+  render(): Promise<string> {
     return this.registry.metrics();
   }
 }
--- a/src/controller/peers/message.ts
+++ b/src/controller/peers/message.ts
@@ -1,6 +1,6 @@
 /** The messages that controllers send one another, and their binary form (Avro, without a version). */
 import avsc from 'avsc';
-import type { FinalState, JobState } from '../wire/jobs.js';
+import type { TerminalState, JobState } from '../wire/jobs.js';
 import { checkEncoding, type RecordSchema } from './encoding.js';
 
 /**
@@ -23,7 +23,7 @@
 /** The end of a job. Final states never change, so they may be passed on and kept. */
 export interface JobEnd {
   id: string;
-  state: FinalState;
+  state: TerminalState;
 }
 
 /** Counts of a job for display, as its leader knows them. */
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -1,6 +1,6 @@
 /** The exchange of news between the controllers of a deployment. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { FinalState } from '../wire/jobs.js';
+import type { TerminalState } from '../wire/jobs.js';
 import { RequestForwarder, type ReplyHandler } from './forwarding.js';
 import {
   decodePeer,
@@ -18,7 +18,7 @@
 export interface PeerEvents {
   accepted(id: string): void;
   status(status: PeerStatus): void;
-  final(id: string, state: FinalState): void;
+  final(id: string, state: TerminalState): void;
   progress(p: JobProgress): void;
   /** To be answered here, and not passed on again. */
   request(
@@ -62,7 +62,7 @@
   }
 
   /** Tells the others of a job's end, with what else comes within a moment. */
-  announce(id: string, state: FinalState): void {
+  announce(id: string, state: TerminalState): void {
     this.finals.push({ id, state });
     this.sendSoon();
   }
--- a/src/controller/placement/array-placer.ts
+++ b/src/controller/placement/array-placer.ts
@@ -20,7 +20,7 @@
 
 /** What the placement of arrays relies on. */
 export interface ArrayPlacerParts {
-  settings: Pick<Settings, 'get' | 'reportMs'>;
+  settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
   teams: Pick<Teams, 'allowance'>;
   latestStarts: Pick<LatestStarts, 'next'>;
   candidates: Pick<CandidateFinder, 'find'>;
@@ -67,7 +67,7 @@
   /** Starts tasks where they fit; returns how many of those wanted have found no place. */
   private start(pass: PlacementPass, job: Job, wanted: number, warmOnly: boolean): number {
     const { spec } = job;
-    const limited = spec.oneZone || spec.spread;
+    const limited = spec.singleZone || spec.spread;
     const zones: TasksByZone = limited ? tasksByZone(job) : new Map<string, number>();
     const found = this.parts.candidates.find(pass, job, warmOnly);
     let left = wanted;
@@ -87,7 +87,7 @@
   /** Whether work may be stopped for the job, and the last search for it is long enough ago. */
   private mayMakeRoom(pass: PlacementPass, job: Job): boolean {
     const { settings } = this.parts;
-    const every = settings.reportMs * settings.get('placement.hold.refresh.ratio');
+    const every = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
     const outranks = job.guaranteed || job.level > pass.lowestLevel;
     return outranks && pass.now - job.roomSearchedAt >= every;
   }
--- a/src/controller/placement/candidates.ts
+++ b/src/controller/placement/candidates.ts
@@ -36,7 +36,7 @@
 /** Finds the machines where tasks of a job can start now. */
 export class CandidateFinder {
   constructor(
-    private readonly settings: Pick<Settings, 'get' | 'reportMs'>,
+    private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
     private readonly estimates: Pick<Estimates, 'cold' | 'fetchMs' | 'runMs'>,
   ) {}
 
@@ -71,8 +71,8 @@
       need,
       warmOnly,
       backfill: this.settings.get('placement.backfill.ratio'),
-      record: recordCost({ jobId: spec.id, team: spec.team, need, saveS: spec.saveS }),
-      endsAt: pass.now + this.settings.reportMs / 2 + this.estimates.runMs(spec),
+      record: recordCost({ jobId: spec.id, team: spec.team, need, saveS: spec.checkpointSaveS }),
+      endsAt: pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimates.runMs(spec),
     };
   }
 
--- a/src/controller/placement/drain.ts
+++ b/src/controller/placement/drain.ts
@@ -40,18 +40,19 @@
   private drainTask(assignment: Assignment, leftMs: number, now: number): void {
     const { job } = assignment;
     if (assignment.stop !== null || assignment.phase === 'ended' || job === null) return;
-    if (this.estimates.remainingMs(assignment, now) < leftMs - this.settings.reportMs) return;
+    if (this.estimates.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
+      return;
     if (job.standing && !this.movesNow(assignment, job, leftMs, now)) return;
     const { spec } = job;
-    const saves = spec.checkpointS > 0 && assignment.state === 'running';
-    const graceS = saves ? spec.saveS : 0;
+    const saves = spec.checkpointIntervalS > 0 && assignment.state === 'running';
+    const graceS = saves ? spec.checkpointSaveS : 0;
     if (spec.kind === 'gang') this.workers.stopJob(job, graceS, 'machine goes');
     else this.workers.stop(assignment, graceS, 'machine goes');
   }
 
   /** A replica moves as soon as it can start elsewhere at once, and else as late as is safe. */
   private movesNow(assignment: Assignment, job: Job, leftMs: number, now: number): boolean {
-    if (leftMs < this.settings.reportMs * MOVE_AHEAD) return true;
+    if (leftMs < this.settings.heartbeatIntervalMs * MOVE_AHEAD) return true;
     const destination = this.destination(assignment, job, now);
     if (destination === null) return false;
     this.moves.begin(assignment, job, destination);
@@ -84,7 +85,7 @@
   for (const assignment of all) {
     if (assignment === leaving || assignment.phase === 'ended') continue;
     if (assignment.machine.zone === zone) there++;
-    else if (spec.oneZone) return false;
+    else if (spec.singleZone) return false;
   }
   return !spec.spread || spreadAllowance(spec, there) > 0;
 }
--- a/src/controller/placement/estimates.ts
+++ b/src/controller/placement/estimates.ts
@@ -41,8 +41,8 @@
 
   /** A task of the class has run for so long. */
   observe(spec: JobSpec, tookMs: number): void {
-    if (spec.estimateS <= 0 || tookMs <= 0) return;
-    const ratio = tookMs / (spec.estimateS * 1000);
+    if (spec.estimatedRunS <= 0 || tookMs <= 0) return;
+    const ratio = tookMs / (spec.estimatedRunS * 1000);
     const bounded = Math.min(LARGEST_RATIO, Math.max(1 / LARGEST_RATIO, ratio));
     const { mean, variance } = this.of(spec.class);
     const deviation = Math.log(bounded) - mean;
@@ -87,7 +87,7 @@
   /** How long a task of the job should run; Infinity for a service. */
   runMs(spec: JobSpec): number {
     if (spec.kind === 'service') return Infinity;
-    return spec.estimateS * 1000 * this.ratio(spec.class);
+    return spec.estimatedRunS * 1000 * this.ratio(spec.class);
   }
 
   /** How long a task that is put there now waits for its image. */
--- a/src/controller/placement/gang-placer.ts
+++ b/src/controller/placement/gang-placer.ts
@@ -18,7 +18,7 @@
 
 /** What the placement of gangs relies on. */
 export interface GangPlacerParts {
-  settings: Pick<Settings, 'reportMs' | 'startWithinMs'>;
+  settings: Pick<Settings, 'heartbeatIntervalMs' | 'startObjectiveMs'>;
   teams: Pick<Teams, 'allowance'>;
   estimates: Pick<Estimates, 'fetchMs'>;
   candidates: Pick<CandidateFinder, 'find'>;
@@ -76,11 +76,11 @@
     const fetch = Math.max(
       ...picked.map(({ room }) => estimates.fetchMs(job.spec, room.machine, pass.now)),
     );
-    if (fetch <= settings.reportMs * SHORT_FETCH) return false;
+    if (fetch <= settings.heartbeatIntervalMs * SHORT_FETCH) return false;
     const { rooms, readyAt } = reservations.find(pass, job);
     if (rooms.length < job.spec.tasks) return false;
     const ready = readyAt - pass.now;
-    const within = settings.startWithinMs(job.spec.class);
+    const within = settings.startObjectiveMs(job.spec.class);
     const left = within === null ? 0 : within - (pass.now - job.submittedAt);
     // The one would be in time and the other would not; or it is clearly sooner.
     if (fetch > left && ready < left) return true;
--- a/src/controller/placement/gang-reservations.ts
+++ b/src/controller/placement/gang-reservations.ts
@@ -45,7 +45,7 @@
 /** What reservations rely on. */
 export interface GangReservationParts {
   eventLoop: Pick<EventLoop, 'log' | 'now'>;
-  settings: Pick<Settings, 'get' | 'reportMs'>;
+  settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
   records: Pick<RecordStore, 'list' | 'set'>;
   estimates: Pick<Estimates, 'fetchMs'>;
   targets: Pick<Targets, 'find'>;
@@ -103,9 +103,12 @@
    * saves are no reason to put it off: where reports come often, a save takes many report intervals.
    */
   private stopAheadMs(victims: readonly Assignment[]): number {
-    const { reportMs } = this.parts.settings;
+    const { heartbeatIntervalMs } = this.parts.settings;
     const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.saveS)) * 1000;
-    return Math.max(reportMs * STOP_AHEAD, reportMs + longestSaveMs * SAVE_MARGIN);
+    return Math.max(
+      heartbeatIntervalMs * STOP_AHEAD,
+      heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN,
+    );
   }
 
   /**
@@ -123,7 +126,7 @@
   /** `null`: nothing is reserved, not all of it can be used, or it is time for another search. */
   private reserved(pass: PlacementPass, reservation: GangReservation | null): GangRoom | null {
     const { settings } = this.parts;
-    const every = settings.reportMs * settings.get('placement.hold.refresh.ratio');
+    const every = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
     if (reservation === null || pass.now - reservation.searchedAt >= every) return null;
     const rooms: Room[] = [];
     for (const id of reservation.machines) {
--- a/src/controller/placement/guarantee.test.ts
+++ b/src/controller/placement/guarantee.test.ts
@@ -10,8 +10,8 @@
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import type { MachineType } from '../wire/cloud.js';
-import { writeJob, type JobSpec } from '../wire/jobs.js';
-import type { TaskReport } from '../wire/workers.js';
+import { writeJobSpec, type JobSpec } from '../wire/jobs.js';
+import type { TaskStatus } from '../wire/workers.js';
 import { makeToken } from '../workers/token.js';
 import { Workers } from '../workers/workers.js';
 import { Estimates } from './estimates.js';
@@ -58,7 +58,7 @@
   readonly workers: Workers;
   readonly placement: Placement;
   private readonly machines = ['n-1', 'n-2'];
-  private readonly there = new Map<string, TaskReport[]>(this.machines.map((m) => [m, []]));
+  private readonly there = new Map<string, TaskStatus[]>(this.machines.map((m) => [m, []]));
 
   constructor(private readonly plain = false) {
     const runtime: Runtime = {
@@ -94,11 +94,18 @@
     const spec: JobSpec = {
       ...{ id: `req-${this.table.jobs.size}`, class: 'c', team: 'guest', kind: 'array' },
       ...{ priority: 'normal', tasks: 1, cpus: 1, gpus: 1, memoryGb: 1, image: 'i', imageGb: 0 },
-      ...{ types: null, zone: null, oneZone: false, spread: false, spot: true, estimateS: 500 },
-      ...{ checkpointS: 0, saveS: 0, deadlineS: null },
+      ...{
+        types: null,
+        zone: null,
+        singleZone: false,
+        spread: false,
+        spot: true,
+        estimatedRunS: 500,
+      },
+      ...{ checkpointIntervalS: 0, checkpointSaveS: 0, deadlineS: null },
       ...part,
     };
-    this.table.add(spec.id, { job: writeJob(spec), at: this.now }, 1);
+    this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
   }
 
   /** A second: every worker reports and does as it is told, then a pass. */
@@ -107,11 +114,11 @@
     for (const machine of this.machines) {
       const tasks = this.there.get(machine) ?? [];
       const answer = this.workers.report({
-        ...{ machine, addr: 'x:1', type: 'g', zone: 'a', spot: false, session: 1 },
+        ...{ machine, addr: 'x:1', type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
         ...{
-          seq: ++this.seq,
-          token: this.tokens.get(machine) ?? makeToken(TERM, 0),
-          noticeS: null,
+          sequence: ++this.seq,
+          fencingToken: this.tokens.get(machine) ?? makeToken(TERM, 0),
+          spotNoticeS: null,
           tasks,
         },
       });
@@ -129,7 +136,7 @@
             attempt: o.try,
             state: 'running',
             cause: null,
-            saved: false,
+            checkpointSaved: false,
           });
         else if (o.verb === 'stop')
           tasks.splice(at, 1, {
@@ -218,7 +225,7 @@
   it('an array with time leaves a place without its image to one that has it there', () => {
     const c = new Cluster();
     for (let i = 0; i < 3; i++) c.step();
-    const array = { deadlineS: 50_000, estimateS: 500 };
+    const array = { deadlineS: 50_000, estimatedRunS: 500 };
     c.add({ ...array, id: 'req-x', image: 'x', tasks: 4 });
     c.add({ ...array, id: 'req-y', image: 'y', tasks: 4 });
     for (let i = 0; i < 3; i++) c.step();
@@ -237,7 +244,7 @@
   it('an array whose time is short has its turn by rank alone', () => {
     const c = new Cluster();
     for (let i = 0; i < 3; i++) c.step();
-    const array = { deadlineS: 50_000, estimateS: 500 };
+    const array = { deadlineS: 50_000, estimatedRunS: 500 };
     c.add({ ...array, id: 'req-x', image: 'x', tasks: 4 });
     c.add({ ...array, id: 'req-y', image: 'y', tasks: 4 });
     for (let i = 0; i < 3; i++) c.step();
--- a/src/controller/placement/latest-starts.ts
+++ b/src/controller/placement/latest-starts.ts
@@ -7,7 +7,10 @@
 const RUN_MARGIN = 1.3;
 
 /** The settings that latest starts follow from. */
-export type LatestStartSettings = Pick<Settings, 'aims' | 'guaranteeWithinMs' | 'reportMs'>;
+export type LatestStartSettings = Pick<
+  Settings,
+  'objectivesFor' | 'guaranteeObjectiveMs' | 'heartbeatIntervalMs'
+>;
 
 /** Derives latest starts from the objectives of the platform and a job's due time. */
 export class LatestStarts {
@@ -23,10 +26,10 @@
   of(job: Job): number[] {
     const { spec } = job;
     // Estimates err; a start at the last moment would as likely as not be late.
-    const run = this.estimates.runMs(spec) * RUN_MARGIN + this.settings.reportMs;
-    const { starts, ends } = this.settings.aims(spec.class, spec.deadlineS);
+    const run = this.estimates.runMs(spec) * RUN_MARGIN + this.settings.heartbeatIntervalMs;
+    const { starts, ends } = this.settings.objectivesFor(spec.class, spec.deadlineS);
     const latest = starts.slice();
-    const within = job.guaranteed ? this.settings.guaranteeWithinMs : null;
+    const within = job.guaranteed ? this.settings.guaranteeObjectiveMs : null;
     if (within !== null) latest.push(within);
     for (const end of ends) latest.push(Math.max(0, end - run));
     return latest;
--- a/src/controller/placement/parts.test.ts
+++ b/src/controller/placement/parts.test.ts
@@ -41,7 +41,14 @@
   const spec: JobSpec = {
     ...{ id: 'req-1', class: 'c', team: 'red', kind: 'array', priority: 'normal', tasks: 2 },
     ...{ cpus: 4, gpus: 1, memoryGb: 4, image: 'i', imageGb: 1, types: null, zone: null },
-    ...{ oneZone: false, spread: false, spot: true, estimateS: 10, checkpointS: 0, saveS: 0 },
+    ...{
+      singleZone: false,
+      spread: false,
+      spot: true,
+      estimatedRunS: 10,
+      checkpointIntervalS: 0,
+      checkpointSaveS: 0,
+    },
     deadlineS: null,
     ...part,
   };
@@ -81,9 +88,9 @@
 describe('LatestStarts', () => {
   const starts = new LatestStarts(
     {
-      reportMs: 1000,
-      guaranteeWithinMs: 60_000,
-      aims: () => ({ starts: [30_000], ends: [100_000, 5000] }),
+      heartbeatIntervalMs: 1000,
+      guaranteeObjectiveMs: 60_000,
+      objectivesFor: () => ({ starts: [30_000], ends: [100_000, 5000] }),
     },
     { runMs: () => 10_000 },
   );
@@ -153,15 +160,15 @@
     const counts = new Map([['a', 1]]);
     const { spec } = job({ tasks: 5 });
     assert.equal(zoneAllowance(spec, 'b', counts), Infinity);
-    assert.equal(zoneAllowance({ ...spec, oneZone: true }, 'b', counts), 0);
-    assert.equal(zoneAllowance({ ...spec, oneZone: true }, 'a', counts), Infinity);
+    assert.equal(zoneAllowance({ ...spec, singleZone: true }, 'b', counts), 0);
+    assert.equal(zoneAllowance({ ...spec, singleZone: true }, 'a', counts), Infinity);
     assert.equal(zoneAllowance({ ...spec, spread: true }, 'a', counts), 2);
   });
 
   it('are tried one by one only where one is wanted', () => {
     const { rooms } = passOver([machine('n-1', 'a'), machine('n-2', 'b')]);
     assert.deepEqual(zoneChoices(rooms, job().spec), [null]);
-    assert.deepEqual(zoneChoices(rooms, job({ oneZone: true }).spec), ['a', 'b']);
+    assert.deepEqual(zoneChoices(rooms, job({ singleZone: true }).spec), ['a', 'b']);
   });
 });
 
@@ -412,7 +419,7 @@
 });
 
 describe('stopping work for a gang', () => {
-  const { reportMs } = settings;
+  const { heartbeatIntervalMs } = settings;
   const SAVE_S = 20;
 
   /** How many tasks are stopped where the gang's reservation should be full after the time given. */
@@ -444,11 +451,11 @@
   // Where workers report every second, a save takes many report intervals: gangs then waited for
   // room that nobody was told to free.
   it('does not wait for saves that begin only with the stop', () => {
-    assert.ok(SAVE_S * 1000 > 3 * reportMs);
-    assert.equal(stoppedFor(reportMs + SAVE_S * 1000), 1);
+    assert.ok(SAVE_S * 1000 > 3 * heartbeatIntervalMs);
+    assert.equal(stoppedFor(heartbeatIntervalMs + SAVE_S * 1000), 1);
   });
 
   it('waits while other work keeps the gang from starting', () => {
-    assert.equal(stoppedFor(reportMs + 2 * SAVE_S * 1000), 0);
+    assert.equal(stoppedFor(heartbeatIntervalMs + 2 * SAVE_S * 1000), 0);
   });
 });
--- a/src/controller/placement/placement.test.ts
+++ b/src/controller/placement/placement.test.ts
@@ -26,7 +26,14 @@
   return {
     ...{ id: `req-${ids++}`, class: 'c', team: 'red', kind: 'gang', priority: 'normal', tasks: 1 },
     ...{ cpus: 4, gpus: 1, memoryGb: 4, image: 'i', imageGb: 1, types: null, zone: null },
-    ...{ oneZone: false, spread: false, spot: true, estimateS: 10, checkpointS: 0, saveS: 0 },
+    ...{
+      singleZone: false,
+      spread: false,
+      spot: true,
+      estimatedRunS: 10,
+      checkpointIntervalS: 0,
+      checkpointSaveS: 0,
+    },
     deadlineS: null,
     ...part,
   };
@@ -175,7 +182,7 @@
   it('is more for a class whose owners err more, and never nothing', () => {
     const sure = new Estimates();
     const unsure = new Estimates();
-    const s = spec({ estimateS: 100 });
+    const s = spec({ estimatedRunS: 100 });
     for (let i = 0; i < 60; i++) {
       sure.observe(s, 100_000 * (i % 2 === 0 ? 1.05 : 0.95));
       unsure.observe(s, 100_000 * (i % 2 === 0 ? 2 : 0.5));
@@ -203,7 +210,7 @@
     const m = new Machine('n-1', 0, deployed);
     m.type = type;
     const assign = (team: string, guaranteed: boolean, estimateS: number): Assignment => {
-      const owner = job({ kind: 'array', team, estimateS }, 0);
+      const owner = job({ kind: 'array', team, estimatedRunS: estimateS }, 0);
       owner.guaranteed = guaranteed;
       const a = {
         ...{ name: owner.spec.id, job: owner, team, task: 0, attempt: 1, machine: m, session: 1 },
@@ -229,7 +236,7 @@
 });
 
 describe('teams', () => {
-  const team = { name: 'red', cpus: 0, gpus: 4, cpusMax: 0, gpusMax: 6 };
+  const team = { name: 'red', guaranteedCpus: 0, guaranteedGpus: 4, maxCpus: 0, maxGpus: 6 };
   it('counts every task that is not surely gone against the limit', () => {
     const teams = new Teams([team]);
     assert.equal(teams.allowance(spec({ gpus: 2 })), 3);
--- a/src/controller/placement/reserve.test.ts
+++ b/src/controller/placement/reserve.test.ts
@@ -12,7 +12,14 @@
   const spec: JobSpec = {
     ...{ id: `req-${at}`, class: 'train', team: 'red', kind: 'gang', priority: 'high', tasks: 4 },
     ...{ cpus: 4, gpus: 1, memoryGb: 4, image: 'i-1', imageGb: 1, types: null, zone: null },
-    ...{ oneZone: false, spread: false, spot: true, estimateS: 10, checkpointS: 0, saveS: 0 },
+    ...{
+      singleZone: false,
+      spread: false,
+      spot: true,
+      estimatedRunS: 10,
+      checkpointIntervalS: 0,
+      checkpointSaveS: 0,
+    },
     deadlineS: null,
     ...part,
   };
--- a/src/controller/placement/reserve.ts
+++ b/src/controller/placement/reserve.ts
@@ -1,7 +1,7 @@
 /** Room kept ahead for classes of large tasks. */
 import { levels, type Job } from '../jobs/table.js';
 import { isMap } from '../wire/cbor.js';
-import { readJob, writeJob, type JobSpec } from '../wire/jobs.js';
+import { readJobSpec, writeJobSpec, type JobSpec } from '../wire/jobs.js';
 import type { Estimates } from './estimates.js';
 import { needOf, wholeTasks } from './need.js';
 import type { Room } from './room.js';
@@ -107,7 +107,7 @@
           since,
           classes: [
             {
-              job: writeJob(stats.spec),
+              job: writeJobSpec(stats.spec),
               weight: stats.weight,
               at: wall - (now - stats.at),
               together: stats.together,
@@ -137,7 +137,7 @@
     for (const record of value['classes'] as unknown[]) {
       if (!isMap(record) || !isMap(record['images'])) continue;
       try {
-        const spec = readJob(record['job']);
+        const spec = readJobSpec(record['job']);
         // Versions have written this in different places: the newest counts.
         const at = onClock(record['at']);
         if (at < (this.classes.get(spec.class)?.at ?? -Infinity)) continue;
--- a/src/controller/placement/room-filling.ts
+++ b/src/controller/placement/room-filling.ts
@@ -44,7 +44,7 @@
   private readonly free = new FreeRoom();
 
   constructor(
-    private readonly settings: Pick<Settings, 'reportMs'>,
+    private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
     private readonly estimates: Pick<Estimates, 'remainingMs'>,
     private readonly rules: VictimRules,
   ) {}
@@ -63,14 +63,14 @@
   fill(search: FillSearch, room: Room, taken: number, used: Set<Assignment>): Fill | null {
     if (room.closed) return null;
     const { now, job } = search;
-    const { reportMs } = this.settings;
+    const { heartbeatIntervalMs } = this.settings;
     const { free } = this;
     free.start(room, job.spec, taken);
     if (free.enough(job.spec)) return fillWithoutVictims(now);
     const outlook = this.outlook(room, now);
     const byItself = this.fillByItself(outlook, job.spec);
     // Soon free, by itself or because it was stopped: nothing more needs stopping.
-    if (byItself === null || byItself.fillAt - now < reportMs) return byItself;
+    if (byItself === null || byItself.fillAt - now < heartbeatIntervalMs) return byItself;
     const natural = byItself.fillAt;
     const mightStop = this.rules.mightStop(job, outlook);
     if (!outlook.stopping && used.size === 0 && !mightStop) return fillWithoutVictims(natural);
@@ -122,12 +122,13 @@
 
   /** Adds what is being stopped, or will be for the job; returns when all of that has ended. */
   private addStopped(outlook: Outlook, used: Set<Assignment>, now: number): number {
-    const { reportMs } = this.settings;
-    let coming = now + reportMs;
+    const { heartbeatIntervalMs } = this.settings;
+    let coming = now + heartbeatIntervalMs;
     for (const { assignment, at } of outlook.ends) {
       const { stop, saveS, need } = assignment;
       if (stop !== null) coming = Math.max(coming, at);
-      else if (used.has(assignment)) coming = Math.max(coming, now + reportMs + saveS * 1000);
+      else if (used.has(assignment))
+        coming = Math.max(coming, now + heartbeatIntervalMs + saveS * 1000);
       else continue;
       this.free.add(need);
     }
@@ -203,7 +204,7 @@
       victims.push(assignment);
       free.add(assignment.need);
       added.push(assignment.need);
-      fillAt = Math.max(fillAt, now + this.settings.reportMs + assignment.saveS * 1000);
+      fillAt = Math.max(fillAt, now + this.settings.heartbeatIntervalMs + assignment.saveS * 1000);
     }
     const enough = free.enough(need);
     if (enough) this.spare(need, victims, added);
--- a/src/controller/placement/services.test.ts
+++ b/src/controller/placement/services.test.ts
@@ -9,8 +9,8 @@
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import type { MachineType } from '../wire/cloud.js';
-import { writeJob, type JobSpec } from '../wire/jobs.js';
-import type { Cause, TaskReport } from '../wire/workers.js';
+import { writeJobSpec, type JobSpec } from '../wire/jobs.js';
+import type { ExitCause, TaskStatus } from '../wire/workers.js';
 import { makeToken } from '../workers/token.js';
 import { Workers } from '../workers/workers.js';
 import { Estimates } from './estimates.js';
@@ -48,7 +48,7 @@
   session: number;
   token: number;
   noticeS: number | null;
-  tasks: TaskReport[];
+  tasks: TaskStatus[];
   images: Set<string>;
   /** When the fetches of its tasks end. */
   fetchedAt: Map<string, number>;
@@ -108,11 +108,11 @@
     const spec: JobSpec = {
       ...{ id: `req-${this.table.jobs.size}`, class: 'c', team: 'guest', kind: 'service' },
       ...{ priority: 'production', tasks: 1, cpus: 1, gpus: 0, memoryGb: 1, image: 'i' },
-      ...{ imageGb: 1, types: null, zone: null, oneZone: false, spread: false, spot: true },
-      ...{ estimateS: 0, checkpointS: 0, saveS: 0, deadlineS: null },
+      ...{ imageGb: 1, types: null, zone: null, singleZone: false, spread: false, spot: true },
+      ...{ estimatedRunS: 0, checkpointIntervalS: 0, checkpointSaveS: 0, deadlineS: null },
       ...part,
     };
-    this.table.add(spec.id, { job: writeJob(spec), at: this.now }, 1);
+    this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
     return this.table.jobs.get(spec.id) ?? assert.fail();
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** A task of the job ends by itself. */
-  exit(job: Job, cause: Cause, machine: string): void {
+  exit(job: Job, cause: ExitCause, machine: string): void {
     const { tasks } = this.worker(machine);
     const at = tasks.findIndex((t) => t.name.startsWith(`${job.spec.id}/`) && t.state !== 'exited');
     tasks.splice(at, 1, { ...(tasks[at] ?? assert.fail()), state: 'exited', cause });
@@ -159,8 +159,15 @@
         w.images.add('i');
       }
     const answer = this.workers.report({
-      ...{ machine: w.id, addr: 'x:1', type: 'g', zone: w.zone, spot: w.spot, session: w.session },
-      ...{ seq: ++this.seq, token: w.token, noticeS: w.noticeS },
+      ...{
+        machine: w.id,
+        addr: 'x:1',
+        type: 'g',
+        zone: w.zone,
+        spot: w.spot,
+        agentEpoch: w.session,
+      },
+      ...{ sequence: ++this.seq, fencingToken: w.token, spotNoticeS: w.noticeS },
       tasks: w.tasks.map((t) => ({ ...t })),
     });
     if (answer.status !== 200) {
@@ -183,7 +190,13 @@
       const fetchMs = w.images.has('i') ? 0 : 2000;
       w.fetchedAt.set(order.duty, this.now + fetchMs);
       const state = fetchMs === 0 ? 'running' : 'fetching';
-      w.tasks.push({ name: order.duty, attempt: order.try, state, cause: null, saved: false });
+      w.tasks.push({
+        name: order.duty,
+        attempt: order.try,
+        state,
+        cause: null,
+        checkpointSaved: false,
+      });
     } else if (task !== undefined && order.verb === 'stop')
       w.tasks.splice(at, 1, { ...task, state: 'exited', cause: 'stopped' });
     else if (task !== undefined) w.tasks.splice(at, 1);
@@ -246,7 +259,7 @@
 
   it('keep to one zone where the job asks for it', () => {
     const c = new Cluster([...machines(3, { zone: 'a' }), ...machines(3, { zone: 'b' })]);
-    const job = c.add({ tasks: 3, oneZone: true });
+    const job = c.add({ tasks: 3, singleZone: true });
     c.run(6);
     const zones = new Set([...c.where(job).keys()].map((id) => c.worker(id).zone));
     assert.equal(job.running, 3);
@@ -283,9 +296,9 @@
     const job = c.add({ tasks: 1 });
     c.run(3);
     c.worker('n-0').noticeS = NOTICE_S;
-    c.run(NOTICE_S - 2 * settings.platform.workers.reportS);
+    c.run(NOTICE_S - 2 * settings.platform.workers.heartbeatIntervalS);
     assert.equal(c.where(job).get('n-0'), 1);
-    c.run(2 * settings.platform.workers.reportS - 1);
+    c.run(2 * settings.platform.workers.heartbeatIntervalS - 1);
     assert.equal(c.where(job).size, 0, 'stopped in time');
   });
 
@@ -316,8 +329,15 @@
     const service = c.add({ tasks: 2, cpus: 6, priority: 'low', team: 'guest' });
     c.run(20);
     assert.equal(service.running, 2);
-    const gang = c.add({ kind: 'gang', tasks: 2, cpus: 6, estimateS: 10, team: 'owner', gpus: 1 });
-    const array = c.add({ kind: 'array', tasks: 2, cpus: 6, estimateS: 10 });
+    const gang = c.add({
+      kind: 'gang',
+      tasks: 2,
+      cpus: 6,
+      estimatedRunS: 10,
+      team: 'owner',
+      gpus: 1,
+    });
+    const array = c.add({ kind: 'array', tasks: 2, cpus: 6, estimatedRunS: 10 });
     c.run(40);
     assert.equal(service.running, 2);
     assert.equal(gang.running + array.running, 0);
@@ -325,7 +345,7 @@
 
   it('stops lower work for a replica that finds no place', () => {
     const c = new Cluster(machines(1));
-    const array = c.add({ kind: 'array', tasks: 1, cpus: 8, estimateS: 900, priority: 'low' });
+    const array = c.add({ kind: 'array', tasks: 1, cpus: 8, estimatedRunS: 900, priority: 'low' });
     c.run(20);
     assert.equal(array.running, 1);
     const service = c.add({ tasks: 1 });
@@ -337,11 +357,11 @@
     const c = new Cluster([{ images: ['i'] }]);
     const service = c.add({ tasks: 1 });
     c.run(3);
-    const array = c.add({ kind: 'array', tasks: 1, cpus: 7, estimateS: 900, priority: 'low' });
+    const array = c.add({ kind: 'array', tasks: 1, cpus: 7, estimatedRunS: 900, priority: 'low' });
     c.run(20);
     assert.equal(array.running, 1);
     c.exit(service, 'error', 'n-0');
-    const filler = c.add({ kind: 'array', tasks: 1, cpus: 1, estimateS: 900, priority: 'low' });
+    const filler = c.add({ kind: 'array', tasks: 1, cpus: 1, estimatedRunS: 900, priority: 'low' });
     c.step();
     c.step();
     assert.equal(filler.running + filler.assigned.size > 0, true);
@@ -414,7 +434,7 @@
       c.run(2);
       assert.equal(c.workers.assigned, 2, 'not proven gone');
       if (back) worker.silent = false;
-      c.run(back ? 3 : settings.workerGoneMs / STEP_MS);
+      c.run(back ? 3 : settings.workerLeaseExpiryMs / STEP_MS);
       assert.equal(c.workers.assigned, 0);
       worker.silent = false;
       c.run(4);
@@ -481,7 +501,7 @@
     const [lost = ''] = c.where(job).keys();
     const there = c.where(job).get(lost) ?? 0;
     c.worker(lost).silent = true;
-    for (let i = 0; i < settings.workerGoneMs / STEP_MS + 10; i++) {
+    for (let i = 0; i < settings.workerLeaseExpiryMs / STEP_MS + 10; i++) {
       c.step();
       assert.ok(c.workers.assigned <= TEAM_GPUS);
     }
--- a/src/controller/placement/targets.ts
+++ b/src/controller/placement/targets.ts
@@ -102,7 +102,7 @@
   }
 
   private get keptMs(): number {
-    return this.settings.reportMs * this.settings.get('placement.hold.kept.ratio');
+    return this.settings.heartbeatIntervalMs * this.settings.get('placement.hold.kept.ratio');
   }
 
   private cost(
--- a/src/controller/placement/teams.ts
+++ b/src/controller/placement/teams.ts
@@ -43,8 +43,8 @@
     return Math.max(
       0,
       Math.min(
-        timesContained(Settings.cap(use.team.cpusMax) - use.cpus, spec.cpus),
-        timesContained(Settings.cap(use.team.gpusMax) - use.gpus, spec.gpus),
+        timesContained(Settings.effectiveCap(use.team.maxCpus) - use.cpus, spec.cpus),
+        timesContained(Settings.effectiveCap(use.team.maxGpus) - use.gpus, spec.gpus),
       ),
     );
   }
@@ -57,8 +57,10 @@
       need > 0 && used - need >= guaranteed - EPSILON;
     const { need } = assignment;
     // Only what is guaranteed at all can be borrowed beyond.
-    if (use.team.gpus > 0 && need.gpus > 0) return over(use.gpus, need.gpus, use.team.gpus);
-    if (use.team.cpus > 0 && need.cpus > 0) return over(use.cpus, need.cpus, use.team.cpus);
+    if (use.team.guaranteedGpus > 0 && need.gpus > 0)
+      return over(use.gpus, need.gpus, use.team.guaranteedGpus);
+    if (use.team.guaranteedCpus > 0 && need.cpus > 0)
+      return over(use.cpus, need.cpus, use.team.guaranteedCpus);
     return true;
   }
 
@@ -83,15 +85,18 @@
   /** Marks the jobs, in the order of their submission. */
   mark(jobs: Iterable<Job>): void {
     const leftByTeam = new Map(
-      this.teams.map((team) => [team.name, { cpus: team.cpus, gpus: team.gpus, team }]),
+      this.teams.map((team) => [
+        team.name,
+        { cpus: team.guaranteedCpus, gpus: team.guaranteedGpus, team },
+      ]),
     );
     for (const job of [...jobs].sort((a, b) => a.submittedAt - b.submittedAt)) {
       job.guaranteed = false;
       const left = leftByTeam.get(job.spec.team);
       if (left === undefined) continue;
       const tasks = job.spec.tasks - job.doneCount;
-      const cpus = left.team.cpus > 0 ? job.spec.cpus * tasks : 0;
-      const gpus = left.team.gpus > 0 ? job.spec.gpus * tasks : 0;
+      const cpus = left.team.guaranteedCpus > 0 ? job.spec.cpus * tasks : 0;
+      const gpus = left.team.guaranteedGpus > 0 ? job.spec.gpus * tasks : 0;
       job.guaranteed =
         cpus + gpus > 0 && cpus <= left.cpus + EPSILON && gpus <= left.gpus + EPSILON;
       left.cpus -= cpus;
--- a/src/controller/placement/victims.ts
+++ b/src/controller/placement/victims.ts
@@ -12,7 +12,7 @@
 /** The rules of preemption (PROTOCOL, "Preemption"; m03 §7). */
 export class VictimRules {
   constructor(
-    private readonly settings: Pick<Settings, 'get' | 'reportMs'>,
+    private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
     private readonly estimates: Pick<Estimates, 'fetchMs' | 'runMs'>,
     private readonly teams: Pick<Teams, 'borrows'>,
   ) {}
@@ -55,8 +55,10 @@
     if (task.job === null || task.state === 'fetching' || task.state === null) return 0;
     const { spec } = task.job;
     const ran = now - (task.runningAt ?? task.since);
-    const again = this.settings.reportMs + this.estimates.fetchMs(spec, task.machine, now);
-    const lost = spec.checkpointS > 0 ? Math.min(ran, spec.saveS * LOST_SAVES * 1000) : ran;
+    const again =
+      this.settings.heartbeatIntervalMs + this.estimates.fetchMs(spec, task.machine, now);
+    const lost =
+      spec.checkpointIntervalS > 0 ? Math.min(ran, spec.checkpointSaveS * LOST_SAVES * 1000) : ran;
     // A gang has to find its places once more.
     return lost + again + (spec.kind === 'gang' ? this.estimates.runMs(spec) : 0);
   }
--- a/src/controller/placement/zones.ts
+++ b/src/controller/placement/zones.ts
@@ -33,11 +33,12 @@
 
 /** How many more tasks of the job a zone may take. */
 export function zoneAllowance(spec: JobSpec, zone: string, counts: TasksByZone): number {
-  if (spec.oneZone) for (const [other, tasks] of counts) if (tasks > 0 && other !== zone) return 0;
+  if (spec.singleZone)
+    for (const [other, tasks] of counts) if (tasks > 0 && other !== zone) return 0;
   return spec.spread ? spreadAllowance(spec, counts.get(zone) ?? 0) : Infinity;
 }
 
 /** Zones to try one by one for a gang that wants one; otherwise `null`, for all at once. */
 export function zoneChoices(rooms: Rooms, spec: JobSpec): (string | null)[] {
-  return spec.oneZone ? rooms.zones(spec) : [null];
+  return spec.singleZone ? rooms.zones(spec) : [null];
 }
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -96,19 +96,23 @@
     };
     const help = (): boolean => {
       if (answered || helping) return helping;
-      const slow = this.settings.reportMs / 25;
+      const slow = this.settings.heartbeatIntervalMs / 25;
       if (this.client.consecutiveFailures === 0 && this.client.stalledMs < slow) return false;
-      const host = this.peers.served(this.settings.reportMs / 2);
+      const host = this.peers.served(this.settings.heartbeatIntervalMs / 2);
       if (host === null) return false;
       helping = true;
-      this.peers.forward(host, method, path, body, this.settings.reportMs / 6, (r) => {
+      this.peers.forward(host, method, path, body, this.settings.heartbeatIntervalMs / 6, (r) => {
         helping = false;
         if (r !== null && r.status !== 503) answer(fromPeer(r));
         else if (own !== null) answer(own);
       });
       return true;
     };
-    const late = this.eventLoop.after(this.settings.reportMs / 25, 'late', () => void help());
+    const late = this.eventLoop.after(
+      this.settings.heartbeatIntervalMs / 25,
+      'late',
+      () => void help(),
+    );
     this.handle(method, path, body, (a) => {
       if (a.status !== 503) return answer(a);
       own = a;
@@ -122,7 +126,7 @@
     const leader = this.leadership.leader?.host;
     if (leader === undefined || leader === this.settings.platform.host)
       return this.handle(method, path, body, respond);
-    this.peers.forward(leader, method, path, body, this.settings.reportMs / 2, (r) =>
+    this.peers.forward(leader, method, path, body, this.settings.heartbeatIntervalMs / 2, (r) =>
       respond(
         r === null ? { status: 503, body: { error: 'the leader does not answer' } } : fromPeer(r),
       ),
--- a/src/controller/run.ts
+++ b/src/controller/run.ts
@@ -7,9 +7,9 @@
 import { createLogger, LOG_LEVELS } from './node/logger.js';
 import { NodeRuntime } from './node/node-runtime.js';
 import { seededRandom } from './runtime/random.js';
-import type { Response } from './http/parser.js';
-import { HttpServer, type Handler } from './http/server.js';
-import { Sockets } from './http/sockets.js';
+import type { HttpResponse } from './http/parser.js';
+import { HttpServer, type RequestHandler } from './http/server.js';
+import { SocketBudget } from './http/socket-budget.js';
 import type { Answer } from './jobs/frontend.js';
 import { readPeer } from './peers/listener.js';
 import { REPORT_PATH } from './routes.js';
@@ -45,14 +45,14 @@
   boundHeap(platform.quota, log);
   const seed = randomBytes(8);
   const identity = `${platform.host}-${seed.toString('hex')}`;
-  const sockets = new Sockets(
-    Math.floor(platform.quota.sockets * settings.get('http.sockets.ratio')),
+  const sockets = new SocketBudget(
+    Math.floor(platform.quota.maxSockets * settings.get('http.sockets.ratio')),
   );
   const runtime = new NodeRuntime({
     sockets,
     random: seededRandom(seed.readInt32LE(0)),
     peers: platform.peers,
-    peerRetryMs: settings.reportMs / 3,
+    peerRetryMs: settings.heartbeatIntervalMs / 3,
   });
   const controller = new Controller(runtime, log, settings, identity);
   const fail = (err: Error): void => {
@@ -63,7 +63,7 @@
   process.on('uncaughtException', (err) => log.error({ err }, 'uncaught'));
   process.on('unhandledRejection', (err) => log.error({ err }, 'unhandled'));
   createApi(settings, sockets, controller).listen(
-    () => log.info({ addr: platform.api, identity }, 'listening'),
+    () => log.info({ addr: platform.apiAddr, identity }, 'listening'),
     fail,
   );
   listenToPeers(settings, controller, fail);
@@ -80,33 +80,33 @@
   setInterval(() => budget.adjust(), HEAP_CHECK_MS);
 }
 
-function createApi(settings: Settings, sockets: Sockets, controller: Controller): HttpServer {
+function createApi(settings: Settings, sockets: SocketBudget, controller: Controller): HttpServer {
   const { platform } = settings;
   const options = {
-    ...splitAddress(platform.api),
+    ...splitAddress(platform.apiAddr),
     limits: { headBytes: HEAD_BYTES, bodyBytes: BODY_BYTES },
     sockets,
-    maxSockets: platform.quota.sockets,
-    readMs: REQUEST_READ_MS,
-    idleMs: (path: string) =>
-      path === REPORT_PATH ? settings.reportMs * WORKER_IDLE_REPORTS : USER_IDLE_MS,
+    maxSockets: platform.quota.maxSockets,
+    readTimeoutMs: REQUEST_READ_MS,
+    idleTimeoutMs: (path: string) =>
+      path === REPORT_PATH ? settings.heartbeatIntervalMs * WORKER_IDLE_REPORTS : USER_IDLE_MS,
   };
   return new HttpServer(options, apiHandler(controller));
 }
 
-function apiHandler(controller: Controller): Handler {
+function apiHandler(controller: Controller): RequestHandler {
   return (request, respond) => {
     const { method, path, body } = request;
     controller.request(method, path, body, (answer) => respond(encodeAnswer(answer)));
   };
 }
 
-function encodeAnswer(answer: Answer): Response {
+function encodeAnswer(answer: Answer): HttpResponse {
   const { status, body, raw, type, retryAfterS, allow } = answer;
   return {
     status,
     body: raw ?? (body === undefined ? EMPTY_BODY : encodeBody(body)),
-    ...(type === undefined ? {} : { type }),
+    ...(type === undefined ? {} : { contentType: type }),
     ...(retryAfterS === undefined ? {} : { retryAfterS }),
     ...(allow === undefined ? {} : { allow }),
   };
@@ -117,12 +117,12 @@
   controller: Controller,
   fail: (err: Error) => void,
 ): void {
-  const { quota, internal } = settings.platform;
+  const { quota, internalAddr } = settings.platform;
   const server = net.createServer((socket) => readPeer(socket, controller));
-  const share = Math.floor(quota.sockets * PEER_SOCKETS_RATIO);
+  const share = Math.floor(quota.maxSockets * PEER_SOCKETS_RATIO);
   server.maxConnections = Math.max(MIN_PEER_SOCKETS, share);
   server.on('error', fail);
-  const { host, port } = splitAddress(internal);
+  const { host, port } = splitAddress(internalAddr);
   server.listen(port, host);
 }
 
@@ -132,5 +132,5 @@
     void import('./operators/metrics.js').then(({ Metrics }) => {
       controller.metrics = new Metrics();
     });
-  }, settings.reportMs * 3);
+  }, settings.heartbeatIntervalMs * 3);
 }
--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -5,26 +5,26 @@
 export interface Platform {
   host: string;
   zone: string;
-  api: string;
-  internal: string;
+  apiAddr: string;
+  internalAddr: string;
   peers: { host: string; addr: string }[];
-  cloud: string;
-  state: string;
+  cloudAddr: string;
+  stateStoreAddr: string;
   clockBoundMs: number;
   teams: Team[];
   objectives: Objective[];
   workers: {
-    reportS: number;
+    heartbeatIntervalS: number;
     leaseS: number;
-    gangWaitS: number;
-    gangPeerS: number;
-    cancelS: number;
+    gangFetchWaitS: number;
+    gangPeerExitS: number;
+    cancelDeadlineS: number;
   };
   stateLimits: StateLimits;
   /** Limits that the state service will have from some moment on, without notice. */
   upcomingStateLimits: StateLimits;
   cloudLimits: { rps: number; listLagS: number };
-  quota: { cores: number; ramMb: number; sockets: number };
+  quota: { cpus: number; ramMb: number; maxSockets: number };
 }
 
 /** What the state service takes: calls and writes a second, and the size of what is written. */
@@ -41,18 +41,18 @@
   class: string | null;
   withinS: number | null;
   /** Of a due time. */
-  times: number;
+  deadlineFactor: number;
 }
 
 /** A team's guaranteed share of the cluster, and its caps. */
 export interface Team {
   name: string;
   /** Guaranteed amounts. */
-  cpus: number;
-  gpus: number;
+  guaranteedCpus: number;
+  guaranteedGpus: number;
   /** Caps; 0 means none. */
-  cpusMax: number;
-  gpusMax: number;
+  maxCpus: number;
+  maxGpus: number;
 }
 
 /** Settings that can't be used; the message names the field. */
@@ -107,18 +107,22 @@
 
 /** Caps of a team are 0, which means none, or not below what it is guaranteed. */
 function checkTeam(team: Team, path: string): void {
-  if (team.cpusMax > 0 && team.cpusMax < team.cpus)
-    throw new SettingsError(`${path}cpus_max: ${team.cpusMax} is below cpus ${team.cpus}`);
-  if (team.gpusMax > 0 && team.gpusMax < team.gpus)
-    throw new SettingsError(`${path}gpus_max: ${team.gpusMax} is below gpus ${team.gpus}`);
+  if (team.maxCpus > 0 && team.maxCpus < team.guaranteedCpus)
+    throw new SettingsError(
+      `${path}cpus_max: ${team.maxCpus} is below cpus ${team.guaranteedCpus}`,
+    );
+  if (team.maxGpus > 0 && team.maxGpus < team.guaranteedGpus)
+    throw new SettingsError(
+      `${path}gpus_max: ${team.maxGpus} is below gpus ${team.guaranteedGpus}`,
+    );
 }
 
 /** Ends the start where figures that are each in range contradict one another. */
 function checkConsistency(platform: Platform): void {
-  const { reportS, leaseS } = platform.workers;
-  if (leaseS <= reportS)
+  const { heartbeatIntervalS, leaseS } = platform.workers;
+  if (leaseS <= heartbeatIntervalS)
     throw new SettingsError(
-      `params.workers.lease_s: ${leaseS} is not above report_s ${reportS}: every lease would run out`,
+      `params.workers.lease_s: ${leaseS} is not above report_s ${heartbeatIntervalS}: every lease would run out`,
     );
   platform.teams.forEach((team, i) => checkTeam(team, `params.teams.${i}.`));
   const names = [platform.host];
@@ -141,10 +145,10 @@
 function readTeam(from: Table, path: string): Team {
   return {
     name: str(from, 'name', path),
-    cpus: num(from, 'cpus', path, 0, 0),
-    gpus: num(from, 'gpus', path, 0, 0),
-    cpusMax: num(from, 'cpus_max', path, 0, 0),
-    gpusMax: num(from, 'gpus_max', path, 0, 0),
+    guaranteedCpus: num(from, 'cpus', path, 0, 0),
+    guaranteedGpus: num(from, 'gpus', path, 0, 0),
+    maxCpus: num(from, 'cpus_max', path, 0, 0),
+    maxGpus: num(from, 'gpus_max', path, 0, 0),
   };
 }
 
@@ -154,17 +158,17 @@
     kind: str(from, 'kind', path),
     class: typeof className === 'string' ? className : null,
     withinS: typeof withinS === 'number' ? withinS : null,
-    times: typeof times === 'number' ? times : 1,
+    deadlineFactor: typeof times === 'number' ? times : 1,
   };
 }
 
 function readWorkers(from: Table, path: string): Platform['workers'] {
   return {
-    reportS: num(from, 'report_s', path, 0.1),
+    heartbeatIntervalS: num(from, 'report_s', path, 0.1),
     leaseS: num(from, 'lease_s', path, 1),
-    gangWaitS: num(from, 'gang_wait_s', path, 1),
-    gangPeerS: num(from, 'gang_peer_s', path, 0.1),
-    cancelS: num(from, 'cancel_s', path, 1),
+    gangFetchWaitS: num(from, 'gang_wait_s', path, 1),
+    gangPeerExitS: num(from, 'gang_peer_s', path, 0.1),
+    cancelDeadlineS: num(from, 'cancel_s', path, 1),
   };
 }
 
@@ -174,9 +178,9 @@
 
 function readQuota(from: Table, path: string): Platform['quota'] {
   return {
-    cores: num(from, 'cores', path, 0.01, 1),
+    cpus: num(from, 'cores', path, 0.01, 1),
     ramMb: num(from, 'ram_mb', path, 32, 256),
-    sockets: num(from, 'fd_limit', path, 16, 1024),
+    maxSockets: num(from, 'fd_limit', path, 16, 1024),
   };
 }
 
@@ -200,14 +204,14 @@
   return {
     host: str(root, 'host_name', ''),
     zone: str(root, 'site', ''),
-    api: addr(root, 'api_addr', ''),
-    internal: addr(root, 'internal_addr', ''),
+    apiAddr: addr(root, 'api_addr', ''),
+    internalAddr: addr(root, 'internal_addr', ''),
     peers: tables(root, 'peers', '').map((peer, index) => ({
       host: str(peer, 'host_name', `peers.${index}.`),
       addr: addr(peer, 'addr', `peers.${index}.`),
     })),
-    cloud: addr(services, 'cloud', 'services.'),
-    state: addr(services, 'state', 'services.'),
+    cloudAddr: addr(services, 'cloud', 'services.'),
+    stateStoreAddr: addr(services, 'state', 'services.'),
     clockBoundMs: num(params, 'time_bound_ms', 'params.', 0, 1000),
     teams: tables(params, 'teams', 'params.').map((team, index) =>
       readTeam(team, `params.teams.${index}.`),
--- a/src/controller/settings/properties.ts
+++ b/src/controller/settings/properties.ts
@@ -2,7 +2,7 @@
 import { parse } from 'dot-properties';
 import { SettingsError } from './platform.js';
 
-interface Key {
+interface PropertyDefinition {
   value: number;
   min: number;
   max: number;
@@ -236,7 +236,7 @@
     max: 1,
     text: "Share of the state service's limits that all controllers together may use.",
   },
-} satisfies Record<string, Key>;
+} satisfies Record<string, PropertyDefinition>;
 
 /** Name of a property. */
 export type PropertyName = keyof typeof keys;
@@ -244,7 +244,7 @@
 export type Properties = Readonly<Record<PropertyName, number>>;
 
 /** Default and bounds of each property. */
-export const propertyKeys: Readonly<Record<PropertyName, Key>> = keys;
+export const propertyDefinitions: Readonly<Record<PropertyName, PropertyDefinition>> = keys;
 
 function names(): PropertyName[] {
   return Object.keys(keys) as PropertyName[];
--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -74,8 +74,11 @@
     const short = read(text({ leaseS: 6, cancelS: 12, reportS: 1 }));
     assert.equal(usualLease, usual.leaseS * 1000 * short.get('leadership.lease.ratio'));
     assert.ok(short.leaderLeaseMs < 6000 * short.get('leadership.lease.ratio'));
-    assert.ok(short.leaderLeaseMs * 2 <= short.viewMs + 1);
-    assert.ok(short.viewMs + 6000 + 4000 < 12_000, 'the bound on cancelled tasks still holds');
+    assert.ok(short.leaderLeaseMs * 2 <= short.maxWatchStalenessMs + 1);
+    assert.ok(
+      short.maxWatchStalenessMs + 6000 + 4000 < 12_000,
+      'the bound on cancelled tasks still holds',
+    );
   });
 
   it('tells where the heap may outgrow the memory of the process', () => {
--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -7,17 +7,17 @@
 import { DecayingRate, writeShare, type WriteDemand } from './write-share.js';
 import type { Settings } from '../settings/settings.js';
 import {
-  readEvents,
-  readFailed,
-  readItem,
-  isNoLease,
-  readLease,
+  readWatchEvents,
+  readFailedKeys,
+  readKeyValue,
+  isLeaseNotFound,
+  readLeaseId,
   readRange,
   readRevision,
   writeTransaction,
   type Condition,
-  type Event,
-  type Item,
+  type WatchEvent,
+  type KeyValue,
   type Write,
 } from '../wire/state.js';
 
@@ -137,7 +137,7 @@
     const call = ++this.lastCall;
     if (name !== 'follow') this.openCalls.set(call, this.eventLoop.now());
     this.eventLoop.runtime.call(
-      { to: this.settings.platform.state, method, path, body, timeoutMs },
+      { to: this.settings.platform.stateStoreAddr, method, path, body, timeoutMs },
       (reply) => {
         this.eventLoop.post(name, () => {
           this.openCalls.delete(call);
@@ -190,13 +190,13 @@
   private transactionResult(reply: Reply): TransactionResult {
     try {
       if (reply.status === 200) return { kind: 'ok', revision: readRevision(reply.body) };
-      if (reply.status === 409) return { kind: 'conflict', failedKeys: readFailed(reply.body) };
+      if (reply.status === 409) return { kind: 'conflict', failedKeys: readFailedKeys(reply.body) };
     } catch (err) {
       this.eventLoop.log.warn({ err }, 'broken answer from the state service');
       return { kind: 'unknown' };
     }
     if (reply.status === 400) {
-      if (isNoLease(reply.body)) return { kind: 'no-lease' };
+      if (isLeaseNotFound(reply.body)) return { kind: 'no-lease' };
       this.eventLoop.log.warn(
         { answer: reply.body, ...this.limits.current },
         'refused by the state service',
@@ -208,10 +208,10 @@
   }
 
   /** null: the key does not exist. */
-  read(key: string, timeoutMs: number, done: (result: ReadResult<Item | null>) => void): void {
+  read(key: string, timeoutMs: number, done: (result: ReadResult<KeyValue | null>) => void): void {
     this.call('GET', `/keys/${key}`, undefined, timeoutMs, 'get', (reply) => {
       if (reply.status === 404) done({ kind: 'ok', value: null });
-      else done(this.parse(reply, readItem));
+      else done(this.parse(reply, readKeyValue));
     });
   }
 
@@ -219,9 +219,9 @@
   readPrefix(
     prefix: string,
     timeoutMs: number,
-    done: (result: ReadResult<{ items: Item[]; revision: number }>) => void,
+    done: (result: ReadResult<{ items: KeyValue[]; revision: number }>) => void,
   ): void {
-    const all: Item[] = [];
+    const all: KeyValue[] = [];
     let revision = -1;
     const page = (from: string | null): void => {
       const after = from === null ? '' : `&from=${from}`;
@@ -250,7 +250,7 @@
   grantLease(ttlMs: number, timeoutMs: number, done: (result: ReadResult<number>) => void): void {
     this.requestTokens.forceTake();
     this.call('POST', '/holds', { life_ms: ttlMs }, timeoutMs, 'grant', (reply) => {
-      done(this.parse(reply, readLease));
+      done(this.parse(reply, readLeaseId));
     });
   }
 
@@ -273,14 +273,16 @@
     prefix: string,
     from: number,
     holdMs: number,
-    done: (result: ReadResult<{ events: Event[]; revision: number }> | { kind: 'too-old' }) => void,
+    done: (
+      result: ReadResult<{ events: WatchEvent[]; revision: number }> | { kind: 'too-old' },
+    ) => void,
   ): void {
     this.requestTokens.forceTake();
     const path = `/follow?starts=${prefix}&from=${from}&hold_ms=${Math.round(holdMs)}`;
     const timeoutMs = holdMs + this.settings.leaderLeaseMs * WATCH_ANSWER_LEASES;
     this.call('GET', path, undefined, timeoutMs, 'follow', (reply) => {
       if (reply.status === 410) done({ kind: 'too-old' });
-      else done(this.parse(reply, readEvents));
+      else done(this.parse(reply, readWatchEvents));
     });
   }
 }
--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -1,6 +1,6 @@
 /** Packs the leader's records into pages, the values that the state service stores. */
 import { isMap } from '../wire/cbor.js';
-import type { Item } from '../wire/state.js';
+import type { KeyValue } from '../wire/state.js';
 import { newEntry, newPage, EMPTY_PAGE_BYTES, type RecordEntry, type Page } from './page.js';
 
 /** Prefix of the pages' keys at the state service. */
@@ -66,7 +66,7 @@
   }
 
   /** All pages as they were read at takeover. */
-  load(items: Item[]): void {
+  load(items: KeyValue[]): void {
     const newest = new Map<string, number>();
     for (const item of items) {
       const page = this.page(item.key);
--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -8,7 +8,7 @@
 import { defaultProperties } from '../settings/properties.js';
 import type { StateLimits } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
-import type { Condition, Item, Write } from '../wire/state.js';
+import type { Condition, KeyValue, Write } from '../wire/state.js';
 import type { StateStoreClient } from './client.js';
 import type { TransactionResult } from './results.js';
 import { StateStoreLimits } from './limits.js';
@@ -26,7 +26,7 @@
   now = 0;
   puts = 0;
   private ledger = 1;
-  readonly entries = new Map<string, Item>();
+  readonly entries = new Map<string, KeyValue>();
   private timers: { at: number; run: () => void }[] = [];
   /** What the service takes, and what the leader knows of it. */
   takes: StateLimits;
@@ -107,7 +107,7 @@
       onFenced: nothing,
     });
     const pages = [...this.entries.values()].filter((i) => i.key.startsWith(PAGE_PREFIX));
-    this.records.load(JSON.parse(JSON.stringify(pages)) as Item[]);
+    this.records.load(JSON.parse(JSON.stringify(pages)) as KeyValue[]);
     return this.records;
   }
 
--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -1,7 +1,7 @@
 /** The leader's write-ahead records: what it has decided, stored before it is acted upon. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { Condition, Item, Write } from '../wire/state.js';
+import type { Condition, KeyValue, Write } from '../wire/state.js';
 import { tokenReserve, type StateStoreClient } from './client.js';
 import { CommitPlanner } from './commit-planner.js';
 import { CommitSender } from './commit-sender.js';
@@ -77,7 +77,7 @@
   }
 
   /** What the leaders before have left. */
-  load(items: Item[]): void {
+  load(items: KeyValue[]): void {
     this.pages.load(items);
   }
 
--- a/src/controller/wire/cloud.ts
+++ b/src/controller/wire/cloud.ts
@@ -77,7 +77,7 @@
 }
 
 /** Reads one page of the list of machines. */
-export function readMachines(body: unknown): { machines: ListedMachine[]; more: boolean } {
+export function readMachinePage(body: unknown): { machines: ListedMachine[]; more: boolean } {
   if (!isMap(body)) throw new WireError('machines: expected a map');
   const machines = list(body, 'kilns').map((item): ListedMachine => {
     if (!isMap(item)) throw new WireError('kilns: expected maps');
@@ -98,7 +98,7 @@
 }
 
 /** Reads the ids of the machines that were rented. */
-export function readRented(body: unknown): string[] {
+export function readLaunchedIds(body: unknown): string[] {
   if (!isMap(body)) throw new WireError('rented: expected a map');
   return list(body, 'kilns').map((id) => {
     if (typeof id !== 'string') throw new WireError('kilns: expected texts');
@@ -107,7 +107,7 @@
 }
 
 /** The request to rent machines; `name` makes its repeats harmless. */
-export function writeRent(
+export function writeLaunchRequest(
   name: string,
   type: string,
   zone: string,
@@ -118,6 +118,6 @@
 }
 
 /** The request to release machines. */
-export function writeRelease(machines: string[]): Fields {
+export function writeReleaseRequest(machines: string[]): Fields {
   return { kilns: machines };
 }
--- a/src/controller/wire/jobs.ts
+++ b/src/controller/wire/jobs.ts
@@ -12,20 +12,20 @@
 } from './cbor.js';
 
 /** `service`: tasks that run until their job is cancelled; each is replaced when it is lost. */
-export type Kind = 'array' | 'gang' | 'service';
+export type JobKind = 'array' | 'gang' | 'service';
 /** How urgent a job is, the most urgent first. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
 /** What a user is told of a job. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
 /** How a job has ended. */
-export type FinalState = 'done' | 'cancelled';
+export type TerminalState = 'done' | 'cancelled';
 
 /** What a user asks for, in the field's terms. */
 export interface JobSpec {
   id: string;
   class: string;
   team: string;
-  kind: Kind;
+  kind: JobKind;
   priority: Priority;
   tasks: number;
   cpus: number;
@@ -35,12 +35,12 @@
   imageGb: number;
   types: string[] | null;
   zone: string | null;
-  oneZone: boolean;
+  singleZone: boolean;
   spread: boolean;
   spot: boolean;
-  estimateS: number;
-  checkpointS: number;
-  saveS: number;
+  estimatedRunS: number;
+  checkpointIntervalS: number;
+  checkpointSaveS: number;
   deadlineS: number | null;
 }
 
@@ -49,14 +49,14 @@
 const ID = /^req-[0-9A-Za-z._-]{1,64}$/;
 const NAME_MAX = 200;
 
-const kinds: Record<string, Kind> = { batch: 'array', gang: 'gang', standing: 'service' };
+const kinds: Record<string, JobKind> = { batch: 'array', gang: 'gang', standing: 'service' };
 const priorities: Record<string, Priority> = {
   critical: 'production',
   high: 'high',
   normal: 'normal',
   best_effort: 'low',
 };
-const kindNames: Record<Kind, string> = { array: 'batch', gang: 'gang', service: 'standing' };
+const kindNames: Record<JobKind, string> = { array: 'batch', gang: 'gang', service: 'standing' };
 const priorityNames: Record<Priority, string> = {
   production: 'critical',
   high: 'high',
@@ -110,7 +110,7 @@
 }
 
 /** Reads a submission; throws a WireError that names the field at fault. */
-export function readJob(body: unknown): JobSpec {
+export function readJobSpec(body: unknown): JobSpec {
   if (!isMap(body)) throw new WireError('body: expected a map');
   const id = text(body, 'id');
   if (!isJobId(id)) throw new WireError('id: not a job id');
@@ -131,18 +131,18 @@
     imageGb: amount(body, 'pull_gb'),
     types: typeNames(body),
     zone: body['hall'] == null ? null : name(body, 'hall'),
-    oneZone: flag(body, 'same_place'),
+    singleZone: flag(body, 'same_place'),
     spread: flag(body, 'scatter'),
     spot: flag(body, 'loaners'),
-    estimateS,
-    checkpointS: amount(body, 'bookmark_s'),
-    saveS: amount(body, 'stow_s'),
+    estimatedRunS: estimateS,
+    checkpointIntervalS: amount(body, 'bookmark_s'),
+    checkpointSaveS: amount(body, 'stow_s'),
     deadlineS: amountOrNull(body, 'due_s'),
   };
 }
 
 /** A job in the form of a submission. */
-export function writeJob(spec: JobSpec): Fields {
+export function writeJobSpec(spec: JobSpec): Fields {
   return {
     id: spec.id,
     shift: spec.class,
@@ -157,18 +157,18 @@
     pull_gb: spec.imageGb,
     models: spec.types,
     hall: spec.zone,
-    same_place: spec.oneZone,
+    same_place: spec.singleZone,
     scatter: spec.spread,
     loaners: spec.spot,
-    expect_s: spec.estimateS,
-    bookmark_s: spec.checkpointS,
-    stow_s: spec.saveS,
+    expect_s: spec.estimatedRunS,
+    bookmark_s: spec.checkpointIntervalS,
+    stow_s: spec.checkpointSaveS,
     due_s: spec.deadlineS,
   };
 }
 
 /** What is told of a job. */
-export interface JobAnswer {
+export interface JobStatus {
   id: string;
   state: JobState;
   done?: number;
@@ -180,7 +180,7 @@
 }
 
 /** The body of an answer about a job. */
-export function writeAnswer(answer: JobAnswer): Fields {
+export function writeJobStatus(answer: JobStatus): Fields {
   const out: Fields = { id: answer.id, status: stateNames[answer.state] };
   if (answer.done !== undefined) out['done'] = answer.done;
   if (answer.running !== undefined) out['running'] = answer.running;
--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -11,14 +11,14 @@
 export type Write = { put: string; value: unknown; lease?: number } | { delete: string };
 
 /** A key with its value. */
-export interface Item {
+export interface KeyValue {
   key: string;
   value: unknown;
   version: number;
 }
 
 /** A change that a watch tells of. */
-export type Event =
+export type WatchEvent =
   { kind: 'put'; key: string; value: unknown; version: number } | { kind: 'delete'; key: string };
 
 const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
@@ -34,7 +34,7 @@
 }
 
 /** Reads one key. */
-export function readItem(body: unknown): Item {
+export function readKeyValue(body: unknown): KeyValue {
   const map = fields(body);
   return {
     key: text(map, 'k'),
@@ -44,17 +44,17 @@
 }
 
 /** Reads one page of keys. */
-export function readRange(body: unknown): { items: Item[]; more: boolean; revision: number } {
+export function readRange(body: unknown): { items: KeyValue[]; more: boolean; revision: number } {
   const map = fields(body);
   return {
-    items: list(map, 'entries').map(readItem),
+    items: list(map, 'entries').map(readKeyValue),
     more: flagOrFalse(map, 'has_next'),
     revision: smallInt(map, 'ledger', 0, MAX_INTEGER),
   };
 }
 
 /** Reads the keys whose conditions failed. */
-export function readFailed(body: unknown): string[] {
+export function readFailedKeys(body: unknown): string[] {
   return list(fields(body), 'failed').map((key) => {
     if (typeof key !== 'string') throw new WireError('failed: expected texts');
     return key;
@@ -62,19 +62,19 @@
 }
 
 /** Of the answers with 400, the one that tells of an ended lease. */
-export function isNoLease(body: unknown): boolean {
+export function isLeaseNotFound(body: unknown): boolean {
   return isMap(body) && body['error'] === 'no such lease';
 }
 
 /** Reads the id of a lease. */
-export function readLease(body: unknown): number {
+export function readLeaseId(body: unknown): number {
   return smallInt(fields(body), 'permit', 0, MAX_INTEGER);
 }
 
 /** Reads the changes that a watch tells of. */
-export function readEvents(body: unknown): { events: Event[]; revision: number } {
+export function readWatchEvents(body: unknown): { events: WatchEvent[]; revision: number } {
   const map = fields(body);
-  const events = list(map, 'log').map((item): Event => {
+  const events = list(map, 'log').map((item): WatchEvent => {
     const event = fields(item);
     if (typeof event['delete'] === 'string') return { kind: 'delete', key: event['delete'] };
     return {
--- a/src/controller/wire/wire.test.ts
+++ b/src/controller/wire/wire.test.ts
@@ -2,9 +2,9 @@
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
 import { decodeBody, encodeBody, WireError } from './cbor.js';
-import { readCatalogue, readMachines } from './cloud.js';
-import { readJob, writeAnswer, writeJob } from './jobs.js';
-import { readReport, splitTask, writeOrders } from './workers.js';
+import { readCatalogue, readMachinePage } from './cloud.js';
+import { readJobSpec, writeJobStatus, writeJobSpec } from './jobs.js';
+import { readHeartbeat, parseTaskName, writeHeartbeatResponse } from './workers.js';
 
 const submission = {
   id: 'req-000412',
@@ -31,11 +31,11 @@
 
 describe('wire', () => {
   it('reads a submission and writes it back unchanged', () => {
-    assert.deepEqual(writeJob(readJob(submission)), submission);
+    assert.deepEqual(writeJobSpec(readJobSpec(submission)), submission);
     for (const shape of ['batch', 'gang', 'standing'])
-      assert.equal(writeJob(readJob({ ...submission, shape }))['shape'], shape);
+      assert.equal(writeJobSpec(readJobSpec({ ...submission, shape }))['shape'], shape);
     const short = { ...submission, hall: undefined, due_s: undefined, models: undefined };
-    const spec = readJob({ ...short, unknown_field: 1 });
+    const spec = readJobSpec({ ...short, unknown_field: 1 });
     assert.equal(spec.zone, null);
     assert.equal(spec.types, null);
     assert.equal(spec.deadlineS, null);
@@ -72,7 +72,7 @@
     ];
     for (const [name, value] of bad)
       assert.throws(
-        () => readJob({ ...submission, [name]: value }),
+        () => readJobSpec({ ...submission, [name]: value }),
         WireError,
         `${name}=${String(value)}`,
       );
@@ -95,8 +95,8 @@
       'bookmark_s',
       'stow_s',
     ])
-      assert.throws(() => readJob({ ...submission, [name]: undefined }), WireError, name);
-    for (const body of [null, [], 'text', 5]) assert.throws(() => readJob(body), WireError);
+      assert.throws(() => readJobSpec({ ...submission, [name]: undefined }), WireError, name);
+    for (const body of [null, [], 'text', 5]) assert.throws(() => readJobSpec(body), WireError);
   });
 
   it('takes one whole CBOR item and nothing else', () => {
@@ -108,23 +108,26 @@
 
   it('keeps integers up to 2^64', () => {
     const big = 2n ** 64n - 1n;
-    const report = readReport({
+    const report = readHeartbeat({
       ...{ kiln: 'n-1', address: '10.0.0.1:1', model: 'g8', hall: 'a', loaners: false },
       ...{ tenure: 1, tally: big, baton: 41, recall_s: null, duties: [] },
     });
-    assert.equal(report.seq, big);
+    assert.equal(report.sequence, big);
     assert.deepEqual(decodeBody(encodeBody({ x: big })), { x: big });
   });
 
   it('names tasks, orders and answers as the protocol does', () => {
-    assert.deepEqual(splitTask('req-000412/3'), { job: 'req-000412', task: 3 });
+    assert.deepEqual(parseTaskName('req-000412/3'), { job: 'req-000412', task: 3 });
     for (const bad of ['req-1', 'req-1/', 'req-1/x', '/3', 'req-1/1000000'])
-      assert.throws(() => splitTask(bad), WireError);
-    assert.deepEqual(writeOrders(41, [{ op: 'stop', name: 'req-1/2', attempt: 3, graceS: 4 }]), {
-      baton: 41,
-      orders: [{ verb: 'stop', duty: 'req-1/2', try: 3, leeway_s: 4 }],
-    });
-    assert.deepEqual(writeAnswer({ id: 'req-1', state: 'cancelled' }), {
+      assert.throws(() => parseTaskName(bad), WireError);
+    assert.deepEqual(
+      writeHeartbeatResponse(41, [{ op: 'stop', name: 'req-1/2', attempt: 3, graceS: 4 }]),
+      {
+        baton: 41,
+        orders: [{ verb: 'stop', duty: 'req-1/2', try: 3, leeway_s: 4 }],
+      },
+    );
+    assert.deepEqual(writeJobStatus({ id: 'req-1', state: 'cancelled' }), {
       id: 'req-1',
       status: 'aborted',
     });
@@ -136,7 +139,7 @@
         fc.object({ maxDepth: 3 }),
         fc.constantFrom(...Object.keys(submission)),
         (any, key) => {
-          for (const read of [readJob, readReport, readCatalogue, readMachines])
+          for (const read of [readJobSpec, readHeartbeat, readCatalogue, readMachinePage])
             for (const body of [any, { ...submission, [key]: any }]) {
               try {
                 read(body);
--- a/src/controller/wire/workers.ts
+++ b/src/controller/wire/workers.ts
@@ -16,7 +16,7 @@
 /** State of a task on its machine. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 /** Why a task has exited. */
-export type Cause =
+export type ExitCause =
   | 'done'
   | 'stopped'
   | 'peers'
@@ -29,42 +29,42 @@
   | 'other';
 
 /** What a worker tells of one task. */
-export interface TaskReport {
+export interface TaskStatus {
   /** `job/number`, as `splitTask` takes it apart. */
   name: string;
   attempt: Int;
   state: TaskState;
-  cause: Cause | null;
-  saved: boolean;
+  cause: ExitCause | null;
+  checkpointSaved: boolean;
 }
 
 /** What a worker tells of itself and its tasks. */
-export interface Report {
+export interface Heartbeat {
   machine: string;
   addr: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: Int;
-  token: Int;
-  noticeS: number | null;
-  tasks: TaskReport[];
+  agentEpoch: number;
+  sequence: Int;
+  fencingToken: Int;
+  spotNoticeS: number | null;
+  tasks: TaskStatus[];
 }
 
 /** What a worker is to do with a task. */
-export type Order =
+export type WorkerCommand =
   | { op: 'start' | 'forget'; name: string; attempt: Int }
   | { op: 'stop'; name: string; attempt: Int; graceS: number };
 
-const states = new Map<string, TaskState>([
+const taskStates = new Map<string, TaskState>([
   ['pulling', 'fetching'],
   ['waiting', 'waiting'],
   ['running', 'running'],
   ['flushing', 'saving'],
   ['exited', 'exited'],
 ]);
-const causes = new Map<string, Cause>([
+const exitCauses = new Map<string, ExitCause>([
   ['done', 'done'],
   ['stopped', 'stopped'],
   ['peers', 'peers'],
@@ -74,7 +74,7 @@
   ['in_use', 'busy'],
   ['unknown', 'unknown'],
 ]);
-const verbs = { start: 'run', stop: 'stop', forget: 'clear' } as const;
+const commandVerbs = { start: 'run', stop: 'stop', forget: 'clear' } as const;
 
 /** The name of a task among the workers. */
 export function taskName(job: string, task: number): string {
@@ -82,7 +82,7 @@
 }
 
 /** Throws on what is no task's name. */
-export function splitTask(name: string): { job: string; task: number } {
+export function parseTaskName(name: string): { job: string; task: number } {
   const slash = name.lastIndexOf('/');
   const digits = name.slice(slash + 1);
   if (slash <= 0 || !/^\d{1,6}$/.test(digits)) throw new WireError('duty: not a task');
@@ -92,7 +92,7 @@
 }
 
 /** Reads a worker's report. */
-export function readReport(body: unknown): Report {
+export function readHeartbeat(body: unknown): Heartbeat {
   if (!isMap(body)) throw new WireError('report: expected a map');
   return {
     machine: text(body, 'kiln'),
@@ -100,39 +100,47 @@
     type: text(body, 'model'),
     zone: text(body, 'hall'),
     spot: flagOrFalse(body, 'loaners'),
-    session: smallInt(body, 'tenure', 0, Number.MAX_SAFE_INTEGER),
-    seq: int(body, 'tally'),
-    token: int(body, 'baton'),
-    noticeS: amountOrNull(body, 'recall_s'),
-    tasks: list(body, 'duties').map(readTask),
+    agentEpoch: smallInt(body, 'tenure', 0, Number.MAX_SAFE_INTEGER),
+    sequence: int(body, 'tally'),
+    fencingToken: int(body, 'baton'),
+    spotNoticeS: amountOrNull(body, 'recall_s'),
+    tasks: list(body, 'duties').map(readTaskStatus),
   };
 }
 
-function readTask(item: unknown): TaskReport {
+function readTaskStatus(item: unknown): TaskStatus {
   if (!isMap(item)) throw new WireError('duties: expected maps');
-  const state = states.get(text(item, 'status'));
+  const state = taskStates.get(text(item, 'status'));
   if (state === undefined) throw new WireError('status: unknown task state');
   return {
     name: text(item, 'duty'),
     attempt: int(item, 'try'),
     state,
-    cause: state === 'exited' ? (causes.get(text(item, 'cause')) ?? 'other') : null,
-    saved: state === 'exited' && flagOrFalse(item, 'saved'),
+    cause: state === 'exited' ? (exitCauses.get(text(item, 'cause')) ?? 'other') : null,
+    checkpointSaved: state === 'exited' && flagOrFalse(item, 'saved'),
   };
 }
 
-function writeOrder(order: Order): Fields {
-  const fields: Fields = { verb: verbs[order.op], duty: order.name, try: order.attempt };
-  if (order.op === 'stop') fields['leeway_s'] = order.graceS;
+function writeCommand(command: WorkerCommand): Fields {
+  const fields: Fields = {
+    verb: commandVerbs[command.op],
+    duty: command.name,
+    try: command.attempt,
+  };
+  if (command.op === 'stop') fields['leeway_s'] = command.graceS;
   return fields;
 }
 
 /** The answer to a report. */
-export function writeOrders(token: number, orders: Order[]): Fields {
-  return { baton: token, orders: orders.map(writeOrder) };
+export function writeHeartbeatResponse(fencingToken: number, orders: WorkerCommand[]): Fields {
+  return { baton: fencingToken, orders: orders.map(writeCommand) };
 }
 
 /** A command that is sent to a worker without a report. */
-export function writeDirect(token: number, session: number, orders: Order[]): Fields {
-  return { baton: token, tenure: session, orders: orders.map(writeOrder) };
+export function writeDirectCommands(
+  fencingToken: number,
+  agentEpoch: number,
+  orders: WorkerCommand[],
+): Fields {
+  return { baton: fencingToken, tenure: agentEpoch, orders: orders.map(writeCommand) };
 }
--- a/src/controller/workers/assignment.ts
+++ b/src/controller/workers/assignment.ts
@@ -1,6 +1,6 @@
 /** Assignments: tasks given to machines. */
 import type { Job } from '../jobs/table.js';
-import { taskName, type Cause, type TaskState } from '../wire/workers.js';
+import { taskName, type ExitCause, type TaskState } from '../wire/workers.js';
 import type { Machine } from './machine.js';
 import type { RecordedTask } from './record.js';
 
@@ -12,7 +12,7 @@
 }
 
 /** Why an assignment ended. `lost`: the machine or its session is gone, or the start never arrived. */
-export type Outcome = Cause | 'lost' | 'unsent';
+export type Outcome = ExitCause | 'lost' | 'unsent';
 
 /** A stop that the worker has been or is yet to be told of. */
 export interface StopRequest {
@@ -83,7 +83,7 @@
     machine,
     session: machine.session,
     need: { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb },
-    saveS: spec.saveS,
+    saveS: spec.checkpointSaveS,
     since: now,
     phase: 'planned',
     ...UNREPORTED,
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -2,7 +2,12 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Reply } from '../runtime/runtime.js';
 import type { Settings } from '../settings/settings.js';
-import { readReport, writeDirect, type Order, type Report } from '../wire/workers.js';
+import {
+  readHeartbeat,
+  writeDirectCommands,
+  type WorkerCommand,
+  type Heartbeat,
+} from '../wire/workers.js';
 import { attemptKey, type Assignment } from './assignment.js';
 import type { Liveness } from './liveness.js';
 import type { Machine } from './machine.js';
@@ -23,7 +28,7 @@
 /** One direct command: its orders, and those of them that are starts. */
 interface Command {
   readonly session: number;
-  readonly orders: Order[];
+  readonly orders: WorkerCommand[];
   readonly starts: Assignment[];
 }
 
@@ -37,7 +42,7 @@
 
   constructor(
     private readonly eventLoop: EventLoop,
-    private readonly settings: Pick<Settings, 'reportMs'>,
+    private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
     private readonly sync: TokenSync,
     private readonly liveness: Pick<Liveness, 'isAlive'>,
     private readonly higherTerm: (term: number) => void,
@@ -97,8 +102,8 @@
         to: machine.addr,
         method: 'POST',
         path: COMMAND_PATH,
-        body: writeDirect(this.sync.tokenOf(machine), command.session, command.orders),
-        timeoutMs: this.settings.reportMs,
+        body: writeDirectCommands(this.sync.tokenOf(machine), command.session, command.orders),
+        timeoutMs: this.settings.heartbeatIntervalMs,
       },
       (reply) => {
         this.eventLoop.post('direct', () => {
@@ -113,18 +118,18 @@
     if (status !== OK && status !== CONFLICT) return;
     const report = this.readAnswer(machine, body);
     if (report === null) return;
-    if (status === CONFLICT) this.higherTerm(termOf(report.token));
+    if (status === CONFLICT) this.higherTerm(termOf(report.fencingToken));
     if (machine.session !== command.session) return;
     for (const assignment of command.starts) {
       if (status === CONFLICT) startRefused(machine, assignment);
       // Reports sent before the command was carried out cannot show the task.
-      else if (assignment.phase === 'sent') assignment.sentSeq = report.seq;
+      else if (assignment.phase === 'sent') assignment.sentSeq = report.sequence;
     }
   }
 
-  private readAnswer(machine: Machine, body: unknown): Report | null {
+  private readAnswer(machine: Machine, body: unknown): Heartbeat | null {
     try {
-      return readReport(body);
+      return readHeartbeat(body);
     } catch (err) {
       this.eventLoop.log.warn({ machine: machine.id, err }, 'broken answer of a worker');
       return null;
--- a/src/controller/workers/failures.test.ts
+++ b/src/controller/workers/failures.test.ts
@@ -42,9 +42,9 @@
     const machine = new Machine('n-1', 0, settings);
     const failing = job('req-1');
     failures.recordFailure(machine, failing, 'error');
-    assert.equal(failing.notBefore, NOW + settings.reportMs * 2);
+    assert.equal(failing.notBefore, NOW + settings.heartbeatIntervalMs * 2);
     failures.recordFailure(machine, failing, 'error');
-    assert.equal(failing.notBefore, NOW + settings.reportMs * 4);
+    assert.equal(failing.notBefore, NOW + settings.heartbeatIntervalMs * 4);
     for (let i = 0; i < 10; i++) failures.recordFailure(machine, failing, 'error');
     assert.ok(failing.notBefore <= NOW + settings.workerLeaseMs * 2);
   });
@@ -53,7 +53,7 @@
     const machine = new Machine('n-1', 0, settings);
     const placed = job('req-1');
     failures.recordFailure(machine, placed, 'no_room');
-    assert.equal(machine.noPlacingBefore, NOW + settings.reportMs);
+    assert.equal(machine.noPlacingBefore, NOW + settings.heartbeatIntervalMs);
     assert.equal(placed.notBefore, 0);
   });
 
@@ -62,7 +62,7 @@
     const service = job('req-1', 'service');
     failures.recordFailure(machine, service, 'done');
     failures.recordFailure(machine, service, 'other');
-    const until = NOW + settings.reportMs * 4;
+    const until = NOW + settings.heartbeatIntervalMs * 4;
     assert.deepEqual(service.avoided.get('n-1'), { times: 2, until });
     assert.equal(service.notBefore, 0);
   });
