--- a/src/controller/workers/failures.ts
+++ b/src/controller/workers/failures.ts
@@ -45,7 +45,7 @@
   /** A task of the job ended on the machine without being completed. */
   recordFailure(machine: Machine, job: Job, outcome: Outcome): void {
     const now = this.eventLoop.now();
-    const pausedUntil = now + this.settings.reportMs;
+    const pausedUntil = now + this.settings.heartbeatIntervalMs;
     if (job.standing && REPLICA_ENDED.has(outcome)) this.avoidMachine(machine, job, now);
     if (outcome === 'error') this.recordError(machine, job, now);
     else if (outcome === 'no_room')
@@ -58,7 +58,7 @@
     job.failedOn.add(machine.id);
     if (job.standing) {
       // The service goes on elsewhere at once; only where all machines fail it, it waits.
-      if (this.isFaulty(job)) job.notBefore = now + this.settings.reportMs;
+      if (this.isFaulty(job)) job.notBefore = now + this.settings.heartbeatIntervalMs;
     } else {
       job.errors++;
       job.notBefore = now + this.backoffMs(job.errors);
@@ -73,7 +73,8 @@
   }
 
   private backoffMs(failures: number): number {
-    const doubled = this.settings.reportMs * 2 ** Math.min(failures, BACKOFF_MAX_DOUBLINGS);
+    const doubled =
+      this.settings.heartbeatIntervalMs * 2 ** Math.min(failures, BACKOFF_MAX_DOUBLINGS);
     return Math.min(doubled, this.settings.workerLeaseMs * BACKOFF_MAX_LEASES);
   }
 
--- a/src/controller/workers/liveness.test.ts
+++ b/src/controller/workers/liveness.test.ts
@@ -66,10 +66,10 @@
     const [reporting, never, failed] = machines;
     assert.ok(reporting && never && failed);
     failed.listed = 'failed';
-    pass(clock, liveness, settings.reportMs * 4);
+    pass(clock, liveness, settings.heartbeatIntervalMs * 4);
     reporting.lastReportAt = clock.time;
     assert.equal(liveness.overdueShare(0, false), 0.5);
     assert.equal(liveness.overdueShare(0, true), 0);
-    assert.equal(liveness.overdueShare(settings.reportMs * 4, false), 0);
+    assert.equal(liveness.overdueShare(settings.heartbeatIntervalMs * 4, false), 0);
   });
 });
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -57,7 +57,7 @@
    * answered; of those that may still report.
    */
   overdueShare(lateMs: number, onlyHeardThisTerm: boolean): number {
-    const allowedMs = this.settings.reportMs * LATEST_REPORT_RATIO + lateMs;
+    const allowedMs = this.settings.heartbeatIntervalMs * LATEST_REPORT_RATIO + lateMs;
     let expected = 0;
     let overdue = 0;
     for (const machine of this.machines.values()) {
--- a/src/controller/workers/orders.test.ts
+++ b/src/controller/workers/orders.test.ts
@@ -4,7 +4,7 @@
 import { acceptedJob } from '../../../test/stand-ins.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { Order } from '../wire/workers.js';
+import type { WorkerCommand } from '../wire/workers.js';
 import { plannedAssignment, type Assignment } from './assignment.js';
 import { Machine } from './machine.js';
 import { addOrder } from './orders.js';
@@ -16,13 +16,13 @@
 function assignmentIn(part: Partial<Assignment>): Assignment {
   const machine = new Machine('n-1', 0, settings);
   machine.session = 1;
-  const job = acceptedJob({ saveS: 10 });
+  const job = acceptedJob({ checkpointSaveS: 10 });
   return Object.assign(plannedAssignment(job, 0, ATTEMPT, machine, 0), part);
 }
 
-function ordersFor(assignment: Assignment, now = 0, session = 1): Order[] {
-  const orders: Order[] = [];
-  addOrder(assignment, { session, seq: 7 }, orders, settings, now);
+function ordersFor(assignment: Assignment, now = 0, session = 1): WorkerCommand[] {
+  const orders: WorkerCommand[] = [];
+  addOrder(assignment, { agentEpoch: session, sequence: 7 }, orders, settings, now);
   return orders;
 }
 
@@ -49,8 +49,8 @@
 
   it('cut saving short that takes far too long, or is not wanted any more', () => {
     const assignment = assignmentIn({ phase: 'seen', state: 'saving', stop: { ...STOP } });
-    const { gangPeerS } = settings.platform.workers;
-    const allowedMs = (10 * 2 + gangPeerS) * 1000 + settings.reportMs;
+    const { gangPeerExitS } = settings.platform.workers;
+    const allowedMs = (10 * 2 + gangPeerExitS) * 1000 + settings.heartbeatIntervalMs;
     const stop = { op: 'stop', name: 'req-1/0', attempt: ATTEMPT, graceS: 0 };
     assert.deepEqual(ordersFor(assignment, allowedMs), []);
     assert.deepEqual(ordersFor(assignment, allowedMs + 1), [stop]);
--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -5,7 +5,7 @@
 import type { Job } from '../jobs/table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { Report, TaskReport } from '../wire/workers.js';
+import type { Heartbeat, TaskStatus } from '../wire/workers.js';
 import { plannedAssignment, type Assignment } from './assignment.js';
 import { Machine } from './machine.js';
 import { Reconciliation, type ReportInProgress } from './reconciliation.js';
@@ -43,17 +43,22 @@
 
   /** A report of this number, under our term if not said otherwise. */
   handled(seq: number, current = true): ReportInProgress {
-    const report: Report = {
+    const report: Heartbeat = {
       ...{ machine: 'n-1', addr: '10.1.0.1:9', type: 'g', zone: 'a', spot: false },
-      ...{ session: 1, seq, token: 0, noticeS: null, tasks: [] },
+      ...{ agentEpoch: 1, sequence: seq, fencingToken: 0, spotNoticeS: null, tasks: [] },
     };
     return { machine: this.machine, report, number: seq, current, orders: [] };
   }
 
   /** The orders that follow from one listed task, in words. */
-  list(task: Partial<TaskReport>, current = true): string[] {
+  list(task: Partial<TaskStatus>, current = true): string[] {
     const handled = this.handled(5, current);
-    const usual = { name: 'req-1/0', attempt: ATTEMPT, cause: null, saved: false } as const;
+    const usual = {
+      name: 'req-1/0',
+      attempt: ATTEMPT,
+      cause: null,
+      checkpointSaved: false,
+    } as const;
     this.reconciliation.listed(handled, { ...usual, state: 'running', ...task });
     return handled.orders.map(({ op, name }) => `${op} ${name}`);
   }
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -1,7 +1,12 @@
 /** What a worker reports of its tasks, held against what is assigned to its machine. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/table.js';
-import { splitTask, type Order, type Report, type TaskReport } from '../wire/workers.js';
+import {
+  parseTaskName,
+  type WorkerCommand,
+  type Heartbeat,
+  type TaskStatus,
+} from '../wire/workers.js';
 import type { Assignment } from './assignment.js';
 import type { Assignments } from './assignments.js';
 import type { Machine } from './machine.js';
@@ -10,7 +15,7 @@
 /** A report that is being handled, and the orders of its answer. */
 export interface ReportInProgress {
   readonly machine: Machine;
-  readonly report: Report;
+  readonly report: Heartbeat;
   /** Counts the reports of all machines. */
   readonly number: number;
   /**
@@ -18,7 +23,7 @@
    * report: what it lacks proves nothing, for the leader before may have started it since.
    */
   readonly current: boolean;
-  readonly orders: Order[];
+  readonly orders: WorkerCommand[];
 }
 
 /** What reconciliation tells of. */
@@ -40,7 +45,7 @@
   ) {}
 
   /** The report lists a task. */
-  listed(handled: ReportInProgress, task: TaskReport): void {
+  listed(handled: ReportInProgress, task: TaskStatus): void {
     const { machine } = handled;
     const assignment = machine.assignments.get(task.name);
     if (assignment?.attempt === task.attempt && assignment.session === machine.session) {
@@ -62,7 +67,7 @@
     if (this.sync.voidDirectStart(machine, name, attempt)) return;
     // The worker has one report in flight at a time, so a later report without the task means that
     // the answer with its start was dropped, or that the task is gone.
-    if (sentSeq !== null && report.seq <= sentSeq) return;
+    if (sentSeq !== null && report.sequence <= sentSeq) return;
     // A start of this term that never arrived may go out again. One of the leader before may have
     // arrived, ended and been cleared: its attempt is over.
     if (phase === 'seen' || sentSeq === null || assignment.stop !== null) {
@@ -78,7 +83,7 @@
   private listedAssignment(
     handled: ReportInProgress,
     assignment: Assignment,
-    task: TaskReport,
+    task: TaskStatus,
   ): boolean {
     assignment.lastReportNumber = handled.number;
     // A report from before our term may be as old as any. That a task is done stays true; but one
@@ -100,7 +105,7 @@
   private restart(
     { machine, orders }: ReportInProgress,
     assignment: Assignment,
-    { name, attempt }: TaskReport,
+    { name, attempt }: TaskStatus,
   ): void {
     this.sync.voidDirectStart(machine, name, attempt);
     orders.push({ op: 'forget', name, attempt }, { op: 'start', name, attempt });
@@ -110,15 +115,15 @@
   }
 
   /** Has the worker forget a task that has exited, unless its report is still needed. */
-  private clear({ machine, orders }: ReportInProgress, task: TaskReport): void {
+  private clear({ machine, orders }: ReportInProgress, task: TaskStatus): void {
     if (task.cause === 'done' && this.awaitsRecord(task)) return;
     this.sync.voidDirectStart(machine, task.name, task.attempt);
     orders.push({ op: 'forget', name: task.name, attempt: task.attempt });
   }
 
   /** A completion of which this report is the only trace until it is on record. */
-  private awaitsRecord({ name }: TaskReport): boolean {
-    const { job: id, task } = splitTask(name);
+  private awaitsRecord({ name }: TaskStatus): boolean {
+    const { job: id, task } = parseTaskName(name);
     const job = this.table.jobs.get(id);
     if (job === undefined || job.standing || task >= job.spec.tasks) return false;
     if (job.done[task] !== 1 && job.spec.kind !== 'gang') this.table.markDone(job, task);
@@ -126,7 +131,7 @@
   }
 
   /** Takes over the state that the report shows. */
-  private follow(assignment: Assignment, { state, cause }: TaskReport): void {
+  private follow(assignment: Assignment, { state, cause }: TaskStatus): void {
     const { job, machine } = assignment;
     if (assignment.phase !== 'seen') machine.unheardStarts = 0;
     assignment.phase = 'seen';
--- a/src/controller/workers/record.test.ts
+++ b/src/controller/workers/record.test.ts
@@ -13,7 +13,7 @@
 const NOW = 500_000;
 const WALL = 1_700_000_000_000;
 /** Starts within this time may share one in the record. */
-const TOGETHER_MS = settings.reportMs * 2;
+const TOGETHER_MS = settings.heartbeatIntervalMs * 2;
 const ATTEMPTS = 2 ** 22;
 
 interface Started {
--- a/src/controller/workers/record.ts
+++ b/src/controller/workers/record.ts
@@ -38,12 +38,12 @@
 
 /** Bytes for tasks in a machine's record, which has to fit a value of the state service. */
 export function recordRoom(settings: Settings): number {
-  return settings.valueBytes - HEAD_BYTES;
+  return settings.maxValueBytes - HEAD_BYTES;
 }
 
 /** Starts this close to each other may share a time in the record; it serves estimates alone. */
 function sharedStartMs(settings: Settings): number {
-  return settings.reportMs * 2;
+  return settings.heartbeatIntervalMs * 2;
 }
 
 /** Assignments of one key share a list of tasks in the record. */
--- a/src/controller/workers/report-handler.ts
+++ b/src/controller/workers/report-handler.ts
@@ -1,7 +1,7 @@
 /** Reports of workers: what they prove, and the orders in their answers. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import { writeOrders, type Report } from '../wire/workers.js';
+import { writeHeartbeatResponse, type Heartbeat } from '../wire/workers.js';
 import type { Machine } from './machine.js';
 import { addOrder } from './orders.js';
 import type { Reconciliation, ReportInProgress } from './reconciliation.js';
@@ -38,35 +38,38 @@
   ) {}
 
   /** Takes over what the report says; an answer of 200 renews the worker's lease. */
-  handle(report: Report): ReportAnswer {
-    this.events.higherTerm(termOf(report.token));
+  handle(report: Heartbeat): ReportAnswer {
+    this.events.higherTerm(termOf(report.fencingToken));
     // Late copies of reports must not bring back a machine that the cloud has taken.
     if (this.registry.wasRemoved(report.machine)) return REFUSED;
     const machine = this.registry.obtain(report.machine);
     if (isOutdated(report, machine)) return REFUSED;
     const now = this.eventLoop.now();
     this.registry.update(machine, report);
-    if (report.session > machine.session) this.sessions.begin(machine, report.session);
+    if (report.agentEpoch > machine.session) this.sessions.begin(machine, report.agentEpoch);
     this.renew(machine, report, now);
-    if (this.sync.observe(machine, report.token)) this.events.changed();
+    if (this.sync.observe(machine, report.fencingToken)) this.events.changed();
     const handled: ReportInProgress = {
       machine,
       report,
       number: ++this.reports,
-      current: this.sync.isCurrent(report.token),
+      current: this.sync.isCurrent(report.fencingToken),
       orders: [],
     };
     this.reconcile(handled, now);
     if (machine.noticeAt !== null) this.events.changed();
-    return { status: 200, body: writeOrders(this.sync.tokenOf(machine), handled.orders) };
+    return {
+      status: 200,
+      body: writeHeartbeatResponse(this.sync.tokenOf(machine), handled.orders),
+    };
   }
 
-  private renew(machine: Machine, { seq, noticeS }: Report, now: number): void {
+  private renew(machine: Machine, { sequence, spotNoticeS }: Heartbeat, now: number): void {
     const first = machine.lastReportAt === -Infinity;
-    machine.lastSeq = seq;
+    machine.lastSeq = sequence;
     machine.lastReportAt = now;
     machine.leaseRenewedAt = now;
-    machine.noticeAt = noticeS === null ? null : now + noticeS * 1000;
+    machine.noticeAt = spotNoticeS === null ? null : now + spotNoticeS * 1000;
     if (first) this.events.changed();
   }
 
@@ -76,7 +79,7 @@
     // Ending one takes it from the map, which a loop over a map allows for.
     for (const assignment of machine.assignments.values()) {
       const unlisted = assignment.lastReportNumber !== number && assignment.phase !== 'ended';
-      if (current && unlisted && assignment.session === report.session)
+      if (current && unlisted && assignment.session === report.agentEpoch)
         this.reconciliation.missing(handled, assignment);
       addOrder(assignment, report, orders, this.settings, now);
     }
@@ -84,7 +87,8 @@
 }
 
 /** Whether the report is of a session that is over, or older than the last of its session. */
-function isOutdated(report: Report, machine: Machine): boolean {
-  if (report.session < machine.session || report.session < machine.lowestValidSession) return true;
-  return report.session === machine.session && report.seq <= machine.lastSeq;
+function isOutdated(report: Heartbeat, machine: Machine): boolean {
+  if (report.agentEpoch < machine.session || report.agentEpoch < machine.lowestValidSession)
+    return true;
+  return report.agentEpoch === machine.session && report.sequence <= machine.lastSeq;
 }
--- a/src/controller/workers/sessions.test.ts
+++ b/src/controller/workers/sessions.test.ts
@@ -41,7 +41,7 @@
   it('are over once the lease has surely run out, and told so once', () => {
     const { clock, machine, sessions, told } = setUp();
     machine.session = 3;
-    clock.time = settings.workerGoneMs;
+    clock.time = settings.workerLeaseExpiryMs;
     sessions.endExpired([machine]);
     assert.deepEqual(told, []);
     clock.time++;
--- a/src/controller/workers/sessions.ts
+++ b/src/controller/workers/sessions.ts
@@ -17,7 +17,7 @@
 export class Sessions {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
-    private readonly settings: Pick<Settings, 'workerGoneMs'>,
+    private readonly settings: Pick<Settings, 'workerLeaseExpiryMs'>,
     private readonly sync: Pick<TokenSync, 'requireNewToken'>,
     private readonly assignments: Pick<Assignments, 'endAll' | 'endBefore'>,
     private readonly events: SessionEvents,
@@ -39,7 +39,7 @@
     const now = this.eventLoop.now();
     for (const machine of machines) {
       const ended = machine.lowestValidSession > machine.session;
-      if (ended || now - machine.leaseRenewedAt <= this.settings.workerGoneMs) continue;
+      if (ended || now - machine.leaseRenewedAt <= this.settings.workerLeaseExpiryMs) continue;
       this.expire(machine);
     }
   }
--- a/src/controller/workers/workers.test.ts
+++ b/src/controller/workers/workers.test.ts
@@ -8,8 +8,8 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
-import { writeJob, type JobSpec } from '../wire/jobs.js';
-import type { Report, TaskReport } from '../wire/workers.js';
+import { writeJobSpec, type JobSpec } from '../wire/jobs.js';
+import type { Heartbeat, TaskStatus } from '../wire/workers.js';
 import { makeToken, termOf } from './token.js';
 import { Workers } from './workers.js';
 
@@ -22,7 +22,14 @@
   return {
     ...{ id: 'req-1', class: 'c', team: 't', kind: 'array', priority: 'normal', tasks: 2 },
     ...{ cpus: 1, gpus: 0, memoryGb: 1, image: 'i', imageGb: 1, types: null, zone: null },
-    ...{ oneZone: false, spread: false, spot: true, estimateS: 10, checkpointS: 0, saveS: 0 },
+    ...{
+      singleZone: false,
+      spread: false,
+      spot: true,
+      estimatedRunS: 10,
+      checkpointIntervalS: 0,
+      checkpointSaveS: 0,
+    },
     deadlineS: null,
     ...part,
   };
@@ -76,7 +83,7 @@
       changed: () => undefined,
       ran: () => undefined,
     });
-    this.table.add(job.id, { job: writeJob(job), at: 0 }, 1);
+    this.table.add(job.id, { job: writeJobSpec(job), at: 0 }, 1);
     this.workers.load();
     this.table.settle();
   }
@@ -90,12 +97,12 @@
   private seq = 0;
   report(
     token: number,
-    tasks: TaskReport[],
-    part: Partial<Report> = {},
+    tasks: TaskStatus[],
+    part: Partial<Heartbeat> = {},
   ): { orders: string[]; token: number } | null {
     const answer = this.workers.report({
-      ...{ machine: 'n-1', addr: '10.1.0.1:9', type: 'g', zone: 'a', spot: false, session: 1 },
-      ...{ seq: ++this.seq, token, noticeS: null, tasks },
+      ...{ machine: 'n-1', addr: '10.1.0.1:9', type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
+      ...{ sequence: ++this.seq, fencingToken: token, spotNoticeS: null, tasks },
       ...part,
     });
     if (answer.status !== 200) return null;
@@ -117,8 +124,8 @@
   }
 }
 
-const task = (attempt: number, part: Partial<TaskReport> = {}): TaskReport => ({
-  ...{ name: 'req-1/0', attempt, state: 'running', cause: null, saved: false },
+const task = (attempt: number, part: Partial<TaskStatus> = {}): TaskStatus => ({
+  ...{ name: 'req-1/0', attempt, state: 'running', cause: null, checkpointSaved: false },
   ...part,
 });
 
@@ -199,9 +206,9 @@
 
   it('ignores late reports, and never renews by them', () => {
     const b = new Bench(spec({}));
-    assert.ok(b.report(0, [], { session: 2 }));
-    assert.equal(b.report(0, [], { session: 1 }), null);
-    assert.equal(b.report(0, [], { session: 2, seq: 1 }), null);
+    assert.ok(b.report(0, [], { agentEpoch: 2 }));
+    assert.equal(b.report(0, [], { agentEpoch: 1 }), null);
+    assert.equal(b.report(0, [], { agentEpoch: 2, sequence: 1 }), null);
   });
 
   it('takes tasks for gone when the lease has surely run out, and the session with them', () => {
@@ -251,7 +258,7 @@
 
   for (const cause of ['done', 'error', 'other'] as const)
     it(`replaces a replica that ended with ${cause}, elsewhere and at once`, () => {
-      const b = new Bench(spec({ kind: 'service', tasks: 2, estimateS: 0 }));
+      const b = new Bench(spec({ kind: 'service', tasks: 2, estimatedRunS: 0 }));
       const token = makeToken(TERM, 0);
       b.report(0, []);
       const m = b.workers.machine('n-1');
@@ -271,7 +278,7 @@
 
   it('puts a gang of one task back when it is lost', () => {
     const b = new Bench(spec({ kind: 'gang', tasks: 1 }), recorded);
-    b.report(makeToken(TERM, 0), [], { session: 2 });
+    b.report(makeToken(TERM, 0), [], { agentEpoch: 2 });
     assert.equal(b.job.pending.length, 1);
   });
 });
@@ -291,7 +298,7 @@
       ...{ vanished: nothing, closed: nothing, recorded: nothing },
       ended: (id, state) => ended.push(`${id} ${state}`),
     });
-    table.add('req-1', { job: writeJob(spec({})), at: 0 }, 1);
+    table.add('req-1', { job: writeJobSpec(spec({})), at: 0 }, 1);
     table.removed('req-1');
     assert.deepEqual(ended, []);
     asked[0]?.({ kind: 'ok', value: { key: '', version: 1, value: { state: 'done' } } });
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -5,7 +5,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { MachineType } from '../wire/cloud.js';
-import type { Report } from '../wire/workers.js';
+import type { Heartbeat } from '../wire/workers.js';
 import type { Assignment } from './assignment.js';
 import { Assignments } from './assignments.js';
 import { DirectCommands } from './direct-commands.js';
@@ -145,7 +145,7 @@
   }
 
   /** Takes over what a worker reports; an answer of 200 renews its lease. */
-  report(report: Report): ReportAnswer {
+  report(report: Heartbeat): ReportAnswer {
     return this.reports.handle(report);
   }
 
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,7 +1,7 @@
 /** The command line. */
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
-import { ask } from './controller/operators/client.js';
+import { callApi } from './controller/operators/api-client.js';
 import { run } from './controller/run.js';
 import { oldGenerationMb } from './controller/runtime/heap-budget.js';
 import { readPlatform, SettingsError, type Platform } from './controller/settings/platform.js';
@@ -75,9 +75,9 @@
     process.stdout.write(
       [
         `host ${s.platform.host}, ${s.platform.peers.length} peers, ${s.platform.teams.length} teams`,
-        `leader lease ${s.leaderLeaseMs} ms, renewed every ${s.renewMs} ms, used for ${Math.round(s.leaderActsMs)} ms`,
-        `a silent worker's tasks are gone after ${Math.round(s.workerGoneMs)} ms`,
-        `workers are answered on a view of cancellations at most ${Math.round(s.viewMs)} ms old`,
+        `leader lease ${s.leaderLeaseMs} ms, renewed every ${s.leaderRenewIntervalMs} ms, used for ${Math.round(s.usableLeaderLeaseMs)} ms`,
+        `a silent worker's tasks are gone after ${Math.round(s.workerLeaseExpiryMs)} ms`,
+        `workers are answered on a view of cancellations at most ${Math.round(s.maxWatchStalenessMs)} ms old`,
         memoryLine(s.platform),
         '',
       ].join('\n'),
@@ -105,7 +105,7 @@
       const { api } = command.opts<{ api: string }>();
       if (!/^[^:\s]+:\d{1,5}$/.test(api)) fail(`--api ${api}: expected HOST:PORT`);
       const { method, path, body } = call(api, command.args[0] ?? '');
-      const outcome = await ask(api, method, path, body);
+      const outcome = await callApi(api, method, path, body);
       if (!outcome.ok) fail(outcome.text);
       process.stdout.write(`${outcome.text}\n`);
     });
--- a/test/mixed-day.ts
+++ b/test/mixed-day.ts
@@ -18,8 +18,8 @@
 /** Work of the day: long, in waves that leave jobs half done for long, and in gangs. */
 const work: Partial<JobSpec>[] = [
   longJobs,
-  { ...longJobs, tasks: 20, cpus: 4, estimateS: 12 },
-  { ...longJobs, kind: 'gang', tasks: 2, gpus: 1, estimateS: 25 },
+  { ...longJobs, tasks: 20, cpus: 4, estimatedRunS: 12 },
+  { ...longJobs, kind: 'gang', tasks: 2, gpus: 1, estimatedRunS: 25 },
 ];
 
 /** Replicas of each service that a day submits. */
@@ -29,13 +29,20 @@
 const service: Partial<JobSpec> = {
   ...{
     kind: 'service',
-    estimateS: 0,
+    estimatedRunS: 0,
     tasks: REPLICAS,
-    oneZone: false,
+    singleZone: false,
     spread: false,
     deadlineS: null,
   },
-  ...{ cpus: 1, gpus: 0, memoryGb: 1, priority: 'production', checkpointS: 0, saveS: 0 },
+  ...{
+    cpus: 1,
+    gpus: 0,
+    memoryGb: 1,
+    priority: 'production',
+    checkpointIntervalS: 0,
+    checkpointSaveS: 0,
+  },
   ...{ types: null, zone: null, team: 'red' },
 };
 
--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -20,12 +20,12 @@
   imageGb: 1,
   types: ['big'],
   zone: null,
-  oneZone: true,
+  singleZone: true,
   spread: false,
   spot: false,
-  estimateS: 10,
-  checkpointS: 0,
-  saveS: 0,
+  estimatedRunS: 10,
+  checkpointIntervalS: 0,
+  checkpointSaveS: 0,
   deadlineS: null,
 };
 const a: Place = { machine: 'n-1', type: 'big', zone: 'a', spot: false };
@@ -33,7 +33,7 @@
   ...{ type: 'big', zone: 'a', spot: false, recalled: false },
   ...{ cpus: 16, gpus: 4, memoryGb: 128 },
 };
-const team = { name: 'red', cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 4 };
+const team = { name: 'red', guaranteedCpus: 0, guaranteedGpus: 0, maxCpus: 0, maxGpus: 4 };
 
 function broken(violate: (r: RuleChecker, time: { now: number }) => void): string[] {
   const time = { now: 0 };
@@ -116,7 +116,7 @@
     [
       'wrong_place',
       (r) => {
-        r.submitted({ ...spec, id: 'req-2', oneZone: false, spread: true, gpus: 1 });
+        r.submitted({ ...spec, id: 'req-2', singleZone: false, spread: true, gpus: 1 });
         r.taskOn('req-2', 0, a);
         r.taskOn('req-2', 1, a);
       },
--- a/test/simulation/answer-scenarios.ts
+++ b/test/simulation/answer-scenarios.ts
@@ -3,13 +3,13 @@
 import { cancelled, leaders, longJobs, type FaultScenario } from './fault-scenario.js';
 
 /** One-task jobs that are soon done. */
-const brief: Partial<JobSpec> = { ...longJobs, tasks: 1, estimateS: 5 };
+const brief: Partial<JobSpec> = { ...longJobs, tasks: 1, estimatedRunS: 5 };
 
 /** What users are told: many questions at once, lost answers, many short jobs, slow links. */
 export const answerScenarios: FaultScenario[] = [
   {
     name: 'users ask at all nodes and repeat right after each answer, some cancel at once',
-    jobs: { estimateS: 10 },
+    jobs: { estimatedRunS: 10 },
     count: 8,
     faults: () => [
       { kind: 'close looks', cancelled: 0.3, at: 0, for: 120 },
@@ -43,7 +43,7 @@
   },
   {
     name: 'transactions whose answers alone are lost, while other nodes read what they wrote',
-    jobs: { estimateS: 10 },
+    jobs: { estimatedRunS: 10 },
     count: 10,
     faults: (between) => [
       { kind: 'lost answers', share: 0.3, at: 0, for: 80 },
@@ -61,7 +61,7 @@
   },
   {
     name: 'all users ask during an outage',
-    jobs: { estimateS: 25 },
+    jobs: { estimatedRunS: 25 },
     count: 20,
     faults: (between) => [
       { kind: 'cancelled', count: 3, at: 1 },
@@ -75,11 +75,11 @@
   },
   {
     name: 'urgent and other work beyond the room over slow links',
-    jobs: { estimateS: 25 },
+    jobs: { estimatedRunS: 25 },
     count: 30,
     faults: () => [
       { kind: 'slow links', at: 0, for: 90 },
-      { kind: 'jobs', count: 15, like: { priority: 'production', estimateS: 25 }, at: 5 },
+      { kind: 'jobs', count: 15, like: { priority: 'production', estimatedRunS: 25 }, at: 5 },
       { kind: 'cancelled', count: 4, at: 20 },
       { kind: 'machines lost', share: 0.3, at: 25 },
     ],
--- a/test/simulation/close-looks.ts
+++ b/test/simulation/close-looks.ts
@@ -1,5 +1,5 @@
 /** Questions at every node right after something new was told of a job. */
-import { writeJob } from '../../src/controller/wire/jobs.js';
+import { writeJobSpec } from '../../src/controller/wire/jobs.js';
 import type { Simulation } from './simulation.js';
 
 /** Questions to each node after something new was told, and within what time they are sent. */
@@ -19,7 +19,7 @@
   simulation.ask(
     repeated ? 'POST' : 'GET',
     repeated ? '/submissions' : `/submissions/${id}`,
-    repeated ? writeJob(spec) : undefined,
+    repeated ? writeJobSpec(spec) : undefined,
     (status, state) => checker.answered(id, status, state, repeated, before),
     host,
   );
--- a/test/simulation/deployment.ts
+++ b/test/simulation/deployment.ts
@@ -85,12 +85,12 @@
       imageGb: sim.pick([1, 3]),
       types: sim.random() < 0.2 ? ['big'] : null,
       zone: !twoZones && sim.random() < 0.1 ? 'a' : null,
-      oneZone: !twoZones && gang && sim.random() < 0.5,
+      singleZone: !twoZones && gang && sim.random() < 0.5,
       spread: twoZones,
       spot: sim.random() < 0.5,
-      estimateS: 20,
-      checkpointS: gang ? 10 : 0,
-      saveS: gang ? 2 : 0,
+      estimatedRunS: 20,
+      checkpointIntervalS: gang ? 10 : 0,
+      checkpointSaveS: gang ? 2 : 0,
       deadlineS: sim.random() < 0.3 ? 100 : null,
     };
   },
@@ -131,28 +131,28 @@
     job(sim, id) {
       const base = {
         ...{ id, types: null, zone: null, spread: false, deadlineS: null },
-        ...{ imageGb: sim.between(1, 6), estimateS: sim.between(20, 60) },
+        ...{ imageGb: sim.between(1, 6), estimatedRunS: sim.between(20, 60) },
       };
       const kind = sim.random();
       if (kind < 0.2)
         return {
           ...{ ...base, class: 'train', team: sim.pick(['red', 'blue']), kind: 'gang' },
           ...{ priority: 'high', tasks: sim.pick([1, 1, 2, 2, 4, 8]), cpus: 14, gpus: 4 },
-          ...{ memoryGb: 100, image: `train-${Math.floor(sim.between(0, 6))}`, oneZone: true },
-          ...{ spot: false, checkpointS: 20, saveS: 2 },
+          ...{ memoryGb: 100, image: `train-${Math.floor(sim.between(0, 6))}`, singleZone: true },
+          ...{ spot: false, checkpointIntervalS: 20, checkpointSaveS: 2 },
         };
       if (kind < 0.6)
         return {
           ...{ ...base, class: 'score', team: 'red', kind: 'array', priority: 'normal' },
           ...{ tasks: Math.ceil(sim.between(1, 20)), cpus: sim.between(2, 4), gpus: 1 },
-          ...{ memoryGb: 20, image: `score-${Math.floor(sim.between(0, 8))}`, oneZone: false },
-          ...{ spot: true, checkpointS: 0, saveS: 0 },
+          ...{ memoryGb: 20, image: `score-${Math.floor(sim.between(0, 8))}`, singleZone: false },
+          ...{ spot: true, checkpointIntervalS: 0, checkpointSaveS: 0 },
         };
       return {
         ...{ ...base, class: 'print', team: 'blue', kind: 'array', priority: 'normal' },
         ...{ tasks: Math.ceil(sim.between(1, 60)), cpus: 1, gpus: 0, memoryGb: 2 },
-        ...{ image: `print-${Math.floor(sim.between(0, 8))}`, oneZone: false, spot: true },
-        ...{ checkpointS: 0, saveS: 0 },
+        ...{ image: `print-${Math.floor(sim.between(0, 8))}`, singleZone: false, spot: true },
+        ...{ checkpointIntervalS: 0, checkpointSaveS: 0 },
       };
     },
   };
--- a/test/simulation/digest-scenarios.ts
+++ b/test/simulation/digest-scenarios.ts
@@ -37,11 +37,24 @@
 
 const services: Partial<JobSpec> = {
   ...{ kind: 'service', tasks: 3, cpus: 2, gpus: 0, memoryGb: 2, types: null, zone: null },
-  ...{ oneZone: false, spread: true, checkpointS: 0, saveS: 0, deadlineS: null },
+  ...{
+    singleZone: false,
+    spread: true,
+    checkpointIntervalS: 0,
+    checkpointSaveS: 0,
+    deadlineS: null,
+  },
 };
 const gangs: Partial<JobSpec> = {
   ...{ kind: 'gang', class: 'train', tasks: 3, cpus: 4, gpus: 2, memoryGb: 8, types: null },
-  ...{ zone: null, oneZone: true, spread: false, estimateS: 40, checkpointS: 10, saveS: 2 },
+  ...{
+    zone: null,
+    singleZone: true,
+    spread: false,
+    estimatedRunS: 40,
+    checkpointIntervalS: 10,
+    checkpointSaveS: 2,
+  },
 };
 
 /** The scenarios, each of which takes a few seconds at most. */
@@ -69,7 +82,7 @@
       { kind: 'cancelled', count: 3, at: 30 },
       { kind: 'machines lost', share: 0.3, at: 40 },
       { kind: 'jobs', count: 30, like: { ...longJobs, tasks: 10, spot: true }, at: 45 },
-      { kind: 'stream', perSecond: 2, cancelled: 0.3, like: { estimateS: 5 }, at: 60, for: 15 },
+      { kind: 'stream', perSecond: 2, cancelled: 0.3, like: { estimatedRunS: 5 }, at: 60, for: 15 },
       { kind: 'close looks', cancelled: 3, at: 80, for: 20 },
       { kind: 'machines restart', share: 0.3, back: 1, at: 100 },
       { kind: 'cancelled', count: 3, hang: 20, at: 110 },
@@ -100,7 +113,7 @@
       { kind: 'jobs', count: 8, like: { ...services, spot: true, spread: false }, at: 0 },
       { kind: 'jobs', count: 6, like: { ...longJobs, spot: true }, at: 2 },
       { kind: 'limits fall', at: 60 },
-      { kind: 'jobs', count: 20, like: { estimateS: 5, tasks: 10 }, at: 62 },
+      { kind: 'jobs', count: 20, like: { estimatedRunS: 5, tasks: 10 }, at: 62 },
       { kind: 'late commands', share: 0.3, at: 80, for: 40 },
       { kind: 'late reports', share: 0.2, at: 80, for: 40 },
       { kind: 'reports for the next leader', share: 0.2, after: 1, at: 90, for: 30 },
--- a/test/simulation/fault-scenario.ts
+++ b/test/simulation/fault-scenario.ts
@@ -20,7 +20,7 @@
 
 /** Work that has long to go, and of which all can run at one time. */
 export const longJobs: Partial<JobSpec> = {
-  ...{ estimateS: 120, kind: 'array', tasks: 3, oneZone: false, spread: false },
+  ...{ estimatedRunS: 120, kind: 'array', tasks: 3, singleZone: false, spread: false },
   ...{ cpus: 1, gpus: 0, memoryGb: 1 },
 };
 
--- a/test/simulation/fault-scenarios.ts
+++ b/test/simulation/fault-scenarios.ts
@@ -65,7 +65,7 @@
   },
   {
     name: 'tasks that end far apart, and leaders that change meanwhile',
-    jobs: { tasks: 3, kind: 'array', estimateS: 40 },
+    jobs: { tasks: 3, kind: 'array', estimatedRunS: 40 },
     count: 14,
     faults: (between) => [
       { kind: 'ended', who: 'leader', back: 6, at: between(0, 5) },
@@ -76,7 +76,7 @@
   },
   {
     name: 'gangs of two and three, and leaders that change as they end',
-    jobs: { tasks: 2, kind: 'gang', estimateS: 25, cpus: 1, gpus: 1, memoryGb: 1 },
+    jobs: { tasks: 2, kind: 'gang', estimatedRunS: 25, cpus: 1, gpus: 1, memoryGb: 1 },
     count: 14,
     faults: (between) => [
       { kind: 'machines cut', share: 0.3, at: between(2, 10), for: between(5, 40) },
@@ -129,7 +129,7 @@
   },
   {
     name: 'commands and answers held up for seconds',
-    jobs: { estimateS: 15 },
+    jobs: { estimatedRunS: 15 },
     count: 20,
     faults: (between) =>
       [0, 15, 30, 45].flatMap((at): Fault[] => [
@@ -142,7 +142,7 @@
   },
   {
     name: 'more work than room',
-    jobs: { estimateS: 30 },
+    jobs: { estimatedRunS: 30 },
     count: 60,
     faults: () => [
       { kind: 'machines lost', share: 0.3, at: 5 },
@@ -152,7 +152,15 @@
   },
   {
     name: 'a team at its limit, a new leader, machines that cannot be asked, a cancellation',
-    jobs: { estimateS: 100, team: 'red', kind: 'array', tasks: 10, gpus: 1, cpus: 1, memoryGb: 1 },
+    jobs: {
+      estimatedRunS: 100,
+      team: 'red',
+      kind: 'array',
+      tasks: 10,
+      gpus: 1,
+      cpus: 1,
+      memoryGb: 1,
+    },
     count: 4,
     faults: (between) => [
       { kind: 'machines cut', share: 0.5, at: 0, for: between(10, 50) },
@@ -164,7 +172,7 @@
   },
   {
     name: 'machines that reach no controller while commands reach them, and the reverse',
-    jobs: { estimateS: 30 },
+    jobs: { estimatedRunS: 30 },
     count: 20,
     faults: (between) => [
       { kind: 'machines mute', share: 0.6, at: 0, for: between(10, 40) },
@@ -182,7 +190,7 @@
   },
   {
     name: 'old reports after newer ones, of earlier sessions and attempts, at new leaders',
-    jobs: { estimateS: 15 },
+    jobs: { estimatedRunS: 15 },
     count: 25,
     faults: (between) => [
       { kind: 'late reports', share: 0.5, at: 0, for: 90 },
@@ -197,7 +205,7 @@
   },
   {
     name: 'jobs bound to one zone lose machines',
-    jobs: { estimateS: 40, oneZone: true, spread: false, zone: null, types: null, tasks: 3 },
+    jobs: { estimatedRunS: 40, singleZone: true, spread: false, zone: null, types: null, tasks: 3 },
     count: 14,
     faults: (between) => [
       { kind: 'machines cut', share: 0.5, at: 3, for: between(20, 60) },
@@ -208,7 +216,7 @@
   },
   {
     name: 'controllers hand over and back, all end, one returns',
-    jobs: { estimateS: 40 },
+    jobs: { estimatedRunS: 40 },
     count: 16,
     faults: (between) => [
       { kind: 'no workers', who: 'leader', at: 0, for: 20 },
@@ -233,7 +241,7 @@
   },
   {
     name: 'transactions carried out late, after newer ones',
-    jobs: { estimateS: 15 },
+    jobs: { estimatedRunS: 15 },
     count: 20,
     faults: (between) => [
       { kind: 'late writes', share: 0.4, at: 0, for: 60 },
@@ -264,7 +272,7 @@
   },
   {
     name: 'cancellations, questions and repeats at the end of the last task',
-    jobs: { estimateS: 10 },
+    jobs: { estimatedRunS: 10 },
     count: 25,
     faults: () => [
       { kind: 'cancelled at the end', share: 0.6, at: 0, for: 90 },
@@ -280,13 +288,20 @@
     jobs: {
       ...{
         kind: 'service',
-        estimateS: 0,
+        estimatedRunS: 0,
         tasks: 3,
-        oneZone: false,
+        singleZone: false,
         spread: false,
         deadlineS: null,
       },
-      ...{ cpus: 1, gpus: 0, memoryGb: 1, priority: 'production', checkpointS: 0, saveS: 0 },
+      ...{
+        cpus: 1,
+        gpus: 0,
+        memoryGb: 1,
+        priority: 'production',
+        checkpointIntervalS: 0,
+        checkpointSaveS: 0,
+      },
     },
     count: 8,
     faults: (between) => [
@@ -310,7 +325,7 @@
   {
     name: 'the limits of the state service fall amid commits, takeovers and an outage',
     deployment: shrinking,
-    jobs: { estimateS: 15, gpus: 0, cpus: 1, memoryGb: 1 },
+    jobs: { estimatedRunS: 15, gpus: 0, cpus: 1, memoryGb: 1 },
     count: 40,
     faults: (between) => [
       { kind: 'jobs', count: 30, at: between(0, 2) },
--- a/test/simulation/job-record.ts
+++ b/test/simulation/job-record.ts
@@ -56,7 +56,7 @@
   if (spec.types !== null && !spec.types.includes(place.type)) faults.push('type');
   if (spec.zone !== null && spec.zone !== place.zone) faults.push('zone');
   if (place.spot && !spec.spot) faults.push('spot');
-  if (spec.oneZone && zones.size > 1) faults.push('two zones');
+  if (spec.singleZone && zones.size > 1) faults.push('two zones');
   if (spec.spread && Math.max(...zones.values()) > Math.ceil(spec.tasks / 2))
     faults.push('too many in a zone');
   return faults;
--- a/test/simulation/odd-requests.ts
+++ b/test/simulation/odd-requests.ts
@@ -1,5 +1,5 @@
 /** Requests that users should not send. */
-import { writeJob, type JobSpec } from '../../src/controller/wire/jobs.js';
+import { writeJobSpec, type JobSpec } from '../../src/controller/wire/jobs.js';
 import type { Simulation } from './simulation.js';
 
 /** Time between two such requests. */
@@ -28,7 +28,7 @@
 /** Submits a job like the one given that can't run or lacks a field. */
 function submitOdd(simulation: Simulation, spec: JobSpec): void {
   const { sim, checker, users } = simulation;
-  const odd = writeJob({ ...spec, id: `req-odd-${users.nextNumber()}` });
+  const odd = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
   if (sim.random() < 0.5) odd['cores'] = TOO_MANY_CORES;
   else Reflect.deleteProperty(odd, sim.pick(['duties', 'loaners', 'scatter', 'expect_s']));
   users.ask('POST', '/submissions', odd, (status) => {
--- a/test/simulation/room.ts
+++ b/test/simulation/room.ts
@@ -20,7 +20,7 @@
   }
   const counts = [...zones.values()];
   const wanted = tasksToStart(spec);
-  if (spec.oneZone) return Math.max(0, ...counts) >= wanted;
+  if (spec.singleZone) return Math.max(0, ...counts) >= wanted;
   const perZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
   return counts.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= wanted;
 }
--- a/test/simulation/short-leases.ts
+++ b/test/simulation/short-leases.ts
@@ -19,7 +19,7 @@
   const base = {
     ...{ id, team: name, types: null, spread: false, deadlineS: null },
     ...{ priority: sim.pick(['low', 'normal', 'normal', 'high'] as const), spot: true },
-    ...{ imageGb: sim.between(1, 4), estimateS: 20, saveS: 1 },
+    ...{ imageGb: sim.between(1, 4), estimatedRunS: 20, checkpointSaveS: 1 },
     zone: sim.random() < 0.1 ? 'a' : null,
   };
   const kind = sim.random();
@@ -32,18 +32,18 @@
         tasks: sim.pick(name === 'red' ? [1, 2] : [1, 2, 3]),
       },
       ...{ cpus: CPUS - 8, gpus: GPUS, memoryGb: MEMORY_GB - 80 },
-      ...{ image: sim.pick(['train-1', 'train-2']), oneZone: sim.random() < 0.5 },
-      ...{ checkpointS: 10 },
+      ...{ image: sim.pick(['train-1', 'train-2']), singleZone: sim.random() < 0.5 },
+      ...{ checkpointIntervalS: 10 },
     };
-  const array = { ...base, kind: 'array' as const, oneZone: false };
+  const array = { ...base, kind: 'array' as const, singleZone: false };
   if (kind < 0.8)
     return {
       ...{ ...array, class: 'score', tasks: Math.ceil(sim.between(0, 12)), cpus: 6, gpus: 1 },
-      ...{ memoryGb: 40, image: sim.pick(['score-1', 'score-2']), checkpointS: 5 },
+      ...{ memoryGb: 40, image: sim.pick(['score-1', 'score-2']), checkpointIntervalS: 5 },
     };
   return {
     ...{ ...array, class: 'print', tasks: sim.pick([1, 3, 10]), cpus: 4, gpus: 0 },
-    ...{ memoryGb: 10, image: 'print-1', checkpointS: 0 },
+    ...{ memoryGb: 10, image: 'print-1', checkpointIntervalS: 0 },
   };
 }
 
@@ -67,7 +67,7 @@
   page: 20,
   startMs: 65_000,
   firstJob: {
-    ...{ ...longJobs, estimateS: 10, tasks: 10, priority: 'normal', zone: null, spot: true },
+    ...{ ...longJobs, estimatedRunS: 10, tasks: 10, priority: 'normal', zone: null, spot: true },
     ...{ cpus: 7, memoryGb: 10 },
   },
   bootFails: 0.1,
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -79,14 +79,18 @@
   ) {
     const { hosts } = deployment;
     const platform = oneOf(hosts, hosts[0] ?? '', deployment.platform);
-    const { state, stateLimits, workers } = platform;
+    const { stateStoreAddr, stateLimits, workers } = platform;
     this.limitsToCome = platform.upcomingStateLimits;
     this.sim = new Sim(seed);
     this.net = new Network(this.sim);
     this.net.doubled = rates.doubled;
     this.net.latestMs = workers.leaseS * 1000 * LATEST_COPY_LEASES;
-    this.checker = new RuleChecker(platform.teams, workers.cancelS * 1000, () => this.sim.now);
-    this.state = new StateService(this.sim, this.net, state, stateLimits, deployment.page);
+    this.checker = new RuleChecker(
+      platform.teams,
+      workers.cancelDeadlineS * 1000,
+      () => this.sim.now,
+    );
+    this.state = new StateService(this.sim, this.net, stateStoreAddr, stateLimits, deployment.page);
     this.state.latestWriteMs = workers.leaseS * 1000 * LATEST_WRITE_LEASES;
     this.context = this.machineContext(platform, rates);
     this.users = this.userPopulation();
@@ -112,10 +116,10 @@
       net: this.net,
       checker: this.checker,
       settings: {
-        reportMs: workers.reportS * 1000,
+        reportMs: workers.heartbeatIntervalS * 1000,
         leaseMs: workers.leaseS * 1000,
-        gangWaitMs: workers.gangWaitS * 1000,
-        gangPeerMs: workers.gangPeerS * 1000,
+        gangWaitMs: workers.gangFetchWaitS * 1000,
+        gangPeerMs: workers.gangPeerExitS * 1000,
       },
       controllers: this.deployment.hosts,
       apiOf: (host) => this.apiOf(host),
@@ -135,7 +139,7 @@
     return new UserPopulation({ sim, net, state, checker, happenings, deployment, apiOf });
   }
 
-  private startCloud({ cloud: address, cloudLimits }: Platform, rates: FaultRates): Cloud {
+  private startCloud({ cloudAddr: address, cloudLimits }: Platform, rates: FaultRates): Cloud {
     const { types, capacity, machines } = this.deployment;
     const lagMs = cloudLimits.listLagS * 1000;
     const cloud = new Cloud(this.context, address, types, capacity, lagMs, rates.bootFails);
--- a/test/simulation/takeover-scenarios.ts
+++ b/test/simulation/takeover-scenarios.ts
@@ -4,7 +4,7 @@
 
 /** Work of which a few jobs take all that a team may use. */
 const atLimit: Partial<JobSpec> = {
-  ...{ ...longJobs, estimateS: 90, tasks: 10, gpus: 1, priority: 'normal', types: null },
+  ...{ ...longJobs, estimatedRunS: 90, tasks: 10, gpus: 1, priority: 'normal', types: null },
   ...{ zone: null, spot: true },
 };
 
@@ -24,7 +24,7 @@
   },
   {
     name: 'new machines up at once and put to work while writes lag, and the leader ends',
-    jobs: { ...longJobs, estimateS: 30, cpus: 4, gpus: 1 },
+    jobs: { ...longJobs, estimatedRunS: 30, cpus: 4, gpus: 1 },
     count: 10,
     faults: (between) => [
       { kind: 'quick boots', at: 0, for: 100 },
@@ -79,7 +79,7 @@
   },
   {
     name: "direct commands of ended and deposed leaders arrive after the next one's",
-    jobs: { estimateS: 12 },
+    jobs: { estimatedRunS: 12 },
     count: 16,
     faults: (between) => [
       { kind: 'late commands', share: 0.4, at: 0, for: 90 },
@@ -100,7 +100,7 @@
   },
   ...[0, 4].map((after): FaultScenario => ({
     name: `reports kept for the next leader, which arrive ${after} s after its election`,
-    jobs: { estimateS: 12 },
+    jobs: { estimatedRunS: 12 },
     count: 16,
     faults: (between) => [
       { kind: 'reports for the next leader', share: 0.5, after, at: 0, for: 120 },
@@ -116,7 +116,7 @@
   })),
   {
     name: 'machines and processes back within a second, in the midst of elections too',
-    jobs: { estimateS: 25 },
+    jobs: { estimatedRunS: 25 },
     count: 16,
     faults: (between) => [
       { kind: 'machines restart', share: 0.5, back: between(0.1, 0.9), at: 0 },
@@ -131,7 +131,7 @@
   },
   {
     name: 'arrays bound to one zone lose machines and a leader',
-    jobs: { ...longJobs, estimateS: 60, zone: 'a' },
+    jobs: { ...longJobs, estimatedRunS: 60, zone: 'a' },
     count: 14,
     faults: (between) => [
       { kind: 'machines cut', share: 0.4, at: 2, for: between(20, 60) },
--- a/test/simulation/task-runner.ts
+++ b/test/simulation/task-runner.ts
@@ -186,14 +186,14 @@
     const spec = this.context.job(task.id);
     const saves =
       spec !== undefined &&
-      spec.checkpointS > 0 &&
+      spec.checkpointIntervalS > 0 &&
       task.status === 'running' &&
-      graceS >= spec.saveS;
+      graceS >= spec.checkpointSaveS;
     if (task.status === 'flushing' && graceS > 0) return;
     if (!saves) return this.finish(task, 'stopped');
     task.status = 'flushing';
     task.timer?.cancel();
-    task.timer = this.context.sim.after(spec.saveS * 1000, () => {
+    task.timer = this.context.sim.after(spec.checkpointSaveS * 1000, () => {
       task.saved = true;
       this.finish(task, 'stopped');
     });
--- a/test/simulation/team-usage.ts
+++ b/test/simulation/team-usage.ts
@@ -30,9 +30,9 @@
     const usage = this.usages.get(name);
     if (team === undefined || usage === undefined) return [];
     const exceeded: string[] = [];
-    if (team.cpusMax > 0 && usage.cpus > team.cpusMax + ROUNDING)
+    if (team.maxCpus > 0 && usage.cpus > team.maxCpus + ROUNDING)
       exceeded.push(`${name} ${usage.cpus} CPUs`);
-    if (team.gpusMax > 0 && usage.gpus > team.gpusMax + ROUNDING)
+    if (team.maxGpus > 0 && usage.gpus > team.maxGpus + ROUNDING)
       exceeded.push(`${name} ${usage.gpus} GPUs`);
     return exceeded;
   }
@@ -43,15 +43,15 @@
     if (team === undefined) return false;
     const usage = this.usageOf(spec.team);
     return (
-      tasksWithin(team.cpusMax, usage.cpus, spec.cpus) >= tasks &&
-      tasksWithin(team.gpusMax, usage.gpus, spec.gpus) >= tasks
+      tasksWithin(team.maxCpus, usage.cpus, spec.cpus) >= tasks &&
+      tasksWithin(team.maxGpus, usage.gpus, spec.gpus) >= tasks
     );
   }
 
   /** Whether no team may use another GPU. */
   get everyTeamAtLimit(): boolean {
     return this.teams.every(
-      ({ name, gpusMax }) => gpusMax > 0 && (this.usages.get(name)?.gpus ?? 0) + 1 > gpusMax,
+      ({ name, maxGpus }) => maxGpus > 0 && (this.usages.get(name)?.gpus ?? 0) + 1 > maxGpus,
     );
   }
 
--- a/test/simulation/user-population.ts
+++ b/test/simulation/user-population.ts
@@ -55,7 +55,7 @@
     const runMs =
       spec.kind === 'service'
         ? sim.between(SERVICE_MS.least, SERVICE_MS.most)
-        : spec.estimateS * 1000 * sim.between(RUN_SHARES.least, RUN_SHARES.most);
+        : spec.estimatedRunS * 1000 * sim.between(RUN_SHARES.least, RUN_SHARES.most);
     this.jobs.set(spec.id, { spec, runMs });
     const ask: Ask = (...request) => this.ask(...request);
     this.users.set(spec.id, new User(sim, checker, ask, spec, cancelAfterMs));
--- a/test/simulation/users.ts
+++ b/test/simulation/users.ts
@@ -1,6 +1,6 @@
 /** One user with one job. */
 import type { Timer } from '../../src/controller/runtime/runtime.js';
-import { writeJob, type JobSpec } from '../../src/controller/wire/jobs.js';
+import { writeJobSpec, type JobSpec } from '../../src/controller/wire/jobs.js';
 import type { RuleChecker } from './rule-checker.js';
 import type { Sim } from './sim.js';
 
@@ -29,7 +29,7 @@
     private readonly spec: JobSpec,
     cancelAfterMs: number | null,
   ) {
-    this.body = writeJob(spec);
+    this.body = writeJobSpec(spec);
     checker.submitted(spec);
     if (cancelAfterMs !== null) sim.after(cancelAfterMs, () => this.cancel());
     this.step();
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -21,7 +21,7 @@
 import { PageTable } from '../src/controller/store/page-table.js';
 import { decodeBody, encodeBody } from '../src/controller/wire/cbor.js';
 import { readCatalogue, writeCatalogue } from '../src/controller/wire/cloud.js';
-import { readJob, writeJob } from '../src/controller/wire/jobs.js';
+import { readJobSpec, writeJobSpec } from '../src/controller/wire/jobs.js';
 import { MachineStore } from '../src/controller/workers/machine-store.js';
 import { MachineRegistry } from '../src/controller/workers/registry.js';
 import { TokenSync } from '../src/controller/workers/token-sync.js';
@@ -86,10 +86,10 @@
 
   it('has an accepted job, which is written alike', () => {
     const { job, at } = valueOf('live/') as { job: unknown; at: number };
-    const spec = readJob(job);
+    const spec = readJobSpec(job);
     assert.equal(`live/${spec.id}`, forms.values['live/']?.key);
     assert.equal(typeof at, 'number');
-    assertSameBytes('live/', { job: writeJob(spec), at });
+    assertSameBytes('live/', { job: writeJobSpec(spec), at });
   });
 
   it('has the catalogue of machine types, which is written alike', () => {
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -10,7 +10,7 @@
 
 const gang: Partial<JobSpec> = {
   ...{ ...longJobs, class: 'train', kind: 'gang', priority: 'high', tasks: 2, cpus: 2, gpus: 1 },
-  ...{ estimateS: 60, spread: false, oneZone: false, types: null, zone: null },
+  ...{ estimatedRunS: 60, spread: false, singleZone: false, types: null, zone: null },
 };
 
 /** What the leaders have on record of a class: how much of it came, and with which images. */
