--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -2,8 +2,8 @@
 import { EventLoop } from './runtime/event-loop.js';
 import type { Runtime, Logger } from './runtime/runtime.js';
 import { MachineTypeCatalogue } from './fleet/machine-type-catalogue.js';
-import { Frontend, type Answer, type FrontendHooks } from './jobs/frontend.js';
-import { ProgressCache } from './jobs/progress.js';
+import { Frontend, type ApiResponse, type FrontendHooks } from './jobs/frontend.js';
+import { ProgressCache } from './jobs/job-progress.js';
 import { LearnedFigures } from './leader/learned-figures.js';
 import { LeaderTerm } from './leader/leader-term.js';
 import { Leadership, type LeadershipEvents } from './leadership/leadership.js';
@@ -33,7 +33,7 @@
 const STATUSES_PER_REPORT = 3;
 const NEWS_PER_REPORT = 15;
 
-type Respond = (answer: Answer) => void;
+type Respond = (answer: ApiResponse) => void;
 
 /** One of a deployment's equal controllers, of which one leads. */
 export class Controller {
@@ -92,21 +92,21 @@
   private leadershipEvents(): LeadershipEvents {
     return {
       elected: (term) => this.elected(term),
-      resumed: () => this.leaderTerm?.feed.catchUp(),
+      resumed: () => this.leaderTerm?.feed.requireFreshRead(),
       deposed: () => this.deposed(),
-      mayExtend: () => this.leaderTerm?.ready === true && this.leaderTerm.feed.current,
+      mayExtend: () => this.leaderTerm?.ready === true && this.leaderTerm.feed.isFresh,
     };
   }
 
   private peerEvents(): PeerEvents {
     return {
-      accepted: (id) => this.frontend.learnAccepted(id),
+      accepted: (id) => this.frontend.markAccepted(id),
       status: (status) => this.leadership.heard(status.leaderHost, status.term),
       final: (id, state) => {
-        this.frontend.learnFinal(id, state);
+        this.frontend.markTerminal(id, state);
         this.progress.delete(id);
         // A cancellation made on another node, sooner than the watch tells.
-        if (state === 'cancelled') this.leaderTerm?.table.cancelled(id);
+        if (state === 'cancelled') this.leaderTerm?.table.markCancelled(id);
       },
       request: (method, path, body, done) => {
         if (path === PROMISE_PATH) return done(answerPromise(this.leadership, body), EMPTY_BODY);
@@ -120,13 +120,13 @@
 
   private frontendHooks(): FrontendHooks {
     return {
-      types: () => this.catalogue.types,
+      machineTypes: () => this.catalogue.types,
       progress: (id) => this.jobProgress(id),
-      accepted: (id) => this.peers.announceAccepted(id),
-      cancelled: (id) => {
+      onAccepted: (id) => this.peers.announceAccepted(id),
+      onCancelled: (id) => {
         this.peers.announce(id, 'cancelled');
         this.progress.delete(id);
-        this.leaderTerm?.table.cancelled(id);
+        this.leaderTerm?.table.markCancelled(id);
       },
     };
   }
@@ -206,13 +206,13 @@
    */
   private get entitled(): boolean {
     const { leaderTerm } = this;
-    return this.leadership.acting && leaderTerm?.ready === true && leaderTerm.feed.current;
+    return this.leadership.acting && leaderTerm?.ready === true && leaderTerm.feed.isFresh;
   }
 
   /** Whether this node may answer workers, which may go on beyond its lease. */
   get mayAnswerWorkers(): boolean {
     const { leaderTerm } = this;
-    return this.leadership.mayAnswer && leaderTerm?.ready === true && leaderTerm.feed.current;
+    return this.leadership.mayAnswer && leaderTerm?.ready === true && leaderTerm.feed.isFresh;
   }
 
   private elected(term: number): void {
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -1,6 +1,6 @@
 /** Which machines there are: rents what waiting work lacks, returns what is of no use. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { JobTable } from '../jobs/table.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -4,7 +4,7 @@
 import { storedAtOnce } from '../../../test/stored.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
-import { JobTable, type Job } from '../jobs/table.js';
+import { JobTable, type Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -63,9 +63,15 @@
       {} as unknown as StateStoreClient,
       records,
       {
-        ...{ torn: nothing, added: nothing, changed: nothing, recorded: nothing, ended: nothing },
-        vanished: nothing,
-        closed: (job) => this.workers.jobClosed(job),
+        ...{
+          onIncompleteGang: nothing,
+          onJobAdded: nothing,
+          onTasksPending: nothing,
+          onCompletionRecorded: nothing,
+          onTerminalState: nothing,
+        },
+        onRecordRemoved: nothing,
+        onJobTerminated: (job) => this.workers.jobClosed(job),
       },
     );
     this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
@@ -116,7 +122,7 @@
     this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
     const job = this.table.jobs.get(spec.id) ?? assert.fail();
     for (const [task, id] of machines.entries()) {
-      job.pending.drop(task);
+      job.pending.remove(task);
       this.workers.assign(job, task, 1, this.workers.machine(id));
     }
     this.workers.flush();
@@ -132,7 +138,7 @@
       this.there.set(id, [...(this.there.get(id) ?? []), report]);
     }
     this.run(3);
-    assert.equal(job.running, machines.length);
+    assert.equal(job.runningCount, machines.length);
     return job;
   }
 
@@ -189,7 +195,7 @@
     assert.deepEqual(f.released, [], 'not for one late report');
     f.run(SOON_S);
     assert.deepEqual(f.released, ['n-0']);
-    assert.equal(job.running, 2, 'its replica counts until the cloud has confirmed');
+    assert.equal(job.runningCount, 2, 'its replica counts until the cloud has confirmed');
     f.workers.gone(f.workers.machine('n-0'));
     assert.ok(job.pending.has(0));
   });
@@ -241,7 +247,7 @@
     const f = new Fleet();
     const job = f.place({}, ['n-0']);
     f.silent.add('n-0');
-    f.table.cancelled(job.spec.id);
+    f.table.markCancelled(job.spec.id);
     f.run(SOON_S);
     assert.deepEqual(f.released, []);
   });
--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -104,7 +104,7 @@
 }
 
 function isReplica(assignment: Assignment): boolean {
-  return assignment.job?.standing === true && assignment.job.closed === null;
+  return assignment.job?.isService === true && assignment.job.terminalState === null;
 }
 
 /**
@@ -112,5 +112,10 @@
  * where it goes on, the machine may merely be cut off.
  */
 function isPartOfRunningGang({ job }: Assignment): boolean {
-  return job?.spec.kind === 'gang' && job.spec.tasks > 1 && !job.regrouping && job.closed === null;
+  return (
+    job?.spec.kind === 'gang' &&
+    job.spec.tasks > 1 &&
+    !job.gangRestarting &&
+    job.terminalState === null
+  );
 }
--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -5,7 +5,7 @@
 import type { JobSpec } from '../wire/jobs.js';
 
 /** Whether a task of the job fits a machine of this type, zone and kind when it is empty. */
-export function fitsType(spec: JobSpec, type: MachineType): boolean {
+export function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
     spec.cpus <= type.cpus &&
@@ -15,14 +15,14 @@
 }
 
 /** `unknown-types`: the machine types of the cloud are not known yet. */
-export type Verdict = 'accept' | 'unknown-types' | { refuse: string };
+export type AdmissionVerdict = 'accept' | 'unknown-types' | { refuse: string };
 
 /** Whether the job can ever run. What only waits for room is accepted. */
 export function admit(
   spec: JobSpec,
   teams: readonly Team[],
   types: readonly MachineType[] | null,
-): Verdict {
+): AdmissionVerdict {
   const team = teams.find((t) => t.name === spec.team);
   if (team === undefined) return { refuse: 'unknown team' };
   // A gang's tasks run at the same time, and so do a service's replicas.
@@ -34,7 +34,7 @@
   if (at * spec.gpus > Settings.effectiveCap(team.maxGpus) + epsilon)
     return { refuse: 'more GPUs than the team may use' };
   if (types === null) return 'unknown-types';
-  const fits = types.filter((t) => fitsType(spec, t));
+  const fits = types.filter((t) => fitsMachineType(spec, t));
   const { zone } = spec;
   const zones = new Set(fits.flatMap((t) => t.zones).filter((z) => zone === null || z === zone));
   if (zones.size === 0) return { refuse: 'a task fits no allowed machine type' };
--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -5,12 +5,12 @@
 import type { KeyValue } from '../wire/state.js';
 import {
   CALL_TIMEOUT_MS,
-  noSuchJob,
-  retryLater,
+  jobNotFound,
+  respondRetryLater,
   type FrontendContext,
   type Respond,
 } from './frontend-context.js';
-import { finalKey, finalRecord, liveKey } from './job-records.js';
+import { terminalKey, terminalRecord, activeKey } from './job-records.js';
 import type { StatusQueries } from './status-queries.js';
 
 /** How often the version of a job's live record may prove outdated before the user has to retry. */
@@ -32,17 +32,17 @@
 
   /** Ends a job that has not ended, and tells how it ended. */
   cancel(id: string, respond: Respond): void {
-    if (!isJobId(id)) return respond(noSuchJob());
+    if (!isJobId(id)) return respond(jobNotFound());
     this.attempt({ id, attemptsLeft: MAX_ATTEMPTS, respond });
   }
 
   private attempt(cancellation: Cancellation): void {
     const { id, attemptsLeft, respond } = cancellation;
     const { known, client } = this.context;
-    const ended = known.finalState(id);
+    const ended = known.terminalState(id);
     if (ended !== undefined) return this.queries.reply(id, ended, respond);
-    if (client.isUnavailable || attemptsLeft === 0) return retryLater(this.context, respond);
-    const version = known.liveVersion(id);
+    if (client.isUnavailable || attemptsLeft === 0) return respondRetryLater(this.context, respond);
+    const version = known.activeVersion(id);
     if (version === undefined) this.readVersion(cancellation);
     else this.write(cancellation, version);
   }
@@ -55,19 +55,19 @@
     const { id, respond } = cancellation;
     const { client } = this.context;
     if (!client.requestTokens.tryTake(1, tokenReserve.submissions))
-      return retryLater(this.context, respond);
-    client.read(liveKey(id), CALL_TIMEOUT_MS, (got) => this.versionRead(cancellation, got));
+      return respondRetryLater(this.context, respond);
+    client.read(activeKey(id), CALL_TIMEOUT_MS, (got) => this.versionRead(cancellation, got));
   }
 
   private versionRead(cancellation: Cancellation, got: ReadResult<KeyValue | null>): void {
     const { id, respond } = cancellation;
-    if (got.kind === 'failed') return retryLater(this.context, respond);
+    if (got.kind === 'failed') return respondRetryLater(this.context, respond);
     if (got.value !== null) {
-      this.context.known.setLive(id, got.value.version);
+      this.context.known.setActiveVersion(id, got.value.version);
       return this.attempt(cancellation);
     }
-    this.context.known.forgetLive(id);
-    this.queries.ask(id, (standing) => {
+    this.context.known.forgetActive(id);
+    this.queries.query(id, (standing) => {
       // Accepted between the two questions: look again.
       if (standing === 'live') this.retry(cancellation);
       else this.queries.reply(id, standing, respond);
@@ -79,31 +79,31 @@
     const { eventLoop, writes } = this.context;
     const added = writes.add({
       conditions: [
-        { key: liveKey(id), version },
-        { key: finalKey(id), version: 0 },
+        { key: activeKey(id), version },
+        { key: terminalKey(id), version: 0 },
       ],
       writes: [
-        { delete: liveKey(id) },
+        { delete: activeKey(id) },
         {
-          put: finalKey(id),
-          value: finalRecord('cancelled', Math.round(eventLoop.runtime.wallClock())),
+          put: terminalKey(id),
+          value: terminalRecord('cancelled', Math.round(eventLoop.runtime.wallClock())),
         },
       ],
       done: (result) => this.settle(cancellation, result),
     });
-    if (!added) retryLater(this.context, respond);
+    if (!added) respondRetryLater(this.context, respond);
   }
 
   private settle(cancellation: Cancellation, result: TransactionResult): void {
     const { id, respond } = cancellation;
     const { known, hooks } = this.context;
     if (result.kind === 'ok') {
-      known.learnFinal(id, 'cancelled');
-      hooks.cancelled(id);
+      known.markTerminal(id, 'cancelled');
+      hooks.onCancelled(id);
       this.queries.reply(id, 'cancelled', respond);
     } else if (result.kind === 'conflict') {
-      known.forgetLive(id);
+      known.forgetActive(id);
       this.retry(cancellation);
-    } else retryLater(this.context, respond);
+    } else respondRetryLater(this.context, respond);
   }
 }
--- a/src/controller/jobs/completions.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -2,9 +2,9 @@
 import { describe, it } from 'node:test';
 import { storedAtOnce } from '../../../test/stored.js';
 import type { JobSpec } from '../wire/jobs.js';
-import { Completions } from './completions.js';
+import { CompletionRecords } from './completion-records.js';
 import { Job } from './job.js';
-import { Pending } from './pending.js';
+import { PendingTasks } from './pending.js';
 
 function job(id: string, tasks: number): Job {
   const spec: JobSpec = {
@@ -30,7 +30,7 @@
     const records = storedAtOnce();
     const told: number[] = [];
     const before = job('req-1', 10_000);
-    const completions = new Completions(records, (_job, task) => told.push(task));
+    const completions = new CompletionRecords(records, (_job, task) => told.push(task));
     for (const task of done) {
       before.done[task] = 1;
       completions.add(before, task);
@@ -42,17 +42,17 @@
       ['p/req-1/0', 'p/req-1/1'],
     );
     const after = job('req-1', 10_000);
-    new Completions(records, () => undefined).load(new Map([['req-1', after]]));
+    new CompletionRecords(records, () => undefined).load(new Map([['req-1', after]]));
     assert.deepEqual(
       [...after.done.entries()].filter(([, flag]) => flag === 1).map(([task]) => task),
       done,
     );
-    assert.equal(after.recordedCount, done.length);
+    assert.equal(after.doneRecordedCount, done.length);
   });
 
   it('go with their job', () => {
     const records = storedAtOnce();
-    const completions = new Completions(records, () => undefined);
+    const completions = new CompletionRecords(records, () => undefined);
     const ended = job('req-1', 10_000);
     for (const task of done) completions.add(ended, task);
     completions.flush();
@@ -62,19 +62,19 @@
 
   it('of jobs that are not known any more are removed', () => {
     const records = storedAtOnce({ 'p/req-0/0': 'AQ==' });
-    new Completions(records, () => undefined).load(new Map());
+    new CompletionRecords(records, () => undefined).load(new Map());
     assert.ok(!records.has('p/req-0/0'));
   });
 });
 
 describe('pending tasks', () => {
   it('wait once each, lowest first', () => {
-    const pending = new Pending(4);
+    const pending = new PendingTasks(4);
     assert.equal(pending.pop(), 0);
     pending.push(0);
     pending.push(0);
-    pending.drop(1);
-    pending.keep((task) => task !== 3);
+    pending.remove(1);
+    pending.retain((task) => task !== 3);
     assert.deepEqual(
       [pending.length, pending.pop(), pending.pop(), pending.pop()],
       [...[2, 0, 2, undefined]],
--- a/src/controller/jobs/completions.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -38,21 +38,21 @@
     const set = ((bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
     if (!set || job.done[task] === 1) continue;
     job.done[task] = 1;
-    job.recorded[task] = 1;
+    job.doneRecorded[task] = 1;
     job.doneCount++;
-    job.recordedCount++;
+    job.doneRecordedCount++;
   }
 }
 
 /** Records of done tasks of the leader's jobs. */
-export class Completions {
+export class CompletionRecords {
   /** Tasks done since the last write, by job. */
   private readonly unwritten = new Map<Job, Set<number>>();
 
   constructor(
     private readonly records: Pick<RecordStore, 'list' | 'has' | 'set'>,
     /** The completion of this task is on record. */
-    private readonly recorded: (job: Job, task: number) => void,
+    private readonly onRecorded: (job: Job, task: number) => void,
   ) {}
 
   /** Takes in what the leaders before have recorded; records of ended jobs go. */
@@ -61,7 +61,7 @@
       const [id = '', chunk] = key.slice(KEY_PREFIX.length).split('/');
       const job = jobs.get(id);
       if (job === undefined) this.records.set(key, undefined, 'lazy');
-      else if (typeof value === 'string' && !job.standing) decodeChunk(job, Number(chunk), value);
+      else if (typeof value === 'string' && !job.isService) decodeChunk(job, Number(chunk), value);
     }
   }
 
@@ -76,13 +76,13 @@
   }
 
   /** The job is complete: its end is written, and no more completions. */
-  drop(job: Job): void {
+  discard(job: Job): void {
     this.unwritten.delete(job);
   }
 
   /** The job has ended: its records go. */
   remove(job: Job): void {
-    this.drop(job);
+    this.discard(job);
     const chunks = Math.ceil(job.spec.tasks / TASKS_PER_RECORD);
     for (let chunk = 0; chunk < chunks; chunk++) {
       const key = recordKey(job.spec.id, chunk);
@@ -100,16 +100,18 @@
     for (const chunk of new Set(tasks.map(chunkOf))) {
       const inChunk = tasks.filter((task) => chunkOf(task) === chunk);
       const key = recordKey(job.spec.id, chunk);
-      this.records.set(key, encodeChunk(job, chunk), 'urgent', () => this.stored(job, inChunk));
+      this.records.set(key, encodeChunk(job, chunk), 'urgent', () =>
+        this.markRecorded(job, inChunk),
+      );
     }
   }
 
-  private stored(job: Job, tasks: readonly number[]): void {
+  private markRecorded(job: Job, tasks: readonly number[]): void {
     for (const task of tasks) {
-      if (job.recorded[task] === 1) continue;
-      job.recorded[task] = 1;
-      job.recordedCount++;
-      this.recorded(job, task);
+      if (job.doneRecorded[task] === 1) continue;
+      job.doneRecorded[task] = 1;
+      job.doneRecordedCount++;
+      this.onRecorded(job, task);
     }
   }
 }
--- a/src/controller/jobs/frontend.test.ts
+++ b/src/controller/jobs/frontend.test.ts
@@ -6,8 +6,8 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { StateStoreClient } from '../store/client.js';
-import { Frontend, type Answer } from './frontend.js';
-import { finalKey, liveKey } from './job-records.js';
+import { Frontend, type ApiResponse } from './frontend.js';
+import { terminalKey, activeKey } from './job-records.js';
 
 const teams = '[[params.teams]]\nname = "t"\ncpus_max = 8.0\n';
 const next = { rps: 100, writeRps: 60, valueKb: 2, txnOps: 16 };
@@ -24,7 +24,7 @@
 
 /** The users' side of one controller, with a state service that answers as the test says. */
 class Node {
-  readonly answers: Answer[] = [];
+  readonly answers: ApiResponse[] = [];
   private readonly soon: (() => void)[] = [];
   private readonly eventLoop: EventLoop;
   private readonly frontend: Frontend;
@@ -48,15 +48,15 @@
     const client = new StateStoreClient(this.eventLoop, settings);
     client.setRole(true);
     this.frontend = new Frontend(this.eventLoop, settings, client, {
-      types: () => [
+      machineTypes: () => [
         {
           ...{ name: 'g', cpus: 16, gpus: 0, memoryGb: 64, cacheGb: 10, fetchGbPerS: 1 },
           ...{ price: 1, spotPrice: 1, bootS: 1, zones: ['a'] },
         },
       ],
       progress: () => null,
-      accepted: nothing,
-      cancelled: nothing,
+      onAccepted: nothing,
+      onCancelled: nothing,
     });
     // By then there are tokens for calls.
     now = 60_000;
@@ -74,11 +74,11 @@
 }
 
 /** The users' side against a state service where the named jobs are live. */
-function ask(live: string[], body: unknown): Answer {
+function ask(live: string[], body: unknown): ApiResponse {
   const answer = (call: Call): Reply => {
     const { if: conditions } = call.body as { if: { k: string; stamp: number }[] };
     const failed = conditions
-      .filter((c) => live.some((id) => c.k === liveKey(id)) !== c.stamp > 0)
+      .filter((c) => live.some((id) => c.k === activeKey(id)) !== c.stamp > 0)
       .map((c) => c.k);
     return { status: failed.length > 0 ? 409 : 200, body: { ledger: 5, failed } };
   };
@@ -129,8 +129,8 @@
       node.answers.map((a) => a.status),
       [201],
     );
-    reply(409, { ledger: 9, failed: [finalKey('req-1')] });
-    reply(200, { k: finalKey('req-1'), value: { state: 'cancelled' }, stamp: 8, permit: null });
+    reply(409, { ledger: 9, failed: [terminalKey('req-1')] });
+    reply(200, { k: terminalKey('req-1'), value: { state: 'cancelled' }, stamp: 8, permit: null });
     assert.deepEqual(node.answers[1]?.body, { id: 'req-1', status: 'aborted' });
   });
 });
--- a/src/controller/jobs/frontend.ts
+++ b/src/controller/jobs/frontend.ts
@@ -6,11 +6,11 @@
 import type { TerminalState } from '../wire/jobs.js';
 import { Cancellations } from './cancellations.js';
 import { CALL_TIMEOUT_MS, type FrontendHooks, type Respond } from './frontend-context.js';
-import { KnownJobs } from './known-jobs.js';
+import { JobStateCache } from './job-state-cache.js';
 import { StatusQueries } from './status-queries.js';
 import { Submissions } from './submissions.js';
 
-export type { Answer, FrontendHooks } from './frontend-context.js';
+export type { ApiResponse, FrontendHooks } from './frontend-context.js';
 
 /**
  * The users' side, the same on every node. A job's end is final and answered from memory; anything
@@ -18,7 +18,7 @@
  * have told the user something newer.
  */
 export class Frontend {
-  private readonly known: KnownJobs;
+  private readonly jobStates: JobStateCache;
   private readonly queries: StatusQueries;
   private readonly submissions: Submissions;
   private readonly cancellations: Cancellations;
@@ -29,32 +29,32 @@
     client: StateStoreClient,
     hooks: FrontendHooks,
   ) {
-    this.known = new KnownJobs(settings.get('jobs.final.cache'));
+    this.jobStates = new JobStateCache(settings.get('jobs.final.cache'));
     const writes = new GroupCommit(eventLoop, client, {
       timeoutMs: CALL_TIMEOUT_MS,
       maxQueueMs: CALL_TIMEOUT_MS,
       tokenReserve: tokenReserve.submissions,
       minIntervalMs: 0,
     });
-    const context = { eventLoop, settings, client, hooks, known: this.known, writes };
+    const context = { eventLoop, settings, client, hooks, known: this.jobStates, writes };
     this.queries = new StatusQueries(context);
     this.submissions = new Submissions(context, this.queries);
     this.cancellations = new Cancellations(context, this.queries);
   }
 
   /** Another controller has accepted the job. */
-  learnAccepted(id: string): void {
-    if (this.known.finalState(id) === undefined) this.known.learnLive(id);
+  markAccepted(id: string): void {
+    if (this.jobStates.terminalState(id) === undefined) this.jobStates.markActive(id);
   }
 
   /** How a job ended that this node knows to have ended; the end is for ever. */
-  ended(id: string): TerminalState | null {
-    return this.known.finalState(id) ?? null;
+  terminalState(id: string): TerminalState | null {
+    return this.jobStates.terminalState(id) ?? null;
   }
 
   /** A job has ended, as another controller or this node's leader says. */
-  learnFinal(id: string, state: TerminalState): void {
-    this.known.learnFinal(id, state);
+  markTerminal(id: string, state: TerminalState): void {
+    this.jobStates.markTerminal(id, state);
   }
 
   /** Answers a submission. */
--- a/src/controller/jobs/progress.test.ts
+++ b/src/controller/jobs/job-progress.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobProgress } from '../peers/message.js';
-import { ProgressCache } from './progress.js';
+import { ProgressCache } from './job-progress.js';
 
 const progress = (id: string, blocked = ''): JobProgress => ({
   ...{ id, state: 'running', done: 1, running: 2, exits: {}, blocked },
--- a/src/controller/jobs/progress.ts
+++ b/src/controller/jobs/job-progress.ts
@@ -1,7 +1,7 @@
 /** Counts of jobs for display, which the leader tells the other controllers. */
 import type { JobProgress } from '../peers/message.js';
 import type { JobStatus } from '../wire/jobs.js';
-import type { Job } from './table.js';
+import type { Job } from './job-table.js';
 
 const MAX_JOBS = 20_000;
 
@@ -38,15 +38,15 @@
 export function takeChangedProgress(jobs: Iterable<Job>): JobProgress[] {
   const changed: JobProgress[] = [];
   for (const job of jobs) {
-    if (!job.changed) continue;
-    job.changed = false;
+    if (!job.progressChanged) continue;
+    job.progressChanged = false;
     const answer = job.answer();
     changed.push({
       id: answer.id,
       state: answer.state,
       done: answer.done ?? 0,
       running: answer.running ?? 0,
-      exits: { ...job.exits },
+      exits: { ...job.exitCounts },
       blocked: answer.blocked ?? '',
     });
   }
--- a/src/controller/jobs/known-jobs.ts
+++ b/src/controller/jobs/job-state-cache.ts
@@ -28,52 +28,52 @@
 const VERSION_UNKNOWN = 0;
 
 /** Jobs that this node knows to be live or to have ended. */
-export class KnownJobs {
-  private readonly finals: BoundedMap<TerminalState>;
+export class JobStateCache {
+  private readonly terminalStates: BoundedMap<TerminalState>;
   /** Versions of live records that this node has seen. */
-  private readonly live: BoundedMap<number>;
+  private readonly activeVersions: BoundedMap<number>;
 
   /** `limit`: how many of each kind are remembered. */
   constructor(limit: number) {
-    this.finals = new BoundedMap(limit);
-    this.live = new BoundedMap(limit);
+    this.terminalStates = new BoundedMap(limit);
+    this.activeVersions = new BoundedMap(limit);
   }
 
   /** How the job has ended; the end is for ever. */
-  finalState(id: string): TerminalState | undefined {
-    return this.finals.get(id);
+  terminalState(id: string): TerminalState | undefined {
+    return this.terminalStates.get(id);
   }
 
   /** The job has been accepted, and this node does not know of its end. */
-  isLive(id: string): boolean {
-    return this.live.get(id) !== undefined;
+  isActive(id: string): boolean {
+    return this.activeVersions.get(id) !== undefined;
   }
 
   /** The version of the job's live record, if this node has seen it. */
-  liveVersion(id: string): number | undefined {
-    const version = this.live.get(id);
+  activeVersion(id: string): number | undefined {
+    const version = this.activeVersions.get(id);
     return version === VERSION_UNKNOWN ? undefined : version;
   }
 
   /** The live record was written or read with this version. */
-  setLive(id: string, version: number): void {
-    this.live.set(id, version);
+  setActiveVersion(id: string, version: number): void {
+    this.activeVersions.set(id, version);
   }
 
   /** The live record exists; its version is not known. */
-  learnLive(id: string): void {
-    if (!this.isLive(id)) this.live.set(id, VERSION_UNKNOWN);
+  markActive(id: string): void {
+    if (!this.isActive(id)) this.activeVersions.set(id, VERSION_UNKNOWN);
   }
 
   /** The live record has gone or has another version. */
-  forgetLive(id: string): void {
-    this.live.delete(id);
+  forgetActive(id: string): void {
+    this.activeVersions.delete(id);
   }
 
   /** The job has ended. */
-  learnFinal(id: string, state: TerminalState): void {
-    if (this.finals.get(id) !== undefined) return;
-    this.finals.set(id, state);
-    this.live.delete(id);
+  markTerminal(id: string, state: TerminalState): void {
+    if (this.terminalStates.get(id) !== undefined) return;
+    this.terminalStates.set(id, state);
+    this.activeVersions.delete(id);
   }
 }
--- a/src/controller/jobs/table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -6,29 +6,29 @@
 import { isMap } from '../wire/cbor.js';
 import { readJobSpec, type TerminalState, type JobSpec } from '../wire/jobs.js';
 import type { ExitCause } from '../wire/workers.js';
-import { Completions } from './completions.js';
-import { finalKey, finalRecord, liveKey, readFinal } from './job-records.js';
+import { CompletionRecords } from './completion-records.js';
+import { terminalKey, terminalRecord, activeKey, readTerminalState } from './job-records.js';
 import { Job } from './job.js';
 
-export { Job, levels, type GangReservation } from './job.js';
-export { Pending } from './pending.js';
+export { Job, priorityLevels, type GangReservation } from './job.js';
+export { PendingTasks } from './pending.js';
 
 /** What the table tells the other parts of the leader. */
-export interface TableHooks {
+export interface JobTableHooks {
   /** The leader before has left only parts of a gang. */
-  torn(job: Job): void;
+  onIncompleteGang(job: Job): void;
   /** The job has ended somehow: nothing of it should run. */
-  vanished(job: Job): void;
+  onRecordRemoved(job: Job): void;
   /** The job has ended: its tasks must go from their machines. */
-  closed(job: Job): void;
+  onJobTerminated(job: Job): void;
   /** A job became known to this leader. */
-  added(job: Job): void;
+  onJobAdded(job: Job): void;
   /** Something became placeable. */
-  changed(): void;
+  onTasksPending(): void;
   /** Completion of this task is on record. */
-  recorded(job: Job, task: number): void;
+  onCompletionRecorded(job: Job, task: number): void;
   /** A job's end is known. */
-  ended(id: string, state: TerminalState): void;
+  onTerminalState(id: string, state: TerminalState): void;
 }
 
 /** Waits before an end that could not be read is looked for again. */
@@ -38,34 +38,36 @@
 /** The leader's jobs: all that have not ended. */
 export class JobTable {
   readonly jobs = new Map<string, Job>();
-  private readonly completions: Completions;
+  private readonly completions: CompletionRecords;
 
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly client: StateStoreClient,
     private readonly records: RecordStore,
-    private readonly hooks: TableHooks,
+    private readonly hooks: JobTableHooks,
   ) {
-    this.completions = new Completions(records, (job, task) => hooks.recorded(job, task));
+    this.completions = new CompletionRecords(records, (job, task) =>
+      hooks.onCompletionRecorded(job, task),
+    );
   }
 
   /** A live record, read at takeover or seen in the watch. */
   add(id: string, value: unknown, version: number): void {
     if (this.jobs.has(id)) return;
-    const job = this.read(id, value, version);
+    const job = this.readRecord(id, value, version);
     if (job === null) return;
     this.jobs.set(id, job);
-    this.hooks.added(job);
+    this.hooks.onJobAdded(job);
     const { class: className, team, tasks, image, imageGb } = job.spec;
     this.eventLoop.log.debug(
       { job: id, class: className, team, tasks, image, gb: imageGb },
       'job known',
     );
-    this.hooks.changed();
+    this.hooks.onTasksPending();
   }
 
-  private read(id: string, value: unknown, version: number): Job | null {
+  private readRecord(id: string, value: unknown, version: number): Job | null {
     const spec = this.readSpec(id, value);
     if (spec === null || !isMap(value)) return null;
     const now = this.eventLoop.now();
@@ -85,23 +87,23 @@
   }
 
   /** What the leaders before have recorded as done, read at takeover. */
-  load(): void {
+  loadCompletions(): void {
     this.completions.load(this.jobs);
   }
 
   /** After all has been read: what is left to place, and jobs that only lack their end. */
-  settle(): void {
+  finishRecovery(): void {
     for (const job of this.jobs.values()) {
-      job.pending.keep((task) => job.done[task] !== 1 && !job.assigned.has(task));
+      job.pending.retain((task) => job.done[task] !== 1 && !job.currentAssignments.has(task));
       // A gang of which some parts are still about starts again as a whole once they are gone.
-      if (job.spec.kind === 'gang' && job.assigned.size > 0) {
+      if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) {
         const attempts = new Set(
-          [...job.assigned.values()].map((assignment) => assignment.attempt),
+          [...job.currentAssignments.values()].map((assignment) => assignment.attempt),
         );
-        if (job.pending.length > 0 || attempts.size > 1) this.hooks.torn(job);
-        job.pending.keep(() => false);
+        if (job.pending.length > 0 || attempts.size > 1) this.hooks.onIncompleteGang(job);
+        job.pending.retain(() => false);
       }
-      if (job.complete) this.finish(job);
+      if (job.isComplete) this.writeEnd(job);
     }
   }
 
@@ -110,48 +112,48 @@
    * it; but a leader that has been replaced without knowing it yet sees the same when its successor
    * finishes the job. So the tasks are stopped, and how the job ended is read, never guessed.
    */
-  removed(id: string): void {
+  handleRecordRemoved(id: string): void {
     const job = this.jobs.get(id);
-    if (job === undefined || job.ending) return;
-    job.ending = true;
-    job.vanished = true;
-    this.hooks.vanished(job);
-    this.findEnd(job);
+    if (job === undefined || job.endPending) return;
+    job.endPending = true;
+    job.recordRemoved = true;
+    this.hooks.onRecordRemoved(job);
+    this.readEnd(job);
   }
 
   /** The job is known to have been cancelled. */
-  cancelled(id: string): void {
+  markCancelled(id: string): void {
     const job = this.jobs.get(id);
-    if (job !== undefined) this.close(job, 'cancelled');
+    if (job !== undefined) this.terminate(job, 'cancelled');
   }
 
-  private close(job: Job, state: TerminalState): void {
-    if (job.closed !== null) return;
-    job.closed = state;
-    job.pending.keep(() => false);
+  private terminate(job: Job, state: TerminalState): void {
+    if (job.terminalState !== null) return;
+    job.terminalState = state;
+    job.pending.retain(() => false);
     job.reservation = null;
     this.jobs.delete(job.spec.id);
     this.completions.remove(job);
-    this.eventLoop.log.info({ job: job.spec.id, state, exits: job.exits }, 'job ended');
-    this.hooks.ended(job.spec.id, state);
-    this.hooks.closed(job);
+    this.eventLoop.log.info({ job: job.spec.id, state, exits: job.exitCounts }, 'job ended');
+    this.hooks.onTerminalState(job.spec.id, state);
+    this.hooks.onJobTerminated(job);
   }
 
   /** An attempt of one of its tasks has ended so. */
   countExit(job: Job, cause: ExitCause | 'lost'): void {
-    job.exits[cause] = (job.exits[cause] ?? 0) + 1;
+    job.exitCounts[cause] = (job.exitCounts[cause] ?? 0) + 1;
   }
 
   /** A report shows the task done. It may be cleared once that is on record. */
   markDone(job: Job, task: number): void {
-    if (job.closed !== null || job.standing || job.done[task] === 1) return;
+    if (job.terminalState !== null || job.isService || job.done[task] === 1) return;
     job.done[task] = 1;
     job.doneCount++;
-    job.changed = true;
-    job.pending.drop(task);
-    if (job.complete) {
-      this.completions.drop(job);
-      this.finish(job);
+    job.progressChanged = true;
+    job.pending.remove(task);
+    if (job.isComplete) {
+      this.completions.discard(job);
+      this.writeEnd(job);
       return;
     }
     this.completions.add(job, task);
@@ -159,60 +161,61 @@
 
   /** The task is on no machine and not done. */
   putBack(job: Job, task: number): void {
-    if (job.closed !== null || job.done[task] === 1) return;
+    if (job.terminalState !== null || job.done[task] === 1) return;
     // Twice in the list would be twice on machines.
-    if (job.assigned.has(task) || job.pending.has(task)) return;
+    if (job.currentAssignments.has(task) || job.pending.has(task)) return;
     if (job.pending.length === 0) job.waitingSince = this.eventLoop.now();
     job.pending.push(task);
-    this.hooks.changed();
+    this.hooks.onTasksPending();
   }
 
   /** Once a batch: writes the completions of the batch. */
-  flush(): void {
+  flushCompletions(): void {
     this.completions.flush();
   }
 
   /** Replaces the live record by the final one, in one step, unless a cancellation came first. */
-  private finish(job: Job): void {
-    if (job.ending || job.closed !== null) return;
-    job.ending = true;
+  private writeEnd(job: Job): void {
+    if (job.endPending || job.terminalState !== null) return;
+    job.endPending = true;
     const { id } = job.spec;
     this.records.transact(
       [
-        { key: liveKey(id), version: job.version },
-        { key: finalKey(id), version: 0 },
+        { key: activeKey(id), version: job.recordVersion },
+        { key: terminalKey(id), version: 0 },
       ],
       [
-        { delete: liveKey(id) },
+        { delete: activeKey(id) },
         {
-          put: finalKey(id),
-          value: finalRecord('done', Math.round(this.eventLoop.runtime.wallClock())),
+          put: terminalKey(id),
+          value: terminalRecord('done', Math.round(this.eventLoop.runtime.wallClock())),
         },
       ],
       (result) => {
-        if (result === 'ok') this.close(job, 'done');
-        else this.findEnd(job);
+        if (result === 'ok') this.terminate(job, 'done');
+        else this.readEnd(job);
       },
     );
   }
 
-  private findEnd(job: Job): void {
+  private readEnd(job: Job): void {
     this.client.requestTokens.forceTake();
-    this.client.read(finalKey(job.spec.id), this.settings.leaderLeaseMs / 4, (got) => {
-      if (job.closed !== null) return;
-      const state = got.kind === 'ok' && got.value !== null ? readFinal(got.value.value) : null;
-      if (state !== null) this.close(job, state);
-      else this.findEndLater(job);
+    this.client.read(terminalKey(job.spec.id), this.settings.leaderLeaseMs / 4, (got) => {
+      if (job.terminalState !== null) return;
+      const state =
+        got.kind === 'ok' && got.value !== null ? readTerminalState(got.value.value) : null;
+      if (state !== null) this.terminate(job, state);
+      else this.retryEndLater(job);
     });
   }
 
-  private findEndLater(job: Job): void {
+  private retryEndLater(job: Job): void {
     const delayMs = this.client.isUnavailable ? FIND_END_RETRY_DOWN_MS : FIND_END_RETRY_MS;
     this.eventLoop.after(delayMs, 'find-end', () => {
-      if (job.closed !== null) return;
-      if (job.vanished) return this.findEnd(job);
-      job.ending = false;
-      this.finish(job);
+      if (job.terminalState !== null) return;
+      if (job.recordRemoved) return this.readEnd(job);
+      job.endPending = false;
+      this.writeEnd(job);
     });
   }
 }
--- a/src/controller/jobs/feed.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -7,7 +7,7 @@
 import { SettingsError } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
-import { JobFeed } from './feed.js';
+import { JobWatch } from './job-watch.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const nothing = (): void => undefined;
@@ -22,7 +22,7 @@
   readonly ranges: Followed[] = [];
   private timers: { at: number; fn: () => void }[] = [];
   readonly seen: string[] = [];
-  readonly feed: JobFeed;
+  readonly feed: JobWatch;
 
   constructor() {
     const runtime: Runtime = {
@@ -44,9 +44,9 @@
         this.follows.push({ from, holdMs, done }),
       readPrefix: (_: string, __: number, done: Followed) => this.ranges.push(done),
     } as unknown as StateStoreClient;
-    this.feed = new JobFeed(new EventLoop(runtime, silent), settings, client, {
-      all: (items) => this.seen.push(`all ${items.length}`),
-      changes: (events) => this.seen.push(...events.map((e) => `${e.kind} ${e.key}`)),
+    this.feed = new JobWatch(new EventLoop(runtime, silent), settings, client, {
+      onSnapshot: (items) => this.seen.push(`all ${items.length}`),
+      onEvents: (events) => this.seen.push(...events.map((e) => `${e.kind} ${e.key}`)),
     });
   }
 
@@ -78,11 +78,11 @@
   it('is as old as the read that it is from, not as the answer to it', () => {
     const b = new Bench();
     b.feed.start(7, b.now);
-    assert.ok(b.feed.current);
+    assert.ok(b.feed.isFresh);
     b.pass(2000);
     b.last.done(events(8, [{ kind: 'delete', key: 'live/req-1' }]));
     assert.deepEqual(b.seen, ['delete live/req-1']);
-    assert.equal(b.feed.ageMs, 2000);
+    assert.equal(b.feed.stalenessMs, 2000);
   });
 
   it('counts no more once older than the settings allow, whatever else is answered', () => {
@@ -92,10 +92,10 @@
       b.pass(100);
       b.last.done({ kind: 'failed' });
     }
-    assert.ok(!b.feed.current);
+    assert.ok(!b.feed.isFresh);
     b.pass(1000);
     b.last.done(events(9));
-    assert.ok(b.feed.current);
+    assert.ok(b.feed.isFresh);
   });
 
   it('has to catch up after a gap, by a read sent after it', () => {
@@ -103,14 +103,14 @@
     b.feed.start(7, b.now);
     const before = b.last;
     b.pass(100);
-    b.feed.catchUp();
-    assert.ok(!b.feed.current);
+    b.feed.requireFreshRead();
+    assert.ok(!b.feed.isFresh);
     assert.equal(b.last.holdMs, 0);
     assert.equal(b.last.from, 7);
     before.done(events(8));
-    assert.ok(!b.feed.current, 'a read from before the gap proves nothing');
+    assert.ok(!b.feed.isFresh, 'a read from before the gap proves nothing');
     b.last.done(events(8));
-    assert.ok(b.feed.current);
+    assert.ok(b.feed.isFresh);
   });
 
   it('asks anew when a watch is lost', () => {
@@ -129,7 +129,7 @@
     b.pass(500);
     b.ranges[0]?.({ kind: 'ok', value: { items: [], revision: 30_000 } });
     assert.deepEqual(b.seen, ['all 0']);
-    assert.equal(b.feed.ageMs, 500);
+    assert.equal(b.feed.stalenessMs, 500);
     assert.equal(b.last.from, 30_000);
   });
 
--- a/src/controller/jobs/job.ts
+++ b/src/controller/jobs/job.ts
@@ -1,10 +1,15 @@
 /** One unfinished job: its tasks, its assignments and what is known for placing it. */
 import type { TerminalState, JobStatus, JobSpec, Priority } from '../wire/jobs.js';
 import type { Assignment } from '../workers/assignment.js';
-import { Pending } from './pending.js';
+import { PendingTasks } from './pending.js';
 
 /** Priorities as numbers; higher goes first. */
-export const levels: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
+export const priorityLevels: Record<Priority, number> = {
+  production: 3,
+  high: 2,
+  normal: 1,
+  low: 0,
+};
 
 /** Machines that a waiting gang fills up. */
 export interface GangReservation {
@@ -19,81 +24,81 @@
 /** An unfinished job as its leader knows it. */
 export class Job {
   readonly done: Uint8Array;
-  readonly recorded: Uint8Array;
+  readonly doneRecorded: Uint8Array;
   doneCount = 0;
-  recordedCount = 0;
+  doneRecordedCount = 0;
   /** Tasks that are neither done nor assigned, lowest number last. */
-  readonly pending: Pending;
-  readonly assigned = new Map<number, Assignment>();
+  readonly pending: PendingTasks;
+  readonly currentAssignments = new Map<number, Assignment>();
   /** Every assignment of its tasks that is not forgotten, older attempts and ended ones too. */
-  readonly all = new Set<Assignment>();
+  readonly allAssignments = new Set<Assignment>();
   /** Its answer may differ from what was last told. */
-  changed = true;
+  progressChanged = true;
   /** Cancelled, or its end is being written: nothing of it may be placed. */
-  closed: TerminalState | null = null;
-  ending = false;
+  terminalState: TerminalState | null = null;
+  endPending = false;
   /** Its live record is gone, and its end is being read. */
-  vanished = false;
+  recordRemoved = false;
   /** A gang lost a part: no new attempt before all of the old one is gone. */
-  regrouping = false;
-  exits: Record<string, number> = {};
-  preemptions = 0;
+  gangRestarting = false;
+  exitCounts: Record<string, number> = {};
+  preemptionCount = 0;
   /**
    * Work was stopped for it, until then: it goes before all others, or those who were stopped, who
    * rank higher for it, would take the room back.
    */
-  grantedUntil = -Infinity;
+  preemptionClaimUntil = -Infinity;
   /** It fits into its team's guarantee, by the last placement pass. */
   guaranteed = false;
   /** Nothing is placed before then, after errors. */
-  notBefore = 0;
-  errors = 0;
+  backoffUntil = 0;
+  errorCount = 0;
   /** Machines on which tasks of the job failed. */
-  readonly failedOn = new Set<string>();
+  readonly failedMachines = new Set<string>();
   /** Machines on which replicas of a service ended by themselves: how often, and left out until when. */
-  readonly avoided = new Map<string, { times: number; until: number }>();
+  readonly avoidedMachines = new Map<string, { times: number; until: number }>();
   /** Since when the job has had something to place, for rank and for renting. */
   waitingSince: number;
-  blocked = '';
+  blockedReason = '';
   /** Machines that the job has reserved, for a gang that cannot start yet. */
   reservation: GangReservation | null = null;
   /** The attempt under which tasks start one by one, and those that have. */
-  private attempt = 0;
-  private readonly started = new Set<number>();
+  private sharedAttempt = 0;
+  private readonly startedInAttempt = new Set<number>();
   /** When room was last sought that could be made for an array's tasks. */
-  roomSearchedAt = -Infinity;
+  preemptionSearchedAt = -Infinity;
 
   constructor(
     readonly spec: JobSpec,
     /** When it was accepted, on this node's steady clock. */
     readonly submittedAt: number,
-    readonly version: number,
+    readonly recordVersion: number,
     now: number,
   ) {
     this.done = new Uint8Array(spec.tasks);
-    this.recorded = new Uint8Array(spec.tasks);
-    this.pending = new Pending(spec.tasks);
+    this.doneRecorded = new Uint8Array(spec.tasks);
+    this.pending = new PendingTasks(spec.tasks);
     this.waitingSince = now;
   }
 
   /** Its tasks run until the job is cancelled; each that ends is replaced. */
-  get standing(): boolean {
+  get isService(): boolean {
     return this.spec.kind === 'service';
   }
 
   /** Replicas of a service that are not running. */
-  get missing(): number {
-    return this.standing ? this.spec.tasks - this.running : 0;
+  get missingReplicas(): number {
+    return this.isService ? this.spec.tasks - this.runningCount : 0;
   }
 
   /** Whether replicas of it are not to start on the machine for now. */
   avoids(machine: string, now: number): boolean {
-    return (this.avoided.get(machine)?.until ?? 0) > now;
+    return (this.avoidedMachines.get(machine)?.until ?? 0) > now;
   }
 
   /** Its priority as a number; higher goes first. */
   get level(): number {
-    return levels[this.spec.priority];
+    return priorityLevels[this.spec.priority];
   }
 
   /**
@@ -101,38 +106,38 @@
    * keeps the records of their machines small.
    */
   attemptFor(task: number, next: () => number): number {
-    if (this.attempt === 0 || this.started.has(task)) {
-      this.attempt = next();
-      this.started.clear();
+    if (this.sharedAttempt === 0 || this.startedInAttempt.has(task)) {
+      this.sharedAttempt = next();
+      this.startedInAttempt.clear();
     }
-    this.started.add(task);
-    return this.attempt;
+    this.startedInAttempt.add(task);
+    return this.sharedAttempt;
   }
 
   /** Every task is done. */
-  get complete(): boolean {
+  get isComplete(): boolean {
     return this.doneCount === this.spec.tasks;
   }
 
   /** Tasks that run, those that save their state included. */
-  get running(): number {
+  get runningCount(): number {
     let running = 0;
-    for (const { state } of this.assigned.values())
+    for (const { state } of this.currentAssignments.values())
       if (state === 'running' || state === 'saving') running++;
     return running;
   }
 
   /** What its user is told. */
   answer(): JobStatus {
-    const running = this.running;
+    const running = this.runningCount;
     const answer: JobStatus = {
       id: this.spec.id,
-      state: this.closed ?? (running > 0 ? 'running' : 'queued'),
+      state: this.terminalState ?? (running > 0 ? 'running' : 'queued'),
       done: this.doneCount,
       running,
-      exits: this.exits,
+      exits: this.exitCounts,
     };
-    if (this.blocked !== '') answer.blocked = this.blocked;
+    if (this.blockedReason !== '') answer.blocked = this.blockedReason;
     return answer;
   }
 }
--- a/src/controller/jobs/services.test.ts
+++ b/src/controller/jobs/service-requests.test.ts
@@ -6,7 +6,7 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { StateStoreClient } from '../store/client.js';
-import { Frontend, type Answer } from './frontend.js';
+import { Frontend, type ApiResponse } from './frontend.js';
 
 const teams = '[[params.teams]]\nname = "t"\ncpus_max = 8.0\ngpus_max = 4.0\n';
 const settings = new Settings(alone(teams), defaultProperties());
@@ -84,34 +84,36 @@
     client.setRole(true);
     const type = { name: 'g', cpus: 16, gpus: 4, memoryGb: 64, cacheGb: 10, fetchGbPerS: 1 };
     this.frontend = new Frontend(this.eventLoop, settings, client, {
-      types: () => [{ ...type, price: 1, spotPrice: 1, bootS: 1, zones: ['a'] }],
-      ...{ progress: () => null, accepted: nothing, cancelled: nothing },
+      machineTypes: () => [{ ...type, price: 1, spotPrice: 1, bootS: 1, zones: ['a'] }],
+      ...{ progress: () => null, onAccepted: nothing, onCancelled: nothing },
     });
   }
 
-  private ask(question: (frontend: Frontend, respond: (answer: Answer) => void) => void): Answer {
+  private ask(
+    question: (frontend: Frontend, respond: (answer: ApiResponse) => void) => void,
+  ): ApiResponse {
     // By then there are tokens for calls.
     this.now += 60_000;
-    const answers: Answer[] = [];
+    const answers: ApiResponse[] = [];
     this.eventLoop.post('ask', () => question(this.frontend, (a) => answers.push(a)));
     for (let run = this.soon.shift(); run !== undefined; run = this.soon.shift()) run();
     return answers[0] ?? assert.fail('no answer');
   }
 
-  submit(body: unknown): Answer {
+  submit(body: unknown): ApiResponse {
     return this.ask((f, respond) => f.submit(body, respond));
   }
 
-  poll(): Answer {
+  poll(): ApiResponse {
     return this.ask((f, respond) => f.poll(ID, respond));
   }
 
-  cancel(): Answer {
+  cancel(): ApiResponse {
     return this.ask((f, respond) => f.cancel(ID, respond));
   }
 }
 
-const statusOf = ({ body }: Answer): unknown => (body as { status?: unknown }).status;
+const statusOf = ({ body }: ApiResponse): unknown => (body as { status?: unknown }).status;
 
 describe('a service', () => {
   const refused: [string, object, number][] = [
--- a/src/controller/jobs/status-queries.ts
+++ b/src/controller/jobs/status-queries.ts
@@ -6,18 +6,18 @@
 import type { Condition } from '../wire/state.js';
 import {
   CALL_TIMEOUT_MS,
-  noSuchJob,
-  retryLater,
+  jobNotFound,
+  respondRetryLater,
   type FrontendContext,
   type Respond,
 } from './frontend-context.js';
-import { finalKey, liveKey, readFinal } from './job-records.js';
+import { terminalKey, activeKey, readTerminalState } from './job-records.js';
 
 /** What is current for a job at the state service. */
-export type JobStanding = 'absent' | 'live' | TerminalState | 'unsure';
+export type RecordedState = 'absent' | 'live' | TerminalState | 'unsure';
 
 /** Told what is current for a job. */
-export type StandingCallback = (standing: JobStanding) => void;
+export type RecordedStateCallback = (standing: RecordedState) => void;
 
 /** Transactions of questions that are sent in each report interval, at most. */
 const QUERIES_PER_REPORT = 25;
@@ -29,7 +29,7 @@
   /** Questions about jobs that this node has not heard of. */
   private readonly unknownQueries: GroupCommit;
   /** Questions that have not left yet, with all who wait for their answers. */
-  private readonly queued = new Map<string, StandingCallback[]>();
+  private readonly queued = new Map<string, RecordedStateCallback[]>();
 
   constructor(private readonly context: FrontendContext) {
     const { eventLoop, client, settings } = context;
@@ -45,14 +45,14 @@
 
   /** Answers a user's question about a job. */
   poll(id: string, respond: Respond): void {
-    if (!isJobId(id)) return respond(noSuchJob());
-    this.ask(id, (standing) => this.reply(id, standing, respond));
+    if (!isJobId(id)) return respond(jobNotFound());
+    this.query(id, (standing) => this.reply(id, standing, respond));
   }
 
   /** The response about a job of which this is current. */
-  reply(id: string, standing: JobStanding, respond: Respond): void {
-    if (standing === 'unsure') return retryLater(this.context, respond);
-    if (standing === 'absent') return respond(noSuchJob());
+  reply(id: string, standing: RecordedState, respond: Respond): void {
+    if (standing === 'unsure') return respondRetryLater(this.context, respond);
+    if (standing === 'absent') return respond(jobNotFound());
     if (standing !== 'live')
       return respond({ status: 200, body: writeJobStatus({ id, state: standing }) });
     const progress = this.context.hooks.progress(id);
@@ -61,8 +61,8 @@
   }
 
   /** Finds out what is current for a job. */
-  ask(id: string, done: StandingCallback): void {
-    const ended = this.context.known.finalState(id);
+  query(id: string, done: RecordedStateCallback): void {
+    const ended = this.context.known.terminalState(id);
     if (ended !== undefined) return done(ended);
     if (this.context.client.isUnavailable) return done('unsure');
     const waiting = this.queued.get(id);
@@ -70,18 +70,18 @@
     else this.send(id, done);
   }
 
-  private send(id: string, done: StandingCallback): void {
+  private send(id: string, done: RecordedStateCallback): void {
     const waiters = [done];
     const close = (): void => {
       if (this.queued.get(id) === waiters) this.queued.delete(id);
     };
-    const settle = (standing: JobStanding): void => {
+    const settle = (standing: RecordedState): void => {
       close();
       for (const waiter of waiters) waiter(standing);
     };
-    const known = this.context.known.isLive(id);
-    const conditions: Condition[] = [{ key: finalKey(id), version: 0 }];
-    if (!known) conditions.push({ key: liveKey(id), version: 0 });
+    const known = this.context.known.isActive(id);
+    const conditions: Condition[] = [{ key: terminalKey(id), version: 0 }];
+    if (!known) conditions.push({ key: activeKey(id), version: 0 });
     const added = (known ? this.knownQueries : this.unknownQueries).add({
       conditions,
       writes: [],
@@ -98,30 +98,31 @@
     id: string,
     known: boolean,
     result: TransactionResult,
-    settle: StandingCallback,
+    settle: RecordedStateCallback,
   ): void {
     if (result.kind === 'ok') settle(known ? 'live' : 'absent');
-    else if (result.kind === 'conflict') this.readStanding(id, result.failedKeys, settle);
+    else if (result.kind === 'conflict') this.resolveConflict(id, result.failedKeys, settle);
     else settle('unsure');
   }
 
   /** What failed conditions tell. A job's live and final records never exist together. */
-  readStanding(id: string, failedKeys: readonly string[], done: StandingCallback): void {
-    if (failedKeys.includes(finalKey(id))) {
-      this.readEnd(id, (state) => done(state ?? 'unsure'));
+  resolveConflict(id: string, failedKeys: readonly string[], done: RecordedStateCallback): void {
+    if (failedKeys.includes(terminalKey(id))) {
+      this.readTerminal(id, (state) => done(state ?? 'unsure'));
       return;
     }
-    if (!failedKeys.includes(liveKey(id))) return done('unsure');
-    this.context.known.learnLive(id);
+    if (!failedKeys.includes(activeKey(id))) return done('unsure');
+    this.context.known.markActive(id);
     done('live');
   }
 
-  private readEnd(id: string, done: (state: TerminalState | null) => void): void {
+  private readTerminal(id: string, done: (state: TerminalState | null) => void): void {
     const { client, known } = this.context;
     if (!client.requestTokens.tryTake(1, tokenReserve.reads)) return done(null);
-    client.read(finalKey(id), CALL_TIMEOUT_MS, (got) => {
-      const state = got.kind === 'ok' && got.value !== null ? readFinal(got.value.value) : null;
-      if (state !== null) known.learnFinal(id, state);
+    client.read(terminalKey(id), CALL_TIMEOUT_MS, (got) => {
+      const state =
+        got.kind === 'ok' && got.value !== null ? readTerminalState(got.value.value) : null;
+      if (state !== null) known.markTerminal(id, state);
       done(state);
     });
   }
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -10,8 +10,13 @@
   type JobSpec,
 } from '../wire/jobs.js';
 import { admit } from './admission.js';
-import { retryLater, type Answer, type FrontendContext, type Respond } from './frontend-context.js';
-import { finalKey, liveKey } from './job-records.js';
+import {
+  respondRetryLater,
+  type ApiResponse,
+  type FrontendContext,
+  type Respond,
+} from './frontend-context.js';
+import { terminalKey, activeKey } from './job-records.js';
 import type { StatusQueries } from './status-queries.js';
 
 /** Users who wait for the outcome of the same submission. */
@@ -32,13 +37,13 @@
     const spec = this.parse(body, respond);
     if (spec === null) return;
     const { known, settings, hooks } = this.context;
-    const ended = known.finalState(spec.id);
+    const ended = known.terminalState(spec.id);
     if (ended !== undefined) return this.queries.reply(spec.id, ended, respond);
-    const verdict = admit(spec, settings.platform.teams, hooks.types());
+    const verdict = admit(spec, settings.platform.teams, hooks.machineTypes());
     if (typeof verdict === 'object')
       return this.refuse(spec.id, { status: 422, body: { error: verdict.refuse } }, respond);
-    if (verdict !== 'accept' || known.isLive(spec.id)) {
-      this.replyIfKnown(spec.id, respond, () => retryLater(this.context, respond));
+    if (verdict !== 'accept' || known.isActive(spec.id)) {
+      this.replyIfKnown(spec.id, respond, () => respondRetryLater(this.context, respond));
       return;
     }
     this.record(spec, respond);
@@ -60,13 +65,13 @@
    * A job that is known already is recognised before it is judged: teams, machine types and what a
    * version takes for a submission may have changed since it was accepted.
    */
-  private refuse(id: string | null, refusal: Answer, respond: Respond): void {
+  private refuse(id: string | null, refusal: ApiResponse, respond: Respond): void {
     if (id === null) respond(refusal);
     else this.replyIfKnown(id, respond, () => respond(refusal));
   }
 
   private replyIfKnown(id: string, respond: Respond, absent: () => void): void {
-    this.queries.ask(id, (standing) => {
+    this.queries.query(id, (standing) => {
       if (standing === 'absent') absent();
       else this.queries.reply(id, standing, respond);
     });
@@ -79,7 +84,7 @@
       const refusal = { status: 400, body: { error: 'models: too many or too long' } };
       return this.refuse(spec.id, refusal, respond);
     }
-    if (client.isUnavailable) return retryLater(this.context, respond);
+    if (client.isUnavailable) return respondRetryLater(this.context, respond);
     const waiting = this.queued.get(spec.id);
     if (waiting !== undefined) waiting.push(respond);
     else this.create(spec.id, value, respond);
@@ -92,17 +97,17 @@
     };
     const added = this.context.writes.add({
       conditions: [
-        { key: liveKey(id), version: 0 },
-        { key: finalKey(id), version: 0 },
+        { key: activeKey(id), version: 0 },
+        { key: terminalKey(id), version: 0 },
       ],
-      writes: [{ put: liveKey(id), value }],
+      writes: [{ put: activeKey(id), value }],
       // A repeat that comes once the transaction has left may not share its answer: meanwhile the
       // user may have been told at another node that the job has ended.
       onSent: close,
       done: (result) => this.settle(id, result, waiters, close),
     });
     if (added) this.queued.set(id, waiters);
-    else retryLater(this.context, respond);
+    else respondRetryLater(this.context, respond);
   }
 
   private settle(id: string, result: TransactionResult, waiters: Waiters, close: () => void): void {
@@ -111,14 +116,14 @@
       for (const waiter of waiters) each(waiter);
     };
     if (result.kind === 'ok') {
-      this.context.known.setLive(id, result.revision);
-      this.context.hooks.accepted(id);
+      this.context.known.setActiveVersion(id, result.revision);
+      this.context.hooks.onAccepted(id);
       const body = writeJobStatus({ id, state: 'queued' });
       answer((respond) => respond({ status: 201, body }));
     } else if (result.kind === 'conflict') {
-      this.queries.readStanding(id, result.failedKeys, (standing) =>
+      this.queries.resolveConflict(id, result.failedKeys, (standing) =>
         answer((respond) => this.queries.reply(id, standing, respond)),
       );
-    } else answer((respond) => retryLater(this.context, respond));
+    } else answer((respond) => respondRetryLater(this.context, respond));
   }
 }
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -2,11 +2,11 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { MachineTypeCatalogue } from '../fleet/machine-type-catalogue.js';
 import { Fleet } from '../fleet/fleet.js';
-import { JobFeed } from '../jobs/feed.js';
-import { LIVE_PREFIX } from '../jobs/job-records.js';
+import { JobWatch } from '../jobs/job-watch.js';
+import { ACTIVE_PREFIX } from '../jobs/job-records.js';
 import type { Frontend } from '../jobs/frontend.js';
-import { takeChangedProgress, type ProgressCache } from '../jobs/progress.js';
-import { JobTable, type Job } from '../jobs/table.js';
+import { takeChangedProgress, type ProgressCache } from '../jobs/job-progress.js';
+import { JobTable, type Job } from '../jobs/job-table.js';
 import { LEADER_KEY } from '../leadership/leader-record.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { PeerStatus } from '../peers/message.js';
@@ -61,7 +61,7 @@
   readonly workers: Workers;
   readonly placement: Placement;
   readonly fleet: Fleet;
-  readonly feed: JobFeed;
+  readonly feed: JobWatch;
   readonly passes: PassScheduler;
   private readonly since: number;
   private learnedSavedAt = -Infinity;
@@ -95,14 +95,14 @@
   private createTable(): JobTable {
     const { eventLoop, settings, client, frontend, peers } = this.context;
     return new JobTable(eventLoop, settings, client, this.records, {
-      torn: (job) => this.workers.stopJob(job, 0, 'gang lost a part'),
-      vanished: (job) => this.workers.stopAll(job, 'job ended'),
-      closed: (job) => this.jobClosed(job),
-      added: (job) => this.jobAdded(job),
-      changed: () => this.context.placementDue(),
-      recorded: (job, task) => this.workers.doneRecorded(job, task),
-      ended: (id, state) => {
-        frontend.learnFinal(id, state);
+      onIncompleteGang: (job) => this.workers.stopJob(job, 0, 'gang lost a part'),
+      onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
+      onJobTerminated: (job) => this.jobClosed(job),
+      onJobAdded: (job) => this.jobAdded(job),
+      onTasksPending: () => this.context.placementDue(),
+      onCompletionRecorded: (job, task) => this.workers.doneRecorded(job, task),
+      onTerminalState: (id, state) => {
+        frontend.markTerminal(id, state);
         peers.announce(id, state);
       },
     });
@@ -148,11 +148,11 @@
     );
   }
 
-  private createFeed(): JobFeed {
+  private createFeed(): JobWatch {
     const { eventLoop, settings, client } = this.context;
-    return new JobFeed(eventLoop, settings, client, {
-      all: (items) => this.jobsReloaded(items),
-      changes: (events) => this.jobsChanged(events),
+    return new JobWatch(eventLoop, settings, client, {
+      onSnapshot: (items) => this.jobsReloaded(items),
+      onEvents: (events) => this.jobsChanged(events),
     });
   }
 
@@ -175,13 +175,13 @@
     const live = new Set(items.map((item) => item.key));
     this.jobsRead(items);
     for (const id of [...this.table.jobs.keys()])
-      if (!live.has(LIVE_PREFIX + id)) this.table.removed(id);
+      if (!live.has(ACTIVE_PREFIX + id)) this.table.handleRecordRemoved(id);
   }
 
   private jobsChanged(events: readonly WatchEvent[]): void {
     for (const event of events) {
       if (event.kind === 'put') this.jobLive(event.key, event.value, event.version);
-      else this.table.removed(event.key.slice(LIVE_PREFIX.length));
+      else this.table.handleRecordRemoved(event.key.slice(ACTIVE_PREFIX.length));
     }
   }
 
@@ -191,9 +191,9 @@
   }
 
   private jobLive(key: string, value: unknown, version: number): void {
-    const id = key.slice(LIVE_PREFIX.length);
+    const id = key.slice(ACTIVE_PREFIX.length);
     // Its end may have been heard of before.
-    if (this.context.frontend.ended(id) === null) this.table.add(id, value, version);
+    if (this.context.frontend.terminalState(id) === null) this.table.add(id, value, version);
   }
 
   // ---- beginning and end
@@ -207,10 +207,10 @@
   takeOver({ jobs, pages, revision, sentAt }: Inheritance): void {
     this.records.load(pages);
     this.context.learned.load(this.records, this.table.jobs.values());
-    this.table.load();
+    this.table.loadCompletions();
     this.workers.load();
     this.placement.load();
-    this.table.settle();
+    this.table.finishRecovery();
     this.ready = true;
     this.context.eventLoop.log.info(
       { term: this.term, jobs: jobs.length, machines: this.workers.machines.size },
@@ -234,7 +234,7 @@
   batchEnd(): void {
     if (this.closed || !this.context.entitled()) return;
     if (this.context.catalogue.types !== null) this.passes.step();
-    this.table.flush();
+    this.table.flushCompletions();
     this.workers.flush();
     this.records.flush();
   }
@@ -244,7 +244,10 @@
     if (!this.ready) return;
     const { settings, leadership } = this.context;
     this.workers.answering(this.context.mayAnswerWorkers(), tickMs);
-    if (leadership.acting && this.feed.ageMs > settings.maxWatchStalenessMs * STALE_VIEW_FACTOR) {
+    if (
+      leadership.acting &&
+      this.feed.stalenessMs > settings.maxWatchStalenessMs * STALE_VIEW_FACTOR
+    ) {
       // Its lease keeps the others from leading, and it may not act itself.
       leadership.handOver('no view of the jobs');
       return;
--- a/src/controller/leader/takeover.ts
+++ b/src/controller/leader/takeover.ts
@@ -1,6 +1,6 @@
 /** Reads what the leaders before have left, once this node has been elected. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import { LIVE_PREFIX } from '../jobs/job-records.js';
+import { ACTIVE_PREFIX } from '../jobs/job-records.js';
 import type { StateStoreClient } from '../store/client.js';
 import { PAGE_PREFIX } from '../store/page-table.js';
 import type { KeyValue } from '../wire/state.js';
@@ -43,7 +43,7 @@
 
   /** Reads jobs, then pages. */
   start(): void {
-    this.read(LIVE_PREFIX, ({ items: jobs, revision, sentAt }) => {
+    this.read(ACTIVE_PREFIX, ({ items: jobs, revision, sentAt }) => {
       this.heir.jobsRead(jobs);
       this.read(PAGE_PREFIX, ({ items: pages }) => {
         this.heir.takeOver({ jobs, revision, sentAt, pages });
--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
 import { arraySpec } from '../../../test/stand-ins.js';
-import { Job } from '../jobs/table.js';
+import { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { Machine } from '../workers/machine.js';
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -1,7 +1,7 @@
 /** The cluster as its leader sees it, for a person. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { Job } from '../jobs/job.js';
-import type { JobTable } from '../jobs/table.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { Placement } from '../placement/placement.js';
 import { timesContained } from '../placement/need.js';
 import type { Settings } from '../settings/settings.js';
@@ -127,20 +127,20 @@
     ...namesView(job.reservation?.machines ?? []),
     held_s: -(seconds(job.reservation?.since ?? source.now) ?? 0),
     fills_in_s: seconds(job.reservation?.fillAt ?? Infinity),
-    blocked: job.blocked,
+    blocked: job.blockedReason,
   }));
 }
 
 function servicesView(jobs: Job[]): Listing {
-  const services = jobs.filter((job) => job.standing);
-  services.sort((one, other) => other.missing - one.missing);
+  const services = jobs.filter((job) => job.isService);
+  services.sort((one, other) => other.missingReplicas - one.missingReplicas);
   return listed(services, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
     replicas: job.spec.tasks,
-    missing: job.missing,
-    ...namesView([...job.assigned.values()].map((assignment) => assignment.machine.id)),
-    exits: job.exits,
+    missing: job.missingReplicas,
+    ...namesView([...job.currentAssignments.values()].map((assignment) => assignment.machine.id)),
+    exits: job.exitCounts,
   }));
 }
 
--- a/src/controller/operators/gauges.ts
+++ b/src/controller/operators/gauges.ts
@@ -1,6 +1,6 @@
 /** Sets the figures that are read off a controller's state when metrics are scraped. */
 import type { Fleet } from '../fleet/fleet.js';
-import type { Job, JobTable } from '../jobs/table.js';
+import type { Job, JobTable } from '../jobs/job-table.js';
 import type { Placement } from '../placement/placement.js';
 import type { Workers } from '../workers/workers.js';
 import type { Metrics } from './metrics.js';
@@ -39,7 +39,7 @@
 export function setLeaderGauges(metrics: MetricsSink, leader: LeaderState): void {
   const jobs = [...leader.table.jobs.values()];
   const holding = jobs.filter((job) => job.reservation !== null);
-  const services = jobs.filter((job) => job.standing);
+  const services = jobs.filter((job) => job.isService);
   metrics.setGauge('jobs', 'Unfinished jobs.', jobs.length);
   metrics.setGauge('holds', 'Gangs that hold room.', holding.length);
   metrics.setGauge(
@@ -51,7 +51,7 @@
   metrics.setGauge(
     'replicas_missing',
     'Replicas of services that are not running.',
-    sum(services, (job) => job.missing),
+    sum(services, (job) => job.missingReplicas),
   );
   metrics.setGauge('machines', 'Machines known.', leader.workers.machines.size);
   metrics.setGauge('booting', 'Machines rented and not up yet.', leader.fleet.bootingCount);
--- a/src/controller/placement/array-placer.ts
+++ b/src/controller/placement/array-placer.ts
@@ -1,5 +1,5 @@
 /** Placement of tasks that start one by one: those of arrays, and replicas of services. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { CandidateFinder } from './candidates.js';
 import { nameOfKinds } from './failed-searches.js';
@@ -40,12 +40,12 @@
     const wanted = Math.min(job.pending.length, this.parts.teams.allowance(job.spec));
     if (wanted === 0) return;
     const left = this.start(pass, job, wanted, warmOnly);
-    if (left === 0) job.grantedUntil = -Infinity;
+    if (left === 0) job.preemptionClaimUntil = -Infinity;
     else if (warmOnly) pass.requeue({ ...queued, acceptsFetch: true });
     else {
       pass.shortages.push({ job, tasks: left });
       if (this.mayMakeRoom(pass, job)) {
-        job.roomSearchedAt = pass.now;
+        job.preemptionSearchedAt = pass.now;
         this.makeRoom(pass, job, left);
       }
     }
@@ -71,7 +71,7 @@
     const zones: TasksByZone = limited ? tasksByZone(job) : new Map<string, number>();
     const found = this.parts.candidates.find(pass, job, warmOnly);
     let left = wanted;
-    for (const { room, count } of job.standing ? spreadReplicas(job, found) : found) {
+    for (const { room, count } of job.isService ? spreadReplicas(job, found) : found) {
       const { zone } = room.machine;
       const allowance = limited ? zoneAllowance(spec, zone, zones) : Infinity;
       const tasks = Math.min(left, count, allowance);
@@ -89,7 +89,7 @@
     const { settings } = this.parts;
     const every = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
     const outranks = job.guaranteed || job.level > pass.lowestLevel;
-    return outranks && pass.now - job.roomSearchedAt >= every;
+    return outranks && pass.now - job.preemptionSearchedAt >= every;
   }
 
   /**
@@ -112,7 +112,8 @@
       made: true,
       prefer: (room) => machinePenalty(job, room),
     });
-    if (found.length === 0 && job.avoided.size === 0) pass.failedSearches.addNoVictims(search);
+    if (found.length === 0 && job.avoidedMachines.size === 0)
+      pass.failedSearches.addNoVictims(search);
     for (const target of found) {
       if (!this.parts.preemption.stopAll(target.victims, job)) return;
       target.room.claim(need, target.fillAt);
--- a/src/controller/placement/blocked-reason.ts
+++ b/src/controller/placement/blocked-reason.ts
@@ -1,9 +1,9 @@
 /** Why a job waits, as its users are told. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 
 /** Sets why the job waits; empty: nothing is to be said. */
 export function setBlockedReason(job: Job, reason: string): void {
-  if (job.blocked === reason) return;
-  job.blocked = reason;
-  job.changed = true;
+  if (job.blockedReason === reason) return;
+  job.blockedReason = reason;
+  job.progressChanged = true;
 }
--- a/src/controller/placement/candidates.ts
+++ b/src/controller/placement/candidates.ts
@@ -1,5 +1,5 @@
 /** Machines where tasks of a job can start now. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { Need } from '../workers/assignment.js';
 import { recordCost, type RecordCost } from '../workers/record.js';
--- a/src/controller/placement/drain.ts
+++ b/src/controller/placement/drain.ts
@@ -1,5 +1,5 @@
 /** Emptying of machines that will be taken or returned. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment } from '../workers/assignment.js';
 import type { Machine } from '../workers/machine.js';
@@ -42,7 +42,7 @@
     if (assignment.stop !== null || assignment.phase === 'ended' || job === null) return;
     if (this.estimates.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
       return;
-    if (job.standing && !this.movesNow(assignment, job, leftMs, now)) return;
+    if (job.isService && !this.movesNow(assignment, job, leftMs, now)) return;
     const { spec } = job;
     const saves = spec.checkpointIntervalS > 0 && assignment.state === 'running';
     const graceS = saves ? spec.checkpointSaveS : 0;
@@ -80,9 +80,9 @@
 }
 
 /** Whether a replica that leaves its machine may start in the zone, beside the others of its service. */
-function zoneAllows({ all, spec }: Job, leaving: Assignment, zone: string): boolean {
+function zoneAllows({ allAssignments, spec }: Job, leaving: Assignment, zone: string): boolean {
   let there = 0;
-  for (const assignment of all) {
+  for (const assignment of allAssignments) {
     if (assignment === leaving || assignment.phase === 'ended') continue;
     if (assignment.machine.zone === zone) there++;
     else if (spec.singleZone) return false;
--- a/src/controller/placement/estimates.ts
+++ b/src/controller/placement/estimates.ts
@@ -1,5 +1,5 @@
 /** How long runs and image fetches take. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import { isMap } from '../wire/cbor.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { Assignment } from '../workers/assignment.js';
--- a/src/controller/placement/gang-placer.ts
+++ b/src/controller/placement/gang-placer.ts
@@ -1,5 +1,5 @@
 /** Placement of gangs: all tasks at once, or a reservation for them. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import { setBlockedReason } from './blocked-reason.js';
 import type { Candidate, CandidateFinder } from './candidates.js';
@@ -53,7 +53,7 @@
     const attempt = starter.nextAttempt();
     for (const { room, count } of picked) starter.start(job, room, count, attempt);
     setBlockedReason(job, '');
-    job.grantedUntil = -Infinity;
+    job.preemptionClaimUntil = -Infinity;
     reservations.drop(job);
   }
 
--- a/src/controller/placement/gang-reservations.ts
+++ b/src/controller/placement/gang-reservations.ts
@@ -1,6 +1,6 @@
 /** Reservations of gangs that cannot start yet: kept on record until the gang starts or ends. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { GangReservation, Job, JobTable } from '../jobs/table.js';
+import type { GangReservation, Job, JobTable } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { Assignment } from '../workers/assignment.js';
--- a/src/controller/placement/guarantee.test.ts
+++ b/src/controller/placement/guarantee.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Runtime, Logger } from '../runtime/runtime.js';
-import { JobTable } from '../jobs/table.js';
+import { JobTable } from '../jobs/job-table.js';
 import { alone } from '../../../test/platform.js';
 import { storedAtOnce } from '../../../test/stored.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -75,8 +75,13 @@
     const eventLoop = new EventLoop(runtime, silent);
     const records = storedAtOnce();
     this.table = new JobTable(eventLoop, settings, {} as unknown as StateStoreClient, records, {
-      ...{ torn: nothing, added: nothing, changed: nothing, vanished: nothing },
-      ...{ closed: nothing, recorded: nothing, ended: nothing },
+      ...{
+        onIncompleteGang: nothing,
+        onJobAdded: nothing,
+        onTasksPending: nothing,
+        onRecordRemoved: nothing,
+      },
+      ...{ onJobTerminated: nothing, onCompletionRecorded: nothing, onTerminalState: nothing },
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
       type: () => type,
--- a/src/controller/placement/machine-penalty.ts
+++ b/src/controller/placement/machine-penalty.ts
@@ -1,5 +1,5 @@
 /** Scoring of machines for a job, beside the fetch of its image. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Room } from './room.js';
 
 /** Work without GPUs on a machine that has some. */
@@ -22,8 +22,8 @@
   let penalty = 0;
   if (spec.gpus === 0 && type.gpus > 0) penalty += CPU_WORK_ON_GPU_MACHINE;
   // Cheap machines are for work that can be done again; a replica there is down with each that goes.
-  if (spec.spot && machine.spot === job.standing) penalty += UNSUITABLE_MARKET;
-  if (job.failedOn.has(machine.id)) penalty += FAILED_BEFORE;
+  if (spec.spot && machine.spot === job.isService) penalty += UNSUITABLE_MARKET;
+  if (job.failedMachines.has(machine.id)) penalty += FAILED_BEFORE;
   if (spec.kind === 'gang' && room.intrudes(spec)) penalty += INTRUSION;
   const left =
     spec.gpus > 0 ? (room.gpus - spec.gpus) / type.gpus : (room.cpus - spec.cpus) / type.cpus;
--- a/src/controller/placement/moves.ts
+++ b/src/controller/placement/moves.ts
@@ -1,5 +1,5 @@
 /** Replicas of services that are moved from machines that go. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Assignment, Need } from '../workers/assignment.js';
 import type { Machine } from '../workers/machine.js';
 
@@ -22,8 +22,8 @@
   /** Forgets the moves that are over: the replica has a place again, or none is wanted any more. */
   settle(): void {
     this.moves = this.moves.filter(({ from, job }) => {
-      const current = job.assigned.get(from.task);
-      return job.closed === null && (current === undefined || current === from);
+      const current = job.currentAssignments.get(from.task);
+      return job.terminalState === null && (current === undefined || current === from);
     });
   }
 
--- a/src/controller/placement/parts.test.ts
+++ b/src/controller/placement/parts.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
 import type { Logger } from '../runtime/runtime.js';
-import { Job } from '../jobs/table.js';
+import { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
@@ -81,7 +81,7 @@
     ...{ name: `${owner.spec.id}/${task}`, jobId: owner.spec.id, job: owner, machine: on, task },
     ...{ phase: 'seen', stop: null, saveS: 3 },
   } as unknown as Assignment;
-  owner.all.add(made);
+  owner.allAssignments.add(made);
   return made;
 }
 
@@ -134,7 +134,7 @@
     const tight = machinePenalty(job({ gpus: 4, spot: false }), room);
     assert.equal(tight, 0);
     assert.equal(machinePenalty(one, room), 7.5);
-    one.failedOn.add('n-1');
+    one.failedMachines.add('n-1');
     assert.equal(machinePenalty(one, room), 67.5);
     assert.equal(machinePenalty(job({ gpus: 0, cpus: 16, spot: false }), room), 30);
   });
@@ -277,7 +277,10 @@
     assert.equal(preemption.count, 0);
     assert.ok(preemption.stopAll([...victims.slice(0, 2), assign(gang, machine('n-1'))], by));
     assert.deepEqual(stopped, ['req-1/0', 'req-1/1', 'req-2']);
-    assert.deepEqual([preemption.count, array.preemptions, by.grantedUntil], [3, 2, 1100]);
+    assert.deepEqual(
+      [preemption.count, array.preemptionCount, by.preemptionClaimUntil],
+      [3, 2, 1100],
+    );
     assert.ok(!preemption.stopAll(victims.slice(2, 4), by), 'what was stopped lately counts');
   });
 });
@@ -285,11 +288,11 @@
 describe('setBlockedReason', () => {
   it('marks the job as changed only by another reason', () => {
     const one = job();
-    one.changed = false;
+    one.progressChanged = false;
     setBlockedReason(one, '');
-    assert.ok(!one.changed);
+    assert.ok(!one.progressChanged);
     setBlockedReason(one, 'no room');
-    assert.deepEqual([one.changed, one.blocked], [true, 'no room']);
+    assert.deepEqual([one.progressChanged, one.blockedReason], [true, 'no room']);
   });
 });
 
@@ -360,7 +363,7 @@
     assert.deepEqual(place(gang, 3, fits(4)), ['3@8', 'drop']);
     assert.deepEqual(place(gang, 3, fits(2)), ['reserve']);
     assert.deepEqual(place(gang, 2, fits(4)), ['drop']);
-    assert.equal(gang.blocked, "its team's limit is used up");
+    assert.equal(gang.blockedReason, "its team's limit is used up");
   });
 
   it('picks half of a spread gang in each zone', () => {
--- a/src/controller/placement/placement-pass.ts
+++ b/src/controller/placement/placement-pass.ts
@@ -1,5 +1,5 @@
 /** The state of one placement pass: its queue, its view of the machines, what it has found. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
 import { FailedSearches } from './failed-searches.js';
 import { compareQueued, type QueuedJob } from './rank.js';
--- a/src/controller/placement/placement.test.ts
+++ b/src/controller/placement/placement.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { Job } from '../jobs/table.js';
+import { Job } from '../jobs/job-table.js';
 import type { JobSpec, Priority } from '../wire/jobs.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { Assignment } from '../workers/assignment.js';
@@ -65,7 +65,7 @@
       fc.property(fc.array(any, { minLength: 3, maxLength: 3 }), (list) => {
         const [a, b, c] = list.map((x) => {
           const j = job({ priority: x.priority }, x.at);
-          j.preemptions = x.preemptions;
+          j.preemptionCount = x.preemptions;
           return j;
         });
         if (a === undefined || b === undefined || c === undefined) return;
@@ -101,9 +101,9 @@
   // Rough day, caroni: gangs of two teams stopped each other in turn, the victim always first again.
   it('room that was made for a gang goes to it, not back to its victim', () => {
     const victim = job({}, 0);
-    victim.preemptions = 1;
+    victim.preemptionCount = 1;
     const gang = job({}, 5000);
-    gang.grantedUntil = 30_000;
+    gang.preemptionClaimUntil = 30_000;
     assert.ok(turn(gang, victim, 20_000) < 0);
     assert.ok(turn(gang, victim, 40_000) > 0);
   });
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -1,6 +1,6 @@
 /** Placement of what waits: the parts of a pass put together, and its beginning and end. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job, JobTable } from '../jobs/table.js';
+import type { Job, JobTable } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { Machine } from '../workers/machine.js';
@@ -31,7 +31,9 @@
 
 /** The job has tasks that may be placed now. */
 function waits(job: Job, now: number): boolean {
-  return job.pending.length > 0 && !job.regrouping && !job.ending && job.notBefore <= now;
+  return (
+    job.pending.length > 0 && !job.gangRestarting && !job.endPending && job.backoffUntil <= now
+  );
 }
 
 /**
@@ -116,7 +118,7 @@
     const queue: QueuedJob[] = [];
     let lowestLevel = Infinity;
     for (const job of this.table.jobs.values()) {
-      if (job.all.size > 0 && job.level < lowestLevel) lowestLevel = job.level;
+      if (job.allAssignments.size > 0 && job.level < lowestLevel) lowestLevel = job.level;
       if (waits(job, now)) queue.push(queuedJob(job, this.rank, now));
     }
     const waitingClasses = new Set(this.lacking.map(({ job }) => job.spec.class));
@@ -133,7 +135,7 @@
     if (pass.isStarted()) pass.resume(now, (machine) => this.usable(machine, now));
     while (!pass.isFinished()) {
       const queued = pass.take();
-      if (queued?.job.closed !== null || !waits(queued.job, pass.now)) continue;
+      if (queued?.job.terminalState !== null || !waits(queued.job, pass.now)) continue;
       if (queued.job.spec.kind === 'gang') this.gangs.place(pass, queued.job);
       else this.arrays.place(pass, queued);
       if (this.eventLoop.now() >= deadline && !pass.isFinished()) return false;
--- a/src/controller/placement/preemption.ts
+++ b/src/controller/placement/preemption.ts
@@ -1,6 +1,6 @@
 /** Stopping of tasks for work that goes before them, and its limit. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment } from '../workers/assignment.js';
 import type { Workers } from '../workers/workers.js';
@@ -68,8 +68,8 @@
     if (victim.stop !== null || victim.phase === 'ended') return;
     const { job } = victim;
     if (job === null) return;
-    job.preemptions++;
-    preemptor.grantedUntil = this.eventLoop.now() + this.settings.workerLeaseMs;
+    job.preemptionCount++;
+    preemptor.preemptionClaimUntil = this.eventLoop.now() + this.settings.workerLeaseMs;
     this.count++;
     this.recent.push(this.eventLoop.now());
     this.eventLoop.log.info(
--- a/src/controller/placement/rank.ts
+++ b/src/controller/placement/rank.ts
@@ -1,5 +1,5 @@
 /** The order in which what waits is placed. */
-import { levels, type Job } from '../jobs/table.js';
+import { priorityLevels, type Job } from '../jobs/job-table.js';
 
 /** What the order depends on. */
 export interface RankSettings {
@@ -32,7 +32,9 @@
     if (aim > last) last = aim;
   }
   if (next === Infinity) next = last + (aims.length > 0 ? settings.late * settings.agingMs : 0);
-  return job.submittedAt + next - (job.level + job.preemptions * settings.bonus) * settings.agingMs;
+  return (
+    job.submittedAt + next - (job.level + job.preemptionCount * settings.bonus) * settings.agingMs
+  );
 }
 
 /** A job with what decides its turn in one pass. */
@@ -49,7 +51,7 @@
   return {
     job,
     rank: rankTime(job, settings, now),
-    granted: job.grantedUntil > now,
+    granted: job.preemptionClaimUntil > now,
     acceptsFetch: false,
   };
 }
@@ -70,7 +72,7 @@
 
 /** A service of the highest priority with replicas missing: it takes little, and each second counts. */
 function standing({ job }: QueuedJob): boolean {
-  return job.standing && job.level === levels.production;
+  return job.isService && job.level === priorityLevels.production;
 }
 
 /**
--- a/src/controller/placement/replica-spread.ts
+++ b/src/controller/placement/replica-spread.ts
@@ -1,5 +1,5 @@
 /** The order in which machines take replicas of a service. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Candidate } from './candidates.js';
 
 /** A machine with room for replicas, and what decides between it and others. */
@@ -47,7 +47,7 @@
 function countReplicas(job: Job): { machines: Map<string, number>; zones: Map<string, number> } {
   const machines = new Map<string, number>();
   const zones = new Map<string, number>();
-  for (const { phase, machine } of job.all) {
+  for (const { phase, machine } of job.allAssignments) {
     if (phase === 'ended') continue;
     machines.set(machine.id, (machines.get(machine.id) ?? 0) + 1);
     zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
--- a/src/controller/placement/reserve.test.ts
+++ b/src/controller/placement/reserve.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Job } from '../jobs/table.js';
+import { Job } from '../jobs/job-table.js';
 import { isList, isMap } from '../wire/cbor.js';
 import type { JobSpec } from '../wire/jobs.js';
 import { Estimates } from './estimates.js';
--- a/src/controller/placement/reserve.ts
+++ b/src/controller/placement/reserve.ts
@@ -1,5 +1,5 @@
 /** Room kept ahead for classes of large tasks. */
-import { levels, type Job } from '../jobs/table.js';
+import { priorityLevels, type Job } from '../jobs/job-table.js';
 import { isMap } from '../wire/cbor.js';
 import { readJobSpec, writeJobSpec, type JobSpec } from '../wire/jobs.js';
 import type { Estimates } from './estimates.js';
@@ -143,7 +143,7 @@
         if (at < (this.classes.get(spec.class)?.at ?? -Infinity)) continue;
         this.classes.set(spec.class, {
           spec,
-          level: levels[spec.priority],
+          level: priorityLevels[spec.priority],
           weight: Number(record['weight']),
           at,
           together: Number(record['together']),
--- a/src/controller/placement/room-filling.ts
+++ b/src/controller/placement/room-filling.ts
@@ -1,5 +1,5 @@
 /** When a machine should have room for a task, by itself or by stopping others. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment, Need } from '../workers/assignment.js';
 import type { Estimates } from './estimates.js';
--- a/src/controller/placement/services.test.ts
+++ b/src/controller/placement/services.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Runtime, Logger } from '../runtime/runtime.js';
-import { JobTable, type Job } from '../jobs/table.js';
+import { JobTable, type Job } from '../jobs/job-table.js';
 import { alone } from '../../../test/platform.js';
 import { storedAtOnce } from '../../../test/stored.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -85,9 +85,15 @@
     const eventLoop = new EventLoop(runtime, silent);
     const records = storedAtOnce();
     this.table = new JobTable(eventLoop, settings, {} as unknown as StateStoreClient, records, {
-      ...{ torn: nothing, added: nothing, changed: nothing, recorded: nothing, ended: nothing },
-      vanished: (job) => this.workers.stopAll(job, 'job ended'),
-      closed: (job) => this.workers.jobClosed(job),
+      ...{
+        onIncompleteGang: nothing,
+        onJobAdded: nothing,
+        onTasksPending: nothing,
+        onCompletionRecorded: nothing,
+        onTerminalState: nothing,
+      },
+      onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
+      onJobTerminated: (job) => this.workers.jobClosed(job),
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
       type: () => type,
@@ -212,7 +218,7 @@
     const c = new Cluster(machines(5));
     const job = c.add({ tasks: 4 });
     c.run(6);
-    assert.equal(job.running, 4);
+    assert.equal(job.runningCount, 4);
     assert.equal(c.where(job).size, 4);
   });
 
@@ -237,7 +243,7 @@
     );
     c.exit(job, 'error', lost);
     c.run(4);
-    assert.equal(job.running, 4);
+    assert.equal(job.runningCount, 4);
     assert.ok(most(c.where(job)) <= 2);
     assert.ok(!c.where(job).has(lost), 'not where it has just failed');
   });
@@ -246,7 +252,7 @@
     const c = new Cluster([{ images: ['i'] }, ...machines(4)]);
     const job = c.add({ tasks: 4 });
     c.run(6);
-    assert.equal(job.running, 4);
+    assert.equal(job.runningCount, 4);
     assert.ok(most(c.where(job)) <= 2);
   });
 
@@ -254,7 +260,7 @@
     const c = new Cluster(machines(1));
     const job = c.add({ tasks: 4 });
     c.run(6);
-    assert.equal(job.running, 4);
+    assert.equal(job.runningCount, 4);
   });
 
   it('keep to one zone where the job asks for it', () => {
@@ -262,7 +268,7 @@
     const job = c.add({ tasks: 3, singleZone: true });
     c.run(6);
     const zones = new Set([...c.where(job).keys()].map((id) => c.worker(id).zone));
-    assert.equal(job.running, 3);
+    assert.equal(job.runningCount, 3);
     assert.equal(zones.size, 1);
   });
 
@@ -288,7 +294,7 @@
     c.worker('n-0').noticeS = NOTICE_S;
     c.run(5);
     assert.deepEqual([...c.where(job).keys()], ['n-1']);
-    assert.equal(job.running, 1);
+    assert.equal(job.runningCount, 1);
   });
 
   it('keeps its replica until shortly before where no other has room', () => {
@@ -328,7 +334,7 @@
     const c = new Cluster(machines(2));
     const service = c.add({ tasks: 2, cpus: 6, priority: 'low', team: 'guest' });
     c.run(20);
-    assert.equal(service.running, 2);
+    assert.equal(service.runningCount, 2);
     const gang = c.add({
       kind: 'gang',
       tasks: 2,
@@ -339,18 +345,18 @@
     });
     const array = c.add({ kind: 'array', tasks: 2, cpus: 6, estimatedRunS: 10 });
     c.run(40);
-    assert.equal(service.running, 2);
-    assert.equal(gang.running + array.running, 0);
+    assert.equal(service.runningCount, 2);
+    assert.equal(gang.runningCount + array.runningCount, 0);
   });
 
   it('stops lower work for a replica that finds no place', () => {
     const c = new Cluster(machines(1));
     const array = c.add({ kind: 'array', tasks: 1, cpus: 8, estimatedRunS: 900, priority: 'low' });
     c.run(20);
-    assert.equal(array.running, 1);
+    assert.equal(array.runningCount, 1);
     const service = c.add({ tasks: 1 });
     c.run(8);
-    assert.equal(service.running, 1);
+    assert.equal(service.runningCount, 1);
   });
 
   it('stops nothing on a machine that the service has just failed on', () => {
@@ -359,28 +365,28 @@
     c.run(3);
     const array = c.add({ kind: 'array', tasks: 1, cpus: 7, estimatedRunS: 900, priority: 'low' });
     c.run(20);
-    assert.equal(array.running, 1);
+    assert.equal(array.runningCount, 1);
     c.exit(service, 'error', 'n-0');
     const filler = c.add({ kind: 'array', tasks: 1, cpus: 1, estimatedRunS: 900, priority: 'low' });
     c.step();
     c.step();
-    assert.equal(filler.running + filler.assigned.size > 0, true);
-    while ((service.avoided.get('n-0')?.until ?? 0) > c.now + STEP_MS) {
-      assert.equal(array.preemptions + filler.preemptions, 0);
+    assert.equal(filler.runningCount + filler.currentAssignments.size > 0, true);
+    while ((service.avoidedMachines.get('n-0')?.until ?? 0) > c.now + STEP_MS) {
+      assert.equal(array.preemptionCount + filler.preemptionCount, 0);
       c.step();
     }
     c.run(20);
-    assert.equal(service.running, 1, 'in the end it runs there all the same');
+    assert.equal(service.runningCount, 1, 'in the end it runs there all the same');
   });
 });
 
 describe('a service that is called off', () => {
   const gone = (c: Cluster, job: Job): void => {
-    c.table.cancelled(job.spec.id);
+    c.table.markCancelled(job.spec.id);
     c.run(3);
     assert.equal(c.where(job).size, 0);
     assert.equal(c.workers.assigned, 0);
-    assert.equal(job.all.size, 0);
+    assert.equal(job.allAssignments.size, 0);
     assert.equal(job.answer().state, 'cancelled');
   };
 
@@ -403,7 +409,7 @@
     const c = new Cluster(machines(2));
     const job = c.add({ tasks: 2 });
     c.run(6);
-    assert.equal(job.running, 2);
+    assert.equal(job.runningCount, 2);
     gone(c, job);
     c.run(10);
     assert.equal(c.where(job).size, 0);
@@ -418,7 +424,9 @@
     c.run(2);
     c.worker('n-0').noticeS = 30;
     c.step();
-    assert.ok([...job.assigned.values()].some((a) => a.stop !== null) || job.pending.length > 0);
+    assert.ok(
+      [...job.currentAssignments.values()].some((a) => a.stop !== null) || job.pending.length > 0,
+    );
     gone(c, job);
   });
 
@@ -430,7 +438,7 @@
       const worker = c.worker('n-0');
       worker.silent = true;
       c.run(5);
-      c.table.cancelled(job.spec.id);
+      c.table.markCancelled(job.spec.id);
       c.run(2);
       assert.equal(c.workers.assigned, 2, 'not proven gone');
       if (back) worker.silent = false;
@@ -454,9 +462,9 @@
       const answer = job.answer();
       assert.equal(answer.state, 'running');
       assert.equal(answer.done, 0);
-      assert.equal(job.running, 2);
+      assert.equal(job.runningCount, 2);
     }
-    assert.ok(!job.complete);
+    assert.ok(!job.isComplete);
   });
 
   it('that keeps ending has each machine in turn before one is tried again', () => {
@@ -472,7 +480,7 @@
       c.run(2);
     }
     assert.equal(seen.size, 3);
-    assert.equal(other.running, 3, 'other services stay');
+    assert.equal(other.runningCount, 3, 'other services stay');
   });
 
   it('that keeps ending on its only machine is tried again after pauses that grow to a bound', () => {
@@ -484,7 +492,7 @@
       for (let s = 0; s <= longest / STEP_MS && c.where(job).size === 0; s++) c.step();
       c.exit(job, 'other', 'n-0');
       c.step();
-      const pause = (job.avoided.get('n-0')?.until ?? 0) - c.now;
+      const pause = (job.avoidedMachines.get('n-0')?.until ?? 0) - c.now;
       assert.ok(pause > last || pause === longest, `pause ${pause} ms after ${last} ms`);
       assert.ok(pause <= longest);
       last = pause;
@@ -496,7 +504,7 @@
     const c = new Cluster(machines(3));
     const job = c.add({ team: 'owner', tasks: TEAM_GPUS, gpus: 1 });
     c.run(6);
-    assert.equal(job.running, TEAM_GPUS);
+    assert.equal(job.runningCount, TEAM_GPUS);
     const later = c.add({ team: 'owner', tasks: 1, gpus: 1 });
     const [lost = ''] = c.where(job).keys();
     const there = c.where(job).get(lost) ?? 0;
@@ -506,10 +514,10 @@
       assert.ok(c.workers.assigned <= TEAM_GPUS);
     }
     assert.ok(there > 0);
-    assert.equal(job.running, TEAM_GPUS);
-    assert.equal(later.running, 0);
-    c.table.cancelled(job.spec.id);
+    assert.equal(job.runningCount, TEAM_GPUS);
+    assert.equal(later.runningCount, 0);
+    c.table.markCancelled(job.spec.id);
     c.run(8);
-    assert.equal(later.running, 1);
+    assert.equal(later.runningCount, 1);
   });
 });
--- a/src/controller/placement/teams.ts
+++ b/src/controller/placement/teams.ts
@@ -1,7 +1,7 @@
 /** What teams take of their limits, and which jobs are inside their guarantees. */
 import type { Team } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { Assignment, Need } from '../workers/assignment.js';
 import { EPSILON, timesContained } from './need.js';
--- a/src/controller/placement/victims.ts
+++ b/src/controller/placement/victims.ts
@@ -1,5 +1,5 @@
 /** Which tasks may be stopped for a job, in which order, and what that loses. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment } from '../workers/assignment.js';
 import type { Estimates } from './estimates.js';
@@ -30,7 +30,7 @@
   /** For higher priority, or for a guarantee against borrowed room. */
   mayStop(job: Job, now: number, task: Assignment): boolean {
     const owner = task.job;
-    if (owner === null || owner.regrouping || owner.closed !== null) return false;
+    if (owner === null || owner.gangRestarting || owner.terminalState !== null) return false;
     // All replicas of a service are needed: nothing says otherwise.
     if (owner.spec.kind === 'service') return false;
     if (now - task.since < this.settings.get('placement.victim.age.s') * 1000) return false;
--- a/src/controller/placement/zones.ts
+++ b/src/controller/placement/zones.ts
@@ -1,5 +1,5 @@
 /** How a job's tasks may be divided among zones. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { Rooms } from './rooms.js';
 
@@ -9,7 +9,7 @@
 /** Tasks of the job by zone, wherever any may still be. */
 export function tasksByZone(job: Job): TasksByZone {
   const counts: TasksByZone = new Map();
-  for (const assignment of job.all) {
+  for (const assignment of job.allAssignments) {
     if (assignment.phase === 'ended') continue;
     addTasks(counts, assignment.machine.zone, 1);
   }
--- a/src/controller/routes.ts
+++ b/src/controller/routes.ts
@@ -1,6 +1,6 @@
 /** The paths of the API, and which node answers. */
 import type { EventLoop } from './runtime/event-loop.js';
-import type { Answer, Frontend } from './jobs/frontend.js';
+import type { ApiResponse, Frontend } from './jobs/frontend.js';
 import type { Leadership } from './leadership/leadership.js';
 import type { ForwardedReply } from './peers/message.js';
 import type { Peers } from './peers/peers.js';
@@ -14,7 +14,7 @@
 /** Path of a job, or of its cancellation. */
 const JOB_PATH = /^\/submissions\/([^/]+)(\/abort)?$/;
 
-type Respond = (answer: Answer) => void;
+type Respond = (answer: ApiResponse) => void;
 
 /** What answers requests with one method for one path. */
 interface Endpoint {
@@ -39,7 +39,7 @@
   counted(route: string, status: number, tookMs: number): void;
 }
 
-function fromPeer(r: ForwardedReply): Answer {
+function fromPeer(r: ForwardedReply): ApiResponse {
   try {
     return { status: r.status, ...(r.body.length > 0 ? { body: decodeBody(r.body) } : {}) };
   } catch {
@@ -68,7 +68,7 @@
     this.eventLoop.post('request', () => {
       const from = this.eventLoop.now();
       const route = path.split('/', 2)[1]?.split('?', 1)[0] ?? '';
-      const answer = (a: Answer): void => {
+      const answer = (a: ApiResponse): void => {
         const known = a.status !== 404 || route === 'submissions' ? route : 'other';
         this.source.counted(known, a.status, this.eventLoop.now() - from);
         respond(a);
@@ -86,9 +86,9 @@
    */
   private withHelp(method: string, path: string, body: Buffer, respond: Respond): void {
     let answered = false;
-    let own: Answer | null = null;
+    let own: ApiResponse | null = null;
     let helping = false;
-    const answer = (a: Answer): void => {
+    const answer = (a: ApiResponse): void => {
       if (answered) return;
       answered = true;
       late.cancel();
@@ -177,7 +177,7 @@
   /** Paths without parameters. */
   private createEndpoints(): Map<string, Endpoint> {
     const { source, frontend } = this;
-    const ready = (): Answer =>
+    const ready = (): ApiResponse =>
       source.ready()
         ? { status: 200, body: { ready: true } }
         : { status: 503, body: { ready: false } };
--- a/src/controller/run.ts
+++ b/src/controller/run.ts
@@ -10,7 +10,7 @@
 import type { HttpResponse } from './http/parser.js';
 import { HttpServer, type RequestHandler } from './http/server.js';
 import { SocketBudget } from './http/socket-budget.js';
-import type { Answer } from './jobs/frontend.js';
+import type { ApiResponse } from './jobs/frontend.js';
 import { readPeer } from './peers/listener.js';
 import { REPORT_PATH } from './routes.js';
 import type { Settings } from './settings/settings.js';
@@ -101,7 +101,7 @@
   };
 }
 
-function encodeAnswer(answer: Answer): HttpResponse {
+function encodeAnswer(answer: ApiResponse): HttpResponse {
   const { status, body, raw, type, retryAfterS, allow } = answer;
   return {
     status,
--- a/src/controller/workers/assignment.ts
+++ b/src/controller/workers/assignment.ts
@@ -1,5 +1,5 @@
 /** Assignments: tasks given to machines. */
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import { taskName, type ExitCause, type TaskState } from '../wire/workers.js';
 import type { Machine } from './machine.js';
 import type { RecordedTask } from './record.js';
--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
 import { acceptedJob, FakeClock } from '../../../test/stand-ins.js';
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { Assignment } from './assignment.js';
@@ -46,7 +46,7 @@
   /** Assigns the task, as if its record were stored and its start sent. */
   start(task: number): Assignment {
     this.assignments.assign(this.job, task, ATTEMPT, this.machine);
-    const assignment = this.job.assigned.get(task);
+    const assignment = this.job.currentAssignments.get(task);
     assert.ok(assignment);
     assignment.phase = 'sent';
     return assignment;
@@ -118,7 +118,7 @@
     const recorded = { jobId: 'req-1', team: 't', need, saveS: 0, task: 0, at: 0 };
     bench.assignments.restore(new Machine('n-2', 0, settings), { ...recorded, attempt: 7 }, 0);
     bench.assignments.restore(bench.machine, { ...recorded, attempt: 6 }, 0);
-    assert.equal(bench.job.assigned.get(0)?.attempt, 7);
+    assert.equal(bench.job.currentAssignments.get(0)?.attempt, 7);
     assert.equal(bench.assignments.total, 2);
   });
 });
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -1,6 +1,6 @@
 /** The life of assignments: given, stopped, ended, and what follows for their jobs. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job, JobTable } from '../jobs/table.js';
+import type { Job, JobTable } from '../jobs/job-table.js';
 import type { Teams } from '../placement/teams.js';
 import {
   plannedAssignment,
@@ -44,7 +44,7 @@
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
     const assignment = plannedAssignment(job, task, attempt, machine, this.eventLoop.now());
     this.countIn(assignment);
-    job.assigned.set(task, assignment);
+    job.currentAssignments.set(task, assignment);
     this.events.recordDue(machine);
     this.eventLoop.log.debug(
       { job: job.spec.id, task, attempt, machine: machine.id },
@@ -78,28 +78,29 @@
 
   /** Stops a job as a whole; a gang's parts have to be told within `gang_peer_s` of each other. */
   stopJob(job: Job, graceS: number, reason: string): void {
-    if (job.spec.kind === 'gang' && job.assigned.size > 0) job.regrouping = true;
-    for (const assignment of [...job.assigned.values()]) this.stop(assignment, graceS, reason);
+    if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) job.gangRestarting = true;
+    for (const assignment of [...job.currentAssignments.values()])
+      this.stop(assignment, graceS, reason);
     this.regroup(job);
   }
 
   /** The job has ended somehow: older attempts, of which only records tell, are stopped as well. */
   stopAll(job: Job, reason: string): void {
     this.stopJob(job, 0, reason);
-    for (const assignment of [...job.all]) this.stop(assignment, 0, reason);
+    for (const assignment of [...job.allAssignments]) this.stop(assignment, 0, reason);
   }
 
   /** The job has ended. Completed gangs end by themselves, all at the same time. */
   jobClosed(job: Job): void {
-    for (const assignment of [...job.all]) {
+    for (const assignment of [...job.allAssignments]) {
       if (assignment.phase === 'ended') this.forget(assignment);
-      else if (job.closed === 'cancelled') this.stop(assignment, 0, 'cancelled');
+      else if (job.terminalState === 'cancelled') this.stop(assignment, 0, 'cancelled');
     }
   }
 
   /** Completion is on record: the task may be cleared, and its assignment forgotten. */
   completionRecorded(job: Job, task: number): void {
-    const assignment = job.assigned.get(task);
+    const assignment = job.currentAssignments.get(task);
     if (assignment?.phase === 'ended') this.forget(assignment);
   }
 
@@ -121,12 +122,12 @@
     assignment.phase = 'ended';
     this.countOut(assignment);
     this.events.changed();
-    if (outcome === 'done' && job?.closed === null && !job.standing) {
+    if (outcome === 'done' && job?.terminalState === null && !job.isService) {
       this.complete(assignment, job);
       return;
     }
     this.forget(assignment);
-    if (job?.closed === null) this.replace(assignment, job, outcome);
+    if (job?.terminalState === null) this.replace(assignment, job, outcome);
   }
 
   /** The task has run to its end; the assignment stays until that is on record. */
@@ -136,7 +137,7 @@
     this.failures.recordSuccess(machine);
     if (job.spec.kind === 'gang') this.completeGang(job);
     else this.table.markDone(job, task);
-    if (job.recorded[task] === 1) this.forget(assignment);
+    if (job.doneRecorded[task] === 1) this.forget(assignment);
   }
 
   /** Tasks of a gang complete together. */
@@ -154,23 +155,29 @@
     );
     this.failures.recordFailure(machine, job, outcome);
     if (job.spec.kind === 'gang') this.gangLostPart(job);
-    else if (!job.assigned.has(task)) this.table.putBack(job, task);
+    else if (!job.currentAssignments.has(task)) this.table.putBack(job, task);
   }
 
   /** Also when this was the gang's only part: nothing is left to stop then, but all to regroup. */
   private gangLostPart(job: Job): void {
-    if (job.regrouping || job.complete) {
+    if (job.gangRestarting || job.isComplete) {
       this.regroup(job);
       return;
     }
-    job.regrouping = true;
+    job.gangRestarting = true;
     this.stopJob(job, 0, 'gang lost a part');
   }
 
   /** A gang starts anew once nothing of its old attempt is left anywhere. */
   private regroup(job: Job): void {
-    if (!job.regrouping || job.assigned.size > 0 || job.closed !== null || job.complete) return;
-    job.regrouping = false;
+    if (
+      !job.gangRestarting ||
+      job.currentAssignments.size > 0 ||
+      job.terminalState !== null ||
+      job.isComplete
+    )
+      return;
+    job.gangRestarting = false;
     for (let task = job.spec.tasks - 1; task >= 0; task--) this.table.putBack(job, task);
   }
 
@@ -183,7 +190,7 @@
     this.teams.add(team, need, 1);
     this.total++;
     if (job === null) return;
-    job.all.add(assignment);
+    job.allAssignments.add(assignment);
     addToCount(this.byClass, job.spec.class, 1);
   }
 
@@ -195,7 +202,7 @@
     this.total--;
     if (job === null) return;
     addToCount(this.byClass, job.spec.class, -1);
-    job.changed = true;
+    job.progressChanged = true;
   }
 
   /** Takes an assignment that has ended from its machine, its job and the record. */
@@ -205,8 +212,8 @@
       machine.assignments.delete(name);
       machine.record.remove(assignment);
     }
-    job?.all.delete(assignment);
-    if (job?.assigned.get(task) === assignment) job.assigned.delete(task);
+    job?.allAssignments.delete(assignment);
+    if (job?.currentAssignments.get(task) === assignment) job.currentAssignments.delete(task);
     if (!machine.busy) machine.idleSince = this.eventLoop.now();
     this.events.recordDue(machine);
   }
@@ -217,7 +224,7 @@
  * where it went. Both count until reports tell; the job knows the later attempt.
  */
 function attachNewest(job: Job, assignment: Assignment): void {
-  const other = job.assigned.get(assignment.task);
+  const other = job.currentAssignments.get(assignment.task);
   if (other === undefined || other.attempt < assignment.attempt)
-    job.assigned.set(assignment.task, assignment);
+    job.currentAssignments.set(assignment.task, assignment);
 }
--- a/src/controller/workers/failures.test.ts
+++ b/src/controller/workers/failures.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { Failures } from './failures.js';
@@ -42,11 +42,11 @@
     const machine = new Machine('n-1', 0, settings);
     const failing = job('req-1');
     failures.recordFailure(machine, failing, 'error');
-    assert.equal(failing.notBefore, NOW + settings.heartbeatIntervalMs * 2);
+    assert.equal(failing.backoffUntil, NOW + settings.heartbeatIntervalMs * 2);
     failures.recordFailure(machine, failing, 'error');
-    assert.equal(failing.notBefore, NOW + settings.heartbeatIntervalMs * 4);
+    assert.equal(failing.backoffUntil, NOW + settings.heartbeatIntervalMs * 4);
     for (let i = 0; i < 10; i++) failures.recordFailure(machine, failing, 'error');
-    assert.ok(failing.notBefore <= NOW + settings.workerLeaseMs * 2);
+    assert.ok(failing.backoffUntil <= NOW + settings.workerLeaseMs * 2);
   });
 
   it('tell a full machine from a failing job', () => {
@@ -54,7 +54,7 @@
     const placed = job('req-1');
     failures.recordFailure(machine, placed, 'no_room');
     assert.equal(machine.noPlacingBefore, NOW + settings.heartbeatIntervalMs);
-    assert.equal(placed.notBefore, 0);
+    assert.equal(placed.backoffUntil, 0);
   });
 
   it('leave the machine out for the service whose replica ended', () => {
@@ -63,7 +63,7 @@
     failures.recordFailure(machine, service, 'done');
     failures.recordFailure(machine, service, 'other');
     const until = NOW + settings.heartbeatIntervalMs * 4;
-    assert.deepEqual(service.avoided.get('n-1'), { times: 2, until });
-    assert.equal(service.notBefore, 0);
+    assert.deepEqual(service.avoidedMachines.get('n-1'), { times: 2, until });
+    assert.equal(service.backoffUntil, 0);
   });
 });
--- a/src/controller/workers/failures.ts
+++ b/src/controller/workers/failures.ts
@@ -1,6 +1,6 @@
 /** What the ends of tasks say of their machines and of their jobs. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { Outcome } from './assignment.js';
 import type { Machine } from './machine.js';
@@ -46,30 +46,30 @@
   recordFailure(machine: Machine, job: Job, outcome: Outcome): void {
     const now = this.eventLoop.now();
     const pausedUntil = now + this.settings.heartbeatIntervalMs;
-    if (job.standing && REPLICA_ENDED.has(outcome)) this.avoidMachine(machine, job, now);
+    if (job.isService && REPLICA_ENDED.has(outcome)) this.avoidMachine(machine, job, now);
     if (outcome === 'error') this.recordError(machine, job, now);
     else if (outcome === 'no_room')
       machine.noPlacingBefore = Math.max(machine.noPlacingBefore, pausedUntil);
-    else if (!job.standing && UNEXPLAINED.has(outcome))
-      job.notBefore = Math.max(job.notBefore, pausedUntil);
+    else if (!job.isService && UNEXPLAINED.has(outcome))
+      job.backoffUntil = Math.max(job.backoffUntil, pausedUntil);
   }
 
   private recordError(machine: Machine, job: Job, now: number): void {
-    job.failedOn.add(machine.id);
-    if (job.standing) {
+    job.failedMachines.add(machine.id);
+    if (job.isService) {
       // The service goes on elsewhere at once; only where all machines fail it, it waits.
-      if (this.isFaulty(job)) job.notBefore = now + this.settings.heartbeatIntervalMs;
+      if (this.isFaulty(job)) job.backoffUntil = now + this.settings.heartbeatIntervalMs;
     } else {
-      job.errors++;
-      job.notBefore = now + this.backoffMs(job.errors);
+      job.errorCount++;
+      job.backoffUntil = now + this.backoffMs(job.errorCount);
     }
     this.countAgainst(machine, job, now);
   }
 
   /** A replica that ends by itself runs again elsewhere: its machine is left out for a while that grows. */
   private avoidMachine(machine: Machine, job: Job, now: number): void {
-    const times = (job.avoided.get(machine.id)?.times ?? 0) + 1;
-    job.avoided.set(machine.id, { times, until: now + this.backoffMs(times) });
+    const times = (job.avoidedMachines.get(machine.id)?.times ?? 0) + 1;
+    job.avoidedMachines.set(machine.id, { times, until: now + this.backoffMs(times) });
   }
 
   private backoffMs(failures: number): number {
@@ -80,7 +80,7 @@
 
   /** A job that has failed on several machines is itself at fault. */
   private isFaulty(job: Job): boolean {
-    return job.failedOn.size > this.settings.get('fleet.strikes');
+    return job.failedMachines.size > this.settings.get('fleet.strikes');
   }
 
   private countAgainst(machine: Machine, job: Job, now: number): void {
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -117,6 +117,6 @@
 
 /** Replicas go first, since each second without one is downtime. */
 function urgencyOf(planned: readonly Assignment[]): WritePriority {
-  if (planned.some(({ job }) => job?.standing === true)) return 'first';
+  if (planned.some(({ job }) => job?.isService === true)) return 'first';
   return planned.length > 0 ? 'urgent' : 'lazy';
 }
--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { alone } from '../../../test/platform.js';
 import { acceptedJob, FakeClock } from '../../../test/stand-ins.js';
-import type { Job } from '../jobs/table.js';
+import type { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { Heartbeat, TaskStatus } from '../wire/workers.js';
@@ -28,7 +28,7 @@
     this.assignment = plannedAssignment(job, 0, ATTEMPT, this.machine, 0);
     Object.assign(this.assignment, { phase: 'sent', sentSeq: 4 });
     this.machine.assignments.set(this.assignment.name, this.assignment);
-    job.assigned.set(0, this.assignment);
+    job.currentAssignments.set(0, this.assignment);
     this.reconciliation = new Reconciliation(
       new FakeClock(1000),
       {
@@ -90,7 +90,7 @@
     assert.deepEqual(bench.told.splice(0), ['end error']);
     assert.deepEqual(bench.list({ state: 'exited', cause: 'done' }), []);
     assert.deepEqual(bench.told, ['end done', 'done 0']);
-    bench.job.recorded[0] = 1;
+    bench.job.doneRecorded[0] = 1;
     assert.deepEqual(bench.list({ state: 'exited', cause: 'done' }), ['forget req-1/0']);
   });
 
@@ -105,7 +105,7 @@
   it('starts a part of a gang again while the others fetch their image', () => {
     const bench = new Bench(acceptedJob({ kind: 'gang' }));
     const other = plannedAssignment(bench.job, 1, ATTEMPT, new Machine('n-2', 0, settings), 0);
-    bench.job.assigned.set(1, other);
+    bench.job.currentAssignments.set(1, other);
     const orders = bench.list({ state: 'exited', cause: 'alone' });
     assert.deepEqual(orders, ['forget req-1/0', 'start req-1/0']);
     assert.equal(bench.assignment.sentSeq, 5);
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -1,6 +1,6 @@
 /** What a worker reports of its tasks, held against what is assigned to its machine. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { JobTable } from '../jobs/table.js';
+import type { JobTable } from '../jobs/job-table.js';
 import {
   parseTaskName,
   type WorkerCommand,
@@ -88,7 +88,7 @@
     assignment.lastReportNumber = handled.number;
     // A report from before our term may be as old as any. That a task is done stays true; but one
     // that had ended otherwise may have been cleared and started again under the same attempt.
-    const lasting = task.cause === 'done' && assignment.job?.standing !== true;
+    const lasting = task.cause === 'done' && assignment.job?.isService !== true;
     if (!handled.current && task.state === 'exited' && !lasting) return false;
     if (task.cause === 'alone' && isAwaited(assignment)) {
       this.restart(handled, assignment, task);
@@ -125,9 +125,9 @@
   private awaitsRecord({ name }: TaskStatus): boolean {
     const { job: id, task } = parseTaskName(name);
     const job = this.table.jobs.get(id);
-    if (job === undefined || job.standing || task >= job.spec.tasks) return false;
+    if (job === undefined || job.isService || task >= job.spec.tasks) return false;
     if (job.done[task] !== 1 && job.spec.kind !== 'gang') this.table.markDone(job, task);
-    return job.recorded[task] !== 1;
+    return job.doneRecorded[task] !== 1;
   }
 
   /** Takes over the state that the report shows. */
@@ -146,7 +146,7 @@
     const now = this.eventLoop.now();
     if (state === 'running' && startSeen) assignment.runningAt ??= now;
     assignment.state = state;
-    if (job !== null) job.changed = true;
+    if (job !== null) job.progressChanged = true;
     const { jobId, task, since } = assignment;
     const afterMs = now - since;
     this.eventLoop.log.debug(
@@ -167,10 +167,10 @@
 /** Whether a gang's part that gave up waiting is still wanted. */
 function isAwaited(assignment: Assignment): boolean {
   const { job, machine } = assignment;
-  if (job?.closed !== null || job.regrouping) return false;
+  if (job?.terminalState !== null || job.gangRestarting) return false;
   if (assignment.stop !== null || assignment.phase === 'ended') return false;
-  if (machine.noticeAt !== null || job.assigned.size < job.spec.tasks) return false;
-  for (const other of job.assigned.values())
+  if (machine.noticeAt !== null || job.currentAssignments.size < job.spec.tasks) return false;
+  for (const other of job.currentAssignments.values())
     if (other !== assignment && (other.state === 'fetching' || other.state === null)) return true;
   return false;
 }
--- a/src/controller/workers/workers.test.ts
+++ b/src/controller/workers/workers.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
-import { JobTable, type Job } from '../jobs/table.js';
+import { JobTable, type Job } from '../jobs/job-table.js';
 import { alone } from '../../../test/platform.js';
 import { storedAtOnce } from '../../../test/stored.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -65,16 +65,16 @@
       {} as unknown as StateStoreClient,
       records,
       {
-        torn: (j) => {
+        onIncompleteGang: (j) => {
           this.torn.push(j);
           this.workers.stopJob(j, 0, 'torn');
         },
-        added: () => undefined,
-        changed: () => undefined,
-        vanished: () => undefined,
-        closed: () => undefined,
-        recorded: () => undefined,
-        ended: () => undefined,
+        onJobAdded: () => undefined,
+        onTasksPending: () => undefined,
+        onRecordRemoved: () => undefined,
+        onJobTerminated: () => undefined,
+        onCompletionRecorded: () => undefined,
+        onTerminalState: () => undefined,
       },
     );
     this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
@@ -85,7 +85,7 @@
     });
     this.table.add(job.id, { job: writeJobSpec(job), at: 0 }, 1);
     this.workers.load();
-    this.table.settle();
+    this.table.finishRecovery();
   }
 
   get job(): Job {
@@ -141,7 +141,7 @@
   it('starts what is on record, and again when the answer was dropped', () => {
     const b = new Bench(spec({}));
     b.report(0, []);
-    b.job.pending.drop(0);
+    b.job.pending.remove(0);
     b.workers.assign(b.job, 0, 9, b.workers.machine('n-1'));
     b.workers.flush();
     assert.equal(b.calls.length, 0, 'no direct start before the worker has shown our term');
@@ -156,7 +156,7 @@
     const token = makeToken(TERM, 0);
     b.report(0, []);
     b.report(token, []);
-    b.job.pending.drop(0);
+    b.job.pending.remove(0);
     b.workers.assign(b.job, 0, 9, b.workers.machine('n-1'));
     b.workers.flush();
     b.workers.flush();
@@ -171,22 +171,22 @@
     const token = makeToken(TERM, 0);
     b.report(0, []);
     b.report(token, []);
-    b.job.pending.drop(0);
+    b.job.pending.remove(0);
     b.workers.assign(b.job, 0, 9, b.workers.machine('n-1'));
     b.workers.flush();
     b.workers.flush();
     // The direct start got no answer: it may be on its way for long.
     assert.deepEqual(b.report(token, [])?.orders, []);
-    assert.equal(b.job.assigned.size, 1);
+    assert.equal(b.job.currentAssignments.size, 1);
     assert.deepEqual(b.report(token + 1, [])?.orders, ['run req-1/0']);
   });
 
   it('does not believe what a report from before its term lacks', () => {
     const b = new Bench(spec({}), recorded);
     b.report(makeToken(TERM - 1, 0), []);
-    assert.equal(b.job.assigned.size, 1);
+    assert.equal(b.job.currentAssignments.size, 1);
     b.report(makeToken(TERM, 0), []);
-    assert.equal(b.job.assigned.size, 0);
+    assert.equal(b.job.currentAssignments.size, 0);
     assert.ok(b.job.pending.has(0));
   });
 
@@ -196,9 +196,9 @@
     const b = new Bench(spec({}), recorded);
     const old = makeToken(TERM - 1, 3);
     b.report(old, [task(5, { state: 'exited', cause: 'alone' })]);
-    assert.equal(b.job.assigned.size, 1);
+    assert.equal(b.job.currentAssignments.size, 1);
     assert.deepEqual(b.report(makeToken(TERM, 0), [task(5)])?.orders, []);
-    assert.equal(b.job.assigned.size, 1);
+    assert.equal(b.job.currentAssignments.size, 1);
     const other = new Bench(spec({}), recorded);
     other.report(old, [task(5, { state: 'exited', cause: 'done' })]);
     assert.equal(other.job.doneCount, 1);
@@ -216,10 +216,10 @@
     b.report(makeToken(TERM, 0), [task(5)]);
     b.now += settings.workerLeaseMs;
     b.workers.sweep();
-    assert.equal(b.job.assigned.size, 1);
+    assert.equal(b.job.currentAssignments.size, 1);
     b.now += settings.workerLeaseMs * 0.03;
     b.workers.sweep();
-    assert.equal(b.job.assigned.size, 0);
+    assert.equal(b.job.currentAssignments.size, 0);
     assert.equal(b.report(makeToken(TERM, 0), [task(5)]), null, 'the session is over');
   });
 
@@ -231,7 +231,7 @@
     assert.equal(b.job.pending.length, 0);
     b.report(makeToken(TERM, 0), []);
     assert.equal(b.job.pending.length, 2);
-    assert.ok(!b.job.regrouping);
+    assert.ok(!b.job.gangRestarting);
   });
 
   // Quarantines doubled up to 64 leases; a job that only such a machine fits waited beside its room.
@@ -242,9 +242,9 @@
     const m = b.workers.machine('n-1');
     for (let i = 0; i < 6; i++) {
       b.now = Math.max(b.now, m.noPlacingBefore);
-      b.job.errors = 0;
-      b.job.failedOn.clear();
-      b.job.pending.drop(0);
+      b.job.errorCount = 0;
+      b.job.failedMachines.clear();
+      b.job.pending.remove(0);
       b.workers.assign(b.job, 0, 9 + i, m);
       b.workers.flush();
       b.report(token + i, []);
@@ -252,7 +252,7 @@
       assert.ok(m.noPlacingBefore - b.now <= 3 * settings.workerLeaseMs);
       if (i === 0) m.quarantines = 1;
       else assert.ok(m.noPlacingBefore > b.now, `failure ${i}`);
-      assert.ok(b.job.notBefore - b.now <= 2 * settings.workerLeaseMs);
+      assert.ok(b.job.backoffUntil - b.now <= 2 * settings.workerLeaseMs);
     }
   });
 
@@ -262,18 +262,18 @@
       const token = makeToken(TERM, 0);
       b.report(0, []);
       const m = b.workers.machine('n-1');
-      b.job.pending.drop(0);
+      b.job.pending.remove(0);
       b.workers.assign(b.job, 0, 9, m);
       b.workers.flush();
       b.report(token, []);
       b.report(token, [task(9)]);
-      assert.equal(b.job.running, 1);
-      assert.equal(b.job.missing, 1);
+      assert.equal(b.job.runningCount, 1);
+      assert.equal(b.job.missingReplicas, 1);
       b.report(token, [task(9, { state: 'exited', cause })]);
       assert.ok(b.job.pending.has(0));
       assert.equal(b.job.doneCount, 0);
-      assert.ok(b.job.notBefore <= b.now, 'the service itself does not wait');
-      assert.ok((b.job.avoided.get('n-1')?.until ?? 0) > b.now, 'the machine is left out');
+      assert.ok(b.job.backoffUntil <= b.now, 'the service itself does not wait');
+      assert.ok((b.job.avoidedMachines.get('n-1')?.until ?? 0) > b.now, 'the machine is left out');
     });
 
   it('puts a gang of one task back when it is lost', () => {
@@ -294,12 +294,12 @@
       read: (_key: string, _ms: number, done: (r: unknown) => void) => asked.push(done),
     } as unknown as StateStoreClient;
     const table = new JobTable(b.eventLoop, settings, client, storedAtOnce(), {
-      ...{ torn: nothing, added: nothing, changed: nothing },
-      ...{ vanished: nothing, closed: nothing, recorded: nothing },
-      ended: (id, state) => ended.push(`${id} ${state}`),
+      ...{ onIncompleteGang: nothing, onJobAdded: nothing, onTasksPending: nothing },
+      ...{ onRecordRemoved: nothing, onJobTerminated: nothing, onCompletionRecorded: nothing },
+      onTerminalState: (id, state) => ended.push(`${id} ${state}`),
     });
     table.add('req-1', { job: writeJobSpec(spec({})), at: 0 }, 1);
-    table.removed('req-1');
+    table.handleRecordRemoved('req-1');
     assert.deepEqual(ended, []);
     asked[0]?.({ kind: 'ok', value: { key: '', version: 1, value: { state: 'done' } } });
     assert.deepEqual(ended, ['req-1 done']);
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -1,6 +1,6 @@
 /** The leader's view of the machines and of every task that may be on one. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job, JobTable } from '../jobs/table.js';
+import type { Job, JobTable } from '../jobs/job-table.js';
 import { Teams } from '../placement/teams.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -6,8 +6,8 @@
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
 import { EventLoop } from '../src/controller/runtime/event-loop.js';
-import { Completions } from '../src/controller/jobs/completions.js';
-import { finalRecord, readFinal } from '../src/controller/jobs/job-records.js';
+import { CompletionRecords } from '../src/controller/jobs/completion-records.js';
+import { terminalRecord, readTerminalState } from '../src/controller/jobs/job-records.js';
 import { LearnedFigures } from '../src/controller/leader/learned-figures.js';
 import { readLeader } from '../src/controller/leadership/leader-record.js';
 import {
@@ -80,8 +80,8 @@
   for (const state of ['done', 'cancelled'] as const)
     it(`tells that a job has ended as ${state}`, () => {
       const value = valueOf(`final/ ${state}`);
-      assert.equal(readFinal(value), state);
-      assertSameBytes(`final/ ${state}`, finalRecord(state, (value as { at: number }).at));
+      assert.equal(readTerminalState(value), state);
+      assertSameBytes(`final/ ${state}`, terminalRecord(state, (value as { at: number }).at));
     });
 
   it('has an accepted job, which is written alike', () => {
@@ -137,10 +137,12 @@
     const id = key.split('/')[1] ?? '';
     const tasks = Buffer.from(value as string, 'base64').length * 8;
     const job = acceptedJob({ id, tasks });
-    new Completions(storedAtOnce({ [key]: value }), () => undefined).load(new Map([[id, job]]));
+    new CompletionRecords(storedAtOnce({ [key]: value }), () => undefined).load(
+      new Map([[id, job]]),
+    );
     assert.ok(job.doneCount > 0);
     const records = storedAtOnce();
-    const completions = new Completions(records, () => undefined);
+    const completions = new CompletionRecords(records, () => undefined);
     for (const [task, done] of job.done.entries()) if (done === 1) completions.add(job, task);
     completions.flush();
     assert.deepEqual([...records.list('')], [{ key, value: JSON.parse(text) as unknown }]);
