--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -288,7 +288,7 @@
     // Elected but not entitled yet, or not any more: the worker tries on.
     if (!this.mayAnswerWorkers || this.catalogue.types === null)
       return respond({ status: 503, body: {} });
-    const answer = leaderTerm.workers.report(report);
+    const answer = leaderTerm.workers.handleHeartbeat(report);
     if (this.leaderTerm !== leaderTerm) return respond({ status: 503, body: {} });
     respond(answer.status === 200 ? answer : { status: 503, body: {} });
   }
--- a/src/controller/fleet/fleet.test.ts
+++ b/src/controller/fleet/fleet.test.ts
@@ -30,7 +30,7 @@
 /** The machines as the workers' slice keeps them, with silence as the test says. */
 class Machines {
   readonly machines = new Map<string, Machine>();
-  readonly running = new Map<string, number>();
+  readonly assignedCountByClass = new Map<string, number>();
   readonly term = 7;
   readonly silence = new Map<string, number>();
 
@@ -38,29 +38,29 @@
     const machine = new Machine(id, now, settings);
     machine.type = plain;
     machine.typeName = plain.name;
-    machine.listed = 'running';
-    machine.listedAt = now;
+    machine.cloudState = 'running';
+    machine.cloudStateAt = now;
     this.machines.set(id, machine);
     return machine;
   }
 
-  alive(machine: Machine): boolean {
-    return this.silentMs(machine) === 0;
+  isAlive(machine: Machine): boolean {
+    return this.unresponsiveMs(machine) === 0;
   }
 
-  silentMs(machine: Machine): number {
+  unresponsiveMs(machine: Machine): number {
     return this.silence.get(machine.id) ?? 0;
   }
 
-  deafMs(): number {
+  unacknowledgedMs(): number {
     return 0;
   }
 
-  gone(machine: Machine): void {
+  removeMachine(machine: Machine): void {
     this.machines.delete(machine.id);
   }
 
-  setType(machine: Machine, type: string): void {
+  setDescription(machine: Machine, type: string): void {
     machine.typeName = type;
   }
 }
@@ -159,7 +159,7 @@
     const cloud = new CloudClient(eventLoop, settings);
     const scaleIn = new ScaleIn(eventLoop, settings, { workers, cloud, holdsLease: () => true });
     scaleIn.release(['n-1'], 'test');
-    assert.ok(machine.leaving);
+    assert.ok(machine.releasing);
     runtime.answer(500);
     assert.equal(workers.machines.size, 1);
     runtime.advance(1000);
@@ -243,10 +243,10 @@
   it('takes a machine for absent only when it has long not been listed', () => {
     const { runtime, list, workers } = read([], ['n-1']);
     const machine = workers.machines.get('n-1');
-    assert.equal(machine?.listed, 'running');
+    assert.equal(machine?.cloudState, 'running');
     runtime.advance(lagMs * 4 + settings.heartbeatIntervalMs + 1);
     list.step(runtime.now());
-    assert.equal(machine.listed, 'absent');
+    assert.equal(machine.cloudState, 'absent');
   });
 });
 
@@ -265,7 +265,7 @@
 
   it('are those that failed, never came up or are silent', () => {
     const { workers, booting, unused } = search();
-    workers.add('failed').listed = 'failed';
+    workers.add('failed').cloudState = 'failed';
     workers.add('silent');
     workers.silence.set('silent', silentMs + 1);
     workers.add('up');
@@ -292,7 +292,7 @@
 
   it('are forgotten when the cloud no longer lists them', () => {
     const { workers, unused } = search();
-    workers.add('gone').listed = 'absent';
+    workers.add('gone').cloudState = 'absent';
     workers.silence.set('gone', silentMs + 1);
     assert.deepEqual(unused.find(silentMs * 2, quiet), []);
     assert.equal(workers.machines.size, 1);
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -17,7 +17,7 @@
 
 /** What the list needs of the other parts of the leader. */
 export interface MachineInventoryContext {
-  workers: Pick<Workers, 'machines' | 'setType'>;
+  workers: Pick<Workers, 'machines' | 'setDescription'>;
   cloud: Pick<CloudClient, 'listIntervalMs' | 'listMachines'>;
   scaleIn: Pick<ScaleIn, 'isReleasing' | 'release'>;
   booting: BootingMachines;
@@ -90,11 +90,11 @@
   }
 
   private update(machine: Machine, entry: ListedMachine, now: number): void {
-    machine.listed = entry.state;
-    machine.listedAt = now;
+    machine.cloudState = entry.state;
+    machine.cloudStateAt = now;
     if (machine.addr === '') machine.addr = entry.addr;
     if (machine.typeName === '' || machine.type === null)
-      this.context.workers.setType(machine, entry.type, entry.zone, entry.spot, entry.addr);
+      this.context.workers.setDescription(machine, entry.type, entry.zone, entry.spot, entry.addr);
   }
 
   private noteBooting(
@@ -125,8 +125,8 @@
     const shownMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
     const absentMs = shownMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
     for (const machine of this.context.workers.machines.values()) {
-      if (listedIds.has(machine.id) || machine.listedAt === -Infinity) continue;
-      if (now - machine.listedAt > absentMs) machine.listed = 'absent';
+      if (listedIds.has(machine.id) || machine.cloudStateAt === -Infinity) continue;
+      if (now - machine.cloudStateAt > absentMs) machine.cloudState = 'absent';
     }
   }
 }
--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -14,7 +14,7 @@
 
 /** What releases need of the other parts of the leader. */
 export interface ScaleInContext {
-  workers: Pick<Workers, 'machines' | 'gone'>;
+  workers: Pick<Workers, 'machines' | 'removeMachine'>;
   cloud: Pick<CloudClient, 'acquireReleaseToken' | 'release'>;
   /** The leader may act. */
   holdsLease(): boolean;
@@ -42,7 +42,7 @@
     for (const id of batch) {
       this.ids.add(id);
       const machine = this.context.workers.machines.get(id);
-      if (machine !== undefined) machine.leaving = true;
+      if (machine !== undefined) machine.releasing = true;
     }
     this.send(batch, reason);
     const rest = ids.slice(MAX_MACHINES_PER_REQUEST);
@@ -67,7 +67,7 @@
     this.eventLoop.log.info({ machines: batch, reason }, 'machines returned');
     for (const id of batch) {
       const machine = this.context.workers.machines.get(id);
-      if (machine !== undefined) this.context.workers.gone(machine);
+      if (machine !== undefined) this.context.workers.removeMachine(machine);
     }
     const { listLagS } = this.settings.platform.cloudLimits;
     this.eventLoop.after(
--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -2,7 +2,7 @@
 import { type MachineKind, isAllowed } from '../placement/machine-kind.js';
 import { needOf, wholeTasks } from '../placement/need.js';
 import type { JobSpec } from '../wire/jobs.js';
-import type { Need } from '../workers/assignment.js';
+import type { ResourceRequest } from '../workers/assignment.js';
 
 /** Machines asked for with one order. */
 const MAX_MACHINES_PER_ORDER = 50;
@@ -33,7 +33,7 @@
 }
 
 /** Free room of a machine that is booting or to be rented. */
-interface FreeCapacity extends Need {
+interface FreeCapacity extends ResourceRequest {
   kind: MachineKind;
 }
 
@@ -43,7 +43,7 @@
 }
 
 /** Takes room for as many of the tasks as fit; returns how many. */
-function takeCapacity(room: FreeCapacity, need: Need, tasks: number): number {
+function takeCapacity(room: FreeCapacity, need: ResourceRequest, tasks: number): number {
   const taken = Math.min(tasks, wholeTasks(need, room.cpus, room.gpus, room.memoryGb));
   room.cpus -= need.cpus * taken;
   room.gpus -= need.gpus * taken;
@@ -52,7 +52,11 @@
 }
 
 /** Price per task, `null` if the offer holds none. Of equal offers the emptiest zone is cheapest. */
-function weightedPrice(demand: CapacityDemand, need: Need, offer: InstanceOffer): number | null {
+function weightedPrice(
+  demand: CapacityDemand,
+  need: ResourceRequest,
+  offer: InstanceOffer,
+): number | null {
   const { spec, tasks } = demand;
   const { type, spot } = offer.kind;
   if (!isAllowed(spec, offer.kind)) return null;
@@ -113,7 +117,7 @@
   }
 
   /** Tasks that fit on what is booting or ordered already. */
-  private placeOnBooting({ spec, tasks }: CapacityDemand, need: Need): number {
+  private placeOnBooting({ spec, tasks }: CapacityDemand, need: ResourceRequest): number {
     let placed = 0;
     for (const room of this.capacities) {
       if (placed === tasks) break;
--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -22,7 +22,7 @@
 
 /** What renting needs of the other parts of the leader. */
 export interface ScaleOutContext {
-  workers: Pick<Workers, 'machines' | 'running' | 'term' | 'alive'>;
+  workers: Pick<Workers, 'machines' | 'assignedCountByClass' | 'term' | 'isAlive'>;
   placement: Pick<Placement, 'lacking'>;
   cloud: Pick<CloudClient, 'acquireLaunchToken' | 'launch'>;
   booting: BootingMachines;
@@ -89,11 +89,11 @@
     const machines = [...workers.machines.values()].filter(
       (machine) =>
         machine.type !== null &&
-        !machine.leaving &&
-        machine.noticeAt === null &&
-        workers.alive(machine),
+        !machine.releasing &&
+        machine.interruptionAt === null &&
+        workers.isAlive(machine),
     );
-    return this.headroom.demand(now, machines, workers.running);
+    return this.headroom.demand(now, machines, workers.assignedCountByClass);
   }
 
   /** What can be rented just now, each with the machines that its zone has already. */
--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -10,7 +10,7 @@
 import type { StateStoreClient } from '../store/client.js';
 import { writeJobSpec, type JobSpec } from '../wire/jobs.js';
 import type { TaskStatus } from '../wire/workers.js';
-import { makeToken } from '../workers/token.js';
+import { makeFencingToken } from '../workers/fencing-token.js';
 import { Workers } from '../workers/workers.js';
 import { UnresponsiveReplicaHosts } from './unresponsive-replica-hosts.js';
 
@@ -75,8 +75,8 @@
       },
     );
     this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
-      type: () => undefined,
-      ...{ higherTerm: nothing, changed: nothing, ran: nothing },
+      findMachineType: () => undefined,
+      ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
     });
     this.watch = new UnresponsiveReplicaHosts(
       this.eventLoop,
@@ -84,7 +84,7 @@
       this.workers,
       (machines) => {
         for (const m of machines) {
-          m.leaving = true;
+          m.releasing = true;
           this.released.push(m.id);
         }
       },
@@ -123,7 +123,7 @@
     const job = this.table.jobs.get(spec.id) ?? assert.fail();
     for (const [task, id] of machines.entries()) {
       job.pending.remove(task);
-      this.workers.assign(job, task, 1, this.workers.machine(id));
+      this.workers.assign(job, task, 1, this.workers.getOrCreateMachine(id));
     }
     this.workers.flush();
     for (const [task, id] of machines.entries()) {
@@ -153,17 +153,17 @@
     for (let i = 0; i < seconds; i++) {
       this.now += STEP_MS;
       for (const id of this.ids) if (!this.silent.has(id) && answers) this.report(id);
-      this.workers.answering(answers, STEP_MS);
-      this.workers.sweep();
+      this.workers.setAnswering(answers, STEP_MS);
+      this.workers.expireLeases();
       this.watch.step(this.now);
       this.settle();
     }
   }
 
   private report(machine: string): void {
-    this.workers.report({
+    this.workers.handleHeartbeat({
       ...{ machine, addr: machine, type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
-      ...{ sequence: ++this.seq, fencingToken: makeToken(TERM, 0), spotNoticeS: null },
+      ...{ sequence: ++this.seq, fencingToken: makeFencingToken(TERM, 0), spotNoticeS: null },
       tasks: this.there.get(machine) ?? [],
     });
   }
@@ -196,7 +196,7 @@
     f.run(SOON_S);
     assert.deepEqual(f.released, ['n-0']);
     assert.equal(job.runningCount, 2, 'its replica counts until the cloud has confirmed');
-    f.workers.gone(f.workers.machine('n-0'));
+    f.workers.removeMachine(f.workers.getOrCreateMachine('n-0'));
     assert.ok(job.pending.has(0));
   });
 
@@ -286,7 +286,7 @@
       // One after the other, so that never many are silent at a time.
       f.silent.add(`n-${i}`);
       f.run(2);
-      for (const id of f.released) f.workers.gone(f.workers.machine(id));
+      for (const id of f.released) f.workers.removeMachine(f.workers.getOrCreateMachine(id));
       if (f.now > settings.workerLeaseMs) break;
     }
     assert.equal(f.released.length, Math.ceil(MACHINES * share));
--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -75,7 +75,7 @@
   private allowed(now: number): number {
     const share = this.settings.get('fleet.replicas.silent.share');
     // When many machines are silent the network is at fault, possibly this node's own.
-    if (this.workers.overdue(0, false) > share) return 0;
+    if (this.workers.overdueShare(0, false) > share) return 0;
     this.chosenAt = this.chosenAt.filter((at) => now - at < this.settings.workerLeaseMs);
     return Math.ceil(this.workers.machines.size * share) - this.chosenAt.length;
   }
@@ -84,7 +84,8 @@
     const ms = this.settings.heartbeatIntervalMs * this.settings.get('fleet.replicas.silent.ratio');
     const answeredAt = this.answeredAt.get(machine.id) ?? -Infinity;
     return (
-      this.workers.silentMs(machine) > ms && now - answeredAt > this.settings.heartbeatIntervalMs
+      this.workers.unresponsiveMs(machine) > ms &&
+      now - answeredAt > this.settings.heartbeatIntervalMs
     );
   }
 
@@ -95,7 +96,7 @@
 
   /** Whether a release would bring replicas back clearly sooner, at no loss to a gang that still runs. */
   private worthwhile(machine: Machine, now: number): boolean {
-    if (machine.leaving || machine.session < machine.lowestValidSession) return false;
+    if (machine.releasing || machine.agentEpoch < machine.lowestValidAgentEpoch) return false;
     const leaseLeftMs = machine.leaseRenewedAt + this.settings.workerLeaseExpiryMs - now;
     if (leaseLeftMs < this.settings.heartbeatIntervalMs) return false;
     const assignments = [...machine.assignments.values()].filter((a) => a.phase !== 'ended');
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -14,7 +14,10 @@
 
 /** What the search needs of the other parts of the leader. */
 export interface UnusedMachinesContext {
-  workers: Pick<Workers, 'machines' | 'silentMs' | 'deafMs' | 'alive' | 'gone'>;
+  workers: Pick<
+    Workers,
+    'machines' | 'unresponsiveMs' | 'unacknowledgedMs' | 'isAlive' | 'removeMachine'
+  >;
   placement: Pick<Placement, 'lacking'>;
   scaleIn: Pick<ScaleIn, 'isReleasing'>;
   booting: BootingMachines;
@@ -60,10 +63,13 @@
     const idleAlike = this.idleByKind();
     for (const machine of [...this.context.workers.machines.values()]) {
       if (this.context.scaleIn.isReleasing(machine.id)) continue;
-      if (machine.listed === 'failed') found.push(machine.id);
+      if (machine.cloudState === 'failed') found.push(machine.id);
       else if (this.silent(machine, silentMs)) {
         if (this.silentToReturn(machine, now, silentMs)) found.push(machine.id);
-      } else if (!machine.busy && now - machine.idleSince > idleLimitMs(machine, idleMs, outlook)) {
+      } else if (
+        !machine.isBusy &&
+        now - machine.idleSince > idleLimitMs(machine, idleMs, outlook)
+      ) {
         if (this.idleToReturn(machine, idleAlike, outlook.noWork)) found.push(machine.id);
       }
     }
@@ -80,7 +86,7 @@
     const found: string[] = [];
     const bootRatio = this.settings.get('fleet.boot.ratio');
     for (const [id, machine] of booting) {
-      if (workers.machines.get(id)?.lastReportAt !== undefined) {
+      if (workers.machines.get(id)?.lastHeartbeatAt !== undefined) {
         booting.delete(id);
         continue;
       }
@@ -114,7 +120,7 @@
     const { workers } = this.context;
     const idle = new Map<string, number>();
     for (const machine of workers.machines.values()) {
-      if (machine.busy || machine.leaving || !workers.alive(machine)) continue;
+      if (machine.isBusy || machine.releasing || !workers.isAlive(machine)) continue;
       idle.set(idleKey(machine), (idle.get(idleKey(machine)) ?? 0) + 1);
     }
     return idle;
@@ -122,13 +128,15 @@
 
   private silent(machine: Machine, silentMs: number): boolean {
     const { workers } = this.context;
-    return workers.silentMs(machine) > silentMs || workers.deafMs(machine) > silentMs;
+    return (
+      workers.unresponsiveMs(machine) > silentMs || workers.unacknowledgedMs(machine) > silentMs
+    );
   }
 
   private silentToReturn(machine: Machine, now: number, silentMs: number): boolean {
-    if (machine.listed === 'absent' || machine.listedAt === -Infinity) {
+    if (machine.cloudState === 'absent' || machine.cloudStateAt === -Infinity) {
       // Not there any more, and its lease has run out.
-      if (now - machine.firstSeen > silentMs * 2) this.context.workers.gone(machine);
+      if (now - machine.firstSeenAt > silentMs * 2) this.context.workers.removeMachine(machine);
       return false;
     }
     this.eventLoop.log.info({ machine: machine.id }, 'silent machine is returned');
@@ -140,7 +148,7 @@
     const alike = idleAlike.get(idleKey(machine)) ?? 0;
     if (alike < MIN_IDLE_ALIKE && !noWork) return false;
     idleAlike.set(idleKey(machine), alike - 1);
-    machine.leaving = true;
+    machine.releasing = true;
     this.eventLoop.log.info({ machine: machine.id }, 'idle machine is returned');
     return true;
   }
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -100,7 +100,7 @@
       onJobTerminated: (job) => this.jobClosed(job),
       onJobAdded: (job) => this.jobAdded(job),
       onTasksPending: () => this.context.placementDue(),
-      onCompletionRecorded: (job, task) => this.workers.doneRecorded(job, task),
+      onCompletionRecorded: (job, task) => this.workers.completionRecorded(job, task),
       onTerminalState: (id, state) => {
         frontend.markTerminal(id, state);
         peers.announce(id, state);
@@ -111,12 +111,12 @@
   private createWorkers(): Workers {
     const { eventLoop, settings, catalogue, leadership, learned } = this.context;
     return new Workers(eventLoop, settings, this.term, this.records, this.table, {
-      type: (name) => catalogue.types?.find((type) => type.name === name),
-      higherTerm: (term) => leadership.higherTerm(term),
-      changed: () => this.context.placementDue(),
-      ran: (assignment, tookMs) => {
+      findMachineType: (name) => catalogue.types?.find((type) => type.name === name),
+      higherTermSeen: (term) => leadership.higherTerm(term),
+      placementInputChanged: () => this.context.placementDue(),
+      taskCompleted: (assignment, tookMs) => {
         if (assignment.job === null) return;
-        learned.taskRan(assignment.job, tookMs, assignment.since);
+        learned.taskRan(assignment.job, tookMs, assignment.assignedAt);
       },
     });
   }
@@ -208,7 +208,7 @@
     this.records.load(pages);
     this.context.learned.load(this.records, this.table.jobs.values());
     this.table.loadCompletions();
-    this.workers.load();
+    this.workers.restore();
     this.placement.load();
     this.table.finishRecovery();
     this.ready = true;
@@ -243,7 +243,7 @@
   tick(heard: readonly PeerStatus[], tickMs: number): void {
     if (!this.ready) return;
     const { settings, leadership } = this.context;
-    this.workers.answering(this.context.mayAnswerWorkers(), tickMs);
+    this.workers.setAnswering(this.context.mayAnswerWorkers(), tickMs);
     if (
       leadership.acting &&
       this.feed.stalenessMs > settings.maxWatchStalenessMs * STALE_VIEW_FACTOR
@@ -257,7 +257,7 @@
       leadership.handOver('workers do not reach this node');
       return;
     }
-    this.workers.sweep();
+    this.workers.expireLeases();
     this.fleet.step();
     this.passes.request();
     this.saveLearnedIfDue();
@@ -272,7 +272,8 @@
     const reach = {
       reportMs: settings.heartbeatIntervalMs,
       machineCount: this.workers.machines.size,
-      overdue: (lateMs: number, heardBefore: boolean) => this.workers.overdue(lateMs, heardBefore),
+      overdue: (lateMs: number, heardBefore: boolean) =>
+        this.workers.overdueShare(lateMs, heardBefore),
     };
     return isIsolated(reach, heard);
   }
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -54,7 +54,7 @@
     acting: source.holdsLease,
     jobs: jobs.length,
     pending_tasks: jobs.reduce((sum, job) => sum + job.pending.length, 0),
-    assigned_tasks: source.workers.assigned,
+    assigned_tasks: source.workers.assignedCount,
     booting: source.fleet.bootingCount,
     machine_count: machines.length,
     teams: teamsView(source),
@@ -98,10 +98,10 @@
 }
 
 function machineState(source: ClusterViewSource, machine: Machine): string {
-  if (machine.leaving) return 'leaving';
-  if (machine.noticeAt !== null) return 'recalled';
-  if (!source.workers.alive(machine)) return 'silent';
-  return machine.noPlacingBefore > source.now ? 'quarantined' : 'up';
+  if (machine.releasing) return 'leaving';
+  if (machine.interruptionAt !== null) return 'recalled';
+  if (!source.workers.isAlive(machine)) return 'silent';
+  return machine.unschedulableUntil > source.now ? 'quarantined' : 'up';
 }
 
 function teamsView(source: ClusterViewSource): unknown {
@@ -152,13 +152,13 @@
 function placeableView(source: ClusterViewSource, machines: Machine[], type: MachineType): unknown {
   const usable = machines.filter(
     (machine) =>
-      machine.typeName === type.name && source.workers.alive(machine) && !machine.leaving,
+      machine.typeName === type.name && source.workers.isAlive(machine) && !machine.releasing,
   );
   const gpus = usable.map((machine) => type.gpus - machine.gpus);
   const cpus = usable.map((machine) => type.cpus - machine.cpus);
   return {
     type: type.name,
-    whole_machines: usable.filter((machine) => !machine.busy).length,
+    whole_machines: usable.filter((machine) => !machine.isBusy).length,
     gpus_on_one: Math.max(0, ...gpus),
     cpus_on_one: Math.max(0, ...cpus),
     // What a gang of one-GPU tasks (or one-CPU tasks, on machines without GPUs) could have.
--- a/src/controller/placement/candidates.ts
+++ b/src/controller/placement/candidates.ts
@@ -1,8 +1,8 @@
 /** Machines where tasks of a job can start now. */
 import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
-import type { Need } from '../workers/assignment.js';
-import { recordCost, type RecordCost } from '../workers/record.js';
+import type { ResourceRequest } from '../workers/assignment.js';
+import { recordSpaceOf, type RecordSpace } from '../workers/machine-record.js';
 import type { Estimates } from './estimates.js';
 import { nameOfKinds } from './failed-searches.js';
 import { machinePenalty } from './machine-penalty.js';
@@ -23,12 +23,12 @@
 interface CandidateSearch {
   job: Job;
   now: number;
-  need: Need;
+  need: ResourceRequest;
   /** Only machines that have the job's image, or fetch it already. */
   warmOnly: boolean;
   /** Share of the time to a reservation's fill that short work beneath it may take. */
   backfill: number;
-  record: RecordCost;
+  record: RecordSpace;
   /** When a task should end that needs no fetch. */
   endsAt: number;
 }
@@ -63,7 +63,12 @@
     return found.sort((a, b) => a.score - b.score || a.room.order - b.room.order);
   }
 
-  private searchFor(pass: PlacementPass, job: Job, need: Need, warmOnly: boolean): CandidateSearch {
+  private searchFor(
+    pass: PlacementPass,
+    job: Job,
+    need: ResourceRequest,
+    warmOnly: boolean,
+  ): CandidateSearch {
     const { spec } = job;
     return {
       job,
@@ -71,7 +76,12 @@
       need,
       warmOnly,
       backfill: this.settings.get('placement.backfill.ratio'),
-      record: recordCost({ jobId: spec.id, team: spec.team, need, saveS: spec.checkpointSaveS }),
+      record: recordSpaceOf({
+        jobId: spec.id,
+        team: spec.team,
+        request: need,
+        checkpointSaveS: spec.checkpointSaveS,
+      }),
       endsAt: pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimates.runMs(spec),
     };
   }
--- a/src/controller/placement/drain.ts
+++ b/src/controller/placement/drain.ts
@@ -29,8 +29,8 @@
   run(now: number): void {
     this.moves.settle();
     for (const machine of this.workers.machines.values()) {
-      if (machine.noticeAt === null && !machine.leaving) continue;
-      const leftMs = machine.noticeAt === null ? Infinity : machine.noticeAt - now;
+      if (machine.interruptionAt === null && !machine.releasing) continue;
+      const leftMs = machine.interruptionAt === null ? Infinity : machine.interruptionAt - now;
       for (const assignment of [...machine.assignments.values()])
         this.drainTask(assignment, leftMs, now);
     }
--- a/src/controller/placement/estimates.ts
+++ b/src/controller/placement/estimates.ts
@@ -103,7 +103,7 @@
     for (const assignment of machine.assignments.values()) {
       if (!fetches(assignment)) continue;
       const other = assignment.job.spec;
-      if (other.image === spec.image) since = Math.min(since, assignment.since);
+      if (other.image === spec.image) since = Math.min(since, assignment.assignedAt);
       if (other.image === spec.image || machine.images.has(other.image)) continue;
       others ??= new Set();
       if (others.has(other.image)) continue;
@@ -124,11 +124,14 @@
   /** Until the task has left its machine by itself. */
   remainingMs(assignment: Assignment, now: number): number {
     if (assignment.stop !== null || assignment.job === null)
-      return Math.max(500, assignment.saveS * 1000 * Math.sign(assignment.stop?.graceS ?? 0));
+      return Math.max(
+        500,
+        assignment.checkpointSaveS * 1000 * Math.sign(assignment.stop?.graceS ?? 0),
+      );
     const { spec } = assignment.job;
     if (assignment.runningAt === null && assignment.state !== 'running')
       return this.fetchMs(spec, assignment.machine, now) + this.runMs(spec);
-    return this.leftMs(spec, now - (assignment.runningAt ?? assignment.since));
+    return this.leftMs(spec, now - (assignment.runningAt ?? assignment.assignedAt));
   }
 
   /**
--- a/src/controller/placement/failed-searches.ts
+++ b/src/controller/placement/failed-searches.ts
@@ -1,10 +1,10 @@
 /** What a placement pass remembers of searches without a result, so that none is made twice. */
-import type { Need } from '../workers/assignment.js';
+import type { ResourceRequest } from '../workers/assignment.js';
 import type { Room } from './room.js';
 
 /** A search for machines where a task can start now. */
 export interface PlaceSearch {
-  need: Need;
+  need: ResourceRequest;
   /** The kinds of machines searched, see `nameOfKinds`. */
   kinds: string;
 }
@@ -17,7 +17,7 @@
 }
 
 /** Whether all that is needed is at least as much: where the less was too much, so is this. */
-function atLeast(need: Need, less: Need): boolean {
+function atLeast(need: ResourceRequest, less: ResourceRequest): boolean {
   return need.cpus >= less.cpus && need.gpus >= less.gpus && need.memoryGb >= less.memoryGb;
 }
 
--- a/src/controller/placement/free-room.ts
+++ b/src/controller/placement/free-room.ts
@@ -1,5 +1,5 @@
 /** Counting of what a machine would have free without some of its tasks. */
-import type { Need } from '../workers/assignment.js';
+import type { ResourceRequest } from '../workers/assignment.js';
 import { EPSILON } from './need.js';
 import type { Room } from './room.js';
 
@@ -10,7 +10,7 @@
   private memoryGb = 0;
 
   /** Beside the claims of higher ranks and what the job itself has taken already. */
-  start(room: Room, need: Need, taken: number): void {
+  start(room: Room, need: ResourceRequest, taken: number): void {
     this.cpus = room.cpus - need.cpus * taken;
     this.gpus = room.gpus - need.gpus * taken;
     this.memoryGb = room.memoryGb - need.memoryGb * taken;
@@ -18,21 +18,21 @@
   }
 
   /** A task would be gone. */
-  add(need: Need): void {
+  add(need: ResourceRequest): void {
     this.cpus += need.cpus;
     this.gpus += need.gpus;
     this.memoryGb += need.memoryGb;
   }
 
   /** A task would be there. */
-  take(need: Need): void {
+  take(need: ResourceRequest): void {
     this.cpus -= need.cpus;
     this.gpus -= need.gpus;
     this.memoryGb -= need.memoryGb;
   }
 
   /** Whether one more such task would fit. */
-  enough(need: Need): boolean {
+  enough(need: ResourceRequest): boolean {
     return (
       need.gpus <= this.gpus + EPSILON &&
       need.cpus <= this.cpus + EPSILON &&
--- a/src/controller/placement/gang-reservations.ts
+++ b/src/controller/placement/gang-reservations.ts
@@ -104,7 +104,7 @@
    */
   private stopAheadMs(victims: readonly Assignment[]): number {
     const { heartbeatIntervalMs } = this.parts.settings;
-    const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.saveS)) * 1000;
+    const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.checkpointSaveS)) * 1000;
     return Math.max(
       heartbeatIntervalMs * STOP_AHEAD,
       heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN,
--- a/src/controller/placement/guarantee.test.ts
+++ b/src/controller/placement/guarantee.test.ts
@@ -12,7 +12,7 @@
 import type { MachineType } from '../wire/cloud.js';
 import { writeJobSpec, type JobSpec } from '../wire/jobs.js';
 import type { TaskStatus } from '../wire/workers.js';
-import { makeToken } from '../workers/token.js';
+import { makeFencingToken } from '../workers/fencing-token.js';
 import { Workers } from '../workers/workers.js';
 import { Estimates } from './estimates.js';
 import { FailedSearches } from './failed-searches.js';
@@ -84,8 +84,8 @@
       ...{ onJobTerminated: nothing, onCompletionRecorded: nothing, onTerminalState: nothing },
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
-      type: () => type,
-      ...{ higherTerm: nothing, changed: nothing, ran: nothing },
+      findMachineType: () => type,
+      ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
     });
     const estimates = new Estimates();
     const reserve = new Reserve({ memoryMs: 1000, share: 0, spare: 0 }, estimates, 0, () => null);
@@ -118,11 +118,11 @@
     this.now += 1000;
     for (const machine of this.machines) {
       const tasks = this.there.get(machine) ?? [];
-      const answer = this.workers.report({
+      const answer = this.workers.handleHeartbeat({
         ...{ machine, addr: 'x:1', type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
         ...{
           sequence: ++this.seq,
-          fencingToken: this.tokens.get(machine) ?? makeToken(TERM, 0),
+          fencingToken: this.tokens.get(machine) ?? makeFencingToken(TERM, 0),
           spotNoticeS: null,
           tasks,
         },
--- a/src/controller/placement/moves.ts
+++ b/src/controller/placement/moves.ts
@@ -1,6 +1,6 @@
 /** Replicas of services that are moved from machines that go. */
 import type { Job } from '../jobs/job-table.js';
-import type { Assignment, Need } from '../workers/assignment.js';
+import type { Assignment, ResourceRequest } from '../workers/assignment.js';
 import type { Machine } from '../workers/machine.js';
 
 /** A replica that was stopped because another machine has a place ready for it. */
@@ -28,13 +28,13 @@
   }
 
   /** What the replicas that move to the machine will take there. */
-  takenOn(machine: Machine): Need {
+  takenOn(machine: Machine): ResourceRequest {
     const taken = { cpus: 0, gpus: 0, memoryGb: 0 };
     for (const { from, to } of this.moves) {
       if (to !== machine) continue;
-      taken.cpus += from.need.cpus;
-      taken.gpus += from.need.gpus;
-      taken.memoryGb += from.need.memoryGb;
+      taken.cpus += from.request.cpus;
+      taken.gpus += from.request.gpus;
+      taken.memoryGb += from.request.memoryGb;
     }
     return taken;
   }
--- a/src/controller/placement/need.ts
+++ b/src/controller/placement/need.ts
@@ -1,6 +1,6 @@
 /** Arithmetic of what tasks need and machines have: processors, GPUs and memory. */
 import type { JobSpec } from '../wire/jobs.js';
-import type { Need } from '../workers/assignment.js';
+import type { ResourceRequest } from '../workers/assignment.js';
 
 /** Amounts are decimals: sums of them may be off by this much. */
 export const EPSILON = 1e-6;
@@ -11,7 +11,12 @@
 }
 
 /** Whole tasks that go into room of all three kinds. */
-export function wholeTasks(need: Need, cpus: number, gpus: number, memoryGb: number): number {
+export function wholeTasks(
+  need: ResourceRequest,
+  cpus: number,
+  gpus: number,
+  memoryGb: number,
+): number {
   const fit = Math.min(
     timesContained(cpus, need.cpus),
     timesContained(gpus, need.gpus),
@@ -21,6 +26,6 @@
 }
 
 /** What one task of the job needs. */
-export function needOf({ cpus, gpus, memoryGb }: JobSpec): Need {
+export function needOf({ cpus, gpus, memoryGb }: JobSpec): ResourceRequest {
   return { cpus, gpus, memoryGb };
 }
--- a/src/controller/placement/parts.test.ts
+++ b/src/controller/placement/parts.test.ts
@@ -59,7 +59,7 @@
   const made = new Machine(id, 0, settings);
   made.type = type;
   made.zone = zone;
-  made.synced = true;
+  made.tokenAcknowledged = true;
   return made;
 }
 
@@ -79,7 +79,7 @@
 function assign(owner: Job, on: Machine, task = 0): Assignment {
   const made = {
     ...{ name: `${owner.spec.id}/${task}`, jobId: owner.spec.id, job: owner, machine: on, task },
-    ...{ phase: 'seen', stop: null, saveS: 3 },
+    ...{ phase: 'seen', stop: null, checkpointSaveS: 3 },
   } as unknown as Assignment;
   owner.allAssignments.add(made);
   return made;
@@ -111,16 +111,16 @@
 
 describe('isUsable', () => {
   it('excludes machines that are unknown, silent, or about to go', () => {
-    const alive = { alive: () => true };
+    const alive = { isAlive: () => true };
     assert.ok(isUsable(machine('n-1'), 0, alive));
-    assert.ok(!isUsable(machine('n-1'), 0, { alive: () => false }));
+    assert.ok(!isUsable(machine('n-1'), 0, { isAlive: () => false }));
     const changes: Partial<Machine>[] = [
       { type: null },
-      { synced: false },
-      { leaving: true },
-      { noticeAt: 5 },
-      { noPlacingBefore: 1 },
-      { listed: 'failed' },
+      { tokenAcknowledged: false },
+      { releasing: true },
+      { interruptionAt: 5 },
+      { unschedulableUntil: 1 },
+      { cloudState: 'failed' },
     ];
     for (const change of changes)
       assert.ok(!isUsable(Object.assign(machine('n-1'), change), 0, alive));
@@ -243,7 +243,7 @@
 
   it('puts machines with the image first, and leaves out the others where asked to', () => {
     const warm = machine('n-2');
-    warm.sawImage('i', 1);
+    warm.recordImageUse('i', 1);
     const pass = passOver([machine('n-1'), warm]);
     const ids = (found: Candidate[]): string[] => found.map(({ room }) => room.machine.id);
     assert.deepEqual(ids(finder.find(pass, job())), ['n-2', 'n-1']);
@@ -265,7 +265,7 @@
       { log: silent, now: () => 100 },
       { get: () => 0, workerLeaseMs: 1000 },
       {
-        assigned: 10,
+        assignedCount: 10,
         stop: ({ name }) => stopped.push(name),
         stopJob: ({ spec }) => stopped.push(spec.id),
       },
@@ -428,7 +428,7 @@
   /** How many tasks are stopped where the gang's reservation should be full after the time given. */
   function stoppedFor(fillMs: number): number {
     let stopped = 0;
-    const victim = { ...assign(job(), machine('n-1')), saveS: SAVE_S };
+    const victim = { ...assign(job(), machine('n-1')), checkpointSaveS: SAVE_S };
     const reservations = new GangReservations({
       eventLoop: { log: silent, now: () => 0 },
       settings,
--- a/src/controller/placement/placement.test.ts
+++ b/src/controller/placement/placement.test.ts
@@ -163,7 +163,7 @@
     } as Assignment);
     assert.equal(e.fetchMs(first, m, 0), 14_000);
     assert.ok(e.cold(first, m));
-    m.sawImage('x', 10);
+    m.recordImageUse('x', 10);
     assert.equal(e.fetchMs(first, m, 0), 0);
     assert.ok(!e.cold(first, m));
   });
@@ -173,7 +173,7 @@
   const m = new Machine('n-1', 0, deployed);
   m.type = type;
   const run = (e: Estimates, s: JobSpec, elapsed: number): number => {
-    const a = { job: new Job(s, 0, 1, 0), machine: m, stop: null, state: 'running', since: 0 };
+    const a = { job: new Job(s, 0, 1, 0), machine: m, stop: null, state: 'running', assignedAt: 0 };
     return e.remainingMs({ ...a, runningAt: 0, phase: 'seen' } as unknown as Assignment, elapsed);
   };
 
@@ -213,12 +213,26 @@
       const owner = job({ kind: 'array', team, estimatedRunS: estimateS }, 0);
       owner.guaranteed = guaranteed;
       const a = {
-        ...{ name: owner.spec.id, job: owner, team, task: 0, attempt: 1, machine: m, session: 1 },
-        ...{ need: needOf(owner.spec), saveS: 0, since: 0, phase: 'seen', state: 'running' },
+        ...{
+          name: owner.spec.id,
+          job: owner,
+          team,
+          task: 0,
+          attempt: 1,
+          machine: m,
+          agentEpoch: 1,
+        },
+        ...{
+          request: needOf(owner.spec),
+          checkpointSaveS: 0,
+          assignedAt: 0,
+          phase: 'seen',
+          state: 'running',
+        },
         ...{ runningAt: 0, stop: null },
       } as unknown as Assignment;
       m.assignments.set(a.name, a);
-      m.countIn(a);
+      m.allocate(a);
       return a;
     };
     const kept = assign('other', true, 80);
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { Machine } from '../workers/machine.js';
-import { recordRoom } from '../workers/record.js';
+import { recordCapacityBytes } from '../workers/machine-record.js';
 import type { Workers } from '../workers/workers.js';
 import { ArrayPlacer } from './array-placer.js';
 import { CandidateFinder } from './candidates.js';
@@ -112,7 +112,7 @@
   begin(): void {
     const now = this.eventLoop.now();
     this.guarantees.mark(this.table.jobs.values());
-    const rooms = new Rooms(this.workers.machines.values(), recordRoom(this.settings));
+    const rooms = new Rooms(this.workers.machines.values(), recordCapacityBytes(this.settings));
     for (const room of rooms.all) room.closed = !this.usable(room.machine, now);
     this.drain.run(now);
     const queue: QueuedJob[] = [];
--- a/src/controller/placement/preemption.ts
+++ b/src/controller/placement/preemption.ts
@@ -9,7 +9,7 @@
 const LEAST_LIMIT = 4;
 
 /** What stops tasks. */
-export type TaskStopper = Pick<Workers, 'assigned' | 'stop' | 'stopJob'>;
+export type TaskStopper = Pick<Workers, 'assignedCount' | 'stop' | 'stopJob'>;
 
 /** Tells what stopping a task loses. */
 export interface StopCost {
@@ -38,7 +38,7 @@
     const { workerLeaseMs } = this.settings;
     this.recent = this.recent.filter((at) => now - at < workerLeaseMs);
     const share = this.settings.get('placement.preempt.share');
-    const limit = Math.max(LEAST_LIMIT, share * this.workers.assigned);
+    const limit = Math.max(LEAST_LIMIT, share * this.workers.assignedCount);
     if (this.recent.length + victims.length > limit) {
       if (now - this.throttledAt > workerLeaseMs) this.warn(victims, preemptor, limit);
       return false;
@@ -81,7 +81,7 @@
       },
       'preempted',
     );
-    if (job.spec.kind === 'gang') this.workers.stopJob(job, victim.saveS, 'preempted');
-    else this.workers.stop(victim, victim.saveS, 'preempted');
+    if (job.spec.kind === 'gang') this.workers.stopJob(job, victim.checkpointSaveS, 'preempted');
+    else this.workers.stop(victim, victim.checkpointSaveS, 'preempted');
   }
 }
--- a/src/controller/placement/reserve.ts
+++ b/src/controller/placement/reserve.ts
@@ -198,7 +198,7 @@
       const { type } = room.machine;
       if (type === null || room.closed) continue;
       const all = wholeTasks(need, type.cpus, type.gpus, type.memoryGb);
-      const own = room.machine.classes.get(stats.spec.class) ?? 0;
+      const own = room.machine.taskCountByClass.get(stats.spec.class) ?? 0;
       total += all;
       running += own;
       if (all > own) choices.push({ room, places: all - own, score: this.score(stats, room) });
--- a/src/controller/placement/room-filling.ts
+++ b/src/controller/placement/room-filling.ts
@@ -1,7 +1,7 @@
 /** When a machine should have room for a task, by itself or by stopping others. */
 import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
-import type { Assignment, Need } from '../workers/assignment.js';
+import type { Assignment, ResourceRequest } from '../workers/assignment.js';
 import type { Estimates } from './estimates.js';
 import { FreeRoom } from './free-room.js';
 import type { ExpectedEnd, Outlook } from './outlook.js';
@@ -82,10 +82,10 @@
   }
 
   /** Room once enough tasks have ended, with nothing more stopped; `null`: there is never enough. */
-  private fillByItself(outlook: Outlook, need: Need): Fill | null {
+  private fillByItself(outlook: Outlook, need: ResourceRequest): Fill | null {
     let stopping = false;
     for (const { assignment, at } of outlook.ends) {
-      this.free.add(assignment.need);
+      this.free.add(assignment.request);
       if (assignment.stop !== null) stopping = true;
       if (!this.free.enough(need)) continue;
       return at === Infinity ? null : fillWithoutVictims(at, stopping);
@@ -106,11 +106,11 @@
     const youngAfter = this.rules.youngAfter(now);
     for (const assignment of room.machine.assignments.values()) {
       if (assignment.phase === 'ended') continue;
-      const { job, since, saveS, stop } = assignment;
+      const { job, assignedAt, checkpointSaveS, stop } = assignment;
       outlook.ends.push({ assignment, at: now + this.estimates.remainingMs(assignment, now) });
-      outlook.longestSaveMs = Math.max(outlook.longestSaveMs, saveS * 1000);
+      outlook.longestSaveMs = Math.max(outlook.longestSaveMs, checkpointSaveS * 1000);
       if (stop !== null) outlook.stopping = true;
-      else if (job !== null && since <= youngAfter) {
+      else if (job !== null && assignedAt <= youngAfter) {
         if (job.level < outlook.lowest) outlook.lowest = job.level;
         if (!job.guaranteed) outlook.unguaranteed = true;
       }
@@ -125,12 +125,12 @@
     const { heartbeatIntervalMs } = this.settings;
     let coming = now + heartbeatIntervalMs;
     for (const { assignment, at } of outlook.ends) {
-      const { stop, saveS, need } = assignment;
+      const { stop, checkpointSaveS, request } = assignment;
       if (stop !== null) coming = Math.max(coming, at);
       else if (used.has(assignment))
-        coming = Math.max(coming, now + heartbeatIntervalMs + saveS * 1000);
+        coming = Math.max(coming, now + heartbeatIntervalMs + checkpointSaveS * 1000);
       else continue;
-      this.free.add(need);
+      this.free.add(request);
     }
     return coming;
   }
@@ -155,7 +155,7 @@
       const last = others[waits - 1];
       if (last !== undefined) {
         coming = Math.max(coming, last.at);
-        this.free.add(last.assignment.need);
+        this.free.add(last.assignment.request);
       }
       if (coming >= natural || (search.made && waits > 0)) break;
       const made = this.stop(job.spec, choice, coming, now);
@@ -184,17 +184,17 @@
 
   /** What is to be stopped, of what has not ended by itself by then, for room that lacks only that. */
   private stop(
-    need: Need,
+    need: ResourceRequest,
     choice: readonly ExpectedEnd[],
     coming: number,
     now: number,
   ): Fill | null {
     const { free } = this;
-    const added: Need[] = [];
+    const added: ResourceRequest[] = [];
     for (const { assignment, at } of choice) {
       if (at > coming) continue;
-      free.add(assignment.need);
-      added.push(assignment.need);
+      free.add(assignment.request);
+      added.push(assignment.request);
     }
     let fillAt = coming;
     const victims: Assignment[] = [];
@@ -202,9 +202,12 @@
       if (free.enough(need)) break;
       if (at <= coming) continue;
       victims.push(assignment);
-      free.add(assignment.need);
-      added.push(assignment.need);
-      fillAt = Math.max(fillAt, now + this.settings.heartbeatIntervalMs + assignment.saveS * 1000);
+      free.add(assignment.request);
+      added.push(assignment.request);
+      fillAt = Math.max(
+        fillAt,
+        now + this.settings.heartbeatIntervalMs + assignment.checkpointSaveS * 1000,
+      );
     }
     const enough = free.enough(need);
     if (enough) this.spare(need, victims, added);
@@ -215,14 +218,14 @@
   }
 
   /** Victims that the rest made needless are spared. */
-  private spare(need: Need, victims: Assignment[], added: Need[]): void {
+  private spare(need: ResourceRequest, victims: Assignment[], added: ResourceRequest[]): void {
     const { free } = this;
     for (const victim of [...victims]) {
-      free.take(victim.need);
+      free.take(victim.request);
       if (free.enough(need)) {
         victims.splice(victims.indexOf(victim), 1);
-        added.splice(added.indexOf(victim.need), 1);
-      } else free.add(victim.need);
+        added.splice(added.indexOf(victim.request), 1);
+      } else free.add(victim.request);
     }
   }
 }
--- a/src/controller/placement/room.ts
+++ b/src/controller/placement/room.ts
@@ -1,13 +1,13 @@
 /** A machine as a placement pass sees it: what is free, and who has claimed it. */
 import type { JobSpec } from '../wire/jobs.js';
-import type { Need } from '../workers/assignment.js';
+import type { ResourceRequest } from '../workers/assignment.js';
 import type { Machine } from '../workers/machine.js';
-import type { RecordCost } from '../workers/record.js';
+import type { RecordSpace } from '../workers/machine-record.js';
 import { EPSILON, wholeTasks } from './need.js';
 import type { Outlook } from './outlook.js';
 
 /** Where the size of the machine's record is of no interest. */
-const NO_RECORD_COST: RecordCost = { fixed: 0, each: 1 };
+const NO_RECORD_COST: RecordSpace = { bytesPerJob: 0, bytesPerTask: 1 };
 
 /** A reservation in advance, for a class: it binds only work that is smaller and ranks no higher. */
 export interface AdvanceClaim {
@@ -18,7 +18,7 @@
 }
 
 /** Room of one machine that a reservation has claimed, and when it is expected to be full. */
-export interface Claim extends Need {
+export interface Claim extends ResourceRequest {
   fillAt: number;
   /** `null`: of a gang that waits. */
   ahead: AdvanceClaim | null;
@@ -34,7 +34,7 @@
   backfill: number;
   now: number;
   /** Bytes of a task in the machine's record. */
-  record?: RecordCost;
+  record?: RecordSpace;
 }
 
 /** A machine as one placement pass sees it. What is free is always what the machine now has free. */
@@ -70,7 +70,7 @@
   }
 
   /** Whether at least one task fits if nothing were reserved. Cheap: it is asked of every machine. */
-  admits(need: Need): boolean {
+  admits(need: ResourceRequest): boolean {
     const { machine } = this;
     const { type } = machine;
     return (
@@ -96,8 +96,8 @@
       memoryGb -= claim.memoryGb;
     }
     const { spec, record = NO_RECORD_COST } = query;
-    const freeBytes = this.recordLimit - this.machine.record.bytes - record.fixed;
-    const slots = Math.floor(freeBytes / record.each);
+    const freeBytes = this.recordLimit - this.machine.recordSize.bytes - record.bytesPerJob;
+    const slots = Math.floor(freeBytes / record.bytesPerTask);
     return Math.max(0, Math.min(slots, wholeTasks(spec, cpus, gpus, memoryGb)));
   }
 
@@ -108,7 +108,7 @@
   }
 
   /** Tasks that fit now if nothing were reserved. */
-  fitsEmpty(need: Need): number {
+  fitsEmpty(need: ResourceRequest): number {
     return wholeTasks(need, this.cpus, this.gpus, this.memoryGb);
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** Claims room for one task of a gang that waits. */
-  claim({ cpus, gpus, memoryGb }: Need, fillAt: number): void {
+  claim({ cpus, gpus, memoryGb }: ResourceRequest, fillAt: number): void {
     this.claims.push({ cpus, gpus, memoryGb, fillAt, ahead: null });
   }
 }
--- a/src/controller/placement/services.test.ts
+++ b/src/controller/placement/services.test.ts
@@ -11,7 +11,7 @@
 import type { MachineType } from '../wire/cloud.js';
 import { writeJobSpec, type JobSpec } from '../wire/jobs.js';
 import type { ExitCause, TaskStatus } from '../wire/workers.js';
-import { makeToken } from '../workers/token.js';
+import { makeFencingToken } from '../workers/fencing-token.js';
 import { Workers } from '../workers/workers.js';
 import { Estimates } from './estimates.js';
 import { Placement } from './placement.js';
@@ -68,7 +68,7 @@
   constructor(parts: WorkerParts[]) {
     this.machines = parts.map((part, i) => ({
       ...{ id: `n-${i}`, zone: part.zone ?? 'a', spot: part.spot ?? false, silent: false },
-      ...{ session: 1, token: makeToken(TERM, 0), noticeS: null, tasks: [] },
+      ...{ session: 1, token: makeFencingToken(TERM, 0), noticeS: null, tasks: [] },
       ...{ images: new Set(part.images ?? []), fetchedAt: new Map<string, number>() },
     }));
     const runtime: Runtime = {
@@ -96,8 +96,8 @@
       onJobTerminated: (job) => this.workers.jobClosed(job),
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
-      type: () => type,
-      ...{ higherTerm: nothing, changed: nothing, ran: nothing },
+      findMachineType: () => type,
+      ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
     });
     const estimates = new Estimates();
     const reserve = new Reserve({ memoryMs: 1000, share: 0, spare: 0 }, estimates, 0, () => null);
@@ -106,7 +106,7 @@
       { exhausted: nothing },
     );
     for (const w of this.machines)
-      for (const image of w.images) this.workers.machine(w.id).images.set(image, 1);
+      for (const image of w.images) this.workers.getOrCreateMachine(w.id).images.set(image, 1);
     this.run(2);
   }
 
@@ -151,8 +151,8 @@
   step(): void {
     this.now += STEP_MS;
     for (const w of this.machines) if (!w.silent) this.exchange(w);
-    this.workers.answering(true, STEP_MS);
-    this.workers.sweep();
+    this.workers.setAnswering(true, STEP_MS);
+    this.workers.expireLeases();
     this.placement.pass();
     this.workers.flush();
   }
@@ -164,7 +164,7 @@
         t.state = 'running';
         w.images.add('i');
       }
-    const answer = this.workers.report({
+    const answer = this.workers.handleHeartbeat({
       ...{
         machine: w.id,
         addr: 'x:1',
@@ -289,7 +289,7 @@
     c.run(3);
     assert.deepEqual([...c.where(job).keys()], ['n-0']);
     c.machines.push({ ...c.worker('n-0'), id: 'n-1', tasks: [], images: new Set(['i']) });
-    c.workers.machine('n-1').images.set('i', 1);
+    c.workers.getOrCreateMachine('n-1').images.set('i', 1);
     c.run(2);
     c.worker('n-0').noticeS = NOTICE_S;
     c.run(5);
@@ -315,7 +315,7 @@
     assert.equal(c.where(job).get('n-0'), 4);
     const other = c.add({ tasks: 1, cpus: 7, image: 'other' });
     c.machines.push({ ...c.worker('n-0'), id: 'n-1', tasks: [], images: new Set(['i']) });
-    c.workers.machine('n-1').images.set('i', 1);
+    c.workers.getOrCreateMachine('n-1').images.set('i', 1);
     c.run(6);
     assert.equal(c.where(other).get('n-1'), 1);
     c.worker('n-0').noticeS = NOTICE_S;
@@ -385,7 +385,7 @@
     c.table.markCancelled(job.spec.id);
     c.run(3);
     assert.equal(c.where(job).size, 0);
-    assert.equal(c.workers.assigned, 0);
+    assert.equal(c.workers.assignedCount, 0);
     assert.equal(job.allAssignments.size, 0);
     assert.equal(job.answer().state, 'cancelled');
   };
@@ -420,7 +420,7 @@
     const job = c.add({ tasks: 2 });
     c.run(3);
     c.machines.push({ ...c.worker('n-0'), id: 'n-1', tasks: [], images: new Set(['i']) });
-    c.workers.machine('n-1').images.set('i', 1);
+    c.workers.getOrCreateMachine('n-1').images.set('i', 1);
     c.run(2);
     c.worker('n-0').noticeS = 30;
     c.step();
@@ -440,10 +440,10 @@
       c.run(5);
       c.table.markCancelled(job.spec.id);
       c.run(2);
-      assert.equal(c.workers.assigned, 2, 'not proven gone');
+      assert.equal(c.workers.assignedCount, 2, 'not proven gone');
       if (back) worker.silent = false;
       c.run(back ? 3 : settings.workerLeaseExpiryMs / STEP_MS);
-      assert.equal(c.workers.assigned, 0);
+      assert.equal(c.workers.assignedCount, 0);
       worker.silent = false;
       c.run(4);
       assert.equal(c.where(job).size, 0);
@@ -511,7 +511,7 @@
     c.worker(lost).silent = true;
     for (let i = 0; i < settings.workerLeaseExpiryMs / STEP_MS + 10; i++) {
       c.step();
-      assert.ok(c.workers.assigned <= TEAM_GPUS);
+      assert.ok(c.workers.assignedCount <= TEAM_GPUS);
     }
     assert.ok(there > 0);
     assert.equal(job.runningCount, TEAM_GPUS);
--- a/src/controller/placement/teams.ts
+++ b/src/controller/placement/teams.ts
@@ -3,7 +3,7 @@
 import { Settings } from '../settings/settings.js';
 import type { Job } from '../jobs/job-table.js';
 import type { JobSpec } from '../wire/jobs.js';
-import type { Assignment, Need } from '../workers/assignment.js';
+import type { Assignment, ResourceRequest } from '../workers/assignment.js';
 import { EPSILON, timesContained } from './need.js';
 
 /** What the tasks of one team take. */
@@ -23,7 +23,7 @@
   }
 
   /** Negative counts are tasks that are gone. */
-  add(team: string, need: Need, count: number): void {
+  add(team: string, need: ResourceRequest, count: number): void {
     const use = this.uses.get(team);
     if (use === undefined) return;
     use.tasks += count;
@@ -55,12 +55,12 @@
     if (use === undefined) return false;
     const over = (used: number, need: number, guaranteed: number): boolean =>
       need > 0 && used - need >= guaranteed - EPSILON;
-    const { need } = assignment;
+    const { request } = assignment;
     // Only what is guaranteed at all can be borrowed beyond.
-    if (use.team.guaranteedGpus > 0 && need.gpus > 0)
-      return over(use.gpus, need.gpus, use.team.guaranteedGpus);
-    if (use.team.guaranteedCpus > 0 && need.cpus > 0)
-      return over(use.cpus, need.cpus, use.team.guaranteedCpus);
+    if (use.team.guaranteedGpus > 0 && request.gpus > 0)
+      return over(use.gpus, request.gpus, use.team.guaranteedGpus);
+    if (use.team.guaranteedCpus > 0 && request.cpus > 0)
+      return over(use.cpus, request.cpus, use.team.guaranteedCpus);
     return true;
   }
 
--- a/src/controller/placement/usable-machines.ts
+++ b/src/controller/placement/usable-machines.ts
@@ -3,18 +3,18 @@
 
 /** Tells whether a machine's worker is known to be there. */
 export interface Liveness {
-  alive(machine: Machine): boolean;
+  isAlive(machine: Machine): boolean;
 }
 
 /** Whether tasks may be placed on the machine now. */
 export function isUsable(machine: Machine, now: number, workers: Liveness): boolean {
   return (
     machine.type !== null &&
-    machine.synced &&
-    !machine.leaving &&
-    machine.noticeAt === null &&
-    machine.noPlacingBefore <= now &&
-    machine.listed !== 'failed' &&
-    workers.alive(machine)
+    machine.tokenAcknowledged &&
+    !machine.releasing &&
+    machine.interruptionAt === null &&
+    machine.unschedulableUntil <= now &&
+    machine.cloudState !== 'failed' &&
+    workers.isAlive(machine)
   );
 }
--- a/src/controller/placement/victims.ts
+++ b/src/controller/placement/victims.ts
@@ -33,7 +33,7 @@
     if (owner === null || owner.gangRestarting || owner.terminalState !== null) return false;
     // All replicas of a service are needed: nothing says otherwise.
     if (owner.spec.kind === 'service') return false;
-    if (now - task.since < this.settings.get('placement.victim.age.s') * 1000) return false;
+    if (now - task.assignedAt < this.settings.get('placement.victim.age.s') * 1000) return false;
     const otherTeam = task.team !== job.spec.team;
     // Work inside its team's guarantee never yields to another team (m03 §7).
     if (owner.guaranteed && otherTeam) return false;
@@ -46,7 +46,7 @@
     ends.sort(
       ({ assignment: first }, { assignment: second }) =>
         Number(this.teams.borrows(second)) - Number(this.teams.borrows(first)) ||
-        second.since - first.since,
+        second.assignedAt - first.assignedAt,
     );
   }
 
@@ -54,7 +54,7 @@
   lostMs(task: Assignment, now: number): number {
     if (task.job === null || task.state === 'fetching' || task.state === null) return 0;
     const { spec } = task.job;
-    const ran = now - (task.runningAt ?? task.since);
+    const ran = now - (task.runningAt ?? task.assignedAt);
     const again =
       this.settings.heartbeatIntervalMs + this.estimates.fetchMs(spec, task.machine, now);
     const lost =
--- a/src/controller/workers/sessions.test.ts
+++ b/src/controller/workers/agent-epochs.test.ts
@@ -5,23 +5,26 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { Machine } from './machine.js';
-import { Sessions } from './sessions.js';
+import { AgentEpochs } from './agent-epochs.js';
 
 const settings = new Settings(alone(), defaultProperties());
 
 /** Sessions whose collaborators write down what they are told. */
-function setUp(): { clock: FakeClock; machine: Machine; sessions: Sessions; told: string[] } {
+function setUp(): { clock: FakeClock; machine: Machine; sessions: AgentEpochs; told: string[] } {
   const clock = new FakeClock(0);
   const told: string[] = [];
-  const sessions = new Sessions(
+  const sessions = new AgentEpochs(
     clock,
     settings,
     { requireNewToken: ({ id }) => told.push(`sync ${id}`) },
     {
       endAll: ({ id }) => told.push(`end all ${id}`),
-      endBefore: ({ id }, session) => told.push(`end ${id} before ${session}`),
+      endBeforeEpoch: ({ id }, session) => told.push(`end ${id} before ${session}`),
+    },
+    {
+      placementInputChanged: () => told.push('changed'),
+      recordDue: ({ id }) => told.push(`record ${id}`),
     },
-    { changed: () => told.push('changed'), recordDue: ({ id }) => told.push(`record ${id}`) },
   );
   return { clock, machine: new Machine('n-1', 0, settings), sessions, told };
 }
@@ -34,20 +37,20 @@
     machine.directStartTokens.set('req-1/0@9', 1);
     sessions.begin(machine, 4);
     assert.deepEqual(told, ['end n-1 before 4', 'sync n-1', 'record n-1']);
-    assert.equal(machine.session, 4);
+    assert.equal(machine.agentEpoch, 4);
     assert.equal(machine.directStartTokens.size, 0);
   });
 
   it('are over once the lease has surely run out, and told so once', () => {
     const { clock, machine, sessions, told } = setUp();
-    machine.session = 3;
+    machine.agentEpoch = 3;
     clock.time = settings.workerLeaseExpiryMs;
-    sessions.endExpired([machine]);
+    sessions.expireLeases([machine]);
     assert.deepEqual(told, []);
     clock.time++;
-    sessions.endExpired([machine]);
-    sessions.endExpired([machine]);
+    sessions.expireLeases([machine]);
+    sessions.expireLeases([machine]);
     assert.deepEqual(told, ['sync n-1', 'end all n-1', 'changed']);
-    assert.equal(machine.lowestValidSession, 4);
+    assert.equal(machine.lowestValidAgentEpoch, 4);
   });
 });
--- a/src/controller/workers/assignment.ts
+++ b/src/controller/workers/assignment.ts
@@ -2,17 +2,17 @@
 import type { Job } from '../jobs/job-table.js';
 import { taskName, type ExitCause, type TaskState } from '../wire/workers.js';
 import type { Machine } from './machine.js';
-import type { RecordedTask } from './record.js';
+import type { RecordedTask } from './machine-record.js';
 
 /** What one task takes of a machine. */
-export interface Need {
+export interface ResourceRequest {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
 /** Why an assignment ended. `lost`: the machine or its session is gone, or the start never arrived. */
-export type Outcome = ExitCause | 'lost' | 'unsent';
+export type AssignmentOutcome = ExitCause | 'lost' | 'unsent';
 
 /** A stop that the worker has been or is yet to be told of. */
 export interface StopRequest {
@@ -20,7 +20,7 @@
   readonly requestedAt: number;
   readonly reason: string;
   /** It has gone out as a direct command as well. */
-  sentDirectly: boolean;
+  sentAsDirectCommand: boolean;
 }
 
 /**
@@ -37,10 +37,10 @@
   readonly task: number;
   readonly attempt: number;
   readonly machine: Machine;
-  readonly session: number;
-  readonly need: Need;
-  readonly saveS: number;
-  readonly since: number;
+  readonly agentEpoch: number;
+  readonly request: ResourceRequest;
+  readonly checkpointSaveS: number;
+  readonly assignedAt: number;
   /** `planned`: not on record yet. `recorded`: may be sent. `sent`: out. `seen`: in a report. */
   phase: 'planned' | 'recorded' | 'sent' | 'seen' | 'ended';
   state: TaskState | null;
@@ -48,24 +48,24 @@
    * Only messages of the worker later than this one can show that the task is missing: the report
    * that the start was the answer to, or the answer to a start sent directly.
    */
-  sentSeq: number | bigint | null;
+  startSentSequence: number | bigint | null;
   runningAt: number | null;
   /** Number of the last report that listed it. */
-  lastReportNumber: number;
+  lastHeartbeatNumber: number;
   stop: StopRequest | null;
 }
 
 /** The state of an assignment of which no report has told yet. */
-const UNREPORTED = {
+const UNOBSERVED = {
   state: null,
-  sentSeq: null,
+  startSentSequence: null,
   runningAt: null,
-  lastReportNumber: 0,
+  lastHeartbeatNumber: 0,
   stop: null,
 } as const;
 
 /** An assignment that is not on record yet. */
-export function plannedAssignment(
+export function planAssignment(
   job: Job,
   task: number,
   attempt: number,
@@ -81,23 +81,23 @@
     task,
     attempt,
     machine,
-    session: machine.session,
-    need: { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb },
-    saveS: spec.checkpointSaveS,
-    since: now,
+    agentEpoch: machine.agentEpoch,
+    request: { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb },
+    checkpointSaveS: spec.checkpointSaveS,
+    assignedAt: now,
     phase: 'planned',
-    ...UNREPORTED,
+    ...UNOBSERVED,
   };
 }
 
 /** An assignment that an earlier leader has left on record: its start may have been sent. */
-export function restoredAssignment(
+export function restoreAssignment(
   recorded: RecordedTask,
   job: Job | null,
   machine: Machine,
-  since: number,
+  assignedAt: number,
 ): Assignment {
-  const { jobId, team, need, saveS, attempt, task } = recorded;
+  const { jobId, team, request, checkpointSaveS, attempt, task } = recorded;
   return {
     name: taskName(jobId, task),
     jobId,
@@ -106,12 +106,12 @@
     task,
     attempt,
     machine,
-    session: machine.session,
-    need,
-    saveS,
-    since,
+    agentEpoch: machine.agentEpoch,
+    request,
+    checkpointSaveS,
+    assignedAt,
     phase: 'sent',
-    ...UNREPORTED,
+    ...UNOBSERVED,
   };
 }
 
--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -35,8 +35,8 @@
         recordSuccess: () => this.told.push('success'),
       },
       {
-        changed: () => undefined,
-        ran: (_, tookMs) => this.told.push(`ran ${tookMs}`),
+        placementInputChanged: () => undefined,
+        taskCompleted: (_, tookMs) => this.told.push(`ran ${tookMs}`),
         recordDue: () => undefined,
         commandDue: ({ id }) => this.told.push(`command ${id}`),
       },
@@ -57,14 +57,14 @@
   it('count from their record on until they are gone', () => {
     const bench = new Bench(acceptedJob());
     const assignment = bench.start(0);
-    assert.equal(bench.assignments.total, 1);
-    assert.equal(bench.assignments.byClass.get('c'), 1);
+    assert.equal(bench.assignments.count, 1);
+    assert.equal(bench.assignments.countByClass.get('c'), 1);
     assert.equal(bench.teamTasks, 1);
-    assert.ok(bench.machine.busy);
+    assert.ok(bench.machine.isBusy);
     bench.assignments.end(assignment, 'error');
     bench.assignments.end(assignment, 'error');
-    assert.equal(bench.assignments.total, 0);
-    assert.equal(bench.assignments.byClass.size, 0);
+    assert.equal(bench.assignments.count, 0);
+    assert.equal(bench.assignments.countByClass.size, 0);
     assert.equal(bench.teamTasks, 0);
     assert.equal(bench.machine.idleSince, 1000);
     assert.deepEqual(bench.told, ['exit error', 'failure error', 'put back 0']);
@@ -114,11 +114,18 @@
 
   it('restored twice for a task belong to the job by the later attempt', () => {
     const bench = new Bench(acceptedJob());
-    const need = { cpus: 1, gpus: 0, memoryGb: 1 };
-    const recorded = { jobId: 'req-1', team: 't', need, saveS: 0, task: 0, at: 0 };
+    const request = { cpus: 1, gpus: 0, memoryGb: 1 };
+    const recorded = {
+      jobId: 'req-1',
+      team: 't',
+      request,
+      checkpointSaveS: 0,
+      task: 0,
+      assignedAtWallClock: 0,
+    };
     bench.assignments.restore(new Machine('n-2', 0, settings), { ...recorded, attempt: 7 }, 0);
     bench.assignments.restore(bench.machine, { ...recorded, attempt: 6 }, 0);
     assert.equal(bench.job.currentAssignments.get(0)?.attempt, 7);
-    assert.equal(bench.assignments.total, 2);
+    assert.equal(bench.assignments.count, 2);
   });
 });
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -3,22 +3,22 @@
 import type { Job, JobTable } from '../jobs/job-table.js';
 import type { Teams } from '../placement/teams.js';
 import {
-  plannedAssignment,
-  restoredAssignment,
+  planAssignment,
+  restoreAssignment,
   type Assignment,
-  type Outcome,
+  type AssignmentOutcome,
 } from './assignment.js';
-import { addToCount } from './counts.js';
-import type { Failures } from './failures.js';
+import { adjustCount } from './keyed-counts.js';
+import type { FailureTracker } from './failure-tracker.js';
 import type { Machine } from './machine.js';
-import type { RecordedTask } from './record.js';
+import type { RecordedTask } from './machine-record.js';
 
 /** What assignments tell of. */
 export interface AssignmentEvents {
   /** Room or tasks changed: placement should look again. */
-  changed(): void;
+  placementInputChanged(): void;
   /** A task ran to its end: what it took against what was expected. */
-  ran(assignment: Assignment, tookMs: number): void;
+  taskCompleted(assignment: Assignment, tookMs: number): void;
   /** The machine's record has to be written. */
   recordDue(machine: Machine): void;
   /** The machine has to be told of a stop. */
@@ -28,22 +28,22 @@
 /** Every task that may be on a machine, and what all of them take. */
 export class Assignments {
   /** Tasks that are not surely gone, by class. */
-  readonly byClass = new Map<string, number>();
+  readonly countByClass = new Map<string, number>();
   /** All tasks that are not surely gone. */
-  total = 0;
+  count = 0;
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly table: Pick<JobTable, 'jobs' | 'markDone' | 'putBack' | 'countExit'>,
     private readonly teams: Pick<Teams, 'add'>,
-    private readonly failures: Pick<Failures, 'recordFailure' | 'recordSuccess'>,
+    private readonly failures: Pick<FailureTracker, 'recordFailure' | 'recordSuccess'>,
     private readonly events: AssignmentEvents,
   ) {}
 
   /** Gives the task to the machine; it starts once that is on record. */
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
-    const assignment = plannedAssignment(job, task, attempt, machine, this.eventLoop.now());
-    this.countIn(assignment);
+    const assignment = planAssignment(job, task, attempt, machine, this.eventLoop.now());
+    this.register(assignment);
     job.currentAssignments.set(task, assignment);
     this.events.recordDue(machine);
     this.eventLoop.log.debug(
@@ -53,12 +53,12 @@
   }
 
   /** Takes over a task that an earlier leader has left on the machine. */
-  restore(machine: Machine, recorded: RecordedTask, since: number): void {
+  restore(machine: Machine, recorded: RecordedTask, assignedAt: number): void {
     const job = this.table.jobs.get(recorded.jobId) ?? null;
-    const assignment = restoredAssignment(recorded, job, machine, since);
-    this.countIn(assignment);
+    const assignment = restoreAssignment(recorded, job, machine, assignedAt);
+    this.register(assignment);
     if (job === null) this.stop(assignment, 0, 'job ended');
-    else attachNewest(job, assignment);
+    else attachLatestAttempt(job, assignment);
   }
 
   /** Ends the assignment at once if it was never sent, and else has the worker told to stop it. */
@@ -71,7 +71,12 @@
       return;
     }
     if (assignment.stop !== null && assignment.stop.graceS <= graceS) return;
-    assignment.stop = { graceS, requestedAt: this.eventLoop.now(), reason, sentDirectly: false };
+    assignment.stop = {
+      graceS,
+      requestedAt: this.eventLoop.now(),
+      reason,
+      sentAsDirectCommand: false,
+    };
     this.events.commandDue(machine);
     this.eventLoop.log.debug({ job: jobId, task, machine: machine.id, graceS, reason }, 'stop');
   }
@@ -105,9 +110,9 @@
   }
 
   /** All that was assigned to sessions of the machine before this one is surely gone. */
-  endBefore(machine: Machine, session: number): void {
+  endBeforeEpoch(machine: Machine, agentEpoch: number): void {
     for (const assignment of [...machine.assignments.values()])
-      if (assignment.session < session) this.end(assignment, 'lost');
+      if (assignment.agentEpoch < agentEpoch) this.end(assignment, 'lost');
   }
 
   /** All that was assigned to the machine is surely gone. */
@@ -116,12 +121,12 @@
   }
 
   /** The assignment is over: the task is surely not on the machine any more. */
-  end(assignment: Assignment, outcome: Outcome): void {
+  end(assignment: Assignment, outcome: AssignmentOutcome): void {
     if (assignment.phase === 'ended') return;
     const { job } = assignment;
     assignment.phase = 'ended';
-    this.countOut(assignment);
-    this.events.changed();
+    this.release(assignment);
+    this.events.placementInputChanged();
     if (outcome === 'done' && job?.terminalState === null && !job.isService) {
       this.complete(assignment, job);
       return;
@@ -133,7 +138,7 @@
   /** The task has run to its end; the assignment stays until that is on record. */
   private complete(assignment: Assignment, job: Job): void {
     const { machine, task, runningAt } = assignment;
-    if (runningAt !== null) this.events.ran(assignment, this.eventLoop.now() - runningAt);
+    if (runningAt !== null) this.events.taskCompleted(assignment, this.eventLoop.now() - runningAt);
     this.failures.recordSuccess(machine);
     if (job.spec.kind === 'gang') this.completeGang(job);
     else this.table.markDone(job, task);
@@ -146,7 +151,7 @@
   }
 
   /** The task has ended and is to run again. */
-  private replace(assignment: Assignment, job: Job, outcome: Outcome): void {
+  private replace(assignment: Assignment, job: Job, outcome: AssignmentOutcome): void {
     const { machine, task } = assignment;
     if (outcome !== 'unsent') this.table.countExit(job, outcome);
     this.eventLoop.log.info(
@@ -154,12 +159,12 @@
       'task off its machine',
     );
     this.failures.recordFailure(machine, job, outcome);
-    if (job.spec.kind === 'gang') this.gangLostPart(job);
+    if (job.spec.kind === 'gang') this.gangLostMember(job);
     else if (!job.currentAssignments.has(task)) this.table.putBack(job, task);
   }
 
   /** Also when this was the gang's only part: nothing is left to stop then, but all to regroup. */
-  private gangLostPart(job: Job): void {
+  private gangLostMember(job: Job): void {
     if (job.gangRestarting || job.isComplete) {
       this.regroup(job);
       return;
@@ -182,26 +187,26 @@
   }
 
   /** Counts the task as being on its machine. */
-  private countIn(assignment: Assignment): void {
-    const { machine, job, team, need } = assignment;
+  private register(assignment: Assignment): void {
+    const { machine, job, team, request } = assignment;
     machine.assignments.set(assignment.name, assignment);
-    machine.record.add(assignment);
-    machine.countIn(assignment);
-    this.teams.add(team, need, 1);
-    this.total++;
+    machine.recordSize.add(assignment);
+    machine.allocate(assignment);
+    this.teams.add(team, request, 1);
+    this.count++;
     if (job === null) return;
     job.allAssignments.add(assignment);
-    addToCount(this.byClass, job.spec.class, 1);
+    adjustCount(this.countByClass, job.spec.class, 1);
   }
 
   /** The task is gone, whatever is still to be written of it. */
-  private countOut(assignment: Assignment): void {
-    const { machine, job, team, need } = assignment;
-    machine.countOut(assignment);
-    this.teams.add(team, need, -1);
-    this.total--;
+  private release(assignment: Assignment): void {
+    const { machine, job, team, request } = assignment;
+    machine.deallocate(assignment);
+    this.teams.add(team, request, -1);
+    this.count--;
     if (job === null) return;
-    addToCount(this.byClass, job.spec.class, -1);
+    adjustCount(this.countByClass, job.spec.class, -1);
     job.progressChanged = true;
   }
 
@@ -210,11 +215,11 @@
     const { machine, job, name, task } = assignment;
     if (machine.assignments.get(name) === assignment) {
       machine.assignments.delete(name);
-      machine.record.remove(assignment);
+      machine.recordSize.remove(assignment);
     }
     job?.allAssignments.delete(assignment);
     if (job?.currentAssignments.get(task) === assignment) job.currentAssignments.delete(task);
-    if (!machine.busy) machine.idleSince = this.eventLoop.now();
+    if (!machine.isBusy) machine.idleSince = this.eventLoop.now();
     this.events.recordDue(machine);
   }
 }
@@ -223,7 +228,7 @@
  * Leaders before may have left a task's record on a machine that it had gone from, beside that of
  * where it went. Both count until reports tell; the job knows the later attempt.
  */
-function attachNewest(job: Job, assignment: Assignment): void {
+function attachLatestAttempt(job: Job, assignment: Assignment): void {
   const other = job.currentAssignments.get(assignment.task);
   if (other === undefined || other.attempt < assignment.attempt)
     job.currentAssignments.set(assignment.task, assignment);
--- a/src/controller/workers/orders.test.ts
+++ b/src/controller/workers/commands.test.ts
@@ -5,24 +5,24 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { WorkerCommand } from '../wire/workers.js';
-import { plannedAssignment, type Assignment } from './assignment.js';
+import { planAssignment, type Assignment } from './assignment.js';
 import { Machine } from './machine.js';
-import { addOrder } from './orders.js';
+import { addCommand } from './commands.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const ATTEMPT = 9;
-const STOP = { graceS: 5, requestedAt: 0, reason: 'preempted', sentDirectly: false };
+const STOP = { graceS: 5, requestedAt: 0, reason: 'preempted', sentAsDirectCommand: false };
 
 function assignmentIn(part: Partial<Assignment>): Assignment {
   const machine = new Machine('n-1', 0, settings);
-  machine.session = 1;
+  machine.agentEpoch = 1;
   const job = acceptedJob({ checkpointSaveS: 10 });
-  return Object.assign(plannedAssignment(job, 0, ATTEMPT, machine, 0), part);
+  return Object.assign(planAssignment(job, 0, ATTEMPT, machine, 0), part);
 }
 
 function ordersFor(assignment: Assignment, now = 0, session = 1): WorkerCommand[] {
   const orders: WorkerCommand[] = [];
-  addOrder(assignment, { agentEpoch: session, sequence: 7 }, orders, settings, now);
+  addCommand(assignment, { agentEpoch: session, sequence: 7 }, orders, settings, now);
   return orders;
 }
 
@@ -33,7 +33,7 @@
     const start = { op: 'start', name: 'req-1/0', attempt: ATTEMPT };
     assert.deepEqual(ordersFor(assignment), [start]);
     assert.equal(assignment.phase, 'sent');
-    assert.equal(assignment.sentSeq, 7);
+    assert.equal(assignment.startSentSequence, 7);
     assert.deepEqual(ordersFor(assignment), []);
     assert.deepEqual(ordersFor(assignmentIn({ phase: 'planned' })), []);
   });
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -6,11 +6,11 @@
 import type { Call, Reply } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { attemptKey, plannedAssignment, type Assignment } from './assignment.js';
+import { attemptKey, planAssignment, type Assignment } from './assignment.js';
 import { DirectCommands } from './direct-commands.js';
 import { Machine } from './machine.js';
-import { makeToken } from './token.js';
-import { TokenSync } from './token-sync.js';
+import { makeFencingToken } from './fencing-token.js';
+import { FencingTokenSync } from './fencing-token-sync.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const TERM = 50;
@@ -33,13 +33,18 @@
       call: (call: Call, done: (reply: Reply) => void) => this.calls.push({ call, done }),
     };
     const eventLoop = new EventLoop(runtime, clock.log);
-    const sync = new TokenSync(eventLoop, TERM);
+    const fencingTokens = new FencingTokenSync(eventLoop, TERM);
     const alive = { isAlive: () => true };
-    this.commands = new DirectCommands(eventLoop, settings, sync, alive, (term) =>
+    this.commands = new DirectCommands(eventLoop, settings, fencingTokens, alive, (term) =>
       this.higherTerms.push(term),
     );
-    Object.assign(this.machine, { addr: '10.1.0.1:9', session: 1, lastSeq: 4, synced: true });
-    this.assignment = plannedAssignment(acceptedJob(), 0, ATTEMPT, this.machine, 0);
+    Object.assign(this.machine, {
+      addr: '10.1.0.1:9',
+      agentEpoch: 1,
+      lastHeartbeatSequence: 4,
+      tokenAcknowledged: true,
+    });
+    this.assignment = planAssignment(acceptedJob(), 0, ATTEMPT, this.machine, 0);
     this.assignment.phase = 'recorded';
     this.machine.assignments.set(this.assignment.name, this.assignment);
   }
@@ -52,7 +57,7 @@
   answer(status: number, term = TERM): void {
     const report = {
       ...{ kiln: 'n-1', address: '10.1.0.1:9', model: 'g', hall: 'a', loaners: false },
-      ...{ tenure: 1, tally: 6, baton: makeToken(term, 0), recall_s: null, duties: [] },
+      ...{ tenure: 1, tally: 6, baton: makeFencingToken(term, 0), recall_s: null, duties: [] },
     };
     this.calls.pop()?.done({ status, body: report });
   }
@@ -63,24 +68,24 @@
     const bench = new Bench();
     bench.send();
     assert.deepEqual(bench.calls[0]?.call.body, {
-      baton: makeToken(TERM, 0),
+      baton: makeFencingToken(TERM, 0),
       tenure: 1,
       orders: [{ verb: 'run', duty: 'req-1/0', try: ATTEMPT }],
     });
     assert.equal(bench.assignment.phase, 'sent');
-    assert.equal(bench.assignment.sentSeq, 4);
-    assert.equal(bench.machine.directStartTokens.get(KEY), makeToken(TERM, 0));
+    assert.equal(bench.assignment.startSentSequence, 4);
+    assert.equal(bench.machine.directStartTokens.get(KEY), makeFencingToken(TERM, 0));
     bench.answer(200);
-    assert.equal(bench.assignment.sentSeq, 6);
-    assert.equal(bench.machine.openDirectCalls, 0);
+    assert.equal(bench.assignment.startSentSequence, 6);
+    assert.equal(bench.machine.pendingDirectCalls, 0);
   });
 
   it('start nothing on a machine that is not known to hear, or is recalled', () => {
     const deaf = new Bench();
-    deaf.machine.synced = false;
+    deaf.machine.tokenAcknowledged = false;
     deaf.send();
     const recalled = new Bench();
-    recalled.machine.noticeAt = 5000;
+    recalled.machine.interruptionAt = 5000;
     recalled.send();
     assert.equal(deaf.calls.length + recalled.calls.length, 0);
   });
@@ -115,7 +120,7 @@
 
   it('wait where two are out already', () => {
     const bench = new Bench();
-    bench.machine.openDirectCalls = 2;
+    bench.machine.pendingDirectCalls = 2;
     bench.send();
     assert.equal(bench.calls.length, 0);
     assert.equal(bench.assignment.phase, 'recorded');
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -11,9 +11,9 @@
 import { attemptKey, type Assignment } from './assignment.js';
 import type { Liveness } from './liveness.js';
 import type { Machine } from './machine.js';
-import { startOrder, stopOrder } from './orders.js';
-import { termOf } from './token.js';
-import type { TokenSync } from './token-sync.js';
+import { startCommand, stopCommand } from './commands.js';
+import { termOfToken } from './fencing-token.js';
+import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /** Direct commands to one machine that wait for its answer: a machine that is cut off takes no more sockets. */
 const OPEN_CALLS_LIMIT = 2;
@@ -26,9 +26,9 @@
 const CONFLICT = 409;
 
 /** One direct command: its orders, and those of them that are starts. */
-interface Command {
-  readonly session: number;
-  readonly orders: WorkerCommand[];
+interface CommandBatch {
+  readonly agentEpoch: number;
+  readonly commands: WorkerCommand[];
   readonly starts: Assignment[];
 }
 
@@ -43,7 +43,7 @@
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
-    private readonly sync: TokenSync,
+    private readonly fencingTokens: FencingTokenSync,
     private readonly liveness: Pick<Liveness, 'isAlive'>,
     private readonly higherTerm: (term: number) => void,
   ) {}
@@ -66,68 +66,72 @@
 
   private send(machine: Machine): void {
     // The answers to reports say the same a little later.
-    if (machine.addr === '' || machine.openDirectCalls >= OPEN_CALLS_LIMIT) return;
+    if (machine.addr === '' || machine.pendingDirectCalls >= OPEN_CALLS_LIMIT) return;
     if (!this.eventLoop.runtime.hasSpareConnection(machine.addr)) return;
-    const command = this.commandFor(machine);
-    if (command.orders.length === 0) return;
-    this.markSent(machine, command.starts);
-    this.call(machine, command);
+    const batch = this.batchFor(machine);
+    if (batch.commands.length === 0) return;
+    this.markSent(machine, batch.starts);
+    this.call(machine, batch);
   }
 
-  private commandFor(machine: Machine): Command {
-    const { session } = machine;
-    const command: Command = { session, orders: [], starts: [] };
+  private batchFor(machine: Machine): CommandBatch {
+    const { agentEpoch } = machine;
+    const batch: CommandBatch = { agentEpoch, commands: [], starts: [] };
     const startable =
-      machine.noticeAt === null &&
-      this.sync.mayStartDirectly(machine) &&
+      machine.interruptionAt === null &&
+      this.fencingTokens.mayStartDirectly(machine) &&
       this.liveness.isAlive(machine);
     for (const assignment of machine.assignments.values())
-      if (assignment.session === session) addTo(command, assignment, startable);
-    return command;
+      if (assignment.agentEpoch === agentEpoch) addToBatch(batch, assignment, startable);
+    return batch;
   }
 
   private markSent(machine: Machine, starts: readonly Assignment[]): void {
     for (const assignment of starts) {
       assignment.phase = 'sent';
-      assignment.sentSeq = machine.lastSeq;
+      assignment.startSentSequence = machine.lastHeartbeatSequence;
       const key = attemptKey(assignment.name, assignment.attempt);
-      machine.directStartTokens.set(key, this.sync.tokenOf(machine));
+      machine.directStartTokens.set(key, this.fencingTokens.currentToken(machine));
     }
   }
 
-  private call(machine: Machine, command: Command): void {
-    machine.openDirectCalls++;
+  private call(machine: Machine, batch: CommandBatch): void {
+    machine.pendingDirectCalls++;
     this.eventLoop.runtime.call(
       {
         to: machine.addr,
         method: 'POST',
         path: COMMAND_PATH,
-        body: writeDirectCommands(this.sync.tokenOf(machine), command.session, command.orders),
+        body: writeDirectCommands(
+          this.fencingTokens.currentToken(machine),
+          batch.agentEpoch,
+          batch.commands,
+        ),
         timeoutMs: this.settings.heartbeatIntervalMs,
       },
       (reply) => {
         this.eventLoop.post('direct', () => {
-          machine.openDirectCalls--;
-          this.answered(machine, command, reply);
+          machine.pendingDirectCalls--;
+          this.handleResponse(machine, batch, reply);
         });
       },
     );
   }
 
-  private answered(machine: Machine, command: Command, { status, body }: Reply): void {
+  private handleResponse(machine: Machine, batch: CommandBatch, { status, body }: Reply): void {
     if (status !== OK && status !== CONFLICT) return;
-    const report = this.readAnswer(machine, body);
+    const report = this.parseResponse(machine, body);
     if (report === null) return;
-    if (status === CONFLICT) this.higherTerm(termOf(report.fencingToken));
-    if (machine.session !== command.session) return;
-    for (const assignment of command.starts) {
-      if (status === CONFLICT) startRefused(machine, assignment);
+    if (status === CONFLICT) this.higherTerm(termOfToken(report.fencingToken));
+    if (machine.agentEpoch !== batch.agentEpoch) return;
+    for (const assignment of batch.starts) {
+      if (status === CONFLICT) revertStart(machine, assignment);
       // Reports sent before the command was carried out cannot show the task.
-      else if (assignment.phase === 'sent') assignment.sentSeq = report.sequence;
+      else if (assignment.phase === 'sent') assignment.startSentSequence = report.sequence;
     }
   }
 
-  private readAnswer(machine: Machine, body: unknown): Heartbeat | null {
+  private parseResponse(machine: Machine, body: unknown): Heartbeat | null {
     try {
       return readHeartbeat(body);
     } catch (err) {
@@ -138,20 +142,20 @@
 }
 
 /** Adds the start or the stop of the assignment to the command, if it has one to send. */
-function addTo(command: Command, assignment: Assignment, startable: boolean): void {
+function addToBatch(batch: CommandBatch, assignment: Assignment, startable: boolean): void {
   const { phase, stop } = assignment;
   if (phase === 'recorded' && stop === null && startable) {
-    command.orders.push(startOrder(assignment));
-    command.starts.push(assignment);
+    batch.commands.push(startCommand(assignment));
+    batch.starts.push(assignment);
     return;
   }
-  if (stop === null || stop.sentDirectly || phase === 'ended') return;
-  stop.sentDirectly = true;
-  command.orders.push(stopOrder(assignment, stop.graceS));
+  if (stop === null || stop.sentAsDirectCommand || phase === 'ended') return;
+  stop.sentAsDirectCommand = true;
+  batch.commands.push(stopCommand(assignment, stop.graceS));
 }
 
 /** The worker has not carried out the start and never will: it goes out again. */
-function startRefused(machine: Machine, assignment: Assignment): void {
+function revertStart(machine: Machine, assignment: Assignment): void {
   machine.directStartTokens.delete(attemptKey(assignment.name, assignment.attempt));
   if (assignment.phase === 'sent') assignment.phase = 'recorded';
 }
--- a/src/controller/workers/failures.test.ts
+++ b/src/controller/workers/failure-tracker.test.ts
@@ -4,7 +4,7 @@
 import type { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { Failures } from './failures.js';
+import { FailureTracker } from './failure-tracker.js';
 import { Machine } from './machine.js';
 import { acceptedJob, FakeClock } from '../../../test/stand-ins.js';
 
@@ -17,25 +17,25 @@
 
 describe('failures', () => {
   const clock = new FakeClock(NOW);
-  const failures = new Failures(clock, settings);
+  const failures = new FailureTracker(clock, settings);
   const tolerated = settings.get('fleet.strikes');
 
   it('quarantine a machine that enough different jobs have failed on', () => {
     const machine = new Machine('n-1', 0, settings);
     for (let i = 1; i < tolerated; i++) failures.recordFailure(machine, job(`req-${i}`), 'error');
-    assert.equal(machine.noPlacingBefore, 0);
+    assert.equal(machine.unschedulableUntil, 0);
     failures.recordFailure(machine, job('req-last'), 'error');
-    assert.equal(machine.noPlacingBefore, NOW + 2 * settings.workerLeaseMs);
+    assert.equal(machine.unschedulableUntil, NOW + 2 * settings.workerLeaseMs);
     assert.equal(machine.failedJobs.size, 0);
   });
 
   it('are forgotten when a task runs to its end', () => {
     const machine = new Machine('n-1', 0, settings);
     failures.recordFailure(machine, job('req-1'), 'error');
-    machine.quarantines = 1;
+    machine.consecutiveQuarantines = 1;
     failures.recordSuccess(machine);
     assert.equal(machine.failedJobs.size, 0);
-    assert.equal(machine.quarantines, 0);
+    assert.equal(machine.consecutiveQuarantines, 0);
   });
 
   it('delay a job longer each time, up to two leases', () => {
@@ -53,7 +53,7 @@
     const machine = new Machine('n-1', 0, settings);
     const placed = job('req-1');
     failures.recordFailure(machine, placed, 'no_room');
-    assert.equal(machine.noPlacingBefore, NOW + settings.heartbeatIntervalMs);
+    assert.equal(machine.unschedulableUntil, NOW + settings.heartbeatIntervalMs);
     assert.equal(placed.backoffUntil, 0);
   });
 
--- a/src/controller/workers/failures.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -2,7 +2,7 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
-import type { Outcome } from './assignment.js';
+import type { AssignmentOutcome } from './assignment.js';
 import type { Machine } from './machine.js';
 
 /**
@@ -18,7 +18,7 @@
 const BACKOFF_MAX_DOUBLINGS = 5;
 
 /** Ends of a service's replica that say something of it or of its machine. */
-const REPLICA_ENDED: ReadonlySet<Outcome> = new Set<Outcome>([
+const REPLICA_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'done',
   'error',
   'busy',
@@ -27,10 +27,14 @@
 ]);
 
 /** Ends that are no failure of the task; its job pauses for a report. */
-const UNEXPLAINED: ReadonlySet<Outcome> = new Set<Outcome>(['busy', 'unknown', 'other']);
+const UNEXPLAINED_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
+  'busy',
+  'unknown',
+  'other',
+]);
 
 /** Puts failing machines into quarantine and delays failing jobs. */
-export class Failures {
+export class FailureTracker {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly settings: Settings,
@@ -39,18 +43,18 @@
   /** A task ran to its end on the machine. */
   recordSuccess(machine: Machine): void {
     machine.failedJobs.clear();
-    machine.quarantines = 0;
+    machine.consecutiveQuarantines = 0;
   }
 
   /** A task of the job ended on the machine without being completed. */
-  recordFailure(machine: Machine, job: Job, outcome: Outcome): void {
+  recordFailure(machine: Machine, job: Job, outcome: AssignmentOutcome): void {
     const now = this.eventLoop.now();
     const pausedUntil = now + this.settings.heartbeatIntervalMs;
-    if (job.isService && REPLICA_ENDED.has(outcome)) this.avoidMachine(machine, job, now);
+    if (job.isService && REPLICA_EXITS.has(outcome)) this.avoidMachine(machine, job, now);
     if (outcome === 'error') this.recordError(machine, job, now);
     else if (outcome === 'no_room')
-      machine.noPlacingBefore = Math.max(machine.noPlacingBefore, pausedUntil);
-    else if (!job.isService && UNEXPLAINED.has(outcome))
+      machine.unschedulableUntil = Math.max(machine.unschedulableUntil, pausedUntil);
+    else if (!job.isService && UNEXPLAINED_EXITS.has(outcome))
       job.backoffUntil = Math.max(job.backoffUntil, pausedUntil);
   }
 
@@ -86,12 +90,12 @@
   private countAgainst(machine: Machine, job: Job, now: number): void {
     if (!this.isFaulty(job)) machine.failedJobs.add(job.spec.id);
     // One that was let out on trial and fails again goes back at once.
-    const tolerated = machine.quarantines > 0 ? 1 : this.settings.get('fleet.strikes');
+    const tolerated = machine.consecutiveQuarantines > 0 ? 1 : this.settings.get('fleet.strikes');
     if (machine.failedJobs.size < tolerated) return;
-    machine.quarantines++;
+    machine.consecutiveQuarantines++;
     machine.failedJobs.clear();
-    const leases = Math.min(2 ** machine.quarantines, QUARANTINE_MAX_LEASES);
-    machine.noPlacingBefore = now + this.settings.workerLeaseMs * leases;
+    const leases = Math.min(2 ** machine.consecutiveQuarantines, QUARANTINE_MAX_LEASES);
+    machine.unschedulableUntil = now + this.settings.workerLeaseMs * leases;
     this.eventLoop.log.warn({ machine: machine.id }, 'machine quarantined');
   }
 }
--- a/src/controller/workers/token-sync.ts
+++ b/src/controller/workers/fencing-token-sync.ts
@@ -2,13 +2,13 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import { attemptKey } from './assignment.js';
 import type { Machine } from './machine.js';
-import { EPOCH_LIMIT, makeToken, termOf } from './token.js';
+import { FENCING_EPOCH_LIMIT, makeFencingToken, termOfToken } from './fencing-token.js';
 
 /** Reports with lost starts after which a machine is taken to hear nothing. */
-const UNHEARD_STARTS_LIMIT = 2;
+const LOST_START_LIMIT = 2;
 
 /** Raises and checks the tokens of one leader's workers. */
-export class TokenSync {
+export class FencingTokenSync {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now'>,
     /** The leader's term. */
@@ -16,13 +16,13 @@
   ) {}
 
   /** The token of the commands and answers that go to the machine now. */
-  tokenOf(machine: Machine): number {
-    return makeToken(this.term, machine.epoch);
+  currentToken(machine: Machine): number {
+    return makeFencingToken(this.term, machine.fencingEpoch);
   }
 
   /** Whether a report with this token was sent by a worker that knew this leader. */
-  isCurrent(token: number | bigint): boolean {
-    return termOf(token) === this.term;
+  isOfThisTerm(token: number | bigint): boolean {
+    return termOfToken(token) === this.term;
   }
 
   /**
@@ -31,22 +31,23 @@
    * in every new session; without this it would be given the same tasks again and again.
    */
   requireNewToken(machine: Machine): void {
-    if (machine.epoch < EPOCH_LIMIT) machine.epoch++;
-    machine.expectedToken = this.tokenOf(machine);
-    machine.synced = false;
-    machine.unsyncedSince = this.eventLoop.now();
+    if (machine.fencingEpoch < FENCING_EPOCH_LIMIT) machine.fencingEpoch++;
+    machine.expectedToken = this.currentToken(machine);
+    machine.tokenAcknowledged = false;
+    machine.tokenUnacknowledgedSince = this.eventLoop.now();
   }
 
   /** Takes note of the token that a report shows; true if the machine is known to hear from now on. */
-  observe(machine: Machine, token: number | bigint): boolean {
+  acknowledge(machine: Machine, token: number | bigint): boolean {
     for (const [attempt, startToken] of machine.directStartTokens)
       if (token > startToken) machine.directStartTokens.delete(attempt);
-    if (token > machine.highestTokenSeen) {
-      machine.highestTokenSeen = token;
-      machine.unheardStarts = 0;
+    if (token > machine.highestAcknowledgedToken) {
+      machine.highestAcknowledgedToken = token;
+      machine.lostStartHeartbeats = 0;
     }
-    if (machine.synced || !this.isCurrent(token) || token < machine.expectedToken) return false;
-    machine.synced = true;
+    if (machine.tokenAcknowledged || !this.isOfThisTerm(token) || token < machine.expectedToken)
+      return false;
+    machine.tokenAcknowledged = true;
     return true;
   }
 
@@ -57,7 +58,7 @@
   voidDirectStart(machine: Machine, name: string, attempt: number | bigint): boolean {
     const token = machine.directStartTokens.get(attemptKey(name, attempt));
     if (token === undefined) return false;
-    if (token === this.tokenOf(machine)) machine.epoch++;
+    if (token === this.currentToken(machine)) machine.fencingEpoch++;
     return true;
   }
 
@@ -65,16 +66,16 @@
    * A start did not arrive, as the report of this number shows. True if the machine is taken to hear
    * nothing, so that the task may go elsewhere.
    */
-  recordUnheardStart(machine: Machine, reportNumber: number): boolean {
-    if (machine.unheardStartsReport !== reportNumber) machine.unheardStarts++;
-    machine.unheardStartsReport = reportNumber;
-    if (machine.unheardStarts < UNHEARD_STARTS_LIMIT) return false;
-    if (machine.synced) this.requireNewToken(machine);
+  recordLostStart(machine: Machine, heartbeatNumber: number): boolean {
+    if (machine.lastLostStartHeartbeat !== heartbeatNumber) machine.lostStartHeartbeats++;
+    machine.lastLostStartHeartbeat = heartbeatNumber;
+    if (machine.lostStartHeartbeats < LOST_START_LIMIT) return false;
+    if (machine.tokenAcknowledged) this.requireNewToken(machine);
     return true;
   }
 
   /** Whether the worker is known to have our term in this session, and epochs are left for it. */
   mayStartDirectly(machine: Machine): boolean {
-    return machine.synced && machine.epoch < EPOCH_LIMIT;
+    return machine.tokenAcknowledged && machine.fencingEpoch < FENCING_EPOCH_LIMIT;
   }
 }
--- a/src/controller/workers/token.ts
+++ b/src/controller/workers/fencing-token.ts
@@ -8,21 +8,21 @@
  */
 
 /** Epochs that fit below one term in a token. */
-export const EPOCHS_PER_TERM = 2 ** 20;
+export const FENCING_EPOCHS_PER_TERM = 2 ** 20;
 
 /**
  * From this epoch on the worker gets no direct starts, and none is raised only to see whether it
  * hears: what is left is kept for voiding the direct starts that are out.
  */
-export const EPOCH_LIMIT = EPOCHS_PER_TERM - 2;
+export const FENCING_EPOCH_LIMIT = FENCING_EPOCHS_PER_TERM - 2;
 
 /** The token of a term and an epoch. */
-export function makeToken(term: number, epoch: number): number {
-  return term * EPOCHS_PER_TERM + epoch;
+export function makeFencingToken(term: number, fencingEpoch: number): number {
+  return term * FENCING_EPOCHS_PER_TERM + fencingEpoch;
 }
 
 /** The term in a token; workers may report tokens beyond the safe integers. */
-export function termOf(token: number | bigint): number {
-  if (typeof token === 'bigint') return Number(token / BigInt(EPOCHS_PER_TERM));
-  return Math.floor(token / EPOCHS_PER_TERM);
+export function termOfToken(token: number | bigint): number {
+  if (typeof token === 'bigint') return Number(token / BigInt(FENCING_EPOCHS_PER_TERM));
+  return Math.floor(token / FENCING_EPOCHS_PER_TERM);
 }
--- a/src/controller/workers/counts.test.ts
+++ b/src/controller/workers/keyed-counts.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { addToCount } from './counts.js';
+import { adjustCount } from './keyed-counts.js';
 
 describe('counts', () => {
   it('keep no key without a count', () => {
     const counts = new Map<string, number>();
-    assert.equal(addToCount(counts, 'a', 2), 2);
-    assert.equal(addToCount(counts, 'a', -1), 1);
-    assert.equal(addToCount(counts, 'a', -1), 0);
+    assert.equal(adjustCount(counts, 'a', 2), 2);
+    assert.equal(adjustCount(counts, 'a', -1), 1);
+    assert.equal(adjustCount(counts, 'a', -1), 0);
     assert.equal(counts.size, 0);
   });
 });
--- a/src/controller/workers/counts.ts
+++ b/src/controller/workers/keyed-counts.ts
@@ -1,8 +1,8 @@
 /** Counts kept by key. */
 
 /** Adds to a key's count and returns it; a key whose count falls to zero is removed. */
-export function addToCount(counts: Map<string, number>, key: string, by: number): number {
-  const count = (counts.get(key) ?? 0) + by;
+export function adjustCount(counts: Map<string, number>, key: string, delta: number): number {
+  const count = (counts.get(key) ?? 0) + delta;
   if (count === 0) counts.delete(key);
   else counts.set(key, count);
   return count;
--- a/src/controller/workers/liveness.test.ts
+++ b/src/controller/workers/liveness.test.ts
@@ -31,11 +31,11 @@
     const [machine] = machines;
     assert.ok(machine);
     pass(clock, liveness, 2000);
-    assert.equal(liveness.silentMs(machine), 2000);
-    assert.equal(liveness.deafMs(machine), 2000);
+    assert.equal(liveness.unresponsiveMs(machine), 2000);
+    assert.equal(liveness.unacknowledgedMs(machine), 2000);
     pass(clock, liveness, 1000, false);
-    assert.equal(liveness.silentMs(machine), 0);
-    assert.equal(liveness.deafMs(machine), 0);
+    assert.equal(liveness.unresponsiveMs(machine), 0);
+    assert.equal(liveness.unacknowledgedMs(machine), 0);
   });
 
   it('takes a standstill of its own for time without answers', () => {
@@ -44,7 +44,7 @@
     assert.ok(machine);
     clock.time += INTERVAL_MS * 4;
     liveness.setAnswering(true, INTERVAL_MS);
-    assert.equal(liveness.silentMs(machine), 0);
+    assert.equal(liveness.unresponsiveMs(machine), 0);
   });
 
   it('takes machines for alive that report lately in a session that is not over', () => {
@@ -52,11 +52,11 @@
     const [machine] = machines;
     assert.ok(machine);
     assert.ok(!liveness.isAlive(machine), 'not heard yet');
-    machine.lastReportAt = 0;
+    machine.lastHeartbeatAt = 0;
     assert.ok(liveness.isAlive(machine));
-    machine.lowestValidSession = 1;
+    machine.lowestValidAgentEpoch = 1;
     assert.ok(!liveness.isAlive(machine));
-    machine.session = 1;
+    machine.agentEpoch = 1;
     clock.time = settings.workerLeaseMs * settings.get('workers.silent.ratio');
     assert.ok(!liveness.isAlive(machine));
   });
@@ -65,9 +65,9 @@
     const { clock, machines, liveness } = setUp('n-1', 'n-2', 'n-3');
     const [reporting, never, failed] = machines;
     assert.ok(reporting && never && failed);
-    failed.listed = 'failed';
+    failed.cloudState = 'failed';
     pass(clock, liveness, settings.heartbeatIntervalMs * 4);
-    reporting.lastReportAt = clock.time;
+    reporting.lastHeartbeatAt = clock.time;
     assert.equal(liveness.overdueShare(0, false), 0.5);
     assert.equal(liveness.overdueShare(0, true), 0);
     assert.equal(liveness.overdueShare(settings.heartbeatIntervalMs * 4, false), 0);
--- a/src/controller/workers/record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -7,7 +7,7 @@
 import { storedSize } from '../store/page-table.js';
 import type { Assignment } from './assignment.js';
 import { Machine } from './machine.js';
-import { readRecord, writeRecord } from './record.js';
+import { decodeMachineRecord, encodeMachineRecord } from './machine-record.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const NOW = 500_000;
@@ -40,12 +40,18 @@
     const jobId = `req-${String(t.job).padStart(6, '0')}`;
     const a: Assignment = {
       ...{ name: `${jobId}/${t.task}`, jobId, job: null, team: 'red', task: t.task },
-      ...{ attempt: 77 * ATTEMPTS + t.attempt, machine, session: 1, since: t.since },
-      ...{ need: { cpus: 1.25, gpus: 0, memoryGb: 2.3 }, saveS: 0, phase: 'seen' },
-      ...{ state: null, sentSeq: null, runningAt: null, lastReportNumber: 0, stop: null },
+      ...{ attempt: 77 * ATTEMPTS + t.attempt, machine, agentEpoch: 1, assignedAt: t.since },
+      ...{ request: { cpus: 1.25, gpus: 0, memoryGb: 2.3 }, checkpointSaveS: 0, phase: 'seen' },
+      ...{
+        state: null,
+        startSentSequence: null,
+        runningAt: null,
+        lastHeartbeatNumber: 0,
+        stop: null,
+      },
     };
     machine.assignments.set(a.name, a);
-    machine.record.add(a);
+    machine.recordSize.add(a);
   }
   return machine;
 }
@@ -55,16 +61,19 @@
     fc.assert(
       fc.property(tasksOfMachine, (tasks) => {
         const machine = machineWith(tasks);
-        const text = JSON.stringify(writeRecord(machine, settings, NOW, WALL));
-        const read = readRecord(JSON.parse(text), WALL);
+        const text = JSON.stringify(encodeMachineRecord(machine, settings, NOW, WALL));
+        const read = decodeMachineRecord(JSON.parse(text), WALL);
         assert.equal(read?.tasks.length, tasks.length);
         for (const t of read.tasks) {
           const a = machine.assignments.get(`${t.jobId}/${t.task}`);
           assert.ok(a, `${t.jobId}/${t.task}`);
           assert.equal(t.attempt, a.attempt);
-          assert.deepEqual(t.need, a.need);
-          const since = NOW - (WALL - t.at);
-          assert.ok(Math.abs(since - a.since) <= TOGETHER_MS + 1, `${since} for ${a.since}`);
+          assert.deepEqual(t.request, a.request);
+          const since = NOW - (WALL - t.assignedAtWallClock);
+          assert.ok(
+            Math.abs(since - a.assignedAt) <= TOGETHER_MS + 1,
+            `${since} for ${a.assignedAt}`,
+          );
         }
       }),
       { seed: 5 },
@@ -75,11 +84,13 @@
     fc.assert(
       fc.property(tasksOfMachine, (tasks) => {
         const machine = machineWith(tasks);
-        const empty = storedSize(writeRecord(new Machine('n-1', 0, settings), settings, NOW, WALL));
-        const written = storedSize(writeRecord(machine, settings, NOW, WALL)) - empty;
-        assert.ok(written <= machine.record.bytes, `${written} of ${machine.record.bytes}`);
-        for (const a of machine.assignments.values()) machine.record.remove(a);
-        assert.equal(machine.record.bytes, 0);
+        const empty = storedSize(
+          encodeMachineRecord(new Machine('n-1', 0, settings), settings, NOW, WALL),
+        );
+        const written = storedSize(encodeMachineRecord(machine, settings, NOW, WALL)) - empty;
+        assert.ok(written <= machine.recordSize.bytes, `${written} of ${machine.recordSize.bytes}`);
+        for (const a of machine.assignments.values()) machine.recordSize.remove(a);
+        assert.equal(machine.recordSize.bytes, 0);
       }),
       { seed: 6 },
     );
@@ -89,7 +100,7 @@
     const tasks = Array.from({ length: 40 }, (_, task) => {
       return { job: 1, task, attempt: 1, since: task < 30 ? 1000 : 1000 + TOGETHER_MS };
     });
-    const value = writeRecord(machineWith(tasks), settings, NOW, WALL) as unknown[][];
+    const value = encodeMachineRecord(machineWith(tasks), settings, NOW, WALL) as unknown[][];
     const [, , , , , job] = value;
     assert.equal(value.length, 6, 'one job');
     assert.equal(job?.slice(6).length, 2, 'two spans of time');
--- a/src/controller/workers/registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
 import { Machine } from './machine.js';
-import type { TokenSync } from './token-sync.js';
+import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /**
  * Machines that are gone are remembered for so many leases, however many they are: the network may
@@ -29,38 +29,38 @@
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now'>,
     private readonly settings: Settings,
-    private readonly sync: TokenSync,
-    private readonly typeNamed: (name: string) => MachineType | undefined,
+    private readonly fencingTokens: FencingTokenSync,
+    private readonly findType: (name: string) => MachineType | undefined,
   ) {}
 
   /** The machine of this name, made known if it is not. */
-  obtain(id: string): Machine {
+  getOrCreate(id: string): Machine {
     const known = this.machines.get(id);
     if (known !== undefined) return known;
     const machine = new Machine(id, this.eventLoop.now(), this.settings);
-    machine.expectedToken = this.sync.tokenOf(machine);
+    machine.expectedToken = this.fencingTokens.currentToken(machine);
     this.machines.set(id, machine);
     return machine;
   }
 
   /** Sets what is known of the machine; an empty address changes nothing. */
-  describe(machine: Machine, { type, zone, spot, addr }: MachineDescription): void {
+  setDescription(machine: Machine, { type, zone, spot, addr }: MachineDescription): void {
     machine.typeName = type;
-    machine.type = this.typeNamed(type) ?? null;
+    machine.type = this.findType(type) ?? null;
     machine.zone = zone;
     machine.spot = spot;
     if (addr !== '') machine.addr = addr;
   }
 
   /** Takes over what a report says of the machine, if it is new. */
-  update(machine: Machine, reported: MachineDescription): void {
+  updateDescription(machine: Machine, reported: MachineDescription): void {
     const changed =
       machine.typeName !== reported.type ||
       machine.addr !== reported.addr ||
       machine.zone !== reported.zone ||
       machine.spot !== reported.spot ||
       machine.type === null;
-    if (changed) this.describe(machine, reported);
+    if (changed) this.setDescription(machine, reported);
   }
 
   /** The machine is gone for ever. */
--- a/src/controller/workers/machine-store.test.ts
+++ b/src/controller/workers/machine-store.test.ts
@@ -7,11 +7,11 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
-import { plannedAssignment, type Assignment } from './assignment.js';
+import { planAssignment, type Assignment } from './assignment.js';
 import { imagesKey, machineKey, MachineStore } from './machine-store.js';
 import type { Machine } from './machine.js';
-import { MachineRegistry } from './registry.js';
-import { TokenSync } from './token-sync.js';
+import { MachineRegistry } from './machine-registry.js';
+import { FencingTokenSync } from './fencing-token-sync.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const NOW = 1000;
@@ -25,17 +25,17 @@
   constructor(readonly records: RecordStore) {
     const clock = new FakeClock(NOW);
     const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
-    const sync = new TokenSync(eventLoop, 1);
-    this.registry = new MachineRegistry(eventLoop, settings, sync, () => undefined);
+    const fencingTokens = new FencingTokenSync(eventLoop, 1);
+    this.registry = new MachineRegistry(eventLoop, settings, fencingTokens, () => undefined);
     this.store = new MachineStore(eventLoop, settings, records, this.registry, {
-      restored: ({ id }, { jobId, task, attempt }, since) =>
+      taskRestored: ({ id }, { jobId, task, attempt }, since) =>
         this.told.push(`${id} ${jobId}/${task}@${attempt} since ${since}`),
-      recorded: ({ id }) => this.told.push(`recorded ${id}`),
+      assignmentsRecorded: ({ id }) => this.told.push(`recorded ${id}`),
     });
   }
 
   plan(machine: Machine): Assignment {
-    const assignment = plannedAssignment(acceptedJob(), 0, 9, machine, NOW);
+    const assignment = planAssignment(acceptedJob(), 0, 9, machine, NOW);
     machine.assignments.set(assignment.name, assignment);
     return assignment;
   }
@@ -45,9 +45,14 @@
   it('reads back what it has written', () => {
     const records = storedAtOnce();
     const writer = new Bench(records);
-    const machine = writer.registry.obtain('n-1');
-    writer.registry.describe(machine, { type: 'g', zone: 'a', spot: true, addr: '10.1.0.1:9' });
-    machine.session = 3;
+    const machine = writer.registry.getOrCreate('n-1');
+    writer.registry.setDescription(machine, {
+      type: 'g',
+      zone: 'a',
+      spot: true,
+      addr: '10.1.0.1:9',
+    });
+    machine.agentEpoch = 3;
     machine.images.set('i', 2.5);
     const assignment = writer.plan(machine);
     writer.store.markChanged(machine);
@@ -57,9 +62,9 @@
     assert.deepEqual(writer.told, ['recorded n-1']);
 
     const reader = new Bench(records);
-    reader.store.load();
-    const known = reader.registry.obtain('n-1');
-    assert.deepEqual([known.session, known.typeName, known.zone], [3, 'g', 'a']);
+    reader.store.restore();
+    const known = reader.registry.getOrCreate('n-1');
+    assert.deepEqual([known.agentEpoch, known.typeName, known.zone], [3, 'g', 'a']);
     assert.deepEqual([known.spot, known.addr], [true, '10.1.0.1:9']);
     assert.deepEqual([...known.images], [['i', 2.5]]);
     assert.deepEqual(reader.told, [`n-1 req-1/0@9 since ${NOW}`]);
@@ -67,7 +72,7 @@
 
   it('writes once what has changed, and no empty record that is not there', () => {
     const bench = new Bench(storedAtOnce());
-    const machine = bench.registry.obtain('n-1');
+    const machine = bench.registry.getOrCreate('n-1');
     bench.store.markChanged(machine);
     bench.store.flush();
     assert.ok(!bench.records.has(machineKey('n-1')));
@@ -81,7 +86,7 @@
   it('removes the records of a machine that is gone', () => {
     const keys = [machineKey('n-1'), imagesKey('n-1')];
     const bench = new Bench(storedAtOnce(Object.fromEntries(keys.map((key) => [key, []]))));
-    const machine = bench.registry.obtain('n-1');
+    const machine = bench.registry.getOrCreate('n-1');
     bench.store.markImagesChanged(machine);
     bench.store.remove(machine);
     bench.store.flush();
@@ -90,7 +95,7 @@
 
   it('skips what is no record of a machine', () => {
     const bench = new Bench(storedAtOnce({ [machineKey('n-1')]: 'text' }));
-    bench.store.load();
+    bench.store.restore();
     assert.equal(bench.registry.machines.size, 0);
   });
 });
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -4,8 +4,8 @@
 import type { RecordStore, WritePriority } from '../store/record-store.js';
 import type { Assignment } from './assignment.js';
 import type { Machine } from './machine.js';
-import { readRecord, writeRecord, type RecordedTask } from './record.js';
-import type { MachineRegistry } from './registry.js';
+import { decodeMachineRecord, encodeMachineRecord, type RecordedTask } from './machine-record.js';
+import type { MachineRegistry } from './machine-registry.js';
 
 const MACHINE_PREFIX = 'm/';
 const IMAGES_PREFIX = 'i/';
@@ -23,9 +23,9 @@
 /** What the store of machines tells of. */
 export interface MachineStoreEvents {
   /** A task that an earlier leader has left on the machine. */
-  restored(machine: Machine, task: RecordedTask, since: number): void;
+  taskRestored(machine: Machine, task: RecordedTask, since: number): void;
   /** The machine's planned assignments are on record: they may be started. */
-  recorded(machine: Machine): void;
+  assignmentsRecorded(machine: Machine): void;
 }
 
 /** Writes machines that have changed, once a batch. */
@@ -43,28 +43,28 @@
   ) {}
 
   /** What the leaders before have left, read at takeover. */
-  load(): void {
+  restore(): void {
     for (const { key, value } of this.records.list(MACHINE_PREFIX))
-      this.loadMachine(key.slice(MACHINE_PREFIX.length), value);
+      this.restoreMachine(key.slice(MACHINE_PREFIX.length), value);
     for (const { key, value } of this.records.list(IMAGES_PREFIX))
-      this.loadImages(key.slice(IMAGES_PREFIX.length), value);
+      this.restoreImages(key.slice(IMAGES_PREFIX.length), value);
   }
 
-  private loadMachine(id: string, value: unknown): void {
+  private restoreMachine(id: string, value: unknown): void {
     const wall = this.eventLoop.runtime.wallClock();
-    const record = readRecord(value, wall);
+    const record = decodeMachineRecord(value, wall);
     if (record === null) return;
-    const machine = this.registry.obtain(id);
-    machine.session = record.session;
-    this.registry.describe(machine, record);
+    const machine = this.registry.getOrCreate(id);
+    machine.agentEpoch = record.agentEpoch;
+    this.registry.setDescription(machine, record);
     for (const task of record.tasks) {
-      const ageMs = Math.max(0, wall - task.at);
-      this.events.restored(machine, task, this.eventLoop.now() - ageMs);
+      const ageMs = Math.max(0, wall - task.assignedAtWallClock);
+      this.events.taskRestored(machine, task, this.eventLoop.now() - ageMs);
     }
   }
 
-  private loadImages(id: string, value: unknown): void {
-    const { images } = this.registry.obtain(id);
+  private restoreImages(id: string, value: unknown): void {
+    const { images } = this.registry.getOrCreate(id);
     if (!Array.isArray(value)) return;
     for (let i = 0; i + 1 < value.length; i += 2)
       images.set(String(value[i]), Number(value[i + 1]));
@@ -101,7 +101,7 @@
     const key = machineKey(machine.id);
     if (machine.assignments.size === 0 && !this.records.has(key)) return;
     const planned = [...machine.assignments.values()].filter(({ phase }) => phase === 'planned');
-    const value = writeRecord(
+    const value = encodeMachineRecord(
       machine,
       this.settings,
       this.eventLoop.now(),
@@ -110,7 +110,7 @@
     this.records.set(key, value, urgencyOf(planned), () => {
       for (const assignment of planned)
         if (assignment.phase === 'planned') assignment.phase = 'recorded';
-      this.events.recorded(machine);
+      this.events.assignmentsRecorded(machine);
     });
   }
 }
--- a/src/controller/workers/machine.ts
+++ b/src/controller/workers/machine.ts
@@ -2,8 +2,8 @@
 import type { MachineType } from '../wire/cloud.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment } from './assignment.js';
-import { addToCount } from './counts.js';
-import { RecordSize } from './record.js';
+import { adjustCount } from './keyed-counts.js';
+import { MachineRecordSize } from './machine-record.js';
 
 /** A machine, its worker's session and what is assigned to it. */
 export class Machine {
@@ -12,34 +12,34 @@
   type: MachineType | null = null;
   zone = '';
   spot = false;
-  session = 0;
+  agentEpoch = 0;
   /** Sessions below this are over, whether or not the worker has said so. */
-  lowestValidSession = 0;
+  lowestValidAgentEpoch = 0;
   /** Number of the session's last report. */
-  lastSeq: number | bigint = 0;
+  lastHeartbeatSequence: number | bigint = 0;
   /**
    * A report of this session has come that shows the token last asked for: answers get through, and
    * the report is no late copy from before this term.
    */
-  synced = false;
+  tokenAcknowledged = false;
   /** Since when it has not been. */
-  unsyncedSince: number;
+  tokenUnacknowledgedSince: number;
   /** The token that it has to show. */
   expectedToken = 0;
   /** The highest token that it has shown. */
-  highestTokenSeen: number | bigint = 0;
+  highestAcknowledgedToken: number | bigint = 0;
   /** Reports in a row that lack what the answer before had started. */
-  unheardStarts = 0;
+  lostStartHeartbeats = 0;
   /** Number of the last of these reports. */
-  unheardStartsReport = 0;
-  lastReportAt = -Infinity;
+  lastLostStartHeartbeat = 0;
+  lastHeartbeatAt = -Infinity;
   /** The worker's lease counts at most from here. */
   leaseRenewedAt: number;
   /** When the cloud takes the machine, by its notice. */
-  noticeAt: number | null = null;
+  interruptionAt: number | null = null;
   readonly assignments = new Map<string, Assignment>();
   /** Raised to void old direct commands; see token.ts. */
-  epoch = 0;
+  fencingEpoch = 0;
   /**
    * Attempts of this session started by a direct command, with its token. Until the worker shows a
    * higher one, a copy of the command may still be carried out: then absence from a report proves
@@ -47,72 +47,72 @@
    */
   readonly directStartTokens = new Map<string, number>();
   /** Direct commands that have not been answered. */
-  openDirectCalls = 0;
+  pendingDirectCalls = 0;
   cpus = 0;
   gpus = 0;
   memoryGb = 0;
   /** How large its record is. */
-  readonly record: RecordSize;
+  readonly recordSize: MachineRecordSize;
   /** Tasks that take room, and how many of each class. */
-  tasks = 0;
-  readonly classes = new Map<string, number>();
+  taskCount = 0;
+  readonly taskCountByClass = new Map<string, number>();
   /** Images on the machine, as far as seen; least recently used first. */
   readonly images = new Map<string, number>();
   /** Jobs that failed here since the last success. */
   readonly failedJobs = new Set<string>();
   /** Quarantines in a row. */
-  quarantines = 0;
-  noPlacingBefore = 0;
+  consecutiveQuarantines = 0;
+  unschedulableUntil = 0;
   /** Being returned to the cloud. */
-  leaving = false;
-  readonly firstSeen: number;
+  releasing = false;
+  readonly firstSeenAt: number;
   idleSince: number;
-  listed: 'booting' | 'running' | 'failed' | 'absent' | null = null;
-  listedAt = -Infinity;
+  cloudState: 'booting' | 'running' | 'failed' | 'absent' | null = null;
+  cloudStateAt = -Infinity;
 
   constructor(
     readonly id: string,
     now: number,
     settings: Settings,
   ) {
-    this.record = new RecordSize(settings);
+    this.recordSize = new MachineRecordSize(settings);
     this.leaseRenewedAt = now;
-    this.firstSeen = now;
-    this.unsyncedSince = now;
+    this.firstSeenAt = now;
+    this.tokenUnacknowledgedSince = now;
     this.idleSince = now;
   }
 
   /** Takes the assignment's room. */
-  countIn(assignment: Assignment): void {
-    this.count(assignment, 1);
+  allocate(assignment: Assignment): void {
+    this.adjustUsage(assignment, 1);
   }
 
   /** Gives the assignment's room back. */
-  countOut(assignment: Assignment): void {
-    this.count(assignment, -1);
+  deallocate(assignment: Assignment): void {
+    this.adjustUsage(assignment, -1);
   }
 
-  private count({ need, job }: Assignment, by: number): void {
-    this.tasks += by;
-    this.cpus += need.cpus * by;
-    this.gpus += need.gpus * by;
-    this.memoryGb += need.memoryGb * by;
+  private adjustUsage({ request, job }: Assignment, sign: number): void {
+    this.taskCount += sign;
+    this.cpus += request.cpus * sign;
+    this.gpus += request.gpus * sign;
+    this.memoryGb += request.memoryGb * sign;
     // Sums of decimals drift; a machine without tasks has none.
-    if (this.tasks === 0) {
+    if (this.taskCount === 0) {
       this.cpus = 0;
       this.gpus = 0;
       this.memoryGb = 0;
     }
-    if (job !== null) addToCount(this.classes, job.spec.class, by);
+    if (job !== null) adjustCount(this.taskCountByClass, job.spec.class, sign);
   }
 
   /** Some task takes room. */
-  get busy(): boolean {
-    return this.tasks > 0;
+  get isBusy(): boolean {
+    return this.taskCount > 0;
   }
 
   /** Notes the image as the latest used; true if it was not known to be there. */
-  sawImage(image: string, sizeGb: number): boolean {
+  recordImageUse(image: string, sizeGb: number): boolean {
     const known = this.images.delete(image);
     this.images.set(image, sizeGb);
     if (known) return false;
--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -6,9 +6,9 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { Heartbeat, TaskStatus } from '../wire/workers.js';
-import { plannedAssignment, type Assignment } from './assignment.js';
+import { planAssignment, type Assignment } from './assignment.js';
 import { Machine } from './machine.js';
-import { Reconciliation, type ReportInProgress } from './reconciliation.js';
+import { Reconciliation, type HeartbeatInProgress } from './reconciliation.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const ATTEMPT = 9;
@@ -23,10 +23,10 @@
   deaf = false;
 
   constructor(readonly job: Job = acceptedJob()) {
-    this.machine.session = 1;
-    this.machine.lastSeq = 5;
-    this.assignment = plannedAssignment(job, 0, ATTEMPT, this.machine, 0);
-    Object.assign(this.assignment, { phase: 'sent', sentSeq: 4 });
+    this.machine.agentEpoch = 1;
+    this.machine.lastHeartbeatSequence = 5;
+    this.assignment = planAssignment(job, 0, ATTEMPT, this.machine, 0);
+    Object.assign(this.assignment, { phase: 'sent', startSentSequence: 4 });
     this.machine.assignments.set(this.assignment.name, this.assignment);
     job.currentAssignments.set(0, this.assignment);
     this.reconciliation = new Reconciliation(
@@ -36,35 +36,44 @@
         markDone: (_, task) => this.told.push(`done ${task}`),
       },
       { end: (_, outcome) => this.told.push(`end ${outcome}`) },
-      { voidDirectStart: () => this.startVoided, recordUnheardStart: () => this.deaf },
-      { changed: () => undefined, imagesChanged: ({ id }) => this.told.push(`images ${id}`) },
+      { voidDirectStart: () => this.startVoided, recordLostStart: () => this.deaf },
+      {
+        placementInputChanged: () => undefined,
+        imagesChanged: ({ id }) => this.told.push(`images ${id}`),
+      },
     );
   }
 
   /** A report of this number, under our term if not said otherwise. */
-  handled(seq: number, current = true): ReportInProgress {
-    const report: Heartbeat = {
+  handled(seq: number, sentUnderThisTerm = true): HeartbeatInProgress {
+    const heartbeat: Heartbeat = {
       ...{ machine: 'n-1', addr: '10.1.0.1:9', type: 'g', zone: 'a', spot: false },
       ...{ agentEpoch: 1, sequence: seq, fencingToken: 0, spotNoticeS: null, tasks: [] },
     };
-    return { machine: this.machine, report, number: seq, current, orders: [] };
+    return {
+      machine: this.machine,
+      heartbeat,
+      heartbeatNumber: seq,
+      sentUnderThisTerm,
+      commands: [],
+    };
   }
 
   /** The orders that follow from one listed task, in words. */
-  list(task: Partial<TaskStatus>, current = true): string[] {
-    const handled = this.handled(5, current);
+  list(task: Partial<TaskStatus>, sentUnderThisTerm = true): string[] {
+    const handled = this.handled(5, sentUnderThisTerm);
     const usual = {
       name: 'req-1/0',
       attempt: ATTEMPT,
       cause: null,
       checkpointSaved: false,
     } as const;
-    this.reconciliation.listed(handled, { ...usual, state: 'running', ...task });
-    return handled.orders.map(({ op, name }) => `${op} ${name}`);
+    this.reconciliation.reconcileReportedTask(handled, { ...usual, state: 'running', ...task });
+    return handled.commands.map(({ op, name }) => `${op} ${name}`);
   }
 
   missing(seq: number): void {
-    this.reconciliation.missing(this.handled(seq), this.assignment);
+    this.reconciliation.reconcileMissingTask(this.handled(seq), this.assignment);
   }
 }
 
@@ -74,7 +83,7 @@
     assert.deepEqual(bench.list({}), []);
     assert.equal(bench.assignment.phase, 'seen');
     assert.equal(bench.assignment.runningAt, 1000);
-    assert.equal(bench.assignment.lastReportNumber, 5);
+    assert.equal(bench.assignment.lastHeartbeatNumber, 5);
     assert.deepEqual(bench.told, ['images n-1']);
   });
 
@@ -104,11 +113,11 @@
 
   it('starts a part of a gang again while the others fetch their image', () => {
     const bench = new Bench(acceptedJob({ kind: 'gang' }));
-    const other = plannedAssignment(bench.job, 1, ATTEMPT, new Machine('n-2', 0, settings), 0);
+    const other = planAssignment(bench.job, 1, ATTEMPT, new Machine('n-2', 0, settings), 0);
     bench.job.currentAssignments.set(1, other);
     const orders = bench.list({ state: 'exited', cause: 'alone' });
     assert.deepEqual(orders, ['forget req-1/0', 'start req-1/0']);
-    assert.equal(bench.assignment.sentSeq, 5);
+    assert.equal(bench.assignment.startSentSequence, 5);
     other.state = 'waiting';
     assert.deepEqual(bench.list({ state: 'exited', cause: 'alone' }), ['forget req-1/0']);
     assert.deepEqual(bench.told, ['end alone']);
--- a/src/controller/workers/workers.test.ts
+++ b/src/controller/workers/workers.test.ts
@@ -10,7 +10,7 @@
 import type { StateStoreClient } from '../store/client.js';
 import { writeJobSpec, type JobSpec } from '../wire/jobs.js';
 import type { Heartbeat, TaskStatus } from '../wire/workers.js';
-import { makeToken, termOf } from './token.js';
+import { makeFencingToken, termOfToken } from './fencing-token.js';
 import { Workers } from './workers.js';
 
 const TERM = 50;
@@ -78,13 +78,13 @@
       },
     );
     this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
-      type: () => undefined,
-      higherTerm: () => undefined,
-      changed: () => undefined,
-      ran: () => undefined,
+      findMachineType: () => undefined,
+      higherTermSeen: () => undefined,
+      placementInputChanged: () => undefined,
+      taskCompleted: () => undefined,
     });
     this.table.add(job.id, { job: writeJobSpec(job), at: 0 }, 1);
-    this.workers.load();
+    this.workers.restore();
     this.table.finishRecovery();
   }
 
@@ -100,7 +100,7 @@
     tasks: TaskStatus[],
     part: Partial<Heartbeat> = {},
   ): { orders: string[]; token: number } | null {
-    const answer = this.workers.report({
+    const answer = this.workers.handleHeartbeat({
       ...{ machine: 'n-1', addr: '10.1.0.1:9', type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
       ...{ sequence: ++this.seq, fencingToken: token, spotNoticeS: null, tasks },
       ...part,
@@ -134,30 +134,30 @@
 
 describe('workers', () => {
   it('takes tokens apart by term, large ones too', () => {
-    assert.equal(termOf(makeToken(TERM, 7)), TERM);
-    assert.equal(termOf(2n ** 63n), 2 ** 43);
+    assert.equal(termOfToken(makeFencingToken(TERM, 7)), TERM);
+    assert.equal(termOfToken(2n ** 63n), 2 ** 43);
   });
 
   it('starts what is on record, and again when the answer was dropped', () => {
     const b = new Bench(spec({}));
     b.report(0, []);
     b.job.pending.remove(0);
-    b.workers.assign(b.job, 0, 9, b.workers.machine('n-1'));
+    b.workers.assign(b.job, 0, 9, b.workers.getOrCreateMachine('n-1'));
     b.workers.flush();
     assert.equal(b.calls.length, 0, 'no direct start before the worker has shown our term');
     assert.deepEqual(b.report(0, [])?.orders, ['run req-1/0']);
-    assert.deepEqual(b.report(makeToken(TERM, 0), [])?.orders, ['run req-1/0']);
-    assert.deepEqual(b.report(makeToken(TERM, 0), [task(9)])?.orders, []);
+    assert.deepEqual(b.report(makeFencingToken(TERM, 0), [])?.orders, ['run req-1/0']);
+    assert.deepEqual(b.report(makeFencingToken(TERM, 0), [task(9)])?.orders, []);
   });
 
   // World seed 74: the copy of a direct start that had been answered came again after `clear`.
   it('clears a directly started attempt only with a raised token', () => {
     const b = new Bench(spec({}));
-    const token = makeToken(TERM, 0);
+    const token = makeFencingToken(TERM, 0);
     b.report(0, []);
     b.report(token, []);
     b.job.pending.remove(0);
-    b.workers.assign(b.job, 0, 9, b.workers.machine('n-1'));
+    b.workers.assign(b.job, 0, 9, b.workers.getOrCreateMachine('n-1'));
     b.workers.flush();
     b.workers.flush();
     b.answer([]);
@@ -168,11 +168,11 @@
 
   it('takes absence for proof only once the raised token shows', () => {
     const b = new Bench(spec({}));
-    const token = makeToken(TERM, 0);
+    const token = makeFencingToken(TERM, 0);
     b.report(0, []);
     b.report(token, []);
     b.job.pending.remove(0);
-    b.workers.assign(b.job, 0, 9, b.workers.machine('n-1'));
+    b.workers.assign(b.job, 0, 9, b.workers.getOrCreateMachine('n-1'));
     b.workers.flush();
     b.workers.flush();
     // The direct start got no answer: it may be on its way for long.
@@ -183,9 +183,9 @@
 
   it('does not believe what a report from before its term lacks', () => {
     const b = new Bench(spec({}), recorded);
-    b.report(makeToken(TERM - 1, 0), []);
+    b.report(makeFencingToken(TERM - 1, 0), []);
     assert.equal(b.job.currentAssignments.size, 1);
-    b.report(makeToken(TERM, 0), []);
+    b.report(makeFencingToken(TERM, 0), []);
     assert.equal(b.job.currentAssignments.size, 0);
     assert.ok(b.job.pending.has(0));
   });
@@ -194,10 +194,10 @@
   // arrived at a new leader, which took the attempt for ended and placed the task once more.
   it('does not believe from before its term that an attempt has ended, unless it is done', () => {
     const b = new Bench(spec({}), recorded);
-    const old = makeToken(TERM - 1, 3);
+    const old = makeFencingToken(TERM - 1, 3);
     b.report(old, [task(5, { state: 'exited', cause: 'alone' })]);
     assert.equal(b.job.currentAssignments.size, 1);
-    assert.deepEqual(b.report(makeToken(TERM, 0), [task(5)])?.orders, []);
+    assert.deepEqual(b.report(makeFencingToken(TERM, 0), [task(5)])?.orders, []);
     assert.equal(b.job.currentAssignments.size, 1);
     const other = new Bench(spec({}), recorded);
     other.report(old, [task(5, { state: 'exited', cause: 'done' })]);
@@ -213,14 +213,14 @@
 
   it('takes tasks for gone when the lease has surely run out, and the session with them', () => {
     const b = new Bench(spec({}), recorded);
-    b.report(makeToken(TERM, 0), [task(5)]);
+    b.report(makeFencingToken(TERM, 0), [task(5)]);
     b.now += settings.workerLeaseMs;
-    b.workers.sweep();
+    b.workers.expireLeases();
     assert.equal(b.job.currentAssignments.size, 1);
     b.now += settings.workerLeaseMs * 0.03;
-    b.workers.sweep();
+    b.workers.expireLeases();
     assert.equal(b.job.currentAssignments.size, 0);
-    assert.equal(b.report(makeToken(TERM, 0), [task(5)]), null, 'the session is over');
+    assert.equal(b.report(makeFencingToken(TERM, 0), [task(5)]), null, 'the session is over');
   });
 
   // World seeds 135 and 180: a part of a gang was on record, the other was placed beside it, and
@@ -229,7 +229,7 @@
     const b = new Bench(spec({ kind: 'gang' }), recorded);
     assert.equal(b.torn.length, 1);
     assert.equal(b.job.pending.length, 0);
-    b.report(makeToken(TERM, 0), []);
+    b.report(makeFencingToken(TERM, 0), []);
     assert.equal(b.job.pending.length, 2);
     assert.ok(!b.job.gangRestarting);
   });
@@ -237,11 +237,11 @@
   // Quarantines doubled up to 64 leases; a job that only such a machine fits waited beside its room.
   it('lets a machine out of quarantine soon enough, and back in when it fails again', () => {
     const b = new Bench(spec({ tasks: 3 }));
-    const token = makeToken(TERM, 0);
+    const token = makeFencingToken(TERM, 0);
     b.report(0, []);
-    const m = b.workers.machine('n-1');
+    const m = b.workers.getOrCreateMachine('n-1');
     for (let i = 0; i < 6; i++) {
-      b.now = Math.max(b.now, m.noPlacingBefore);
+      b.now = Math.max(b.now, m.unschedulableUntil);
       b.job.errorCount = 0;
       b.job.failedMachines.clear();
       b.job.pending.remove(0);
@@ -249,9 +249,9 @@
       b.workers.flush();
       b.report(token + i, []);
       b.report(token + i, [task(9 + i, { state: 'exited', cause: 'error' })]);
-      assert.ok(m.noPlacingBefore - b.now <= 3 * settings.workerLeaseMs);
-      if (i === 0) m.quarantines = 1;
-      else assert.ok(m.noPlacingBefore > b.now, `failure ${i}`);
+      assert.ok(m.unschedulableUntil - b.now <= 3 * settings.workerLeaseMs);
+      if (i === 0) m.consecutiveQuarantines = 1;
+      else assert.ok(m.unschedulableUntil > b.now, `failure ${i}`);
       assert.ok(b.job.backoffUntil - b.now <= 2 * settings.workerLeaseMs);
     }
   });
@@ -259,9 +259,9 @@
   for (const cause of ['done', 'error', 'other'] as const)
     it(`replaces a replica that ended with ${cause}, elsewhere and at once`, () => {
       const b = new Bench(spec({ kind: 'service', tasks: 2, estimatedRunS: 0 }));
-      const token = makeToken(TERM, 0);
+      const token = makeFencingToken(TERM, 0);
       b.report(0, []);
-      const m = b.workers.machine('n-1');
+      const m = b.workers.getOrCreateMachine('n-1');
       b.job.pending.remove(0);
       b.workers.assign(b.job, 0, 9, m);
       b.workers.flush();
@@ -278,7 +278,7 @@
 
   it('puts a gang of one task back when it is lost', () => {
     const b = new Bench(spec({ kind: 'gang', tasks: 1 }), recorded);
-    b.report(makeToken(TERM, 0), [], { agentEpoch: 2 });
+    b.report(makeFencingToken(TERM, 0), [], { agentEpoch: 2 });
     assert.equal(b.job.pending.length, 1);
   });
 });
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -9,26 +9,26 @@
 import type { Assignment } from './assignment.js';
 import { Assignments } from './assignments.js';
 import { DirectCommands } from './direct-commands.js';
-import { Failures } from './failures.js';
+import { FailureTracker } from './failure-tracker.js';
 import { Liveness } from './liveness.js';
 import type { Machine } from './machine.js';
 import { MachineStore } from './machine-store.js';
 import { Reconciliation } from './reconciliation.js';
-import { MachineRegistry } from './registry.js';
-import { ReportHandler, type ReportAnswer } from './report-handler.js';
-import { Sessions } from './sessions.js';
-import { TokenSync } from './token-sync.js';
+import { MachineRegistry } from './machine-registry.js';
+import { HeartbeatHandler, type HeartbeatResponse } from './heartbeat-handler.js';
+import { AgentEpochs } from './agent-epochs.js';
+import { FencingTokenSync } from './fencing-token-sync.js';
 
 /** What the workers' slice needs of the others. */
-export interface WorkersHooks {
+export interface WorkersEvents {
   /** The machine type of this name, if the catalogue has it. */
-  type(name: string): MachineType | undefined;
+  findMachineType(name: string): MachineType | undefined;
   /** A worker has seen a leader of this term. */
-  higherTerm(term: number): void;
+  higherTermSeen(term: number): void;
   /** Room, tasks or machines changed: placement should look again. */
-  changed(): void;
+  placementInputChanged(): void;
   /** A task ran to its end: what it took against what was expected. */
-  ran(assignment: Assignment, tookMs: number): void;
+  taskCompleted(assignment: Assignment, tookMs: number): void;
 }
 
 /** Machines, assignments, reports and commands of one leader; made anew for each term. */
@@ -37,13 +37,13 @@
   /** What each team's tasks take, over every task that is not surely gone. */
   readonly teams: Teams;
   /** Tasks that are not surely gone, by class. */
-  readonly running: ReadonlyMap<string, number>;
+  readonly assignedCountByClass: ReadonlyMap<string, number>;
   private readonly registry: MachineRegistry;
   private readonly store: MachineStore;
   private readonly assignments: Assignments;
-  private readonly sessions: Sessions;
+  private readonly agentEpochs: AgentEpochs;
   private readonly liveness: Liveness;
-  private readonly reports: ReportHandler;
+  private readonly heartbeats: HeartbeatHandler;
   private readonly commands: DirectCommands;
 
   constructor(
@@ -52,66 +52,81 @@
     readonly term: number,
     records: RecordStore,
     table: JobTable,
-    private readonly hooks: WorkersHooks,
+    private readonly events: WorkersEvents,
   ) {
-    const sync = new TokenSync(eventLoop, term);
-    const changed = (): void => hooks.changed();
-    const higherTerm = (seen: number): void => hooks.higherTerm(seen);
+    const fencingTokens = new FencingTokenSync(eventLoop, term);
+    const placementInputChanged = (): void => events.placementInputChanged();
+    const higherTermSeen = (seen: number): void => events.higherTermSeen(seen);
     const recordDue = (machine: Machine): void => this.store.markChanged(machine);
     const commandDue = (machine: Machine): void => this.commands.request(machine);
 
     this.teams = new Teams(settings.platform.teams);
-    this.registry = new MachineRegistry(eventLoop, settings, sync, (name) => hooks.type(name));
+    this.registry = new MachineRegistry(eventLoop, settings, fencingTokens, (name) =>
+      events.findMachineType(name),
+    );
     this.machines = this.registry.machines;
     this.liveness = new Liveness(eventLoop, settings, this.machines);
     this.store = new MachineStore(eventLoop, settings, records, this.registry, {
-      restored: (machine, task, since) => this.assignments.restore(machine, task, since),
-      recorded: commandDue,
+      taskRestored: (machine, task, since) => this.assignments.restore(machine, task, since),
+      assignmentsRecorded: commandDue,
     });
     this.assignments = new Assignments(
       eventLoop,
       table,
       this.teams,
-      new Failures(eventLoop, settings),
+      new FailureTracker(eventLoop, settings),
       {
-        ran: (assignment, tookMs) => hooks.ran(assignment, tookMs),
-        ...{ changed, recordDue, commandDue },
+        taskCompleted: (assignment, tookMs) => events.taskCompleted(assignment, tookMs),
+        ...{ placementInputChanged, recordDue, commandDue },
       },
     );
-    this.running = this.assignments.byClass;
-    this.sessions = new Sessions(eventLoop, settings, sync, this.assignments, {
-      changed,
+    this.assignedCountByClass = this.assignments.countByClass;
+    this.agentEpochs = new AgentEpochs(eventLoop, settings, fencingTokens, this.assignments, {
+      placementInputChanged,
       recordDue,
     });
-    this.commands = new DirectCommands(eventLoop, settings, sync, this.liveness, higherTerm);
-    const reconciliation = new Reconciliation(eventLoop, table, this.assignments, sync, {
-      changed,
+    this.commands = new DirectCommands(
+      eventLoop,
+      settings,
+      fencingTokens,
+      this.liveness,
+      higherTermSeen,
+    );
+    const reconciliation = new Reconciliation(eventLoop, table, this.assignments, fencingTokens, {
+      placementInputChanged,
       imagesChanged: (machine) => this.store.markImagesChanged(machine),
     });
-    this.reports = new ReportHandler(
-      ...([eventLoop, settings, this.registry, this.sessions, sync, reconciliation] as const),
-      { changed, higherTerm },
+    this.heartbeats = new HeartbeatHandler(
+      ...([
+        eventLoop,
+        settings,
+        this.registry,
+        this.agentEpochs,
+        fencingTokens,
+        reconciliation,
+      ] as const),
+      { placementInputChanged, higherTermSeen },
     );
   }
 
   /** Tasks that are not surely gone. */
-  get assigned(): number {
-    return this.assignments.total;
+  get assignedCount(): number {
+    return this.assignments.count;
   }
 
   /** The machine of this name, made known if it is not. */
-  machine(id: string): Machine {
-    return this.registry.obtain(id);
+  getOrCreateMachine(id: string): Machine {
+    return this.registry.getOrCreate(id);
   }
 
   /** What the cloud says of the machine; an empty address changes nothing. */
-  setType(machine: Machine, type: string, zone: string, spot: boolean, addr: string): void {
-    this.registry.describe(machine, { type, zone, spot, addr });
+  setDescription(machine: Machine, type: string, zone: string, spot: boolean, addr: string): void {
+    this.registry.setDescription(machine, { type, zone, spot, addr });
   }
 
   /** What the leaders before have left, read at takeover. */
-  load(): void {
-    this.store.load();
+  restore(): void {
+    this.store.restore();
   }
 
   /** Gives the task to the machine; it starts once that is on record. */
@@ -140,51 +155,51 @@
   }
 
   /** Completion is on record: the task may be cleared, and its assignment forgotten. */
-  doneRecorded(job: Job, task: number): void {
+  completionRecorded(job: Job, task: number): void {
     this.assignments.completionRecorded(job, task);
   }
 
   /** Takes over what a worker reports; an answer of 200 renews its lease. */
-  report(report: Heartbeat): ReportAnswer {
-    return this.reports.handle(report);
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
+    return this.heartbeats.handle(heartbeat);
   }
 
   /** Ends what must be gone by now: sessions whose lease has surely run out. */
-  sweep(): void {
-    this.sessions.endExpired(this.machines.values());
+  expireLeases(): void {
+    this.agentEpochs.expireLeases(this.machines.values());
   }
 
   /** The cloud has confirmed that the machine and all on it is gone. */
-  gone(machine: Machine): void {
+  removeMachine(machine: Machine): void {
     this.assignments.endAll(machine);
     this.registry.remove(machine);
     this.commands.cancel(machine);
     this.store.remove(machine);
-    this.hooks.changed();
+    this.events.placementInputChanged();
   }
 
   /** Told as time passes: whether this node may answer workers. Silence counts only while it may. */
-  answering(mayAnswer: boolean, intervalMs: number): void {
+  setAnswering(mayAnswer: boolean, intervalMs: number): void {
     this.liveness.setAnswering(mayAnswer, intervalMs);
   }
 
   /** How long nothing was heard of the machine while its reports would have been answered. */
-  silentMs(machine: Machine): number {
-    return this.liveness.silentMs(machine);
+  unresponsiveMs(machine: Machine): number {
+    return this.liveness.unresponsiveMs(machine);
   }
 
   /** How long the machine has been answered without showing that it hears. */
-  deafMs(machine: Machine): number {
-    return this.liveness.deafMs(machine);
+  unacknowledgedMs(machine: Machine): number {
+    return this.liveness.unacknowledgedMs(machine);
   }
 
   /** Share of the machines whose reports are overdue by `lateMs`; see `Liveness`. */
-  overdue(lateMs: number, onlyHeardThisTerm: boolean): number {
-    return this.liveness.overdueShare(lateMs, onlyHeardThisTerm);
+  overdueShare(lateMs: number, onlyHeardInThisTerm: boolean): number {
+    return this.liveness.overdueShare(lateMs, onlyHeardInThisTerm);
   }
 
   /** Reports lately, and its session is not over. */
-  alive(machine: Machine): boolean {
+  isAlive(machine: Machine): boolean {
     return this.liveness.isAlive(machine);
   }
 
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -23,9 +23,12 @@
 import { readCatalogue, writeCatalogue } from '../src/controller/wire/cloud.js';
 import { readJobSpec, writeJobSpec } from '../src/controller/wire/jobs.js';
 import { MachineStore } from '../src/controller/workers/machine-store.js';
-import { MachineRegistry } from '../src/controller/workers/registry.js';
-import { TokenSync } from '../src/controller/workers/token-sync.js';
-import { readRecord, writeRecord } from '../src/controller/workers/record.js';
+import { MachineRegistry } from '../src/controller/workers/machine-registry.js';
+import { FencingTokenSync } from '../src/controller/workers/fencing-token-sync.js';
+import {
+  decodeMachineRecord,
+  encodeMachineRecord,
+} from '../src/controller/workers/machine-record.js';
 import type { Assignment } from '../src/controller/workers/assignment.js';
 import type { Machine } from '../src/controller/workers/machine.js';
 import { alone } from './platform.js';
@@ -120,15 +123,22 @@
   it('has the tasks on a machine, which are written alike', () => {
     const { value, text } = recordOf('m/');
     const wall = 1.8e12;
-    const read = readRecord(value, wall);
+    const read = decodeMachineRecord(value, wall);
     assert.ok(read !== null && read.tasks.length > 1);
-    const { session, type: typeName, zone, spot, addr } = read;
+    const { agentEpoch, type: typeName, zone, spot, addr } = read;
     const assignments = read.tasks.map((task, i): [string, Assignment] => [
       String(i),
-      { ...task, since: task.at - wall } as unknown as Assignment,
+      { ...task, assignedAt: task.assignedAtWallClock - wall } as unknown as Assignment,
     ]);
-    const machine = { session, typeName, zone, spot, addr, assignments: new Map(assignments) };
-    const written = writeRecord(machine as unknown as Machine, settings, 0, wall);
+    const machine = {
+      session: agentEpoch,
+      typeName,
+      zone,
+      spot,
+      addr,
+      assignments: new Map(assignments),
+    };
+    const written = encodeMachineRecord(machine as unknown as Machine, settings, 0, wall);
     assert.equal(JSON.stringify(written), text);
   });
 
@@ -155,14 +165,14 @@
     const registry = new MachineRegistry(
       eventLoop,
       settings,
-      new TokenSync(eventLoop, 1),
+      new FencingTokenSync(eventLoop, 1),
       () => undefined,
     );
-    const events = { restored: () => undefined, recorded: () => undefined };
+    const events = { taskRestored: () => undefined, assignmentsRecorded: () => undefined };
     const records = storedAtOnce({ [key]: value });
     const store = new MachineStore(eventLoop, settings, records, registry, events);
-    store.load();
-    const machine = registry.obtain(key.slice('i/'.length));
+    store.restore();
+    const machine = registry.getOrCreate(key.slice('i/'.length));
     assert.ok(machine.images.size > 1);
     records.set(key, undefined, 'lazy');
     store.markImagesChanged(machine);
