--- a/src/controller/fleet/booting-machines.ts
+++ b/src/controller/fleet/booting-machines.ts
@@ -1,5 +1,5 @@
 /** Machines that are rented and have not come up yet. */
-import type { MachineKind } from '../placement/machine-kind.js';
+import type { MachineKind } from '../placement/capacity/machine-kind.js';
 
 /** A machine that boots, as far as this leader knows. */
 export interface BootingMachine extends MachineKind {
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -10,7 +10,7 @@
   writeLaunchRequest,
   type ListedMachine,
 } from '../wire/cloud.js';
-import type { MachineKind } from '../placement/machine-kind.js';
+import type { MachineKind } from '../placement/capacity/machine-kind.js';
 
 const CALL_TIMEOUT_MS = 5000;
 const LIST_PAGE_SIZE = 500;
--- a/src/controller/fleet/fleet.test.ts
+++ b/src/controller/fleet/fleet.test.ts
@@ -3,7 +3,7 @@
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
 import { alone } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
-import type { Shortage } from '../placement/placement-pass.js';
+import type { Shortage } from '../placement/pass/placement-pass.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -255,9 +255,9 @@
 
   function search() {
     const { eventLoop, workers, booting } = setUp();
-    const lacking: Shortage[] = [];
+    const shortages: Shortage[] = [];
     const unused = new UnusedMachines(eventLoop, settings, {
-      ...{ workers, booting, placement: { lacking } },
+      ...{ workers, booting, placement: { shortages } },
       scaleIn: { isReleasing: () => false },
     });
     return { workers, booting, unused };
@@ -327,7 +327,7 @@
     const cloud = new CloudClient(eventLoop, settings);
     const renting = new ScaleOut(eventLoop, settings, {
       ...{ workers, cloud, booting, holdsLease: () => true },
-      placement: { lacking: [] },
+      placement: { shortages: [] },
     });
     const spec: JobSpec = {
       ...{ id: 'req-1', class: 'c', team: 't', kind: 'array', priority: 'normal', tasks: 2 },
--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -1,6 +1,6 @@
 /** Demand that is expected: classes of jobs seen lately should find room for some more tasks. */
-import { isAllowed } from '../placement/machine-kind.js';
-import { needOf, wholeTasks } from '../placement/need.js';
+import { isAllowed } from '../placement/capacity/machine-kind.js';
+import { resourceRequestOf, countFittingTasks } from '../placement/need.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { Machine } from '../workers/machine.js';
 import type { CapacityDemand } from './scale-out-plan.js';
@@ -21,8 +21,8 @@
 function tasksThatFit(spec: JobSpec, machine: Machine): number {
   const { type, zone, spot } = machine;
   if (type === null || !isAllowed(spec, { type, zone, spot })) return 0;
-  return wholeTasks(
-    needOf(spec),
+  return countFittingTasks(
+    resourceRequestOf(spec),
     type.cpus - machine.cpus,
     type.gpus - machine.gpus,
     type.memoryGb - machine.memoryGb,
--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -1,5 +1,5 @@
 /** Pauses in renting of kinds of machines that the cloud does not have just now. */
-import type { MachineKind } from '../placement/machine-kind.js';
+import type { MachineKind } from '../placement/capacity/machine-kind.js';
 
 /** The longest pause, in times of the first. */
 const MAX_PAUSE_FACTOR = 8;
--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -1,6 +1,6 @@
 /** Which machines to rent for tasks that lack room. Pure: no clock, no I/O. */
-import { type MachineKind, isAllowed } from '../placement/machine-kind.js';
-import { needOf, wholeTasks } from '../placement/need.js';
+import { type MachineKind, isAllowed } from '../placement/capacity/machine-kind.js';
+import { resourceRequestOf, countFittingTasks } from '../placement/need.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { ResourceRequest } from '../workers/assignment.js';
 
@@ -44,7 +44,7 @@
 
 /** Takes room for as many of the tasks as fit; returns how many. */
 function takeCapacity(room: FreeCapacity, need: ResourceRequest, tasks: number): number {
-  const taken = Math.min(tasks, wholeTasks(need, room.cpus, room.gpus, room.memoryGb));
+  const taken = Math.min(tasks, countFittingTasks(need, room.cpus, room.gpus, room.memoryGb));
   room.cpus -= need.cpus * taken;
   room.gpus -= need.gpus * taken;
   room.memoryGb -= need.memoryGb * taken;
@@ -60,7 +60,7 @@
   const { spec, tasks } = demand;
   const { type, spot } = offer.kind;
   if (!isAllowed(spec, offer.kind)) return null;
-  const holds = Math.min(tasks, wholeTasks(need, type.cpus, type.gpus, type.memoryGb));
+  const holds = Math.min(tasks, countFittingTasks(need, type.cpus, type.gpus, type.memoryGb));
   if (holds < 1) return null;
   // A replica on a spot machine is down each time that the machine is taken.
   const atSpotPrice = spot && spec.kind !== 'service';
@@ -78,7 +78,7 @@
   demand: CapacityDemand,
   offers: readonly InstanceOffer[],
 ): InstanceOffer | null {
-  const need = needOf(demand.spec);
+  const need = resourceRequestOf(demand.spec);
   let best: InstanceOffer | null = null;
   let bestPrice = Infinity;
   for (const offer of offers) {
@@ -105,7 +105,7 @@
 
   add(demand: CapacityDemand): void {
     const { spec } = demand;
-    const need = needOf(spec);
+    const need = resourceRequestOf(spec);
     let tasks = demand.tasks - this.placeOnBooting(demand, need);
     while (tasks > 0) {
       const offer = cheapestOffer({ spec, tasks }, this.offers);
--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -1,7 +1,7 @@
 /** Rents machines for work that lacks room. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
-import type { MachineKind } from '../placement/machine-kind.js';
+import type { MachineKind } from '../placement/capacity/machine-kind.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { JobSpec } from '../wire/jobs.js';
@@ -23,7 +23,7 @@
 /** What renting needs of the other parts of the leader. */
 export interface ScaleOutContext {
   workers: Pick<Workers, 'machines' | 'assignedCountByClass' | 'term' | 'isAlive'>;
-  placement: Pick<Placement, 'lacking'>;
+  placement: Pick<Placement, 'shortages'>;
   cloud: Pick<CloudClient, 'acquireLaunchToken' | 'launch'>;
   booting: BootingMachines;
   /** The leader may act. */
@@ -79,7 +79,7 @@
     const patienceMs =
       this.settings.heartbeatIntervalMs * this.settings.get('fleet.rent.wait.ratio');
     const demands: CapacityDemand[] = [];
-    for (const { job, tasks } of this.context.placement.lacking)
+    for (const { job, tasks } of this.context.placement.shortages)
       if (now - job.waitingSince >= patienceMs) demands.push({ spec: job.spec, tasks });
     return demands;
   }
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -18,7 +18,7 @@
     Workers,
     'machines' | 'unresponsiveMs' | 'unacknowledgedMs' | 'isAlive' | 'removeMachine'
   >;
-  placement: Pick<Placement, 'lacking'>;
+  placement: Pick<Placement, 'shortages'>;
   scaleIn: Pick<ScaleIn, 'isReleasing'>;
   booting: BootingMachines;
 }
@@ -112,7 +112,7 @@
     const longMs = this.settings.get('placement.cannot.fill.s') * 1000;
     const stuck =
       outlook.scaleOutRefused &&
-      this.context.placement.lacking.some(({ job }) => now - job.waitingSince > longMs);
+      this.context.placement.shortages.some(({ job }) => now - job.waitingSince > longMs);
     return stuck ? idleMs * STUCK_IDLE_FACTOR : idleMs;
   }
 
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -11,7 +11,7 @@
 import type { Leadership } from '../leadership/leadership.js';
 import type { PeerStatus } from '../peers/message.js';
 import type { Peers } from '../peers/peers.js';
-import { reservationKey } from '../placement/gang-reservations.js';
+import { reservationKey } from '../placement/placers/gang-reservations.js';
 import { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -131,7 +131,7 @@
       this.records,
       learned.estimates,
       learned.reserve,
-      { exhausted: () => leadership.stepDown('attempts used up') },
+      { attemptsExhausted: () => leadership.stepDown('attempts used up') },
     );
   }
 
@@ -161,7 +161,7 @@
   private jobAdded(job: Job): void {
     // What the leader before knew it has counted itself.
     const { reserve } = this.context.learned;
-    if (this.context.takenOver()) reserve.arrived(job, this.context.eventLoop.now());
+    if (this.context.takenOver()) reserve.recordSubmission(job, this.context.eventLoop.now());
   }
 
   private jobClosed(job: Job): void {
@@ -209,7 +209,7 @@
     this.context.learned.load(this.records, this.table.jobs.values());
     this.table.loadCompletions();
     this.workers.restore();
-    this.placement.load();
+    this.placement.loadReservations();
     this.table.finishRecovery();
     this.ready = true;
     this.context.eventLoop.log.info(
--- a/src/controller/leader/leader.test.ts
+++ b/src/controller/leader/leader.test.ts
@@ -22,7 +22,7 @@
     const seen = { begun: 0, finished: [] as number[] };
     let left = 0;
     const placement = {
-      get passing(): boolean {
+      get passInProgress(): boolean {
         return left > 0;
       },
       begin: () => {
@@ -150,7 +150,7 @@
     assert.ok(!records.has('learned'), 'the single record of older versions stays');
     const after = new LearnedFigures(eventLoop, settings);
     after.load(records, []);
-    assert.deepEqual(before.estimates.export(), { c: [1, 2] });
-    assert.deepEqual(after.estimates.export(), before.estimates.export());
+    assert.deepEqual(before.estimates.exportStatistics(), { c: [1, 2] });
+    assert.deepEqual(after.estimates.exportStatistics(), before.estimates.exportStatistics());
   });
 });
--- a/src/controller/leader/learned-figures.ts
+++ b/src/controller/leader/learned-figures.ts
@@ -1,8 +1,8 @@
 /** What was learned of classes of jobs, kept on record from one leader to the next. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../jobs/job-table.js';
-import { Estimates } from '../placement/estimates.js';
-import { Reserve } from '../placement/reserve.js';
+import { DurationEstimator } from '../placement/estimates/duration-estimator.js';
+import { ClassHeadroom } from '../placement/headroom/class-headroom.js';
 import type { Settings } from '../settings/settings.js';
 import { storedSize } from '../store/page-table.js';
 import type { RecordStore } from '../store/record-store.js';
@@ -14,8 +14,8 @@
 
 /** How wrong estimates are, and how often jobs arrive, by class. */
 export class LearnedFigures {
-  readonly estimates = new Estimates();
-  readonly reserve: Reserve;
+  readonly estimates = new DurationEstimator();
+  readonly reserve: ClassHeadroom;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -26,15 +26,18 @@
       share: settings.get('placement.reserve.share'),
       spare: settings.get('placement.reserve.spare'),
     };
-    this.reserve = new Reserve(reserveSettings, this.estimates, eventLoop.now(), (className) =>
-      settings.startObjectiveMs(className),
+    this.reserve = new ClassHeadroom(
+      reserveSettings,
+      this.estimates,
+      eventLoop.now(),
+      (className) => settings.startObjectiveMs(className),
     );
   }
 
   /** A task of the job has ended after `tookMs`, having been on its machine since `assignedAt`. */
   taskRan(job: Job, tookMs: number, assignedAt: number): void {
     this.estimates.observe(job.spec, tookMs);
-    this.reserve.ended(job.spec, this.eventLoop.now() - assignedAt);
+    this.reserve.recordOccupancy(job.spec, this.eventLoop.now() - assignedAt);
   }
 
   /**
@@ -43,9 +46,9 @@
    */
   load(records: Pick<RecordStore, 'list'>, liveJobs: Iterable<Job>): void {
     const recorded = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
-    for (const { ratios } of recorded) this.estimates.import(ratios);
+    for (const { ratios } of recorded) this.estimates.importStatistics(ratios);
     const arrivals = recorded.map((record) => record['arrivals']);
-    this.reserve.takeOver(
+    this.reserve.restore(
       arrivals,
       liveJobs,
       this.eventLoop.now(),
@@ -58,8 +61,11 @@
    * The versions before read every record under this key, and wrote a single one.
    */
   save(records: Pick<RecordStore, 'set'>): void {
-    const ratios = this.estimates.export();
-    const arrivals = this.reserve.export(this.eventLoop.now(), this.eventLoop.runtime.wallClock());
+    const ratios = this.estimates.exportStatistics();
+    const arrivals = this.reserve.exportStatistics(
+      this.eventLoop.now(),
+      this.eventLoop.runtime.wallClock(),
+    );
     const maxBytes = this.settings.maxValueBytes * MAX_VALUE_SHARE;
     for (const className of new Set([...Object.keys(ratios), ...arrivals.keys()])) {
       const ratio = ratios[className];
--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -7,7 +7,7 @@
 const PASS_REST_FACTOR = 3;
 
 /** The placement whose passes are scheduled. */
-export type SlicedPlacement = Pick<Placement, 'passing' | 'begin' | 'advance'>;
+export type SlicedPlacement = Pick<Placement, 'passInProgress' | 'begin' | 'advance'>;
 
 /**
  * Runs placement passes in slices. Between the slices reports and users are served; and passes
@@ -37,7 +37,7 @@
   /** Goes on with the pass, or begins one when it is due. */
   step(): void {
     const sliceStart = this.eventLoop.now();
-    if (!this.placement.passing && !this.begin(sliceStart)) return;
+    if (!this.placement.passInProgress && !this.begin(sliceStart)) return;
     const sliceMs = this.settings.heartbeatIntervalMs * this.settings.get('placement.slice.ratio');
     const over = this.placement.advance(sliceStart + sliceMs);
     const now = this.eventLoop.now();
--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -44,7 +44,7 @@
       ...{ settings, after, term: 1, holdsLease: true, now: 0, types: [] },
       table: { jobs },
       workers: { machines, assignedCount: 0, isAlive: () => true, teams: { state: () => [] } },
-      placement: { lacking: [...jobs.values()].map((job) => ({ job, tasks: 1 })) },
+      placement: { shortages: [...jobs.values()].map((job) => ({ job, tasks: 1 })) },
       fleet: { bootingCount: 0 },
     };
     return parts as unknown as ClusterViewSource;
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -3,7 +3,7 @@
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Placement } from '../placement/placement.js';
-import { timesContained } from '../placement/need.js';
+import { countFitting } from '../placement/need.js';
 import type { Settings } from '../settings/settings.js';
 import type { Machine } from '../workers/machine.js';
 import type { Workers } from '../workers/workers.js';
@@ -76,7 +76,7 @@
 }
 
 function lackingView({ placement }: ClusterViewSource): Listing {
-  return listed(placement.lacking, ({ job, tasks }) => ({
+  return listed(placement.shortages, ({ job, tasks }) => ({
     job: job.spec.id,
     class: job.spec.class,
     tasks,
@@ -163,7 +163,7 @@
     cpus_on_one: Math.max(0, ...cpus),
     // What a gang of one-GPU tasks (or one-CPU tasks, on machines without GPUs) could have.
     single_tasks: (type.gpus > 0 ? gpus : cpus).reduce(
-      (sum, free) => sum + timesContained(Math.max(0, free), 1),
+      (sum, free) => sum + countFitting(Math.max(0, free), 1),
       0,
     ),
   };
--- a/src/controller/operators/gauges.ts
+++ b/src/controller/operators/gauges.ts
@@ -21,7 +21,7 @@
   table: Pick<JobTable, 'jobs'>;
   workers: Pick<Workers, 'machines'>;
   fleet: Pick<Fleet, 'bootingCount'>;
-  placement: Pick<Placement, 'preemptions'>;
+  placement: Pick<Placement, 'preemptionCount'>;
 }
 
 function sum(jobs: readonly Job[], amount: (job: Job) => number): number {
@@ -55,5 +55,5 @@
   );
   metrics.setGauge('machines', 'Machines known.', leader.workers.machines.size);
   metrics.setGauge('booting', 'Machines rented and not up yet.', leader.fleet.bootingCount);
-  metrics.setPreemptions(leader.placement.preemptions);
+  metrics.setPreemptions(leader.placement.preemptionCount);
 }
--- a/src/controller/placement/outlook.ts
+++ b/src/controller/placement/capacity/machine-forecast.ts
@@ -1,21 +1,21 @@
 /** What is to be expected of the tasks on one machine. */
-import type { Assignment } from '../workers/assignment.js';
+import type { Assignment } from '../../workers/assignment.js';
 
 /** When a task should have left its machine by itself. */
 export interface ExpectedEnd {
   assignment: Assignment;
-  at: number;
+  endsAt: number;
 }
 
 /** What a machine's tasks are expected to do. */
-export interface Outlook {
+export interface MachineForecast {
   /** Earliest first. */
-  ends: ExpectedEnd[];
+  expectedEnds: ExpectedEnd[];
   /** Some are being stopped. */
-  stopping: boolean;
+  hasStopping: boolean;
   /** The longest time that any of them needs to save when it is stopped. */
   longestSaveMs: number;
   /** Of those that are old enough to be stopped: the lowest level, and whether any is outside its team's guarantee. */
-  lowest: number;
-  unguaranteed: boolean;
+  lowestLevel: number;
+  hasUnguaranteed: boolean;
 }
--- a/src/controller/placement/machine-kind.ts
+++ b/src/controller/placement/capacity/machine-kind.ts
@@ -1,6 +1,6 @@
 /** Kinds of machines: what machines that a job can't tell apart have in common. */
-import type { MachineType } from '../wire/cloud.js';
-import type { JobSpec } from '../wire/jobs.js';
+import type { MachineType } from '../../wire/cloud.js';
+import type { JobSpec } from '../../wire/jobs.js';
 
 /** Type, zone and market of machines. */
 export interface MachineKind {
--- a/src/controller/placement/usable-machines.ts
+++ b/src/controller/placement/capacity/schedulable-machines.ts
@@ -1,13 +1,13 @@
 /** Which machines tasks may be placed on. */
-import type { Machine } from '../workers/machine.js';
+import type { Machine } from '../../workers/machine.js';
 
 /** Tells whether a machine's worker is known to be there. */
-export interface Liveness {
+export interface WorkerLiveness {
   isAlive(machine: Machine): boolean;
 }
 
 /** Whether tasks may be placed on the machine now. */
-export function isUsable(machine: Machine, now: number, workers: Liveness): boolean {
+export function isSchedulable(machine: Machine, now: number, workers: WorkerLiveness): boolean {
   return (
     machine.type !== null &&
     machine.tokenAcknowledged &&
--- a/src/controller/placement/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -1,7 +1,7 @@
 /** How a job's tasks may be divided among zones. */
-import type { Job } from '../jobs/job-table.js';
-import type { JobSpec } from '../wire/jobs.js';
-import type { Rooms } from './rooms.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { JobSpec } from '../../wire/jobs.js';
+import type { ClusterCapacity } from './cluster-capacity.js';
 
 /** Tasks of one job by zone. */
 export type TasksByZone = Map<string, number>;
@@ -39,6 +39,6 @@
 }
 
 /** Zones to try one by one for a gang that wants one; otherwise `null`, for all at once. */
-export function zoneChoices(rooms: Rooms, spec: JobSpec): (string | null)[] {
-  return spec.singleZone ? rooms.zones(spec) : [null];
+export function zoneChoices(cluster: ClusterCapacity, spec: JobSpec): (string | null)[] {
+  return spec.singleZone ? cluster.zonesAllowedFor(spec) : [null];
 }
--- a/src/controller/placement/drain.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -1,33 +1,33 @@
 /** Emptying of machines that will be taken or returned. */
-import type { Job } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
-import type { Assignment } from '../workers/assignment.js';
-import type { Machine } from '../workers/machine.js';
-import type { Workers } from '../workers/workers.js';
-import type { Estimates } from './estimates.js';
-import { Moves } from './moves.js';
-import { isAllowed } from './machine-kind.js';
-import { needOf, wholeTasks } from './need.js';
-import { spreadAllowance } from './zones.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
+import type { Assignment } from '../../workers/assignment.js';
+import type { Machine } from '../../workers/machine.js';
+import type { Workers } from '../../workers/workers.js';
+import type { DurationEstimator } from '../estimates/duration-estimator.js';
+import { Migrations } from './migrations.js';
+import { isAllowed } from '../capacity/machine-kind.js';
+import { resourceRequestOf, countFittingTasks } from '../need.js';
+import { spreadAllowance } from '../capacity/zones.js';
 
 /** A replica leaves a machine that goes at least this long before, in report intervals. */
 const MOVE_AHEAD = 1.5;
 
 /** Empties machines that will be taken or returned, where that saves something. */
-export class Drain {
-  private readonly moves = new Moves();
+export class MachineDrainer {
+  private readonly moves = new Migrations();
 
   constructor(
     private readonly settings: Settings,
     private readonly workers: Workers,
-    private readonly estimates: Estimates,
+    private readonly estimates: DurationEstimator,
     /** Whether tasks may be placed on the machine now. */
     private readonly usable: (machine: Machine, now: number) => boolean,
   ) {}
 
   /** Stops the tasks that have to leave their machines now. */
   run(now: number): void {
-    this.moves.settle();
+    this.moves.removeFinished();
     for (const machine of this.workers.machines.values()) {
       if (machine.interruptionAt === null && !machine.releasing) continue;
       const leftMs = machine.interruptionAt === null ? Infinity : machine.interruptionAt - now;
@@ -42,7 +42,7 @@
     if (assignment.stop !== null || assignment.phase === 'ended' || job === null) return;
     if (this.estimates.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
       return;
-    if (job.isService && !this.movesNow(assignment, job, leftMs, now)) return;
+    if (job.isService && !this.migratesNow(assignment, job, leftMs, now)) return;
     const { spec } = job;
     const saves = spec.checkpointIntervalS > 0 && assignment.state === 'running';
     const graceS = saves ? spec.checkpointSaveS : 0;
@@ -51,7 +51,7 @@
   }
 
   /** A replica moves as soon as it can start elsewhere at once, and else as late as is safe. */
-  private movesNow(assignment: Assignment, job: Job, leftMs: number, now: number): boolean {
+  private migratesNow(assignment: Assignment, job: Job, leftMs: number, now: number): boolean {
     if (leftMs < this.settings.heartbeatIntervalMs * MOVE_AHEAD) return true;
     const destination = this.destination(assignment, job, now);
     if (destination === null) return false;
@@ -62,18 +62,18 @@
   /** A machine that has the image, and room that no other replica is about to move to. */
   private destination(assignment: Assignment, job: Job, now: number): Machine | null {
     const { spec } = job;
-    const need = needOf(spec);
+    const need = resourceRequestOf(spec);
     for (const machine of this.workers.machines.values()) {
       const { type, zone, spot } = machine;
       if (machine === assignment.machine || type === null || !machine.images.has(spec.image))
         continue;
       if (!isAllowed(spec, { type, zone, spot }) || !this.usable(machine, now)) continue;
       if (job.avoids(machine.id, now) || !zoneAllows(job, assignment, zone)) continue;
-      const taken = this.moves.takenOn(machine);
+      const taken = this.moves.reservedOn(machine);
       const cpus = type.cpus - machine.cpus - taken.cpus;
       const gpus = type.gpus - machine.gpus - taken.gpus;
       const memoryGb = type.memoryGb - machine.memoryGb - taken.memoryGb;
-      if (wholeTasks(need, cpus, gpus, memoryGb) > 0) return machine;
+      if (countFittingTasks(need, cpus, gpus, memoryGb) > 0) return machine;
     }
     return null;
   }
--- a/src/controller/placement/moves.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -1,36 +1,36 @@
 /** Replicas of services that are moved from machines that go. */
-import type { Job } from '../jobs/job-table.js';
-import type { Assignment, ResourceRequest } from '../workers/assignment.js';
-import type { Machine } from '../workers/machine.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Assignment, ResourceRequest } from '../../workers/assignment.js';
+import type { Machine } from '../../workers/machine.js';
 
 /** A replica that was stopped because another machine has a place ready for it. */
-interface Move {
+interface Migration {
   from: Assignment;
   job: Job;
   to: Machine;
 }
 
 /** Replicas on the move: none of their places is ready for a second one. */
-export class Moves {
-  private moves: Move[] = [];
+export class Migrations {
+  private migrations: Migration[] = [];
 
   /** The replica leaves its machine, and is to start again on the other. */
   begin(from: Assignment, job: Job, to: Machine): void {
-    this.moves.push({ from, job, to });
+    this.migrations.push({ from, job, to });
   }
 
   /** Forgets the moves that are over: the replica has a place again, or none is wanted any more. */
-  settle(): void {
-    this.moves = this.moves.filter(({ from, job }) => {
+  removeFinished(): void {
+    this.migrations = this.migrations.filter(({ from, job }) => {
       const current = job.currentAssignments.get(from.task);
       return job.terminalState === null && (current === undefined || current === from);
     });
   }
 
   /** What the replicas that move to the machine will take there. */
-  takenOn(machine: Machine): ResourceRequest {
+  reservedOn(machine: Machine): ResourceRequest {
     const taken = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const { from, to } of this.moves) {
+    for (const { from, to } of this.migrations) {
       if (to !== machine) continue;
       taken.cpus += from.request.cpus;
       taken.gpus += from.request.gpus;
--- a/src/controller/placement/estimates.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -1,9 +1,9 @@
 /** How long runs and image fetches take. */
-import type { Job } from '../jobs/job-table.js';
-import { isMap } from '../wire/cbor.js';
-import type { JobSpec } from '../wire/jobs.js';
-import type { Assignment } from '../workers/assignment.js';
-import type { Machine } from '../workers/machine.js';
+import type { Job } from '../../jobs/job-table.js';
+import { isMap } from '../../wire/cbor.js';
+import type { JobSpec } from '../../wire/jobs.js';
+import type { Assignment } from '../../workers/assignment.js';
+import type { Machine } from '../../workers/machine.js';
 
 /** Weight of the newest run in what is known of a class. */
 const NEWEST_RUN_WEIGHT = 0.15;
@@ -18,7 +18,7 @@
 const LEAST_ERROR = 0.1;
 
 /** How a class's runs compare with its owners' estimates, in logarithms. */
-interface Seen {
+interface RunTimeStatistics {
   mean: number;
   variance: number;
 }
@@ -36,58 +36,60 @@
  * How long things take. Owners err by half, and on some days all one way, so their estimates are
  * corrected by what each class was seen to take, and trusted as far as it was seen to agree.
  */
-export class Estimates {
-  private readonly seen = new Map<string, Seen>();
+export class DurationEstimator {
+  private readonly statistics = new Map<string, RunTimeStatistics>();
 
   /** A task of the class has run for so long. */
   observe(spec: JobSpec, tookMs: number): void {
     if (spec.estimatedRunS <= 0 || tookMs <= 0) return;
     const ratio = tookMs / (spec.estimatedRunS * 1000);
     const bounded = Math.min(LARGEST_RATIO, Math.max(1 / LARGEST_RATIO, ratio));
-    const { mean, variance } = this.of(spec.class);
+    const { mean, variance } = this.statisticsOf(spec.class);
     const deviation = Math.log(bounded) - mean;
-    this.seen.delete(spec.class);
-    this.seen.set(spec.class, {
+    this.statistics.delete(spec.class);
+    this.statistics.set(spec.class, {
       mean: mean + NEWEST_RUN_WEIGHT * deviation,
       variance: (1 - NEWEST_RUN_WEIGHT) * (variance + NEWEST_RUN_WEIGHT * deviation ** 2),
     });
-    if (this.seen.size > MAX_CLASSES) {
-      const oldest = this.seen.keys().next();
-      if (oldest.done !== true) this.seen.delete(oldest.value);
+    if (this.statistics.size > MAX_CLASSES) {
+      const oldest = this.statistics.keys().next();
+      if (oldest.done !== true) this.statistics.delete(oldest.value);
     }
   }
 
-  private of(className: string): Seen {
-    return this.seen.get(className) ?? { mean: 0, variance: USUAL_ERROR ** 2 };
+  private statisticsOf(className: string): RunTimeStatistics {
+    return this.statistics.get(className) ?? { mean: 0, variance: USUAL_ERROR ** 2 };
   }
 
   /** What has been learned, for the leader after this one. */
-  export(): Record<string, [number, number]> {
-    const recorded = [...this.seen].filter(([className]) => className.length <= MAX_NAME_LENGTH);
+  exportStatistics(): Record<string, [number, number]> {
+    const recorded = [...this.statistics].filter(
+      ([className]) => className.length <= MAX_NAME_LENGTH,
+    );
     return Object.fromEntries(
       recorded.map(([className, { mean, variance }]) => [className, [mean, variance]]),
     );
   }
 
   /** Takes over what an earlier leader has learned. */
-  import(learned: unknown): void {
+  importStatistics(learned: unknown): void {
     if (!isMap(learned)) return;
     for (const [className, recorded] of Object.entries(learned)) {
       const [mean, variance] = Array.isArray(recorded) ? (recorded as unknown[]) : [];
       if (typeof mean === 'number' && typeof variance === 'number')
-        this.seen.set(className, { mean, variance });
+        this.statistics.set(className, { mean, variance });
     }
   }
 
   /** How long runs of the class take, as a ratio to their owners' estimates. */
-  ratio(className: string): number {
-    return Math.exp(this.of(className).mean);
+  runTimeRatio(className: string): number {
+    return Math.exp(this.statisticsOf(className).mean);
   }
 
   /** How long a task of the job should run; Infinity for a service. */
   runMs(spec: JobSpec): number {
     if (spec.kind === 'service') return Infinity;
-    return spec.estimatedRunS * 1000 * this.ratio(spec.class);
+    return spec.estimatedRunS * 1000 * this.runTimeRatio(spec.class);
   }
 
   /** How long a task that is put there now waits for its image. */
@@ -114,7 +116,7 @@
   }
 
   /** Whether a task there would need a fetch of its own. */
-  cold(spec: JobSpec, machine: Machine): boolean {
+  needsFetch(spec: JobSpec, machine: Machine): boolean {
     if (machine.images.has(spec.image)) return false;
     for (const assignment of machine.assignments.values())
       if (fetches(assignment) && assignment.job.spec.image === spec.image) return false;
@@ -143,7 +145,7 @@
     const runMs = this.runMs(spec);
     if (!Number.isFinite(runMs)) return runMs;
     if (runMs <= 0) return Math.max(1000, elapsedMs / 4);
-    const error = Math.max(LEAST_ERROR, Math.sqrt(this.of(spec.class).variance));
+    const error = Math.max(LEAST_ERROR, Math.sqrt(this.statisticsOf(spec.class).variance));
     const shape = Math.PI / (Math.sqrt(3) * error);
     const longest = (1 + 2 * (elapsedMs / runMs) ** shape) ** (1 / shape);
     return Number.isFinite(longest) ? runMs * longest - elapsedMs : elapsedMs / 4;
--- a/src/controller/placement/latest-starts.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -1,22 +1,22 @@
 /** When a job has to start at the latest to meet what is expected of it. */
-import type { Job } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
-import type { Estimates } from './estimates.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
+import type { DurationEstimator } from './duration-estimator.js';
 
 /** Share of its estimate by which a run is allowed to take longer when its latest start is set. */
 const RUN_MARGIN = 1.3;
 
 /** The settings that latest starts follow from. */
-export type LatestStartSettings = Pick<
+export type StartDeadlineSettings = Pick<
   Settings,
   'objectivesFor' | 'guaranteeObjectiveMs' | 'heartbeatIntervalMs'
 >;
 
 /** Derives latest starts from the objectives of the platform and a job's due time. */
-export class LatestStarts {
+export class StartDeadlines {
   constructor(
-    private readonly settings: LatestStartSettings,
-    private readonly estimates: Pick<Estimates, 'runMs'>,
+    private readonly settings: StartDeadlineSettings,
+    private readonly estimates: Pick<DurationEstimator, 'runMs'>,
   ) {}
 
   /**
--- a/src/controller/placement/guarantee.test.ts
+++ b/src/controller/placement/guarantee.test.ts
@@ -14,10 +14,10 @@
 import type { TaskStatus } from '../wire/workers.js';
 import { makeFencingToken } from '../workers/fencing-token.js';
 import { Workers } from '../workers/workers.js';
-import { Estimates } from './estimates.js';
-import { FailedSearches } from './failed-searches.js';
+import { DurationEstimator } from './estimates/duration-estimator.js';
+import { NegativeSearchCache } from './pass/negative-search-cache.js';
 import { Placement } from './placement.js';
-import { Reserve } from './reserve.js';
+import { ClassHeadroom } from './headroom/class-headroom.js';
 
 const TERM = 3;
 const teams = `
@@ -39,8 +39,8 @@
 const nothing = (): void => undefined;
 const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 
-class ForgetfulSearches extends FailedSearches {
-  override addNoPlace(): void {
+class ForgetfulSearches extends NegativeSearchCache {
+  override addNoCapacity(): void {
     // Every search is made anew.
   }
 
@@ -87,11 +87,16 @@
       findMachineType: () => type,
       ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
     });
-    const estimates = new Estimates();
-    const reserve = new Reserve({ memoryMs: 1000, share: 0, spare: 0 }, estimates, 0, () => null);
+    const estimates = new DurationEstimator();
+    const reserve = new ClassHeadroom(
+      { memoryMs: 1000, share: 0, spare: 0 },
+      estimates,
+      0,
+      () => null,
+    );
     this.placement = new Placement(
       ...([eventLoop, settings, this.table, this.workers, records, estimates, reserve] as const),
-      { exhausted: nothing },
+      { attemptsExhausted: nothing },
     );
   }
 
@@ -153,7 +158,7 @@
       }
     }
     if (this.plain) this.plainPass();
-    else this.placement.pass();
+    else this.placement.runPass();
     this.workers.flush();
   }
 
@@ -161,7 +166,7 @@
   private plainPass(): void {
     this.placement.begin();
     const { current } = this.placement as unknown as { current: Record<string, unknown> };
-    assert.ok(current['failedSearches'] instanceof FailedSearches);
+    assert.ok(current['failedSearches'] instanceof NegativeSearchCache);
     Object.assign(current, { failedSearches: new ForgetfulSearches() });
     this.placement.advance(Infinity);
   }
--- a/src/controller/placement/reserve.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -1,11 +1,11 @@
 /** Room kept ahead for classes of large tasks. */
-import { priorityLevels, type Job } from '../jobs/job-table.js';
-import { isMap } from '../wire/cbor.js';
-import { readJobSpec, writeJobSpec, type JobSpec } from '../wire/jobs.js';
-import type { Estimates } from './estimates.js';
-import { needOf, wholeTasks } from './need.js';
-import type { Room } from './room.js';
-import type { Rooms } from './rooms.js';
+import { priorityLevels, type Job } from '../../jobs/job-table.js';
+import { isMap } from '../../wire/cbor.js';
+import { readJobSpec, writeJobSpec, type JobSpec } from '../../wire/jobs.js';
+import type { DurationEstimator } from '../estimates/duration-estimator.js';
+import { resourceRequestOf, countFittingTasks } from '../need.js';
+import type { FreeCapacity } from '../capacity/free-capacity.js';
+import type { ClusterCapacity } from '../capacity/cluster-capacity.js';
 
 /** What has been seen of a class of jobs. */
 interface ClassStats {
@@ -22,7 +22,7 @@
 }
 
 /** How much room is kept ahead. */
-export interface ReserveSettings {
+export interface HeadroomSettings {
   /** Time over which arrivals are remembered. */
   memoryMs: number;
   /** Largest share of the places a class could use that may be kept for it. */
@@ -54,13 +54,13 @@
  * that small work would otherwise eat piece by piece. How much is kept follows from how often the
  * class comes and how long it stays; it is a hold in advance, for the gang that comes next.
  */
-export class Reserve {
+export class ClassHeadroom {
   private readonly classes = new Map<string, ClassStats>();
   private startedAt: number;
 
   constructor(
-    private readonly settings: ReserveSettings,
-    private readonly estimates: Estimates,
+    private readonly settings: HeadroomSettings,
+    private readonly estimates: DurationEstimator,
     now: number,
     /** Wait within which a class should start, by the platform's objectives. */
     private readonly waitMs: (className: string) => number | null,
@@ -69,7 +69,7 @@
   }
 
   /** A job has been accepted. */
-  arrived(job: Job, now: number): void {
+  recordSubmission(job: Job, now: number): void {
     const { spec } = job;
     const stats = this.classes.get(spec.class);
     const images = stats?.images ?? new Map<string, number>();
@@ -87,7 +87,7 @@
   }
 
   /** A task of the class has left its machine after this time. */
-  ended(spec: JobSpec, occupancyMs: number): void {
+  recordOccupancy(spec: JobSpec, occupancyMs: number): void {
     const stats = this.classes.get(spec.class);
     if (stats === undefined) return;
     stats.occupancyMs =
@@ -97,7 +97,7 @@
   }
 
   /** What has been seen of the classes that came last, by class, for the leader after this one. */
-  export(now: number, wall: number): Map<string, unknown> {
+  exportStatistics(now: number, wall: number): Map<string, unknown> {
     const recent = [...this.classes.values()].sort((a, b) => b.at - a.at).slice(0, MAX_EXPORTED);
     const since = wall - (now - this.startedAt);
     return new Map(
@@ -125,9 +125,9 @@
    * stands for what came before. A leader that comes without this would let small work flood the
    * room of large classes.
    */
-  takeOver(recorded: Iterable<unknown>, live: Iterable<Job>, now: number, wall: number): void {
+  restore(recorded: Iterable<unknown>, live: Iterable<Job>, now: number, wall: number): void {
     for (const value of recorded) this.import(value, now, wall);
-    for (const job of live) if (!this.classes.has(job.spec.class)) this.arrived(job, now);
+    for (const job of live) if (!this.classes.has(job.spec.class)) this.recordSubmission(job, now);
   }
 
   private import(value: unknown, now: number, wall: number): void {
@@ -172,7 +172,7 @@
   }
 
   /** Adds the claims of all classes to the rooms. */
-  plan(rooms: Rooms, waiting: Set<string>, now: number): void {
+  claimHeadroom(rooms: ClusterCapacity, waiting: Set<string>, now: number): void {
     // Classes are named by users: those long unseen are forgotten.
     for (const [name, stats] of this.classes)
       if (this.decayed(stats, now) < LEAST_WEIGHT) this.classes.delete(name);
@@ -181,58 +181,64 @@
         (stats) =>
           stats.spec.kind === 'gang' || (stats.spec.kind === 'array' && stats.spec.gpus > 0),
       )
-      .map((stats) => ({ stats, rooms: rooms.of(stats.spec).flat() }))
+      .map((stats) => ({ stats, rooms: rooms.ofKindsAllowedFor(stats.spec).flat() }))
       .filter((choice) => choice.rooms.length > 0)
       // Who has the least choice chooses first.
       .sort((a, b) => a.rooms.length - b.rooms.length || b.stats.level - a.stats.level);
     for (const choice of classes) this.planClass(choice.stats, choice.rooms, waiting, now);
   }
 
-  private planClass(stats: ClassStats, rooms: Room[], waiting: Set<string>, now: number): void {
-    const need = needOf(stats.spec);
+  private planClass(
+    stats: ClassStats,
+    rooms: FreeCapacity[],
+    waiting: Set<string>,
+    now: number,
+  ): void {
+    const need = resourceRequestOf(stats.spec);
     const expected = this.expected(stats, now);
     let total = 0;
     let running = 0;
-    const choices: { room: Room; places: number; score: number }[] = [];
-    for (const room of rooms) {
-      const { type } = room.machine;
-      if (type === null || room.closed) continue;
-      const all = wholeTasks(need, type.cpus, type.gpus, type.memoryGb);
-      const own = room.machine.taskCountByClass.get(stats.spec.class) ?? 0;
+    const choices: { capacity: FreeCapacity; places: number; score: number }[] = [];
+    for (const capacity of rooms) {
+      const { type } = capacity.machine;
+      if (type === null || capacity.unschedulable) continue;
+      const all = countFittingTasks(need, type.cpus, type.gpus, type.memoryGb);
+      const own = capacity.machine.taskCountByClass.get(stats.spec.class) ?? 0;
       total += all;
       running += own;
-      if (all > own) choices.push({ room, places: all - own, score: this.score(stats, room) });
+      if (all > own)
+        choices.push({ capacity, places: all - own, score: this.score(stats, capacity) });
     }
     const wanted = expected + this.settings.spare * Math.sqrt(expected) + Math.ceil(stats.together);
     let left = Math.ceil(Math.min(wanted, total * this.settings.share) - running);
     if (left <= 0) return;
-    choices.sort((a, b) => b.score - a.score || a.room.order - b.room.order);
+    choices.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
     const wait = this.waitMs(stats.spec.class);
-    for (const { room, places } of choices) {
+    for (const { capacity, places } of choices) {
       if (left <= 0) break;
-      const taken = room.reserved(stats.spec);
+      const taken = capacity.countClaimedSlots(stats.spec);
       const count = Math.min(left, places - taken);
       if (count <= 0) continue;
       left -= count;
-      const fetch = this.estimates.fetchMs(stats.spec, room.machine, now);
+      const fetch = this.estimates.fetchMs(stats.spec, capacity.machine, now);
       const patience =
         waiting.has(stats.spec.class) || wait === null ? 0 : Math.max(0, wait - fetch);
       const { spec, level } = stats;
-      room.claimAhead(count, now + patience, { spec, level, larger: LARGER_FACTOR });
+      capacity.claimHeadroom(count, now + patience, { spec, level, minSizeRatio: LARGER_FACTOR });
     }
   }
 
   /** Machines that suit the class best: its images there, free, and of little use to others. */
-  private score(stats: ClassStats, room: Room): number {
+  private score(stats: ClassStats, capacity: FreeCapacity): number {
     let known = 0;
     let all = 0;
     for (const [image, weight] of stats.images) {
       all += weight;
-      if (room.machine.images.has(image)) known += weight;
+      if (capacity.machine.images.has(image)) known += weight;
     }
     const warm = all > 0 ? known / all : 0;
-    const free = room.fitsEmpty(needOf(stats.spec)) > 0 ? 1 : 0;
-    const spot = stats.spec.spot && room.machine.spot ? 0.7 : 0;
-    return warm + free + spot + room.share(stats.spec) * 0.5;
+    const free = capacity.countFittingIgnoringClaims(resourceRequestOf(stats.spec)) > 0 ? 1 : 0;
+    const spot = stats.spec.spot && capacity.machine.spot ? 0.7 : 0;
+    return warm + free + spot + capacity.dominantShare(stats.spec) * 0.5;
   }
 }
--- a/src/controller/placement/need.ts
+++ b/src/controller/placement/need.ts
@@ -3,29 +3,29 @@
 import type { ResourceRequest } from '../workers/assignment.js';
 
 /** Amounts are decimals: sums of them may be off by this much. */
-export const EPSILON = 1e-6;
+export const AMOUNT_TOLERANCE = 1e-6;
 
 /** How often `need` goes into `room`. */
-export function timesContained(room: number, need: number): number {
-  return need <= 0 ? Infinity : Math.floor((room + EPSILON) / need);
+export function countFitting(available: number, requested: number): number {
+  return requested <= 0 ? Infinity : Math.floor((available + AMOUNT_TOLERANCE) / requested);
 }
 
 /** Whole tasks that go into room of all three kinds. */
-export function wholeTasks(
-  need: ResourceRequest,
+export function countFittingTasks(
+  request: ResourceRequest,
   cpus: number,
   gpus: number,
   memoryGb: number,
 ): number {
   const fit = Math.min(
-    timesContained(cpus, need.cpus),
-    timesContained(gpus, need.gpus),
-    timesContained(memoryGb, need.memoryGb),
+    countFitting(cpus, request.cpus),
+    countFitting(gpus, request.gpus),
+    countFitting(memoryGb, request.memoryGb),
   );
   return Math.max(0, fit);
 }
 
 /** What one task of the job needs. */
-export function needOf({ cpus, gpus, memoryGb }: JobSpec): ResourceRequest {
+export function resourceRequestOf({ cpus, gpus, memoryGb }: JobSpec): ResourceRequest {
   return { cpus, gpus, memoryGb };
 }
--- a/src/controller/placement/parts.test.ts
+++ b/src/controller/placement/parts.test.ts
@@ -9,25 +9,25 @@
 import type { JobSpec } from '../wire/jobs.js';
 import type { Assignment } from '../workers/assignment.js';
 import { Machine } from '../workers/machine.js';
-import { ArrayPlacer } from './array-placer.js';
-import { setBlockedReason } from './blocked-reason.js';
-import { CandidateFinder, type Candidate } from './candidates.js';
-import { Estimates } from './estimates.js';
-import { FailedSearches } from './failed-searches.js';
-import { GangPlacer, pickForGang } from './gang-placer.js';
-import { GangReservations, reservationKey } from './gang-reservations.js';
-import { LatestStarts } from './latest-starts.js';
-import { machinePenalty } from './machine-penalty.js';
-import { PlacementPass } from './placement-pass.js';
-import { Preemption } from './preemption.js';
-import type { QueuedJob } from './rank.js';
-import { spreadReplicas } from './replica-spread.js';
-import { needOf } from './need.js';
-import { Room } from './room.js';
-import { Rooms } from './rooms.js';
-import { TaskStarter } from './task-starter.js';
-import { isUsable } from './usable-machines.js';
-import { tasksByZone, zoneAllowance, zoneChoices } from './zones.js';
+import { IndependentTaskPlacer } from './placers/independent-task-placer.js';
+import { setBlockedReason } from './placers/blocked-reason.js';
+import { CandidateFinder, type Candidate } from './search/candidate-finder.js';
+import { DurationEstimator } from './estimates/duration-estimator.js';
+import { NegativeSearchCache } from './pass/negative-search-cache.js';
+import { GangPlacer, pickForGang } from './placers/gang-placer.js';
+import { GangReservations, reservationKey } from './placers/gang-reservations.js';
+import { StartDeadlines } from './estimates/start-deadlines.js';
+import { machinePenalty } from './search/machine-penalty.js';
+import { PlacementPass } from './pass/placement-pass.js';
+import { Preemptor } from './preemption/preemptor.js';
+import type { QueuedJob } from './pass/rank.js';
+import { spreadReplicas } from './search/replica-spread.js';
+import { resourceRequestOf } from './need.js';
+import { FreeCapacity } from './capacity/free-capacity.js';
+import { ClusterCapacity } from './capacity/cluster-capacity.js';
+import { TaskStarter } from './placers/task-starter.js';
+import { isSchedulable } from './capacity/schedulable-machines.js';
+import { tasksByZone, zoneAllowance, zoneChoices } from './capacity/zones.js';
 
 const type: MachineType = {
   ...{ name: 'big', cpus: 16, gpus: 4, memoryGb: 64, cacheGb: 10 },
@@ -64,16 +64,21 @@
 }
 
 function passOver(machines: Machine[], queue: QueuedJob[] = [], lowestLevel = Infinity) {
-  return new PlacementPass(0, new Rooms(machines, 10_000), queue, lowestLevel);
+  return new PlacementPass(0, new ClusterCapacity(machines, 10_000), queue, lowestLevel);
 }
 
 const queued = (one: Job, rank = 0): QueuedJob => ({
   ...{ job: one, rank, granted: false, acceptsFetch: false },
 });
 
-const roomOf = (pass: PlacementPass, id: string): Room => pass.rooms.byId.get(id) ?? assert.fail();
+const capacityOf = (pass: PlacementPass, id: string): FreeCapacity =>
+  pass.cluster.byMachineId.get(id) ?? assert.fail();
 
-const candidate = (room: Room, count: number, score = 0): Candidate => ({ room, count, score });
+const candidate = (capacity: FreeCapacity, count: number, score = 0): Candidate => ({
+  capacity,
+  count,
+  score,
+});
 
 /** An assignment of the job that is running on the machine. */
 function assign(owner: Job, on: Machine, task = 0): Assignment {
@@ -86,7 +91,7 @@
 }
 
 describe('LatestStarts', () => {
-  const starts = new LatestStarts(
+  const starts = new StartDeadlines(
     {
       heartbeatIntervalMs: 1000,
       guaranteeObjectiveMs: 60_000,
@@ -112,8 +117,8 @@
 describe('isUsable', () => {
   it('excludes machines that are unknown, silent, or about to go', () => {
     const alive = { isAlive: () => true };
-    assert.ok(isUsable(machine('n-1'), 0, alive));
-    assert.ok(!isUsable(machine('n-1'), 0, { isAlive: () => false }));
+    assert.ok(isSchedulable(machine('n-1'), 0, alive));
+    assert.ok(!isSchedulable(machine('n-1'), 0, { isAlive: () => false }));
     const changes: Partial<Machine>[] = [
       { type: null },
       { tokenAcknowledged: false },
@@ -123,28 +128,28 @@
       { cloudState: 'failed' },
     ];
     for (const change of changes)
-      assert.ok(!isUsable(Object.assign(machine('n-1'), change), 0, alive));
+      assert.ok(!isSchedulable(Object.assign(machine('n-1'), change), 0, alive));
   });
 });
 
 describe('machinePenalty', () => {
   it('prefers tight fits, and machines on which the job has not failed', () => {
-    const room = new Room(machine('n-1'), 10_000);
+    const capacity = new FreeCapacity(machine('n-1'), 10_000);
     const one = job({ gpus: 1, spot: false });
-    const tight = machinePenalty(job({ gpus: 4, spot: false }), room);
+    const tight = machinePenalty(job({ gpus: 4, spot: false }), capacity);
     assert.equal(tight, 0);
-    assert.equal(machinePenalty(one, room), 7.5);
+    assert.equal(machinePenalty(one, capacity), 7.5);
     one.failedMachines.add('n-1');
-    assert.equal(machinePenalty(one, room), 67.5);
-    assert.equal(machinePenalty(job({ gpus: 0, cpus: 16, spot: false }), room), 30);
+    assert.equal(machinePenalty(one, capacity), 67.5);
+    assert.equal(machinePenalty(job({ gpus: 0, cpus: 16, spot: false }), capacity), 30);
   });
 
   it('keeps repeatable work on spot machines, and services off them', () => {
     const spot = machine('n-1');
     spot.spot = true;
-    const room = new Room(spot, 10_000);
-    assert.equal(machinePenalty(job({ gpus: 4 }), room), 0);
-    assert.equal(machinePenalty(job({ gpus: 4, kind: 'service' }), room), 15);
+    const capacity = new FreeCapacity(spot, 10_000);
+    assert.equal(machinePenalty(job({ gpus: 4 }), capacity), 0);
+    assert.equal(machinePenalty(job({ gpus: 4, kind: 'service' }), capacity), 15);
   });
 });
 
@@ -166,9 +171,9 @@
   });
 
   it('are tried one by one only where one is wanted', () => {
-    const { rooms } = passOver([machine('n-1', 'a'), machine('n-2', 'b')]);
-    assert.deepEqual(zoneChoices(rooms, job().spec), [null]);
-    assert.deepEqual(zoneChoices(rooms, job({ singleZone: true }).spec), ['a', 'b']);
+    const { cluster } = passOver([machine('n-1', 'a'), machine('n-2', 'b')]);
+    assert.deepEqual(zoneChoices(cluster, job().spec), [null]);
+    assert.deepEqual(zoneChoices(cluster, job({ singleZone: true }).spec), ['a', 'b']);
   });
 });
 
@@ -176,23 +181,23 @@
   const need = { cpus: 2, gpus: 1, memoryGb: 4 };
 
   it('excludes needs at least as large on the same kinds, until cleared', () => {
-    const searches = new FailedSearches();
-    searches.addNoPlace({ need, kinds: '0' });
-    assert.ok(searches.noPlace({ need: { ...need, cpus: 3 }, kinds: '0' }));
-    assert.ok(!searches.noPlace({ need: { ...need, cpus: 1 }, kinds: '0' }));
-    assert.ok(!searches.noPlace({ need, kinds: '0,4' }));
+    const searches = new NegativeSearchCache();
+    searches.addNoCapacity({ need, kinds: '0' });
+    assert.ok(searches.hasNoCapacity({ need: { ...need, cpus: 3 }, kinds: '0' }));
+    assert.ok(!searches.hasNoCapacity({ need: { ...need, cpus: 1 }, kinds: '0' }));
+    assert.ok(!searches.hasNoCapacity({ need, kinds: '0,4' }));
     searches.clear();
-    assert.ok(!searches.noPlace({ need, kinds: '0' }));
+    assert.ok(!searches.hasNoCapacity({ need, kinds: '0' }));
   });
 
   it('excludes victims only for a team and level that may stop no more', () => {
-    const searches = new FailedSearches();
+    const searches = new NegativeSearchCache();
     const search = { need, kinds: '0', team: 'red', guaranteed: false, level: 1 };
     searches.addNoVictims(search);
-    assert.ok(searches.noVictims({ ...search, level: 0 }));
-    assert.ok(!searches.noVictims({ ...search, level: 2 }));
-    assert.ok(!searches.noVictims({ ...search, guaranteed: true }));
-    assert.ok(!searches.noVictims({ ...search, team: 'blue' }));
+    assert.ok(searches.hasNoVictims({ ...search, level: 0 }));
+    assert.ok(!searches.hasNoVictims({ ...search, level: 2 }));
+    assert.ok(!searches.hasNoVictims({ ...search, guaranteed: true }));
+    assert.ok(!searches.hasNoVictims({ ...search, team: 'blue' }));
   });
 });
 
@@ -210,14 +215,14 @@
 
   it('sees the machines anew after an interruption', () => {
     const pass = passOver([machine('n-1'), machine('n-2')]);
-    const room = roomOf(pass, 'n-1');
-    room.outlook = {
-      ...{ ends: [], stopping: false, longestSaveMs: 0 },
-      ...{ lowest: 0, unguaranteed: false },
+    const capacity = capacityOf(pass, 'n-1');
+    capacity.forecast = {
+      ...{ expectedEnds: [], hasStopping: false, longestSaveMs: 0 },
+      ...{ lowestLevel: 0, hasUnguaranteed: false },
     };
     pass.resume(7, ({ id }) => id === 'n-2');
-    assert.deepEqual([pass.now, room.closed, room.outlook], [7, true, null]);
-    assert.ok(!roomOf(pass, 'n-2').closed);
+    assert.deepEqual([pass.now, capacity.unschedulable, capacity.forecast], [7, true, null]);
+    assert.ok(!capacityOf(pass, 'n-2').unschedulable);
   });
 });
 
@@ -230,7 +235,7 @@
     );
     const attempt = starter.nextAttempt();
     assert.equal(attempt, 3 * 2 ** 22 + 1);
-    starter.start(job({ kind: 'gang' }), new Room(machine('n-1'), 10_000), 5, attempt);
+    starter.start(job({ kind: 'gang' }), new FreeCapacity(machine('n-1'), 10_000), 5, attempt);
     assert.deepEqual(started, [
       [0, attempt],
       [1, attempt],
@@ -239,29 +244,31 @@
 });
 
 describe('CandidateFinder', () => {
-  const finder = new CandidateFinder(settings, new Estimates());
+  const finder = new CandidateFinder(settings, new DurationEstimator());
 
   it('puts machines with the image first, and leaves out the others where asked to', () => {
     const warm = machine('n-2');
     warm.recordImageUse('i', 1);
     const pass = passOver([machine('n-1'), warm]);
-    const ids = (found: Candidate[]): string[] => found.map(({ room }) => room.machine.id);
+    const ids = (found: Candidate[]): string[] => found.map(({ capacity }) => capacity.machine.id);
     assert.deepEqual(ids(finder.find(pass, job())), ['n-2', 'n-1']);
     assert.deepEqual(ids(finder.find(pass, job(), true)), ['n-2']);
   });
 
   it('remembers needs that no machine has place for', () => {
     const pass = passOver([machine('n-1')]);
-    roomOf(pass, 'n-1').closed = true;
+    capacityOf(pass, 'n-1').unschedulable = true;
     assert.deepEqual(finder.find(pass, job()), []);
-    assert.ok(pass.failedSearches.noPlace({ need: needOf(job().spec), kinds: '0' }));
+    assert.ok(
+      pass.failedSearches.hasNoCapacity({ need: resourceRequestOf(job().spec), kinds: '0' }),
+    );
   });
 });
 
 describe('Preemption', () => {
   it('stops all victims or none, and lets the preemptor go first', () => {
     const stopped: string[] = [];
-    const preemption = new Preemption(
+    const preemption = new Preemptor(
       { log: silent, now: () => 100 },
       { get: () => 0, workerLeaseMs: 1000 },
       {
@@ -269,19 +276,19 @@
         stop: ({ name }) => stopped.push(name),
         stopJob: ({ spec }) => stopped.push(spec.id),
       },
-      { lostMs: () => 0 },
+      { lostWorkMs: () => 0 },
     );
     const [array, gang, by] = [job(), job({ id: 'req-2', kind: 'gang' }), job({ id: 'req-3' })];
     const victims = [0, 1, 2, 3, 4].map((task) => assign(array, machine('n-1'), task));
-    assert.ok(!preemption.stopAll(victims, by));
+    assert.ok(!preemption.preemptAll(victims, by));
     assert.equal(preemption.count, 0);
-    assert.ok(preemption.stopAll([...victims.slice(0, 2), assign(gang, machine('n-1'))], by));
+    assert.ok(preemption.preemptAll([...victims.slice(0, 2), assign(gang, machine('n-1'))], by));
     assert.deepEqual(stopped, ['req-1/0', 'req-1/1', 'req-2']);
     assert.deepEqual(
       [preemption.count, array.preemptionCount, by.preemptionClaimUntil],
       [3, 2, 1100],
     );
-    assert.ok(!preemption.stopAll(victims.slice(2, 4), by), 'what was stopped lately counts');
+    assert.ok(!preemption.preemptAll(victims.slice(2, 4), by), 'what was stopped lately counts');
   });
 });
 
@@ -300,11 +307,11 @@
   it('takes a machine without a replica before one that has some', () => {
     const service = job({ kind: 'service', tasks: 4 });
     const pass = passOver([machine('n-1'), machine('n-2')]);
-    assign(service, roomOf(pass, 'n-1').machine);
-    const found = ['n-1', 'n-2'].map((id) => candidate(roomOf(pass, id), 2));
+    assign(service, capacityOf(pass, 'n-1').machine);
+    const found = ['n-1', 'n-2'].map((id) => candidate(capacityOf(pass, id), 2));
     const order: string[] = [];
-    for (const { room } of spreadReplicas(service, found)) {
-      order.push(room.machine.id);
+    for (const { capacity } of spreadReplicas(service, found)) {
+      order.push(capacity.machine.id);
       // The place is used: what is offered next depends on it.
       service.pending.pop();
     }
@@ -315,24 +322,26 @@
 describe('ArrayPlacer', () => {
   it('starts what fits, reports the rest, and makes room where it outranks', () => {
     const pass = passOver([machine('n-1')], [], 0);
-    const room = roomOf(pass, 'n-1');
+    const capacity = capacityOf(pass, 'n-1');
     const started: number[] = [];
-    const placer = new ArrayPlacer({
+    const placer = new IndependentTaskPlacer({
       settings,
       teams: { allowance: () => 5 },
       latestStarts: { next: () => Infinity },
-      candidates: { find: () => [candidate(room, 2)] },
+      candidates: { find: () => [candidate(capacity, 2)] },
       starter: { start: (_job, _room, count) => started.push(count) },
       targets: {
-        find: () => [{ room, fillAt: 9, victims: [], lostMs: 0, stopping: false }],
+        find: () => [{ capacity, fillAt: 9, victims: [], lostWorkMs: 0, hasStopping: false }],
       },
-      preemption: { stopAll: () => true },
+      preemption: { preemptAll: () => true },
     });
     const array = job({ tasks: 6 });
     placer.place(pass, queued(array));
     assert.deepEqual(started, [2]);
     assert.deepEqual(pass.shortages, [{ job: array, tasks: 3 }]);
-    assert.deepEqual(room.claims, [{ ...needOf(array.spec), fillAt: 9, ahead: null }]);
+    assert.deepEqual(capacity.claims, [
+      { ...resourceRequestOf(array.spec), fillAt: 9, headroom: null },
+    ]);
   });
 });
 
@@ -358,7 +367,7 @@
   it('starts a gang whole, reserves room for it, or leaves it to its limit', () => {
     const gang = job({ kind: 'gang', tasks: 3 });
     const fits = (count: number) => (pass: PlacementPass) => [
-      candidate(roomOf(pass, 'n-1'), count),
+      candidate(capacityOf(pass, 'n-1'), count),
     ];
     assert.deepEqual(place(gang, 3, fits(4)), ['3@8', 'drop']);
     assert.deepEqual(place(gang, 3, fits(2)), ['reserve']);
@@ -368,7 +377,7 @@
 
   it('picks half of a spread gang in each zone', () => {
     const pass = passOver([machine('n-1', 'a'), machine('n-2', 'b')]);
-    const found = ['n-1', 'n-2'].map((id) => candidate(roomOf(pass, id), 4));
+    const found = ['n-1', 'n-2'].map((id) => candidate(capacityOf(pass, id), 4));
     const picked = pickForGang(job({ tasks: 4, spread: true }), found, null);
     assert.deepEqual(
       picked?.map(({ count }) => count),
@@ -393,12 +402,18 @@
     },
     estimates: { fetchMs: () => 100 },
     targets: {
-      find: ({ rooms }) => {
+      find: ({ capacities }) => {
         searches++;
-        return rooms.map((room) => ({ room, fillAt: 50, victims: [], lostMs: 0, stopping: false }));
+        return capacities.map((capacity) => ({
+          capacity,
+          fillAt: 50,
+          victims: [],
+          lostWorkMs: 0,
+          hasStopping: false,
+        }));
       },
     },
-    preemption: { stopAll: () => true },
+    preemption: { preemptAll: () => true },
   });
 
   it('are read at takeover, and removed for jobs that are gone', () => {
@@ -413,7 +428,7 @@
     const pass = passOver([machine('n-1'), machine('n-2')]);
     reservations.reserve(pass, gang);
     assert.deepEqual(written.get('h/req-1'), ['n-1', 'n-2']);
-    assert.equal(roomOf(pass, 'n-2').claims[0]?.fillAt, 50);
+    assert.equal(capacityOf(pass, 'n-2').claims[0]?.fillAt, 50);
     assert.equal(reservations.find(pass, gang).readyAt, 150);
     assert.equal(searches, 1);
     reservations.drop(gang);
@@ -435,13 +450,13 @@
       records: { list: () => [][Symbol.iterator](), set: nothing },
       estimates: { fetchMs: () => 0 },
       targets: {
-        find: ({ rooms }) =>
-          rooms.map((room) => ({
-            ...{ room, fillAt: fillMs, victims: [victim], lostMs: 0, stopping: false },
+        find: ({ capacities }) =>
+          capacities.map((capacity) => ({
+            ...{ capacity, fillAt: fillMs, victims: [victim], lostWorkMs: 0, hasStopping: false },
           })),
       },
       preemption: {
-        stopAll: (victims) => {
+        preemptAll: (victims) => {
           stopped += victims.length;
           return true;
         },
--- a/src/controller/placement/failed-searches.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -1,16 +1,16 @@
 /** What a placement pass remembers of searches without a result, so that none is made twice. */
-import type { ResourceRequest } from '../workers/assignment.js';
-import type { Room } from './room.js';
+import type { ResourceRequest } from '../../workers/assignment.js';
+import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** A search for machines where a task can start now. */
-export interface PlaceSearch {
+export interface CapacityQuery {
   need: ResourceRequest;
   /** The kinds of machines searched, see `nameOfKinds`. */
   kinds: string;
 }
 
 /** A search for tasks to stop. */
-export interface VictimSearch extends PlaceSearch {
+export interface VictimQuery extends CapacityQuery {
   team: string;
   guaranteed: boolean;
   level: number;
@@ -22,29 +22,29 @@
 }
 
 /** Names a choice of kinds of machines within a pass. */
-export function nameOfKinds(kinds: readonly (readonly Room[])[]): string {
-  return kinds.map((rooms) => rooms[0]?.order ?? -1).join();
+export function machineKindsKey(kinds: readonly (readonly FreeCapacity[])[]): string {
+  return kinds.map((rooms) => rooms[0]?.index ?? -1).join();
 }
 
 /** Searches of one pass that have failed, and whether another is bound to fail as well. */
-export class FailedSearches {
+export class NegativeSearchCache {
   /** Needs that no machine had place for, even if nothing were reserved. */
-  private readonly places: PlaceSearch[] = [];
+  private readonly places: CapacityQuery[] = [];
   /** Needs that no work could be stopped for. */
-  private readonly victims: VictimSearch[] = [];
+  private readonly victims: VictimQuery[] = [];
 
   /** No machine of these kinds has place for so much. */
-  noPlace({ need, kinds }: PlaceSearch): boolean {
+  hasNoCapacity({ need, kinds }: CapacityQuery): boolean {
     return this.places.some((failed) => failed.kinds === kinds && atLeast(need, failed.need));
   }
 
   /** Remembers that no machine had place. */
-  addNoPlace(search: PlaceSearch): void {
+  addNoCapacity(search: CapacityQuery): void {
     this.places.push(search);
   }
 
   /** No work on machines of these kinds can be stopped for it. */
-  noVictims({ need, kinds, team, guaranteed, level }: VictimSearch): boolean {
+  hasNoVictims({ need, kinds, team, guaranteed, level }: VictimQuery): boolean {
     return this.victims.some(
       (failed) =>
         failed.kinds === kinds &&
@@ -56,7 +56,7 @@
   }
 
   /** Remembers that no work could be stopped. */
-  addNoVictims(search: VictimSearch): void {
+  addNoVictims(search: VictimQuery): void {
     this.victims.push(search);
   }
 
--- a/src/controller/placement/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -1,9 +1,9 @@
 /** The state of one placement pass: its queue, its view of the machines, what it has found. */
-import type { Job } from '../jobs/job-table.js';
-import type { Machine } from '../workers/machine.js';
-import { FailedSearches } from './failed-searches.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Machine } from '../../workers/machine.js';
+import { NegativeSearchCache } from './negative-search-cache.js';
 import { compareQueued, type QueuedJob } from './rank.js';
-import type { Rooms } from './rooms.js';
+import type { ClusterCapacity } from '../capacity/cluster-capacity.js';
 
 /** Work that found no room in a pass. */
 export interface Shortage {
@@ -15,13 +15,13 @@
 export class PlacementPass {
   /** Work that found no room so far. */
   readonly shortages: Shortage[] = [];
-  readonly failedSearches = new FailedSearches();
-  private next = 0;
+  readonly failedSearches = new NegativeSearchCache();
+  private nextIndex = 0;
 
   constructor(
     /** Time of the present slice of the pass. */
     public now: number,
-    readonly rooms: Rooms,
+    readonly cluster: ClusterCapacity,
     private readonly queue: QueuedJob[],
     /** Of the jobs that have tasks on machines: nobody can be stopped for a level that is no higher. */
     readonly lowestLevel: number,
@@ -31,18 +31,18 @@
 
   /** Some of the queue has been placed. */
   isStarted(): boolean {
-    return this.next > 0;
+    return this.nextIndex > 0;
   }
 
   /** The whole queue has been placed. */
   isFinished(): boolean {
-    return this.next >= this.queue.length;
+    return this.nextIndex >= this.queue.length;
   }
 
   /** Takes the next job off the queue. */
   take(): QueuedJob | undefined {
-    const queued = this.queue[this.next];
-    this.next++;
+    const queued = this.queue[this.nextIndex];
+    this.nextIndex++;
     return queued;
   }
 
@@ -52,12 +52,12 @@
   }
 
   /** Goes on after an interruption, in which machines may have reported. */
-  resume(now: number, usable: (machine: Machine) => boolean): void {
+  resume(now: number, isSchedulable: (machine: Machine) => boolean): void {
     this.now = now;
     this.failedSearches.clear();
-    for (const room of this.rooms.all) {
-      room.closed = !usable(room.machine);
-      room.outlook = null;
+    for (const capacity of this.cluster.all) {
+      capacity.unschedulable = !isSchedulable(capacity.machine);
+      capacity.forecast = null;
     }
   }
 }
--- a/src/controller/placement/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -1,16 +1,16 @@
 /** The order in which what waits is placed. */
-import { priorityLevels, type Job } from '../jobs/job-table.js';
+import { priorityLevels, type Job } from '../../jobs/job-table.js';
 
 /** What the order depends on. */
 export interface RankSettings {
   /** A wait this long counts like one priority class (m03's aging). */
   agingMs: number;
   /** What a preemption adds, as a share of a class. */
-  bonus: number;
+  preemptionBonus: number;
   /** What a job that can no longer meet any aim yields, as a share of a class. */
-  late: number;
+  missedDeadlinePenalty: number;
   /** Latest starts by which the job still meets its aims, since submission, in any order. */
-  aims(job: Job): readonly number[];
+  startDeadlines(job: Job): readonly number[];
 }
 
 /**
@@ -23,7 +23,7 @@
  * bounded, and makes way for work that can still be in time.
  */
 export function rankTime(job: Job, settings: RankSettings, now: number): number {
-  const aims = settings.aims(job);
+  const aims = settings.startDeadlines(job);
   const waited = now - job.submittedAt;
   let next = Infinity;
   let last = 0;
@@ -31,9 +31,12 @@
     if (aim >= waited && aim < next) next = aim;
     if (aim > last) last = aim;
   }
-  if (next === Infinity) next = last + (aims.length > 0 ? settings.late * settings.agingMs : 0);
+  if (next === Infinity)
+    next = last + (aims.length > 0 ? settings.missedDeadlinePenalty * settings.agingMs : 0);
   return (
-    job.submittedAt + next - (job.level + job.preemptionCount * settings.bonus) * settings.agingMs
+    job.submittedAt +
+    next -
+    (job.level + job.preemptionCount * settings.preemptionBonus) * settings.agingMs
   );
 }
 
@@ -71,7 +74,7 @@
 }
 
 /** A service of the highest priority with replicas missing: it takes little, and each second counts. */
-function standing({ job }: QueuedJob): boolean {
+function isProductionService({ job }: QueuedJob): boolean {
   return job.isService && job.level === priorityLevels.production;
 }
 
@@ -83,7 +86,7 @@
  */
 export function compareQueued(a: QueuedJob, b: QueuedJob): number {
   return (
-    Number(standing(b)) - Number(standing(a)) ||
+    Number(isProductionService(b)) - Number(isProductionService(a)) ||
     Number(b.granted) - Number(a.granted) ||
     Number(b.job.guaranteed) - Number(a.job.guaranteed) ||
     compareRank(a, b)
--- a/src/controller/placement/placement.test.ts
+++ b/src/controller/placement/placement.test.ts
@@ -6,12 +6,12 @@
 import type { MachineType } from '../wire/cloud.js';
 import type { Assignment } from '../workers/assignment.js';
 import { Machine } from '../workers/machine.js';
-import { Estimates } from './estimates.js';
-import { compareRank, compareQueued, rankTime, queuedJob, type RankSettings } from './rank.js';
-import { needOf } from './need.js';
-import { Room } from './room.js';
-import { Targets } from './targets.js';
-import { Guarantees, Teams } from './teams.js';
+import { DurationEstimator } from './estimates/duration-estimator.js';
+import { compareRank, compareQueued, rankTime, queuedJob, type RankSettings } from './pass/rank.js';
+import { resourceRequestOf } from './need.js';
+import { FreeCapacity } from './capacity/free-capacity.js';
+import { ReservationCandidateFinder } from './search/reservation-candidate-finder.js';
+import { Guarantees, TeamUsage } from '../workers/team-usage.js';
 import { alone } from '../../../test/platform.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -38,7 +38,12 @@
     ...part,
   };
 }
-const settings: RankSettings = { agingMs: 400_000, bonus: 0.25, late: 0.5, aims: () => [] };
+const settings: RankSettings = {
+  agingMs: 400_000,
+  preemptionBonus: 0.25,
+  missedDeadlinePenalty: 0.5,
+  startDeadlines: () => [],
+};
 const job = (part: Partial<JobSpec>, at: number): Job => new Job(spec(part), at, 1, at);
 const rank = (a: Job, b: Job, s: RankSettings, now: number): number =>
   compareRank(queuedJob(a, s, now), queuedJob(b, s, now));
@@ -85,7 +90,7 @@
 });
 
 describe('aims', () => {
-  const aimed: RankSettings = { ...settings, aims: () => [10_000, 60_000] };
+  const aimed: RankSettings = { ...settings, startDeadlines: () => [10_000, 60_000] };
   it('rank a job by the next aim that it can meet, then behind those that can', () => {
     const old = job({}, 0);
     const young = job({}, 5000);
@@ -110,24 +115,24 @@
 });
 
 describe('room and holds', () => {
-  const room = (): Room => {
+  const room = (): FreeCapacity => {
     const m = new Machine('n-1', 0, deployed);
     m.type = type;
-    return new Room(m, 100);
+    return new FreeCapacity(m, 100);
   };
   const one = spec({});
-  const fits = (where: Room, job: JobSpec, level: number, endsAt: number): number =>
-    where.fits({ ...{ spec: job, level, endsAt }, ...{ backfill: 0.9, now: 0 } });
+  const fits = (where: FreeCapacity, job: JobSpec, level: number, endsAt: number): number =>
+    where.countFitting({ ...{ spec: job, level, endsAt }, ...{ backfillRatio: 0.9, now: 0 } });
 
   it('counts whole tasks by the scarcest kind of room', () => {
-    assert.equal(room().fitsEmpty(needOf(one)), 4);
-    assert.equal(room().fitsEmpty({ cpus: 16.0000001, gpus: 0, memoryGb: 0 }), 1);
-    assert.equal(room().fitsEmpty({ cpus: 1, gpus: 0, memoryGb: 33 }), 1);
+    assert.equal(room().countFittingIgnoringClaims(resourceRequestOf(one)), 4);
+    assert.equal(room().countFittingIgnoringClaims({ cpus: 16.0000001, gpus: 0, memoryGb: 0 }), 1);
+    assert.equal(room().countFittingIgnoringClaims({ cpus: 1, gpus: 0, memoryGb: 33 }), 1);
   });
 
   it('lets lower ranks into held room only for work that ends before the hold fills', () => {
     const r = room();
-    r.claim({ cpus: 8, gpus: 3, memoryGb: 8 }, 100_000);
+    r.claimForTask({ cpus: 8, gpus: 3, memoryGb: 8 }, 100_000);
     assert.equal(fits(r, one, 1, 95_000), 1);
     assert.equal(fits(r, one, 1, 80_000), 4);
     assert.equal(fits(r, one, 1, Infinity), 1, 'a service never ends');
@@ -136,13 +141,13 @@
   it('keeps room ahead against small arrays, not against gangs or higher priorities', () => {
     const r = room();
     const whole = spec({ class: 'whole', gpus: 4, cpus: 14 });
-    r.claimAhead(1, 0, { spec: whole, level: 1, larger: 1.5 });
+    r.claimHeadroom(1, 0, { spec: whole, level: 1, minSizeRatio: 1.5 });
     const small = spec({ kind: 'array', class: 'small' });
     assert.equal(fits(r, small, 1, 1000), 0);
     assert.equal(fits(r, small, 2, 1000), 4);
     assert.equal(fits(r, one, 1, 1000), 4);
     assert.equal(fits(r, whole, 1, 1000), 1);
-    assert.ok(r.intrudes(small));
+    assert.ok(r.intrudesOnHeadroom(small));
   });
 });
 
@@ -151,7 +156,7 @@
   it('count what is fetched at the same time', () => {
     const m = new Machine('n-1', 0, deployed);
     m.type = type;
-    const e = new Estimates();
+    const e = new DurationEstimator();
     const first = spec({ image: 'x', imageGb: 10 });
     assert.equal(e.fetchMs(first, m, 0), 10_000);
     m.assignments.set('req-x/0', {
@@ -162,17 +167,17 @@
       },
     } as Assignment);
     assert.equal(e.fetchMs(first, m, 0), 14_000);
-    assert.ok(e.cold(first, m));
+    assert.ok(e.needsFetch(first, m));
     m.recordImageUse('x', 10);
     assert.equal(e.fetchMs(first, m, 0), 0);
-    assert.ok(!e.cold(first, m));
+    assert.ok(!e.needsFetch(first, m));
   });
 });
 
 describe('what is left of a run', () => {
   const m = new Machine('n-1', 0, deployed);
   m.type = type;
-  const run = (e: Estimates, s: JobSpec, elapsed: number): number => {
+  const run = (e: DurationEstimator, s: JobSpec, elapsed: number): number => {
     const a = { job: new Job(s, 0, 1, 0), machine: m, stop: null, state: 'running', assignedAt: 0 };
     return e.remainingMs({ ...a, runningAt: 0, phase: 'seen' } as unknown as Assignment, elapsed);
   };
@@ -180,8 +185,8 @@
   // Fleet day busy: gangs of owners who err much seemed nearly done for minutes, and holds waited
   // for them instead of making room.
   it('is more for a class whose owners err more, and never nothing', () => {
-    const sure = new Estimates();
-    const unsure = new Estimates();
+    const sure = new DurationEstimator();
+    const unsure = new DurationEstimator();
     const s = spec({ estimatedRunS: 100 });
     for (let i = 0; i < 60; i++) {
       sure.observe(s, 100_000 * (i % 2 === 0 ? 1.05 : 0.95));
@@ -194,8 +199,8 @@
     assert.ok(Math.abs(run(sure, s, 0) - 100_000) < 5000);
     assert.ok(run(sure, s, 90_000) < 20_000);
     assert.ok(run(unsure, s, 100_000) > 40_000);
-    const heir = new Estimates();
-    heir.import(unsure.export());
+    const heir = new DurationEstimator();
+    heir.importStatistics(unsure.exportStatistics());
     assert.equal(run(heir, s, 50_000), run(unsure, s, 50_000));
   });
 });
@@ -205,12 +210,12 @@
   // holds took them for machines that had to be waited for whole.
   it('waits for what may not be stopped, and stops what would go on longer', () => {
     const settings = new Settings(alone(), defaultProperties());
-    const estimates = new Estimates();
-    const teams = new Teams([]);
+    const estimates = new DurationEstimator();
+    const teams = new TeamUsage([]);
     const m = new Machine('n-1', 0, deployed);
     m.type = type;
-    const assign = (team: string, guaranteed: boolean, estimateS: number): Assignment => {
-      const owner = job({ kind: 'array', team, estimatedRunS: estimateS }, 0);
+    const assign = (team: string, guaranteed: boolean, estimatedRunS: number): Assignment => {
+      const owner = job({ kind: 'array', team, estimatedRunS }, 0);
       owner.guaranteed = guaranteed;
       const a = {
         ...{
@@ -223,7 +228,7 @@
           agentEpoch: 1,
         },
         ...{
-          request: needOf(owner.spec),
+          request: resourceRequestOf(owner.spec),
           checkpointSaveS: 0,
           assignedAt: 0,
           phase: 'seen',
@@ -240,8 +245,15 @@
     const brief = assign('red', false, 70);
     const now = 60_000;
     const gang = job({ priority: 'high', gpus: 4, cpus: 4, tasks: 1 }, now);
-    const [target] = new Targets(settings, estimates, teams).find({
-      ...{ now, job: gang, rooms: [new Room(m, 10_000)], count: 1, made: false, prefer: () => 0 },
+    const [target] = new ReservationCandidateFinder(settings, estimates, teams).find({
+      ...{
+        now,
+        job: gang,
+        capacities: [new FreeCapacity(m, 10_000)],
+        count: 1,
+        onlyByPreemption: false,
+        penalty: () => 0,
+      },
     });
     assert.deepEqual(new Set(target?.victims), new Set(borrowed));
     assert.ok(!target?.victims.includes(brief) && !target?.victims.includes(kept));
@@ -252,7 +264,7 @@
 describe('teams', () => {
   const team = { name: 'red', guaranteedCpus: 0, guaranteedGpus: 4, maxCpus: 0, maxGpus: 6 };
   it('counts every task that is not surely gone against the limit', () => {
-    const teams = new Teams([team]);
+    const teams = new TeamUsage([team]);
     assert.equal(teams.allowance(spec({ gpus: 2 })), 3);
     teams.add('red', { cpus: 1, gpus: 5, memoryGb: 1 }, 1);
     assert.equal(teams.allowance(spec({ gpus: 2 })), 0);
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -6,31 +6,31 @@
 import type { Machine } from '../workers/machine.js';
 import { recordCapacityBytes } from '../workers/machine-record.js';
 import type { Workers } from '../workers/workers.js';
-import { ArrayPlacer } from './array-placer.js';
-import { CandidateFinder } from './candidates.js';
-import { Drain } from './drain.js';
-import type { Estimates } from './estimates.js';
-import { GangPlacer } from './gang-placer.js';
-import { GangReservations } from './gang-reservations.js';
-import { LatestStarts } from './latest-starts.js';
-import { PlacementPass, type Shortage } from './placement-pass.js';
-import { Preemption } from './preemption.js';
-import { queuedJob, type QueuedJob, type RankSettings } from './rank.js';
-import type { Reserve } from './reserve.js';
-import { Rooms } from './rooms.js';
-import { Targets } from './targets.js';
-import { TaskStarter } from './task-starter.js';
-import { Guarantees } from './teams.js';
-import { isUsable } from './usable-machines.js';
+import { IndependentTaskPlacer } from './placers/independent-task-placer.js';
+import { CandidateFinder } from './search/candidate-finder.js';
+import { MachineDrainer } from './draining/machine-drainer.js';
+import type { DurationEstimator } from './estimates/duration-estimator.js';
+import { GangPlacer } from './placers/gang-placer.js';
+import { GangReservations } from './placers/gang-reservations.js';
+import { StartDeadlines } from './estimates/start-deadlines.js';
+import { PlacementPass, type Shortage } from './pass/placement-pass.js';
+import { Preemptor } from './preemption/preemptor.js';
+import { queuedJob, type QueuedJob, type RankSettings } from './pass/rank.js';
+import type { ClassHeadroom } from './headroom/class-headroom.js';
+import { ClusterCapacity } from './capacity/cluster-capacity.js';
+import { ReservationCandidateFinder } from './search/reservation-candidate-finder.js';
+import { TaskStarter } from './placers/task-starter.js';
+import { Guarantees } from '../workers/team-usage.js';
+import { isSchedulable } from './capacity/schedulable-machines.js';
 
 /** What placement asks of the controller around it. */
 export interface PlacementHooks {
   /** This term has used up its attempts: a new one must begin. */
-  exhausted(): void;
+  attemptsExhausted(): void;
 }
 
 /** The job has tasks that may be placed now. */
-function waits(job: Job, now: number): boolean {
+function isWaiting(job: Job, now: number): boolean {
   return (
     job.pending.length > 0 && !job.gangRestarting && !job.endPending && job.backoffUntil <= now
   );
@@ -43,15 +43,15 @@
  */
 export class Placement {
   /** Work that found no room in the last pass. */
-  lacking: Shortage[] = [];
+  shortages: Shortage[] = [];
   private current: PlacementPass | null = null;
   private readonly rank: RankSettings;
   private readonly guarantees: Guarantees;
-  private readonly drain: Drain;
-  private readonly preemption: Preemption;
+  private readonly drain: MachineDrainer;
+  private readonly preemption: Preemptor;
   private readonly reservations: GangReservations;
   private readonly gangs: GangPlacer;
-  private readonly arrays: ArrayPlacer;
+  private readonly arrays: IndependentTaskPlacer;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -59,51 +59,57 @@
     private readonly table: JobTable,
     private readonly workers: Workers,
     records: RecordStore,
-    readonly estimates: Estimates,
-    private readonly reserve: Reserve,
+    readonly estimates: DurationEstimator,
+    private readonly reserve: ClassHeadroom,
     hooks: PlacementHooks,
   ) {
     const { teams } = workers;
-    const targets = new Targets(settings, estimates, teams);
-    const latestStarts = new LatestStarts(settings, estimates);
+    const targets = new ReservationCandidateFinder(settings, estimates, teams);
+    const latestStarts = new StartDeadlines(settings, estimates);
     const candidates = new CandidateFinder(settings, estimates);
-    const starter = new TaskStarter(workers, () => hooks.exhausted());
-    const preemption = new Preemption(eventLoop, settings, workers, targets);
+    const starter = new TaskStarter(workers, () => hooks.attemptsExhausted());
+    const preemption = new Preemptor(eventLoop, settings, workers, targets);
     const shared = { eventLoop, settings, teams, records, estimates, targets };
     const reservations = new GangReservations({ ...shared, preemption });
     this.guarantees = new Guarantees(settings.platform.teams);
-    this.drain = new Drain(settings, workers, estimates, (machine, now) =>
-      isUsable(machine, now, workers),
+    this.drain = new MachineDrainer(settings, workers, estimates, (machine, now) =>
+      isSchedulable(machine, now, workers),
     );
     this.rank = {
       agingMs: settings.workerLeaseMs * settings.get('placement.aging.ratio'),
-      bonus: settings.get('placement.preempted.bonus.ratio'),
-      late: settings.get('placement.late.ratio'),
-      aims: (job) => latestStarts.of(job),
+      preemptionBonus: settings.get('placement.preempted.bonus.ratio'),
+      missedDeadlinePenalty: settings.get('placement.late.ratio'),
+      startDeadlines: (job) => latestStarts.of(job),
     };
     this.preemption = preemption;
     this.reservations = reservations;
     this.gangs = new GangPlacer({ ...shared, candidates, starter, reservations });
-    this.arrays = new ArrayPlacer({ ...shared, latestStarts, candidates, starter, preemption });
+    this.arrays = new IndependentTaskPlacer({
+      ...shared,
+      latestStarts,
+      candidates,
+      starter,
+      preemption,
+    });
   }
 
   /** The reservations of the leaders before, read at takeover. */
-  load(): void {
+  loadReservations(): void {
     this.reservations.load(this.table);
   }
 
   /** Tasks stopped to make room, in this term. */
-  get preemptions(): number {
+  get preemptionCount(): number {
     return this.preemption.count;
   }
 
   /** A pass has begun and not come to its end. */
-  get passing(): boolean {
+  get passInProgress(): boolean {
     return this.current !== null;
   }
 
   /** A whole pass. */
-  pass(): void {
+  runPass(): void {
     this.begin();
     this.advance(Infinity);
   }
@@ -112,18 +118,22 @@
   begin(): void {
     const now = this.eventLoop.now();
     this.guarantees.mark(this.table.jobs.values());
-    const rooms = new Rooms(this.workers.machines.values(), recordCapacityBytes(this.settings));
-    for (const room of rooms.all) room.closed = !this.usable(room.machine, now);
+    const cluster = new ClusterCapacity(
+      this.workers.machines.values(),
+      recordCapacityBytes(this.settings),
+    );
+    for (const capacity of cluster.all)
+      capacity.unschedulable = !this.usable(capacity.machine, now);
     this.drain.run(now);
     const queue: QueuedJob[] = [];
     let lowestLevel = Infinity;
     for (const job of this.table.jobs.values()) {
       if (job.allAssignments.size > 0 && job.level < lowestLevel) lowestLevel = job.level;
-      if (waits(job, now)) queue.push(queuedJob(job, this.rank, now));
+      if (isWaiting(job, now)) queue.push(queuedJob(job, this.rank, now));
     }
-    const waitingClasses = new Set(this.lacking.map(({ job }) => job.spec.class));
-    this.reserve.plan(rooms, waitingClasses, now);
-    this.current = new PlacementPass(now, rooms, queue, lowestLevel);
+    const waitingClasses = new Set(this.shortages.map(({ job }) => job.spec.class));
+    this.reserve.claimHeadroom(cluster, waitingClasses, now);
+    this.current = new PlacementPass(now, cluster, queue, lowestLevel);
   }
 
   /** Goes on with the pass until `deadline`; true once it is over. */
@@ -135,17 +145,17 @@
     if (pass.isStarted()) pass.resume(now, (machine) => this.usable(machine, now));
     while (!pass.isFinished()) {
       const queued = pass.take();
-      if (queued?.job.terminalState !== null || !waits(queued.job, pass.now)) continue;
+      if (queued?.job.terminalState !== null || !isWaiting(queued.job, pass.now)) continue;
       if (queued.job.spec.kind === 'gang') this.gangs.place(pass, queued.job);
       else this.arrays.place(pass, queued);
       if (this.eventLoop.now() >= deadline && !pass.isFinished()) return false;
     }
-    this.lacking = pass.shortages;
+    this.shortages = pass.shortages;
     this.current = null;
     return true;
   }
 
   private usable(machine: Machine, now: number): boolean {
-    return isUsable(machine, now, this.workers);
+    return isSchedulable(machine, now, this.workers);
   }
 }
--- a/src/controller/placement/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -1,14 +1,14 @@
 /** Placement of gangs: all tasks at once, or a reservation for them. */
-import type { Job } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
 import { setBlockedReason } from './blocked-reason.js';
-import type { Candidate, CandidateFinder } from './candidates.js';
-import type { Estimates } from './estimates.js';
+import type { Candidate, CandidateFinder } from '../search/candidate-finder.js';
+import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import type { GangReservations } from './gang-reservations.js';
-import type { PlacementPass } from './placement-pass.js';
+import type { PlacementPass } from '../pass/placement-pass.js';
 import type { TaskStarter } from './task-starter.js';
-import type { Teams } from './teams.js';
-import { addTasks, zoneAllowance, zoneChoices, type TasksByZone } from './zones.js';
+import type { TeamUsage } from '../../workers/team-usage.js';
+import { addTasks, zoneAllowance, zoneChoices, type TasksByZone } from '../capacity/zones.js';
 
 /** A fetch shorter than this is not worth waiting for other machines, in report intervals. */
 const SHORT_FETCH = 2;
@@ -19,8 +19,8 @@
 /** What the placement of gangs relies on. */
 export interface GangPlacerParts {
   settings: Pick<Settings, 'heartbeatIntervalMs' | 'startObjectiveMs'>;
-  teams: Pick<Teams, 'allowance'>;
-  estimates: Pick<Estimates, 'fetchMs'>;
+  teams: Pick<TeamUsage, 'allowance'>;
+  estimates: Pick<DurationEstimator, 'fetchMs'>;
   candidates: Pick<CandidateFinder, 'find'>;
   starter: Pick<TaskStarter, 'nextAttempt' | 'start'>;
   reservations: Pick<GangReservations, 'drop' | 'find' | 'reserve'>;
@@ -51,7 +51,7 @@
   private start(job: Job, picked: readonly Candidate[]): void {
     const { reservations, starter } = this.parts;
     const attempt = starter.nextAttempt();
-    for (const { room, count } of picked) starter.start(job, room, count, attempt);
+    for (const { capacity, count } of picked) starter.start(job, capacity, count, attempt);
     setBlockedReason(job, '');
     job.preemptionClaimUntil = -Infinity;
     reservations.drop(job);
@@ -60,7 +60,7 @@
   private pickAny(pass: PlacementPass, job: Job): Candidate[] | null {
     const found = this.parts.candidates.find(pass, job);
     if (found.length === 0) return null;
-    for (const zone of zoneChoices(pass.rooms, job.spec)) {
+    for (const zone of zoneChoices(pass.cluster, job.spec)) {
       const picked = pickForGang(job, found, zone);
       if (picked !== null) return picked;
     }
@@ -74,11 +74,11 @@
   private worthWaiting(pass: PlacementPass, job: Job, picked: readonly Candidate[]): boolean {
     const { estimates, reservations, settings } = this.parts;
     const fetch = Math.max(
-      ...picked.map(({ room }) => estimates.fetchMs(job.spec, room.machine, pass.now)),
+      ...picked.map(({ capacity }) => estimates.fetchMs(job.spec, capacity.machine, pass.now)),
     );
     if (fetch <= settings.heartbeatIntervalMs * SHORT_FETCH) return false;
-    const { rooms, readyAt } = reservations.find(pass, job);
-    if (rooms.length < job.spec.tasks) return false;
+    const { capacities, readyAt } = reservations.find(pass, job);
+    if (capacities.length < job.spec.tasks) return false;
     const ready = readyAt - pass.now;
     const within = settings.startObjectiveMs(job.spec.class);
     const left = within === null ? 0 : within - (pass.now - job.submittedAt);
@@ -98,7 +98,7 @@
   const zones: TasksByZone = new Map();
   const picked: Candidate[] = [];
   for (const candidate of found) {
-    const { zone: itsZone } = candidate.room.machine;
+    const { zone: itsZone } = candidate.capacity.machine;
     if (zone !== null && itsZone !== zone) continue;
     const count = Math.min(left, candidate.count, zoneAllowance(spec, itsZone, zones));
     if (count <= 0) continue;
--- a/src/controller/placement/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -1,18 +1,21 @@
 /** Reservations of gangs that cannot start yet: kept on record until the gang starts or ends. */
-import type { EventLoop } from '../runtime/event-loop.js';
-import type { GangReservation, Job, JobTable } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
-import type { RecordStore } from '../store/record-store.js';
-import type { Assignment } from '../workers/assignment.js';
+import type { EventLoop } from '../../runtime/event-loop.js';
+import type { GangReservation, Job, JobTable } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
+import type { RecordStore } from '../../store/record-store.js';
+import type { Assignment } from '../../workers/assignment.js';
 import { setBlockedReason } from './blocked-reason.js';
-import type { Estimates } from './estimates.js';
-import { machinePenalty } from './machine-penalty.js';
-import type { PlacementPass } from './placement-pass.js';
-import type { Preemption } from './preemption.js';
-import { needOf } from './need.js';
-import type { Room } from './room.js';
-import type { Target, Targets } from './targets.js';
-import { spreadAllowance, zoneChoices } from './zones.js';
+import type { DurationEstimator } from '../estimates/duration-estimator.js';
+import { machinePenalty } from '../search/machine-penalty.js';
+import type { PlacementPass } from '../pass/placement-pass.js';
+import type { Preemptor } from '../preemption/preemptor.js';
+import { resourceRequestOf } from '../need.js';
+import type { FreeCapacity } from '../capacity/free-capacity.js';
+import type {
+  ReservationCandidate,
+  ReservationCandidateFinder,
+} from '../search/reservation-candidate-finder.js';
+import { spreadAllowance, zoneChoices } from '../capacity/zones.js';
 
 const KEY_PREFIX = 'h/';
 
@@ -28,8 +31,8 @@
 }
 
 /** The rooms that a gang fills up, and what is to be stopped for it. */
-export interface GangRoom {
-  rooms: Room[];
+export interface GangCapacity {
+  capacities: FreeCapacity[];
   fillAt: number;
   /** When it could run there, images included. */
   readyAt: number;
@@ -37,8 +40,8 @@
 }
 
 /** One machine for each task, as far as there are, and when all should have room. */
-interface GangTargets {
-  targets: Target[];
+interface GangCandidates {
+  targets: ReservationCandidate[];
   fillAt: number;
 }
 
@@ -47,9 +50,9 @@
   eventLoop: Pick<EventLoop, 'log' | 'now'>;
   settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
   records: Pick<RecordStore, 'list' | 'set'>;
-  estimates: Pick<Estimates, 'fetchMs'>;
-  targets: Pick<Targets, 'find'>;
-  preemption: Pick<Preemption, 'stopAll'>;
+  estimates: Pick<DurationEstimator, 'fetchMs'>;
+  targets: Pick<ReservationCandidateFinder, 'find'>;
+  preemption: Pick<Preemptor, 'preemptAll'>;
 }
 
 /** Finds and keeps the machines that waiting gangs fill up. */
@@ -85,17 +88,17 @@
   reserve(pass: PlacementPass, job: Job): void {
     const { preemption, settings } = this.parts;
     const { tasks } = job.spec;
-    const { rooms, fillAt, victims } = this.find(pass, job);
-    for (const room of rooms) room.claim(needOf(job.spec), fillAt);
+    const { capacities, fillAt, victims } = this.find(pass, job);
+    for (const capacity of capacities) capacity.claimForTask(resourceRequestOf(job.spec), fillAt);
     const patienceMs = settings.get('placement.cannot.fill.s') * 1000;
-    const machines = new Set(rooms).size;
-    const there = `${rooms.length} of ${tasks} places on ${machines} machines`;
+    const machines = new Set(capacities).size;
+    const there = `${capacities.length} of ${tasks} places on ${machines} machines`;
     const waited = pass.now - job.waitingSince > patienceMs;
     setBlockedReason(job, waited ? `cannot fill yet: holds ${there}` : '');
     // Stopping work pays only if the whole gang can start then, and soon: what else its rooms wait
     // for takes its time, and until then the work may go on.
     const soon = fillAt - pass.now <= this.stopAheadMs(victims);
-    if (rooms.length === tasks && soon) preemption.stopAll(victims, job);
+    if (capacities.length === tasks && soon) preemption.preemptAll(victims, job);
   }
 
   /**
@@ -115,7 +118,7 @@
    * The rooms that the gang fills up: those it has reserved already, or after a while the best that
    * there are by now. Searching for them is what costs most in a pass.
    */
-  find(pass: PlacementPass, job: Job): GangRoom {
+  find(pass: PlacementPass, job: Job): GangCapacity {
     const reserved = this.reserved(pass, job.reservation);
     if (reserved !== null) return reserved;
     const found = this.search(pass, job);
@@ -124,28 +127,28 @@
   }
 
   /** `null`: nothing is reserved, not all of it can be used, or it is time for another search. */
-  private reserved(pass: PlacementPass, reservation: GangReservation | null): GangRoom | null {
+  private reserved(pass: PlacementPass, reservation: GangReservation | null): GangCapacity | null {
     const { settings } = this.parts;
     const every = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
     if (reservation === null || pass.now - reservation.searchedAt >= every) return null;
-    const rooms: Room[] = [];
+    const capacities: FreeCapacity[] = [];
     for (const id of reservation.machines) {
-      const room = pass.rooms.byId.get(id);
-      if (room === undefined || room.closed) return null;
-      rooms.push(room);
+      const capacity = pass.cluster.byMachineId.get(id);
+      if (capacity === undefined || capacity.unschedulable) return null;
+      capacities.push(capacity);
     }
     const { fillAt, readyAt } = reservation;
-    return { rooms, fillAt, readyAt, victims: [] };
+    return { capacities, fillAt, readyAt, victims: [] };
   }
 
-  private search(pass: PlacementPass, job: Job): GangRoom {
+  private search(pass: PlacementPass, job: Job): GangCapacity {
     const { estimates } = this.parts;
     const { targets, fillAt } = this.bestTargets(pass, job);
     const ready = targets.map(
-      ({ room }) => fillAt + estimates.fetchMs(job.spec, room.machine, pass.now),
+      ({ capacity }) => fillAt + estimates.fetchMs(job.spec, capacity.machine, pass.now),
     );
     return {
-      rooms: targets.map((target) => target.room),
+      capacities: targets.map((target) => target.capacity),
       fillAt,
       readyAt: Math.max(...ready),
       victims: targets.flatMap((target) => target.victims),
@@ -153,20 +156,20 @@
   }
 
   /** Of the zones that the gang may be in, the one that has the most places, then the soonest. */
-  private bestTargets(pass: PlacementPass, job: Job): GangTargets {
+  private bestTargets(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
-    let best: GangTargets = { targets: [], fillAt: Infinity };
-    for (const zone of zoneChoices(pass.rooms, spec)) {
+    let best: GangCandidates = { targets: [], fillAt: Infinity };
+    for (const zone of zoneChoices(pass.cluster, spec)) {
       const targets = this.parts.targets.find({
         now: pass.now,
         job,
-        rooms: pass.rooms.of(spec, zone).flat(),
+        capacities: pass.cluster.ofKindsAllowedFor(spec, zone).flat(),
         count: spec.tasks,
-        made: false,
+        onlyByPreemption: false,
         ...(spec.spread
-          ? { zoneRoom: (_: string, there: number) => spreadAllowance(spec, there) }
+          ? { zoneAllowance: (_: string, there: number) => spreadAllowance(spec, there) }
           : {}),
-        prefer: (room) => machinePenalty(job, room),
+        penalty: (capacity) => machinePenalty(job, capacity),
       });
       const whole = targets.length === spec.tasks;
       const fillAt = whole ? Math.max(...targets.map((target) => target.fillAt)) : Infinity;
@@ -176,10 +179,10 @@
     return best;
   }
 
-  private keep(pass: PlacementPass, job: Job, found: GangRoom): void {
+  private keep(pass: PlacementPass, job: Job, found: GangCapacity): void {
     const { eventLoop, records } = this.parts;
     const { fillAt, readyAt, victims } = found;
-    const machines = found.rooms.map((room) => room.machine.id);
+    const machines = found.capacities.map((capacity) => capacity.machine.id);
     if (job.reservation?.machines.join() !== machines.join())
       records.set(reservationKey(job.spec.id), machines, 'lazy');
     const since = job.reservation?.since ?? pass.now;
--- a/src/controller/placement/array-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -1,37 +1,37 @@
 /** Placement of tasks that start one by one: those of arrays, and replicas of services. */
-import type { Job } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
-import type { CandidateFinder } from './candidates.js';
-import { nameOfKinds } from './failed-searches.js';
-import type { LatestStarts } from './latest-starts.js';
-import { machinePenalty } from './machine-penalty.js';
-import type { PlacementPass } from './placement-pass.js';
-import type { Preemption } from './preemption.js';
-import type { QueuedJob } from './rank.js';
-import { spreadReplicas } from './replica-spread.js';
-import { needOf } from './need.js';
-import type { Targets } from './targets.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
+import type { CandidateFinder } from '../search/candidate-finder.js';
+import { machineKindsKey } from '../pass/negative-search-cache.js';
+import type { StartDeadlines } from '../estimates/start-deadlines.js';
+import { machinePenalty } from '../search/machine-penalty.js';
+import type { PlacementPass } from '../pass/placement-pass.js';
+import type { Preemptor } from '../preemption/preemptor.js';
+import type { QueuedJob } from '../pass/rank.js';
+import { spreadReplicas } from '../search/replica-spread.js';
+import { resourceRequestOf } from '../need.js';
+import type { ReservationCandidateFinder } from '../search/reservation-candidate-finder.js';
 import type { TaskStarter } from './task-starter.js';
-import type { Teams } from './teams.js';
-import { addTasks, tasksByZone, zoneAllowance, type TasksByZone } from './zones.js';
+import type { TeamUsage } from '../../workers/team-usage.js';
+import { addTasks, tasksByZone, zoneAllowance, type TasksByZone } from '../capacity/zones.js';
 
 /** Tasks of one array that room is made for in one pass. */
 const ROOM_PER_PASS = 8;
 
 /** What the placement of arrays relies on. */
-export interface ArrayPlacerParts {
+export interface IndependentTaskPlacerParts {
   settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
-  teams: Pick<Teams, 'allowance'>;
-  latestStarts: Pick<LatestStarts, 'next'>;
+  teams: Pick<TeamUsage, 'allowance'>;
+  latestStarts: Pick<StartDeadlines, 'next'>;
   candidates: Pick<CandidateFinder, 'find'>;
   starter: Pick<TaskStarter, 'start'>;
-  targets: Pick<Targets, 'find'>;
-  preemption: Pick<Preemption, 'stopAll'>;
+  targets: Pick<ReservationCandidateFinder, 'find'>;
+  preemption: Pick<Preemptor, 'preemptAll'>;
 }
 
 /** Places tasks that start one by one, and makes room for them where work may be stopped. */
-export class ArrayPlacer {
-  constructor(private readonly parts: ArrayPlacerParts) {}
+export class IndependentTaskPlacer {
+  constructor(private readonly parts: IndependentTaskPlacerParts) {}
 
   /** Places as many of the job's tasks as fit and its team may have. */
   place(pass: PlacementPass, queued: QueuedJob): void {
@@ -44,9 +44,9 @@
     else if (warmOnly) pass.requeue({ ...queued, acceptsFetch: true });
     else {
       pass.shortages.push({ job, tasks: left });
-      if (this.mayMakeRoom(pass, job)) {
+      if (this.mayPreempt(pass, job)) {
         job.preemptionSearchedAt = pass.now;
-        this.makeRoom(pass, job, left);
+        this.preemptForTasks(pass, job, left);
       }
     }
   }
@@ -71,12 +71,12 @@
     const zones: TasksByZone = limited ? tasksByZone(job) : new Map<string, number>();
     const found = this.parts.candidates.find(pass, job, warmOnly);
     let left = wanted;
-    for (const { room, count } of job.isService ? spreadReplicas(job, found) : found) {
-      const { zone } = room.machine;
+    for (const { capacity, count } of job.isService ? spreadReplicas(job, found) : found) {
+      const { zone } = capacity.machine;
       const allowance = limited ? zoneAllowance(spec, zone, zones) : Infinity;
       const tasks = Math.min(left, count, allowance);
       if (tasks <= 0) continue;
-      this.parts.starter.start(job, room, tasks);
+      this.parts.starter.start(job, capacity, tasks);
       addTasks(zones, zone, tasks);
       left -= tasks;
       if (left === 0) break;
@@ -85,7 +85,7 @@
   }
 
   /** Whether work may be stopped for the job, and the last search for it is long enough ago. */
-  private mayMakeRoom(pass: PlacementPass, job: Job): boolean {
+  private mayPreempt(pass: PlacementPass, job: Job): boolean {
     const { settings } = this.parts;
     const every = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
     const outranks = job.guaranteed || job.level > pass.lowestLevel;
@@ -96,27 +96,27 @@
    * Room for an array's tasks one by one, where work may be stopped for them: so that work inside a
    * guarantee need not wait for what others run on borrowed room.
    */
-  private makeRoom(pass: PlacementPass, job: Job, tasks: number): void {
-    const kinds = pass.rooms.of(job.spec);
-    const need = needOf(job.spec);
+  private preemptForTasks(pass: PlacementPass, job: Job, tasks: number): void {
+    const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
+    const need = resourceRequestOf(job.spec);
     const { team } = job.spec;
     const { guaranteed, level } = job;
-    const search = { need, kinds: nameOfKinds(kinds), team, guaranteed, level };
-    if (pass.failedSearches.noVictims(search)) return;
-    const usable = kinds.flat().filter((room) => !job.avoids(room.machine.id, pass.now));
+    const search = { need, kinds: machineKindsKey(kinds), team, guaranteed, level };
+    if (pass.failedSearches.hasNoVictims(search)) return;
+    const usable = kinds.flat().filter((capacity) => !job.avoids(capacity.machine.id, pass.now));
     const found = this.parts.targets.find({
       now: pass.now,
       job,
-      rooms: usable,
+      capacities: usable,
       count: Math.min(tasks, ROOM_PER_PASS),
-      made: true,
-      prefer: (room) => machinePenalty(job, room),
+      onlyByPreemption: true,
+      penalty: (capacity) => machinePenalty(job, capacity),
     });
     if (found.length === 0 && job.avoidedMachines.size === 0)
       pass.failedSearches.addNoVictims(search);
     for (const target of found) {
-      if (!this.parts.preemption.stopAll(target.victims, job)) return;
-      target.room.claim(need, target.fillAt);
+      if (!this.parts.preemption.preemptAll(target.victims, job)) return;
+      target.capacity.claimForTask(need, target.fillAt);
     }
   }
 }
--- a/src/controller/placement/task-starter.ts
+++ b/src/controller/placement/placers/task-starter.ts
@@ -1,7 +1,7 @@
 /** Gives tasks to machines, under attempts that are unique over all time. */
-import type { Job } from '../jobs/job-table.js';
-import type { Workers } from '../workers/workers.js';
-import type { Room } from './room.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Workers } from '../../workers/workers.js';
+import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** Attempts of one leader; with the term they are unique over all time. */
 const ATTEMPTS_PER_TERM = 2 ** 22;
@@ -27,13 +27,13 @@
   }
 
   /** Starts pending tasks of the job on a machine; `attempt`: of a gang, others have their own. */
-  start(job: Job, room: Room, count: number, attempt?: number): void {
-    room.outlook = null;
+  start(job: Job, capacity: FreeCapacity, count: number, attempt?: number): void {
+    capacity.forecast = null;
     for (let started = 0; started < count; started++) {
       const task = job.pending.pop();
       if (task === undefined) return;
       const own = attempt ?? job.attemptFor(task, () => this.nextAttempt());
-      this.workers.assign(job, task, own, room.machine);
+      this.workers.assign(job, task, own, capacity.machine);
     }
   }
 }
--- a/src/controller/placement/room-filling.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -1,33 +1,33 @@
 /** When a machine should have room for a task, by itself or by stopping others. */
-import type { Job } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
-import type { Assignment, ResourceRequest } from '../workers/assignment.js';
-import type { Estimates } from './estimates.js';
-import { FreeRoom } from './free-room.js';
-import type { ExpectedEnd, Outlook } from './outlook.js';
-import type { Room } from './room.js';
-import type { VictimRules } from './victims.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
+import type { Assignment, ResourceRequest } from '../../workers/assignment.js';
+import type { DurationEstimator } from '../estimates/duration-estimator.js';
+import { HypotheticalCapacity } from '../capacity/hypothetical-capacity.js';
+import type { ExpectedEnd, MachineForecast } from '../capacity/machine-forecast.js';
+import type { FreeCapacity } from '../capacity/free-capacity.js';
+import type { PreemptionPolicy } from './preemption-policy.js';
 
 /** Room for one task: from when on, and what has to be stopped for it. */
-export interface Fill {
+export interface CapacityPlan {
   fillAt: number;
   victims: readonly Assignment[];
   /** Work that stopping the victims would lose. */
-  lostMs: number;
+  lostWorkMs: number;
   /** Room is being made already. */
-  stopping: boolean;
+  hasStopping: boolean;
 }
 
 /** What room is wanted for. */
-export interface FillSearch {
+export interface CapacitySearch {
   now: number;
   job: Job;
   /** Only room that is being made, or for which work would be stopped. */
-  made: boolean;
+  onlyByPreemption: boolean;
 }
 
 /** How much sooner a gang has to start for each second of work that is lost for it. */
-export const LOST_WEIGHT = 0.15;
+export const LOST_WORK_WEIGHT = 0.15;
 
 /** Tasks that may not be stopped and are waited for in a room, while others are stopped. */
 const MAX_WAITS = 4;
@@ -35,24 +35,24 @@
 const NOBODY: readonly Assignment[] = [];
 
 /** Room for which nothing more has to be stopped. */
-function fillWithoutVictims(fillAt: number, stopping = false): Fill {
-  return { fillAt, victims: NOBODY, lostMs: 0, stopping };
+function fillWithoutVictims(fillAt: number, hasStopping = false): CapacityPlan {
+  return { fillAt, victims: NOBODY, lostWorkMs: 0, hasStopping };
 }
 
 /** Finds out when machines should have room, and what to stop for it. */
-export class RoomFilling {
-  private readonly free = new FreeRoom();
+export class CapacityPlanner {
+  private readonly free = new HypotheticalCapacity();
 
   constructor(
     private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
-    private readonly estimates: Pick<Estimates, 'remainingMs'>,
-    private readonly rules: VictimRules,
+    private readonly estimates: Pick<DurationEstimator, 'remainingMs'>,
+    private readonly rules: PreemptionPolicy,
   ) {}
 
   /** Whether anything is being stopped there, or might be for the job. A cheap question, asked first. */
-  promises(search: FillSearch, room: Room): boolean {
-    const outlook = this.outlook(room, search.now);
-    return outlook.stopping || this.rules.mightStop(search.job, outlook);
+  mayFreeCapacity(search: CapacitySearch, capacity: FreeCapacity): boolean {
+    const outlook = this.forecast(capacity, search.now);
+    return outlook.hasStopping || this.rules.mightPreempt(search.job, outlook);
   }
 
   /**
@@ -60,77 +60,86 @@
    * `null`: never. `taken`: tasks of the job that are to go there already, `used`: tasks that are to be
    * stopped for them.
    */
-  fill(search: FillSearch, room: Room, taken: number, used: Set<Assignment>): Fill | null {
-    if (room.closed) return null;
+  plan(
+    search: CapacitySearch,
+    capacity: FreeCapacity,
+    taken: number,
+    used: Set<Assignment>,
+  ): CapacityPlan | null {
+    if (capacity.unschedulable) return null;
     const { now, job } = search;
     const { heartbeatIntervalMs } = this.settings;
     const { free } = this;
-    free.start(room, job.spec, taken);
-    if (free.enough(job.spec)) return fillWithoutVictims(now);
-    const outlook = this.outlook(room, now);
+    free.reset(capacity, job.spec, taken);
+    if (free.fits(job.spec)) return fillWithoutVictims(now);
+    const outlook = this.forecast(capacity, now);
     const byItself = this.fillByItself(outlook, job.spec);
     // Soon free, by itself or because it was stopped: nothing more needs stopping.
     if (byItself === null || byItself.fillAt - now < heartbeatIntervalMs) return byItself;
     const natural = byItself.fillAt;
-    const mightStop = this.rules.mightStop(job, outlook);
-    if (!outlook.stopping && used.size === 0 && !mightStop) return fillWithoutVictims(natural);
-    free.start(room, job.spec, taken);
+    const mightStop = this.rules.mightPreempt(job, outlook);
+    if (!outlook.hasStopping && used.size === 0 && !mightStop) return fillWithoutVictims(natural);
+    free.reset(capacity, job.spec, taken);
     const coming = this.addStopped(outlook, used, now);
-    if (free.enough(job.spec)) return fillWithoutVictims(coming, true);
+    if (free.fits(job.spec)) return fillWithoutVictims(coming, true);
     if (!mightStop) return fillWithoutVictims(natural);
     return this.fillByStopping(search, outlook, used, coming, natural);
   }
 
   /** Room once enough tasks have ended, with nothing more stopped; `null`: there is never enough. */
-  private fillByItself(outlook: Outlook, need: ResourceRequest): Fill | null {
-    let stopping = false;
-    for (const { assignment, at } of outlook.ends) {
-      this.free.add(assignment.request);
-      if (assignment.stop !== null) stopping = true;
-      if (!this.free.enough(need)) continue;
-      return at === Infinity ? null : fillWithoutVictims(at, stopping);
+  private fillByItself(outlook: MachineForecast, need: ResourceRequest): CapacityPlan | null {
+    let hasStopping = false;
+    for (const { assignment, endsAt } of outlook.expectedEnds) {
+      this.free.release(assignment.request);
+      if (assignment.stop !== null) hasStopping = true;
+      if (!this.free.fits(need)) continue;
+      return endsAt === Infinity ? null : fillWithoutVictims(endsAt, hasStopping);
     }
     return null;
   }
 
   /** A room's tasks in the order in which they should end by themselves, and what may be stopped. */
-  outlook(room: Room, now: number): Outlook {
-    if (room.outlook !== null) return room.outlook;
-    const outlook: Outlook = {
-      ends: [],
-      stopping: false,
+  forecast(capacity: FreeCapacity, now: number): MachineForecast {
+    if (capacity.forecast !== null) return capacity.forecast;
+    const outlook: MachineForecast = {
+      expectedEnds: [],
+      hasStopping: false,
       longestSaveMs: 0,
-      lowest: Infinity,
-      unguaranteed: false,
+      lowestLevel: Infinity,
+      hasUnguaranteed: false,
     };
-    const youngAfter = this.rules.youngAfter(now);
-    for (const assignment of room.machine.assignments.values()) {
+    const youngAfter = this.rules.latestEligibleStart(now);
+    for (const assignment of capacity.machine.assignments.values()) {
       if (assignment.phase === 'ended') continue;
       const { job, assignedAt, checkpointSaveS, stop } = assignment;
-      outlook.ends.push({ assignment, at: now + this.estimates.remainingMs(assignment, now) });
+      outlook.expectedEnds.push({
+        assignment,
+        endsAt: now + this.estimates.remainingMs(assignment, now),
+      });
       outlook.longestSaveMs = Math.max(outlook.longestSaveMs, checkpointSaveS * 1000);
-      if (stop !== null) outlook.stopping = true;
+      if (stop !== null) outlook.hasStopping = true;
       else if (job !== null && assignedAt <= youngAfter) {
-        if (job.level < outlook.lowest) outlook.lowest = job.level;
-        if (!job.guaranteed) outlook.unguaranteed = true;
+        if (job.level < outlook.lowestLevel) outlook.lowestLevel = job.level;
+        if (!job.guaranteed) outlook.hasUnguaranteed = true;
       }
     }
-    if (outlook.ends.length > 1) outlook.ends.sort((first, second) => first.at - second.at);
-    room.outlook = outlook;
+    if (outlook.expectedEnds.length > 1)
+      outlook.expectedEnds.sort((first, second) => first.endsAt - second.endsAt);
+    capacity.forecast = outlook;
     return outlook;
   }
 
   /** Adds what is being stopped, or will be for the job; returns when all of that has ended. */
-  private addStopped(outlook: Outlook, used: Set<Assignment>, now: number): number {
+  private addStopped(outlook: MachineForecast, used: Set<Assignment>, now: number): number {
     const { heartbeatIntervalMs } = this.settings;
     let coming = now + heartbeatIntervalMs;
-    for (const { assignment, at } of outlook.ends) {
+    for (const { assignment, endsAt } of outlook.expectedEnds) {
       const { stop, checkpointSaveS, request } = assignment;
-      if (stop !== null) coming = Math.max(coming, at);
+      if (stop !== null) coming = Math.max(coming, endsAt);
       else if (used.has(assignment))
         coming = Math.max(coming, now + heartbeatIntervalMs + checkpointSaveS * 1000);
       else continue;
-      this.free.add(request);
+      this.free.release(request);
     }
     return coming;
   }
@@ -140,27 +149,27 @@
    * for, and the rest stopped: as few waits as will do.
    */
   private fillByStopping(
-    search: FillSearch,
-    outlook: Outlook,
+    search: CapacitySearch,
+    outlook: MachineForecast,
     used: Set<Assignment>,
     stoppedAt: number,
     natural: number,
-  ): Fill {
+  ): CapacityPlan {
     const { now, job } = search;
     const { choice, others } = this.stoppable(search, outlook, used);
     if (choice.length === 0) return fillWithoutVictims(natural);
-    this.rules.sort(choice);
+    this.rules.sortVictims(choice);
     let coming = stoppedAt;
     for (let waits = 0; waits <= others.length && waits <= MAX_WAITS; waits++) {
       const last = others[waits - 1];
       if (last !== undefined) {
-        coming = Math.max(coming, last.at);
-        this.free.add(last.assignment.request);
+        coming = Math.max(coming, last.endsAt);
+        this.free.release(last.assignment.request);
       }
-      if (coming >= natural || (search.made && waits > 0)) break;
+      if (coming >= natural || (search.onlyByPreemption && waits > 0)) break;
       const made = this.stop(job.spec, choice, coming, now);
       if (made === null) continue;
-      const cheaper = natural < made.fillAt + LOST_WEIGHT * made.lostMs;
+      const cheaper = natural < made.fillAt + LOST_WORK_WEIGHT * made.lostWorkMs;
       return cheaper ? fillWithoutVictims(natural) : made;
     }
     return fillWithoutVictims(natural);
@@ -168,16 +177,16 @@
 
   /** What goes on in the room: what may be stopped for the job, and the rest. */
   private stoppable(
-    { now, job }: FillSearch,
-    outlook: Outlook,
+    { now, job }: CapacitySearch,
+    outlook: MachineForecast,
     used: Set<Assignment>,
   ): { choice: ExpectedEnd[]; others: ExpectedEnd[] } {
     const choice: ExpectedEnd[] = [];
     const others: ExpectedEnd[] = [];
-    for (const end of outlook.ends) {
+    for (const end of outlook.expectedEnds) {
       const { assignment } = end;
       if (assignment.stop !== null || used.has(assignment)) continue;
-      (this.rules.mayStop(job, now, assignment) ? choice : others).push(end);
+      (this.rules.mayPreempt(job, now, assignment) ? choice : others).push(end);
     }
     return { choice, others };
   }
@@ -188,44 +197,44 @@
     choice: readonly ExpectedEnd[],
     coming: number,
     now: number,
-  ): Fill | null {
+  ): CapacityPlan | null {
     const { free } = this;
     const added: ResourceRequest[] = [];
-    for (const { assignment, at } of choice) {
-      if (at > coming) continue;
-      free.add(assignment.request);
+    for (const { assignment, endsAt } of choice) {
+      if (endsAt > coming) continue;
+      free.release(assignment.request);
       added.push(assignment.request);
     }
     let fillAt = coming;
     const victims: Assignment[] = [];
-    for (const { assignment, at } of choice) {
-      if (free.enough(need)) break;
-      if (at <= coming) continue;
+    for (const { assignment, endsAt } of choice) {
+      if (free.fits(need)) break;
+      if (endsAt <= coming) continue;
       victims.push(assignment);
-      free.add(assignment.request);
+      free.release(assignment.request);
       added.push(assignment.request);
       fillAt = Math.max(
         fillAt,
         now + this.settings.heartbeatIntervalMs + assignment.checkpointSaveS * 1000,
       );
     }
-    const enough = free.enough(need);
+    const enough = free.fits(need);
     if (enough) this.spare(need, victims, added);
-    for (const back of added) free.take(back);
+    for (const back of added) free.allocate(back);
     if (!enough) return null;
-    const lostMs = victims.reduce((sum, victim) => sum + this.rules.lostMs(victim, now), 0);
-    return { fillAt, victims, lostMs, stopping: false };
+    const lostWorkMs = victims.reduce((sum, victim) => sum + this.rules.lostWorkMs(victim, now), 0);
+    return { fillAt, victims, lostWorkMs, hasStopping: false };
   }
 
   /** Victims that the rest made needless are spared. */
   private spare(need: ResourceRequest, victims: Assignment[], added: ResourceRequest[]): void {
     const { free } = this;
     for (const victim of [...victims]) {
-      free.take(victim.request);
-      if (free.enough(need)) {
+      free.allocate(victim.request);
+      if (free.fits(need)) {
         victims.splice(victims.indexOf(victim), 1);
         added.splice(added.indexOf(victim.request), 1);
-      } else free.add(victim.request);
+      } else free.release(victim.request);
     }
   }
 }
--- a/src/controller/placement/victims.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -1,34 +1,34 @@
 /** Which tasks may be stopped for a job, in which order, and what that loses. */
-import type { Job } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
-import type { Assignment } from '../workers/assignment.js';
-import type { Estimates } from './estimates.js';
-import type { ExpectedEnd, Outlook } from './outlook.js';
-import type { Teams } from './teams.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
+import type { Assignment } from '../../workers/assignment.js';
+import type { DurationEstimator } from '../estimates/duration-estimator.js';
+import type { ExpectedEnd, MachineForecast } from '../capacity/machine-forecast.js';
+import type { TeamUsage } from '../../workers/team-usage.js';
 
 /** Most that a task with checkpoints loses, in times of its save. */
 const LOST_SAVES = 2;
 
 /** The rules of preemption (PROTOCOL, "Preemption"; m03 §7). */
-export class VictimRules {
+export class PreemptionPolicy {
   constructor(
     private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
-    private readonly estimates: Pick<Estimates, 'fetchMs' | 'runMs'>,
-    private readonly teams: Pick<Teams, 'borrows'>,
+    private readonly estimates: Pick<DurationEstimator, 'fetchMs' | 'runMs'>,
+    private readonly teams: Pick<TeamUsage, 'borrows'>,
   ) {}
 
   /** Tasks assigned later than this are too young to be stopped. */
-  youngAfter(now: number): number {
+  latestEligibleStart(now: number): number {
     return now - this.settings.get('placement.victim.age.s') * 1000;
   }
 
   /** Whether any of a machine's tasks might be stopped for the job. A cheap question, asked first. */
-  mightStop(job: Job, outlook: Outlook): boolean {
-    return outlook.lowest < job.level || (job.guaranteed && outlook.unguaranteed);
+  mightPreempt(job: Job, outlook: MachineForecast): boolean {
+    return outlook.lowestLevel < job.level || (job.guaranteed && outlook.hasUnguaranteed);
   }
 
   /** For higher priority, or for a guarantee against borrowed room. */
-  mayStop(job: Job, now: number, task: Assignment): boolean {
+  mayPreempt(job: Job, now: number, task: Assignment): boolean {
     const owner = task.job;
     if (owner === null || owner.gangRestarting || owner.terminalState !== null) return false;
     // All replicas of a service are needed: nothing says otherwise.
@@ -42,7 +42,7 @@
   }
 
   /** m03 §7: borrowed room first, the newest first. */
-  sort(ends: ExpectedEnd[]): void {
+  sortVictims(ends: ExpectedEnd[]): void {
     ends.sort(
       ({ assignment: first }, { assignment: second }) =>
         Number(this.teams.borrows(second)) - Number(this.teams.borrows(first)) ||
@@ -51,7 +51,7 @@
   }
 
   /** What stopping a task costs: its run so far, or its save, and starting it again. */
-  lostMs(task: Assignment, now: number): number {
+  lostWorkMs(task: Assignment, now: number): number {
     if (task.job === null || task.state === 'fetching' || task.state === null) return 0;
     const { spec } = task.job;
     const ran = now - (task.runningAt ?? task.assignedAt);
--- a/src/controller/placement/preemption.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -1,23 +1,23 @@
 /** Stopping of tasks for work that goes before them, and its limit. */
-import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
-import type { Assignment } from '../workers/assignment.js';
-import type { Workers } from '../workers/workers.js';
+import type { EventLoop } from '../../runtime/event-loop.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
+import type { Assignment } from '../../workers/assignment.js';
+import type { Workers } from '../../workers/workers.js';
 
 /** Tasks that may be stopped within a lease whatever the share of all tasks is. */
-const LEAST_LIMIT = 4;
+const MIN_LIMIT = 4;
 
 /** What stops tasks. */
 export type TaskStopper = Pick<Workers, 'assignedCount' | 'stop' | 'stopJob'>;
 
 /** Tells what stopping a task loses. */
-export interface StopCost {
-  lostMs(assignment: Assignment, now: number): number;
+export interface PreemptionCost {
+  lostWorkMs(assignment: Assignment, now: number): number;
 }
 
 /** Stops tasks to make room for others, at most a share of all tasks within a lease. */
-export class Preemption {
+export class Preemptor {
   /** Tasks stopped to make room, in this term. */
   count = 0;
   /** When tasks were stopped to make room, over the last lease. */
@@ -28,29 +28,29 @@
     private readonly eventLoop: Pick<EventLoop, 'log' | 'now'>,
     private readonly settings: Pick<Settings, 'get' | 'workerLeaseMs'>,
     private readonly workers: TaskStopper,
-    private readonly cost: StopCost,
+    private readonly cost: PreemptionCost,
   ) {}
 
   /** Stops all of the victims or, where that is too much at a time, none. */
-  stopAll(victims: readonly Assignment[], preemptor: Job): boolean {
+  preemptAll(victims: readonly Assignment[], preemptor: Job): boolean {
     if (victims.length === 0) return true;
     const now = this.eventLoop.now();
     const { workerLeaseMs } = this.settings;
     this.recent = this.recent.filter((at) => now - at < workerLeaseMs);
     const share = this.settings.get('placement.preempt.share');
-    const limit = Math.max(LEAST_LIMIT, share * this.workers.assignedCount);
+    const limit = Math.max(MIN_LIMIT, share * this.workers.assignedCount);
     if (this.recent.length + victims.length > limit) {
-      if (now - this.throttledAt > workerLeaseMs) this.warn(victims, preemptor, limit);
+      if (now - this.throttledAt > workerLeaseMs) this.logThrottled(victims, preemptor, limit);
       return false;
     }
-    for (const victim of victims) this.stop(victim, preemptor);
+    for (const victim of victims) this.preempt(victim, preemptor);
     return true;
   }
 
-  private warn(victims: readonly Assignment[], preemptor: Job, limit: number): void {
+  private logThrottled(victims: readonly Assignment[], preemptor: Job, limit: number): void {
     const now = this.eventLoop.now();
     this.throttledAt = now;
-    const lostMs = victims.reduce((sum, victim) => sum + this.cost.lostMs(victim, now), 0);
+    const lostWorkMs = victims.reduce((sum, victim) => sum + this.cost.lostWorkMs(victim, now), 0);
     this.eventLoop.log.warn(
       {
         job: preemptor.spec.id,
@@ -58,13 +58,13 @@
         stopped: this.recent.length,
         most: Math.floor(limit),
         wouldStop: victims.map((victim) => victim.jobId),
-        wouldLoseTaskSeconds: Math.round(lostMs / 1000),
+        wouldLoseTaskSeconds: Math.round(lostWorkMs / 1000),
       },
       'preemption throttled: the job waits; raise placement.preempt.share to let it through',
     );
   }
 
-  private stop(victim: Assignment, preemptor: Job): void {
+  private preempt(victim: Assignment, preemptor: Job): void {
     if (victim.stop !== null || victim.phase === 'ended') return;
     const { job } = victim;
     if (job === null) return;
--- a/src/controller/placement/reserve.test.ts
+++ b/src/controller/placement/reserve.test.ts
@@ -3,8 +3,8 @@
 import { Job } from '../jobs/job-table.js';
 import { isList, isMap } from '../wire/cbor.js';
 import type { JobSpec } from '../wire/jobs.js';
-import { Estimates } from './estimates.js';
-import { Reserve } from './reserve.js';
+import { DurationEstimator } from './estimates/duration-estimator.js';
+import { ClassHeadroom } from './headroom/class-headroom.js';
 
 const WALL = 1_700_000_000_000;
 
@@ -26,14 +26,14 @@
   return new Job(spec, at, 1, at);
 }
 
-function newReserve(): Reserve {
+function newReserve(): ClassHeadroom {
   const settings = { memoryMs: 300_000, share: 0.6, spare: 1 };
-  return new Reserve(settings, new Estimates(), 0, () => null);
+  return new ClassHeadroom(settings, new DurationEstimator(), 0, () => null);
 }
 
 /** What a leader records of a class. */
-function recorded(reserve: Reserve, cls: string, now: number): Record<string, unknown> {
-  const value = reserve.export(now, WALL + now).get(cls);
+function recorded(reserve: ClassHeadroom, cls: string, now: number): Record<string, unknown> {
+  const value = reserve.exportStatistics(now, WALL + now).get(cls);
   const classes = isMap(value) ? value['classes'] : [];
   const [stats] = isList(classes) ? classes : [];
   assert.ok(isMap(stats), `nothing of ${cls}`);
@@ -42,11 +42,11 @@
 
 describe('reserve at a takeover', () => {
   /** A leader that has seen jobs of one class with two images, and how long they stay. */
-  function leader(): Reserve {
+  function leader(): ClassHeadroom {
     const reserve = newReserve();
     for (let at = 1000; at <= 10_000; at += 1000)
-      reserve.arrived(job({ image: at % 2000 === 0 ? 'i-1' : 'i-2' }, at), at);
-    reserve.ended(job({}, 0).spec, 50_000);
+      reserve.recordSubmission(job({ image: at % 2000 === 0 ? 'i-1' : 'i-2' }, at), at);
+    reserve.recordOccupancy(job({}, 0).spec, 50_000);
     return reserve;
   }
 
@@ -55,29 +55,29 @@
     const now = 12_000;
     const expected = recorded(before, 'train', now);
     const next = newReserve();
-    const records = [...before.export(now, WALL + now).values()];
-    next.takeOver(records, [job({}, 9000), job({ image: 'i-2' }, 10_000)], now, WALL + now);
+    const records = [...before.exportStatistics(now, WALL + now).values()];
+    next.restore(records, [job({}, 9000), job({ image: 'i-2' }, 10_000)], now, WALL + now);
     assert.deepEqual(recorded(next, 'train', now), expected);
   });
 
   it('starts from the first live job where a class has no record', () => {
     const next = newReserve();
-    next.takeOver([], [job({ tasks: 3 }, 1000), job({ tasks: 2 }, 2000)], 5000, WALL);
+    next.restore([], [job({ tasks: 3 }, 1000), job({ tasks: 2 }, 2000)], 5000, WALL);
     assert.equal(recorded(next, 'train', 5000)['weight'], 3);
   });
 
   it('takes the newest of several records of a class, in any order', () => {
     const old = leader();
-    const oldRecords = [...old.export(12_000, WALL + 12_000).values()];
-    old.arrived(job({ tasks: 7 }, 20_000), 20_000);
-    const newRecords = [...old.export(21_000, WALL + 21_000).values()];
+    const oldRecords = [...old.exportStatistics(12_000, WALL + 12_000).values()];
+    old.recordSubmission(job({ tasks: 7 }, 20_000), 20_000);
+    const newRecords = [...old.exportStatistics(21_000, WALL + 21_000).values()];
     const expected = recorded(old, 'train', 25_000);
     for (const records of [
       [...oldRecords, ...newRecords],
       [...newRecords, ...oldRecords],
     ]) {
       const next = newReserve();
-      next.takeOver(records, [job({}, 20_000)], 25_000, WALL + 25_000);
+      next.restore(records, [job({}, 20_000)], 25_000, WALL + 25_000);
       assert.deepEqual(recorded(next, 'train', 25_000), expected);
     }
   });
--- a/src/controller/placement/candidates.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -1,18 +1,18 @@
 /** Machines where tasks of a job can start now. */
-import type { Job } from '../jobs/job-table.js';
-import type { Settings } from '../settings/settings.js';
-import type { ResourceRequest } from '../workers/assignment.js';
-import { recordSpaceOf, type RecordSpace } from '../workers/machine-record.js';
-import type { Estimates } from './estimates.js';
-import { nameOfKinds } from './failed-searches.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Settings } from '../../settings/settings.js';
+import type { ResourceRequest } from '../../workers/assignment.js';
+import { recordSpaceOf, type RecordSpace } from '../../workers/machine-record.js';
+import type { DurationEstimator } from '../estimates/duration-estimator.js';
+import { machineKindsKey } from '../pass/negative-search-cache.js';
 import { machinePenalty } from './machine-penalty.js';
-import type { PlacementPass } from './placement-pass.js';
-import { needOf } from './need.js';
-import type { Room } from './room.js';
+import type { PlacementPass } from '../pass/placement-pass.js';
+import { resourceRequestOf } from '../need.js';
+import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** A machine where tasks of a job can start now. */
 export interface Candidate {
-  room: Room;
+  capacity: FreeCapacity;
   /** How many of its tasks. */
   count: number;
   /** Lower is better. */
@@ -27,7 +27,7 @@
   /** Only machines that have the job's image, or fetch it already. */
   warmOnly: boolean;
   /** Share of the time to a reservation's fill that short work beneath it may take. */
-  backfill: number;
+  backfillRatio: number;
   record: RecordSpace;
   /** When a task should end that needs no fetch. */
   endsAt: number;
@@ -37,7 +37,7 @@
 export class CandidateFinder {
   constructor(
     private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
-    private readonly estimates: Pick<Estimates, 'cold' | 'fetchMs' | 'runMs'>,
+    private readonly estimates: Pick<DurationEstimator, 'needsFetch' | 'fetchMs' | 'runMs'>,
   ) {}
 
   /**
@@ -45,22 +45,22 @@
    * others can't use, the tightest fit (m03 §6, R1).
    */
   find(pass: PlacementPass, job: Job, warmOnly = false): Candidate[] {
-    const kinds = pass.rooms.of(job.spec);
-    const need = needOf(job.spec);
-    const search = { need, kinds: nameOfKinds(kinds) };
-    if (pass.failedSearches.noPlace(search)) return [];
+    const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
+    const need = resourceRequestOf(job.spec);
+    const search = { need, kinds: machineKindsKey(kinds) };
+    if (pass.failedSearches.hasNoCapacity(search)) return [];
     const candidateSearch = this.searchFor(pass, job, need, warmOnly);
     const found: Candidate[] = [];
     let anyPlace = false;
     for (const rooms of kinds)
-      for (const room of rooms) {
-        if (!room.admits(need)) continue;
+      for (const capacity of rooms) {
+        if (!capacity.fitsIgnoringClaims(need)) continue;
         anyPlace = true;
-        const candidate = this.examine(candidateSearch, room);
+        const candidate = this.examine(candidateSearch, capacity);
         if (candidate !== null) found.push(candidate);
       }
-    if (!anyPlace) pass.failedSearches.addNoPlace(search);
-    return found.sort((a, b) => a.score - b.score || a.room.order - b.room.order);
+    if (!anyPlace) pass.failedSearches.addNoCapacity(search);
+    return found.sort((a, b) => a.score - b.score || a.capacity.index - b.capacity.index);
   }
 
   private searchFor(
@@ -75,7 +75,7 @@
       now: pass.now,
       need,
       warmOnly,
-      backfill: this.settings.get('placement.backfill.ratio'),
+      backfillRatio: this.settings.get('placement.backfill.ratio'),
       record: recordSpaceOf({
         jobId: spec.id,
         team: spec.team,
@@ -87,16 +87,16 @@
   }
 
   /** `null`: nothing of the job can start there beside what higher ranks have reserved. */
-  private examine(search: CandidateSearch, room: Room): Candidate | null {
-    const { job, now, record, backfill } = search;
-    const { machine } = room;
+  private examine(search: CandidateSearch, capacity: FreeCapacity): Candidate | null {
+    const { job, now, record, backfillRatio } = search;
+    const { machine } = capacity;
     if (job.avoids(machine.id, now)) return null;
-    if (search.warmOnly && this.estimates.cold(job.spec, machine)) return null;
+    if (search.warmOnly && this.estimates.needsFetch(job.spec, machine)) return null;
     const fetchMs = this.estimates.fetchMs(job.spec, machine, now);
     const { spec, level } = job;
     const endsAt = search.endsAt + fetchMs;
-    const count = room.fits({ spec, level, endsAt, backfill, now, record });
+    const count = capacity.countFitting({ spec, level, endsAt, backfillRatio, now, record });
     if (count <= 0) return null;
-    return { room, count, score: fetchMs / 1000 + machinePenalty(job, room) };
+    return { capacity, count, score: fetchMs / 1000 + machinePenalty(job, capacity) };
   }
 }
--- a/src/controller/placement/machine-penalty.ts
+++ b/src/controller/placement/search/machine-penalty.ts
@@ -1,6 +1,6 @@
 /** Scoring of machines for a job, beside the fetch of its image. */
-import type { Job } from '../jobs/job-table.js';
-import type { Room } from './room.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** Work without GPUs on a machine that has some. */
 const CPU_WORK_ON_GPU_MACHINE = 30;
@@ -14,9 +14,9 @@
 const LEFTOVER = 10;
 
 /** What speaks against a machine for the job; lower is better. */
-export function machinePenalty(job: Job, room: Room): number {
+export function machinePenalty(job: Job, capacity: FreeCapacity): number {
   const { spec } = job;
-  const { machine } = room;
+  const { machine } = capacity;
   const { type } = machine;
   if (type === null) return Infinity;
   let penalty = 0;
@@ -24,8 +24,10 @@
   // Cheap machines are for work that can be done again; a replica there is down with each that goes.
   if (spec.spot && machine.spot === job.isService) penalty += UNSUITABLE_MARKET;
   if (job.failedMachines.has(machine.id)) penalty += FAILED_BEFORE;
-  if (spec.kind === 'gang' && room.intrudes(spec)) penalty += INTRUSION;
+  if (spec.kind === 'gang' && capacity.intrudesOnHeadroom(spec)) penalty += INTRUSION;
   const left =
-    spec.gpus > 0 ? (room.gpus - spec.gpus) / type.gpus : (room.cpus - spec.cpus) / type.cpus;
+    spec.gpus > 0
+      ? (capacity.gpus - spec.gpus) / type.gpus
+      : (capacity.cpus - spec.cpus) / type.cpus;
   return penalty + LEFTOVER * left;
 }
--- a/src/controller/placement/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -1,6 +1,6 @@
 /** The order in which machines take replicas of a service. */
-import type { Job } from '../jobs/job-table.js';
-import type { Candidate } from './candidates.js';
+import type { Job } from '../../jobs/job-table.js';
+import type { Candidate } from './candidate-finder.js';
 
 /** A machine with room for replicas, and what decides between it and others. */
 interface Choice extends Candidate {
@@ -19,22 +19,22 @@
   const { machines, zones } = countReplicas(job);
   let choices: Choice[] = places.map((place) => ({
     ...place,
-    cold: !place.room.machine.images.has(job.spec.image),
-    there: machines.get(place.room.machine.id) ?? 0,
+    cold: !place.capacity.machine.images.has(job.spec.image),
+    there: machines.get(place.capacity.machine.id) ?? 0,
   }));
   const half = Math.ceil(job.spec.tasks / 2);
   const before = (a: Choice, b: Choice): number =>
     Number(a.there >= half) - Number(b.there >= half) ||
     Number(a.cold) - Number(b.cold) ||
     a.there - b.there ||
-    (zones.get(a.room.machine.zone) ?? 0) - (zones.get(b.room.machine.zone) ?? 0) ||
+    (zones.get(a.capacity.machine.zone) ?? 0) - (zones.get(b.capacity.machine.zone) ?? 0) ||
     a.score - b.score;
   while (choices.length > 0) {
     const best = choices.reduce((a, b) => (before(b, a) < 0 ? b : a));
     const pending = job.pending.length;
-    yield { room: best.room, count: 1, score: best.score };
+    yield { capacity: best.capacity, count: 1, score: best.score };
     if (job.pending.length < pending) {
-      const { zone } = best.room.machine;
+      const { zone } = best.capacity.machine;
       zones.set(zone, (zones.get(zone) ?? 0) + 1);
       best.there++;
       best.count--;
--- a/src/controller/placement/services.test.ts
+++ b/src/controller/placement/services.test.ts
@@ -13,9 +13,9 @@
 import type { ExitCause, TaskStatus } from '../wire/workers.js';
 import { makeFencingToken } from '../workers/fencing-token.js';
 import { Workers } from '../workers/workers.js';
-import { Estimates } from './estimates.js';
+import { DurationEstimator } from './estimates/duration-estimator.js';
 import { Placement } from './placement.js';
-import { Reserve } from './reserve.js';
+import { ClassHeadroom } from './headroom/class-headroom.js';
 
 const TERM = 3;
 const TEAM_GPUS = 4;
@@ -99,11 +99,16 @@
       findMachineType: () => type,
       ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
     });
-    const estimates = new Estimates();
-    const reserve = new Reserve({ memoryMs: 1000, share: 0, spare: 0 }, estimates, 0, () => null);
+    const estimates = new DurationEstimator();
+    const reserve = new ClassHeadroom(
+      { memoryMs: 1000, share: 0, spare: 0 },
+      estimates,
+      0,
+      () => null,
+    );
     this.placement = new Placement(
       ...([eventLoop, settings, this.table, this.workers, records, estimates, reserve] as const),
-      { exhausted: nothing },
+      { attemptsExhausted: nothing },
     );
     for (const w of this.machines)
       for (const image of w.images) this.workers.getOrCreateMachine(w.id).images.set(image, 1);
@@ -153,7 +158,7 @@
     for (const w of this.machines) if (!w.silent) this.exchange(w);
     this.workers.setAnswering(true, STEP_MS);
     this.workers.expireLeases();
-    this.placement.pass();
+    this.placement.runPass();
     this.workers.flush();
   }
 
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -1,7 +1,7 @@
 /** The life of assignments: given, stopped, ended, and what follows for their jobs. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job, JobTable } from '../jobs/job-table.js';
-import type { Teams } from '../placement/teams.js';
+import type { TeamUsage } from './team-usage.js';
 import {
   planAssignment,
   restoreAssignment,
@@ -35,7 +35,7 @@
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly table: Pick<JobTable, 'jobs' | 'markDone' | 'putBack' | 'countExit'>,
-    private readonly teams: Pick<Teams, 'add'>,
+    private readonly teams: Pick<TeamUsage, 'add'>,
     private readonly failures: Pick<FailureTracker, 'recordFailure' | 'recordSuccess'>,
     private readonly events: AssignmentEvents,
   ) {}
--- a/src/controller/placement/teams.ts
+++ b/src/controller/workers/team-usage.ts
@@ -3,11 +3,11 @@
 import { Settings } from '../settings/settings.js';
 import type { Job } from '../jobs/job-table.js';
 import type { JobSpec } from '../wire/jobs.js';
-import type { Assignment, ResourceRequest } from '../workers/assignment.js';
-import { EPSILON, timesContained } from './need.js';
+import type { Assignment, ResourceRequest } from './assignment.js';
+import { AMOUNT_TOLERANCE, countFitting } from '../placement/need.js';
 
 /** What the tasks of one team take. */
-interface Use {
+interface Usage {
   team: Team;
   tasks: number;
   cpus: number;
@@ -15,16 +15,16 @@
 }
 
 /** What each team's tasks take; kept as tasks come and go. */
-export class Teams {
-  private readonly uses = new Map<string, Use>();
+export class TeamUsage {
+  private readonly usages = new Map<string, Usage>();
 
   constructor(teams: readonly Team[]) {
-    for (const team of teams) this.uses.set(team.name, { team, tasks: 0, cpus: 0, gpus: 0 });
+    for (const team of teams) this.usages.set(team.name, { team, tasks: 0, cpus: 0, gpus: 0 });
   }
 
   /** Negative counts are tasks that are gone. */
   add(team: string, need: ResourceRequest, count: number): void {
-    const use = this.uses.get(team);
+    const use = this.usages.get(team);
     if (use === undefined) return;
     use.tasks += count;
     use.cpus += need.cpus * count;
@@ -38,23 +38,23 @@
 
   /** How many more tasks the team's limit lets in. */
   allowance(spec: JobSpec): number {
-    const use = this.uses.get(spec.team);
+    const use = this.usages.get(spec.team);
     if (use === undefined) return 0;
     return Math.max(
       0,
       Math.min(
-        timesContained(Settings.effectiveCap(use.team.maxCpus) - use.cpus, spec.cpus),
-        timesContained(Settings.effectiveCap(use.team.maxGpus) - use.gpus, spec.gpus),
+        countFitting(Settings.effectiveCap(use.team.maxCpus) - use.cpus, spec.cpus),
+        countFitting(Settings.effectiveCap(use.team.maxGpus) - use.gpus, spec.gpus),
       ),
     );
   }
 
   /** The team would still have its guarantee without this task: the task runs on borrowed room. */
   borrows(assignment: Assignment): boolean {
-    const use = this.uses.get(assignment.team);
+    const use = this.usages.get(assignment.team);
     if (use === undefined) return false;
     const over = (used: number, need: number, guaranteed: number): boolean =>
-      need > 0 && used - need >= guaranteed - EPSILON;
+      need > 0 && used - need >= guaranteed - AMOUNT_TOLERANCE;
     const { request } = assignment;
     // Only what is guaranteed at all can be borrowed beyond.
     if (use.team.guaranteedGpus > 0 && request.gpus > 0)
@@ -66,7 +66,7 @@
 
   /** What each team takes now. */
   state(): { name: string; cpus: number; gpus: number; team: Team }[] {
-    return [...this.uses.values()].map((use) => ({
+    return [...this.usages.values()].map((use) => ({
       name: use.team.name,
       cpus: use.cpus,
       gpus: use.gpus,
@@ -98,7 +98,9 @@
       const cpus = left.team.guaranteedCpus > 0 ? job.spec.cpus * tasks : 0;
       const gpus = left.team.guaranteedGpus > 0 ? job.spec.gpus * tasks : 0;
       job.guaranteed =
-        cpus + gpus > 0 && cpus <= left.cpus + EPSILON && gpus <= left.gpus + EPSILON;
+        cpus + gpus > 0 &&
+        cpus <= left.cpus + AMOUNT_TOLERANCE &&
+        gpus <= left.gpus + AMOUNT_TOLERANCE;
       left.cpus -= cpus;
       left.gpus -= gpus;
     }
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -1,7 +1,7 @@
 /** The leader's view of the machines and of every task that may be on one. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job, JobTable } from '../jobs/job-table.js';
-import { Teams } from '../placement/teams.js';
+import { TeamUsage } from './team-usage.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { MachineType } from '../wire/cloud.js';
@@ -35,7 +35,7 @@
 export class Workers {
   readonly machines: ReadonlyMap<string, Machine>;
   /** What each team's tasks take, over every task that is not surely gone. */
-  readonly teams: Teams;
+  readonly teams: TeamUsage;
   /** Tasks that are not surely gone, by class. */
   readonly assignedCountByClass: ReadonlyMap<string, number>;
   private readonly registry: MachineRegistry;
@@ -60,7 +60,7 @@
     const recordDue = (machine: Machine): void => this.store.markChanged(machine);
     const commandDue = (machine: Machine): void => this.commands.request(machine);
 
-    this.teams = new Teams(settings.platform.teams);
+    this.teams = new TeamUsage(settings.platform.teams);
     this.registry = new MachineRegistry(eventLoop, settings, fencingTokens, (name) =>
       events.findMachineType(name),
     );
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -15,7 +15,7 @@
   writePromiseRequest,
 } from '../src/controller/leadership/promise-request.js';
 import { decodePeer, encodePeer } from '../src/controller/peers/message.js';
-import { GangReservations } from '../src/controller/placement/gang-reservations.js';
+import { GangReservations } from '../src/controller/placement/placers/gang-reservations.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
 import { PageTable } from '../src/controller/store/page-table.js';
