--- a/src/controller/routes.ts
+++ b/src/controller/api/router.ts
@@ -1,15 +1,15 @@
 /** The paths of the API, and which node answers. */
-import type { EventLoop } from './runtime/event-loop.js';
-import type { ApiResponse, Frontend } from './jobs/frontend.js';
-import type { Leadership } from './leadership/leadership.js';
-import type { ForwardedReply } from './peers/message.js';
-import type { Peers } from './peers/peers.js';
-import type { Settings } from './settings/settings.js';
-import type { StateStoreClient } from './store/client.js';
-import { decodeBody, WireError } from './wire/cbor.js';
+import type { EventLoop } from '../runtime/event-loop.js';
+import type { ApiResponse, Frontend } from '../jobs/frontend.js';
+import type { Leadership } from '../leadership/leadership.js';
+import type { ForwardedReply } from '../peers/message.js';
+import type { Peers } from '../peers/peers.js';
+import type { Settings } from '../settings/settings.js';
+import type { StateStoreClient } from '../store/client.js';
+import { decodeBody, WireError } from '../wire/cbor.js';
 
 /** Where workers send their reports. */
-export const REPORT_PATH = '/v1/report';
+export const HEARTBEAT_PATH = '/v1/report';
 
 /** Path of a job, or of its cancellation. */
 const JOB_PATH = /^\/submissions\/([^/]+)(\/abort)?$/;
@@ -24,22 +24,22 @@
 }
 
 /** What the routes need beside users' jobs. */
-export interface RouteSource {
+export interface RouteHandlers {
   /** This node leads. */
   leads(): boolean;
   /** This node serves users and can reach what it needs. */
   ready(): boolean;
   /** Answers a worker's report. */
-  report(body: unknown, respond: Respond): void;
+  heartbeat(body: unknown, respond: Respond): void;
   /** Answers with the view of the cluster; its list of machines begins after the one named. */
   cluster(after: string, respond: Respond): void;
   /** Answers with the metrics. */
   scrape(respond: Respond): void;
   /** A request has been answered. */
-  counted(route: string, status: number, tookMs: number): void;
+  requestAnswered(route: string, status: number, tookMs: number): void;
 }
 
-function fromPeer(r: ForwardedReply): ApiResponse {
+function answerOfPeer(r: ForwardedReply): ApiResponse {
   try {
     return { status: r.status, ...(r.body.length > 0 ? { body: decodeBody(r.body) } : {}) };
   } catch {
@@ -48,7 +48,7 @@
 }
 
 /** The API's paths, and which node answers. */
-export class Routes {
+export class Router {
   private readonly endpoints: ReadonlyMap<string, Endpoint>;
 
   constructor(
@@ -58,7 +58,7 @@
     private readonly peers: Peers,
     private readonly leadership: Leadership,
     private readonly frontend: Frontend,
-    private readonly source: RouteSource,
+    private readonly handlers: RouteHandlers,
   ) {
     this.endpoints = this.createEndpoints();
   }
@@ -70,11 +70,11 @@
       const route = path.split('/', 2)[1]?.split('?', 1)[0] ?? '';
       const answer = (a: ApiResponse): void => {
         const known = a.status !== 404 || route === 'submissions' ? route : 'other';
-        this.source.counted(known, a.status, this.eventLoop.now() - from);
+        this.handlers.requestAnswered(known, a.status, this.eventLoop.now() - from);
         respond(a);
       };
-      if (route === 'submissions') this.withHelp(method, path, body, answer);
-      else if (route === 'cluster' && !this.source.leads())
+      if (route === 'submissions') this.answerWithPeerHelp(method, path, body, answer);
+      else if (route === 'cluster' && !this.handlers.leads())
         this.askLeader(method, path, body, answer);
       else this.handle(method, path, body, answer);
     });
@@ -84,7 +84,7 @@
    * Answers a user, with a peer's help where the state service serves the peer and not this node.
    * The peer is asked when this node has failed, or is late, so that a cut costs the user little.
    */
-  private withHelp(method: string, path: string, body: Buffer, respond: Respond): void {
+  private answerWithPeerHelp(method: string, path: string, body: Buffer, respond: Respond): void {
     let answered = false;
     let own: ApiResponse | null = null;
     let helping = false;
@@ -98,12 +98,12 @@
       if (answered || helping) return helping;
       const slow = this.settings.heartbeatIntervalMs / 25;
       if (this.client.consecutiveFailures === 0 && this.client.stalledMs < slow) return false;
-      const host = this.peers.served(this.settings.heartbeatIntervalMs / 2);
+      const host = this.peers.hostServedByStateStore(this.settings.heartbeatIntervalMs / 2);
       if (host === null) return false;
       helping = true;
       this.peers.forward(host, method, path, body, this.settings.heartbeatIntervalMs / 6, (r) => {
         helping = false;
-        if (r !== null && r.status !== 503) answer(fromPeer(r));
+        if (r !== null && r.status !== 503) answer(answerOfPeer(r));
         else if (own !== null) answer(own);
       });
       return true;
@@ -128,7 +128,9 @@
       return this.handle(method, path, body, respond);
     this.peers.forward(leader, method, path, body, this.settings.heartbeatIntervalMs / 2, (r) =>
       respond(
-        r === null ? { status: 503, body: { error: 'the leader does not answer' } } : fromPeer(r),
+        r === null
+          ? { status: 503, body: { error: 'the leader does not answer' } }
+          : answerOfPeer(r),
       ),
     );
   }
@@ -176,21 +178,22 @@
 
   /** Paths without parameters. */
   private createEndpoints(): Map<string, Endpoint> {
-    const { source, frontend } = this;
+    const { handlers, frontend } = this;
     const ready = (): ApiResponse =>
-      source.ready()
+      handlers.ready()
         ? { status: 200, body: { ready: true } }
         : { status: 503, body: { ready: false } };
-    const report: Endpoint['serve'] = (body, respond) => source.report(this.decode(body), respond);
+    const report: Endpoint['serve'] = (body, respond) =>
+      handlers.heartbeat(this.decode(body), respond);
     const cluster: Endpoint['serve'] = (_body, respond, query) =>
-      source.cluster(query.get('after') ?? '', respond);
+      handlers.cluster(query.get('after') ?? '', respond);
     const submit: Endpoint['serve'] = (body, respond) =>
       frontend.submit(this.decode(body), respond);
     return new Map<string, Endpoint>([
-      [REPORT_PATH, { method: 'POST', serve: report }],
+      [HEARTBEAT_PATH, { method: 'POST', serve: report }],
       ['/ready', { method: 'GET', serve: (_body, respond) => respond(ready()) }],
       ['/cluster', { method: 'GET', serve: cluster }],
-      ['/metrics', { method: 'GET', serve: (_body, respond) => source.scrape(respond) }],
+      ['/metrics', { method: 'GET', serve: (_body, respond) => handlers.scrape(respond) }],
       ['/submissions', { method: 'POST', serve: submit }],
     ]);
   }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -4,17 +4,20 @@
 import { MachineTypeCatalogue } from './fleet/machine-type-catalogue.js';
 import { Frontend, type ApiResponse, type FrontendHooks } from './jobs/frontend.js';
 import { ProgressCache } from './jobs/job-progress.js';
-import { LearnedFigures } from './leader/learned-figures.js';
+import { LearnedStatistics } from './leader/learned-statistics.js';
 import { LeaderTerm } from './leader/leader-term.js';
 import { Leadership, type LeadershipEvents } from './leadership/leadership.js';
-import { answerPromise, askOver } from './leadership/promise-exchange.js';
-import { PROMISE_PATH } from './leadership/promise-request.js';
+import {
+  answerLeaseGrantRequest,
+  requestLeaseGrantsOver,
+} from './leadership/lease-grant-exchange.js';
+import { LEASE_GRANT_PATH } from './leadership/lease-grant-request.js';
 import { setLeaderGauges, setNodeGauges, type MetricsSink } from './operators/gauges.js';
 import { Readiness } from './operators/readiness.js';
 import { clusterView } from './operators/cluster-view.js';
 import type { PeerStatus } from './peers/message.js';
 import { Peers, type PeerEvents } from './peers/peers.js';
-import { Routes } from './routes.js';
+import { Router } from './api/router.js';
 import type { Settings } from './settings/settings.js';
 import { StateStoreClient } from './store/client.js';
 import { DecayingRate } from './store/write-share.js';
@@ -29,9 +32,9 @@
 const RETRY_LEADER_S = 1;
 const RETRY_METRICS_S = 5;
 /** Ticks, statuses and news to the peers in a report interval. */
-const TICKS_PER_REPORT = 3;
-const STATUSES_PER_REPORT = 3;
-const NEWS_PER_REPORT = 15;
+const TICKS_PER_HEARTBEAT = 3;
+const STATUSES_PER_HEARTBEAT = 3;
+const NEWS_PER_HEARTBEAT = 15;
 
 type Respond = (answer: ApiResponse) => void;
 
@@ -44,13 +47,13 @@
   private readonly leadership: Leadership;
   private readonly peers: Peers;
   private readonly frontend: Frontend;
-  private readonly routes: Routes;
+  private readonly routes: Router;
   private readonly readiness: Readiness;
   private readonly catalogue: MachineTypeCatalogue;
-  private readonly learned: LearnedFigures;
+  private readonly learned: LearnedStatistics;
   private readonly progress = new ProgressCache();
   /** Reports of workers that this node has sent on to the leader. */
-  private readonly forwardedReports: DecayingRate;
+  private readonly redirectedHeartbeats: DecayingRate;
   /** This node's term as leader, from its election until it learns of the end. */
   private leaderTerm: LeaderTerm | null = null;
 
@@ -62,13 +65,13 @@
   ) {
     const eventLoop = new EventLoop(runtime, log);
     this.eventLoop = eventLoop;
-    this.forwardedReports = new DecayingRate(() => runtime.now(), settings.heartbeatIntervalMs);
-    this.learned = new LearnedFigures(eventLoop, settings);
+    this.redirectedHeartbeats = new DecayingRate(() => runtime.now(), settings.heartbeatIntervalMs);
+    this.learned = new LearnedStatistics(eventLoop, settings);
     this.client = new StateStoreClient(eventLoop, settings);
     this.catalogue = new MachineTypeCatalogue(eventLoop, settings, this.client, () =>
-      this.leaderTerm?.ready === true ? this.leaderTerm : null,
+      this.leaderTerm?.recovered === true ? this.leaderTerm : null,
     );
-    const ask = askOver(() => this.peers);
+    const ask = requestLeaseGrantsOver(() => this.peers);
     const events = this.leadershipEvents();
     this.leadership = new Leadership(eventLoop, settings, this.client, identity, events, ask);
     this.peers = new Peers(
@@ -92,29 +95,32 @@
   private leadershipEvents(): LeadershipEvents {
     return {
       elected: (term) => this.elected(term),
-      resumed: () => this.leaderTerm?.feed.requireFreshRead(),
+      leaseRecovered: () => this.leaderTerm?.jobWatch.requireFreshRead(),
       deposed: () => this.deposed(),
-      mayExtend: () => this.leaderTerm?.ready === true && this.leaderTerm.feed.isFresh,
+      shouldExtendLease: () =>
+        this.leaderTerm?.recovered === true && this.leaderTerm.jobWatch.isFresh,
     };
   }
 
   private peerEvents(): PeerEvents {
     return {
-      accepted: (id) => this.frontend.markAccepted(id),
-      status: (status) => this.leadership.heard(status.leaderHost, status.term),
-      final: (id, state) => {
+      jobAccepted: (id) => this.frontend.markAccepted(id),
+      statusReceived: (status) =>
+        this.leadership.peerReportedLeader(status.leaderHost, status.term),
+      jobEnded: (id, state) => {
         this.frontend.markTerminal(id, state);
         this.progress.delete(id);
         // A cancellation made on another node, sooner than the watch tells.
         if (state === 'cancelled') this.leaderTerm?.table.markCancelled(id);
       },
-      request: (method, path, body, done) => {
-        if (path === PROMISE_PATH) return done(answerPromise(this.leadership, body), EMPTY_BODY);
+      requestForwarded: (method, path, body, done) => {
+        if (path === LEASE_GRANT_PATH)
+          return done(answerLeaseGrantRequest(this.leadership, body), EMPTY_BODY);
         this.routes.handle(method, path, body, (answer) =>
           done(answer.status, answer.body === undefined ? EMPTY_BODY : encodeBody(answer.body)),
         );
       },
-      progress: (progress) => this.progress.set(progress),
+      jobProgressed: (progress) => this.progress.set(progress),
     };
   }
 
@@ -122,24 +128,25 @@
     return {
       machineTypes: () => this.catalogue.types,
       progress: (id) => this.jobProgress(id),
-      onAccepted: (id) => this.peers.announceAccepted(id),
+      onAccepted: (id) => this.peers.announceJobAccepted(id),
       onCancelled: (id) => {
-        this.peers.announce(id, 'cancelled');
+        this.peers.announceJobEnd(id, 'cancelled');
         this.progress.delete(id);
         this.leaderTerm?.table.markCancelled(id);
       },
     };
   }
 
-  private createRoutes(): Routes {
+  private createRoutes(): Router {
     const { eventLoop, settings, client, peers, leadership, frontend } = this;
-    return new Routes(eventLoop, settings, client, peers, leadership, frontend, {
+    return new Router(eventLoop, settings, client, peers, leadership, frontend, {
       leads: () => this.leads,
       ready: () => this.readiness.ready,
-      report: (body, respond) => this.report(body, respond),
+      heartbeat: (body, respond) => this.handleHeartbeat(body, respond),
       cluster: (after, respond) => this.cluster(after, respond),
       scrape: (respond) => this.scrape(respond),
-      counted: (route, status, tookMs) => this.metrics?.observeRequest(route, status, tookMs),
+      requestAnswered: (route, status, tookMs) =>
+        this.metrics?.observeRequest(route, status, tookMs),
     });
   }
 
@@ -153,7 +160,7 @@
       leaderHost: leadership.leader?.host ?? '',
       term: leadership.leader?.term ?? 0,
       wantedWrites: client.writeDemand.writesPerSecond,
-      strayReports: this.forwardedReports.perSecond,
+      strayReports: this.redirectedHeartbeats.perSecond,
     };
   }
 
@@ -169,20 +176,20 @@
       this.leadership.start();
       this.catalogue.load();
       this.peers.start(
-        heartbeatIntervalMs / STATUSES_PER_REPORT,
-        heartbeatIntervalMs / NEWS_PER_REPORT,
+        heartbeatIntervalMs / STATUSES_PER_HEARTBEAT,
+        heartbeatIntervalMs / NEWS_PER_HEARTBEAT,
       );
       this.eventLoop.every(this.tickMs, 'tick', () => this.tick());
-      this.eventLoop.onBatchEnd(() => this.leaderTerm?.batchEnd());
+      this.eventLoop.onBatchEnd(() => this.leaderTerm?.onBatchEnd());
     });
   }
 
   private get tickMs(): number {
-    return this.settings.heartbeatIntervalMs / TICKS_PER_REPORT;
+    return this.settings.heartbeatIntervalMs / TICKS_PER_HEARTBEAT;
   }
 
   private tick(): void {
-    const heard = this.peers.heard(this.settings.heartbeatIntervalMs);
+    const heard = this.peers.recentStatuses(this.settings.heartbeatIntervalMs);
     this.client.updateWriteShare(
       heard.map((peer) => ({
         isLeader: peer.leaderHost === peer.host,
@@ -204,15 +211,21 @@
    * Whether this node may order, place and rent: its lease as leader runs, and no
    * cancellation confirmed longer ago than the settings allow is unknown to it.
    */
-  private get entitled(): boolean {
+  private get mayActAsLeader(): boolean {
     const { leaderTerm } = this;
-    return this.leadership.acting && leaderTerm?.ready === true && leaderTerm.feed.isFresh;
+    return (
+      this.leadership.holdsLease && leaderTerm?.recovered === true && leaderTerm.jobWatch.isFresh
+    );
   }
 
   /** Whether this node may answer workers, which may go on beyond its lease. */
   get mayAnswerWorkers(): boolean {
     const { leaderTerm } = this;
-    return this.leadership.mayAnswer && leaderTerm?.ready === true && leaderTerm.feed.isFresh;
+    return (
+      this.leadership.mayAnswerWorkers &&
+      leaderTerm?.recovered === true &&
+      leaderTerm.jobWatch.isFresh
+    );
   }
 
   private elected(term: number): void {
@@ -220,10 +233,10 @@
     const { progress, catalogue, learned } = this;
     const leaderTerm = new LeaderTerm(term, {
       ...{ eventLoop, settings, client, leadership, peers, frontend, progress, catalogue, learned },
-      entitled: () => this.entitled,
+      mayActAsLeader: () => this.mayActAsLeader,
       mayAnswerWorkers: () => this.mayAnswerWorkers,
-      takenOver: () => this.leaderTerm?.ready === true,
-      placementDue: () => this.leaderTerm?.passes.request(),
+      recovered: () => this.leaderTerm?.recovered === true,
+      requestPlacement: () => this.leaderTerm?.passScheduler.request(),
       passFinished: (tookMs) => this.metrics?.observePlacementPass(tookMs),
     });
     this.leaderTerm = leaderTerm;
@@ -243,8 +256,8 @@
   }
 
   /** A connection from another controller was dropped for what came on it. */
-  peerBroken(err: Error): void {
-    this.eventLoop.post('peer', () => this.peers.dropped(err));
+  peerConnectionFailed(err: Error): void {
+    this.eventLoop.post('peer', () => this.peers.dropUnreadable(err));
   }
 
   /** A request to the API. */
@@ -255,7 +268,7 @@
   private cluster(after: string, respond: Respond): void {
     const { leaderTerm, settings } = this;
     const { types } = this.catalogue;
-    if (leaderTerm === null || !leaderTerm.ready || types === null) {
+    if (leaderTerm === null || !leaderTerm.recovered || types === null) {
       const body = { error: 'no leader just now' };
       return respond({ status: 503, body, retryAfterS: RETRY_LEADER_S });
     }
@@ -263,7 +276,7 @@
     const common = { settings, term, table, workers, placement, fleet, types, after };
     respond({
       status: 200,
-      body: clusterView({ ...common, holdsLease: this.entitled, now: this.eventLoop.now() }),
+      body: clusterView({ ...common, holdsLease: this.mayActAsLeader, now: this.eventLoop.now() }),
     });
   }
 
@@ -273,18 +286,18 @@
       const body = { error: 'starting' };
       return respond({ status: 503, body, retryAfterS: RETRY_METRICS_S });
     }
-    metrics.setUnreadableMessages(this.peers.unreadable);
-    setNodeGauges(metrics, this.entitled, this.leadership.leader?.term ?? 0);
+    metrics.setUnreadableMessages(this.peers.unreadableMessages);
+    setNodeGauges(metrics, this.mayActAsLeader, this.leadership.leader?.term ?? 0);
     if (leaderTerm !== null) setLeaderGauges(metrics, leaderTerm);
     void metrics
       .render()
       .then((text) => respond({ status: 200, raw: Buffer.from(text), type: METRICS_CONTENT_TYPE }));
   }
 
-  private report(body: unknown, respond: Respond): void {
+  private handleHeartbeat(body: unknown, respond: Respond): void {
     const report = readHeartbeat(body);
     const { leaderTerm } = this;
-    if (leaderTerm === null) return this.sendToLeader(respond);
+    if (leaderTerm === null) return this.redirectToLeader(respond);
     // Elected but not entitled yet, or not any more: the worker tries on.
     if (!this.mayAnswerWorkers || this.catalogue.types === null)
       return respond({ status: 503, body: {} });
@@ -294,8 +307,8 @@
   }
 
   /** Tells a worker where the leader is, if another node is known to lead. */
-  private sendToLeader(respond: Respond): void {
-    this.forwardedReports.count(1);
+  private redirectToLeader(respond: Respond): void {
+    this.redirectedHeartbeats.count(1);
     const { leader } = this.leadership;
     const elsewhere = leader !== null && leader.host !== this.settings.platform.host;
     respond({ status: 421, body: elsewhere ? { foreman: leader.host } : {} });
--- a/src/controller/leader/takeover.ts
+++ b/src/controller/leader/failover-recovery.ts
@@ -9,7 +9,7 @@
 const RETRY_MS = 200;
 
 /** All that is stored. From the election on no earlier leader can change it. */
-export interface Inheritance {
+export interface RecoveredState {
   jobs: KeyValue[];
   /** The state service's revision when the jobs were read. */
   revision: number;
@@ -25,28 +25,28 @@
 }
 
 /** What takes in the records of the leaders before. */
-export interface Heir {
+export interface RecoveryTarget {
   /** The term is over. */
   readonly closed: boolean;
   /** The live jobs have been read, the pages not yet. */
-  jobsRead(jobs: readonly KeyValue[]): void;
-  takeOver(inheritance: Inheritance): void;
+  activeJobsRead(jobs: readonly KeyValue[]): void;
+  recover(inheritance: RecoveredState): void;
 }
 
 /** The reads of one takeover; each is repeated until it is answered or the term is over. */
-export class Takeover {
+export class FailoverRecovery {
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly client: Pick<StateStoreClient, 'readPrefix'>,
-    private readonly heir: Heir,
+    private readonly target: RecoveryTarget,
   ) {}
 
   /** Reads jobs, then pages. */
   start(): void {
     this.read(ACTIVE_PREFIX, ({ items: jobs, revision, sentAt }) => {
-      this.heir.jobsRead(jobs);
+      this.target.activeJobsRead(jobs);
       this.read(PAGE_PREFIX, ({ items: pages }) => {
-        this.heir.takeOver({ jobs, revision, sentAt, pages });
+        this.target.recover({ jobs, revision, sentAt, pages });
       });
     });
   }
@@ -54,7 +54,7 @@
   private read(prefix: string, done: (read: RangeRead) => void): void {
     const sentAt = this.eventLoop.now();
     this.client.readPrefix(prefix, READ_TIMEOUT_MS, (got) => {
-      if (this.heir.closed) return;
+      if (this.target.closed) return;
       if (got.kind === 'failed') return this.readLater(prefix, done);
       done({ items: got.value.items, revision: got.value.revision, sentAt });
     });
@@ -62,7 +62,7 @@
 
   private readLater(prefix: string, done: (read: RangeRead) => void): void {
     this.eventLoop.after(RETRY_MS, 'load', () => {
-      if (!this.heir.closed) this.read(prefix, done);
+      if (!this.target.closed) this.read(prefix, done);
     });
   }
 }
--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -2,14 +2,14 @@
 import type { PeerStatus } from '../peers/message.js';
 
 /** Reports at other nodes that show that workers are there, as a share of all that are usual. */
-const FORWARDED_REPORTS_SHARE = 0.1;
+const REDIRECTED_HEARTBEATS_SHARE = 0.1;
 /** Share of the machines that are overdue here, where peers tell of reports. */
 const OVERDUE_SHARE = 0.5;
 /** Share of the machines that are silent here, where no peer is heard either. */
 const SILENT_SHARE = 0.9;
 
 /** What the leader sees of the workers. */
-export interface LeaderReach {
+export interface WorkerReachability {
   reportMs: number;
   machineCount: number;
   /**
@@ -27,12 +27,12 @@
  * on which the machines themselves are gone.
  */
 export function isIsolated(
-  reach: LeaderReach,
+  reachability: WorkerReachability,
   peers: readonly Pick<PeerStatus, 'strayReports'>[],
 ): boolean {
   const forwarded = peers.reduce((sum, peer) => sum + peer.strayReports, 0);
-  const usual = (reach.machineCount / reach.reportMs) * 1000;
-  const reachOthers = forwarded >= usual * FORWARDED_REPORTS_SHARE;
-  if (reachOthers && reach.overdue(0, false) > OVERDUE_SHARE) return true;
-  return peers.length === 0 && reach.overdue(reach.reportMs, true) > SILENT_SHARE;
+  const usual = (reachability.machineCount / reachability.reportMs) * 1000;
+  const reachOthers = forwarded >= usual * REDIRECTED_HEARTBEATS_SHARE;
+  if (reachOthers && reachability.overdue(0, false) > OVERDUE_SHARE) return true;
+  return peers.length === 0 && reachability.overdue(reachability.reportMs, true) > SILENT_SHARE;
 }
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -19,12 +19,12 @@
 import type { WatchEvent, KeyValue } from '../wire/state.js';
 import { Workers } from '../workers/workers.js';
 import { isIsolated } from './isolation.js';
-import type { LearnedFigures } from './learned-figures.js';
+import type { LearnedStatistics } from './learned-statistics.js';
 import { PassScheduler } from './pass-scheduler.js';
-import { Takeover, type Inheritance } from './takeover.js';
+import { FailoverRecovery, type RecoveredState } from './failover-recovery.js';
 
 /** Views of the jobs that are too old by this factor of their limit end the term. */
-const STALE_VIEW_FACTOR = 1.5;
+const STALE_WATCH_FACTOR = 1.5;
 /** What was learned is recorded so often in a lease of the workers. */
 const LEARNED_PER_LEASE = 4;
 
@@ -38,22 +38,22 @@
   frontend: Frontend;
   progress: ProgressCache;
   catalogue: MachineTypeCatalogue;
-  learned: LearnedFigures;
+  learned: LearnedStatistics;
   /** This node may act as leader, in whatever term. */
-  entitled(): boolean;
+  mayActAsLeader(): boolean;
   /** This node may answer workers, which may go on beyond its lease. */
   mayAnswerWorkers(): boolean;
   /** This node leads and has taken over, in whatever term. */
-  takenOver(): boolean;
+  recovered(): boolean;
   /** Something became placeable. */
-  placementDue(): void;
+  requestPlacement(): void;
   passFinished(tookMs: number): void;
 }
 
 /** One term of this node as leader. */
 export class LeaderTerm {
   /** What the leaders before have left has been read. */
-  ready = false;
+  recovered = false;
   /** The term is over. */
   closed = false;
   readonly records: RecordStore;
@@ -61,9 +61,9 @@
   readonly workers: Workers;
   readonly placement: Placement;
   readonly fleet: Fleet;
-  readonly feed: JobWatch;
-  readonly passes: PassScheduler;
-  private readonly since: number;
+  readonly jobWatch: JobWatch;
+  readonly passScheduler: PassScheduler;
+  private readonly startedAt: number;
   private learnedSavedAt = -Infinity;
 
   constructor(
@@ -71,14 +71,14 @@
     private readonly context: LeaderContext,
   ) {
     const { eventLoop, settings } = context;
-    this.since = eventLoop.now();
+    this.startedAt = eventLoop.now();
     this.records = this.createRecords();
     this.table = this.createTable();
     this.workers = this.createWorkers();
     this.placement = this.createPlacement();
     this.fleet = this.createFleet();
-    this.feed = this.createFeed();
-    this.passes = new PassScheduler(eventLoop, settings, this.placement, (tookMs) =>
+    this.jobWatch = this.createJobWatch();
+    this.passScheduler = new PassScheduler(eventLoop, settings, this.placement, (tookMs) =>
       context.passFinished(tookMs),
     );
   }
@@ -87,7 +87,7 @@
     const { eventLoop, settings, client, leadership } = this.context;
     return new RecordStore(eventLoop, settings, client, {
       fencingCondition: { key: LEADER_KEY, version: this.term },
-      leaseAllowsWrites: () => leadership.acting,
+      leaseAllowsWrites: () => leadership.holdsLease,
       onFenced: () => leadership.stepDown('another leader'),
     });
   }
@@ -99,11 +99,11 @@
       onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
       onJobTerminated: (job) => this.jobClosed(job),
       onJobAdded: (job) => this.jobAdded(job),
-      onTasksPending: () => this.context.placementDue(),
+      onTasksPending: () => this.context.requestPlacement(),
       onCompletionRecorded: (job, task) => this.workers.completionRecorded(job, task),
       onTerminalState: (id, state) => {
         frontend.markTerminal(id, state);
-        peers.announce(id, state);
+        peers.announceJobEnd(id, state);
       },
     });
   }
@@ -112,11 +112,11 @@
     const { eventLoop, settings, catalogue, leadership, learned } = this.context;
     return new Workers(eventLoop, settings, this.term, this.records, this.table, {
       findMachineType: (name) => catalogue.types?.find((type) => type.name === name),
-      higherTermSeen: (term) => leadership.higherTerm(term),
-      placementInputChanged: () => this.context.placementDue(),
+      higherTermSeen: (term) => leadership.observeTerm(term),
+      placementInputChanged: () => this.context.requestPlacement(),
       taskCompleted: (assignment, tookMs) => {
         if (assignment.job === null) return;
-        learned.taskRan(assignment.job, tookMs, assignment.assignedAt);
+        learned.observeTaskEnd(assignment.job, tookMs, assignment.assignedAt);
       },
     });
   }
@@ -130,7 +130,7 @@
       this.workers,
       this.records,
       learned.estimates,
-      learned.reserve,
+      learned.headroom,
       { attemptsExhausted: () => leadership.stepDown('attempts used up') },
     );
   }
@@ -144,15 +144,15 @@
       this.table,
       this.workers,
       this.placement,
-      () => this.context.entitled(),
+      () => this.context.mayActAsLeader(),
     );
   }
 
-  private createFeed(): JobWatch {
+  private createJobWatch(): JobWatch {
     const { eventLoop, settings, client } = this.context;
     return new JobWatch(eventLoop, settings, client, {
-      onSnapshot: (items) => this.jobsReloaded(items),
-      onEvents: (events) => this.jobsChanged(events),
+      onSnapshot: (items) => this.activeJobsReloaded(items),
+      onEvents: (events) => this.activeJobsChanged(events),
     });
   }
 
@@ -160,8 +160,8 @@
 
   private jobAdded(job: Job): void {
     // What the leader before knew it has counted itself.
-    const { reserve } = this.context.learned;
-    if (this.context.takenOver()) reserve.recordSubmission(job, this.context.eventLoop.now());
+    const { headroom } = this.context.learned;
+    if (this.context.recovered()) headroom.recordSubmission(job, this.context.eventLoop.now());
   }
 
   private jobClosed(job: Job): void {
@@ -171,14 +171,14 @@
     this.context.progress.delete(job.spec.id);
   }
 
-  private jobsReloaded(items: readonly KeyValue[]): void {
+  private activeJobsReloaded(items: readonly KeyValue[]): void {
     const live = new Set(items.map((item) => item.key));
-    this.jobsRead(items);
+    this.activeJobsRead(items);
     for (const id of [...this.table.jobs.keys()])
       if (!live.has(ACTIVE_PREFIX + id)) this.table.handleRecordRemoved(id);
   }
 
-  private jobsChanged(events: readonly WatchEvent[]): void {
+  private activeJobsChanged(events: readonly WatchEvent[]): void {
     for (const event of events) {
       if (event.kind === 'put') this.jobLive(event.key, event.value, event.version);
       else this.table.handleRecordRemoved(event.key.slice(ACTIVE_PREFIX.length));
@@ -186,7 +186,7 @@
   }
 
   /** Jobs that were live when the state service said so. */
-  jobsRead(items: readonly KeyValue[]): void {
+  activeJobsRead(items: readonly KeyValue[]): void {
     for (const item of items) this.jobLive(item.key, item.value, item.version);
   }
 
@@ -200,24 +200,24 @@
 
   /** Begins to read what the leaders before have left. */
   start(): void {
-    new Takeover(this.context.eventLoop, this.context.client, this).start();
+    new FailoverRecovery(this.context.eventLoop, this.context.client, this).start();
   }
 
   /** Takes in what the leaders before have left. */
-  takeOver({ jobs, pages, revision, sentAt }: Inheritance): void {
+  recover({ jobs, pages, revision, sentAt }: RecoveredState): void {
     this.records.load(pages);
     this.context.learned.load(this.records, this.table.jobs.values());
     this.table.loadCompletions();
     this.workers.restore();
     this.placement.loadReservations();
     this.table.finishRecovery();
-    this.ready = true;
+    this.recovered = true;
     this.context.eventLoop.log.info(
       { term: this.term, jobs: jobs.length, machines: this.workers.machines.size },
       'leading',
     );
-    this.feed.start(revision, sentAt);
-    this.context.placementDue();
+    this.jobWatch.start(revision, sentAt);
+    this.context.requestPlacement();
     this.context.catalogue.publish(this);
   }
 
@@ -225,15 +225,15 @@
   close(): void {
     this.closed = true;
     this.records.close();
-    this.feed.close();
+    this.jobWatch.close();
   }
 
   // ---- batches and time
 
   /** After each batch of commands. */
-  batchEnd(): void {
-    if (this.closed || !this.context.entitled()) return;
-    if (this.context.catalogue.types !== null) this.passes.step();
+  onBatchEnd(): void {
+    if (this.closed || !this.context.mayActAsLeader()) return;
+    if (this.context.catalogue.types !== null) this.passScheduler.step();
     this.table.flushCompletions();
     this.workers.flush();
     this.records.flush();
@@ -241,33 +241,33 @@
 
   /** A few times in a report interval, with what the peers have told lately. */
   tick(heard: readonly PeerStatus[], tickMs: number): void {
-    if (!this.ready) return;
+    if (!this.recovered) return;
     const { settings, leadership } = this.context;
     this.workers.setAnswering(this.context.mayAnswerWorkers(), tickMs);
     if (
-      leadership.acting &&
-      this.feed.stalenessMs > settings.maxWatchStalenessMs * STALE_VIEW_FACTOR
+      leadership.holdsLease &&
+      this.jobWatch.stalenessMs > settings.maxWatchStalenessMs * STALE_WATCH_FACTOR
     ) {
       // Its lease keeps the others from leading, and it may not act itself.
       leadership.handOver('no view of the jobs');
       return;
     }
-    if (!this.context.entitled()) return;
+    if (!this.context.mayActAsLeader()) return;
     if (this.isolated(heard)) {
       leadership.handOver('workers do not reach this node');
       return;
     }
     this.workers.expireLeases();
     this.fleet.step();
-    this.passes.request();
+    this.passScheduler.request();
     this.saveLearnedIfDue();
-    this.tellProgress();
+    this.publishProgress();
   }
 
   private isolated(heard: readonly PeerStatus[]): boolean {
     const { eventLoop, settings } = this.context;
     // Not again at once: a takeover costs, and one after the other would leave nobody to answer.
-    const settled = eventLoop.now() - this.since > settings.workerLeaseMs / 2;
+    const settled = eventLoop.now() - this.startedAt > settings.workerLeaseMs / 2;
     if (settings.platform.peers.length === 0 || !settled) return false;
     const reach = {
       reportMs: settings.heartbeatIntervalMs,
@@ -286,8 +286,8 @@
     learned.save(this.records);
   }
 
-  private tellProgress(): void {
+  private publishProgress(): void {
     const changed = takeChangedProgress(this.table.jobs.values());
-    if (changed.length > 0) this.context.peers.send(changed, null);
+    if (changed.length > 0) this.context.peers.publish(changed, null);
   }
 }
--- a/src/controller/leader/leader.test.ts
+++ b/src/controller/leader/leader.test.ts
@@ -7,10 +7,10 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
-import { isIsolated, type LeaderReach } from './isolation.js';
-import { LearnedFigures } from './learned-figures.js';
+import { isIsolated, type WorkerReachability } from './isolation.js';
+import { LearnedStatistics } from './learned-statistics.js';
 import { PassScheduler } from './pass-scheduler.js';
-import { Takeover, type Heir, type Inheritance } from './takeover.js';
+import { FailoverRecovery, type RecoveryTarget, type RecoveredState } from './failover-recovery.js';
 
 const settings = new Settings(alone(), defaultProperties());
 const intervalMs = settings.heartbeatIntervalMs * settings.get('placement.interval.ratio');
@@ -78,7 +78,7 @@
 });
 
 describe('isolation', () => {
-  const reach = (overdue: number, silent: number): LeaderReach => ({
+  const reach = (overdue: number, silent: number): WorkerReachability => ({
     ...{ reportMs: 1000, machineCount: 100 },
     overdue: (_lateMs, heardBefore) => (heardBefore ? silent : overdue),
   });
@@ -105,15 +105,15 @@
     const heir = {
       closed: false as boolean,
       jobs: 0,
-      inherited: [] as Inheritance[],
-      jobsRead: (jobs: readonly unknown[]) => void (heir.jobs += jobs.length),
-      takeOver: (inheritance: Inheritance) => void heir.inherited.push(inheritance),
-    } satisfies Heir & Record<string, unknown>;
+      inherited: [] as RecoveredState[],
+      activeJobsRead: (jobs: readonly unknown[]) => void (heir.jobs += jobs.length),
+      recover: (inheritance: RecoveredState) => void heir.inherited.push(inheritance),
+    } satisfies RecoveryTarget & Record<string, unknown>;
     const client = {
       readPrefix: (prefix: string, _timeoutMs: number, done: RangeDone) =>
         void reads.push({ prefix, done }),
     };
-    new Takeover(new EventLoop(runtime, silentLogger), client, heir).start();
+    new FailoverRecovery(new EventLoop(runtime, silentLogger), client, heir).start();
     return { runtime, reads, heir };
   }
 
@@ -144,11 +144,11 @@
   it('come back from the records as they were saved', () => {
     const eventLoop = new EventLoop(new ManualRuntime(), silentLogger);
     const records = storedAtOnce({ learned: { ratios: { c: [1, 2] } } });
-    const before = new LearnedFigures(eventLoop, settings);
+    const before = new LearnedStatistics(eventLoop, settings);
     before.load(records, []);
     before.save(records);
     assert.ok(!records.has('learned'), 'the single record of older versions stays');
-    const after = new LearnedFigures(eventLoop, settings);
+    const after = new LearnedStatistics(eventLoop, settings);
     after.load(records, []);
     assert.deepEqual(before.estimates.exportStatistics(), { c: [1, 2] });
     assert.deepEqual(after.estimates.exportStatistics(), before.estimates.exportStatistics());
--- a/src/controller/leader/learned-figures.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -13,9 +13,9 @@
 const MAX_VALUE_SHARE = 0.5;
 
 /** How wrong estimates are, and how often jobs arrive, by class. */
-export class LearnedFigures {
+export class LearnedStatistics {
   readonly estimates = new DurationEstimator();
-  readonly reserve: ClassHeadroom;
+  readonly headroom: ClassHeadroom;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -26,7 +26,7 @@
       share: settings.get('placement.reserve.share'),
       spare: settings.get('placement.reserve.spare'),
     };
-    this.reserve = new ClassHeadroom(
+    this.headroom = new ClassHeadroom(
       reserveSettings,
       this.estimates,
       eventLoop.now(),
@@ -35,9 +35,9 @@
   }
 
   /** A task of the job has ended after `tookMs`, having been on its machine since `assignedAt`. */
-  taskRan(job: Job, tookMs: number, assignedAt: number): void {
+  observeTaskEnd(job: Job, tookMs: number, assignedAt: number): void {
     this.estimates.observe(job.spec, tookMs);
-    this.reserve.recordOccupancy(job.spec, this.eventLoop.now() - assignedAt);
+    this.headroom.recordOccupancy(job.spec, this.eventLoop.now() - assignedAt);
   }
 
   /**
@@ -48,7 +48,7 @@
     const recorded = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
     for (const { ratios } of recorded) this.estimates.importStatistics(ratios);
     const arrivals = recorded.map((record) => record['arrivals']);
-    this.reserve.restore(
+    this.headroom.restore(
       arrivals,
       liveJobs,
       this.eventLoop.now(),
@@ -62,7 +62,7 @@
    */
   save(records: Pick<RecordStore, 'set'>): void {
     const ratios = this.estimates.exportStatistics();
-    const arrivals = this.reserve.exportStatistics(
+    const arrivals = this.headroom.exportStatistics(
       this.eventLoop.now(),
       this.eventLoop.runtime.wallClock(),
     );
--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -14,7 +14,7 @@
  * together take only a part of the time, however much is waiting.
  */
 export class PassScheduler {
-  private due = true;
+  private passDue = true;
   private timerSet = false;
   private startedAt = -Infinity;
   private lastSliceEndedAt = -Infinity;
@@ -26,12 +26,12 @@
     private readonly settings: Settings,
     private readonly placement: SlicedPlacement,
     /** A pass is over. */
-    private readonly finished: (tookMs: number) => void,
+    private readonly onPassFinished: (tookMs: number) => void,
   ) {}
 
   /** Something has changed: a pass is due. */
   request(): void {
-    this.due = true;
+    this.passDue = true;
   }
 
   /** Goes on with the pass, or begins one when it is due. */
@@ -43,19 +43,19 @@
     const now = this.eventLoop.now();
     this.tookMs += now - sliceStart;
     this.lastSliceEndedAt = now;
-    if (over) this.finished(this.tookMs);
+    if (over) this.onPassFinished(this.tookMs);
     else this.wakeAfter(0);
   }
 
   /** False if no pass is due yet. */
   private begin(now: number): boolean {
-    if (!this.due) return false;
+    if (!this.passDue) return false;
     const waitMs = this.waitMs(now);
     if (waitMs > 0) {
       this.wakeAfter(waitMs);
       return false;
     }
-    this.due = false;
+    this.passDue = false;
     this.startedAt = now;
     this.tookMs = 0;
     this.placement.begin();
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -6,8 +6,8 @@
 import type { WatchEvent, KeyValue } from '../wire/state.js';
 import { Election, type WonElection } from './election.js';
 import { LEADER_KEY, readLeader, type LeaderInfo } from './leader-record.js';
-import { LeaseExtension, type AskPromise } from './lease-extension.js';
-import { TakeoverPromise } from './takeover-promise.js';
+import { LeaseExtension, type RequestLeaseGrant } from './lease-extension.js';
+import { LeaseGrant } from './lease-grant.js';
 
 /** Names of the timers' commands in the log. */
 const OBSERVE_COMMAND = 'look';
@@ -29,11 +29,11 @@
   /** This node leads from now on. */
   elected(term: number): void;
   /** The same term goes on after a time in which this node might not act. */
-  resumed(): void;
+  leaseRecovered(): void;
   /** This node leads no longer. */
   deposed(): void;
   /** Whether the leader has a use for answering workers beyond its lease. */
-  mayExtend(): boolean;
+  shouldExtendLease(): boolean;
 }
 
 /**
@@ -42,10 +42,10 @@
  * change at the service, so a later leader's is always higher.
  */
 export class Leadership {
-  private info: LeaderInfo | null = null;
+  private knownLeader: LeaderInfo | null = null;
   private ownTerm: OwnTerm | null = null;
   /** This node may act as leader until then, on its own clock. */
-  private actUntil = -Infinity;
+  private leaseHeldUntil = -Infinity;
   /** The latest term that is known to be over. */
   private endedTerm = 0;
   private readonly election: Election;
@@ -53,7 +53,7 @@
   /** This node has handed over and leaves the lead to the others until then, if they take it. */
   private yieldsUntil = -Infinity;
   private yielded = false;
-  private readonly promise: TakeoverPromise;
+  private readonly leaseGrant: LeaseGrant;
   private readonly extension: LeaseExtension;
   /** Guards against answers to questions of an earlier term or role. */
   private generation = 0;
@@ -64,10 +64,10 @@
     private readonly client: StateStoreClient,
     readonly identity: string,
     private readonly events: LeadershipEvents,
-    askPromise: AskPromise,
+    askPromise: RequestLeaseGrant,
   ) {
     const peers = settings.platform.peers.map(({ host }) => host);
-    this.promise = new TakeoverPromise(eventLoop, settings);
+    this.leaseGrant = new LeaseGrant(eventLoop, settings);
     this.extension = new LeaseExtension(eventLoop, settings, peers, askPromise);
     this.election = new Election(eventLoop, settings, client, identity);
   }
@@ -86,33 +86,33 @@
    * Workers may be answered: the lease runs, or the state service serves nobody and all other
    * controllers are bound by promises. Nothing else may be done without the lease.
    */
-  get mayAnswer(): boolean {
-    return this.acting || (this.ownTerm !== null && this.extension.active);
+  get mayAnswerWorkers(): boolean {
+    return this.holdsLease || (this.ownTerm !== null && this.extension.active);
   }
 
   /**
    * A leader that the state service does not serve asks this node not to act as leader for a while.
    * False if this node leads, or knows that the term is over.
    */
-  promiseTo(term: number): boolean {
-    const over = term <= this.endedTerm || term < (this.info?.term ?? 0);
+  grantLease(term: number): boolean {
+    const over = term <= this.endedTerm || term < (this.knownLeader?.term ?? 0);
     if (this.ownTerm !== null || over) return false;
-    this.promise.give();
+    this.leaseGrant.grant();
     return true;
   }
 
   /** The lease still runs, counted from when its last successful renewal was sent. */
-  get acting(): boolean {
-    return this.ownTerm !== null && this.eventLoop.now() < this.actUntil;
+  get holdsLease(): boolean {
+    return this.ownTerm !== null && this.eventLoop.now() < this.leaseHeldUntil;
   }
 
   /** Who leads, as far as this node knows. */
   get leader(): LeaderInfo | null {
-    return this.info;
+    return this.knownLeader;
   }
 
   /** Somebody has shown a term above ours: there is a later leader. */
-  higherTerm(term: number): void {
+  observeTerm(term: number): void {
     if (this.ownTerm === null || term <= this.ownTerm.term) return;
     this.eventLoop.log.warn({ term: this.ownTerm.term, seen: term }, 'a later term was seen');
     this.stepDown('higher term');
@@ -123,16 +123,17 @@
    * if it is a later leader than this node, whom the state service may not serve just now, this
    * node's term is over.
    */
-  heard(host: string, term: number): void {
+  peerReportedLeader(host: string, term: number): void {
     if (host === '') return;
-    this.higherTerm(term);
-    if (this.ownTerm !== null || term <= Math.max(this.endedTerm, this.info?.term ?? 0)) return;
-    this.info = { host, identity: '', lease: 0, term };
+    this.observeTerm(term);
+    if (this.ownTerm !== null || term <= Math.max(this.endedTerm, this.knownLeader?.term ?? 0))
+      return;
+    this.knownLeader = { host, identity: '', lease: 0, term };
   }
 
   private noLeader(): void {
-    this.endedTerm = Math.max(this.endedTerm, this.info?.term ?? 0);
-    this.info = null;
+    this.endedTerm = Math.max(this.endedTerm, this.knownLeader?.term ?? 0);
+    this.knownLeader = null;
   }
 
   /** Gives the lead up; any node may take it. */
@@ -141,7 +142,7 @@
     if (ownTerm === null) return;
     this.eventLoop.log.info({ term: ownTerm.term, reason }, 'no longer leader');
     this.ownTerm = null;
-    this.actUntil = -Infinity;
+    this.leaseHeldUntil = -Infinity;
     this.extension.end();
     this.noLeader();
     this.generation++;
@@ -203,7 +204,7 @@
       this.client.revokeLease(leader.lease, this.timeoutMs, () => this.observe());
       return;
     }
-    this.info = leader;
+    this.knownLeader = leader;
     this.follow(item.version);
   }
 
@@ -222,7 +223,7 @@
     const last = events.filter((event) => event.key === LEADER_KEY).at(-1);
     if (last === undefined) this.follow(Math.max(followedFrom, revision));
     else if (last.kind === 'put') {
-      this.info = readLeader(last.value, last.version);
+      this.knownLeader = readLeader(last.value, last.version);
       this.follow(revision);
     } else this.contend();
   }
@@ -236,22 +237,22 @@
 
   private won({ term, lease, sentAt }: WonElection): void {
     this.ownTerm = { term, lease };
-    this.actUntil = sentAt + this.settings.usableLeaderLeaseMs;
-    this.info = { host: this.settings.platform.host, identity: this.identity, lease, term };
+    this.leaseHeldUntil = sentAt + this.settings.usableLeaderLeaseMs;
+    this.knownLeader = { host: this.settings.platform.host, identity: this.identity, lease, term };
     this.generation++;
     this.client.setRole(true);
     this.eventLoop.log.info({ term }, 'elected leader');
     this.renewLater(this.generation, this.settings.leaderRenewIntervalMs);
-    this.beginOncePromisesEnd(this.generation, term);
+    this.beginTermOnceGrantExpires(this.generation, term);
   }
 
   /** Nothing is read or done in the new term while the leader before may still answer workers. */
-  private beginOncePromisesEnd(generation: number, term: number): void {
+  private beginTermOnceGrantExpires(generation: number, term: number): void {
     if (generation !== this.generation) return;
-    const { remainingMs } = this.promise;
+    const { remainingMs } = this.leaseGrant;
     if (remainingMs === 0) return this.events.elected(term);
     this.eventLoop.after(remainingMs, BEGIN_COMMAND, () =>
-      this.beginOncePromisesEnd(generation, term),
+      this.beginTermOnceGrantExpires(generation, term),
     );
   }
 
@@ -280,17 +281,17 @@
 
   /** The lease could not be renewed just now. */
   private extend({ term }: OwnTerm): void {
-    const leaseUntil = (): number => this.actUntil;
-    this.extension.begin(term, leaseUntil, () => this.events.mayExtend());
+    const leaseUntil = (): number => this.leaseHeldUntil;
+    this.extension.begin(term, leaseUntil, () => this.events.shouldExtendLease());
   }
 
   private renewed(ownTerm: OwnTerm, sentAt: number): void {
     // Told even if the gap came while the renewal was on its way.
-    const gap = !this.acting;
-    this.actUntil = Math.max(this.actUntil, sentAt + this.settings.usableLeaderLeaseMs);
+    const gap = !this.holdsLease;
+    this.leaseHeldUntil = Math.max(this.leaseHeldUntil, sentAt + this.settings.usableLeaderLeaseMs);
     this.extension.end();
     if (!gap) return;
     this.eventLoop.log.info({ term: ownTerm.term }, 'lease renewed after a gap');
-    this.events.resumed();
+    this.events.leaseRecovered();
   }
 }
--- a/src/controller/leadership/promises.test.ts
+++ b/src/controller/leadership/lease-extension.test.ts
@@ -3,9 +3,9 @@
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { LeaseExtension } from './lease-extension.js';
-import { answerPromise } from './promise-exchange.js';
-import { readPromiseRequest, writePromiseRequest } from './promise-request.js';
-import { TakeoverPromise } from './takeover-promise.js';
+import { answerLeaseGrantRequest } from './lease-grant-exchange.js';
+import { decodeLeaseGrantRequest, encodeLeaseGrantRequest } from './lease-grant-request.js';
+import { LeaseGrant } from './lease-grant.js';
 
 const PROMISE_MS = 300;
 const settings = { leaseGrantMs: PROMISE_MS };
@@ -13,10 +13,10 @@
 describe('a promise not to act as leader', () => {
   it('lasts longer than the leader counts on it', () => {
     const runtime = new ManualRuntime();
-    const promise = new TakeoverPromise(new EventLoop(runtime, silentLogger), settings);
+    const promise = new LeaseGrant(new EventLoop(runtime, silentLogger), settings);
     const remaining = (): number => promise.remainingMs;
     assert.equal(remaining(), 0);
-    promise.give();
+    promise.grant();
     assert.ok(remaining() > PROMISE_MS);
     runtime.advance(PROMISE_MS + 3);
     assert.equal(remaining(), 0);
@@ -28,16 +28,16 @@
     runtime.advance(1000);
     const startedAt = 900;
     const eventLoop = { now: () => runtime.now(), runtime: { startedAt } };
-    const promise = new TakeoverPromise(eventLoop, settings);
+    const promise = new LeaseGrant(eventLoop, settings);
     assert.ok(promise.remainingMs > PROMISE_MS - 100);
   });
 
   it('is not given to what cannot be read', () => {
-    const giver = { promiseTo: (term: number) => term === 7 };
-    assert.equal(answerPromise(giver, writePromiseRequest(7)), 200);
-    assert.equal(answerPromise(giver, writePromiseRequest(6)), 409);
-    assert.equal(answerPromise(giver, Buffer.from('broken')), 409);
-    assert.equal(readPromiseRequest(Buffer.alloc(0)), null);
+    const giver = { grantLease: (term: number) => term === 7 };
+    assert.equal(answerLeaseGrantRequest(giver, encodeLeaseGrantRequest(7)), 200);
+    assert.equal(answerLeaseGrantRequest(giver, encodeLeaseGrantRequest(6)), 409);
+    assert.equal(answerLeaseGrantRequest(giver, Buffer.from('broken')), 409);
+    assert.equal(decodeLeaseGrantRequest(Buffer.alloc(0)), null);
   });
 });
 
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -11,10 +11,10 @@
 import type { Settings } from '../settings/settings.js';
 
 /** Rounds of requests while one promise lasts. */
-const ROUNDS_PER_PROMISE = 3;
+const ROUNDS_PER_GRANT = 3;
 
 /** Asks another controller for its promise; `done` tells whether it has been given. */
-export type AskPromise = (
+export type RequestLeaseGrant = (
   host: string,
   term: number,
   timeoutMs: number,
@@ -23,7 +23,7 @@
 
 /** The rounds of one leader at a time. */
 export class LeaseExtension {
-  private promisedUntil = -Infinity;
+  private grantedUntil = -Infinity;
   /** There was a moment at which neither the lease ran nor promises did. */
   private gap = false;
   /** Guards against answers to rounds of a time before; `null`: no extension is wanted. */
@@ -33,12 +33,12 @@
     private readonly eventLoop: Pick<EventLoop, 'after' | 'now'>,
     private readonly settings: Pick<Settings, 'leaseGrantMs'>,
     private readonly peers: readonly string[],
-    private readonly ask: AskPromise,
+    private readonly requestGrant: RequestLeaseGrant,
   ) {}
 
   /** All others are bound by promises at this moment. */
   get active(): boolean {
-    return this.eventLoop.now() < this.promisedUntil;
+    return this.eventLoop.now() < this.grantedUntil;
   }
 
   /**
@@ -52,8 +52,8 @@
     const next = (): void => {
       if (this.wanted !== wanted || this.gap) return;
       if (!useful()) return this.end();
-      this.round(term, wanted, leaseUntil);
-      this.eventLoop.after(this.settings.leaseGrantMs / ROUNDS_PER_PROMISE, 'promises', next);
+      this.requestGrants(term, wanted, leaseUntil);
+      this.eventLoop.after(this.settings.leaseGrantMs / ROUNDS_PER_GRANT, 'promises', next);
     };
     next();
   }
@@ -62,25 +62,25 @@
   end(): void {
     this.wanted = null;
     this.gap = false;
-    this.promisedUntil = -Infinity;
+    this.grantedUntil = -Infinity;
   }
 
-  private round(term: number, wanted: object, leaseUntil: () => number): void {
+  private requestGrants(term: number, wanted: object, leaseUntil: () => number): void {
     const { leaseGrantMs } = this.settings;
     const askedAt = this.eventLoop.now();
     let missing = this.peers.length;
     for (const host of this.peers)
-      this.ask(host, term, leaseGrantMs, (promised) => {
+      this.requestGrant(host, term, leaseGrantMs, (promised) => {
         if (!promised || this.wanted !== wanted) return;
         missing--;
-        if (missing === 0) this.promised(askedAt, leaseUntil());
+        if (missing === 0) this.allGranted(askedAt, leaseUntil());
       });
   }
 
-  private promised(askedAt: number, leaseUntil: number): void {
+  private allGranted(askedAt: number, leaseUntil: number): void {
     // Before this moment another may have acted.
-    this.gap = this.eventLoop.now() >= Math.max(leaseUntil, this.promisedUntil);
+    this.gap = this.eventLoop.now() >= Math.max(leaseUntil, this.grantedUntil);
     if (this.gap) return;
-    this.promisedUntil = Math.max(this.promisedUntil, askedAt + this.settings.leaseGrantMs);
+    this.grantedUntil = Math.max(this.grantedUntil, askedAt + this.settings.leaseGrantMs);
   }
 }
--- a/src/controller/leadership/promise-request.ts
+++ b/src/controller/leadership/lease-grant-request.ts
@@ -5,20 +5,20 @@
 import { decodeBody, encodeBody, isMap } from '../wire/cbor.js';
 
 /** Path of the request; it is answered among controllers only. */
-export const PROMISE_PATH = '/leadership/promise';
+export const LEASE_GRANT_PATH = '/leadership/promise';
 
 /** Status of an answer that gives the promise. */
-export const PROMISED = 200;
+export const GRANTED_STATUS = 200;
 /** Status of an answer that doesn't. */
-export const NOT_PROMISED = 409;
+export const DENIED_STATUS = 409;
 
 /** The body of a request of the leader of this term. */
-export function writePromiseRequest(term: number): Buffer {
+export function encodeLeaseGrantRequest(term: number): Buffer {
   return encodeBody({ term });
 }
 
 /** The term of the leader that asks; `null`: the request can't be read. */
-export function readPromiseRequest(body: Buffer): number | null {
+export function decodeLeaseGrantRequest(body: Buffer): number | null {
   try {
     const request = decodeBody(body);
     const term = isMap(request) ? request['term'] : null;
--- a/src/controller/leadership/takeover-promise.ts
+++ b/src/controller/leadership/lease-grant.ts
@@ -11,8 +11,8 @@
  * before on this host may have given one just before it ended; so each process begins as if it had
  * given one when it started.
  */
-export class TakeoverPromise {
-  private until: number;
+export class LeaseGrant {
+  private grantedUntil: number;
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now'> & {
@@ -20,20 +20,20 @@
     },
     private readonly settings: Pick<Settings, 'leaseGrantMs'>,
   ) {
-    this.until = eventLoop.runtime.startedAt + this.lengthMs;
+    this.grantedUntil = eventLoop.runtime.startedAt + this.durationMs;
   }
 
-  private get lengthMs(): number {
+  private get durationMs(): number {
     return this.settings.leaseGrantMs * CLOCK_FACTOR + CLOCK_MARGIN_MS;
   }
 
   /** Promises not to act as leader for as long as a promise lasts, from now on. */
-  give(): void {
-    this.until = Math.max(this.until, this.eventLoop.now() + this.lengthMs);
+  grant(): void {
+    this.grantedUntil = Math.max(this.grantedUntil, this.eventLoop.now() + this.durationMs);
   }
 
   /** Time until this controller may act as leader, as far as promises are concerned. */
   get remainingMs(): number {
-    return Math.max(0, this.until - this.eventLoop.now());
+    return Math.max(0, this.grantedUntil - this.eventLoop.now());
   }
 }
--- a/src/controller/node/node-runtime.ts
+++ b/src/controller/node/node-runtime.ts
@@ -2,7 +2,7 @@
 import { HttpClient } from '../http/client.js';
 import type { HttpMessage } from '../http/parser.js';
 import type { SocketBudget } from '../http/socket-budget.js';
-import { frame } from '../peers/framing.js';
+import { encodeFrame } from '../peers/framing.js';
 import { decodeBody, encodeBody } from '../wire/cbor.js';
 import type { Call, Runtime, Reply, Timer } from '../runtime/runtime.js';
 import { PeerLink } from '../peers/peer-link.js';
@@ -80,7 +80,7 @@
 
   /** Sends a message to a peer, or drops it while the peer is slow or away. */
   sendPeer(host: string, bytes: Buffer): void {
-    this.links.get(host)?.send(frame(bytes));
+    this.links.get(host)?.send(encodeFrame(bytes));
   }
 }
 
--- a/src/controller/run.ts
+++ b/src/controller/node/run.ts
@@ -1,20 +1,20 @@
 /** Puts a controller on the network and starts it. */
 import net from 'node:net';
 import { randomBytes } from 'node:crypto';
-import { Controller } from './controller.js';
-import type { Logger } from './runtime/runtime.js';
-import { HeapBudget, memoryWarning, type MemoryQuota } from './runtime/heap-budget.js';
-import { createLogger, LOG_LEVELS } from './node/logger.js';
-import { NodeRuntime } from './node/node-runtime.js';
-import { seededRandom } from './runtime/random.js';
-import type { HttpResponse } from './http/parser.js';
-import { HttpServer, type RequestHandler } from './http/server.js';
-import { SocketBudget } from './http/socket-budget.js';
-import type { ApiResponse } from './jobs/frontend.js';
-import { readPeer } from './peers/listener.js';
-import { REPORT_PATH } from './routes.js';
-import type { Settings } from './settings/settings.js';
-import { encodeBody } from './wire/cbor.js';
+import { Controller } from '../controller.js';
+import type { Logger } from '../runtime/runtime.js';
+import { HeapBudget, memoryWarning, type MemoryQuota } from '../runtime/heap-budget.js';
+import { createLogger, LOG_LEVELS } from './logger.js';
+import { NodeRuntime } from './node-runtime.js';
+import { seededRandom } from '../runtime/random.js';
+import type { HttpResponse } from '../http/parser.js';
+import { HttpServer, type RequestHandler } from '../http/server.js';
+import { SocketBudget } from '../http/socket-budget.js';
+import type { ApiResponse } from '../jobs/frontend.js';
+import { readPeerConnection } from '../peers/peer-connection.js';
+import { HEARTBEAT_PATH } from '../api/router.js';
+import type { Settings } from '../settings/settings.js';
+import { encodeBody } from '../wire/cbor.js';
 
 const HEAD_BYTES = 16 * 1024;
 const BODY_BYTES = 64 * 1024;
@@ -89,7 +89,7 @@
     maxSockets: platform.quota.maxSockets,
     readTimeoutMs: REQUEST_READ_MS,
     idleTimeoutMs: (path: string) =>
-      path === REPORT_PATH ? settings.heartbeatIntervalMs * WORKER_IDLE_REPORTS : USER_IDLE_MS,
+      path === HEARTBEAT_PATH ? settings.heartbeatIntervalMs * WORKER_IDLE_REPORTS : USER_IDLE_MS,
   };
   return new HttpServer(options, apiHandler(controller));
 }
@@ -118,7 +118,7 @@
   fail: (err: Error) => void,
 ): void {
   const { quota, internalAddr } = settings.platform;
-  const server = net.createServer((socket) => readPeer(socket, controller));
+  const server = net.createServer((socket) => readPeerConnection(socket, controller));
   const share = Math.floor(quota.maxSockets * PEER_SOCKETS_RATIO);
   server.maxConnections = Math.max(MIN_PEER_SOCKETS, share);
   server.on('error', fail);
@@ -129,7 +129,7 @@
 /** The metrics' library is loaded once the controller has had time to start. */
 function loadMetrics(settings: Settings, controller: Controller): void {
   setTimeout(() => {
-    void import('./operators/metrics.js').then(({ Metrics }) => {
+    void import('../operators/metrics.js').then(({ Metrics }) => {
       controller.metrics = new Metrics();
     });
   }, settings.heartbeatIntervalMs * 3);
--- a/src/controller/peers/encoding.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -34,7 +34,7 @@
 }
 
 /** Bytes that do not follow their schema. */
-export class EncodingError extends Error {
+export class AvroEncodingError extends Error {
   override readonly name = 'EncodingError';
 }
 
@@ -43,14 +43,14 @@
 const LONGEST_INTEGER = 10;
 
 /** Throws an `EncodingError` unless the bytes are one whole value of the schema. */
-export function checkEncoding(schema: Schema, bytes: Buffer): void {
-  const reader = new Reader(bytes);
+export function validateAvroEncoding(schema: Schema, bytes: Buffer): void {
+  const reader = new AvroReader(bytes);
   skip(schema, reader);
-  if (reader.remaining > 0) throw new EncodingError('trailing bytes');
+  if (reader.remaining > 0) throw new AvroEncodingError('trailing bytes');
 }
 
 /** Walks over the bytes; never past their end. */
-class Reader {
+class AvroReader {
   private position = 0;
 
   constructor(private readonly bytes: Buffer) {}
@@ -61,7 +61,7 @@
 
   /** Passes over bytes without looking at them. */
   skip(count: number): void {
-    if (count < 0 || count > this.remaining) throw new EncodingError('length out of range');
+    if (count < 0 || count > this.remaining) throw new AvroEncodingError('length out of range');
     this.position += count;
   }
 
@@ -70,22 +70,22 @@
     let value = 0;
     for (let i = 0; i < LONGEST_INTEGER; i++) {
       const byte = this.bytes[this.position++];
-      if (byte === undefined) throw new EncodingError('truncated');
+      if (byte === undefined) throw new AvroEncodingError('truncated');
       value += (byte & 0x7f) * 2 ** (7 * i);
       if (byte < 0x80) return value % 2 === 0 ? value / 2 : -(value + 1) / 2;
     }
-    throw new EncodingError('integer too long');
+    throw new AvroEncodingError('integer too long');
   }
 
   /** The index of one of `count` choices. */
   choice(count: number): number {
     const index = this.integer();
-    if (index < 0 || index >= count) throw new EncodingError('unknown type or symbol');
+    if (index < 0 || index >= count) throw new AvroEncodingError('unknown type or symbol');
     return index;
   }
 }
 
-function skip(schema: Schema, reader: Reader): void {
+function skip(schema: Schema, reader: AvroReader): void {
   if (Array.isArray(schema)) {
     const chosen = schema[reader.choice(schema.length)];
     if (chosen !== undefined) skip(chosen, reader);
@@ -93,7 +93,7 @@
   else skipComplex(schema, reader);
 }
 
-function skipPrimitive(schema: PrimitiveSchema, reader: Reader): void {
+function skipPrimitive(schema: PrimitiveSchema, reader: AvroReader): void {
   switch (schema) {
     case 'null':
       return;
@@ -109,7 +109,7 @@
   }
 }
 
-function skipComplex(schema: ComplexSchema, reader: Reader): void {
+function skipComplex(schema: ComplexSchema, reader: AvroReader): void {
   switch (schema.type) {
     case 'record':
       for (const field of schema.fields) skip(field.type, reader);
@@ -128,14 +128,14 @@
 }
 
 /** Items come in blocks, each with its count, up to an empty one. Every item takes a byte or more. */
-function skipBlocks(reader: Reader, skipItem: () => void): void {
+function skipBlocks(reader: AvroReader, skipItem: () => void): void {
   for (;;) {
     const announced = reader.integer();
     if (announced === 0) return;
     // A negative count is followed by the block's size in bytes.
     if (announced < 0) reader.integer();
     const count = Math.abs(announced);
-    if (count > reader.remaining) throw new EncodingError('more items than bytes');
+    if (count > reader.remaining) throw new AvroEncodingError('more items than bytes');
     for (let i = 0; i < count; i++) skipItem();
   }
 }
--- a/src/controller/peers/framing.ts
+++ b/src/controller/peers/framing.ts
@@ -1,7 +1,7 @@
 /** Frames on a connection between controllers: four bytes of length, then one message. */
 
 /** Bytes of the longest message. */
-export const MAX_FRAME = 256 * 1024;
+export const MAX_FRAME_BYTES = 256 * 1024;
 /** Bytes of a frame's length. */
 const LENGTH_BYTES = 4;
 
@@ -24,7 +24,7 @@
 }
 
 /** The frame of one message. */
-export function frame(bytes: Buffer): Buffer {
+export function encodeFrame(bytes: Buffer): Buffer {
   const out = Buffer.allocUnsafe(bytes.length + LENGTH_BYTES);
   out.writeUInt32BE(bytes.length, 0);
   bytes.copy(out, LENGTH_BYTES);
@@ -32,12 +32,12 @@
 }
 
 /** Puts the messages of one connection together again. */
-export class Unframer {
-  private data: Buffer = Buffer.alloc(0);
+export class FrameDecoder {
+  private buffered: Buffer = Buffer.alloc(0);
 
   /** Whether a part of a frame has arrived, and its rest has not. */
-  get partial(): boolean {
-    return this.data.length > 0;
+  get hasPartialFrame(): boolean {
+    return this.buffered.length > 0;
   }
 
   /**
@@ -45,15 +45,15 @@
    * any message may be.
    */
   push(bytes: Buffer): Buffer[] {
-    this.data = this.data.length === 0 ? bytes : Buffer.concat([this.data, bytes]);
+    this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
     const frames: Buffer[] = [];
-    while (this.data.length >= LENGTH_BYTES) {
-      const size = this.data.readUInt32BE(0);
-      if (size > MAX_FRAME) throw new FrameTooLargeError(size);
+    while (this.buffered.length >= LENGTH_BYTES) {
+      const size = this.buffered.readUInt32BE(0);
+      if (size > MAX_FRAME_BYTES) throw new FrameTooLargeError(size);
       const end = LENGTH_BYTES + size;
-      if (this.data.length < end) break;
-      frames.push(this.data.subarray(LENGTH_BYTES, end));
-      this.data = this.data.subarray(end);
+      if (this.buffered.length < end) break;
+      frames.push(this.buffered.subarray(LENGTH_BYTES, end));
+      this.buffered = this.buffered.subarray(end);
     }
     return frames;
   }
--- a/src/controller/peers/message.ts
+++ b/src/controller/peers/message.ts
@@ -1,7 +1,7 @@
 /** The messages that controllers send one another, and their binary form (Avro, without a version). */
 import avsc from 'avsc';
 import type { TerminalState, JobState } from '../wire/jobs.js';
-import { checkEncoding, type RecordSchema } from './encoding.js';
+import { validateAvroEncoding, type RecordSchema } from './avro-validation.js';
 
 /**
  * What a controller says of itself. None of it is needed for the rules: it only saves questions to
@@ -178,13 +178,13 @@
 const type = avsc.Type.forSchema(schema);
 
 /** The bytes of a message. */
-export function encodePeer(message: PeerMessage): Buffer {
+export function encodePeerMessage(message: PeerMessage): Buffer {
   return type.toBuffer(message);
 }
 
 /** Throws on bytes that are not one whole message. */
-export function decodePeer(bytes: Buffer): PeerMessage {
-  checkEncoding(schema, bytes);
+export function decodePeerMessage(bytes: Buffer): PeerMessage {
+  validateAvroEncoding(schema, bytes);
   const value: unknown = type.fromBuffer(bytes);
   return value as PeerMessage;
 }
--- a/src/controller/peers/listener.test.ts
+++ b/src/controller/peers/peer-connection.test.ts
@@ -2,16 +2,16 @@
 import { once } from 'node:events';
 import net from 'node:net';
 import { after, before, describe, it } from 'node:test';
-import { frame } from './framing.js';
-import { readPeer } from './listener.js';
+import { encodeFrame } from './framing.js';
+import { readPeerConnection } from './peer-connection.js';
 
 describe('connections from peers', () => {
   const messages: string[] = [];
   const errors: Error[] = [];
   const server = net.createServer((socket) => {
-    readPeer(socket, {
+    readPeerConnection(socket, {
       peerFrame: (bytes) => messages.push(bytes.toString()),
-      peerBroken: (err) => errors.push(err),
+      peerConnectionFailed: (err) => errors.push(err),
     });
   });
 
@@ -33,7 +33,7 @@
   }
 
   it('pass on whole messages; a frame that is cut off or too large is told once', async () => {
-    const whole = frame(Buffer.from('news'));
+    const whole = encodeFrame(Buffer.from('news'));
     await send(Buffer.concat([whole, whole]));
     assert.deepEqual(messages, ['news', 'news']);
     assert.equal(errors.length, 0);
--- a/src/controller/peers/listener.ts
+++ b/src/controller/peers/peer-connection.ts
@@ -1,35 +1,35 @@
 /** The receiving end of a connection from another controller. */
 import type net from 'node:net';
-import { TruncatedFrameError, Unframer } from './framing.js';
+import { TruncatedFrameError, FrameDecoder } from './framing.js';
 
 /** Takes what arrives on the connections from other controllers. */
-export interface PeerSink {
+export interface PeerFrameHandler {
   /** A whole message, as yet unread. */
   peerFrame(bytes: Buffer): void;
   /** What arrived can't be read: the connection ends, or has ended, and its rest is dropped. */
-  peerBroken(err: Error): void;
+  peerConnectionFailed(err: Error): void;
 }
 
 /** Reads messages from a connection until it ends; never throws. */
-export function readPeer(socket: net.Socket, sink: PeerSink): void {
-  const unframer = new Unframer();
-  let broken = false;
+export function readPeerConnection(socket: net.Socket, handler: PeerFrameHandler): void {
+  const decoder = new FrameDecoder();
+  let failed = false;
   const fail = (err: Error): void => {
-    if (broken) return;
-    broken = true;
-    sink.peerBroken(err);
+    if (failed) return;
+    failed = true;
+    handler.peerConnectionFailed(err);
     socket.destroy();
   };
   socket.on('data', (bytes) => {
-    if (broken) return;
+    if (failed) return;
     try {
-      for (const message of unframer.push(bytes)) sink.peerFrame(message);
+      for (const message of decoder.push(bytes)) handler.peerFrame(message);
     } catch (err) {
       fail(err as Error);
     }
   });
   socket.on('error', () => socket.destroy());
   socket.on('close', () => {
-    if (unframer.partial) fail(new TruncatedFrameError());
+    if (decoder.hasPartialFrame) fail(new TruncatedFrameError());
   });
 }
--- a/src/controller/peers/statuses.ts
+++ b/src/controller/peers/peer-statuses.ts
@@ -1,35 +1,37 @@
 /** What the other controllers have last said of themselves. */
 import type { PeerStatus } from './message.js';
 
-interface Heard {
+interface ReceivedStatus {
   status: PeerStatus;
-  atMs: number;
+  receivedAt: number;
 }
 
 /** The newest status of each peer. */
 export class PeerStatuses {
-  private readonly newest = new Map<string, Heard>();
+  private readonly latest = new Map<string, ReceivedStatus>();
 
   /** `now`: the steady clock in milliseconds. */
   constructor(private readonly now: () => number) {}
 
   /** Keeps a status that has just arrived. */
-  take(status: PeerStatus): void {
-    this.newest.set(status.host, { status, atMs: this.now() });
+  record(status: PeerStatus): void {
+    this.latest.set(status.host, { status, receivedAt: this.now() });
   }
 
   /** The statuses that came within `freshMs`. */
-  heard(freshMs: number): PeerStatus[] {
+  recent(freshMs: number): PeerStatus[] {
     const now = this.now();
-    return [...this.newest.values()].filter((h) => now - h.atMs < freshMs).map((h) => h.status);
+    return [...this.latest.values()]
+      .filter((h) => now - h.receivedAt < freshMs)
+      .map((h) => h.status);
   }
 
   /** The peer that the state service served last, if within `freshMs`. */
-  served(freshMs: number): string | null {
+  hostServedByStateStore(freshMs: number): string | null {
     let best: string | null = null;
     let bestAgeMs = freshMs;
-    for (const [host, heard] of this.newest) {
-      const ageMs = this.servedAgeMs(heard);
+    for (const [host, heard] of this.latest) {
+      const ageMs = this.stateStoreAgeMs(heard);
       if (ageMs >= bestAgeMs) continue;
       best = host;
       bestAgeMs = ageMs;
@@ -37,8 +39,8 @@
     return best;
   }
 
-  private servedAgeMs({ status, atMs }: Heard): number {
+  private stateStoreAgeMs({ status, receivedAt }: ReceivedStatus): number {
     if (status.stateOkAgeMs < 0) return Infinity;
-    return status.stateOkAgeMs + (this.now() - atMs);
+    return status.stateOkAgeMs + (this.now() - receivedAt);
   }
 }
--- a/src/controller/peers/peers.test.ts
+++ b/src/controller/peers/peers.test.ts
@@ -4,9 +4,14 @@
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Runtime, Logger } from '../runtime/runtime.js';
 import { seededRandom } from '../runtime/random.js';
-import { EncodingError } from './encoding.js';
-import { frame, FrameTooLargeError, Unframer } from './framing.js';
-import { decodePeer, EMPTY_MESSAGE, encodePeer, type PeerMessage } from './message.js';
+import { AvroEncodingError } from './avro-validation.js';
+import { encodeFrame, FrameTooLargeError, FrameDecoder } from './framing.js';
+import {
+  decodePeerMessage,
+  EMPTY_MESSAGE,
+  encodePeerMessage,
+  type PeerMessage,
+} from './message.js';
 import { Peers } from './peers.js';
 
 const message: PeerMessage = {
@@ -36,12 +41,16 @@
 
 describe('peers', () => {
   it('round-trips messages through frames cut anywhere', () => {
-    const bytes = Buffer.concat([frame(encodePeer(message)), frame(encodePeer(message))]);
+    const bytes = Buffer.concat([
+      encodeFrame(encodePeerMessage(message)),
+      encodeFrame(encodePeerMessage(message)),
+    ]);
     for (let cut = 1; cut < bytes.length; cut++) {
-      const u = new Unframer();
+      const u = new FrameDecoder();
       const got = [...u.push(bytes.subarray(0, cut)), ...u.push(bytes.subarray(cut))];
       assert.equal(got.length, 2);
-      for (const g of got) assert.equal(JSON.stringify(decodePeer(g)), JSON.stringify(message));
+      for (const g of got)
+        assert.equal(JSON.stringify(decodePeerMessage(g)), JSON.stringify(message));
     }
   });
 
@@ -61,13 +70,18 @@
         startTimer: () => ({ cancel: nothing }),
         call: nothing,
         hasSpareConnection: () => true,
-        sendPeer: (_, bytes) => ids.push(decodePeer(bytes).request?.id ?? -1),
+        sendPeer: (_, bytes) => ids.push(decodePeerMessage(bytes).request?.id ?? -1),
       };
       const { status } = message;
       assert.ok(status);
       const peers = new Peers(new EventLoop(runtime, silent), ['kiln-2'], () => status, {
-        ...{ accepted: nothing, status: nothing, final: nothing, progress: nothing },
-        request: nothing,
+        ...{
+          jobAccepted: nothing,
+          statusReceived: nothing,
+          jobEnded: nothing,
+          jobProgressed: nothing,
+        },
+        requestForwarded: nothing,
       });
       for (let i = 0; i < 100; i++)
         peers.forward('kiln-2', 'GET', '/submissions/req-1', Buffer.alloc(0), 1000, nothing);
@@ -79,14 +93,17 @@
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 60 }), (bytes) => {
         try {
-          decodePeer(Buffer.from(bytes));
+          decodePeerMessage(Buffer.from(bytes));
         } catch (err) {
           assert.ok(err instanceof Error);
         }
       }),
       { seed: 5, numRuns: 500 },
     );
-    assert.throws(() => new Unframer().push(Buffer.from([255, 255, 255, 255])), FrameTooLargeError);
+    assert.throws(
+      () => new FrameDecoder().push(Buffer.from([255, 255, 255, 255])),
+      FrameTooLargeError,
+    );
   });
 
   // Older versions read these bytes, and their messages bear no version.
@@ -100,32 +117,39 @@
       '06474554242f7375626d697373696f6e732f7265712d310278',
       '020690030279',
     ];
-    const bytes = encodePeer({ ...message, reply });
+    const bytes = encodePeerMessage({ ...message, reply });
     assert.equal(bytes.toString('hex'), written.join(''));
     assert.equal(
-      JSON.stringify(decodePeer(Buffer.from(written.join(''), 'hex'))),
+      JSON.stringify(decodePeerMessage(Buffer.from(written.join(''), 'hex'))),
       JSON.stringify({ ...message, reply }),
     );
   });
 
   it('refuses every part of a message, and bytes after its end', () => {
-    const bytes = encodePeer(message);
+    const bytes = encodePeerMessage(message);
     for (let end = 0; end < bytes.length; end++)
-      assert.throws(() => decodePeer(bytes.subarray(0, end)), EncodingError, `${end} bytes`);
-    assert.throws(() => decodePeer(Buffer.concat([bytes, Buffer.from([0])])), EncodingError);
+      assert.throws(
+        () => decodePeerMessage(bytes.subarray(0, end)),
+        AvroEncodingError,
+        `${end} bytes`,
+      );
+    assert.throws(
+      () => decodePeerMessage(Buffer.concat([bytes, Buffer.from([0])])),
+      AvroEncodingError,
+    );
   });
 
   it('refuses unknown types and symbols', () => {
-    const empty = encodePeer(EMPTY_MESSAGE);
+    const empty = encodePeerMessage(EMPTY_MESSAGE);
     // The first byte chooses among the types of the status.
     assert.throws(
-      () => decodePeer(Buffer.concat([Buffer.from([4]), empty.subarray(1)])),
+      () => decodePeerMessage(Buffer.concat([Buffer.from([4]), empty.subarray(1)])),
       /unknown/,
     );
-    const end = encodePeer({ ...EMPTY_MESSAGE, finals: [{ id: 'req-1', state: 'done' }] });
+    const end = encodePeerMessage({ ...EMPTY_MESSAGE, finals: [{ id: 'req-1', state: 'done' }] });
     const symbol = end.indexOf('req-1') + 'req-1'.length;
     end[symbol] = 4;
-    assert.throws(() => decodePeer(end), /unknown/);
+    assert.throws(() => decodePeerMessage(end), /unknown/);
   });
 
   // avsc alone takes memory for all of them first: a few bytes ended the process.
@@ -136,9 +160,9 @@
         [0xff, 0xff, 0xff, 0xff, 0x0f, 2],
         [0xfe, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f],
       ])
-        assert.throws(() => decodePeer(Buffer.from([...lists, ...count])), /more items/);
+        assert.throws(() => decodePeerMessage(Buffer.from([...lists, ...count])), /more items/);
     const longText = Buffer.from([2, 0xfe, 0xff, 0xff, 0xff, 0x0f]);
-    assert.throws(() => decodePeer(longText), /length/);
+    assert.throws(() => decodePeerMessage(longText), /length/);
   });
 
   it('reads whatever it writes', () => {
@@ -161,8 +185,8 @@
     });
     fc.assert(
       fc.property(messages, (written) => {
-        const bytes = encodePeer(written);
-        assert.deepEqual(encodePeer(decodePeer(bytes)), bytes);
+        const bytes = encodePeerMessage(written);
+        assert.deepEqual(encodePeerMessage(decodePeerMessage(bytes)), bytes);
       }),
       { seed: 6, numRuns: 200 },
     );
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -1,27 +1,27 @@
 /** The exchange of news between the controllers of a deployment. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { TerminalState } from '../wire/jobs.js';
-import { RequestForwarder, type ReplyHandler } from './forwarding.js';
+import { RequestForwarder, type ReplyHandler } from './request-forwarder.js';
 import {
-  decodePeer,
+  decodePeerMessage,
   EMPTY_MESSAGE,
-  encodePeer,
+  encodePeerMessage,
   type ForwardedRequest,
   type JobEnd,
   type JobProgress,
   type PeerMessage,
   type PeerStatus,
 } from './message.js';
-import { PeerStatuses } from './statuses.js';
+import { PeerStatuses } from './peer-statuses.js';
 
 /** What is done with the news of the other controllers. */
 export interface PeerEvents {
-  accepted(id: string): void;
-  status(status: PeerStatus): void;
-  final(id: string, state: TerminalState): void;
-  progress(p: JobProgress): void;
+  jobAccepted(id: string): void;
+  statusReceived(status: PeerStatus): void;
+  jobEnded(id: string, state: TerminalState): void;
+  jobProgressed(p: JobProgress): void;
   /** To be answered here, and not passed on again. */
-  request(
+  requestForwarded(
     method: string,
     path: string,
     body: Buffer,
@@ -30,137 +30,137 @@
 }
 
 /** Items of each kind that one message carries at most. */
-const PER_MESSAGE = 200;
+const MAX_ITEMS_PER_MESSAGE = 200;
 
 /** Tells the other controllers this one's news, and takes theirs. */
 export class Peers {
   private readonly statuses: PeerStatuses;
   private readonly forwarder: RequestForwarder;
-  private finals: JobEnd[] = [];
-  private accepted: string[] = [];
-  private sending = false;
-  private newsMs = 0;
+  private endedJobs: JobEnd[] = [];
+  private acceptedJobs: string[] = [];
+  private newsScheduled = false;
+  private newsDelayMs = 0;
   /** Messages that could not be read, since the process began. */
-  unreadable = 0;
+  unreadableMessages = 0;
 
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly hosts: string[],
-    private readonly own: () => PeerStatus,
+    private readonly ownStatus: () => PeerStatus,
     private readonly events: PeerEvents,
   ) {
     this.statuses = new PeerStatuses(() => eventLoop.now());
     this.forwarder = new RequestForwarder(eventLoop, (host, request) =>
-      this.sendOne(host, { request }),
+      this.sendTo(host, { request }),
     );
   }
 
   /** Begins to tell the own status every `statusMs`, and news within `newsMs`. */
   start(statusMs: number, newsMs: number): void {
-    this.newsMs = newsMs;
-    this.eventLoop.every(statusMs, 'peer-status', () => this.send([], this.own()));
+    this.newsDelayMs = newsMs;
+    this.eventLoop.every(statusMs, 'peer-status', () => this.publish([], this.ownStatus()));
   }
 
   /** Tells the others of a job's end, with what else comes within a moment. */
-  announce(id: string, state: TerminalState): void {
-    this.finals.push({ id, state });
-    this.sendSoon();
+  announceJobEnd(id: string, state: TerminalState): void {
+    this.endedJobs.push({ id, state });
+    this.scheduleNews();
   }
 
   /** Tells the others that this controller has accepted a job. */
-  announceAccepted(id: string): void {
-    this.accepted.push(id);
-    this.sendSoon();
+  announceJobAccepted(id: string): void {
+    this.acceptedJobs.push(id);
+    this.scheduleNews();
   }
 
-  private sendSoon(): void {
-    if (this.sending) return;
-    this.sending = true;
-    this.eventLoop.after(this.newsMs, 'peer-news', () => {
-      this.sending = false;
-      this.send([], null);
+  private scheduleNews(): void {
+    if (this.newsScheduled) return;
+    this.newsScheduled = true;
+    this.eventLoop.after(this.newsDelayMs, 'peer-news', () => {
+      this.newsScheduled = false;
+      this.publish([], null);
     });
   }
 
   /** Sends what has been announced to all, with progress and a status, in as many messages as it takes. */
-  send(progress: JobProgress[], status: PeerStatus | null): void {
-    let { finals, accepted } = this;
-    this.finals = [];
-    this.accepted = [];
+  publish(progress: JobProgress[], status: PeerStatus | null): void {
+    let { endedJobs, acceptedJobs } = this;
+    this.endedJobs = [];
+    this.acceptedJobs = [];
     do {
-      this.sendAll({
+      this.broadcast({
         ...EMPTY_MESSAGE,
         status,
-        finals: finals.slice(0, PER_MESSAGE),
-        accepted: accepted.slice(0, PER_MESSAGE),
-        progress: progress.slice(0, PER_MESSAGE),
+        finals: endedJobs.slice(0, MAX_ITEMS_PER_MESSAGE),
+        accepted: acceptedJobs.slice(0, MAX_ITEMS_PER_MESSAGE),
+        progress: progress.slice(0, MAX_ITEMS_PER_MESSAGE),
       });
-      finals = finals.slice(PER_MESSAGE);
-      accepted = accepted.slice(PER_MESSAGE);
-      progress = progress.slice(PER_MESSAGE);
+      endedJobs = endedJobs.slice(MAX_ITEMS_PER_MESSAGE);
+      acceptedJobs = acceptedJobs.slice(MAX_ITEMS_PER_MESSAGE);
+      progress = progress.slice(MAX_ITEMS_PER_MESSAGE);
       status = null;
-    } while (finals.length + accepted.length + progress.length > 0);
+    } while (endedJobs.length + acceptedJobs.length + progress.length > 0);
   }
 
-  private sendAll(message: PeerMessage): void {
-    const bytes = encodePeer(message);
+  private broadcast(message: PeerMessage): void {
+    const bytes = encodePeerMessage(message);
     for (const host of this.hosts) this.eventLoop.runtime.sendPeer(host, bytes);
   }
 
-  private sendOne(host: string, part: Partial<PeerMessage>): void {
-    this.eventLoop.runtime.sendPeer(host, encodePeer({ ...EMPTY_MESSAGE, ...part }));
+  private sendTo(host: string, part: Partial<PeerMessage>): void {
+    this.eventLoop.runtime.sendPeer(host, encodePeerMessage({ ...EMPTY_MESSAGE, ...part }));
   }
 
   /** Takes a message of another controller; one that can't be read is dropped and counted. */
   receive(bytes: Buffer): void {
     let message: PeerMessage;
     try {
-      message = decodePeer(bytes);
+      message = decodePeerMessage(bytes);
     } catch (err) {
-      this.dropped(err);
+      this.dropUnreadable(err);
       return;
     }
-    this.take(message);
+    this.handleMessage(message);
   }
 
   /** Counts and logs what came from another controller and can't be read. */
-  dropped(err: unknown): void {
-    this.unreadable++;
+  dropUnreadable(err: unknown): void {
+    this.unreadableMessages++;
     this.eventLoop.log.warn({ err }, 'broken message from a peer');
   }
 
-  private take(message: PeerMessage): void {
+  private handleMessage(message: PeerMessage): void {
     const { status, request, reply } = message;
     if (status !== null) {
-      this.statuses.take(status);
-      this.events.status(status);
+      this.statuses.record(status);
+      this.events.statusReceived(status);
     }
-    if (request !== null) this.answer(request);
-    if (reply !== null) this.forwarder.answered(reply);
-    for (const id of message.accepted) this.events.accepted(id);
-    for (const end of message.finals) this.events.final(end.id, end.state);
-    for (const progress of message.progress) this.events.progress(progress);
+    if (request !== null) this.handleForwardedRequest(request);
+    if (reply !== null) this.forwarder.handleReply(reply);
+    for (const id of message.accepted) this.events.jobAccepted(id);
+    for (const end of message.finals) this.events.jobEnded(end.id, end.state);
+    for (const progress of message.progress) this.events.jobProgressed(progress);
   }
 
-  private answer({ from, id, method, path, body }: ForwardedRequest): void {
-    this.events.request(method, path, body, (status, answer) => {
-      this.sendOne(from, { reply: { id, status, body: answer } });
+  private handleForwardedRequest({ from, id, method, path, body }: ForwardedRequest): void {
+    this.events.requestForwarded(method, path, body, (status, answer) => {
+      this.sendTo(from, { reply: { id, status, body: answer } });
     });
   }
 
   /** The peer that the state service served last, if within `freshMs`. */
-  served(freshMs: number): string | null {
-    return this.statuses.served(freshMs);
+  hostServedByStateStore(freshMs: number): string | null {
+    return this.statuses.hostServedByStateStore(freshMs);
   }
 
   /** Some peer was served by the state service within `freshMs`, by what it said lately. */
   stateServedElsewhere(freshMs: number): boolean {
-    return this.served(freshMs) !== null;
+    return this.hostServedByStateStore(freshMs) !== null;
   }
 
   /** What the others have said of themselves within `freshMs`. */
-  heard(freshMs: number): PeerStatus[] {
-    return this.statuses.heard(freshMs);
+  recentStatuses(freshMs: number): PeerStatus[] {
+    return this.statuses.recent(freshMs);
   }
 
   /** Has a peer answer a request. */
@@ -172,6 +172,11 @@
     timeoutMs: number,
     done: ReplyHandler,
   ): void {
-    this.forwarder.forward(host, { from: this.own().host, method, path, body }, timeoutMs, done);
+    this.forwarder.forward(
+      host,
+      { from: this.ownStatus().host, method, path, body },
+      timeoutMs,
+      done,
+    );
   }
 }
--- a/src/controller/peers/forwarding.ts
+++ b/src/controller/peers/request-forwarder.ts
@@ -10,7 +10,7 @@
 
 /** The requests that were passed on and wait for their answer. */
 export class RequestForwarder {
-  private readonly waiting = new Map<number, ReplyHandler>();
+  private readonly pendingReplies = new Map<number, ReplyHandler>();
   private lastId: number;
 
   constructor(
@@ -31,16 +31,16 @@
     const id = ++this.lastId;
     const timer = this.eventLoop.after(timeoutMs, 'forward-timeout', () => settle(null));
     const settle: ReplyHandler = (reply) => {
-      if (!this.waiting.delete(id)) return;
+      if (!this.pendingReplies.delete(id)) return;
       timer.cancel();
       done(reply);
     };
-    this.waiting.set(id, settle);
+    this.pendingReplies.set(id, settle);
     this.send(host, { ...request, id });
   }
 
   /** An answer has arrived, perhaps to a request that nobody waits for any more. */
-  answered(reply: ForwardedReply): void {
-    this.waiting.get(reply.id)?.(reply);
+  handleReply(reply: ForwardedReply): void {
+    this.pendingReplies.get(reply.id)?.(reply);
   }
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { callApi } from './controller/operators/api-client.js';
-import { run } from './controller/run.js';
+import { run } from './controller/node/run.js';
 import { oldGenerationMb } from './controller/runtime/heap-budget.js';
 import { readPlatform, SettingsError, type Platform } from './controller/settings/platform.js';
 import {
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -3,7 +3,7 @@
 import { Controller } from '../src/controller/controller.js';
 import type { Logger } from '../src/controller/runtime/runtime.js';
 import { Metrics } from '../src/controller/operators/metrics.js';
-import { EMPTY_MESSAGE, encodePeer } from '../src/controller/peers/message.js';
+import { EMPTY_MESSAGE, encodePeerMessage } from '../src/controller/peers/message.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
 import { oneOf } from './platform.js';
@@ -47,7 +47,7 @@
 
   /** A connection from a peer ends for what came on it. */
   broken(err: Error): void {
-    this.controller.peerBroken(err);
+    this.controller.peerConnectionFailed(err);
     this.pass();
   }
 
@@ -68,7 +68,7 @@
 describe('messages of peers that cannot be read', () => {
   it('are dropped, logged and counted, and the controller goes on', async () => {
     const controller = new LonelyController();
-    const whole = encodePeer({ ...EMPTY_MESSAGE, accepted: ['req-1', 'req-2'] });
+    const whole = encodePeerMessage({ ...EMPTY_MESSAGE, accepted: ['req-1', 'req-2'] });
     const unknownType = Buffer.concat([Buffer.from([4]), whole.subarray(1)]);
     const manyItems = Buffer.from([0, 0xfe, 0xff, 0xff, 0xff, 0x0f]);
     assert.equal(await controller.dropped(), 0);
--- a/test/simulation/stored-forms.ts
+++ b/test/simulation/stored-forms.ts
@@ -1,5 +1,5 @@
 /** Collects one of each form that controllers store or send each other, with its bytes. */
-import { decodePeer } from '../../src/controller/peers/message.js';
+import { decodePeerMessage } from '../../src/controller/peers/message.js';
 import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
 import { playDigestScenario, type DigestScenario } from './digest-scenarios.js';
 import type { Transaction } from './state-store.js';
@@ -40,7 +40,7 @@
 }
 
 function filledFields(frame: Uint8Array): string {
-  const message = Object.entries(decodePeer(Buffer.from(frame)));
+  const message = Object.entries(decodePeerMessage(Buffer.from(frame)));
   const filled = message.filter(([, value]) =>
     Array.isArray(value) ? value.length > 0 : value !== null,
   );
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -8,13 +8,13 @@
 import { EventLoop } from '../src/controller/runtime/event-loop.js';
 import { CompletionRecords } from '../src/controller/jobs/completion-records.js';
 import { terminalRecord, readTerminalState } from '../src/controller/jobs/job-records.js';
-import { LearnedFigures } from '../src/controller/leader/learned-figures.js';
+import { LearnedStatistics } from '../src/controller/leader/learned-statistics.js';
 import { readLeader } from '../src/controller/leadership/leader-record.js';
 import {
-  readPromiseRequest,
-  writePromiseRequest,
-} from '../src/controller/leadership/promise-request.js';
-import { decodePeer, encodePeer } from '../src/controller/peers/message.js';
+  decodeLeaseGrantRequest,
+  encodeLeaseGrantRequest,
+} from '../src/controller/leadership/lease-grant-request.js';
+import { decodePeerMessage, encodePeerMessage } from '../src/controller/peers/message.js';
 import { GangReservations } from '../src/controller/placement/placers/gang-reservations.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
@@ -199,7 +199,7 @@
     const { since } = (value as { arrivals: { since: number } }).arrivals;
     // The process starts as the record does, and its clock is the time of day.
     const clock = new FakeClock(since);
-    const learned = new LearnedFigures(new EventLoop(idleRuntime(clock), clock.log), settings);
+    const learned = new LearnedStatistics(new EventLoop(idleRuntime(clock), clock.log), settings);
     clock.time += 600_000;
     learned.load(storedAtOnce({ [key]: value }), []);
     const records = storedAtOnce();
@@ -211,17 +211,17 @@
 describe('a message between controllers', () => {
   for (const [fields, hex] of Object.entries(forms.messages))
     it(`of ${fields === '' ? 'nothing' : fields} is read, and written alike`, () => {
-      const message = decodePeer(Buffer.from(hex, 'hex'));
+      const message = decodePeerMessage(Buffer.from(hex, 'hex'));
       const filled = Object.entries(message).filter(([, value]) =>
         Array.isArray(value) ? value.length > 0 : value !== null,
       );
       assert.equal(filled.map(([name]) => name).join('+'), fields);
-      assert.equal(encodePeer(message).toString('hex'), hex);
+      assert.equal(encodePeerMessage(message).toString('hex'), hex);
     });
 
   it('asks for a promise with the term in CBOR', () => {
     const body = Buffer.from('a1647465726d1a0001e240', 'hex');
-    assert.equal(readPromiseRequest(body), 123_456);
-    assert.deepEqual(writePromiseRequest(123_456), body);
+    assert.equal(decodeLeaseGrantRequest(body), 123_456);
+    assert.deepEqual(encodeLeaseGrantRequest(123_456), body);
   });
 });
