--- a/src/controller/fleet/fleet.test.ts
+++ b/src/controller/fleet/fleet.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Shortage } from '../placement/pass/placement-pass.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -18,7 +18,7 @@
 import { ScaleOut } from './scale-out.js';
 import { UnusedMachines, type WorkloadState } from './unused-machines.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const lagMs = settings.platform.cloudLimits.listLagS * 1000;
 const silentMs = settings.workerLeaseExpiryMs * settings.get('fleet.silent.ratio');
 const idleMs = settings.workerLeaseMs * settings.get('fleet.idle.ratio');
--- a/src/controller/fleet/scale-out-plan.test.ts
+++ b/src/controller/fleet/scale-out-plan.test.ts
@@ -3,7 +3,7 @@
 import type { MachineType } from '../wire/cloud.js';
 import type { JobSpec } from '../wire/jobs.js';
 import { Machine } from '../workers/machine.js';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { Headroom } from './headroom.js';
@@ -115,7 +115,7 @@
 });
 
 describe('headroom', () => {
-  const settings = new Settings(alone(), defaultProperties());
+  const settings = new Settings(standalonePlatform(), defaultProperties());
 
   function freeMachine(): Machine {
     const machine = new Machine('n-1', 0, settings);
--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
-import { storedAtOnce } from '../../../test/stored.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { immediateRecords } from '../../../test/fake-records.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
 import { JobTable, type Job } from '../jobs/job-table.js';
@@ -17,7 +17,7 @@
 const TERM = 3;
 const MACHINES = 20;
 const STEP_MS = 1000;
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const share = settings.get('fleet.replicas.silent.share');
 const nothing = (): void => undefined;
 const quiet: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
@@ -56,7 +56,7 @@
       sendPeer: nothing,
     };
     this.eventLoop = new EventLoop(runtime, quiet);
-    const records = storedAtOnce();
+    const records = immediateRecords();
     this.table = new JobTable(
       this.eventLoop,
       settings,
--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { storedAtOnce } from '../../../test/stored.js';
+import { immediateRecords } from '../../../test/fake-records.js';
 import type { JobSpec } from '../wire/jobs.js';
 import { CompletionRecords } from './completion-records.js';
 import { Job } from './job.js';
@@ -27,7 +27,7 @@
   const done = [0, 7, 8, 8191, 8192, 9999];
 
   it('come back from the records, across their borders', () => {
-    const records = storedAtOnce();
+    const records = immediateRecords();
     const told: number[] = [];
     const before = job('req-1', 10_000);
     const completions = new CompletionRecords(records, (_job, task) => told.push(task));
@@ -51,7 +51,7 @@
   });
 
   it('go with their job', () => {
-    const records = storedAtOnce();
+    const records = immediateRecords();
     const completions = new CompletionRecords(records, () => undefined);
     const ended = job('req-1', 10_000);
     for (const task of done) completions.add(ended, task);
@@ -61,7 +61,7 @@
   });
 
   it('of jobs that are not known any more are removed', () => {
-    const records = storedAtOnce({ 'p/req-0/0': 'AQ==' });
+    const records = immediateRecords({ 'p/req-0/0': 'AQ==' });
     new CompletionRecords(records, () => undefined).load(new Map());
     assert.ok(!records.has('p/req-0/0'));
   });
--- a/src/controller/jobs/frontend.test.ts
+++ b/src/controller/jobs/frontend.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -11,7 +11,10 @@
 
 const teams = '[[params.teams]]\nname = "t"\ncpus_max = 8.0\n';
 const next = { rps: 100, writeRps: 60, valueKb: 2, txnOps: 16 };
-const settings = new Settings({ ...alone(teams), upcomingStateLimits: next }, defaultProperties());
+const settings = new Settings(
+  { ...standalonePlatform(teams), upcomingStateLimits: next },
+  defaultProperties(),
+);
 const nothing = (): void => undefined;
 const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 
--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Runtime, Logger } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -9,7 +9,7 @@
 import type { StateStoreClient } from '../store/client.js';
 import { JobWatch } from './job-watch.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const nothing = (): void => undefined;
 const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 
@@ -134,11 +134,14 @@
   });
 
   it('is bound by settings that let cancelled tasks end in time, or the start is refused', () => {
-    const { workers } = alone();
+    const { workers } = standalonePlatform();
     assert.ok(
       (settings.maxWatchStalenessMs + settings.workerLeaseMs) / 1000 + 4 < workers.cancelDeadlineS,
     );
-    const tight = { ...alone(), workers: { ...workers, cancelDeadlineS: workers.leaseS + 5 } };
+    const tight = {
+      ...standalonePlatform(),
+      workers: { ...workers, cancelDeadlineS: workers.leaseS + 5 },
+    };
     assert.throws(
       () => new Settings(tight, defaultProperties()),
       (err: Error) => err instanceof SettingsError && /cancel_s.*lease_s/.test(err.message),
--- a/src/controller/jobs/service-requests.test.ts
+++ b/src/controller/jobs/service-requests.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -9,7 +9,7 @@
 import { Frontend, type ApiResponse } from './frontend.js';
 
 const teams = '[[params.teams]]\nname = "t"\ncpus_max = 8.0\ngpus_max = 4.0\n';
-const settings = new Settings(alone(teams), defaultProperties());
+const settings = new Settings(standalonePlatform(teams), defaultProperties());
 const nothing = (): void => undefined;
 const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 const ID = 'req-1';
--- a/src/controller/leader/leader.test.ts
+++ b/src/controller/leader/leader.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
-import { storedAtOnce } from '../../../test/stored.js';
+import { immediateRecords } from '../../../test/fake-records.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -12,7 +12,7 @@
 import { PassScheduler } from './pass-scheduler.js';
 import { FailoverRecovery, type RecoveryTarget, type RecoveredState } from './failover-recovery.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const intervalMs = settings.heartbeatIntervalMs * settings.get('placement.interval.ratio');
 
 describe('pass scheduler', () => {
@@ -143,7 +143,7 @@
 describe('learned figures', () => {
   it('come back from the records as they were saved', () => {
     const eventLoop = new EventLoop(new ManualRuntime(), silentLogger);
-    const records = storedAtOnce({ learned: { ratios: { c: [1, 2] } } });
+    const records = immediateRecords({ learned: { ratios: { c: [1, 2] } } });
     const before = new LearnedStatistics(eventLoop, settings);
     before.load(records, []);
     before.save(records);
--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
-import { arraySpec } from '../../../test/stand-ins.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { arraySpec } from '../../../test/fakes.js';
 import { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -21,7 +21,7 @@
 }
 
 describe('the view of the cluster', () => {
-  const settings = new Settings(alone(), defaultProperties());
+  const settings = new Settings(standalonePlatform(), defaultProperties());
   const names = Array.from(
     { length: MACHINES },
     (_, index) => `n-${String(index).padStart(6, '0')}`,
--- a/src/controller/placement/guarantee.test.ts
+++ b/src/controller/placement/guarantee.test.ts
@@ -4,8 +4,8 @@
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Runtime, Logger } from '../runtime/runtime.js';
 import { JobTable } from '../jobs/job-table.js';
-import { alone } from '../../../test/platform.js';
-import { storedAtOnce } from '../../../test/stored.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { immediateRecords } from '../../../test/fake-records.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -28,7 +28,7 @@
 name = "guest"
 gpus = 1.0
 `;
-const settings = new Settings(alone(teams), {
+const settings = new Settings(standalonePlatform(teams), {
   ...defaultProperties(),
   'placement.preempt.share': 1,
 });
@@ -73,7 +73,7 @@
       hasSpareConnection: () => true,
     };
     const eventLoop = new EventLoop(runtime, silent);
-    const records = storedAtOnce();
+    const records = immediateRecords();
     this.table = new JobTable(eventLoop, settings, {} as unknown as StateStoreClient, records, {
       ...{
         onIncompleteGang: nothing,
--- a/src/controller/placement/parts.test.ts
+++ b/src/controller/placement/parts.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import type { Logger } from '../runtime/runtime.js';
 import { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -33,7 +33,7 @@
   ...{ name: 'big', cpus: 16, gpus: 4, memoryGb: 64, cacheGb: 10 },
   ...{ fetchGbPerS: 1, price: 1, spotPrice: 1, bootS: 10, zones: ['a', 'b'] },
 };
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const nothing = (): void => undefined;
 const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 
--- a/src/controller/placement/placement.test.ts
+++ b/src/controller/placement/placement.test.ts
@@ -12,7 +12,7 @@
 import { FreeCapacity } from './capacity/free-capacity.js';
 import { ReservationCandidateFinder } from './search/reservation-candidate-finder.js';
 import { Guarantees, TeamUsage } from '../workers/team-usage.js';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 
@@ -20,7 +20,7 @@
   ...{ name: 'big', cpus: 16, gpus: 4, memoryGb: 64, cacheGb: 10 },
   ...{ fetchGbPerS: 1, price: 1, spotPrice: 1, bootS: 10, zones: ['a'] },
 };
-const deployed = new Settings(alone(), defaultProperties());
+const deployed = new Settings(standalonePlatform(), defaultProperties());
 let ids = 0;
 function spec(part: Partial<JobSpec>): JobSpec {
   return {
@@ -209,7 +209,7 @@
   // Fleet day restart: most machines ran one task within its team's guarantee beside borrowed ones;
   // holds took them for machines that had to be waited for whole.
   it('waits for what may not be stopped, and stops what would go on longer', () => {
-    const settings = new Settings(alone(), defaultProperties());
+    const settings = new Settings(standalonePlatform(), defaultProperties());
     const estimates = new DurationEstimator();
     const teams = new TeamUsage([]);
     const m = new Machine('n-1', 0, deployed);
--- a/src/controller/placement/services.test.ts
+++ b/src/controller/placement/services.test.ts
@@ -3,8 +3,8 @@
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Runtime, Logger } from '../runtime/runtime.js';
 import { JobTable, type Job } from '../jobs/job-table.js';
-import { alone } from '../../../test/platform.js';
-import { storedAtOnce } from '../../../test/stored.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { immediateRecords } from '../../../test/fake-records.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -27,7 +27,7 @@
 [[params.teams]]
 name = "guest"
 `;
-const settings = new Settings(alone(teams), {
+const settings = new Settings(standalonePlatform(teams), {
   ...defaultProperties(),
   'placement.preempt.share': 1,
 });
@@ -83,7 +83,7 @@
       hasSpareConnection: () => false,
     };
     const eventLoop = new EventLoop(runtime, silent);
-    const records = storedAtOnce();
+    const records = immediateRecords();
     this.table = new JobTable(eventLoop, settings, {} as unknown as StateStoreClient, records, {
       ...{
         onIncompleteGang: nothing,
--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
-import { settingsOf, usual, type PlatformParts } from '../../../test/platform.js';
+import { platformToml, defaultOptions, type PlatformOptions } from '../../../test/platform.js';
 
 import { memoryWarning } from '../runtime/heap-budget.js';
 import { readPlatform, SettingsError } from './platform.js';
@@ -30,8 +30,8 @@
 
 describe("the platform's settings", () => {
   const hosts = ['kiln-0', 'kiln-1'];
-  const text = (parts: Partial<PlatformParts>): string =>
-    settingsOf(hosts, 'kiln-0', { ...usual, ...parts });
+  const text = (parts: Partial<PlatformOptions>): string =>
+    platformToml(hosts, 'kiln-0', { ...defaultOptions, ...parts });
   const read = (source: string): Settings =>
     new Settings(readPlatform(source), defaultProperties());
   const team = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
@@ -72,7 +72,7 @@
   it('shortens the lease of the leader where cancel_s leaves little time', () => {
     const usualLease = read(text({})).leaderLeaseMs;
     const short = read(text({ leaseS: 6, cancelS: 12, reportS: 1 }));
-    assert.equal(usualLease, usual.leaseS * 1000 * short.get('leadership.lease.ratio'));
+    assert.equal(usualLease, defaultOptions.leaseS * 1000 * short.get('leadership.lease.ratio'));
     assert.ok(short.leaderLeaseMs < 6000 * short.get('leadership.lease.ratio'));
     assert.ok(short.leaderLeaseMs * 2 <= short.maxWatchStalenessMs + 1);
     assert.ok(
--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
-import { oneOf, usual } from '../../../test/platform.js';
+import { platformOf, defaultOptions } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -11,7 +11,7 @@
   /** How long after its end a watch without an answer is given up. */
   function graceMs(leaseS: number, cancelS: number): number {
     const runtime = new ManualRuntime();
-    const platform = oneOf(['kiln-0'], 'kiln-0', { ...usual, leaseS, cancelS });
+    const platform = platformOf(['kiln-0'], 'kiln-0', { ...defaultOptions, leaseS, cancelS });
     const client = new StateStoreClient(
       new EventLoop(runtime, silentLogger),
       new Settings(platform, defaultProperties()),
--- a/src/controller/store/group-commit.test.ts
+++ b/src/controller/store/group-commit.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
-import { oneOf, usual } from '../../../test/platform.js';
+import { platformOf, defaultOptions } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -9,8 +9,8 @@
 import { StateStoreClient } from './client.js';
 
 describe('batcher', () => {
-  const platform = oneOf(['kiln-0'], 'kiln-0', usual);
-  const conditionsPerTransaction = usual.txnOps * 4;
+  const platform = platformOf(['kiln-0'], 'kiln-0', defaultOptions);
+  const conditionsPerTransaction = defaultOptions.txnOps * 4;
 
   function setUp() {
     const runtime = new ManualRuntime();
--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Runtime, Logger } from '../runtime/runtime.js';
 import { seededRandom } from '../runtime/random.js';
@@ -16,7 +16,7 @@
 import { RecordStore } from './record-store.js';
 import { TokenBucket } from '../runtime/token-bucket.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const { stateLimits } = settings.platform;
 const nothing = (): void => undefined;
 const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
--- a/src/controller/workers/agent-epochs.test.ts
+++ b/src/controller/workers/agent-epochs.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
-import { FakeClock } from '../../../test/stand-ins.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { FakeClock } from '../../../test/fakes.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { Machine } from './machine.js';
 import { AgentEpochs } from './agent-epochs.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 
 /** Sessions whose collaborators write down what they are told. */
 function setUp(): { clock: FakeClock; machine: Machine; sessions: AgentEpochs; told: string[] } {
--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
-import { acceptedJob, FakeClock } from '../../../test/stand-ins.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { acceptedJob, FakeClock } from '../../../test/fakes.js';
 import type { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -9,7 +9,7 @@
 import { Assignments } from './assignments.js';
 import { Machine } from './machine.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const ATTEMPT = 9;
 
 /** Assignments whose collaborators write down what they are told. */
--- a/src/controller/workers/commands.test.ts
+++ b/src/controller/workers/commands.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
-import { acceptedJob } from '../../../test/stand-ins.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { acceptedJob } from '../../../test/fakes.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { WorkerCommand } from '../wire/workers.js';
@@ -9,7 +9,7 @@
 import { Machine } from './machine.js';
 import { addCommand } from './commands.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const ATTEMPT = 9;
 const STOP = { graceS: 5, requestedAt: 0, reason: 'preempted', sentAsDirectCommand: false };
 
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
-import { acceptedJob, FakeClock, idleRuntime } from '../../../test/stand-ins.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { acceptedJob, FakeClock, idleRuntime } from '../../../test/fakes.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Call, Reply } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
@@ -12,7 +12,7 @@
 import { makeFencingToken } from './fencing-token.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const TERM = 50;
 const ATTEMPT = 9;
 const KEY = attemptKey('req-1/0', ATTEMPT);
--- a/src/controller/workers/failure-tracker.test.ts
+++ b/src/controller/workers/failure-tracker.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import type { Job } from '../jobs/job-table.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { FailureTracker } from './failure-tracker.js';
 import { Machine } from './machine.js';
-import { acceptedJob, FakeClock } from '../../../test/stand-ins.js';
+import { acceptedJob, FakeClock } from '../../../test/fakes.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const NOW = 1000;
 
 function job(id: string, kind: 'array' | 'service' = 'array'): Job {
--- a/src/controller/workers/fencing-token-sync.test.ts
+++ b/src/controller/workers/fencing-token-sync.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { attemptKey } from './assignment.js';
 import { Machine } from './machine.js';
-import { FakeClock } from '../../../test/stand-ins.js';
+import { FakeClock } from '../../../test/fakes.js';
 import { FENCING_EPOCH_LIMIT, makeFencingToken } from './fencing-token.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
 
 const TERM = 50;
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 
 function setUp(): { fencingTokens: FencingTokenSync; machine: Machine } {
   const fencingTokens = new FencingTokenSync(new FakeClock(1000), TERM);
--- a/src/controller/workers/liveness.test.ts
+++ b/src/controller/workers/liveness.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { Liveness } from './liveness.js';
 import { Machine } from './machine.js';
-import { FakeClock } from '../../../test/stand-ins.js';
+import { FakeClock } from '../../../test/fakes.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const INTERVAL_MS = 100;
 
 function setUp(...ids: string[]): { clock: FakeClock; machines: Machine[]; liveness: Liveness } {
--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { alone } from '../../../test/platform.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { storedSize } from '../store/page-table.js';
@@ -9,7 +9,7 @@
 import { Machine } from './machine.js';
 import { decodeMachineRecord, encodeMachineRecord } from './machine-record.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const NOW = 500_000;
 const WALL = 1_700_000_000_000;
 /** Starts within this time may share one in the record. */
--- a/src/controller/workers/machine-registry.test.ts
+++ b/src/controller/workers/machine-registry.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
-import { FakeClock } from '../../../test/stand-ins.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { FakeClock } from '../../../test/fakes.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { MachineRegistry } from './machine-registry.js';
@@ -9,7 +9,7 @@
 import { FencingTokenSync } from './fencing-token-sync.js';
 
 const TERM = 50;
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const clock = new FakeClock(1000);
 
 function newRegistry(): MachineRegistry {
--- a/src/controller/workers/machine-store.test.ts
+++ b/src/controller/workers/machine-store.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { alone } from '../../../test/platform.js';
-import { acceptedJob, FakeClock, idleRuntime } from '../../../test/stand-ins.js';
-import { storedAtOnce } from '../../../test/stored.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { acceptedJob, FakeClock, idleRuntime } from '../../../test/fakes.js';
+import { immediateRecords } from '../../../test/fake-records.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -13,7 +13,7 @@
 import { MachineRegistry } from './machine-registry.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
 
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const NOW = 1000;
 
 /** A store that writes down what it tells of. */
@@ -43,7 +43,7 @@
 
 describe('the store of machines', () => {
   it('reads back what it has written', () => {
-    const records = storedAtOnce();
+    const records = immediateRecords();
     const writer = new Bench(records);
     const machine = writer.registry.getOrCreate('n-1');
     writer.registry.setDescription(machine, {
@@ -71,7 +71,7 @@
   });
 
   it('writes once what has changed, and no empty record that is not there', () => {
-    const bench = new Bench(storedAtOnce());
+    const bench = new Bench(immediateRecords());
     const machine = bench.registry.getOrCreate('n-1');
     bench.store.markChanged(machine);
     bench.store.flush();
@@ -85,7 +85,7 @@
 
   it('removes the records of a machine that is gone', () => {
     const keys = [machineKey('n-1'), imagesKey('n-1')];
-    const bench = new Bench(storedAtOnce(Object.fromEntries(keys.map((key) => [key, []]))));
+    const bench = new Bench(immediateRecords(Object.fromEntries(keys.map((key) => [key, []]))));
     const machine = bench.registry.getOrCreate('n-1');
     bench.store.markImagesChanged(machine);
     bench.store.remove(machine);
@@ -94,7 +94,7 @@
   });
 
   it('skips what is no record of a machine', () => {
-    const bench = new Bench(storedAtOnce({ [machineKey('n-1')]: 'text' }));
+    const bench = new Bench(immediateRecords({ [machineKey('n-1')]: 'text' }));
     bench.store.restore();
     assert.equal(bench.registry.machines.size, 0);
   });
--- a/src/controller/workers/workers.test.ts
+++ b/src/controller/workers/workers.test.ts
@@ -3,8 +3,8 @@
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
 import { JobTable, type Job } from '../jobs/job-table.js';
-import { alone } from '../../../test/platform.js';
-import { storedAtOnce } from '../../../test/stored.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { immediateRecords } from '../../../test/fake-records.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -14,7 +14,7 @@
 import { Workers } from './workers.js';
 
 const TERM = 50;
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const nothing = (): void => undefined;
 const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 
@@ -58,7 +58,7 @@
       sendPeer: () => undefined,
     };
     this.eventLoop = new EventLoop(runtime, silent);
-    const records = storedAtOnce(record === undefined ? {} : { 'm/n-1': record });
+    const records = immediateRecords(record === undefined ? {} : { 'm/n-1': record });
     this.table = new JobTable(
       this.eventLoop,
       settings,
@@ -293,7 +293,7 @@
       requestTokens: { forceTake: () => undefined },
       read: (_key: string, _ms: number, done: (r: unknown) => void) => asked.push(done),
     } as unknown as StateStoreClient;
-    const table = new JobTable(b.eventLoop, settings, client, storedAtOnce(), {
+    const table = new JobTable(b.eventLoop, settings, client, immediateRecords(), {
       ...{ onIncompleteGang: nothing, onJobAdded: nothing, onTasksPending: nothing },
       ...{ onRecordRemoved: nothing, onJobTerminated: nothing, onCompletionRecorded: nothing },
       onTerminalState: (id, state) => ended.push(`${id} ${state}`),
--- a/test/takeover.test.ts
+++ b/test/failover.test.ts
@@ -2,11 +2,11 @@
 import { describe, it } from 'node:test';
 import { isList, isMap } from '../src/controller/wire/cbor.js';
 import type { JobSpec } from '../src/controller/wire/jobs.js';
-import { longJobs } from './simulation/fault-scenario.js';
-import { small } from './simulation/deployment.js';
+import { longJobs } from './simulation/scenarios/fault-scenario.js';
+import { smallDeployment } from './simulation/deployments/deployment.js';
 import { Simulation } from './simulation/simulation.js';
 
-const quiet = { everyMs: Infinity, doubled: 0, errors: 0, bootFails: 0 };
+const quiet = { meanIntervalMs: Infinity, duplicated: 0, taskFailures: 0, bootFailures: 0 };
 
 const gang: Partial<JobSpec> = {
   ...{ ...longJobs, class: 'train', kind: 'gang', priority: 'high', tasks: 2, cpus: 2, gpus: 1 },
@@ -23,7 +23,7 @@
 function learned(simulation: Simulation, cls: string): Learned {
   let newest = -1;
   let text: unknown = null;
-  for (const [key, { value }] of simulation.state.entries) {
+  for (const [key, { value }] of simulation.stateStore.entries) {
     if (!key.startsWith('page/') || !isMap(value)) continue;
     const { seq, entries } = value;
     if (typeof seq !== 'number' || seq < newest || !isList(entries)) continue;
@@ -45,10 +45,10 @@
   // Deployment "Trapezi grown": after each change of leader gangs waited longer for their room.
   for (const seed of [1, 2, 3])
     it(`goes on from what the leader before has learned, though jobs are live, seed ${seed}`, () => {
-      const simulation = new Simulation(small, seed, quiet);
+      const simulation = new Simulation(smallDeployment, seed, quiet);
       for (let i = 0; i < 8; i++)
-        simulation.sim.after(10_000 + i * 4000, () =>
-          simulation.user(simulation.job({ ...gang, image: `img-${1 + (i % 3)}` }), null),
+        simulation.clock.after(10_000 + i * 4000, () =>
+          simulation.submit(simulation.jobWith({ ...gang, image: `img-${1 + (i % 3)}` }), null),
         );
       simulation.play(60_000);
       const before = learned(simulation, 'train');
--- a/test/stored.ts
+++ b/test/fake-records.ts
@@ -1,7 +1,7 @@
 import type { RecordStore } from '../src/controller/store/record-store.js';
 
 /** Records for the tests of single slices: what is set is stored at once. */
-export function storedAtOnce(before: Record<string, unknown> = {}): RecordStore {
+export function immediateRecords(before: Record<string, unknown> = {}): RecordStore {
   const stored = new Map(Object.entries(before));
   const records: Pick<RecordStore, 'has' | 'list' | 'set' | 'transact'> = {
     has: (key) => stored.has(key),
--- a/test/fault-scenarios.test.ts
+++ b/test/fault-scenarios.test.ts
@@ -1,5 +1,5 @@
-import { faultScenarios } from './simulation/fault-scenarios.js';
-import { testScenarios } from './simulation/play-scenario.js';
+import { faultScenarios } from './simulation/scenarios/fault-scenarios.js';
+import { testScenarios } from './simulation/scenarios/play-scenario.js';
 
 // Most rules that were ever broken broke when two faults met (operators' issue "Meetings of
 // troubles"). Each scenario is brought about here, with the rules checked after every step.
--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -4,17 +4,17 @@
 import type { Runtime } from '../src/controller/runtime/runtime.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { decodeBody, encodeBody } from '../src/controller/wire/cbor.js';
-import { answerScenarios } from './simulation/answer-scenarios.js';
-import type { FaultScenario } from './simulation/fault-scenario.js';
-import { faultScenarios } from './simulation/fault-scenarios.js';
-import { playScenario } from './simulation/play-scenario.js';
-import { takeoverScenarios } from './simulation/takeover-scenarios.js';
-import { present, type Version } from './simulation/version.js';
+import { responseScenarios } from './simulation/scenarios/response-scenarios.js';
+import type { FaultScenario } from './simulation/scenarios/fault-scenario.js';
+import { faultScenarios } from './simulation/scenarios/fault-scenarios.js';
+import { playScenario } from './simulation/scenarios/play-scenario.js';
+import { failoverScenarios } from './simulation/scenarios/failover-scenarios.js';
+import { presentVersion, type ProgramVersion } from './simulation/program-version.js';
 
 // A day of the table is worth what it catches: controllers with a injected bug break a rule on it.
 
 function named(part: string): FaultScenario {
-  const table = [...faultScenarios, ...takeoverScenarios, ...answerScenarios];
+  const table = [...faultScenarios, ...failoverScenarios, ...responseScenarios];
   const m = table.find((x) => x.name.includes(part));
   assert.ok(m, part);
   return m;
@@ -26,7 +26,7 @@
 const REMEMBERED_MS = 1000;
 
 /** Answers a poll from memory for a moment, whatever other nodes have told since. */
-class Remembering extends Controller {
+class CachingController extends Controller {
   private readonly answers = new Map<string, { at: number; answer: Parameters<Request[3]>[0] }>();
   private readonly runtime: Runtime;
 
@@ -55,7 +55,7 @@
 }
 
 /** Takes every report for the newest, and for one that shows the leader's own term. */
-class Credulous extends Controller {
+class StaleHeartbeatController extends Controller {
   private readonly newest = new Map<string, Report>();
 
   override request(...[method, path, bytes, respond]: Request): void {
@@ -72,25 +72,28 @@
   }
 }
 
-function withController(buggy: typeof Controller): Version {
-  return { ...present(), Controller: buggy };
+function withController(buggy: typeof Controller): ProgramVersion {
+  return { ...presentVersion(), Controller: buggy };
 }
 
 describe('planted faults in the code under test', () => {
   // Without its bound a leader renews workers for as long as its lease is renewed.
   it('a leader that answers on a view of any age', () => {
-    const version = present({ ...defaultProperties(), 'workers.view.ratio': 1000 });
+    const version = presentVersion({ ...defaultProperties(), 'workers.view.ratio': 1000 });
     assert.throws(() => playScenario(named('whose watches do not'), 1, version), /ran_cancelled/);
   });
 
   for (const day of ['right after each answer', 'whose answers alone are lost'])
     it(`a node that remembers its answers, where ${day}`, () => {
-      const version = withController(Remembering);
+      const version = withController(CachingController);
       assert.throws(() => playScenario(named(day), 1, version), /went_back/);
     });
 
   it('a leader that believes reports of any age', () => {
     const day = named('which arrive 4 s after');
-    assert.throws(() => playScenario(day, 1, withController(Credulous)), /ran_twice|quota/);
+    assert.throws(
+      () => playScenario(day, 1, withController(StaleHeartbeatController)),
+      /ran_twice|quota/,
+    );
   });
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,7 +1,7 @@
 /** Thousands of machines: rules, service and what it costs, while whole parts of the deployment fail. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { playLargeFleet } from './simulation/large-fleet.js';
+import { playLargeFleet } from './simulation/deployments/large-fleet.js';
 
 const MACHINES = 4500;
 const SEEDS = Number(process.env['LARGE_FLEET_SEEDS'] ?? 1);
@@ -13,14 +13,17 @@
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++)
     it(`keeps the rules, forgets and neglects no job (seed ${seed})`, () => {
       const simulation = playLargeFleet(MACHINES, seed);
-      const { cloud, checker, state } = simulation;
+      const { cloud, checker, stateStore } = simulation;
       assert.ok(cloud.workers.length > MACHINES * 0.6, `${cloud.workers.length} machines are left`);
-      assert.ok(checker.started > MACHINES, `only ${checker.started} tasks started`);
+      assert.ok(checker.startedTasks > MACHINES, `only ${checker.startedTasks} tasks started`);
       // The leader's records are packed: a put serves several tasks, beside the three of each job.
-      assert.ok(state.puts < checker.started, `${state.puts} puts for ${checker.started} starts`);
-      simulation.calmDown(30_000);
+      assert.ok(
+        stateStore.puts < checker.startedTasks,
+        `${stateStore.puts} puts for ${checker.startedTasks} starts`,
+      );
+      simulation.stopFaults(30_000);
       simulation.play(REST_MS);
-      assert.deepEqual(checker.unfinished(), []);
-      assert.deepEqual(checker.neglected(), []);
+      assert.deepEqual(checker.unfinishedJobs(), []);
+      assert.deepEqual(checker.neglectedJobs(), []);
     });
 });
--- a/test/mixed-day.ts
+++ b/test/mixed-version-scenario.ts
@@ -1,10 +1,10 @@
 /** Days in the simulation on which controllers of two versions serve side by side. */
 import assert from 'node:assert/strict';
 import type { JobSpec } from '../src/controller/wire/jobs.js';
-import { longJobs } from './simulation/fault-scenario.js';
-import { shrinking as deployment } from './simulation/deployment.js';
-import { injectFaults, type Fault } from './simulation/faults.js';
-import type { Version } from './simulation/version.js';
+import { longJobs } from './simulation/scenarios/fault-scenario.js';
+import { shrinkingLimits as deployment } from './simulation/deployments/deployment.js';
+import { injectFaults, type Fault } from './simulation/faults/faults.js';
+import type { ProgramVersion } from './simulation/program-version.js';
 import { Simulation } from './simulation/simulation.js';
 
 /** Work runs by then, and the versions mix within `MIXED_MS` after. */
@@ -49,7 +49,7 @@
 /** A process of a host that started, and what it runs. */
 export interface Start {
   host: string;
-  version: Version;
+  version: ProgramVersion;
 }
 
 /** What was the case when the limits of the state service fell. */
@@ -69,21 +69,21 @@
 }
 
 /** A day on which each host has its own version. */
-export class MixedDay {
+export class MixedVersionScenario {
   readonly simulation: Simulation;
   readonly starts: Start[] = [];
   /** How the limits fell, once they have. */
   limitsFall: LimitsFall | null = null;
-  private readonly versions = new Map<string, Version>();
+  private readonly versions = new Map<string, ProgramVersion>();
 
   /** `versions`: what each host runs at first. */
-  constructor(seed: number, versions: readonly Version[]) {
+  constructor(seed: number, versions: readonly ProgramVersion[]) {
     for (const [i, host] of deployment.hosts.entries()) {
       const version = versions[i];
       assert.ok(version, `no version for host ${i}`);
       this.versions.set(host, version);
     }
-    const quiet = { everyMs: Infinity, doubled: 0.01, errors: 0, bootFails: 0 };
+    const quiet = { meanIntervalMs: Infinity, duplicated: 0.01, taskFailures: 0, bootFailures: 0 };
     this.simulation = new Simulation(deployment, seed, quiet, undefined, (host) =>
       this.started(host),
     );
@@ -91,7 +91,7 @@
     this.simulation.play(START_MS);
   }
 
-  private started(host: string): Version {
+  private started(host: string): ProgramVersion {
     const version = this.versions.get(host);
     assert.ok(version, host);
     this.starts.push({ host, version });
@@ -101,15 +101,15 @@
   private submit(count: number, overMs: number): void {
     const { simulation } = this;
     for (let i = 0; i < count; i++)
-      simulation.sim.after(simulation.sim.between(0, overMs), () =>
-        simulation.user(simulation.job(work[i % work.length] ?? longJobs), null),
+      simulation.clock.after(simulation.clock.between(0, overMs), () =>
+        simulation.submit(simulation.jobWith(work[i % work.length] ?? longJobs), null),
       );
   }
 
   /** Users submit services; returns their ids. */
   submitServices(count: number): string[] {
-    const specs = Array.from({ length: count }, () => this.simulation.job(service));
-    for (const spec of specs) this.simulation.user(spec, null);
+    const specs = Array.from({ length: count }, () => this.simulation.jobWith(service));
+    for (const spec of specs) this.simulation.submit(spec, null);
     return specs.map((s) => s.id);
   }
 
@@ -117,17 +117,17 @@
    * The hosts' processes end one by one and come back as `to`, the leader's as the last.
    * `extraMs`: time that each turn waits beyond what is drawn.
    */
-  roll(to: Version, extraMs = 0): Roll {
-    const { sim, hosts, leader } = this.simulation;
+  roll(to: ProgramVersion, extraMs = 0): Roll {
+    const { clock, hosts, leader } = this.simulation;
     const others = hosts.filter((h) => h !== leader);
     const turnsMs: number[] = [];
     let atMs = 0;
     for (const host of leader === null ? others : [...others, leader]) {
-      atMs += sim.between(3000, 15_000);
+      atMs += clock.between(3000, 15_000);
       turnsMs.push(atMs);
-      sim.after(atMs, () => {
+      clock.after(atMs, () => {
         this.versions.set(host, to);
-        this.simulation.kill(host, sim.between(500, LONGEST_RESTART_MS));
+        this.simulation.kill(host, clock.between(500, LONGEST_RESTART_MS));
       });
       atMs += extraMs;
     }
@@ -135,37 +135,37 @@
   }
 
   /** What each host's process runs, or ran last. */
-  get running(): Version[] {
+  get running(): ProgramVersion[] {
     const last = new Map(this.starts.map((s) => [s.host, s.version]));
     return [...last.values()];
   }
 
   /** How often a leader of one version has followed one of the other. */
-  get takeovers(): number {
-    const { elected } = this.simulation;
-    return elected.filter((v, i) => i > 0 && v !== elected[i - 1]).length;
+  get failovers(): number {
+    const { electedVersions } = this.simulation;
+    return electedVersions.filter((v, i) => i > 0 && v !== electedVersions[i - 1]).length;
   }
 
   /** The leader ends again and again, until the versions have taken over from each other so often. */
   alternate(times: number): void {
     const { simulation } = this;
     const again = (): void => {
-      if (this.takeovers >= times) return;
+      if (this.failovers >= times) return;
       if (simulation.leader !== null)
-        simulation.kill(simulation.leader, simulation.sim.between(100, 6000));
-      simulation.sim.after(simulation.sim.between(2000, 8000), again);
+        simulation.kill(simulation.leader, simulation.clock.between(100, 6000));
+      simulation.clock.after(simulation.clock.between(2000, 8000), again);
     };
     again();
   }
 
   /** Runs `then` in the first moment from `afterMs` on in which the condition holds. */
   once(afterMs: number, condition: () => boolean, then: () => void): void {
-    const { sim } = this.simulation;
+    const { clock } = this.simulation;
     const look = (): void => {
       if (condition()) then();
-      else sim.after(LOOK_MS, look);
+      else clock.after(LOOK_MS, look);
     };
-    sim.after(afterMs, look);
+    clock.after(afterMs, look);
   }
 
   /** The limits of the state service fall now. */
@@ -175,20 +175,20 @@
     const versions = new Set(this.running).size;
     this.limitsFall = {
       leader: simulation.leader,
-      outage: simulation.state.inOutage,
+      outage: simulation.stateStore.inOutage,
       transaction,
       versions,
     };
-    simulation.state.lower(simulation.limitsToCome);
+    simulation.stateStore.lowerLimits(simulation.upcomingStateLimits);
   }
 
   /** The limits fall as a transaction with one of the leader's pages arrives, before it is looked at. */
   lowerLimitsAmidCommit(afterMs: number): void {
-    const { sim, state } = this.simulation;
-    sim.after(afterMs, () => {
-      state.arriving = (keys) => {
+    const { clock, stateStore } = this.simulation;
+    clock.after(afterMs, () => {
+      stateStore.onTransaction = (keys) => {
         if (!keys.some((key) => key.startsWith('page/'))) return;
-        state.arriving = () => undefined;
+        stateStore.onTransaction = () => undefined;
         this.lowerLimits(keys);
       };
     });
@@ -200,16 +200,19 @@
     this.submit(8, MIXED_MS / 4);
     injectFaults(simulation, faults);
     simulation.play(MIXED_MS);
-    simulation.calmDown(0);
-    const until = simulation.sim.now + 400_000;
+    simulation.stopFaults(0);
+    const until = simulation.clock.now + 400_000;
     do simulation.play(60_000);
-    while (simulation.sim.now < until && simulation.checker.unfinished().length > 0);
-    assert.deepEqual(simulation.checker.unfinished(), [], 'never finished');
-    assert.ok(simulation.checker.cancelledRunning.length > 0, 'nothing that ran was cancelled');
+    while (simulation.clock.now < until && simulation.checker.unfinishedJobs().length > 0);
+    assert.deepEqual(simulation.checker.unfinishedJobs(), [], 'never finished');
+    assert.ok(
+      simulation.checker.cancelledWhileRunning.length > 0,
+      'nothing that ran was cancelled',
+    );
   }
 
   /** Every host's newest process runs `version`. */
-  assertAllRun(version: Version): void {
+  assertAllRun(version: ProgramVersion): void {
     for (const { host } of this.starts)
       assert.equal(
         this.starts.findLast((s) => s.host === host)?.version,
--- a/test/mixed.test.ts
+++ b/test/mixed.test.ts
@@ -1,10 +1,15 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { LONGEST_RESTART_MS, MixedDay, REPLICAS, type Roll } from './mixed-day.js';
+import {
+  LONGEST_RESTART_MS,
+  MixedVersionScenario,
+  REPLICAS,
+  type Roll,
+} from './mixed-version-scenario.js';
 import { olderVersions, type OlderVersion } from './simulation/production.js';
-import { shrinking as deployment } from './simulation/deployment.js';
-import type { Fault } from './simulation/faults.js';
-import { present, type Version } from './simulation/version.js';
+import { shrinkingLimits as deployment } from './simulation/deployments/deployment.js';
+import type { Fault } from './simulation/faults/faults.js';
+import { presentVersion, type ProgramVersion } from './simulation/program-version.js';
 
 // The operators roll out a new version while an older one serves (and back, where it fails), so both
 // read each other's records and take over from each other. Rules are checked after every step.
@@ -45,7 +50,7 @@
   extraMs?: number;
   rare?: boolean;
   /** Arranges it as the roll begins. */
-  begin(day: MixedDay, roll: Roll): Arranged;
+  begin(day: MixedVersionScenario, roll: Roll): Arranged;
 }
 
 interface Arranged {
@@ -57,9 +62,14 @@
 const middles: Middle[] = [
   {
     name: 'a leader that dies before its turn and comes back as it was',
-    begin: ({ simulation: { sim }, starts }) => ({
+    begin: ({ simulation: { clock }, starts }) => ({
       faults: [
-        { kind: 'ended', who: 'leader', back: sim.between(0.1, 2), at: sim.between(0.5, 2.5) },
+        {
+          kind: 'ended',
+          who: 'leader',
+          restartAfter: clock.between(0.1, 2),
+          at: clock.between(0.5, 2.5),
+        },
       ],
       happened: () => {
         const first = starts[0]?.version;
@@ -69,23 +79,23 @@
   },
   {
     name: 'an outage of the state service',
-    begin: ({ simulation: { sim, state } }) => ({
-      faults: [{ kind: 'outage', at: sim.between(3, 12), for: sim.between(5, 30) }],
-      happened: () => state.missed > 0,
+    begin: ({ simulation: { clock, stateStore } }) => ({
+      faults: [{ kind: 'outage', at: clock.between(3, 12), for: clock.between(5, 30) }],
+      happened: () => stateStore.requestsInOutage > 0,
     }),
   },
   {
     name: 'late writes',
-    begin: ({ simulation: { state } }) => ({
+    begin: ({ simulation: { stateStore } }) => ({
       faults: [{ kind: 'late writes', share: 0.4, at: 0, for: 60 }],
-      happened: () => state.late.applied + state.late.refused > 0,
+      happened: () => stateStore.lateCommits.applied + stateStore.lateCommits.refused > 0,
     }),
   },
   {
     name: 'late reports',
-    begin: ({ simulation: { net } }) => ({
+    begin: ({ simulation: { network } }) => ({
       faults: [{ kind: 'late reports', share: 0.4, at: 0, for: 60 }],
-      happened: () => net.copies > 0,
+      happened: () => network.duplicatesDelivered > 0,
     }),
   },
   {
@@ -98,19 +108,19 @@
 ];
 
 /** All controllers end at once while one of them runs the other version, and come back as they were. */
-function endAll(day: MixedDay, roll: Roll): Arranged {
+function endAll(day: MixedVersionScenario, roll: Roll): Arranged {
   const { simulation, starts } = day;
   let versionsThen = 0;
   let leaderless = false;
   let startsBefore = 0;
-  const atMs = roll.firstTurnMs + LONGEST_RESTART_MS + simulation.sim.between(500, 4500);
-  simulation.sim.after(atMs, () => {
+  const atMs = roll.firstTurnMs + LONGEST_RESTART_MS + simulation.clock.between(500, 4500);
+  simulation.clock.after(atMs, () => {
     versionsThen = new Set(day.running).size;
     startsBefore = starts.length;
-    const backMs = simulation.sim.between(200, 8000);
+    const backMs = simulation.clock.between(200, 8000);
     for (const host of simulation.hosts) simulation.kill(host, backMs);
     leaderless = simulation.leader === null;
-    simulation.sim.after(backMs + 1, () => {
+    simulation.clock.after(backMs + 1, () => {
       assert.equal(starts.length - startsBefore, simulation.hosts.length, 'not all ended at once');
     });
   });
@@ -120,7 +130,7 @@
 /** When the limits of the state service fall, from the time given on, and what shows it. */
 interface Fall {
   name: string;
-  begin(day: MixedDay, fromMs: number): Arranged;
+  begin(day: MixedVersionScenario, fromMs: number): Arranged;
 }
 
 const falls: Fall[] = [
@@ -140,8 +150,8 @@
         () => simulation.leader !== null,
         () => {
           if (simulation.leader !== null)
-            simulation.kill(simulation.leader, simulation.sim.between(2000, 6000));
-          simulation.sim.after(simulation.sim.between(50, 1500), () => day.lowerLimits());
+            simulation.kill(simulation.leader, simulation.clock.between(2000, 6000));
+          simulation.clock.after(simulation.clock.between(50, 1500), () => day.lowerLimits());
         },
       );
       return { faults: [], happened: () => day.limitsFall?.leader === null };
@@ -150,11 +160,11 @@
   {
     name: 'amid an outage',
     begin: (day, fromMs) => {
-      const { sim } = day.simulation;
+      const { clock } = day.simulation;
       const atS = fromMs / 1000;
-      sim.after(fromMs + sim.between(1000, 4000), () => day.lowerLimits());
+      clock.after(fromMs + clock.between(1000, 4000), () => day.lowerLimits());
       return {
-        faults: [{ kind: 'outage', at: atS, for: sim.between(5, 20) }],
+        faults: [{ kind: 'outage', at: atS, for: clock.between(5, 20) }],
         happened: () => day.limitsFall?.outage === true,
       };
     },
@@ -179,11 +189,11 @@
     begin: (day, roll) => {
       const { faults, happened } = fall.begin(day, fromMs(roll));
       const work: Fault = { kind: 'jobs', count: 10, at: roll.overMs / 1000 + 5 };
-      const { state } = day.simulation;
+      const { stateStore } = day.simulation;
       const asPlanned = (): boolean => happened() && day.limitsFall?.versions === versions;
       return {
         faults: [...faults, work],
-        happened: () => asPlanned() && state.tooLarge === 0,
+        happened: () => asPlanned() && stateStore.tooLarge === 0,
       };
     },
   };
@@ -192,56 +202,56 @@
 /** The limits fall once the roll is over, near the end of a leader. */
 const fallNearTakeover: Middle = {
   name: 'lower limits',
-  begin: ({ simulation: { sim, state } }) => ({
+  begin: ({ simulation: { clock, stateStore } }) => ({
     faults: [
-      { kind: 'limits fall', at: sim.between(50, 60) },
-      { kind: 'ended', who: 'leader', back: 1, at: sim.between(48, 62) },
+      { kind: 'limits fall', at: clock.between(50, 60) },
+      { kind: 'ended', who: 'leader', restartAfter: 1, at: clock.between(48, 62) },
       { kind: 'jobs', count: 10, at: 62 },
     ],
-    happened: () => state.tooLarge === 0,
+    happened: () => stateStore.tooLarge === 0,
   }),
 };
 
 /** All run `from`, and a roll with fault in its middle makes all run `to`. */
-function rolled(seed: number, from: Version, to: Version, middle: Middle): void {
-  const day = new MixedDay(seed, [from, from, from]);
-  const { sim, elected } = day.simulation;
+function rolled(seed: number, from: ProgramVersion, to: ProgramVersion, middle: Middle): void {
+  const day = new MixedVersionScenario(seed, [from, from, from]);
+  const { clock, electedVersions } = day.simulation;
   const { faults, happened } = middle.begin(day, day.roll(to, middle.extraMs));
   day.finish([
-    { kind: 'cancelled', count: 3, at: sim.between(1, 5), hang: sim.between(0, 10) },
-    { kind: 'cancelled', count: 3, at: sim.between(10, 30), elsewhere: true },
+    { kind: 'cancelled', count: 3, at: clock.between(1, 5), hang: clock.between(0, 10) },
+    { kind: 'cancelled', count: 3, at: clock.between(10, 30), elsewhere: true },
     ...faults,
   ]);
   assert.ok(happened(), `${middle.name} did not happen`);
-  for (const v of [from, to]) assert.ok(elected.includes(v), `${v.name} never led`);
+  for (const v of [from, to]) assert.ok(electedVersions.includes(v), `${v.name} never led`);
   day.assertAllRun(to);
 }
 
 /** Two versions take over from each other ten times. */
-function alternating(seed: number, old: Version, current: Version): void {
-  const day = new MixedDay(seed, [old, current, old]);
-  const { sim, elected } = day.simulation;
+function alternating(seed: number, old: ProgramVersion, current: ProgramVersion): void {
+  const day = new MixedVersionScenario(seed, [old, current, old]);
+  const { clock, electedVersions } = day.simulation;
   day.alternate(10);
   day.finish([
-    { kind: 'cancelled', count: 2, at: sim.between(2, 10) },
-    { kind: 'cancelled', count: 2, at: sim.between(15, 30), elsewhere: true },
-    { kind: 'cancelled', count: 2, at: sim.between(35, 50) },
-    { kind: 'cancelled', count: 2, at: sim.between(55, 70), elsewhere: true },
+    { kind: 'cancelled', count: 2, at: clock.between(2, 10) },
+    { kind: 'cancelled', count: 2, at: clock.between(15, 30), elsewhere: true },
+    { kind: 'cancelled', count: 2, at: clock.between(35, 50) },
+    { kind: 'cancelled', count: 2, at: clock.between(55, 70), elsewhere: true },
   ]);
-  assert.ok(day.takeovers >= 10, `only ${day.takeovers} takeovers`);
-  for (const v of [old, current]) assert.ok(elected.includes(v), `${v.name} never led`);
+  assert.ok(day.failovers >= 10, `only ${day.failovers} takeovers`);
+  for (const v of [old, current]) assert.ok(electedVersions.includes(v), `${v.name} never led`);
 }
 
 const SERVICES = 3;
 
 /** Services come once all run `to`, keep running as the leader changes, and are called off. */
-function servicesAfterRoll(seed: number, from: Version, to: Version): void {
-  const day = new MixedDay(seed, [from, from, from]);
+function servicesAfterRoll(seed: number, from: ProgramVersion, to: ProgramVersion): void {
+  const day = new MixedVersionScenario(seed, [from, from, from]);
   const { simulation } = day;
   const roll = day.roll(to);
   let services: string[] = [];
   let survived = false;
-  simulation.sim.after(roll.overMs, () => {
+  simulation.clock.after(roll.overMs, () => {
     day.assertAllRun(to);
     services = day.submitServices(SERVICES);
     day.once(
@@ -250,19 +260,23 @@
       () => changeLeader(day, services, () => (survived = true)),
     );
   });
-  day.finish([{ kind: 'cancelled', count: 3, at: simulation.sim.between(1, 5) }]);
+  day.finish([{ kind: 'cancelled', count: 3, at: simulation.clock.between(1, 5) }]);
   assert.ok(survived, 'services did not run through a change of leader');
   assertCalledOff(day, services);
 }
 
 /** The leader ends while all replicas run: without one, replicas end only by themselves. */
-function changeLeader(day: MixedDay, services: readonly string[], survived: () => void): void {
+function changeLeader(
+  day: MixedVersionScenario,
+  services: readonly string[],
+  survived: () => void,
+): void {
   const { simulation } = day;
-  const elections = simulation.elected.length;
+  const elections = simulation.electedVersions.length;
   const endedBefore = simulation.replicasEnded;
   assert.ok(simulation.leader !== null);
   simulation.kill(simulation.leader, LONGEST_RESTART_MS);
-  const changed = (): boolean => simulation.elected.length > elections;
+  const changed = (): boolean => simulation.electedVersions.length > elections;
   day.once(0, changed, () => {
     const on = day.replicas(services).reduce((sum, count) => sum + count, 0);
     const ended = simulation.replicasEnded - endedBefore;
@@ -279,17 +293,17 @@
 }
 
 /** Services run from before the roll until after it, with leaders of both versions, and are called off. */
-function servicesDuringRoll(seed: number, from: Version, to: Version): void {
-  const day = new MixedDay(seed, [from, from, from]);
+function servicesDuringRoll(seed: number, from: ProgramVersion, to: ProgramVersion): void {
+  const day = new MixedVersionScenario(seed, [from, from, from]);
   const { simulation } = day;
   const services = day.submitServices(SERVICES);
-  const elections = simulation.elected.length;
+  const elections = simulation.electedVersions.length;
   let fewest = Infinity;
   let survived = false;
   const rollOnce = (): void => {
-    assert.equal(simulation.elected.at(-1), from);
+    assert.equal(simulation.electedVersions.at(-1), from);
     let over = false;
-    simulation.sim.after(day.roll(to).overMs, () => (over = true));
+    simulation.clock.after(day.roll(to).overMs, () => (over = true));
     const finished = (): boolean => {
       fewest = Math.min(fewest, ...day.replicas(services));
       return over && simulation.leader !== null && day.complete(services);
@@ -300,15 +314,18 @@
     });
   };
   day.once(0, () => simulation.leader !== null && day.complete(services), rollOnce);
-  day.finish([{ kind: 'cancelled', count: 3, at: simulation.sim.between(1, 5) }]);
+  day.finish([{ kind: 'cancelled', count: 3, at: simulation.clock.between(1, 5) }]);
   assert.ok(survived, 'services did not run through the roll');
   assert.ok(fewest > 0, 'a service had no replica for a while');
-  assert.ok(simulation.elected.slice(elections).includes(to), `${to.name} never led with services`);
+  assert.ok(
+    simulation.electedVersions.slice(elections).includes(to),
+    `${to.name} never led with services`,
+  );
   day.assertAllRun(to);
   assertCalledOff(day, services);
 }
 
-function assertCalledOff(day: MixedDay, services: readonly string[]): void {
+function assertCalledOff(day: MixedVersionScenario, services: readonly string[]): void {
   for (const id of services)
     assert.ok(day.simulation.checker.toldCancelled(id), `${id} not cancelled`);
   assert.ok(
@@ -320,7 +337,7 @@
 /** The days of one older version and the present one. */
 function days(older: OlderVersion): void {
   const { version: old, knowsServicesAndLimits } = older;
-  const current = present();
+  const current = presentVersion();
   const { usual, rare } = seedsOf(older.name);
 
   for (const middle of middles) {
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -1,11 +1,11 @@
 /** An outage of the state service that is longer than the workers' leases. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { longJobs } from './simulation/fault-scenario.js';
-import { shortLeases } from './simulation/short-leases.js';
+import { longJobs } from './simulation/scenarios/fault-scenario.js';
+import { shortLeases } from './simulation/deployments/short-leases.js';
 import { Simulation } from './simulation/simulation.js';
 
-const quiet = { everyMs: Infinity, doubled: 0, errors: 0, bootFails: 0 };
+const quiet = { meanIntervalMs: Infinity, duplicated: 0, taskFailures: 0, bootFailures: 0 };
 /** Leases are 10 s there, and the leader's 1.3 s. */
 const OUTAGE_MS = 20_000;
 const FIRST_WORK_MS = 65_000;
@@ -13,11 +13,11 @@
 
 /** Two controllers that answer workers at one time would break the fence between leaders. */
 function watchWhoAnswers(simulation: Simulation): void {
-  const { sim, processes } = simulation;
+  const { clock, processes } = simulation;
   const look = (): void => {
-    const hosts = processes.answering();
+    const hosts = processes.answeringWorkers();
     assert.ok(hosts.length <= 1, hosts.join(' and '));
-    if (!simulation.calm) sim.after(LOOK_EVERY_MS, look);
+    if (!simulation.faultsStopped) clock.after(LOOK_EVERY_MS, look);
   };
   look();
 }
@@ -26,9 +26,9 @@
   function playOutage(seed: number, during: (simulation: Simulation) => void): Simulation {
     const simulation = new Simulation(shortLeases, seed, quiet);
     const job = { ...longJobs, spot: true, zone: null, cpus: 1, memoryGb: 1 };
-    for (let i = 0; i < 8; i++) simulation.user(simulation.job(job), null);
+    for (let i = 0; i < 8; i++) simulation.submit(simulation.jobWith(job), null);
     simulation.play(FIRST_WORK_MS);
-    simulation.state.outage(OUTAGE_MS);
+    simulation.stateStore.outage(OUTAGE_MS);
     watchWhoAnswers(simulation);
     during(simulation);
     simulation.play(OUTAGE_MS + 5000);
@@ -40,9 +40,9 @@
   for (const seed of [1, 2, 3])
     it(`costs no worker its lease while all controllers are there, seed ${seed}`, () => {
       const simulation = playOutage(seed, () => undefined);
-      assert.ok(simulation.checker.started > 0);
-      assert.equal(simulation.said.get('lease renewed after a gap'), 1);
-      assert.equal(simulation.leasesLost, 0);
+      assert.ok(simulation.checker.startedTasks > 0);
+      assert.equal(simulation.logCounts.get('lease renewed after a gap'), 1);
+      assert.equal(simulation.expiredLeases, 0);
     });
 
   it('costs leases where a controller is away, for it has promised nothing', () => {
@@ -50,22 +50,22 @@
       const follower = shortLeases.hosts.find((host) => host !== playing.leader) ?? '';
       playing.kill(follower, OUTAGE_MS);
     });
-    assert.ok(simulation.leasesLost > 0);
+    assert.ok(simulation.expiredLeases > 0);
   });
 
   for (const seed of [1, 2, 3, 4])
     it(`keeps the rules when controllers end and come back in it, seed ${seed}`, () => {
       const simulation = playOutage(seed, (playing) => {
-        const { sim, processes } = playing;
+        const { clock, processes } = playing;
         for (let i = 0; i < 12; i++)
-          sim.after(sim.between(0, OUTAGE_MS + 3000), () => {
-            const host = sim.pick(shortLeases.hosts);
-            if (sim.random() < 0.5) playing.kill(host, sim.between(50, 400));
-            else processes.freeze(host, sim.between(100, 4000));
+          clock.after(clock.between(0, OUTAGE_MS + 3000), () => {
+            const host = clock.pick(shortLeases.hosts);
+            if (clock.random() < 0.5) playing.kill(host, clock.between(50, 400));
+            else processes.freeze(host, clock.between(100, 4000));
           });
       });
-      simulation.calmDown(10_000);
+      simulation.stopFaults(10_000);
       simulation.play(400_000);
-      assert.deepEqual(simulation.checker.unfinished(), []);
+      assert.deepEqual(simulation.checker.unfinishedJobs(), []);
     });
 });
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -6,19 +6,19 @@
 import { EMPTY_MESSAGE, encodePeerMessage } from '../src/controller/peers/message.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
-import { oneOf } from './platform.js';
-import { small } from './simulation/deployment.js';
+import { platformOf } from './platform.js';
+import { smallDeployment } from './simulation/deployments/deployment.js';
 import { Network } from './simulation/network.js';
 import { ProcessRuntime } from './simulation/process-runtime.js';
-import { Sim } from './simulation/sim.js';
+import { VirtualClock } from './simulation/virtual-clock.js';
 
 const HOST = 'kiln-0';
 
 /** A controller without any peer, state service or cloud that answers. */
-class LonelyController {
+class SingleController {
   readonly warnings: string[] = [];
   readonly errors: string[] = [];
-  private readonly sim = new Sim(1);
+  private readonly clock = new VirtualClock(1);
   private readonly controller: Controller;
 
   constructor() {
@@ -28,15 +28,18 @@
       warn: (_, text) => this.warnings.push(text),
       error: (_, text) => this.errors.push(text),
     };
-    const runtime = new ProcessRuntime(this.sim, new Network(this.sim), HOST, new Map());
-    const settings = new Settings(oneOf(small.hosts, HOST, small.platform), defaultProperties());
+    const runtime = new ProcessRuntime(this.clock, new Network(this.clock), HOST, new Map());
+    const settings = new Settings(
+      platformOf(smallDeployment.hosts, HOST, smallDeployment.platform),
+      defaultProperties(),
+    );
     this.controller = new Controller(runtime, log, settings, HOST);
     this.controller.metrics = new Metrics();
     this.controller.start();
   }
 
   private pass(): void {
-    this.sim.run(this.sim.now + 100, () => undefined);
+    this.clock.run(this.clock.now + 100, () => undefined);
   }
 
   /** A message arrives from a peer. */
@@ -67,7 +70,7 @@
 
 describe('messages of peers that cannot be read', () => {
   it('are dropped, logged and counted, and the controller goes on', async () => {
-    const controller = new LonelyController();
+    const controller = new SingleController();
     const whole = encodePeerMessage({ ...EMPTY_MESSAGE, accepted: ['req-1', 'req-2'] });
     const unknownType = Buffer.concat([Buffer.from([4]), whole.subarray(1)]);
     const manyItems = Buffer.from([0, 0xfe, 0xff, 0xff, 0xff, 0x0f]);
--- a/test/platform.ts
+++ b/test/platform.ts
@@ -1,7 +1,7 @@
 import { readPlatform, type Platform } from '../src/controller/settings/platform.js';
 
 /** What the tests' platforms differ in. */
-export interface PlatformParts {
+export interface PlatformOptions {
   zones: string[];
   /** Zones of the hosts, in their order. */
   sites: string[];
@@ -19,7 +19,7 @@
   next: string;
 }
 
-export const usual: PlatformParts = {
+export const defaultOptions: PlatformOptions = {
   zones: ['a', 'b'],
   sites: [],
   teams: '',
@@ -34,7 +34,7 @@
   next: '',
 };
 
-function toml(head: string, count: number, p: PlatformParts): string {
+function toml(head: string, count: number, p: PlatformOptions): string {
   return `
 ${head}
 [services]
@@ -68,14 +68,14 @@
 }
 
 /** Settings of a controller that stands alone. */
-export function alone(teams = ''): Platform {
+export function standalonePlatform(teams = ''): Platform {
   const head =
     'host_name = "k"\nsite = "a"\napi_addr = "10.0.0.1:1"\ninternal_addr = "10.0.0.1:2"\n';
-  return readPlatform(toml(head, 1, { ...usual, teams }));
+  return readPlatform(toml(head, 1, { ...defaultOptions, teams }));
 }
 
 /** TOML of the settings of one of several controllers. */
-export function settingsOf(hosts: string[], host: string, parts: PlatformParts): string {
+export function platformToml(hosts: string[], host: string, parts: PlatformOptions): string {
   const addr = (h: string, port: number): string => `10.0.0.${hosts.indexOf(h) + 1}:${port}`;
   const site = (h: string): string => parts.sites[hosts.indexOf(h)] ?? 'a';
   const peers = hosts
@@ -92,11 +92,11 @@
 }
 
 /** Settings of one of several controllers. */
-export function oneOf(
+export function platformOf(
   hosts: string[],
   host: string,
-  parts: PlatformParts,
+  parts: PlatformOptions,
   read = readPlatform,
 ): Platform {
-  return read(settingsOf(hosts, host, parts));
+  return read(platformToml(hosts, host, parts));
 }
--- a/test/simulation/deployment.ts
+++ b/test/simulation/deployments/deployment.ts
@@ -1,8 +1,8 @@
 /** The deployments that are simulated: hosts, machine types, limits, and kinds of jobs. */
-import type { MachineType } from '../../src/controller/wire/cloud.js';
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import { usual, type PlatformParts } from '../platform.js';
-import type { Sim } from './sim.js';
+import type { MachineType } from '../../../src/controller/wire/cloud.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
+import { defaultOptions, type PlatformOptions } from '../../platform.js';
+import type { VirtualClock } from '../virtual-clock.js';
 
 /** A deployment that the simulation plays. */
 export interface Deployment {
@@ -11,24 +11,24 @@
   /** Machines that are up at the start, and how many the cloud has at most. */
   machines: { type: string; zone: string; spot: boolean; count: number }[];
   capacity: number;
-  platform: PlatformParts;
+  platform: PlatformOptions;
   /** Entries of a page of the state service at most. */
-  page: number;
+  pageSize: number;
   /** When the work of a scripted day runs; by then machines have come up. */
   startMs?: number;
   /** Work that brings machines up before a scripted day's own jobs. */
-  firstJob?: Partial<JobSpec>;
+  warmUpJob?: Partial<JobSpec>;
   /** Chance that a rented machine never comes up on a scripted day. */
-  bootFails?: number;
+  bootFailures?: number;
   /** Tasks of scripted jobs take so many times the processors and memory that their table says. */
   taskScale?: number;
-  job(sim: Sim, id: string): JobSpec;
+  randomJob(clock: VirtualClock, id: string): JobSpec;
 }
 
-export const hosts = (count: number): string[] =>
+export const hostNames = (count: number): string[] =>
   Array.from({ length: count }, (_, i) => `kiln-${i}`);
 
-export function team(
+export function teamToml(
   name: string,
   cpus: number,
   cpusMax: number,
@@ -40,7 +40,7 @@
   return ['[[params.teams]]', `name = "${name}"`, ...lines, ''].join('\n');
 }
 
-export function objective(kind: string, cls: string, withinS: number, share: number): string {
+export function objectiveToml(kind: string, cls: string, withinS: number, share: number): string {
   const lines = [`kind = "${kind}"`, `class = "${cls}"`, `within_s = ${withinS.toFixed(1)}`];
   return ['[[params.objectives]]', ...lines, `share = ${share}`, ''].join('\n');
 }
@@ -55,63 +55,66 @@
 };
 
 /** Three controllers and a handful of machines in two zones, jobs of every kind. */
-export const small: Deployment = {
-  hosts: hosts(3),
+export const smallDeployment: Deployment = {
+  hosts: hostNames(3),
   types: [big, little],
   machines: ['a', 'b'].flatMap((zone) => [
     { type: 'big', zone, spot: false, count: 2 },
     { type: 'small', zone, spot: false, count: 1 },
   ]),
   capacity: 16,
-  platform: { ...usual, teams: team('red', 0, 0, 8, 12) + team('blue', 8, 40, 4, 16) },
+  platform: {
+    ...defaultOptions,
+    teams: teamToml('red', 0, 0, 8, 12) + teamToml('blue', 8, 40, 4, 16),
+  },
   // Small pages, so that paging is used.
-  page: 7,
-  job(sim, id) {
-    const gang = sim.random() < 0.5;
-    const gpus = gang ? sim.pick([1, 2, 4]) : sim.pick([0, 0, 1]);
-    const tasks = gang ? sim.pick([1, 2, 3]) : sim.pick([1, 3, 10]);
-    const twoZones = tasks > 1 && sim.random() < 0.3;
+  pageSize: 7,
+  randomJob(clock, id) {
+    const gang = clock.random() < 0.5;
+    const gpus = gang ? clock.pick([1, 2, 4]) : clock.pick([0, 0, 1]);
+    const tasks = gang ? clock.pick([1, 2, 3]) : clock.pick([1, 3, 10]);
+    const twoZones = tasks > 1 && clock.random() < 0.3;
     return {
       id,
       class: gang ? 'train' : 'batch',
-      team: sim.pick(['red', 'blue']),
+      team: clock.pick(['red', 'blue']),
       kind: gang ? 'gang' : 'array',
-      priority: sim.pick(['low', 'normal', 'normal', 'high']),
+      priority: clock.pick(['low', 'normal', 'normal', 'high']),
       tasks,
-      cpus: sim.pick([1, 2, 4]),
+      cpus: clock.pick([1, 2, 4]),
       gpus,
-      memoryGb: sim.pick([1, 4, 8]),
-      image: sim.pick(['img-1', 'img-2', 'img-3']),
-      imageGb: sim.pick([1, 3]),
-      types: sim.random() < 0.2 ? ['big'] : null,
-      zone: !twoZones && sim.random() < 0.1 ? 'a' : null,
-      singleZone: !twoZones && gang && sim.random() < 0.5,
+      memoryGb: clock.pick([1, 4, 8]),
+      image: clock.pick(['img-1', 'img-2', 'img-3']),
+      imageGb: clock.pick([1, 3]),
+      types: clock.random() < 0.2 ? ['big'] : null,
+      zone: !twoZones && clock.random() < 0.1 ? 'a' : null,
+      singleZone: !twoZones && gang && clock.random() < 0.5,
       spread: twoZones,
-      spot: sim.random() < 0.5,
+      spot: clock.random() < 0.5,
       estimatedRunS: 20,
       checkpointIntervalS: gang ? 10 : 0,
       checkpointSaveS: gang ? 2 : 0,
-      deadlineS: sim.random() < 0.3 ? 100 : null,
+      deadlineS: clock.random() < 0.3 ? 100 : null,
     };
   },
 };
 
 /** The same where the state service will take less from some moment on. */
-export const shrinking: Deployment = {
-  ...small,
+export const shrinkingLimits: Deployment = {
+  ...smallDeployment,
   platform: {
-    ...small.platform,
+    ...smallDeployment.platform,
     next: '[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 6\nwrite_rps = 25.0\n',
   },
 };
 
 /** Five controllers and hundreds of machines: many small tasks, and gangs of whole machines. */
-export function grown(machines: number): Deployment {
+export function mediumFleet(machines: number): Deployment {
   const whole: MachineType = { ...big, zones: ['a'], cacheGb: 60, fetchGbPerS: 0.5 };
   const many: MachineType = { ...little, cpus: 32, memoryGb: 128, zones: ['a'] };
   const gpus = machines * 4;
   return {
-    hosts: hosts(5),
+    hosts: hostNames(5),
     types: [whole, many],
     machines: [
       { type: 'big', zone: 'a', spot: false, count: Math.round(machines * 0.6) },
@@ -119,39 +122,39 @@
     ],
     capacity: machines,
     platform: {
-      ...usual,
+      ...defaultOptions,
       ...{ zones: ['a'], reportS: 4, leaseS: 20, rps: 80, writeRps: 30, txnOps: 24 },
       teams:
-        team('red', 0, 0, gpus * 0.25, gpus) +
-        team('blue', 0, 0, gpus * 0.2, gpus) +
-        objective('wait', 'train', 60, 0.9) +
-        objective('finished', 'score', 200, 0.9),
+        teamToml('red', 0, 0, gpus * 0.25, gpus) +
+        teamToml('blue', 0, 0, gpus * 0.2, gpus) +
+        objectiveToml('wait', 'train', 60, 0.9) +
+        objectiveToml('finished', 'score', 200, 0.9),
     },
-    page: 1000,
-    job(sim, id) {
+    pageSize: 1000,
+    randomJob(clock, id) {
       const base = {
         ...{ id, types: null, zone: null, spread: false, deadlineS: null },
-        ...{ imageGb: sim.between(1, 6), estimatedRunS: sim.between(20, 60) },
+        ...{ imageGb: clock.between(1, 6), estimatedRunS: clock.between(20, 60) },
       };
-      const kind = sim.random();
+      const kind = clock.random();
       if (kind < 0.2)
         return {
-          ...{ ...base, class: 'train', team: sim.pick(['red', 'blue']), kind: 'gang' },
-          ...{ priority: 'high', tasks: sim.pick([1, 1, 2, 2, 4, 8]), cpus: 14, gpus: 4 },
-          ...{ memoryGb: 100, image: `train-${Math.floor(sim.between(0, 6))}`, singleZone: true },
+          ...{ ...base, class: 'train', team: clock.pick(['red', 'blue']), kind: 'gang' },
+          ...{ priority: 'high', tasks: clock.pick([1, 1, 2, 2, 4, 8]), cpus: 14, gpus: 4 },
+          ...{ memoryGb: 100, image: `train-${Math.floor(clock.between(0, 6))}`, singleZone: true },
           ...{ spot: false, checkpointIntervalS: 20, checkpointSaveS: 2 },
         };
       if (kind < 0.6)
         return {
           ...{ ...base, class: 'score', team: 'red', kind: 'array', priority: 'normal' },
-          ...{ tasks: Math.ceil(sim.between(1, 20)), cpus: sim.between(2, 4), gpus: 1 },
-          ...{ memoryGb: 20, image: `score-${Math.floor(sim.between(0, 8))}`, singleZone: false },
+          ...{ tasks: Math.ceil(clock.between(1, 20)), cpus: clock.between(2, 4), gpus: 1 },
+          ...{ memoryGb: 20, image: `score-${Math.floor(clock.between(0, 8))}`, singleZone: false },
           ...{ spot: true, checkpointIntervalS: 0, checkpointSaveS: 0 },
         };
       return {
         ...{ ...base, class: 'print', team: 'blue', kind: 'array', priority: 'normal' },
-        ...{ tasks: Math.ceil(sim.between(1, 60)), cpus: 1, gpus: 0, memoryGb: 2 },
-        ...{ image: `print-${Math.floor(sim.between(0, 8))}`, singleZone: false, spot: true },
+        ...{ tasks: Math.ceil(clock.between(1, 60)), cpus: 1, gpus: 0, memoryGb: 2 },
+        ...{ image: `print-${Math.floor(clock.between(0, 8))}`, singleZone: false, spot: true },
         ...{ checkpointIntervalS: 0, checkpointSaveS: 0 },
       };
     },
--- a/test/simulation/large-fleet.ts
+++ b/test/simulation/deployments/large-fleet.ts
@@ -1,7 +1,7 @@
 /** A deployment of thousands of machines in three zones, and a day on which whole parts of it fail. */
-import { usual } from '../platform.js';
-import { grown, objective, team, type Deployment } from './deployment.js';
-import { Simulation } from './simulation.js';
+import { defaultOptions } from '../../platform.js';
+import { mediumFleet, objectiveToml, teamToml, type Deployment } from './deployment.js';
+import { Simulation } from '../simulation.js';
 
 const ZONES = ['a', 'b', 'c'];
 /** Parts of the machines by type and market; the rest of the capacity is rented when needed. */
@@ -15,7 +15,7 @@
 
 /** Five controllers; what the state service and the cloud take grows with the machines. */
 export function largeFleet(machines: number): Deployment {
-  const base = grown(machines);
+  const base = mediumFleet(machines);
   const gpus = machines * 4;
   return {
     ...base,
@@ -27,14 +27,14 @@
       })),
     ),
     platform: {
-      ...usual,
+      ...defaultOptions,
       ...{ zones: ZONES, sites: ['a', 'b', 'c', 'a', 'b'], reportS: 4, leaseS: 20 },
       ...{ rps: machines / 8, writeRps: machines / 20, txnOps: 24, ramMb: 1500 },
       teams:
-        team('red', 0, 0, gpus * 0.2, gpus * 0.45) +
-        team('blue', 0, 0, gpus * 0.2, gpus * 0.3) +
-        objective('wait', 'train', 60, 0.9) +
-        objective('finished', 'score', 200, 0.9),
+        teamToml('red', 0, 0, gpus * 0.2, gpus * 0.45) +
+        teamToml('blue', 0, 0, gpus * 0.2, gpus * 0.3) +
+        objectiveToml('wait', 'train', 60, 0.9) +
+        objectiveToml('finished', 'score', 200, 0.9),
     },
   };
 }
@@ -62,29 +62,34 @@
 
 /** Plays a day on which one large part after the other fails, to the end of its faults. */
 export function playLargeFleet(machines: number, seed: number): Simulation {
-  const rates = { everyMs: Infinity, doubled: 0.002, errors: 0.005, bootFails: 0.02 };
+  const rates = {
+    meanIntervalMs: Infinity,
+    duplicated: 0.002,
+    taskFailures: 0.005,
+    bootFailures: 0.02,
+  };
   const deployment = largeFleet(machines);
   const simulation = new Simulation(deployment, seed, rates);
-  const { sim } = simulation;
+  const { clock } = simulation;
   for (let i = 0; i < machines / MACHINES_PER_JOB; i++)
-    simulation.user(simulation.randomJob(), null);
+    simulation.submit(simulation.randomJob(), null);
   const submitNext = (): void => {
-    if (sim.now > DAY.end) return;
-    simulation.user(simulation.randomJob(), sim.random() < 0.04 ? 20_000 : null);
-    sim.after(sim.between(0.3, 1.7) * (MACHINE_MS_PER_JOB / machines), submitNext);
+    if (clock.now > DAY.end) return;
+    simulation.submit(simulation.randomJob(), clock.random() < 0.04 ? 20_000 : null);
+    clock.after(clock.between(0.3, 1.7) * (MACHINE_MS_PER_JOB / machines), submitNext);
   };
   submitNext();
-  sim.after(DAY.leaderEnds, () => simulation.kill(simulation.leader ?? 'kiln-0', RESTART_MS));
-  sim.after(DAY.outage, () => simulation.state.outage(OUTAGE_MS));
-  sim.after(DAY.spotTaken, () => simulation.machineFaults.takeSpot(SPOT_SHARE, SPOT_OVER_MS));
-  sim.after(DAY.allEnd, () => {
+  clock.after(DAY.leaderEnds, () => simulation.kill(simulation.leader ?? 'kiln-0', RESTART_MS));
+  clock.after(DAY.outage, () => simulation.stateStore.outage(OUTAGE_MS));
+  clock.after(DAY.spotTaken, () => simulation.machineFaults.reclaimSpot(SPOT_SHARE, SPOT_OVER_MS));
+  clock.after(DAY.allEnd, () => {
     for (const host of deployment.hosts) simulation.kill(host, RESTART_MS);
   });
-  sim.after(DAY.zoneLost, () => {
-    const inside = deployment.hosts.filter((host) => simulation.siteOf(host) === LOST_ZONE);
+  clock.after(DAY.zoneLost, () => {
+    const inside = deployment.hosts.filter((host) => simulation.zoneOf(host) === LOST_ZONE);
     simulation.connectionFaults.cutZone(LOST_ZONE, inside, ZONE_LOST_MS);
   });
-  sim.after(DAY.roll, () => simulation.processes.roll(ROLL_EVERY_MS));
+  clock.after(DAY.roll, () => simulation.processes.rollingRestart(ROLL_EVERY_MS));
   simulation.play(DAY.end);
   return simulation;
 }
--- a/test/simulation/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -1,10 +1,16 @@
 /** A deployment with short leases, and the fault scenarios as days of it. */
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import { usual } from '../platform.js';
-import { cancelled, leaders, leasesLost, longJobs, type FaultScenario } from './fault-scenario.js';
-import { hosts, team, type Deployment } from './deployment.js';
-import type { Sim } from './sim.js';
-import type { Fault } from './faults.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
+import { defaultOptions } from '../../platform.js';
+import {
+  cancelledWhileRunning,
+  failovers,
+  expiredLeases,
+  longJobs,
+  type FaultScenario,
+} from '../scenarios/fault-scenario.js';
+import { hostNames, teamToml, type Deployment } from './deployment.js';
+import type { VirtualClock } from '../virtual-clock.js';
+import type { Fault } from '../faults/faults.js';
 
 const LEASE_S = 10;
 const CANCEL_S = 35;
@@ -14,42 +20,42 @@
 const MEMORY_GB = 400;
 
 /** Gangs of whole machines, arrays of single GPUs that checkpoint, and arrays without GPUs. */
-function job(sim: Sim, id: string): JobSpec {
-  const name = sim.pick(['red', 'blue']);
+function randomJob(clock: VirtualClock, id: string): JobSpec {
+  const name = clock.pick(['red', 'blue']);
   const base = {
     ...{ id, team: name, types: null, spread: false, deadlineS: null },
-    ...{ priority: sim.pick(['low', 'normal', 'normal', 'high'] as const), spot: true },
-    ...{ imageGb: sim.between(1, 4), estimatedRunS: 20, checkpointSaveS: 1 },
-    zone: sim.random() < 0.1 ? 'a' : null,
+    ...{ priority: clock.pick(['low', 'normal', 'normal', 'high'] as const), spot: true },
+    ...{ imageGb: clock.between(1, 4), estimatedRunS: 20, checkpointSaveS: 1 },
+    zone: clock.random() < 0.1 ? 'a' : null,
   };
-  const kind = sim.random();
+  const kind = clock.random();
   if (kind < 0.3)
     return {
       ...{
         ...base,
         class: 'train',
         kind: 'gang',
-        tasks: sim.pick(name === 'red' ? [1, 2] : [1, 2, 3]),
+        tasks: clock.pick(name === 'red' ? [1, 2] : [1, 2, 3]),
       },
       ...{ cpus: CPUS - 8, gpus: GPUS, memoryGb: MEMORY_GB - 80 },
-      ...{ image: sim.pick(['train-1', 'train-2']), singleZone: sim.random() < 0.5 },
+      ...{ image: clock.pick(['train-1', 'train-2']), singleZone: clock.random() < 0.5 },
       ...{ checkpointIntervalS: 10 },
     };
   const array = { ...base, kind: 'array' as const, singleZone: false };
   if (kind < 0.8)
     return {
-      ...{ ...array, class: 'score', tasks: Math.ceil(sim.between(0, 12)), cpus: 6, gpus: 1 },
-      ...{ memoryGb: 40, image: sim.pick(['score-1', 'score-2']), checkpointIntervalS: 5 },
+      ...{ ...array, class: 'score', tasks: Math.ceil(clock.between(0, 12)), cpus: 6, gpus: 1 },
+      ...{ memoryGb: 40, image: clock.pick(['score-1', 'score-2']), checkpointIntervalS: 5 },
     };
   return {
-    ...{ ...array, class: 'print', tasks: sim.pick([1, 3, 10]), cpus: 4, gpus: 0 },
+    ...{ ...array, class: 'print', tasks: clock.pick([1, 3, 10]), cpus: 4, gpus: 0 },
     ...{ memoryGb: 10, image: 'print-1', checkpointIntervalS: 0 },
   };
 }
 
 /** Leases of half the usual length, controllers in two zones, large machines and none at the start. */
 export const shortLeases: Deployment = {
-  hosts: hosts(3),
+  hosts: hostNames(3),
   types: [
     {
       ...{ name: 'large', cpus: CPUS, gpus: GPUS, memoryGb: MEMORY_GB },
@@ -59,20 +65,20 @@
   machines: [],
   capacity: 30,
   platform: {
-    ...usual,
+    ...defaultOptions,
     ...{ sites: ['a', 'a', 'b'], reportS: 1, leaseS: LEASE_S, cancelS: CANCEL_S },
     ...{ rps: 80, writeRps: 30, valueKb: 8 },
-    teams: team('red', 0, 0, 16, 16) + team('blue', 0, 0, 16, 24),
+    teams: teamToml('red', 0, 0, 16, 16) + teamToml('blue', 0, 0, 16, 24),
   },
-  page: 20,
+  pageSize: 20,
   startMs: 65_000,
-  firstJob: {
+  warmUpJob: {
     ...{ ...longJobs, estimatedRunS: 10, tasks: 10, priority: 'normal', zone: null, spot: true },
     ...{ cpus: 7, memoryGb: 10 },
   },
-  bootFails: 0.1,
+  bootFailures: 0.1,
   taskScale: 8,
-  job,
+  randomJob,
 };
 
 /** The same where the state service will take less from some moment on. */
@@ -84,8 +90,8 @@
   },
 };
 
-const LEASE_RATIO = LEASE_S / usual.leaseS;
-const CANCEL_RATIO = CANCEL_S / usual.cancelS;
+const LEASE_RATIO = LEASE_S / defaultOptions.leaseS;
+const CANCEL_RATIO = CANCEL_S / defaultOptions.cancelS;
 /** Until then a day goes by at the rate of the leases; later times only shift. */
 const SCALED_UNTIL_S = 10;
 
@@ -97,7 +103,7 @@
 
 /** A span of time: one longer than `cancel_s` stays so, others keep their ratio to the lease. */
 function span(seconds: number): number {
-  return seconds * (seconds > usual.cancelS ? CANCEL_RATIO : LEASE_RATIO);
+  return seconds * (seconds > defaultOptions.cancelS ? CANCEL_RATIO : LEASE_RATIO);
 }
 
 function scaled(fault: Fault): Fault {
@@ -129,40 +135,40 @@
   {
     name: 'the zone with one controller, which leads, is cut off for longer than lease_s',
     jobs: longJobs,
-    count: 16,
+    jobCount: 16,
     deployment: shortLeases,
     faults: (between) => [
-      { kind: 'led from', host: 'kiln-2', back: 4, at: 0 },
+      { kind: 'led from', host: 'kiln-2', restartAfter: 4, at: 0 },
       { kind: 'zone cut', zone: 'b', inside: 'leader', at: 12, for: between(15, 45) },
       { kind: 'cancelled', count: 5, elsewhere: true, at: between(14, 18) },
-      { kind: 'jobs', count: 6, like: longJobs, at: 16 },
+      { kind: 'jobs', count: 6, template: longJobs, at: 16 },
     ],
-    happened: (simulation) => ({
-      leaders: leaders(simulation),
-      alone: simulation.happenings.count('leader alone in its zone'),
-      elected: simulation.happenings.count('leader elected outside a cut zone'),
-      work: simulation.happenings.count('work while a zone is cut'),
-      cancelled: cancelled(simulation),
-      lost: leasesLost(simulation),
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      alone: simulation.observedEvents.count('leader alone in its zone'),
+      elected: simulation.observedEvents.count('leader elected outside a cut zone'),
+      work: simulation.observedEvents.count('work while a zone is cut'),
+      cancelled: cancelledWhileRunning(simulation),
+      lost: expiredLeases(simulation),
     }),
   },
   {
     name: 'the zone with one controller, a follower, is cut off and the leader ends',
     jobs: longJobs,
-    count: 16,
+    jobCount: 16,
     deployment: shortLeases,
     faults: (between) => [
-      { kind: 'led from', host: 'kiln-0', back: 4, at: 0 },
+      { kind: 'led from', host: 'kiln-0', restartAfter: 4, at: 0 },
       { kind: 'zone cut', zone: 'b', inside: 'single', at: 12, for: between(15, 45) },
       { kind: 'cancelled', count: 5, at: between(14, 18) },
-      { kind: 'ended', who: 'leader', back: between(0.2, 6), at: between(15, 20) },
-      { kind: 'jobs', count: 6, like: longJobs, at: 16 },
+      { kind: 'ended', who: 'leader', restartAfter: between(0.2, 6), at: between(15, 20) },
+      { kind: 'jobs', count: 6, template: longJobs, at: 16 },
     ],
-    happened: (simulation) => ({
-      leaders: leaders(simulation),
-      work: simulation.happenings.count('work while a zone is cut'),
-      cancelled: cancelled(simulation),
-      lost: leasesLost(simulation),
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      work: simulation.observedEvents.count('work while a zone is cut'),
+      cancelled: cancelledWhileRunning(simulation),
+      lost: expiredLeases(simulation),
     }),
   },
 ];
--- a/test/simulation/digest-scenarios.ts
+++ b/test/simulation/digest-scenarios.ts
@@ -1,14 +1,24 @@
 /** The scenarios of the behaviour digest: fixed seeds that between them reach most of the program. */
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import { shrinking, small, type Deployment } from './deployment.js';
-import { longJobs } from './fault-scenario.js';
-import { injectFaults, type Fault } from './faults.js';
-import { shortLeases } from './short-leases.js';
+import { shrinkingLimits, smallDeployment, type Deployment } from './deployments/deployment.js';
+import { longJobs } from './scenarios/fault-scenario.js';
+import { injectFaults, type Fault } from './faults/faults.js';
+import { shortLeases } from './deployments/short-leases.js';
 import { Simulation, type FaultRates } from './simulation.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-const quiet: FaultRates = { everyMs: Infinity, doubled: 0, errors: 0, bootFails: 0 };
-const rough: FaultRates = { everyMs: 9000, doubled: 0.02, errors: 0.03, bootFails: 0.1 };
+const quiet: FaultRates = {
+  meanIntervalMs: Infinity,
+  duplicated: 0,
+  taskFailures: 0,
+  bootFailures: 0,
+};
+const rough: FaultRates = {
+  meanIntervalMs: 9000,
+  duplicated: 0.02,
+  taskFailures: 0.03,
+  bootFailures: 0.1,
+};
 /** Of the jobs at random times this share is cancelled, within so long. */
 const CANCELLED_SHARE = 0.2;
 const CANCELLED_WITHIN_MS = 40_000;
@@ -60,11 +70,17 @@
 /** The scenarios, each of which takes a few seconds at most. */
 export const digestScenarios: DigestScenario[] = [
   {
-    ...{ name: 'quiet', deployment: small, seed: 1, rates: quiet, randomJobs: 30 },
+    ...{ name: 'quiet', deployment: smallDeployment, seed: 1, rates: quiet, randomJobs: 30 },
     ...{ faults: [], playMs: 200_000 },
   },
   {
-    ...{ name: 'random faults', deployment: small, seed: 4, rates: rough, randomJobs: 30 },
+    ...{
+      name: 'random faults',
+      deployment: smallDeployment,
+      seed: 4,
+      rates: rough,
+      randomJobs: 30,
+    },
     ...{ faults: [], playMs: 240_000 },
   },
   {
@@ -72,29 +88,36 @@
     ...{ faults: [], playMs: 240_000 },
   },
   {
-    ...{ name: 'services, gangs and cancellations', deployment: small, seed: 5 },
-    ...{ rates: { ...quiet, errors: 0.03 }, randomJobs: 12, playMs: 180_000 },
+    ...{ name: 'services, gangs and cancellations', deployment: smallDeployment, seed: 5 },
+    ...{ rates: { ...quiet, taskFailures: 0.03 }, randomJobs: 12, playMs: 180_000 },
     faults: [
-      { kind: 'jobs', count: 4, like: services, at: 1 },
-      { kind: 'jobs', count: 6, like: { ...gangs, priority: 'low' }, at: 2 },
+      { kind: 'jobs', count: 4, template: services, at: 1 },
+      { kind: 'jobs', count: 6, template: { ...gangs, priority: 'low' }, at: 2 },
       { kind: 'odd requests', at: 5, for: 20 },
-      { kind: 'jobs', count: 3, like: { ...gangs, priority: 'high', deadlineS: 90 }, at: 20 },
+      { kind: 'jobs', count: 3, template: { ...gangs, priority: 'high', deadlineS: 90 }, at: 20 },
       { kind: 'cancelled', count: 3, at: 30 },
       { kind: 'machines lost', share: 0.3, at: 40 },
-      { kind: 'jobs', count: 30, like: { ...longJobs, tasks: 10, spot: true }, at: 45 },
-      { kind: 'stream', perSecond: 2, cancelled: 0.3, like: { estimatedRunS: 5 }, at: 60, for: 15 },
+      { kind: 'jobs', count: 30, template: { ...longJobs, tasks: 10, spot: true }, at: 45 },
+      {
+        kind: 'stream',
+        perSecond: 2,
+        cancelled: 0.3,
+        template: { estimatedRunS: 5 },
+        at: 60,
+        for: 15,
+      },
       { kind: 'close looks', cancelled: 3, at: 80, for: 20 },
-      { kind: 'machines restart', share: 0.3, back: 1, at: 100 },
+      { kind: 'machines restart', share: 0.3, restartAfter: 1, at: 100 },
       { kind: 'cancelled', count: 3, hang: 20, at: 110 },
     ],
   },
   {
-    ...{ name: 'failovers and an outage', deployment: small, seed: 6, rates: quiet },
+    ...{ name: 'failovers and an outage', deployment: smallDeployment, seed: 6, rates: quiet },
     ...{ randomJobs: 12, playMs: 230_000 },
     faults: [
-      { kind: 'jobs', count: 12, like: longJobs, at: 0 },
-      { kind: 'jobs', count: 2, like: services, at: 1 },
-      { kind: 'ended', who: 'leader', back: 4, at: 20 },
+      { kind: 'jobs', count: 12, template: longJobs, at: 0 },
+      { kind: 'jobs', count: 2, template: services, at: 1 },
+      { kind: 'ended', who: 'leader', restartAfter: 4, at: 20 },
       { kind: 'isolated', who: 'leader', at: 40, for: 25 },
       { kind: 'cancelled', count: 3, elsewhere: true, at: 45 },
       { kind: 'outage', at: 75, for: 25 },
@@ -107,41 +130,46 @@
     ],
   },
   {
-    ...{ name: 'spot notices and falling limits', deployment: shrinking, seed: 7, rates: quiet },
+    ...{
+      name: 'spot notices and falling limits',
+      deployment: shrinkingLimits,
+      seed: 7,
+      rates: quiet,
+    },
     ...{ randomJobs: 10, noticeEveryMs: 9000, playMs: 200_000 },
     faults: [
-      { kind: 'jobs', count: 8, like: { ...services, spot: true, spread: false }, at: 0 },
-      { kind: 'jobs', count: 6, like: { ...longJobs, spot: true }, at: 2 },
+      { kind: 'jobs', count: 8, template: { ...services, spot: true, spread: false }, at: 0 },
+      { kind: 'jobs', count: 6, template: { ...longJobs, spot: true }, at: 2 },
       { kind: 'limits fall', at: 60 },
-      { kind: 'jobs', count: 20, like: { estimatedRunS: 5, tasks: 10 }, at: 62 },
+      { kind: 'jobs', count: 20, template: { estimatedRunS: 5, tasks: 10 }, at: 62 },
       { kind: 'late commands', share: 0.3, at: 80, for: 40 },
       { kind: 'late reports', share: 0.2, at: 80, for: 40 },
       { kind: 'reports for the next leader', share: 0.2, after: 1, at: 90, for: 30 },
-      { kind: 'ended', who: 'leader', back: 0.3, at: 100 },
+      { kind: 'ended', who: 'leader', restartAfter: 0.3, at: 100 },
       { kind: 'zone cut', zone: 'a', inside: 'follower', at: 130, for: 30 },
     ],
   },
 ];
 
 /** Spot machines are taken back one after the other, each after a notice. */
-function takeSpotMachines({ sim, cloud }: Simulation, everyMs: number): void {
+function takeSpotMachines({ clock, cloud }: Simulation, everyMs: number): void {
   const again = (): void => {
-    sim.after(everyMs, again);
+    clock.after(everyMs, again);
     const worker = cloud.workers.find(({ spot }) => spot);
     if (worker === undefined) return;
-    worker.warn(NOTICE_MS);
-    sim.after(NOTICE_MS, () => cloud.take(worker.id));
+    worker.noticeInterruption(NOTICE_MS);
+    clock.after(NOTICE_MS, () => cloud.reclaim(worker.id));
   };
-  sim.after(everyMs, again);
+  clock.after(everyMs, again);
 }
 
 function submitRandomJobs(simulation: Simulation, count: number, withinMs: number): void {
-  const { sim } = simulation;
+  const { clock } = simulation;
   for (let i = 0; i < count; i++)
-    sim.after(sim.between(0, withinMs), () => {
-      const cancelled = sim.random() < CANCELLED_SHARE;
-      const cancelAfterMs = cancelled ? sim.between(0, CANCELLED_WITHIN_MS) : null;
-      simulation.user(simulation.randomJob(), cancelAfterMs);
+    clock.after(clock.between(0, withinMs), () => {
+      const cancelled = clock.random() < CANCELLED_SHARE;
+      const cancelAfterMs = cancelled ? clock.between(0, CANCELLED_WITHIN_MS) : null;
+      simulation.submit(simulation.randomJob(), cancelAfterMs);
     });
 }
 
@@ -156,9 +184,9 @@
         '/submissions',
         '/nowhere',
       ])
-        simulation.ask('GET', path, undefined, () => undefined, host);
-    simulation.ask('POST', '/submissions', 'not a job', () => undefined);
-    simulation.sim.after(LOOK_EVERY_MS, look);
+        simulation.sendRequest('GET', path, undefined, () => undefined, host);
+    simulation.sendRequest('POST', '/submissions', 'not a job', () => undefined);
+    simulation.clock.after(LOOK_EVERY_MS, look);
   };
   look();
 }
@@ -185,7 +213,7 @@
   if (noticeEveryMs !== undefined) takeSpotMachines(simulation, noticeEveryMs);
   simulation.play(playMs);
   for (const host of simulation.hosts)
-    simulation.ask('GET', '/metrics', undefined, () => undefined, host);
+    simulation.sendRequest('GET', '/metrics', undefined, () => undefined, host);
   simulation.play(SCRAPE_MS);
   // The texts of the metrics come by promises, after all that virtual time brings.
   await new Promise(setImmediate);
--- a/test/simulation/connection-faults.ts
+++ b/test/simulation/faults/connection-faults.ts
@@ -1,13 +1,13 @@
 /** Faults of the network between controllers, machines, users, cloud and state service. */
-import type { Cut, Network } from './network.js';
-import type { Sim } from './sim.js';
-import type { Worker } from './worker.js';
+import type { CutMode, Network } from '../network.js';
+import type { VirtualClock } from '../virtual-clock.js';
+import type { Worker } from '../machines/worker.js';
 
 /** Cuts connections of a simulation for a time. */
 export class ConnectionFaults {
   constructor(
-    private readonly sim: Sim,
-    private readonly net: Network,
+    private readonly clock: VirtualClock,
+    private readonly network: Network,
     private readonly hosts: readonly string[],
     /** Workers of the machines that are up. */
     private readonly workers: () => Worker[],
@@ -15,12 +15,12 @@
 
   /** Nothing goes between the two; what is sent is held back or lost, as drawn. */
   cutFor(a: string, b: string, ms: number): void {
-    this.net.cut(a, b, this.drawCut());
-    this.sim.after(ms, () => this.net.heal(a, b));
+    this.network.cut(a, b, this.drawCut());
+    this.clock.after(ms, () => this.network.heal(a, b));
   }
 
-  private drawCut(): Cut {
-    return this.sim.random() < 0.5 ? 'hold' : 'reset';
+  private drawCut(): CutMode {
+    return this.clock.random() < 0.5 ? 'hold' : 'reset';
   }
 
   /** A controller loses the other controllers. */
@@ -44,17 +44,17 @@
     const pairs = this.hosts.flatMap((a) =>
       this.hosts.filter((b) => a < b).map((b): [string, string] => [a, b]),
     );
-    for (const [a, b] of pairs) this.net.cut(a, b, 'reset');
-    this.sim.after(ms, () => {
-      for (const [a, b] of pairs) this.net.heal(a, b);
+    for (const [a, b] of pairs) this.network.cut(a, b, 'reset');
+    this.clock.after(ms, () => {
+      for (const [a, b] of pairs) this.network.heal(a, b);
     });
   }
 
   /** A zone goes on by itself, with its workers and one controller in it. */
   cutZone(zone: string, inside: readonly string[], ms: number): void {
     const cut = (a: string, b: string): void => {
-      this.net.cut(a, b, 'hold');
-      this.sim.after(ms, () => this.net.heal(a, b));
+      this.network.cut(a, b, 'hold');
+      this.clock.after(ms, () => this.network.heal(a, b));
     };
     for (const host of inside) {
       for (const other of ['state', 'user', 'cloud']) cut(host, other);
@@ -66,26 +66,26 @@
   }
 
   /** The machine's reports arrive, but neither answers nor commands get to it. */
-  deafen(worker: Worker, ms: number, mode?: Cut): void {
-    for (const host of this.hosts) this.net.cutWay(host, worker.id, mode ?? this.drawCut());
+  blockInbound(worker: Worker, ms: number, mode?: CutMode): void {
+    for (const host of this.hosts) this.network.cutOneWay(host, worker.id, mode ?? this.drawCut());
     this.healWorker(worker, ms);
   }
 
   /** What the machine says is held back, reports and answers; what it is told arrives. */
-  hush(worker: Worker, ms: number): void {
-    for (const host of this.hosts) this.net.cutWay(worker.id, host, 'hold');
+  holdOutbound(worker: Worker, ms: number): void {
+    for (const host of this.hosts) this.network.cutOneWay(worker.id, host, 'hold');
     this.healWorker(worker, ms);
   }
 
   /** A machine loses the network, and what was held back is delivered afterwards. */
   cutMachine(worker: Worker, ms: number): void {
-    for (const host of this.hosts) this.net.cut(host, worker.id, 'hold');
+    for (const host of this.hosts) this.network.cut(host, worker.id, 'hold');
     this.healWorker(worker, ms);
   }
 
   private healWorker(worker: Worker, ms: number): void {
-    this.sim.after(ms, () => {
-      for (const host of this.hosts) this.net.heal(host, worker.id);
+    this.clock.after(ms, () => {
+      for (const host of this.hosts) this.network.heal(host, worker.id);
     });
   }
 }
--- a/test/simulation/machine-faults.ts
+++ b/test/simulation/faults/machine-faults.ts
@@ -1,13 +1,13 @@
 /** Faults that meet a share of the machines at one time. */
-import type { Cloud } from './cloud.js';
+import type { Cloud } from '../machines/cloud.js';
 import type { ConnectionFaults } from './connection-faults.js';
-import type { Sim } from './sim.js';
-import type { Worker } from './worker.js';
+import type { VirtualClock } from '../virtual-clock.js';
+import type { Worker } from '../machines/worker.js';
 
 /** Cuts, ends and takes machines of a simulation. */
 export class MachineFaults {
   constructor(
-    private readonly sim: Sim,
+    private readonly clock: VirtualClock,
     private readonly cloud: Cloud,
     private readonly connections: ConnectionFaults,
   ) {}
@@ -23,13 +23,13 @@
   }
 
   /** Spot machines are taken in a wave, without notice. */
-  takeSpot(share: number, overMs: number): void {
+  reclaimSpot(share: number, overMs: number): void {
     for (const worker of this.some(share))
       if (worker.spot)
-        this.sim.after(this.sim.between(0, overMs), () => this.cloud.take(worker.id));
+        this.clock.after(this.clock.between(0, overMs), () => this.cloud.reclaim(worker.id));
   }
 
   private some(share: number): Worker[] {
-    return this.cloud.workers.filter(() => this.sim.random() < share);
+    return this.cloud.workers.filter(() => this.clock.random() < share);
   }
 }
--- a/test/simulation/happenings.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -1,8 +1,8 @@
 /** Combinations of faults and actions that tests assert to have come about. */
-import type { Simulation } from './simulation.js';
+import type { Simulation } from '../simulation.js';
 
 /** What a scripted day may come to; tests assert that it did. */
-export type Happening =
+export type ObservedEvent =
   | 'asked in an outage'
   | 'cancelled at a hand-over'
   | 'cancelled while the leader alone is refused'
@@ -18,16 +18,16 @@
   | 'work while a zone is cut';
 
 /** Counts of what happened on a day. */
-export class Happenings {
-  private readonly counts = new Map<Happening, number>();
+export class ObservedEvents {
+  private readonly counts = new Map<ObservedEvent, number>();
 
   /** It happened once more. */
-  note(happening: Happening): void {
+  record(happening: ObservedEvent): void {
     this.counts.set(happening, this.count(happening) + 1);
   }
 
   /** How often it happened. */
-  count(happening: Happening): number {
+  count(happening: ObservedEvent): number {
     return this.counts.get(happening) ?? 0;
   }
 }
@@ -39,34 +39,35 @@
 const HAND_OVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
 
 /** Notes combinations of faults as they come about. */
-export function observe(simulation: Simulation): void {
-  const { checker, sim, state, happenings } = simulation;
+export function observeFaultCombinations(simulation: Simulation): void {
+  const { checker, clock, stateStore, observedEvents } = simulation;
   let cancelledAt = -Infinity;
   let handedOverAt = -Infinity;
   const handOver = (): void => {
     if (Math.abs(cancelledAt - handedOverAt) <= HAND_OVER_MS)
-      happenings.note('cancelled at a hand-over');
+      observedEvents.record('cancelled at a hand-over');
   };
-  checker.onNews.push((_, news) => {
+  checker.onVisibleChange.push((_, news) => {
     if (news !== 'cancelled') return;
-    cancelledAt = sim.now;
+    cancelledAt = clock.now;
     handOver();
     const { leader } = simulation;
-    if (leader !== null && state.refuses(leader))
-      happenings.note('cancelled while the leader alone is refused');
-    if (checker.everyTeamAtLimit) happenings.note('cancelled with every team at its limit');
+    if (leader !== null && stateStore.isRefusing(leader))
+      observedEvents.record('cancelled while the leader alone is refused');
+    if (checker.everyTeamAtLimit) observedEvents.record('cancelled with every team at its limit');
   });
   simulation.processes.onKill.push((_, leads) => {
     if (leads && checker.everyTeamAtLimit)
-      happenings.note('leader ended with every team at its limit');
+      observedEvents.record('leader ended with every team at its limit');
   });
   simulation.onLog.push((text, fields) => {
     const { reason } = fields as { reason?: string };
     if (text !== 'no longer leader' || !HAND_OVER_REASONS.includes(reason ?? '')) return;
-    handedOverAt = sim.now;
+    handedOverAt = clock.now;
     handOver();
   });
-  checker.onStart.push(({ machine }) => {
-    if (simulation.cloud.ageMs(machine) < NEW_MACHINE_MS) happenings.note('work on a new machine');
+  checker.onTaskStart.push(({ machine }) => {
+    if (simulation.cloud.ageMs(machine) < NEW_MACHINE_MS)
+      observedEvents.record('work on a new machine');
   });
 }
--- a/test/simulation/close-looks.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -1,6 +1,6 @@
 /** Questions at every node right after something new was told of a job. */
-import { writeJobSpec } from '../../src/controller/wire/jobs.js';
-import type { Simulation } from './simulation.js';
+import { writeJobSpec } from '../../../src/controller/wire/jobs.js';
+import type { Simulation } from '../simulation.js';
 
 /** Questions to each node after something new was told, and within what time they are sent. */
 const QUESTIONS_PER_NODE = 3;
@@ -10,17 +10,17 @@
 
 /** Asks one node about a job, by a poll or a repeated submission; the rules judge the answer. */
 function look(simulation: Simulation, id: string, host: string): void {
-  const { checker, sim } = simulation;
+  const { checker, clock } = simulation;
   const spec = simulation.users.specOf(id);
   if (spec === undefined) return;
-  const repeated = sim.random() < REPEATED_SHARE;
-  const before = checker.standing(id);
-  simulation.happenings.note('close look');
-  simulation.ask(
+  const repeated = clock.random() < REPEATED_SHARE;
+  const before = checker.visibleState(id);
+  simulation.observedEvents.record('close look');
+  simulation.sendRequest(
     repeated ? 'POST' : 'GET',
     repeated ? '/submissions' : `/submissions/${id}`,
     repeated ? writeJobSpec(spec) : undefined,
-    (status, state) => checker.answered(id, status, state, repeated, before),
+    (status, state) => checker.responseReceived(id, status, state, repeated, before),
     host,
   );
 }
@@ -29,17 +29,19 @@
  * For a time users ask at every node within milliseconds after a job was accepted, ended or
  * cancelled, and repeat its submission; a share of them calls the job off at that moment.
  */
-export function closeLooks(simulation: Simulation, cancelShare: number, ms: number): void {
-  const { checker, sim } = simulation;
-  const until = sim.now + ms;
+export function pollAfterChanges(simulation: Simulation, cancelShare: number, ms: number): void {
+  const { checker, clock } = simulation;
+  const until = clock.now + ms;
   const lookClosely = (id: string): void => {
-    if (sim.now > until) return;
+    if (clock.now > until) return;
     for (const host of simulation.hosts)
       for (let i = 0; i < QUESTIONS_PER_NODE; i++)
-        sim.after(sim.between(0, WITHIN_MS), () => look(simulation, id, host));
-    if (sim.random() < cancelShare)
-      sim.after(sim.between(0, WITHIN_MS), () => simulation.cancel(id, sim.pick(simulation.hosts)));
+        clock.after(clock.between(0, WITHIN_MS), () => look(simulation, id, host));
+    if (clock.random() < cancelShare)
+      clock.after(clock.between(0, WITHIN_MS), () =>
+        simulation.cancel(id, clock.pick(simulation.hosts)),
+      );
   };
-  checker.onNews.push(lookClosely);
-  checker.onLastTask.push(lookClosely);
+  checker.onVisibleChange.push(lookClosely);
+  checker.onLastTaskCompleted.push(lookClosely);
 }
--- a/test/simulation/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -1,6 +1,6 @@
 /** Faults of every kind at random times. */
-import type { Worker } from './worker.js';
-import type { Simulation } from './simulation.js';
+import type { Worker } from '../machines/worker.js';
+import type { Simulation } from '../simulation.js';
 
 /** Spot machines are taken so long after the notice. */
 const RECALL_MS = 10_000;
@@ -20,46 +20,46 @@
 const RANDOM_FAULTS: readonly RandomFault[] = [
   ({ processes }, { host, restartMs }) => processes.kill(host, restartMs),
   ({ processes, hosts }, { restartMs }) => hosts.forEach((h) => processes.kill(h, restartMs)),
-  ({ state, sim }) => state.outage(sim.between(1000, 30_000)),
-  ({ state }, { host, durationMs }) => state.refuse(host, durationMs),
+  ({ stateStore, clock }) => stateStore.outage(clock.between(1000, 30_000)),
+  ({ stateStore }, { host, durationMs }) => stateStore.refuse(host, durationMs),
   ({ connectionFaults }, { host, durationMs }) =>
     connectionFaults.cutFor(host, 'state', durationMs),
   ({ connectionFaults }, { host, durationMs }) => connectionFaults.cutFromWorkers(host, durationMs),
   ({ connectionFaults }, { host, durationMs }) => connectionFaults.cutFromPeers(host, durationMs),
   cutWorker,
-  ({ sim }, { worker }) => worker?.hang(sim.between(1000, 60_000)),
+  ({ clock }, { worker }) => worker?.hang(clock.between(1000, 60_000)),
   (_, { worker }) => worker?.die(),
-  ({ sim }, { worker }) => worker?.restart(sim.between(100, 600)),
+  ({ clock }, { worker }) => worker?.restart(clock.between(100, 600)),
   deafenWorker,
   ({ connectionFaults }, { host, durationMs }) => connectionFaults.isolate(host, durationMs),
   ({ processes }) => processes.killElected(),
   ({ processes }, { host, durationMs }) => processes.freeze(host, durationMs),
-  ({ state }, { durationMs }) => state.slow(durationMs),
+  ({ stateStore }, { durationMs }) => stateStore.slowDown(durationMs),
   ({ connectionFaults }, { durationMs }) => connectionFaults.refusePeers(durationMs),
   ({ machineFaults }, { durationMs }) => machineFaults.cut(0.3, durationMs),
-  ({ processes, sim }) => processes.roll(sim.between(2000, 15_000)),
+  ({ processes, clock }) => processes.rollingRestart(clock.between(2000, 15_000)),
   recallSpotMachine,
 ];
 
 /** Injects a fault every now and then, until the simulation is calm. */
 export function injectRandomFaults(simulation: Simulation, everyMs: number): void {
-  const { sim } = simulation;
-  sim.after(everyMs * sim.between(0.3, 1.7), () => {
-    if (simulation.calm) return;
+  const { clock } = simulation;
+  clock.after(everyMs * clock.between(0.3, 1.7), () => {
+    if (simulation.faultsStopped) return;
     injectRandomFault(simulation);
     injectRandomFaults(simulation, everyMs);
   });
 }
 
 function injectRandomFault(simulation: Simulation): void {
-  const { sim, hosts, workers } = simulation;
+  const { clock, hosts, workers } = simulation;
   const draw: Draw = {
-    host: sim.pick(hosts),
-    worker: workers.length > 0 ? sim.pick(workers) : undefined,
-    durationMs: sim.between(1000, 45_000),
-    restartMs: sim.random() < 0.3 ? sim.between(100, 600) : RESTART_MS,
+    host: clock.pick(hosts),
+    worker: workers.length > 0 ? clock.pick(workers) : undefined,
+    durationMs: clock.between(1000, 45_000),
+    restartMs: clock.random() < 0.3 ? clock.between(100, 600) : RESTART_MS,
   };
-  sim.pick(RANDOM_FAULTS)(simulation, draw);
+  clock.pick(RANDOM_FAULTS)(simulation, draw);
 }
 
 function cutWorker({ connectionFaults, hosts }: Simulation, { worker, durationMs }: Draw): void {
@@ -68,11 +68,11 @@
 }
 
 function deafenWorker({ connectionFaults }: Simulation, { worker, durationMs }: Draw): void {
-  if (worker !== undefined) connectionFaults.deafen(worker, durationMs);
+  if (worker !== undefined) connectionFaults.blockInbound(worker, durationMs);
 }
 
-function recallSpotMachine({ cloud, sim }: Simulation, { worker }: Draw): void {
+function recallSpotMachine({ cloud, clock }: Simulation, { worker }: Draw): void {
   if (worker?.spot !== true) return;
-  worker.warn(RECALL_MS);
-  sim.after(RECALL_MS, () => cloud.take(worker.id));
+  worker.noticeInterruption(RECALL_MS);
+  clock.after(RECALL_MS, () => cloud.reclaim(worker.id));
 }
--- a/test/simulation/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -1,7 +1,7 @@
 /** The simulated cloud: catalogue, renting, lists that lag, returning. */
-import type { MachineType } from '../../src/controller/wire/cloud.js';
+import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { MachineContext } from './machine-context.js';
-import type { Arrival, Respond } from './network.js';
+import type { IncomingRequest, Respond } from '../network.js';
 import { Worker } from './worker.js';
 
 /** Machines that one request gets, or one page lists, at most. */
@@ -49,7 +49,7 @@
   /** Machines rented before then are up within two seconds. */
   private quickUntil = 0;
   /** Called when a rented machine is up. */
-  readonly onUp: ((id: string) => void)[] = [];
+  readonly onBoot: ((id: string) => void)[] = [];
 
   constructor(
     private readonly context: MachineContext,
@@ -60,23 +60,23 @@
     /** Chance that a machine never comes up. */
     private readonly bootFails: number,
   ) {
-    context.net.listen(address, 'cloud', (_, request, respond) => this.serve(request, respond));
+    context.network.listen(address, 'cloud', (_, request, respond) => this.serve(request, respond));
     this.snapshot();
   }
 
   /** Rents a machine that is up after `bootMs`; null: never. */
-  add(type: MachineType, zone: string, spot: boolean, bootMs: number | null): string {
+  addMachine(type: MachineType, zone: string, spot: boolean, bootMs: number | null): string {
     const index = this.count++;
     const id = `n-${String(index).padStart(6, '0')}`;
-    const { sim } = this.context;
-    const machine: RentedMachine = { worker: null, type, zone, spot, rentedAt: sim.now, id };
+    const { clock } = this.context;
+    const machine: RentedMachine = { worker: null, type, zone, spot, rentedAt: clock.now, id };
     this.machines.set(id, machine);
     if (bootMs !== null)
-      sim.after(bootMs, () => {
+      clock.after(bootMs, () => {
         if (this.machines.get(id) !== machine) return;
         const address = `10.1.${index >> 8}.${index & 255}:9000`;
         machine.worker = new Worker(id, address, type, zone, spot, this.context);
-        for (const up of this.onUp) up(id);
+        for (const up of this.onBoot) up(id);
       });
     return id;
   }
@@ -84,44 +84,44 @@
   /** Workers of the machines that are up. */
   get workers(): Worker[] {
     return [...this.machines.values()].flatMap(({ worker }) =>
-      worker === null || worker.gone ? [] : [worker],
+      worker === null || worker.dead ? [] : [worker],
     );
   }
 
   /** For a time machines are up within two seconds. */
   bootQuickly(ms: number): void {
-    this.quickUntil = this.context.sim.now + ms;
+    this.quickUntil = this.context.clock.now + ms;
   }
 
   /** How long ago the machine was rented. */
   ageMs(id: string): number {
     const machine = this.machines.get(id);
-    return machine === undefined ? Infinity : this.context.sim.now - machine.rentedAt;
+    return machine === undefined ? Infinity : this.context.clock.now - machine.rentedAt;
   }
 
   /** Takes a machine back. */
-  take(id: string): void {
+  reclaim(id: string): void {
     this.machines.get(id)?.worker?.die();
     this.machines.delete(id);
   }
 
   private bootMs(type: MachineType): number | null {
-    const { sim } = this.context;
-    if (sim.now < this.quickUntil) return sim.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
-    if (sim.random() < this.bootFails) return null;
-    return type.bootS * 1000 * sim.between(BOOT_SHARES.least, BOOT_SHARES.most);
+    const { clock } = this.context;
+    if (clock.now < this.quickUntil) return clock.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
+    if (clock.random() < this.bootFails) return null;
+    return type.bootS * 1000 * clock.between(BOOT_SHARES.least, BOOT_SHARES.most);
   }
 
   private snapshot(): void {
-    const { sim } = this.context;
-    sim.after(SNAPSHOT_MS, () => this.snapshot());
-    const body = [...this.machines.values()].map((machine) => listed(machine, sim.now));
-    this.snapshots.push({ at: sim.now, body });
-    const oldest = sim.now - 4 * this.lagMs - SNAPSHOTS_KEPT_MS;
+    const { clock } = this.context;
+    clock.after(SNAPSHOT_MS, () => this.snapshot());
+    const body = [...this.machines.values()].map((machine) => listed(machine, clock.now));
+    this.snapshots.push({ at: clock.now, body });
+    const oldest = clock.now - 4 * this.lagMs - SNAPSHOTS_KEPT_MS;
     this.snapshots = this.snapshots.filter((snapshot) => snapshot.at > oldest);
   }
 
-  private serve(request: Arrival, respond: Respond): void {
+  private serve(request: IncomingRequest, respond: Respond): void {
     const path = request.path.split('?', 1)[0];
     if (path === '/catalog') respond({ status: 200, body: { models: this.types.map(catalogued) } });
     else if (path === '/machines/release') this.release(request, respond);
@@ -129,15 +129,15 @@
     else this.rent(request.body() as RentRequest, respond);
   }
 
-  private release(request: Arrival, respond: Respond): void {
-    for (const id of (request.body() as { kilns: string[] }).kilns) this.take(id);
+  private release(request: IncomingRequest, respond: Respond): void {
+    for (const id of (request.body() as { kilns: string[] }).kilns) this.reclaim(id);
     respond({ status: 200, body: {} });
   }
 
-  private list(request: Arrival, respond: Respond): void {
-    const { sim } = this.context;
-    const lag = this.lagMs * sim.between(1, 2);
-    const snapshot = this.snapshots.filter(({ at }) => at <= sim.now - lag).at(-1);
+  private list(request: IncomingRequest, respond: Respond): void {
+    const { clock } = this.context;
+    const lag = this.lagMs * clock.between(1, 2);
+    const snapshot = this.snapshots.filter(({ at }) => at <= clock.now - lag).at(-1);
     const query = new URL(request.path, 'http://cloud').searchParams;
     const from = query.get('from') ?? '';
     const limit = Math.min(LISTED_AT_ONCE, Number(query.get('limit') ?? LISTED_AT_ONCE));
@@ -156,7 +156,7 @@
       return respond({ status: 503, body: { error: 'no capacity' } });
     const ids: string[] = [];
     for (let i = 0; i < count; i++)
-      ids.push(this.add(type, request.hall, request.loaners, this.bootMs(type)));
+      ids.push(this.addMachine(type, request.hall, request.loaners, this.bootMs(type)));
     this.answers.set(request.hire, ids);
     respond({ status: 200, body: { kilns: ids } });
   }
@@ -170,7 +170,7 @@
     model: machine.type.name,
     hall: machine.zone,
     loaners: machine.spot,
-    status: worker === null ? 'booting' : worker.gone ? 'failed' : 'running',
+    status: worker === null ? 'booting' : worker.dead ? 'failed' : 'running',
     age_s: (now - machine.rentedAt) / 1000,
   };
 }
--- a/test/simulation/gangs.ts
+++ b/test/simulation/machines/gangs.ts
@@ -1,10 +1,10 @@
 /** Gangs whose members are on machines. */
-import type { Sim } from './sim.js';
+import type { VirtualClock } from '../virtual-clock.js';
 import type { Task } from './task.js';
 
 /** Runs one member of a gang. */
 export interface GangMemberRunner {
-  gangStarts(task: Task): void;
+  startGangMember(task: Task): void;
   finish(task: Task, cause: string): void;
 }
 
@@ -16,7 +16,7 @@
 /** Gangs find each other by attempt; they start and complete together. */
 export class Gangs {
   private readonly members = new Map<string, Set<Member>>();
-  constructor(private readonly sim: Sim) {}
+  constructor(private readonly clock: VirtualClock) {}
 
   /** The task waits for its gang; the last of its `size` members starts all of them. */
   join(runner: GangMemberRunner, task: Task, size: number, runMs: number): void {
@@ -26,8 +26,8 @@
     gang.add({ runner, task });
     const waiting = [...gang].filter((member) => member.task.status === 'waiting');
     if (waiting.length < size) return;
-    for (const member of waiting) member.runner.gangStarts(member.task);
-    this.sim.after(runMs, () => {
+    for (const member of waiting) member.runner.startGangMember(member.task);
+    this.clock.after(runMs, () => {
       const running = [...gang].filter((member) => member.task.status === 'running');
       if (running.length === size && gang.size === size)
         for (const member of running) member.runner.finish(member.task, 'done');
@@ -42,12 +42,12 @@
     if (task.cause === 'done') return;
     for (const member of gang)
       if (member.task.status === 'running')
-        this.sim.after(peerMs, () => {
+        this.clock.after(peerMs, () => {
           if (member.task.status === 'running') member.runner.finish(member.task, 'peers');
         });
   }
 }
 
 function keyOf(task: Task): string {
-  return `${task.id}@${task.attempt}`;
+  return `${task.jobId}@${task.attempt}`;
 }
--- a/test/simulation/report-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -1,7 +1,7 @@
 /** The reports of one simulated worker: when they go out, and to which controller. */
-import type { Reply } from '../../src/controller/runtime/runtime.js';
+import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { MachineContext } from './machine-context.js';
-import type { Order } from './task.js';
+import type { Command } from './task.js';
 
 /** A report with news follows the last one no sooner than this. */
 const NEWS_AFTER_MS = 500;
@@ -13,26 +13,26 @@
 const JITTER = { least: 0.75, most: 1.25 };
 
 /** What a controller answers to a report that it takes. */
-export interface ReportAnswer {
+export interface HeartbeatResponse {
   baton?: number;
-  orders: Order[];
+  orders: Command[];
 }
 
 /** The worker whose reports are sent. */
-export interface Reporter {
+export interface HeartbeatSource {
   readonly id: string;
-  readonly gone: boolean;
+  readonly dead: boolean;
   readonly hungUntil: number;
-  readonly session: number;
+  readonly agentEpoch: number;
   /** The next report; each has a number of its own. */
-  report(): unknown;
+  heartbeat(): unknown;
   whenAwake(run: () => void): void;
   /** An answer to the report that was sent then, in that session. */
-  accept(answer: ReportAnswer, session: number, sentAt: number): void;
+  acceptResponse(answer: HeartbeatResponse, session: number, sentAt: number): void;
 }
 
 /** Sends a worker's reports, one at a time, to the controller that takes them. */
-export class ReportLoop {
+export class HeartbeatLoop {
   /** Index of the controller that is asked next. */
   private node: number;
   private inFlight = false;
@@ -40,26 +40,26 @@
   private nextAt: number;
   private notBefore = 0;
   private lastSent = -Infinity;
-  private mutedUntil = 0;
+  private blockedUntil = 0;
   private plannedAt = Infinity;
 
   constructor(
-    private readonly reporter: Reporter,
+    private readonly source: HeartbeatSource,
     private readonly context: MachineContext,
   ) {
-    const { sim, controllers } = context;
-    this.node = Math.floor(sim.random() * controllers.length);
-    this.nextAt = sim.now;
+    const { clock, controllers } = context;
+    this.node = Math.floor(clock.random() * controllers.length);
+    this.nextAt = clock.now;
   }
 
   /** Whether no controller can be reached just now. */
-  get muted(): boolean {
-    return this.context.sim.now < this.mutedUntil;
+  get blocked(): boolean {
+    return this.context.clock.now < this.blockedUntil;
   }
 
   /** Reaches no controller for a time. */
-  mute(ms: number): void {
-    this.mutedUntil = Math.max(this.mutedUntil, this.context.sim.now + ms);
+  block(ms: number): void {
+    this.blockedUntil = Math.max(this.blockedUntil, this.context.clock.now + ms);
   }
 
   /** There is something new to report. */
@@ -70,34 +70,35 @@
 
   /** Sees to it that the next report goes out when it is due. */
   plan(): void {
-    const { reporter } = this;
-    if (reporter.gone || this.inFlight) return;
-    const { sim } = this.context;
+    const { source } = this;
+    if (source.dead || this.inFlight) return;
+    const { clock } = this.context;
     const dueAt = this.dirty ? Math.min(this.nextAt, this.lastSent + NEWS_AFTER_MS) : this.nextAt;
-    const awakeAt = this.hung ? reporter.hungUntil : 0;
-    const at = Math.max(dueAt, this.notBefore, awakeAt, sim.now);
+    const awakeAt = this.hung ? source.hungUntil : 0;
+    const at = Math.max(dueAt, this.notBefore, awakeAt, clock.now);
     if (at >= this.plannedAt) return;
     this.plannedAt = at;
-    sim.after(at - sim.now, () => {
+    clock.after(at - clock.now, () => {
       if (this.plannedAt !== at) return;
       this.plannedAt = Infinity;
-      if (reporter.gone || this.inFlight || this.hung) this.plan();
+      if (source.dead || this.inFlight || this.hung) this.plan();
       else this.send();
     });
   }
 
   private get hung(): boolean {
-    return this.context.sim.now < this.reporter.hungUntil;
+    return this.context.clock.now < this.source.hungUntil;
   }
 
   private send(): void {
-    const { sim, settings } = this.context;
+    const { clock, settings } = this.context;
     this.inFlight = true;
     this.dirty = false;
-    this.lastSent = sim.now;
-    this.nextAt = sim.now + settings.reportMs * sim.between(JITTER.least, JITTER.most);
-    if (!this.muted) return this.post();
-    sim.after(1, () => {
+    this.lastSent = clock.now;
+    this.nextAt =
+      clock.now + settings.heartbeatIntervalMs * clock.between(JITTER.least, JITTER.most);
+    if (!this.blocked) return this.post();
+    clock.after(1, () => {
       this.inFlight = false;
       this.tryNext();
       this.plan();
@@ -105,46 +106,47 @@
   }
 
   private post(): void {
-    const { sim, net, controllers } = this.context;
-    const { reporter } = this;
-    const sentAt = sim.now;
-    const { session } = reporter;
+    const { clock, network, controllers } = this.context;
+    const { source } = this;
+    const sentAt = clock.now;
+    const { agentEpoch } = source;
     const host = controllers[this.node] ?? '';
-    net.call(
-      reporter.id,
+    network.call(
+      source.id,
       {
         to: this.context.apiOf(host),
         method: 'POST',
         path: '/v1/report',
-        body: reporter.report(),
+        body: source.heartbeat(),
         timeoutMs: REPORT_TIMEOUT_MS,
       },
-      () => !reporter.gone,
+      () => !source.dead,
       (reply) =>
-        reporter.whenAwake(() => {
+        source.whenAwake(() => {
           this.inFlight = false;
-          this.answered(reply, session, sentAt);
+          this.answered(reply, agentEpoch, sentAt);
           this.plan();
         }),
     );
   }
 
   private answered(reply: Reply, session: number, sentAt: number): void {
-    if (reply.status === 200) this.reporter.accept(reply.body as ReportAnswer, session, sentAt);
+    if (reply.status === 200)
+      this.source.acceptResponse(reply.body as HeartbeatResponse, session, sentAt);
     else if (reply.status === 421) this.redirect((reply.body as { foreman?: string }).foreman);
     else this.tryNext();
   }
 
   private redirect(leader = ''): void {
-    const { controllers, sim } = this.context;
+    const { controllers, clock } = this.context;
     const node = controllers.indexOf(leader);
     if (node < 0 || node === this.node) return this.tryNext();
     this.node = node;
-    this.retry(sim.between(0, REDIRECT_WITHIN_MS));
+    this.retry(clock.between(0, REDIRECT_WITHIN_MS));
   }
 
   private retry(ms: number): void {
-    this.notBefore = this.nextAt = this.context.sim.now + ms;
+    this.notBefore = this.nextAt = this.context.clock.now + ms;
   }
 
   private tryNext(): void {
--- a/test/simulation/machine-context.ts
+++ b/test/simulation/machines/machine-context.ts
@@ -1,14 +1,14 @@
 /** What the simulated machines have in common: network, settings, true run times, counters. */
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Gangs } from './gangs.js';
-import type { Happenings } from './happenings.js';
-import type { Network } from './network.js';
-import type { RuleChecker } from './rule-checker.js';
-import type { Sim } from './sim.js';
+import type { ObservedEvents } from '../faults/observed-events.js';
+import type { Network } from '../network.js';
+import type { RuleChecker } from '../rules/rule-checker.js';
+import type { VirtualClock } from '../virtual-clock.js';
 
 /** Periods that the platform gives to workers, in milliseconds. */
 export interface WorkerSettings {
-  reportMs: number;
+  heartbeatIntervalMs: number;
   leaseMs: number;
   gangWaitMs: number;
   gangPeerMs: number;
@@ -16,22 +16,22 @@
 
 /** What each machine of a simulation has access to. */
 export interface MachineContext {
-  sim: Sim;
-  net: Network;
+  clock: VirtualClock;
+  network: Network;
   checker: RuleChecker;
   settings: WorkerSettings;
   /** Controllers' API by host name. */
   controllers: string[];
   apiOf(host: string): string;
-  job(id: string): JobSpec | undefined;
+  specOf(id: string): JobSpec | undefined;
   /** True run time of a task. */
   runMs(id: string): number;
   gangs: Gangs;
   /** Chance that a task fails. */
-  errors: number;
-  happenings: Happenings;
+  taskFailures: number;
+  observedEvents: ObservedEvents;
   /** How often a worker's lease has run out. */
-  leasesLost: number;
+  expiredLeases: number;
   /** Replicas of services that ended by themselves. */
   replicasEnded: number;
 }
--- a/test/simulation/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -1,10 +1,10 @@
 /** The tasks of one simulated machine: images, room, run times, saving and ends. */
-import type { MachineType } from '../../src/controller/wire/cloud.js';
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
+import type { MachineType } from '../../../src/controller/wire/cloud.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { GangMemberRunner } from './gangs.js';
 import type { MachineContext } from './machine-context.js';
-import type { Place } from './place.js';
-import { orderedTask, reportedTask, type Order, type Task } from './task.js';
+import type { Placement } from '../rules/placement.js';
+import { newTask, toHeartbeatTask, type Command, type Task } from './task.js';
 
 /** Room that rounding may hide. */
 const ROUNDING = 1e-6;
@@ -15,16 +15,16 @@
 
 /** The machine that tasks run on, as its task runner sees it. */
 export interface TaskHost {
-  readonly place: Place;
+  readonly placement: Placement;
   readonly type: MachineType;
   /** Runs the function once the machine does not hang; never after its end. */
   whenAwake(run: () => void): void;
   /** There is something new to report. */
-  changed(): void;
+  stateChanged(): void;
 }
 
 /** CPUs, GPUs and memory that no task takes. */
-interface Room {
+interface Capacity {
   cpus: number;
   gpus: number;
   memoryGb: number;
@@ -57,16 +57,16 @@
   }
 
   /** What the machine reports of its tasks. */
-  reported(): Record<string, unknown>[] {
-    return [...this.tasks.values()].map(reportedTask);
+  heartbeatTasks(): Record<string, unknown>[] {
+    return [...this.tasks.values()].map(toHeartbeatTask);
   }
 
   /** What no task takes, `except` the one given. */
-  freeRoom(except?: Task): Room {
+  freeCapacity(except?: Task): Capacity {
     const { cpus, gpus, memoryGb } = this.host.type;
     const room = { cpus, gpus, memoryGb };
     for (const task of this.tasks.values()) {
-      const spec = this.context.job(task.id);
+      const spec = this.context.specOf(task.jobId);
       if (task === except || task.status === 'exited' || spec === undefined) continue;
       room.cpus -= spec.cpus;
       room.gpus -= spec.gpus;
@@ -76,9 +76,9 @@
   }
 
   /** Carries out an order. */
-  execute(order: Order): void {
+  execute(order: Command): void {
     const existing = this.tasks.get(order.duty);
-    this.host.changed();
+    this.host.stateChanged();
     if (order.verb === 'run') this.start(order, existing);
     else if (existing?.attempt !== order.try) return;
     else if (order.verb === 'clear') {
@@ -86,23 +86,23 @@
     } else if (order.verb === 'stop') this.stop(existing, order.leeway_s ?? 0);
   }
 
-  private start(order: Order, existing: Task | undefined): void {
+  private start(order: Command, existing: Task | undefined): void {
     if (existing?.attempt === order.try) return;
     if (existing !== undefined && existing.status !== 'exited') return;
-    const task = orderedTask(order);
+    const task = newTask(order);
     this.tasks.set(order.duty, task);
-    const spec = this.context.job(task.id);
+    const spec = this.context.specOf(task.jobId);
     if (spec === undefined) return reject(task, 'unknown');
     if (!this.hasRoom(spec, task)) return reject(task, 'no_room');
     const { fetchGbPerS } = this.host.type;
     const fetchMs = this.images.has(spec.image) ? 0 : (spec.imageGb / fetchGbPerS) * 1000;
-    task.timer = this.context.sim.after(fetchMs, () =>
+    task.timer = this.context.clock.after(fetchMs, () =>
       this.host.whenAwake(() => this.begin(task, spec)),
     );
   }
 
   private hasRoom(spec: JobSpec, task: Task): boolean {
-    const { cpus, gpus, memoryGb } = this.freeRoom(task);
+    const { cpus, gpus, memoryGb } = this.freeCapacity(task);
     return (
       spec.cpus <= cpus + ROUNDING &&
       spec.gpus <= gpus + ROUNDING &&
@@ -114,31 +114,31 @@
   private begin(task: Task, spec: JobSpec): void {
     if (task.status !== 'pulling') return;
     this.images.add(spec.image);
-    task.on = true;
-    this.context.checker.taskOn(task.id, task.task, { ...this.host.place });
-    this.host.changed();
+    task.onMachine = true;
+    this.context.checker.taskStarted(task.jobId, task.index, { ...this.host.placement });
+    this.host.stateChanged();
     if (spec.kind === 'gang') this.waitForGang(task, spec);
     else if (spec.kind === 'service') this.runReplica(task);
     else this.runArrayTask(task);
   }
 
   private waitForGang(task: Task, spec: JobSpec): void {
-    const { gangs, settings, sim } = this.context;
+    const { gangs, settings, clock } = this.context;
     task.status = 'waiting';
-    task.timer = sim.after(settings.gangWaitMs, () => {
+    task.timer = clock.after(settings.gangWaitMs, () => {
       if (task.status === 'waiting') this.finish(task, 'alone');
     });
-    gangs.join(this, task, spec.tasks, this.context.runMs(task.id));
+    gangs.join(this, task, spec.tasks, this.context.runMs(task.jobId));
   }
 
   /** Replicas should not end; now and then one does. */
   private runReplica(task: Task): void {
-    const { sim } = this.context;
+    const { clock } = this.context;
     task.status = 'running';
     const { least, most } = REPLICA_SHARES;
-    const endsAfterMs = this.context.runMs(task.id) * sim.between(least, most);
-    const cause = sim.pick(['done', 'error', 'other']);
-    task.timer = sim.after(endsAfterMs, () =>
+    const endsAfterMs = this.context.runMs(task.jobId) * clock.between(least, most);
+    const cause = clock.pick(['done', 'error', 'other']);
+    task.timer = clock.after(endsAfterMs, () =>
       this.host.whenAwake(() => {
         this.context.replicasEnded++;
         this.finish(task, cause);
@@ -147,20 +147,20 @@
   }
 
   private runArrayTask(task: Task): void {
-    const { sim } = this.context;
+    const { clock } = this.context;
     task.status = 'running';
-    const fails = sim.random() < this.context.errors;
-    const endsAfterMs = this.context.runMs(task.id) * (fails ? FAILURE_SHARE : 1);
-    task.timer = sim.after(endsAfterMs, () =>
+    const fails = clock.random() < this.context.taskFailures;
+    const endsAfterMs = this.context.runMs(task.jobId) * (fails ? FAILURE_SHARE : 1);
+    task.timer = clock.after(endsAfterMs, () =>
       this.host.whenAwake(() => this.finish(task, fails ? 'error' : 'done')),
     );
   }
 
   /** The last member of the task's gang is there. */
-  gangStarts(task: Task): void {
+  startGangMember(task: Task): void {
     task.timer?.cancel();
     task.status = 'running';
-    this.host.changed();
+    this.host.stateChanged();
   }
 
   /** The task ends, if it hasn't. */
@@ -169,21 +169,21 @@
     task.timer?.cancel();
     task.status = 'exited';
     task.cause = cause;
-    if (cause === 'done') this.context.checker.taskDone(task.id, task.task);
+    if (cause === 'done') this.context.checker.taskCompleted(task.jobId, task.index);
     this.off(task);
-    this.host.changed();
+    this.host.stateChanged();
   }
 
   private off(task: Task): void {
     const { checker, gangs, settings } = this.context;
-    if (task.on) checker.taskOff(task.id, task.task, this.host.place.machine);
-    task.on = false;
+    if (task.onMachine) checker.taskStopped(task.jobId, task.index, this.host.placement.machine);
+    task.onMachine = false;
     gangs.leave(task, settings.gangPeerMs);
   }
 
   private stop(task: Task, graceS: number): void {
     if (task.status === 'exited') return;
-    const spec = this.context.job(task.id);
+    const spec = this.context.specOf(task.jobId);
     const saves =
       spec !== undefined &&
       spec.checkpointIntervalS > 0 &&
@@ -193,8 +193,8 @@
     if (!saves) return this.finish(task, 'stopped');
     task.status = 'flushing';
     task.timer?.cancel();
-    task.timer = this.context.sim.after(spec.checkpointSaveS * 1000, () => {
-      task.saved = true;
+    task.timer = this.context.clock.after(spec.checkpointSaveS * 1000, () => {
+      task.checkpointed = true;
       this.finish(task, 'stopped');
     });
   }
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -1,66 +1,66 @@
 /** The network between the hosts of a simulation. */
 import type { Call, Reply } from '../../src/controller/runtime/runtime.js';
 import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
-import type { Sim } from './sim.js';
+import type { VirtualClock } from './virtual-clock.js';
 
 /** Sends the answer to a request. */
 export type Respond = (reply: Reply) => void;
 
 /** A request as it arrives. */
-export interface Arrival {
+export interface IncomingRequest {
   method: string;
   path: string;
   bytes: Buffer;
   /** The network delivers it once more, much later than it was sent. */
-  copy: boolean;
+  duplicate: boolean;
   /** What the bytes say; undefined if there are none. */
   body(): unknown;
 }
 
 /** What listens at an address. */
-export type Service = (from: string, request: Arrival, respond: Respond) => void;
+export type RequestHandler = (from: string, request: IncomingRequest, respond: Respond) => void;
 
 /** Messages on a cut way are held back until it heals, or lost. */
-export type Cut = 'hold' | 'reset';
+export type CutMode = 'hold' | 'reset';
 
 const NO_BYTES = Buffer.alloc(0);
 
 /** What the caller gets where no reply comes. */
 const NO_REPLY: Reply = { status: 0, body: null };
 
-function arrivalOf(call: Call): Arrival {
+function toIncomingRequest(call: Call): IncomingRequest {
   const bytes = call.body === undefined ? NO_BYTES : encodeBody(call.body);
   return {
-    ...{ method: call.method, path: call.path, bytes, copy: false },
+    ...{ method: call.method, path: call.path, bytes, duplicate: false },
     body: () => (bytes.length === 0 ? undefined : decodeBody(bytes)),
   };
 }
 
 /** Delays, cuts, late and doubled messages between named hosts. */
 export class Network {
-  private readonly services = new Map<string, { host: string; serve: Service }>();
-  private readonly cuts = new Map<string, Cut>();
+  private readonly services = new Map<string, { host: string; serve: RequestHandler }>();
+  private readonly cuts = new Map<string, CutMode>();
   private held: { from: string; to: string; run: () => void }[] = [];
   /** Chance that a request arrives a second time, much later. */
-  doubled = 0;
+  duplicated = 0;
   /** How late such a copy may be. */
-  latestMs = 40_000;
+  maxDuplicateDelayMs = 40_000;
   /** Share of the workers' reports of which a copy arrives again, and how many have. */
-  copiedReports = 0;
-  copies = 0;
+  duplicatedHeartbeats = 0;
+  duplicatesDelivered = 0;
   /** Share of the direct commands that are held up on their way, and how many arrived late. */
-  lateCommands = 0;
-  commandsLate = 0;
+  delayedCommands = 0;
+  delayedCommandsDelivered = 0;
   /** Share of the workers' reports of which a copy is kept for the next leader. */
-  keptReports = 0;
-  private kept: { from: string; arrival: Arrival }[] = [];
+  retainedHeartbeats = 0;
+  private kept: { from: string; arrival: IncomingRequest }[] = [];
   /** Messages take up to this long; milliseconds. */
-  latencyMs = 2;
+  maxLatencyMs = 2;
 
-  constructor(private readonly sim: Sim) {}
+  constructor(private readonly clock: VirtualClock) {}
 
   /** `serve` answers requests to the address, which is on `host`. */
-  listen(address: string, host: string, serve: Service): void {
+  listen(address: string, host: string, serve: RequestHandler): void {
     this.services.set(address, { host, serve });
   }
 
@@ -70,13 +70,13 @@
   }
 
   /** Nothing goes from either host to the other. */
-  cut(a: string, b: string, mode: Cut): void {
-    this.cutWay(a, b, mode);
-    this.cutWay(b, a, mode);
+  cut(a: string, b: string, mode: CutMode): void {
+    this.cutOneWay(a, b, mode);
+    this.cutOneWay(b, a, mode);
   }
 
   /** Nothing goes from one to the other; the other way is open. */
-  cutWay(from: string, to: string, mode: Cut): void {
+  cutOneWay(from: string, to: string, mode: CutMode): void {
     this.cuts.set(`${from} ${to}`, mode);
   }
 
@@ -87,20 +87,20 @@
     if (this.held.length === 0) return;
     const released = this.held.filter((h) => !this.cuts.has(`${h.from} ${h.to}`));
     this.held = this.held.filter((h) => this.cuts.has(`${h.from} ${h.to}`));
-    for (const h of released) this.sim.after(this.sim.between(0.2, 3), h.run);
+    for (const h of released) this.clock.after(this.clock.between(0.2, 3), h.run);
   }
 
-  private cutOf(from: string, to: string): Cut | undefined {
+  private cutOf(from: string, to: string): CutMode | undefined {
     return this.cuts.size === 0 ? undefined : this.cuts.get(`${from} ${to}`);
   }
 
   /** Delivers, holds back or loses. `lost` is called if the sender would notice. */
   send(from: string, to: string, run: () => void, lost: () => void): void {
     const cut = this.cutOf(from, to);
-    if (cut === 'reset') this.sim.after(1, lost);
+    if (cut === 'reset') this.clock.after(1, lost);
     else if (cut === 'hold') this.held.push({ from, to, run });
     else {
-      this.sim.after(this.sim.between(0.2, this.latencyMs), () => {
+      this.clock.after(this.clock.between(0.2, this.maxLatencyMs), () => {
         // A cut may have come while the message was under way.
         const now = this.cutOf(from, to);
         if (now === undefined) run();
@@ -111,25 +111,25 @@
   }
 
   /** The copies kept so far arrive at all the addresses given, within a moment after the time given. */
-  deliverKept(addresses: readonly string[], afterMs: number): void {
+  deliverRetained(addresses: readonly string[], afterMs: number): void {
     const { kept } = this;
     this.kept = [];
     for (const { from, arrival } of kept)
       for (const address of addresses)
-        this.sim.after(afterMs + this.sim.between(0, 50), () => {
+        this.clock.after(afterMs + this.clock.between(0, 50), () => {
           const service = this.services.get(address);
           if (service === undefined) return;
-          this.copies++;
+          this.duplicatesDelivered++;
           service.serve(from, arrival, () => undefined);
         });
   }
 
   /** Whether the command is held up; it then arrives once, 2 to 16 s late, and is not answered. */
   private holdsUp(call: Call, deliver: (respond: Respond) => void): boolean {
-    if (call.path !== '/do' || this.lateCommands === 0) return false;
-    if (this.sim.random() >= this.lateCommands) return false;
-    this.sim.after(this.sim.between(2000, 16_000), () => {
-      this.commandsLate++;
+    if (call.path !== '/do' || this.delayedCommands === 0) return false;
+    if (this.clock.random() >= this.delayedCommands) return false;
+    this.clock.after(this.clock.between(2000, 16_000), () => {
+      this.delayedCommandsDelivered++;
       deliver(() => undefined);
     });
     return true;
@@ -140,11 +140,11 @@
     const finish = this.settleOnce(call.timeoutMs, alive, done);
     const target = this.services.get(call.to);
     if (target === undefined) {
-      this.sim.after(1, () => finish(NO_REPLY));
+      this.clock.after(1, () => finish(NO_REPLY));
       return;
     }
-    const arrival = arrivalOf(call);
-    const deliver = (request: Arrival, respond: Respond): void =>
+    const arrival = toIncomingRequest(call);
+    const deliver = (request: IncomingRequest, respond: Respond): void =>
       this.deliver(from, call.to, request, respond);
     if (this.holdsUp(call, (respond) => deliver(arrival, respond))) return;
     const respond = (reply: Reply): void => this.sendReply(target.host, from, reply, finish);
@@ -170,11 +170,11 @@
       timer.cancel();
       if (alive()) done(reply);
     };
-    const timer = this.sim.after(timeoutMs, () => finish(NO_REPLY));
+    const timer = this.clock.after(timeoutMs, () => finish(NO_REPLY));
     return finish;
   }
 
-  private deliver(from: string, address: string, request: Arrival, respond: Respond): void {
+  private deliver(from: string, address: string, request: IncomingRequest, respond: Respond): void {
     const service = this.services.get(address);
     if (service === undefined) respond(NO_REPLY);
     else service.serve(from, request, respond);
@@ -194,19 +194,20 @@
   private copyRequest(
     from: string,
     call: Call,
-    arrival: Arrival,
-    deliver: (request: Arrival, respond: Respond) => void,
+    arrival: IncomingRequest,
+    deliver: (request: IncomingRequest, respond: Respond) => void,
   ): void {
     const copy = (fromMs: number): void => {
-      this.sim.after(this.sim.between(fromMs, this.latestMs), () => {
-        this.copies++;
-        deliver({ ...arrival, copy: true }, () => undefined);
+      this.clock.after(this.clock.between(fromMs, this.maxDuplicateDelayMs), () => {
+        this.duplicatesDelivered++;
+        deliver({ ...arrival, duplicate: true }, () => undefined);
       });
     };
-    if (call.method === 'POST' && this.doubled > 0 && this.sim.random() < this.doubled) copy(5);
-    if (this.copiedReports > 0 && call.path === '/v1/report')
-      if (this.sim.random() < this.copiedReports) copy(2000);
-    if (this.keptReports > 0 && call.path === '/v1/report')
-      if (this.sim.random() < this.keptReports) this.kept.push({ from, arrival });
+    if (call.method === 'POST' && this.duplicated > 0 && this.clock.random() < this.duplicated)
+      copy(5);
+    if (this.duplicatedHeartbeats > 0 && call.path === '/v1/report')
+      if (this.clock.random() < this.duplicatedHeartbeats) copy(2000);
+    if (this.retainedHeartbeats > 0 && call.path === '/v1/report')
+      if (this.clock.random() < this.retainedHeartbeats) this.kept.push({ from, arrival });
   }
 }
--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -1,7 +1,7 @@
 /** Clock, timers and network as one controller process sees them. */
 import type { Call, Runtime, Reply, Timer } from '../../src/controller/runtime/runtime.js';
 import type { Network } from './network.js';
-import type { Sim } from './sim.js';
+import type { VirtualClock } from './virtual-clock.js';
 
 /** What a controller process runs on; everything stops when the process is killed. */
 export class ProcessRuntime implements Runtime {
@@ -13,26 +13,26 @@
   readonly startedAt: number;
 
   constructor(
-    private readonly sim: Sim,
-    private readonly net: Network,
+    private readonly clock: VirtualClock,
+    private readonly network: Network,
     private readonly host: string,
     private readonly peers: Map<string, (bytes: Buffer) => void>,
   ) {
-    this.drift = 1 + sim.between(0, 0.0005);
-    this.offset = sim.between(0, 1e6);
+    this.drift = 1 + clock.between(0, 0.0005);
+    this.offset = clock.between(0, 1e6);
     this.startedAt = this.now();
   }
 
   now(): number {
-    return this.offset + this.sim.now * this.drift;
+    return this.offset + this.clock.now * this.drift;
   }
 
   wallClock(): number {
-    return 1.7e12 + this.sim.now;
+    return 1.7e12 + this.clock.now;
   }
 
   random(): number {
-    return this.sim.random();
+    return this.clock.random();
   }
 
   defer(fn: () => void): void {
@@ -40,35 +40,35 @@
   }
 
   startTimer(ms: number, fn: () => void): Timer {
-    return this.sim.after(ms / this.drift, () => this.whenAwake(fn));
+    return this.clock.after(ms / this.drift, () => this.whenAwake(fn));
   }
 
   /** The process stands still for a time. */
   freeze(ms: number): void {
-    this.frozenUntil = Math.max(this.frozenUntil, this.sim.now + ms);
+    this.frozenUntil = Math.max(this.frozenUntil, this.clock.now + ms);
   }
 
   /** Runs the function now, or once the process no longer stands still; never after its end. */
   whenAwake(fn: () => void): void {
     if (!this.alive) return;
-    if (this.sim.now >= this.frozenUntil) fn();
-    else this.sim.after(this.frozenUntil - this.sim.now, () => this.whenAwake(fn));
+    if (this.clock.now >= this.frozenUntil) fn();
+    else this.clock.after(this.frozenUntil - this.clock.now, () => this.whenAwake(fn));
   }
 
   call(call: Call, done: (reply: Reply) => void): void {
     if (!this.alive) return;
     const later = (r: Reply): void => this.whenAwake(() => done(r));
-    this.net.call(this.host, call, () => this.alive, later);
+    this.network.call(this.host, call, () => this.alive, later);
   }
 
   /** Now and then sockets are short. */
   hasSpareConnection(): boolean {
-    return this.sim.random() < 0.95;
+    return this.clock.random() < 0.95;
   }
 
   sendPeer(host: string, frame: Buffer): void {
     if (!this.alive) return;
-    this.net.send(
+    this.network.send(
       this.host,
       host,
       () => this.peers.get(host)?.(frame),
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -1,12 +1,12 @@
 /** The controller processes of a simulation: starts, ends, standstills, and what they log. */
 import type { Controller } from '../../src/controller/controller.js';
 import type { Logger } from '../../src/controller/runtime/runtime.js';
-import { oneOf } from '../platform.js';
+import { platformOf } from '../platform.js';
 import type { Network } from './network.js';
 import { ProcessRuntime } from './process-runtime.js';
-import type { Deployment } from './deployment.js';
-import type { Sim } from './sim.js';
-import type { Version } from './version.js';
+import type { Deployment } from './deployments/deployment.js';
+import type { VirtualClock } from './virtual-clock.js';
+import type { ProgramVersion } from './program-version.js';
 
 /** How long a process is away in a rolling restart. */
 const ROLL_RESTART_MS = 6000;
@@ -25,31 +25,31 @@
   /** Errors that controllers have logged. */
   readonly errors: string[] = [];
   /** How often the controllers have logged each text. */
-  readonly said = new Map<string, number>();
+  readonly logCounts = new Map<string, number>();
   /** The versions of the leaders, in the order of their elections. */
-  readonly elected: Version[] = [];
+  readonly electedVersions: ProgramVersion[] = [];
   private readonly processes = new Map<string, Process>();
   private readonly peers = new Map<string, (bytes: Buffer) => void>();
   private starts = 0;
 
   constructor(
-    private readonly sim: Sim,
-    private readonly net: Network,
+    private readonly clock: VirtualClock,
+    private readonly network: Network,
     private readonly deployment: Deployment,
     private readonly apiOf: (host: string) => string,
     private readonly log: Logger,
     /** What a host's process runs; asked whenever one starts. */
-    private readonly versionOf: (host: string) => Version,
+    private readonly versionOf: (host: string) => ProgramVersion,
   ) {}
 
   /** Starts the host's process, unless it runs. */
   start(host: string): void {
     if (this.processes.has(host)) return;
-    const runtime = new ProcessRuntime(this.sim, this.net, host, this.peers);
+    const runtime = new ProcessRuntime(this.clock, this.network, host, this.peers);
     const version = this.versionOf(host);
     const { hosts, platform } = this.deployment;
     const settings = new version.Settings(
-      oneOf(hosts, host, platform, version.readPlatform),
+      platformOf(hosts, host, platform, version.readPlatform),
       version.properties,
     );
     const name = `${host}-${this.starts++}`;
@@ -61,7 +61,7 @@
 
   private connect(host: string, { controller, runtime }: Process): void {
     this.peers.set(host, (bytes) => runtime.whenAwake(() => controller.peerFrame(bytes)));
-    this.net.listen(this.apiOf(host), host, (_, request, respond) => {
+    this.network.listen(this.apiOf(host), host, (_, request, respond) => {
       runtime.whenAwake(() => {
         controller.request(request.method, request.path, request.bytes, (answer) => {
           if (runtime.alive) respond({ status: answer.status, body: answer.body ?? null });
@@ -70,12 +70,12 @@
     });
   }
 
-  private observedLog(version: Version): Logger {
+  private observedLog(version: ProgramVersion): Logger {
     return {
       ...this.log,
       info: (fields, text) => {
-        this.said.set(text, (this.said.get(text) ?? 0) + 1);
-        if (text === 'elected leader') this.elected.push(version);
+        this.logCounts.set(text, (this.logCounts.get(text) ?? 0) + 1);
+        if (text === 'elected leader') this.electedVersions.push(version);
         for (const logged of this.onLog) logged(text, fields);
         this.log.info(fields, text);
       },
@@ -99,7 +99,7 @@
   }
 
   /** The hosts that answer workers, each as it believes itself entitled to. */
-  answering(): string[] {
+  answeringWorkers(): string[] {
     return [...this.processes]
       .filter(([, { controller }]) => controller.mayAnswerWorkers)
       .map(([host]) => host);
@@ -113,25 +113,25 @@
     process.runtime.alive = false;
     this.processes.delete(host);
     this.peers.delete(host);
-    this.net.remove(this.apiOf(host));
-    this.sim.after(restartMs, () => this.start(host));
+    this.network.remove(this.apiOf(host));
+    this.clock.after(restartMs, () => this.start(host));
   }
 
   /** The leader ends, and so do those who follow, each in the midst of its election; all are soon back. */
   killElected(times = 4, overMs = 6000): void {
-    const { sim } = this;
+    const { clock } = this;
     let left = times;
     const again = (): void => {
-      for (const host of this.leaders()) this.kill(host, sim.between(50, 400));
-      if (--left > 0) sim.after(sim.between(20, (2 * overMs) / times), again);
+      for (const host of this.leaders()) this.kill(host, clock.between(50, 400));
+      if (--left > 0) clock.after(clock.between(20, (2 * overMs) / times), again);
     };
     again();
   }
 
   /** The processes are restarted one after the other. */
-  roll(everyMs: number): void {
+  rollingRestart(everyMs: number): void {
     for (const [index, host] of this.deployment.hosts.entries())
-      this.sim.after(index * everyMs, () => this.kill(host, ROLL_RESTART_MS));
+      this.clock.after(index * everyMs, () => this.kill(host, ROLL_RESTART_MS));
   }
 
   /** The host's process stands still. */
--- a/test/simulation/production.ts
+++ b/test/simulation/production.ts
@@ -5,7 +5,7 @@
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { parse } from 'smol-toml';
 import type { Runtime, Timer } from '../../src/controller/runtime/runtime.js';
-import type { Version } from './version.js';
+import type { ProgramVersion } from './program-version.js';
 
 type ControllerClass = typeof import('../../src/controller/controller.js').Controller;
 type ControllerArgumentsAfterRuntime =
@@ -21,7 +21,7 @@
   name: string;
   /** Whether it knows jobs of the kind `service`, and writes within limits that the state service will have. */
   knowsServicesAndLimits: boolean;
-  version: Version;
+  version: ProgramVersion;
 }
 
 /** An older version, or why it can't be had. */
@@ -108,7 +108,7 @@
 }
 
 /** Loads the sources of a commit beside the present ones. */
-async function load(name: string, commit: string): Promise<Version> {
+async function load(name: string, commit: string): Promise<ProgramVersion> {
   const base = pathToFileURL(join(extracted(commit), 'src', 'controller')).href;
   const { Controller } = (await import(`${base}/controller.ts`)) as ControllerModule;
   const platform = (await import(`${base}/settings/platform.ts`)) as PlatformModule;
--- a/test/simulation/version.ts
+++ b/test/simulation/program-version.ts
@@ -5,7 +5,7 @@
 import { Settings } from '../../src/controller/settings/settings.js';
 
 /** The program that a controller's process runs, and its operators' settings. */
-export interface Version {
+export interface ProgramVersion {
   name: string;
   Controller: typeof Controller;
   Settings: typeof Settings;
@@ -14,6 +14,6 @@
 }
 
 /** The sources as they are here. */
-export function present(properties = defaultProperties()): Version {
+export function presentVersion(properties = defaultProperties()): ProgramVersion {
   return { name: 'present', Controller, Settings, readPlatform, properties };
 }
--- a/test/simulation/room.ts
+++ b/test/simulation/rules/capacity.ts
@@ -1,17 +1,17 @@
 /** Whether machines have room for a job. */
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import type { FreeRoom } from './place.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
+import type { FreeCapacity } from './placement.js';
 
 /** Room that rounding may hide. */
 const ROUNDING = 1e-6;
 
 /** Tasks of which a job needs room for at one time: a gang for all, others for one. */
-export function tasksToStart(spec: JobSpec): number {
+export function tasksStartedTogether(spec: JobSpec): number {
   return spec.kind === 'gang' ? spec.tasks : 1;
 }
 
 /** Whether the job's next tasks could be on these machines. */
-export function hasRoom(spec: JobSpec, free: readonly FreeRoom[]): boolean {
+export function hasCapacity(spec: JobSpec, free: readonly FreeCapacity[]): boolean {
   const zones = new Map<string, number>();
   for (const machine of free) {
     if (!maySelect(spec, machine)) continue;
@@ -19,19 +19,19 @@
     zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + tasks);
   }
   const counts = [...zones.values()];
-  const wanted = tasksToStart(spec);
+  const wanted = tasksStartedTogether(spec);
   if (spec.singleZone) return Math.max(0, ...counts) >= wanted;
   const perZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
   return counts.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= wanted;
 }
 
-function maySelect(spec: JobSpec, machine: FreeRoom): boolean {
-  if (machine.recalled || (machine.spot && !spec.spot)) return false;
+function maySelect(spec: JobSpec, machine: FreeCapacity): boolean {
+  if (machine.interruptionNotice || (machine.spot && !spec.spot)) return false;
   if (spec.types !== null && !spec.types.includes(machine.type)) return false;
   return spec.zone === null || spec.zone === machine.zone;
 }
 
-function tasksOn(spec: JobSpec, machine: FreeRoom): number {
+function tasksOn(spec: JobSpec, machine: FreeCapacity): number {
   return Math.min(
     timesIn(machine.cpus, spec.cpus),
     timesIn(machine.gpus, spec.gpus),
--- a/test/simulation/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -1,5 +1,5 @@
 /** Which groups of jobs were served too little on a day as a whole. */
-import type { JobRecord } from './job-record.js';
+import type { ObservedJob } from './observed-job.js';
 
 /** The largest jobs of a class have to begin within this time. */
 const LARGEST_MS = 240_000;
@@ -11,7 +11,7 @@
  * every class's largest jobs is served, and the largest begin within four minutes. Returns where
  * that is not so.
  */
-export function neglectedJobs(jobs: readonly JobRecord[]): string[] {
+export function findNeglectedJobs(jobs: readonly ObservedJob[]): string[] {
   const found: string[] = [];
   for (const [team, ofTeam] of groupBy(jobs, (job) => job.spec.team))
     found.push(...halfUnserved(`team ${team}`, ofTeam));
@@ -26,24 +26,24 @@
 }
 
 function groupBy(
-  jobs: readonly JobRecord[],
-  key: (job: JobRecord) => string,
-): Map<string, JobRecord[]> {
-  const groups = new Map<string, JobRecord[]>();
+  jobs: readonly ObservedJob[],
+  key: (job: ObservedJob) => string,
+): Map<string, ObservedJob[]> {
+  const groups = new Map<string, ObservedJob[]>();
   for (const job of jobs) groups.set(key(job), [...(groups.get(key(job)) ?? []), job]);
   return groups;
 }
 
-function halfUnserved(name: string, jobs: readonly JobRecord[]): string[] {
-  const done = jobs.filter((job) => job.done.size >= job.spec.tasks).length;
+function halfUnserved(name: string, jobs: readonly ObservedJob[]): string[] {
+  const done = jobs.filter((job) => job.completedTasks.size >= job.spec.tasks).length;
   return done < jobs.length / 2 ? [`${name}: ${done} of ${jobs.length} served`] : [];
 }
 
-function largestOf(jobs: readonly JobRecord[]): JobRecord[] {
+function largestOf(jobs: readonly ObservedJob[]): ObservedJob[] {
   const count = Math.max(1, Math.floor(jobs.length * LARGEST_SHARE));
   return [...jobs].sort((a, b) => b.spec.tasks - a.spec.tasks).slice(0, count);
 }
 
-function beganLate(job: JobRecord): boolean {
-  return (job.begunAt ?? Infinity) - job.submittedAt > LARGEST_MS;
+function beganLate(job: ObservedJob): boolean {
+  return (job.startedAt ?? Infinity) - job.submittedAt > LARGEST_MS;
 }
--- a/test/simulation/place.ts
+++ b/test/simulation/rules/placement.ts
@@ -1,7 +1,7 @@
 /** Machines as the rule checker sees them. */
 
 /** Where a task is. */
-export interface Place {
+export interface Placement {
   machine: string;
   type: string;
   zone: string;
@@ -9,11 +9,11 @@
 }
 
 /** What a machine has free. */
-export interface FreeRoom {
+export interface FreeCapacity {
   type: string;
   zone: string;
   spot: boolean;
-  recalled: boolean;
+  interruptionNotice: boolean;
   cpus: number;
   gpus: number;
   memoryGb: number;
--- a/test/simulation/team-usage.ts
+++ b/test/simulation/rules/team-usage.ts
@@ -1,6 +1,6 @@
 /** What the teams' tasks take on machines, and the teams' limits. */
-import type { Team } from '../../src/controller/settings/platform.js';
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
+import type { Team } from '../../../src/controller/settings/platform.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 
 /** Amounts that rounding may hide. */
 const ROUNDING = 1e-6;
--- a/test/simulation/takeover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -1,6 +1,12 @@
 /** Fault scenarios about what is under way when the lead passes on. */
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import { cancelled, leaders, leasesLost, longJobs, type FaultScenario } from './fault-scenario.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
+import {
+  cancelledWhileRunning,
+  failovers,
+  expiredLeases,
+  longJobs,
+  type FaultScenario,
+} from './fault-scenario.js';
 
 /** Work of which a few jobs take all that a team may use. */
 const atLimit: Partial<JobSpec> = {
@@ -9,136 +15,149 @@
 };
 
 /** What is under way when the lead passes on: new machines, limits, commands, reports, restarts. */
-export const takeoverScenarios: FaultScenario[] = [
+export const failoverScenarios: FaultScenario[] = [
   {
     name: 'a zone with workers and a follower is cut off for longer than lease_s',
     jobs: longJobs,
-    count: 16,
+    jobCount: 16,
     faults: (between) => [
       { kind: 'zone cut', zone: 'a', inside: 'follower', at: 0, for: between(21, 70) },
       { kind: 'cancelled', count: 5, at: between(4, 12) },
       { kind: 'jobs', count: 6, at: 8 },
-      { kind: 'ended', who: 'leader', back: between(0.2, 6), at: between(5, 15) },
+      { kind: 'ended', who: 'leader', restartAfter: between(0.2, 6), at: between(5, 15) },
     ],
-    happened: (w) => ({ leaders: leaders(w), cancelled: cancelled(w), lost: leasesLost(w) }),
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      cancelled: cancelledWhileRunning(simulation),
+      lost: expiredLeases(simulation),
+    }),
   },
   {
     name: 'new machines up at once and put to work while writes lag, and the leader ends',
     jobs: { ...longJobs, estimatedRunS: 30, cpus: 4, gpus: 1 },
-    count: 10,
+    jobCount: 10,
     faults: (between) => [
       { kind: 'quick boots', at: 0, for: 100 },
       { kind: 'machines lost', share: 0.4, at: 0 },
       { kind: 'slow', at: 0, for: 100 },
       { kind: 'late writes', share: 0.2, at: 0, for: 60 },
       { kind: 'jobs', count: 12, at: 1 },
-      { kind: 'ended beside new machines', back: between(0.1, 6), at: 0, for: 60 },
+      { kind: 'ended beside new machines', restartAfter: between(0.1, 6), at: 0, for: 60 },
       { kind: 'jobs', count: 12, at: 30 },
       { kind: 'machines lost', share: 0.4, at: 35 },
     ],
-    happened: (w) => ({
-      leaders: leaders(w),
-      ended: w.happenings.count('leader ended beside a new machine'),
-      work: w.happenings.count('work on a new machine'),
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      ended: simulation.observedEvents.count('leader ended beside a new machine'),
+      work: simulation.observedEvents.count('work on a new machine'),
     }),
   },
   {
     name: 'every team at its limit, cancellations whose machines are cut or hang, a new leader',
     jobs: { ...atLimit, team: 'red' },
-    count: 3,
+    jobCount: 3,
     faults: (between) => [
-      { kind: 'jobs', count: 4, like: { ...atLimit, team: 'blue' }, at: 0 },
+      { kind: 'jobs', count: 4, template: { ...atLimit, team: 'blue' }, at: 0 },
       { kind: 'cancelled', count: 2, cut: between(5, 50), at: 45 },
-      { kind: 'ended', who: 'leader', back: between(0.2, 6), at: between(44.5, 47) },
-      { kind: 'jobs', count: 2, like: { ...atLimit, team: 'red' }, at: 46 },
-      { kind: 'jobs', count: 2, like: { ...atLimit, team: 'blue' }, at: 46 },
+      { kind: 'ended', who: 'leader', restartAfter: between(0.2, 6), at: between(44.5, 47) },
+      { kind: 'jobs', count: 2, template: { ...atLimit, team: 'red' }, at: 46 },
+      { kind: 'jobs', count: 2, template: { ...atLimit, team: 'blue' }, at: 46 },
       { kind: 'cancelled', count: 2, hang: between(5, 40), at: 75 },
-      { kind: 'ended', who: 'leader', back: between(0.2, 6), at: between(74.5, 77) },
+      { kind: 'ended', who: 'leader', restartAfter: between(0.2, 6), at: between(74.5, 77) },
     ],
-    happened: (w) => ({
-      leaders: leaders(w),
-      cancelled: w.happenings.count('cancelled with every team at its limit'),
-      ended: w.happenings.count('leader ended with every team at its limit'),
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      cancelled: simulation.observedEvents.count('cancelled with every team at its limit'),
+      ended: simulation.observedEvents.count('leader ended with every team at its limit'),
     }),
   },
   {
     name: "cancellations while one controller's work changes hands",
     jobs: longJobs,
-    count: 16,
+    jobCount: 16,
     faults: () => [
       { kind: 'cancelled at hand-overs', count: 2, at: 0, for: 120 },
       { kind: 'no workers', who: 'leader', at: 0, for: 20 },
       { kind: 'no workers', who: 'leader', at: 35, for: 15 },
-      { kind: 'jobs', count: 6, like: longJobs, at: 40 },
+      { kind: 'jobs', count: 6, template: longJobs, at: 40 },
       { kind: 'no workers', who: 'leader', at: 65, for: 15 },
     ],
-    happened: (w) => ({
-      leaders: leaders(w) - 1,
-      cancelled: w.happenings.count('cancelled at a hand-over'),
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation) - 1,
+      cancelled: simulation.observedEvents.count('cancelled at a hand-over'),
     }),
   },
   {
     name: "direct commands of ended and deposed leaders arrive after the next one's",
     jobs: { estimatedRunS: 12 },
-    count: 16,
+    jobCount: 16,
     faults: (between) => [
       { kind: 'late commands', share: 0.4, at: 0, for: 90 },
       { kind: 'jobs', count: 8, at: 1 },
-      { kind: 'ended', who: 'leader', back: 0.3, at: 3 },
+      { kind: 'ended', who: 'leader', restartAfter: 0.3, at: 3 },
       { kind: 'cancelled', count: 3, at: 4 },
       { kind: 'jobs', count: 8, at: 20 },
       { kind: 'isolated', who: 'leader', at: between(21, 23), for: 25 },
       { kind: 'cancelled', count: 3, elsewhere: true, at: 24 },
       { kind: 'jobs', count: 8, at: 55 },
-      { kind: 'ended', who: 'leader', back: between(0.1, 6), at: between(56, 58) },
+      { kind: 'ended', who: 'leader', restartAfter: between(0.1, 6), at: between(56, 58) },
     ],
-    happened: (w) => ({
-      late: w.net.commandsLate,
-      older: w.happenings.count('direct command of an older leader'),
-      leaders: leaders(w) - 1,
+    expectedEvents: (simulation) => ({
+      late: simulation.network.delayedCommandsDelivered,
+      older: simulation.observedEvents.count('direct command of an older leader'),
+      leaders: failovers(simulation) - 1,
     }),
   },
   ...[0, 4].map((after): FaultScenario => ({
     name: `reports kept for the next leader, which arrive ${after} s after its election`,
     jobs: { estimatedRunS: 12 },
-    count: 16,
+    jobCount: 16,
     faults: (between) => [
       { kind: 'reports for the next leader', share: 0.5, after, at: 0, for: 120 },
       { kind: 'jobs', count: 8, at: 2 },
-      { kind: 'ended', who: 'leader', back: 0.3, at: between(8, 12) },
+      { kind: 'ended', who: 'leader', restartAfter: 0.3, at: between(8, 12) },
       { kind: 'machines cut', share: 0.3, at: 15, for: between(5, 30) },
-      { kind: 'ended', who: 'leader', back: 6, at: between(25, 35) },
+      { kind: 'ended', who: 'leader', restartAfter: 6, at: between(25, 35) },
       { kind: 'jobs', count: 8, at: 36 },
       { kind: 'cancelled', count: 3, at: 40 },
       { kind: 'isolated', who: 'leader', at: between(45, 50), for: 20 },
     ],
-    happened: (w) => ({ copies: w.net.copies - 20, leaders: leaders(w) - 1 }),
+    expectedEvents: (simulation) => ({
+      copies: simulation.network.duplicatesDelivered - 20,
+      leaders: failovers(simulation) - 1,
+    }),
   })),
   {
     name: 'machines and processes back within a second, in the midst of elections too',
     jobs: { estimatedRunS: 25 },
-    count: 16,
+    jobCount: 16,
     faults: (between) => [
-      { kind: 'machines restart', share: 0.5, back: between(0.1, 0.9), at: 0 },
+      { kind: 'machines restart', share: 0.5, restartAfter: between(0.1, 0.9), at: 0 },
       { kind: 'elections', at: 1, for: 30 },
-      { kind: 'machines restart', share: 0.5, back: between(0.1, 0.9), at: 10 },
+      { kind: 'machines restart', share: 0.5, restartAfter: between(0.1, 0.9), at: 10 },
       { kind: 'cancelled', count: 3, at: 11 },
       { kind: 'jobs', count: 8, at: 20 },
-      { kind: 'ended', who: 'all', back: between(0.1, 0.9), at: 40 },
-      { kind: 'machines restart', share: 0.5, back: between(0.1, 0.9), at: 40 },
+      { kind: 'ended', who: 'all', restartAfter: between(0.1, 0.9), at: 40 },
+      { kind: 'machines restart', share: 0.5, restartAfter: between(0.1, 0.9), at: 40 },
     ],
-    happened: (w) => ({ leaders: leaders(w) - 3, cancelled: cancelled(w) }),
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation) - 3,
+      cancelled: cancelledWhileRunning(simulation),
+    }),
   },
   {
     name: 'arrays bound to one zone lose machines and a leader',
     jobs: { ...longJobs, estimatedRunS: 60, zone: 'a' },
-    count: 14,
+    jobCount: 14,
     faults: (between) => [
       { kind: 'machines cut', share: 0.4, at: 2, for: between(20, 60) },
       { kind: 'machines lost', share: 0.3, at: between(4, 10) },
-      { kind: 'ended', who: 'leader', back: between(0.2, 6), at: between(8, 20) },
+      { kind: 'ended', who: 'leader', restartAfter: between(0.2, 6), at: between(8, 20) },
       { kind: 'cancelled', count: 3, at: between(4, 10) },
     ],
-    happened: (w) => ({ leaders: leaders(w), cancelled: cancelled(w) }),
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      cancelled: cancelledWhileRunning(simulation),
+    }),
   },
 ];
--- a/test/simulation/fault-scenario.ts
+++ b/test/simulation/scenarios/fault-scenario.ts
@@ -1,21 +1,21 @@
 /** What a fault scenario consists of, and counters that show that it came about. */
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import type { Deployment } from './deployment.js';
-import type { Fault } from './faults.js';
-import type { Simulation } from './simulation.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
+import type { Deployment } from '../deployments/deployment.js';
+import type { Fault } from '../faults/faults.js';
+import type { Simulation } from '../simulation.js';
 
 /** Faults that coincide, and what shows that they did. */
 export interface FaultScenario {
   name: string;
   /** What the jobs of the day have in common; the rest is drawn. */
   jobs: Partial<JobSpec>;
-  count: number;
+  jobCount: number;
   /** Where it is played, if not in the small deployment. */
   deployment?: Deployment;
   /** In seconds from when the first work runs; `between` draws. */
   faults(between: (from: number, to: number) => number): Fault[];
   /** Each must have happened at least once. */
-  happened(w: Simulation): Record<string, number>;
+  expectedEvents(simulation: Simulation): Record<string, number>;
 }
 
 /** Work that has long to go, and of which all can run at one time. */
@@ -25,10 +25,13 @@
 };
 
 /** How often a leader was elected after the first. */
-export const leaders = (w: Simulation): number => (w.said.get('elected leader') ?? 0) - 1;
+export const failovers = (simulation: Simulation): number =>
+  (simulation.logCounts.get('elected leader') ?? 0) - 1;
 /** How often a leader went on after a gap in its lease. */
-export const gaps = (w: Simulation): number => w.said.get('lease renewed after a gap') ?? 0;
+export const leaseGaps = (simulation: Simulation): number =>
+  simulation.logCounts.get('lease renewed after a gap') ?? 0;
 /** How many jobs had tasks on machines when their users were told of the cancellation. */
-export const cancelled = (w: Simulation): number => w.checker.cancelledRunning.length;
+export const cancelledWhileRunning = (simulation: Simulation): number =>
+  simulation.checker.cancelledWhileRunning.length;
 /** How often a worker's lease ran out. */
-export const leasesLost = (w: Simulation): number => w.leasesLost;
+export const expiredLeases = (simulation: Simulation): number => simulation.expiredLeases;
--- a/test/simulation/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { FaultScenario } from './fault-scenario.js';
-import { small } from './deployment.js';
-import { injectFaults } from './faults.js';
-import { present, type Version } from './version.js';
-import { Simulation } from './simulation.js';
+import { smallDeployment } from '../deployments/deployment.js';
+import { injectFaults } from '../faults/faults.js';
+import { presentVersion, type ProgramVersion } from '../program-version.js';
+import { Simulation } from '../simulation.js';
 
 /** Work runs by then, and all faults begin and end within this time after. */
 const START_MS = 15_000;
@@ -17,26 +17,26 @@
 export function playScenario(
   scenario: FaultScenario,
   seed: number,
-  version: Version = present(),
+  version: ProgramVersion = presentVersion(),
 ): Simulation {
-  const deployment = scenario.deployment ?? small;
-  const { startMs = START_MS, bootFails = 0, firstJob } = deployment;
-  const quiet = { everyMs: Infinity, doubled: 0.01, errors: 0, bootFails };
+  const deployment = scenario.deployment ?? smallDeployment;
+  const { startMs = START_MS, bootFailures = 0, warmUpJob } = deployment;
+  const quiet = { meanIntervalMs: Infinity, duplicated: 0.01, taskFailures: 0, bootFailures };
   const simulation = new Simulation(deployment, seed, quiet, undefined, () => version);
-  const { sim } = simulation;
-  if (firstJob !== undefined) simulation.user(simulation.job(firstJob), null);
+  const { clock } = simulation;
+  if (warmUpJob !== undefined) simulation.submit(simulation.jobWith(warmUpJob), null);
   const submittedMs = startMs - START_MS;
-  for (let i = 0; i < scenario.count; i++)
-    sim.after(submittedMs + sim.between(0, START_MS / 2), () =>
-      simulation.user(simulation.job(scenario.jobs), null),
+  for (let i = 0; i < scenario.jobCount; i++)
+    clock.after(submittedMs + clock.between(0, START_MS / 2), () =>
+      simulation.submit(simulation.jobWith(scenario.jobs), null),
     );
   simulation.play(startMs);
   injectFaults(
     simulation,
-    scenario.faults((from, to) => sim.between(from, to)),
+    scenario.faults((from, to) => clock.between(from, to)),
   );
   simulation.play(FAULTS_MS);
-  simulation.calmDown(0);
+  simulation.stopFaults(0);
   simulation.play(QUIET_MS);
   return simulation;
 }
@@ -45,8 +45,8 @@
 
 function playSeed(scenario: FaultScenario, seed: number): void {
   const simulation = playScenario(scenario, seed);
-  assert.deepEqual(simulation.checker.unfinished(), [], 'never finished');
-  for (const [what, times] of Object.entries(scenario.happened(simulation)))
+  assert.deepEqual(simulation.checker.unfinishedJobs(), [], 'never finished');
+  for (const [what, times] of Object.entries(scenario.expectedEvents(simulation)))
     assert.ok(times > 0, `${what} did not happen`);
 }
 
--- a/test/simulation/answer-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -1,88 +1,98 @@
 /** Fault scenarios about what users are told. */
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import { cancelled, leaders, longJobs, type FaultScenario } from './fault-scenario.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
+import {
+  cancelledWhileRunning,
+  failovers,
+  longJobs,
+  type FaultScenario,
+} from './fault-scenario.js';
 
 /** One-task jobs that are soon done. */
 const brief: Partial<JobSpec> = { ...longJobs, tasks: 1, estimatedRunS: 5 };
 
 /** What users are told: many questions at once, lost answers, many short jobs, slow links. */
-export const answerScenarios: FaultScenario[] = [
+export const responseScenarios: FaultScenario[] = [
   {
     name: 'users ask at all nodes and repeat right after each answer, some cancel at once',
     jobs: { estimatedRunS: 10 },
-    count: 8,
+    jobCount: 8,
     faults: () => [
       { kind: 'close looks', cancelled: 0.3, at: 0, for: 120 },
       { kind: 'jobs', count: 12, at: 1 },
       { kind: 'slow', at: 20, for: 60 },
       { kind: 'unwatched', who: 'others', at: 25, for: 50 },
       { kind: 'jobs', count: 12, at: 30 },
-      { kind: 'ended', who: 'leader', back: 1, at: 40 },
+      { kind: 'ended', who: 'leader', restartAfter: 1, at: 40 },
       { kind: 'peers refused', at: 50, for: 20 },
       { kind: 'jobs', count: 8, at: 55 },
     ],
-    happened: (w) => ({
-      looks: w.happenings.count('close look'),
-      done: w.checker.endedAs('done'),
-      cancelled: w.checker.endedAs('cancelled'),
+    expectedEvents: (simulation) => ({
+      looks: simulation.observedEvents.count('close look'),
+      done: simulation.checker.countEnded('done'),
+      cancelled: simulation.checker.countEnded('cancelled'),
     }),
   },
   {
     name: 'one-task jobs four a second, a quarter of them cancelled',
     jobs: brief,
-    count: 4,
+    jobCount: 4,
     faults: (between) => [
-      { kind: 'stream', perSecond: 4, cancelled: 0.25, like: brief, at: 0, for: 120 },
-      { kind: 'ended', who: 'leader', back: between(0.2, 6), at: between(30, 90) },
+      { kind: 'stream', perSecond: 4, cancelled: 0.25, template: brief, at: 0, for: 120 },
+      { kind: 'ended', who: 'leader', restartAfter: between(0.2, 6), at: between(30, 90) },
     ],
-    happened: (w) => ({
-      leaders: leaders(w),
-      done: w.checker.endedAs('done') - 250,
-      cancelled: w.checker.endedAs('cancelled') - 40,
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      done: simulation.checker.countEnded('done') - 250,
+      cancelled: simulation.checker.countEnded('cancelled') - 40,
     }),
   },
   {
     name: 'transactions whose answers alone are lost, while other nodes read what they wrote',
     jobs: { estimatedRunS: 10 },
-    count: 10,
+    jobCount: 10,
     faults: (between) => [
       { kind: 'lost answers', share: 0.3, at: 0, for: 80 },
       { kind: 'close looks', cancelled: 0.3, at: 0, for: 100 },
       { kind: 'jobs', count: 10, at: 1 },
       { kind: 'cancelled', count: 3, at: between(5, 15) },
       { kind: 'jobs', count: 10, at: 25 },
-      { kind: 'ended', who: 'leader', back: between(0.2, 6), at: between(30, 40) },
+      { kind: 'ended', who: 'leader', restartAfter: between(0.2, 6), at: between(30, 40) },
     ],
-    happened: (w) => ({
-      read: w.state.readUnanswered,
-      looks: w.happenings.count('close look'),
-      cancelled: w.checker.endedAs('cancelled'),
+    expectedEvents: (simulation) => ({
+      read: simulation.stateStore.readsOfUnansweredWrites,
+      looks: simulation.observedEvents.count('close look'),
+      cancelled: simulation.checker.countEnded('cancelled'),
     }),
   },
   {
     name: 'all users ask during an outage',
     jobs: { estimatedRunS: 25 },
-    count: 20,
+    jobCount: 20,
     faults: (between) => [
       { kind: 'cancelled', count: 3, at: 1 },
       { kind: 'outage', at: between(2, 5), for: between(20, 60) },
       { kind: 'everyone asks', at: 0, for: 70 },
       { kind: 'cancelled', count: 3, at: 10 },
-      { kind: 'ended', who: 'others', back: 0.5, at: 15 },
+      { kind: 'ended', who: 'others', restartAfter: 0.5, at: 15 },
       { kind: 'jobs', count: 6, at: 18 },
     ],
-    happened: (w) => ({ asked: w.happenings.count('asked in an outage') - 200 }),
+    expectedEvents: (simulation) => ({
+      asked: simulation.observedEvents.count('asked in an outage') - 200,
+    }),
   },
   {
     name: 'urgent and other work beyond the room over slow links',
     jobs: { estimatedRunS: 25 },
-    count: 30,
+    jobCount: 30,
     faults: () => [
       { kind: 'slow links', at: 0, for: 90 },
-      { kind: 'jobs', count: 15, like: { priority: 'production', estimatedRunS: 25 }, at: 5 },
+      { kind: 'jobs', count: 15, template: { priority: 'production', estimatedRunS: 25 }, at: 5 },
       { kind: 'cancelled', count: 4, at: 20 },
       { kind: 'machines lost', share: 0.3, at: 25 },
     ],
-    happened: (w) => ({ started: w.checker.started, cancelled: cancelled(w) }),
+    expectedEvents: (simulation) => ({
+      started: simulation.checker.startedTasks,
+      cancelled: cancelledWhileRunning(simulation),
+    }),
   },
 ];
