--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -2,24 +2,24 @@
 import type { Logger } from '../../src/controller/runtime/runtime.js';
 import type { Platform, StateLimits } from '../../src/controller/settings/platform.js';
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import { oneOf } from '../platform.js';
-import { Cloud } from './cloud.js';
-import { ConnectionFaults } from './connection-faults.js';
-import { Gangs } from './gangs.js';
-import { Happenings, observe } from './happenings.js';
-import type { MachineContext } from './machine-context.js';
-import { MachineFaults } from './machine-faults.js';
+import { platformOf } from '../platform.js';
+import { Cloud } from './machines/cloud.js';
+import { ConnectionFaults } from './faults/connection-faults.js';
+import { Gangs } from './machines/gangs.js';
+import { ObservedEvents, observeFaultCombinations } from './faults/observed-events.js';
+import type { MachineContext } from './machines/machine-context.js';
+import { MachineFaults } from './faults/machine-faults.js';
 import { Network } from './network.js';
 import { ControllerProcesses } from './processes.js';
-import { injectRandomFaults } from './random-faults.js';
-import { RuleChecker } from './rule-checker.js';
-import type { Deployment } from './deployment.js';
-import { Sim } from './sim.js';
-import { StateService } from './state-service.js';
-import { UserPopulation } from './user-population.js';
-import type { Ask } from './users.js';
-import { present, type Version } from './version.js';
-import type { Worker } from './worker.js';
+import { injectRandomFaults } from './faults/random-faults.js';
+import { RuleChecker } from './rules/rule-checker.js';
+import type { Deployment } from './deployments/deployment.js';
+import { VirtualClock } from './virtual-clock.js';
+import { StateStoreServer } from './state-store/state-store-server.js';
+import { UserPopulation } from './users/user-population.js';
+import type { RequestSender } from './users/user.js';
+import { presentVersion, type ProgramVersion } from './program-version.js';
+import type { Worker } from './machines/worker.js';
 
 const noLog: Logger = {
   info: () => undefined,
@@ -42,32 +42,32 @@
 /** How often faults occur. */
 export interface FaultRates {
   /** Mean time between faults in milliseconds; Infinity for a quiet day. */
-  everyMs: number;
+  meanIntervalMs: number;
   /** Chance that a request arrives a second time. */
-  doubled: number;
+  duplicated: number;
   /** Chance that a task fails. */
-  errors: number;
+  taskFailures: number;
   /** Chance that a rented machine never comes up. */
-  bootFails: number;
+  bootFailures: number;
 }
 
 /** The controllers of a deployment with all that is around them, in virtual time. */
 export class Simulation {
-  readonly sim: Sim;
-  readonly net: Network;
-  readonly state: StateService;
+  readonly clock: VirtualClock;
+  readonly network: Network;
+  readonly stateStore: StateStoreServer;
   readonly cloud: Cloud;
   readonly checker: RuleChecker;
   private readonly context: MachineContext;
-  readonly happenings = new Happenings();
+  readonly observedEvents = new ObservedEvents();
   readonly processes: ControllerProcesses;
   readonly users: UserPopulation;
   readonly connectionFaults: ConnectionFaults;
   readonly machineFaults: MachineFaults;
   /** Limits that the state service will have, by the controllers' settings. */
-  readonly limitsToCome: StateLimits;
+  readonly upcomingStateLimits: StateLimits;
   /** No new faults from then on. */
-  calm = false;
+  faultsStopped = false;
 
   constructor(
     private readonly deployment: Deployment,
@@ -75,78 +75,97 @@
     rates: FaultRates,
     log: Logger = noLog,
     /** What a host's process runs; asked whenever one starts. */
-    versionOf: (host: string) => Version = () => present(),
+    versionOf: (host: string) => ProgramVersion = () => presentVersion(),
   ) {
     const { hosts } = deployment;
-    const platform = oneOf(hosts, hosts[0] ?? '', deployment.platform);
+    const platform = platformOf(hosts, hosts[0] ?? '', deployment.platform);
     const { stateStoreAddr, stateLimits, workers } = platform;
-    this.limitsToCome = platform.upcomingStateLimits;
-    this.sim = new Sim(seed);
-    this.net = new Network(this.sim);
-    this.net.doubled = rates.doubled;
-    this.net.latestMs = workers.leaseS * 1000 * LATEST_COPY_LEASES;
+    this.upcomingStateLimits = platform.upcomingStateLimits;
+    this.clock = new VirtualClock(seed);
+    this.network = new Network(this.clock);
+    this.network.duplicated = rates.duplicated;
+    this.network.maxDuplicateDelayMs = workers.leaseS * 1000 * LATEST_COPY_LEASES;
     this.checker = new RuleChecker(
       platform.teams,
       workers.cancelDeadlineS * 1000,
-      () => this.sim.now,
+      () => this.clock.now,
     );
-    this.state = new StateService(this.sim, this.net, stateStoreAddr, stateLimits, deployment.page);
-    this.state.latestWriteMs = workers.leaseS * 1000 * LATEST_WRITE_LEASES;
+    this.stateStore = new StateStoreServer(
+      this.clock,
+      this.network,
+      stateStoreAddr,
+      stateLimits,
+      deployment.pageSize,
+    );
+    this.stateStore.maxWriteDelayMs = workers.leaseS * 1000 * LATEST_WRITE_LEASES;
     this.context = this.machineContext(platform, rates);
     this.users = this.userPopulation();
     this.cloud = this.startCloud(platform, rates);
-    this.connectionFaults = new ConnectionFaults(this.sim, this.net, hosts, () => this.workers);
-    this.machineFaults = new MachineFaults(this.sim, this.cloud, this.connectionFaults);
+    this.connectionFaults = new ConnectionFaults(
+      this.clock,
+      this.network,
+      hosts,
+      () => this.workers,
+    );
+    this.machineFaults = new MachineFaults(this.clock, this.cloud, this.connectionFaults);
     this.processes = new ControllerProcesses(
-      this.sim,
-      this.net,
+      this.clock,
+      this.network,
       deployment,
       (host) => this.apiOf(host),
       log,
       versionOf,
     );
-    observe(this);
+    observeFaultCombinations(this);
     for (const host of hosts) this.processes.start(host);
-    if (Number.isFinite(rates.everyMs)) injectRandomFaults(this, rates.everyMs);
+    if (Number.isFinite(rates.meanIntervalMs)) injectRandomFaults(this, rates.meanIntervalMs);
   }
 
   private machineContext({ workers }: Platform, rates: FaultRates): MachineContext {
     return {
-      sim: this.sim,
-      net: this.net,
+      clock: this.clock,
+      network: this.network,
       checker: this.checker,
       settings: {
-        reportMs: workers.heartbeatIntervalS * 1000,
+        heartbeatIntervalMs: workers.heartbeatIntervalS * 1000,
         leaseMs: workers.leaseS * 1000,
         gangWaitMs: workers.gangFetchWaitS * 1000,
         gangPeerMs: workers.gangPeerExitS * 1000,
       },
       controllers: this.deployment.hosts,
       apiOf: (host) => this.apiOf(host),
-      job: (id) => this.users.specOf(id),
+      specOf: (id) => this.users.specOf(id),
       runMs: (id) => this.users.runMsOf(id) ?? UNKNOWN_RUN_MS,
-      gangs: new Gangs(this.sim),
-      errors: rates.errors,
-      happenings: this.happenings,
-      leasesLost: 0,
+      gangs: new Gangs(this.clock),
+      taskFailures: rates.taskFailures,
+      observedEvents: this.observedEvents,
+      expiredLeases: 0,
       replicasEnded: 0,
     };
   }
 
   private userPopulation(): UserPopulation {
-    const { sim, net, state, checker, happenings, deployment } = this;
+    const { clock, network, stateStore, checker, observedEvents, deployment } = this;
     const apiOf = (host: string): string => this.apiOf(host);
-    return new UserPopulation({ sim, net, state, checker, happenings, deployment, apiOf });
+    return new UserPopulation({
+      clock,
+      network,
+      stateStore,
+      checker,
+      observedEvents,
+      deployment,
+      apiOf,
+    });
   }
 
   private startCloud({ cloudAddr: address, cloudLimits }: Platform, rates: FaultRates): Cloud {
     const { types, capacity, machines } = this.deployment;
     const lagMs = cloudLimits.listLagS * 1000;
-    const cloud = new Cloud(this.context, address, types, capacity, lagMs, rates.bootFails);
+    const cloud = new Cloud(this.context, address, types, capacity, lagMs, rates.bootFailures);
     for (const { type: name, zone, spot, count } of machines) {
       const type = types.find((candidate) => candidate.name === name);
       if (type === undefined) throw new Error(name);
-      for (let i = 0; i < count; i++) cloud.add(type, zone, spot, FIRST_BOOT_MS);
+      for (let i = 0; i < count; i++) cloud.addMachine(type, zone, spot, FIRST_BOOT_MS);
     }
     return cloud;
   }
@@ -183,19 +202,19 @@
   }
 
   /** The zone of a controller where the deployment spreads them over zones. */
-  siteOf(host: string): string | undefined {
+  zoneOf(host: string): string | undefined {
     const { hosts, platform } = this.deployment;
     return platform.sites[hosts.indexOf(host)];
   }
 
   /** The versions of the leaders, in the order of their elections. */
-  get elected(): readonly Version[] {
-    return this.processes.elected;
+  get electedVersions(): readonly ProgramVersion[] {
+    return this.processes.electedVersions;
   }
 
   /** How often the controllers have logged each text. */
-  get said(): ReadonlyMap<string, number> {
-    return this.processes.said;
+  get logCounts(): ReadonlyMap<string, number> {
+    return this.processes.logCounts;
   }
 
   /** Errors that controllers have logged. */
@@ -214,8 +233,8 @@
   }
 
   /** How often a worker's lease has run out. */
-  get leasesLost(): number {
-    return this.context.leasesLost;
+  get expiredLeases(): number {
+    return this.context.expiredLeases;
   }
 
   /** The host's process ends, and starts again after so long. */
@@ -229,7 +248,7 @@
   }
 
   /** A job of a kind that the deployment can run, with what the caller wants of it. */
-  job(part: Partial<JobSpec>): JobSpec {
+  jobWith(part: Partial<JobSpec>): JobSpec {
     const { taskScale = 1 } = this.deployment;
     const job = { ...this.randomJob(), ...part };
     if (part.cpus !== undefined) job.cpus = part.cpus * taskScale;
@@ -238,7 +257,7 @@
   }
 
   /** A user who submits, polls and perhaps cancels one job. */
-  user(spec: JobSpec, cancelAfterMs: number | null): void {
+  submit(spec: JobSpec, cancelAfterMs: number | null): void {
     this.users.submit(spec, cancelAfterMs);
   }
 
@@ -248,29 +267,30 @@
   }
 
   /** Sends a request to a controller, a certain one or any. */
-  ask(...request: Parameters<Ask>): void {
-    this.users.ask(...request);
+  sendRequest(...request: Parameters<RequestSender>): void {
+    this.users.sendRequest(...request);
   }
 
   /** From now on there are no new faults; those under way end within the time given. */
-  calmDown(ms: number): void {
-    this.calm = true;
-    this.sim.after(ms, () => {
-      this.checker.calmAt = this.sim.now;
+  stopFaults(ms: number): void {
+    this.faultsStopped = true;
+    this.clock.after(ms, () => {
+      this.checker.faultsEndedAt = this.clock.now;
     });
   }
 
   /** Plays a day; the rules are checked after every step. */
   play(ms: number): void {
     let nextTick = 0;
-    this.sim.run(this.sim.now + ms, () => {
-      if (this.sim.now >= nextTick) {
-        nextTick = this.sim.now + TICK_MS;
+    this.clock.run(this.clock.now + ms, () => {
+      if (this.clock.now >= nextTick) {
+        nextTick = this.clock.now + TICK_MS;
         this.checker.tick();
-        if (this.checker.calmAt !== null) this.checker.waiting(this.workers.map((w) => w.free));
+        if (this.checker.faultsEndedAt !== null)
+          this.checker.checkWaitingJobs(this.workers.map((w) => w.freeCapacity));
       }
-      if (this.checker.broken.length > 0 || this.errors.length > 0)
-        throw new Error([...this.checker.broken, ...this.errors].join('\n'));
+      if (this.checker.violations.length > 0 || this.errors.length > 0)
+        throw new Error([...this.checker.violations, ...this.errors].join('\n'));
     });
   }
 }
--- a/test/simulation/state-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -1,7 +1,7 @@
 /** What the simulated state service stores: entries, leases, the log of changes, watches. */
-import type { Reply } from '../../src/controller/runtime/runtime.js';
-import type { StateLimits } from '../../src/controller/settings/platform.js';
-import type { Respond } from './network.js';
+import type { Reply } from '../../../src/controller/runtime/runtime.js';
+import type { StateLimits } from '../../../src/controller/settings/platform.js';
+import type { Respond } from '../network.js';
 
 /** Changes in the log at most, and how many of the newest are kept when it is cut. */
 const LOG_LENGTH = 20_000;
@@ -29,7 +29,7 @@
 
 /** A node that waits for changes of keys with a prefix. */
 export interface Watch {
-  by: string;
+  watcher: string;
   prefix: string;
   /** Changes after this stamp count. */
   from: number;
@@ -44,7 +44,7 @@
 }
 
 /** Whether the service takes a transaction of this size. */
-export function fits(transaction: Transaction, limits: StateLimits): boolean {
+export function withinLimits(transaction: Transaction, limits: StateLimits): boolean {
   const { writes = [], if: conditions = [] } = transaction;
   const { txnOps, valueKb } = limits;
   if (writes.length > txnOps || conditions.length > CONDITIONS_PER_WRITE * txnOps) return false;
@@ -52,7 +52,7 @@
 }
 
 /** Entries under versions, leases that end them, and watches on them. */
-export class StateStore {
+export class KeyValueStore {
   readonly entries = new Map<string, Entry>();
   private readonly leases = new Map<number, Lease>();
   private log: Change[] = [];
@@ -177,7 +177,7 @@
     while (first > 0 && (this.log[first - 1]?.stamp ?? 0) > watch.from) first--;
     const found = this.log.slice(first).filter(({ key }) => key.startsWith(watch.prefix));
     if (found.length === 0) return;
-    for (const { key } of found) this.onRead(watch.by, key);
+    for (const { key } of found) this.onRead(watch.watcher, key);
     watch.open = false;
     watch.respond({ status: 200, body: { ledger: this.ledger, log: found.map(logged) } });
   }
--- a/test/simulation/state-service.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -1,10 +1,10 @@
 /** The simulated state service: its paths, its limits and its faults. */
-import { TokenBucket } from '../../src/controller/runtime/token-bucket.js';
-import type { Reply } from '../../src/controller/runtime/runtime.js';
-import type { StateLimits } from '../../src/controller/settings/platform.js';
-import type { Arrival, Network, Respond } from './network.js';
-import type { Sim } from './sim.js';
-import { fits, StateStore, type Transaction, type Watch } from './state-store.js';
+import { TokenBucket } from '../../../src/controller/runtime/token-bucket.js';
+import type { Reply } from '../../../src/controller/runtime/runtime.js';
+import type { StateLimits } from '../../../src/controller/settings/platform.js';
+import type { IncomingRequest, Network, Respond } from '../network.js';
+import type { VirtualClock } from '../virtual-clock.js';
+import { withinLimits, KeyValueStore, type Transaction, type Watch } from './key-value-store.js';
 import { UnansweredWrites } from './unanswered-writes.js';
 
 const EXPIRE_EVERY_MS = 50;
@@ -20,8 +20,8 @@
 const TOO_MANY: Reply = { status: 429, body: null };
 
 /** Stand-in for the state service, after PROTOCOL. */
-export class StateService {
-  private readonly store: StateStore;
+export class StateStoreServer {
+  private readonly store: KeyValueStore;
   private down = false;
   private slowUntil = 0;
   private readonly refused = new Set<string>();
@@ -32,43 +32,45 @@
   /** Requests, puts and deletes served, and requests refused for being too many. */
   requests = 0;
   puts = 0;
-  tooMany = 0;
+  rateLimited = 0;
   /** Requests that came in an outage. */
-  missed = 0;
+  requestsInOutage = 0;
   /** Share of the transactions that get no answer and are carried out later, and how many were. */
   private lateWrites = 0;
-  latestWriteMs = LATEST_WRITE_MS;
-  readonly late = { applied: 0, refused: 0 };
+  maxWriteDelayMs = LATEST_WRITE_MS;
+  readonly lateCommits = { applied: 0, refused: 0 };
   /** Share of the transactions that are carried out at once and whose answer alone is lost. */
   private lostAnswers = 0;
   private readonly unanswered = new UnansweredWrites();
   /** Nodes whose watches are refused, and nothing else of theirs. */
   private readonly unwatched = new Set<string>();
   /** Told of each transaction as it arrives, before it is looked at: its writes' keys. */
-  arriving: (keys: readonly string[]) => void = () => undefined;
+  onTransaction: (keys: readonly string[]) => void = () => undefined;
 
   constructor(
-    private readonly sim: Sim,
-    net: Network,
+    private readonly clock: VirtualClock,
+    network: Network,
     address: string,
     private limits: StateLimits,
     private readonly pageSize: number,
   ) {
-    const now = (): number => sim.now;
-    this.store = new StateStore(now, (by, key) => this.unanswered.wasRead(by, key));
+    const now = (): number => clock.now;
+    this.store = new KeyValueStore(now, (by, key) => this.unanswered.wasRead(by, key));
     this.requestTokens = new TokenBucket(now, limits.rps, limits.rps);
     this.putTokens = new TokenBucket(now, limits.writeRps, limits.writeRps);
-    net.listen(address, 'state', (from, request, respond) => this.serve(from, request, respond));
+    network.listen(address, 'state', (from, request, respond) =>
+      this.serve(from, request, respond),
+    );
     this.expire();
   }
 
   /** What is stored, by key. */
-  get entries(): StateStore['entries'] {
+  get entries(): KeyValueStore['entries'] {
     return this.store.entries;
   }
 
   /** How often another node has read what a node without an answer wrote. */
-  get readUnanswered(): number {
+  get readsOfUnansweredWrites(): number {
     return this.unanswered.readByOthers;
   }
 
@@ -80,25 +82,25 @@
   /** Answers nobody for a time; afterwards all leases run anew. */
   outage(ms: number): void {
     this.down = true;
-    this.sim.after(ms, () => {
+    this.clock.after(ms, () => {
       this.down = false;
       this.store.renewAll();
     });
   }
 
   /** Answers come late for a time, now and then by seconds. */
-  slow(ms: number): void {
-    this.slowUntil = Math.max(this.slowUntil, this.sim.now + ms);
+  slowDown(ms: number): void {
+    this.slowUntil = Math.max(this.slowUntil, this.clock.now + ms);
   }
 
   /** One node alone gets 503, and its leases run out. */
   refuse(host: string, ms: number): void {
     this.refused.add(host);
-    this.sim.after(ms, () => this.refused.delete(host));
+    this.clock.after(ms, () => this.refused.delete(host));
   }
 
   /** From now on it takes less. What is stored stays. */
-  lower(limits: StateLimits): void {
+  lowerLimits(limits: StateLimits): void {
     this.limits = limits;
     this.requestTokens.setRate(limits.rps, limits.rps);
     this.putTokens.setRate(limits.writeRps, limits.writeRps);
@@ -107,58 +109,59 @@
   /** One node's watches alone get 503. */
   refuseWatches(host: string, ms: number): void {
     this.unwatched.add(host);
-    this.sim.after(ms, () => this.unwatched.delete(host));
+    this.clock.after(ms, () => this.unwatched.delete(host));
   }
 
   /** Some transactions get no answer and are carried out 2 to 12 s later, after newer ones. */
   delayWrites(share: number, ms: number): void {
     this.lateWrites = share;
-    this.sim.after(ms, () => {
+    this.clock.after(ms, () => {
       this.lateWrites = 0;
     });
   }
 
   /** Some transactions are carried out at once, and only their answers are lost. */
-  loseAnswers(share: number, ms: number): void {
+  loseResponses(share: number, ms: number): void {
     this.lostAnswers = share;
-    this.sim.after(ms, () => {
+    this.clock.after(ms, () => {
       this.lostAnswers = 0;
     });
   }
 
   /** Whether this node alone is refused. */
-  refuses(host: string): boolean {
+  isRefusing(host: string): boolean {
     return !this.down && this.refused.has(host);
   }
 
   private expire(): void {
-    this.sim.after(EXPIRE_EVERY_MS, () => this.expire());
+    this.clock.after(EXPIRE_EVERY_MS, () => this.expire());
     if (!this.down) this.store.expire();
   }
 
-  private serve(from: string, request: Arrival, answer: Respond): void {
+  private serve(from: string, request: IncomingRequest, answer: Respond): void {
     const respond = this.delayed(answer);
-    if (this.down) this.missed++;
+    if (this.down) this.requestsInOutage++;
     if (this.down || this.refused.has(from)) return respond(UNAVAILABLE);
     const transaction = request.path === '/multi' ? (request.body() as Transaction) : null;
     const writes = transaction?.writes ?? [];
-    if (transaction !== null) this.arriving(writes.map((write) => write.set ?? write.delete ?? ''));
+    if (transaction !== null)
+      this.onTransaction(writes.map((write) => write.set ?? write.delete ?? ''));
     if (!this.takeTokens(writes.length)) return respond(TOO_MANY);
-    if (transaction !== null) this.serveTransaction(from, transaction, request.copy, respond);
+    if (transaction !== null) this.serveTransaction(from, transaction, request.duplicate, respond);
     else this.serveOther(from, request, respond);
   }
 
   /** While the service is slow some answers are late. */
   private delayed(answer: Respond): Respond {
-    const slow = this.sim.now < this.slowUntil && this.sim.random() < SLOW_SHARE;
+    const slow = this.clock.now < this.slowUntil && this.clock.random() < SLOW_SHARE;
     if (!slow) return answer;
-    const lateMs = this.sim.between(SLOW_MS.least, SLOW_MS.most);
-    return (reply) => this.sim.after(lateMs, () => answer(reply));
+    const lateMs = this.clock.between(SLOW_MS.least, SLOW_MS.most);
+    return (reply) => this.clock.after(lateMs, () => answer(reply));
   }
 
   private takeTokens(puts: number): boolean {
     if (!this.requestTokens.tryTake() || (puts > 0 && !this.putTokens.tryTake(puts))) {
-      this.tooMany++;
+      this.rateLimited++;
       return false;
     }
     this.requests++;
@@ -172,14 +175,14 @@
     copy: boolean,
     respond: Respond,
   ): void {
-    const { sim } = this;
-    if (this.lateWrites > 0 && sim.random() < this.lateWrites) {
-      const lateMs = sim.between(this.latestWriteMs / 6, this.latestWriteMs);
-      sim.after(lateMs, () => this.commitLate(transaction));
+    const { clock } = this;
+    if (this.lateWrites > 0 && clock.random() < this.lateWrites) {
+      const lateMs = clock.between(this.maxWriteDelayMs / 6, this.maxWriteDelayMs);
+      clock.after(lateMs, () => this.commitLate(transaction));
       return;
     }
-    if (this.lostAnswers > 0 && sim.random() < this.lostAnswers) {
-      if (this.commit(transaction).status === 200) this.unanswered.note(from, transaction);
+    if (this.lostAnswers > 0 && clock.random() < this.lostAnswers) {
+      if (this.commit(transaction).status === 200) this.unanswered.record(from, transaction);
       return;
     }
     for (const { k } of transaction.if ?? []) this.unanswered.wasRead(from, k);
@@ -188,17 +191,17 @@
 
   private commitLate(transaction: Transaction): void {
     if (this.down) return;
-    if (this.commit(transaction).status === 200) this.late.applied++;
-    else this.late.refused++;
+    if (this.commit(transaction).status === 200) this.lateCommits.applied++;
+    else this.lateCommits.refused++;
   }
 
   private commit(transaction: Transaction, copy = false): Reply {
-    if (fits(transaction, this.limits)) return this.store.commit(transaction);
+    if (withinLimits(transaction, this.limits)) return this.store.commit(transaction);
     if (!copy) this.tooLarge++;
     return { status: 400, body: { error: 'limits' } };
   }
 
-  private serveOther(from: string, request: Arrival, respond: Respond): void {
+  private serveOther(from: string, request: IncomingRequest, respond: Respond): void {
     const url = new URL(request.path, 'http://state');
     const path = url.pathname;
     const lease = /^\/holds\/(\d+)(\/extend)?$/.exec(path);
@@ -213,12 +216,12 @@
     }
   }
 
-  private grantLease(request: Arrival): Reply {
+  private grantLease(request: IncomingRequest): Reply {
     const { life_ms: lifeMs } = request.body() as { life_ms: number };
     return { status: 200, body: { permit: this.store.grant(lifeMs) } };
   }
 
-  private serveLease(id: number, request: Arrival): Reply {
+  private serveLease(id: number, request: IncomingRequest): Reply {
     const found = request.method === 'DELETE' ? this.store.revoke(id) : this.store.renew(id);
     return found ? { status: 200, body: { permit: id } } : NOT_FOUND;
   }
@@ -231,14 +234,14 @@
   private serveWatch(from: string, query: URLSearchParams, respond: Respond): void {
     if (this.unwatched.has(from)) return respond(UNAVAILABLE);
     const watch: Watch = {
-      by: from,
+      watcher: from,
       prefix: query.get('starts') ?? '',
       from: Number(query.get('from')),
       respond,
       open: true,
     };
     if (!this.store.watch(watch)) return respond(GONE);
-    this.sim.after(Number(query.get('hold_ms')), () => {
+    this.clock.after(Number(query.get('hold_ms')), () => {
       if (!this.down) this.store.closeWatch(watch);
     });
   }
--- a/test/simulation/unanswered-writes.ts
+++ b/test/simulation/state-store/unanswered-writes.ts
@@ -1,5 +1,5 @@
 /** Writes of transactions whose answers were lost, and who has read them. */
-import type { Transaction } from './state-store.js';
+import type { Transaction } from './key-value-store.js';
 
 /** Counts how often a node reads what another wrote without getting an answer. */
 export class UnansweredWrites {
@@ -9,7 +9,7 @@
   readByOthers = 0;
 
   /** The transaction was carried out, and its sender is not told. */
-  note(writer: string, transaction: Transaction): void {
+  record(writer: string, transaction: Transaction): void {
     for (const { set } of transaction.writes ?? [])
       if (set !== undefined) this.writers.set(set, writer);
   }
--- a/test/simulation/stored-forms.ts
+++ b/test/simulation/stored-forms.ts
@@ -2,7 +2,7 @@
 import { decodePeerMessage } from '../../src/controller/peers/message.js';
 import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
 import { playDigestScenario, type DigestScenario } from './digest-scenarios.js';
-import type { Transaction } from './state-store.js';
+import type { Transaction } from './state-store/key-value-store.js';
 import { TrafficDigest } from './traffic-digest.js';
 
 /** A stored value, as the state service gets it: its key, and the CBOR bytes in hex. */
--- a/test/simulation/traffic-digest.ts
+++ b/test/simulation/traffic-digest.ts
@@ -5,7 +5,7 @@
 import { Metrics } from '../../src/controller/operators/metrics.js';
 import type { Settings } from '../../src/controller/settings/settings.js';
 import { encodeBody } from '../../src/controller/wire/cbor.js';
-import { present, type Version } from './version.js';
+import { presentVersion, type ProgramVersion } from './program-version.js';
 
 type Answered = Parameters<Controller['request']>[3];
 
@@ -36,8 +36,8 @@
   }
 
   /** The present version, each of whose processes is recorded. */
-  recordedVersion(): Version {
-    return { ...present(), Controller: recordedController(this) };
+  recordedVersion(): ProgramVersion {
+    return { ...presentVersion(), Controller: recordedController(this) };
   }
 
   /** The digest of all that was added; nothing can be added afterwards. */
--- a/test/simulation/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -1,12 +1,12 @@
 /** The users of a simulation with their jobs, and how they reach the controllers. */
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import type { Happenings } from './happenings.js';
-import type { Network } from './network.js';
-import type { RuleChecker } from './rule-checker.js';
-import type { Deployment } from './deployment.js';
-import type { Sim } from './sim.js';
-import type { StateService } from './state-service.js';
-import { User, type Ask } from './users.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
+import type { ObservedEvents } from '../faults/observed-events.js';
+import type { Network } from '../network.js';
+import type { RuleChecker } from '../rules/rule-checker.js';
+import type { Deployment } from '../deployments/deployment.js';
+import type { VirtualClock } from '../virtual-clock.js';
+import type { StateStoreServer } from '../state-store/state-store-server.js';
+import { User, type RequestSender } from './user.js';
 
 const POLL_TIMEOUT_MS = 2000;
 const POST_TIMEOUT_MS = 5000;
@@ -15,12 +15,12 @@
 const RUN_SHARES = { least: 0.4, most: 1.8 };
 
 /** What the users' requests pass through. */
-export interface UserSurroundings {
-  sim: Sim;
-  net: Network;
-  state: StateService;
+export interface UserContext {
+  clock: VirtualClock;
+  network: Network;
+  stateStore: StateStoreServer;
   checker: RuleChecker;
-  happenings: Happenings;
+  observedEvents: ObservedEvents;
   deployment: Deployment;
   apiOf(host: string): string;
 }
@@ -36,7 +36,7 @@
   private readonly users = new Map<string, User>();
   private jobCount = 0;
 
-  constructor(private readonly surroundings: UserSurroundings) {}
+  constructor(private readonly context: UserContext) {}
 
   /** A number for a job's name, each once. */
   nextNumber(): number {
@@ -45,20 +45,20 @@
 
   /** A random job of a kind that the deployment can run. */
   randomJob(): JobSpec {
-    const { deployment, sim } = this.surroundings;
-    return deployment.job(sim, `req-${String(this.nextNumber()).padStart(6, '0')}`);
+    const { deployment, clock } = this.context;
+    return deployment.randomJob(clock, `req-${String(this.nextNumber()).padStart(6, '0')}`);
   }
 
   /** A user who submits, polls and perhaps cancels one job. */
   submit(spec: JobSpec, cancelAfterMs: number | null): void {
-    const { sim, checker } = this.surroundings;
+    const { clock, checker } = this.context;
     const runMs =
       spec.kind === 'service'
-        ? sim.between(SERVICE_MS.least, SERVICE_MS.most)
-        : spec.estimatedRunS * 1000 * sim.between(RUN_SHARES.least, RUN_SHARES.most);
+        ? clock.between(SERVICE_MS.least, SERVICE_MS.most)
+        : spec.estimatedRunS * 1000 * clock.between(RUN_SHARES.least, RUN_SHARES.most);
     this.jobs.set(spec.id, { spec, runMs });
-    const ask: Ask = (...request) => this.ask(...request);
-    this.users.set(spec.id, new User(sim, checker, ask, spec, cancelAfterMs));
+    const sendRequest: RequestSender = (...request) => this.sendRequest(...request);
+    this.users.set(spec.id, new User(clock, checker, sendRequest, spec, cancelAfterMs));
   }
 
   /** What the job's user has submitted. */
@@ -82,29 +82,29 @@
   }
 
   /** For a time every user asks again as soon as there is an answer, or none, to the question before. */
-  everyoneAsks(everyMs: number, ms: number): void {
-    const { sim } = this.surroundings;
-    const until = sim.now + ms;
+  everyonePolls(everyMs: number, ms: number): void {
+    const { clock } = this.context;
+    const until = clock.now + ms;
     const again = (): void => {
-      for (const user of this.users.values()) user.askNow();
-      if (sim.now + everyMs <= until) sim.after(everyMs, again);
+      for (const user of this.users.values()) user.pollNow();
+      if (clock.now + everyMs <= until) clock.after(everyMs, again);
     };
     again();
   }
 
   /** Sends a request to a controller, `host` or any. */
-  ask(
+  sendRequest(
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
     done: (status: number, state: string) => void,
-    host = this.surroundings.sim.pick(this.surroundings.deployment.hosts),
+    host = this.context.clock.pick(this.context.deployment.hosts),
   ): void {
-    const { net, state, happenings } = this.surroundings;
-    const to = this.surroundings.apiOf(host);
-    if (state.inOutage) happenings.note('asked in an outage');
+    const { network, stateStore, observedEvents } = this.context;
+    const to = this.context.apiOf(host);
+    if (stateStore.inOutage) observedEvents.record('asked in an outage');
     const timeoutMs = method === 'GET' ? POLL_TIMEOUT_MS : POST_TIMEOUT_MS;
-    net.call(
+    network.call(
       'user',
       { to, method, path, timeoutMs, ...(body === undefined ? {} : { body }) },
       () => true,
--- a/test/simulation/users.ts
+++ b/test/simulation/users/user.ts
@@ -1,11 +1,11 @@
 /** One user with one job. */
-import type { Timer } from '../../src/controller/runtime/runtime.js';
-import { writeJobSpec, type JobSpec } from '../../src/controller/wire/jobs.js';
-import type { RuleChecker } from './rule-checker.js';
-import type { Sim } from './sim.js';
+import type { Timer } from '../../../src/controller/runtime/runtime.js';
+import { writeJobSpec, type JobSpec } from '../../../src/controller/wire/jobs.js';
+import type { RuleChecker } from '../rules/rule-checker.js';
+import type { VirtualClock } from '../virtual-clock.js';
 
 /** How a user asks a controller; `host`: a certain one. */
-export type Ask = (
+export type RequestSender = (
   method: 'GET' | 'POST',
   path: string,
   body: unknown,
@@ -23,15 +23,15 @@
   private readonly body: unknown;
 
   constructor(
-    private readonly sim: Sim,
+    private readonly clock: VirtualClock,
     private readonly checker: RuleChecker,
-    private readonly ask: Ask,
+    private readonly sendRequest: RequestSender,
     private readonly spec: JobSpec,
     cancelAfterMs: number | null,
   ) {
     this.body = writeJobSpec(spec);
-    checker.submitted(spec);
-    if (cancelAfterMs !== null) sim.after(cancelAfterMs, () => this.cancel());
+    checker.jobSubmitted(spec);
+    if (cancelAfterMs !== null) clock.after(cancelAfterMs, () => this.cancel());
     this.step();
   }
 
@@ -42,7 +42,7 @@
   }
 
   /** Asks about the job now, unless a question is on its way. */
-  askNow(): void {
+  pollNow(): void {
     if (this.accepted) this.hurry();
   }
 
@@ -67,26 +67,26 @@
     const cancel = this.accepted && this.wish === 'cancel';
     // Now and then the submission is repeated long after it was accepted.
     const submit =
-      !this.accepted || (!cancel && (this.wish === 'repeat' || this.sim.random() < 0.1));
-    if (cancel) this.checker.cancelAsked(id);
+      !this.accepted || (!cancel && (this.wish === 'repeat' || this.clock.random() < 0.1));
+    if (cancel) this.checker.cancelRequested(id);
     if (submit && this.wish === 'repeat') this.wish = 'none';
-    const before = this.checker.standing(id);
+    const before = this.checker.visibleState(id);
     this.asking = true;
-    this.ask(
+    this.sendRequest(
       submit || cancel ? 'POST' : 'GET',
       submit ? '/submissions' : `/submissions/${id}${cancel ? '/abort' : ''}`,
       submit ? this.body : undefined,
       (status, state) => {
         this.asking = false;
-        this.checker.answered(id, status, state, submit, before);
+        this.checker.responseReceived(id, status, state, submit, before);
         const answered = status === 200 || status === 201;
         if (answered) this.accepted = true;
         if (cancel && answered) this.wish = 'none';
         const end = state === 'done' || state === 'aborted';
-        const { sim } = this;
-        const pause = end ? sim.between(10_000, 40_000) : this.accepted ? 4000 : 1200;
+        const { clock } = this;
+        const pause = end ? clock.between(10_000, 40_000) : this.accepted ? 4000 : 1200;
         const soon = this.accepted && this.wish !== 'none';
-        this.next = sim.after(soon ? 1000 : pause, () => this.step());
+        this.next = clock.after(soon ? 1000 : pause, () => this.step());
       },
       cancel ? this.host : undefined,
     );
--- a/test/simulation/sim.ts
+++ b/test/simulation/virtual-clock.ts
@@ -12,7 +12,7 @@
 const doNothing = (): void => undefined;
 
 /** Virtual time: events in order of time, then of scheduling. Milliseconds. */
-export class Sim {
+export class VirtualClock {
   now = 0;
   private order = 0;
   private readonly heap: Event[] = [];
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { grown } from './simulation/deployment.js';
+import { mediumFleet } from './simulation/deployments/deployment.js';
 import { Simulation } from './simulation/simulation.js';
 
 /** Machines at most; more would only make the test slow. */
@@ -15,32 +15,37 @@
 }
 
 function spent(simulation: Simulation): Spent {
-  const { puts, requests } = simulation.state;
-  return { puts, requests, started: simulation.checker.started };
+  const { puts, requests } = simulation.stateStore;
+  return { puts, requests, started: simulation.checker.startedTasks };
 }
 
 /** A day of many machines with jobs coming all the time, and the faults given, each at its time. */
 function day(seed: number, ms: number, faults: [number, (w: Simulation) => void][]): Simulation {
-  const quiet = { everyMs: Infinity, doubled: 0.002, errors: 0.005, bootFails: 0.02 };
-  const simulation = new Simulation(grown(MACHINES), seed, quiet);
-  for (let i = 0; i < 30; i++) simulation.user(simulation.randomJob(), null);
+  const quiet = {
+    meanIntervalMs: Infinity,
+    duplicated: 0.002,
+    taskFailures: 0.005,
+    bootFailures: 0.02,
+  };
+  const simulation = new Simulation(mediumFleet(MACHINES), seed, quiet);
+  for (let i = 0; i < 30; i++) simulation.submit(simulation.randomJob(), null);
   const next = (): void => {
-    if (simulation.sim.now > ms) return;
-    simulation.user(simulation.randomJob(), simulation.sim.random() < 0.04 ? 20_000 : null);
-    simulation.sim.after(simulation.sim.between(0.3, 1.7) * EVERY_MS, next);
+    if (simulation.clock.now > ms) return;
+    simulation.submit(simulation.randomJob(), simulation.clock.random() < 0.04 ? 20_000 : null);
+    simulation.clock.after(simulation.clock.between(0.3, 1.7) * EVERY_MS, next);
   };
   next();
-  for (const [at, fault] of faults) simulation.sim.after(at, () => fault(simulation));
+  for (const [at, fault] of faults) simulation.clock.after(at, () => fault(simulation));
   simulation.play(ms);
   return simulation;
 }
 
 /** Faults over, all that was accepted is done, and nobody was neglected. */
 function ends(simulation: Simulation): void {
-  simulation.calmDown(60_000);
+  simulation.stopFaults(60_000);
   simulation.play(400_000);
-  assert.deepEqual(simulation.checker.unfinished(), []);
-  assert.deepEqual(simulation.checker.neglected(), []);
+  assert.deepEqual(simulation.checker.unfinishedJobs(), []);
+  assert.deepEqual(simulation.checker.neglectedJobs(), []);
 }
 
 const leader = (w: Simulation): string => w.leader ?? 'kiln-0';
@@ -55,7 +60,7 @@
     // Records are packed: a put serves several tasks, beside the three that each job costs.
     assert.ok((to.puts - from.puts) / tasks < 2, `${(to.puts - from.puts) / tasks} puts a task`);
     assert.ok((to.requests - from.requests) / 60 < 80);
-    assert.equal(simulation.state.tooMany, 0);
+    assert.equal(simulation.stateStore.rateLimited, 0);
     ends(simulation);
   });
 
@@ -66,9 +71,9 @@
       [80_000, (w) => w.processes.freeze(leader(w), 28_000)],
       [120_000, (w) => w.connectionFaults.refusePeers(30_000)],
       [130_000, (w) => w.connectionFaults.isolate(leader(w), 42_000)],
-      [180_000, (w) => w.processes.roll(9000)],
+      [180_000, (w) => w.processes.rollingRestart(9000)],
     ]);
-    assert.equal(simulation.leasesLost, 0);
+    assert.equal(simulation.expiredLeases, 0);
     ends(simulation);
   });
 
@@ -77,9 +82,9 @@
       [30_000, (w) => w.machineFaults.cut(0.2, 47_000)],
       [33_000, (w) => w.kill(leader(w), 6000)],
       [90_000, (w) => w.machineFaults.kill(0.07)],
-      [92_000, (w) => w.machineFaults.takeSpot(0.6, 8000)],
-      [110_000, (w) => w.state.slow(60_000)],
-      [150_000, (w) => w.state.outage(10_000)],
+      [92_000, (w) => w.machineFaults.reclaimSpot(0.6, 8000)],
+      [110_000, (w) => w.stateStore.slowDown(60_000)],
+      [150_000, (w) => w.stateStore.outage(10_000)],
       [
         156_000,
         (w) => ['kiln-0', 'kiln-1', 'kiln-2', 'kiln-3', 'kiln-4'].forEach((h) => w.kill(h, 6000)),
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -31,15 +31,15 @@
 } from '../src/controller/workers/machine-record.js';
 import type { Assignment } from '../src/controller/workers/assignment.js';
 import type { Machine } from '../src/controller/workers/machine.js';
-import { alone } from './platform.js';
+import { standalonePlatform } from './platform.js';
 import { digestScenarios } from './simulation/digest-scenarios.js';
 import { storedFormsOf, type StoredForms } from './simulation/stored-forms.js';
-import { acceptedJob, FakeClock, idleRuntime } from './stand-ins.js';
-import { storedAtOnce } from './stored.js';
+import { acceptedJob, FakeClock, idleRuntime } from './fakes.js';
+import { immediateRecords } from './fake-records.js';
 
 const FIXTURE = new URL('fixtures/stored-forms.json', import.meta.url);
 const forms = JSON.parse(readFileSync(FIXTURE, 'utf8')) as StoredForms;
-const settings = new Settings(alone(), defaultProperties());
+const settings = new Settings(standalonePlatform(), defaultProperties());
 const VALUE_BYTES = 16 * 1024;
 
 function valueOf(kind: string): unknown {
@@ -147,11 +147,11 @@
     const id = key.split('/')[1] ?? '';
     const tasks = Buffer.from(value as string, 'base64').length * 8;
     const job = acceptedJob({ id, tasks });
-    new CompletionRecords(storedAtOnce({ [key]: value }), () => undefined).load(
+    new CompletionRecords(immediateRecords({ [key]: value }), () => undefined).load(
       new Map([[id, job]]),
     );
     assert.ok(job.doneCount > 0);
-    const records = storedAtOnce();
+    const records = immediateRecords();
     const completions = new CompletionRecords(records, () => undefined);
     for (const [task, done] of job.done.entries()) if (done === 1) completions.add(job, task);
     completions.flush();
@@ -169,7 +169,7 @@
       () => undefined,
     );
     const events = { taskRestored: () => undefined, assignmentsRecorded: () => undefined };
-    const records = storedAtOnce({ [key]: value });
+    const records = immediateRecords({ [key]: value });
     const store = new MachineStore(eventLoop, settings, records, registry, events);
     store.restore();
     const machine = registry.getOrCreate(key.slice('i/'.length));
@@ -186,7 +186,7 @@
     const job = acceptedJob({ id, kind: 'gang' });
     const clock = new FakeClock(1000);
     const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
-    const records = storedAtOnce({ [key]: value });
+    const records = immediateRecords({ [key]: value });
     type Parts = ConstructorParameters<typeof GangReservations>[0];
     new GangReservations({ eventLoop, records } as unknown as Parts).load({
       jobs: new Map([[id, job]]),
@@ -201,8 +201,8 @@
     const clock = new FakeClock(since);
     const learned = new LearnedStatistics(new EventLoop(idleRuntime(clock), clock.log), settings);
     clock.time += 600_000;
-    learned.load(storedAtOnce({ [key]: value }), []);
-    const records = storedAtOnce();
+    learned.load(immediateRecords({ [key]: value }), []);
+    const records = immediateRecords();
     learned.save(records);
     assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
   });
