--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -1,63 +1,63 @@
 /**
- * Watches how often jobs arrive, to tell when they have stopped arriving. While jobs come, idle
- * machines are capacity for the next ones; once they have stopped, idle machines only cost money.
+ * Detects that jobs have stopped arriving. While jobs arrive, idle machines are capacity for the next ones;
+ * afterwards they only cost money.
  */
 
-/** Mean gaps between two jobs without any job, after which arrivals count as stopped. */
+/** Arrivals count as stopped after this many times the mean gap between two jobs. */
 const STOPPED_AFTER_GAPS = 12;
 
-/** Jobs that must have been seen before the mean gap means anything. */
-const LEAST_JOBS = 8;
+/** Jobs that have to arrive before the mean gap is meaningful. */
+const MIN_JOBS = 8;
 
-/** A decaying count of jobs gives the mean gap between two of them. */
+/** Estimates the mean gap between two jobs from an exponentially decaying count. */
 export class ArrivalMonitor {
   /** The decaying count, as of the last job. */
-  private weight = 0;
-  private jobs = 0;
+  private decayingCount = 0;
+  private jobCount = 0;
   private lastJobAt: number;
-  /** When silence began: with the last job, or once jobs could be seen again. */
-  private silentSince: number;
+  /** Start of the quiet period: the last job, or the end of the last interruption. */
+  private quietSince: number;
   private newestSubmission = -Infinity;
 
   /**
-   * `memoryMs`: the time over which arrivals are remembered. `leastMs`: the shortest silence that
-   * counts, however often jobs come: users retry after an error for about as long.
+   * `memoryMs`: time constant of the decay. `minQuietMs`: shortest quiet period that counts, however often
+   * jobs arrive: users retry after an error within about that time. `now`: steady clock, milliseconds.
    */
   constructor(
     private readonly memoryMs: number,
-    private readonly leastMs: number,
+    private readonly minQuietMs: number,
     now: number,
   ) {
     this.lastJobAt = now;
-    this.silentSince = now;
+    this.quietSince = now;
   }
 
-  /** The unfinished jobs, by the time of their submission. Jobs submitted since the last call count. */
+  /** Takes the submission times of all unfinished jobs; those submitted since the last call are counted. */
   observe(submissionTimes: Iterable<number>, now: number): void {
-    const before = this.newestSubmission;
+    const newestBefore = this.newestSubmission;
     let arrived = 0;
-    for (const at of submissionTimes) {
-      if (at <= before) continue;
+    for (const submittedAt of submissionTimes) {
+      if (submittedAt <= newestBefore) continue;
       arrived++;
-      this.newestSubmission = Math.max(this.newestSubmission, at);
+      this.newestSubmission = Math.max(this.newestSubmission, submittedAt);
     }
     if (arrived === 0) return;
-    const decayed = this.weight * Math.exp((this.lastJobAt - now) / this.memoryMs);
-    this.weight = decayed + arrived;
-    this.jobs += arrived;
+    const decayed = this.decayingCount * Math.exp((this.lastJobAt - now) / this.memoryMs);
+    this.decayingCount = decayed + arrived;
+    this.jobCount += arrived;
     this.lastJobAt = now;
-    this.silentSince = now;
+    this.quietSince = now;
   }
 
-  /** For a while no job could be seen (an outage, a pause of this process): silence starts anew. */
+  /** No job could arrive for a while (an outage, a pause of this process): the quiet period starts anew. */
   noteInterruption(now: number): void {
-    this.silentSince = now;
+    this.quietSince = now;
   }
 
-  /** No job has come for much longer than is usual between two. */
+  /** Whether no job has arrived for much longer than the mean gap between two. */
   haveStopped(now: number): boolean {
-    if (this.jobs < LEAST_JOBS) return false;
-    const gapMs = this.memoryMs / this.weight;
-    return now - this.silentSince > Math.max(this.leastMs, gapMs * STOPPED_AFTER_GAPS);
+    if (this.jobCount < MIN_JOBS) return false;
+    const meanGapMs = this.memoryMs / this.decayingCount;
+    return now - this.quietSince > Math.max(this.minQuietMs, meanGapMs * STOPPED_AFTER_GAPS);
   }
 }
--- a/src/controller/fleet/booting-machines.ts
+++ b/src/controller/fleet/booting-machines.ts
@@ -1,15 +1,15 @@
-/** Machines that are rented and have not come up yet. */
+/** Machines that have been launched and are not up yet. */
 import type { MachineKind } from '../placement/capacity/machine-kind.js';
 
-/** A machine that boots, as far as this leader knows. */
+/** A booting machine as this leader knows it. Times are of the steady clock, in milliseconds. */
 export interface BootingMachine extends MachineKind {
-  /** When it was rented. */
+  /** When the launch was requested, for machines of another term by the age that the cloud lists. */
   requestedAt: number;
-  /** When this leader learned of it. */
+  /** When this leader learned of the machine. */
   knownSince: number;
-  /** The cloud's list has shown it running: only its reports have not been seen. */
+  /** The cloud lists the machine as running, but no heartbeat has arrived. */
   listedAsRunning: boolean;
 }
 
-/** The machines that are rented and have not come up yet, by id. */
+/** The booting machines by id. */
 export type BootingMachines = Map<string, BootingMachine>;
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -1,4 +1,4 @@
-/** The cloud's API for machines, called within its limit of requests. */
+/** Client of the cloud's machine API, kept within the cloud's rate limit. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Reply } from '../runtime/runtime.js';
 import { TokenBucket } from '../runtime/token-bucket.js';
@@ -14,32 +14,38 @@
 
 const CALL_TIMEOUT_MS = 5000;
 const LIST_PAGE_SIZE = 500;
-const LEAST_TOKEN_WAIT_MS = 5;
-/** No calls for this time after the cloud has answered 429. */
+const MIN_TOKEN_WAIT_MS = 5;
+/** Pause of all calls after the cloud has answered 429. */
 const RATE_LIMIT_PAUSE_MS = 500;
-/** Share of the cloud's limit for the leader; the other controllers read the catalogue. */
+/** Share of the cloud's rate limit for the leader; the rest is for catalogue reads of the followers. */
 const LEADER_RATE_SHARE = 0.8;
-/** Share of the leader's calls that reading the list of machines may take, however long it is. */
+/** Largest share of the leader's calls that listing machines may take, however many there are. */
 const LIST_RATE_SHARE = 0.4;
-/** Share of the burst that a rental leaves for lists and releases. */
-const RENT_TOKEN_RESERVE = 0.2;
+/** Share of the token bucket that launches leave for lists and releases. */
+const LAUNCH_TOKEN_RESERVE = 0.2;
 
 const STATUS_OK = 200;
 const STATUS_TOO_MANY_REQUESTS = 429;
 const STATUS_NO_RESPONSE = 0;
 
-/** Machines to be rented under a name that makes the request idempotent. */
+/** Machines of one kind to launch; `name` makes retries idempotent. */
 export interface LaunchRequest {
   name: string;
   kind: MachineKind;
   count: number;
 }
 
-/** What became of a request to rent: `lost` may have been carried out. */
+/** Outcome of a launch request; an `unconfirmed` one may have been carried out. */
 export type LaunchResult =
-  { kind: 'rented'; machineIds: string[] } | { kind: 'refused' } | { kind: 'lost' };
+  { kind: 'launched'; machineIds: string[] } | { kind: 'refused' } | { kind: 'unconfirmed' };
 
-/** Calls of the leader to the cloud. */
+/** Outcome of listing all machines; `failed` if any page could not be read. */
+export type ListResult = { kind: 'listed'; machines: ListedMachine[] } | { kind: 'failed' };
+
+/** Outcome of reading one page of the machine list. */
+type PageResult = { kind: 'page'; machines: ListedMachine[]; more: boolean } | { kind: 'failed' };
+
+/** The leader's calls to the cloud. */
 export class CloudClient {
   private readonly tokens: TokenBucket;
 
@@ -51,80 +57,86 @@
     this.tokens = new TokenBucket(() => eventLoop.now(), rps * LEADER_RATE_SHARE, Math.max(1, rps));
   }
 
-  /** Reads the list of machines, page by page; `null` if any page failed. */
-  listMachines(done: (machines: ListedMachine[] | null) => void): void {
+  /** Lists all machines, page by page. */
+  listMachines(done: (result: ListResult) => void): void {
     this.listPage([], '', done);
   }
 
-  /** Least time between two lists of so many machines that leaves calls for rentals and releases. */
-  listIntervalMs(machines: number): number {
-    const pages = Math.ceil(machines / LIST_PAGE_SIZE);
+  /** Shortest time between two lists of `machineCount` machines that leaves calls for launches and releases. */
+  listIntervalMs(machineCount: number): number {
+    const pages = Math.ceil(machineCount / LIST_PAGE_SIZE);
     return (pages * 1000) / (this.tokens.perSecond * LIST_RATE_SHARE);
   }
 
-  /** A long list takes more tokens than there are at once: the next page waits for its own. */
+  /** A long list needs more tokens than the bucket holds, so each page waits for its own token. */
   private listPage(
     found: ListedMachine[],
-    from: string,
-    done: (machines: ListedMachine[] | null) => void,
+    after: string,
+    done: (result: ListResult) => void,
   ): void {
     if (!this.tokens.tryTake()) {
-      const waitMs = Math.max(LEAST_TOKEN_WAIT_MS, this.tokens.waitMs());
-      this.eventLoop.after(waitMs, 'list-token', () => this.listPage(found, from, done));
+      const waitMs = Math.max(MIN_TOKEN_WAIT_MS, this.tokens.waitMs());
+      this.eventLoop.after(waitMs, 'list-token', () => this.listPage(found, after, done));
       return;
     }
-    const path = `/machines?limit=${LIST_PAGE_SIZE}${from === '' ? '' : `&from=${from}`}`;
-    this.call('machine-list', 'GET', path, undefined, (reply) => {
+    const path = `/machines?limit=${LIST_PAGE_SIZE}${after === '' ? '' : `&from=${after}`}`;
+    this.call('list-response', 'GET', path, undefined, (reply) => {
       const page = this.readPage(reply);
-      if (page === null) return done(null);
+      if (page.kind === 'failed') return done(page);
       found.push(...page.machines);
       const last = found.at(-1);
       if (page.more && last !== undefined) return this.listPage(found, last.id, done);
-      done(found);
+      done({ kind: 'listed', machines: found });
     });
   }
 
-  private readPage(reply: Reply): ReturnType<typeof readMachinePage> | null {
-    if (reply.status !== STATUS_OK) return null;
+  private readPage(reply: Reply): PageResult {
+    if (reply.status !== STATUS_OK) return { kind: 'failed' };
     try {
-      return readMachinePage(reply.body);
+      return { kind: 'page', ...readMachinePage(reply.body) };
     } catch (err) {
-      this.eventLoop.log.warn({ err }, 'broken machine list');
-      return null;
+      this.eventLoop.log.warn({ err }, 'malformed machine list');
+      return { kind: 'failed' };
     }
   }
 
-  /** Takes the token that a release needs; false if it has to wait. */
+  /** Takes a rate-limit token for a release; false if there is none now. */
   acquireReleaseToken(): boolean {
     return this.tokens.tryTake();
   }
 
-  /** Returns machines to the cloud; the caller has taken the token. */
+  /** Releases machines. The caller has acquired the token. */
   release(machineIds: string[], done: (confirmed: boolean) => void): void {
-    this.call('released', 'POST', '/machines/release', writeReleaseRequest(machineIds), (reply) =>
-      done(reply.status === STATUS_OK),
+    this.call(
+      'release-response',
+      'POST',
+      '/machines/release',
+      writeReleaseRequest(machineIds),
+      (reply) => done(reply.status === STATUS_OK),
     );
   }
 
-  /** Takes the token that a rental needs; false if it has to wait. */
+  /** Takes a rate-limit token for a launch; false if there is none to spare now. */
   acquireLaunchToken(): boolean {
-    return this.tokens.tryTake(1, RENT_TOKEN_RESERVE);
+    return this.tokens.tryTake(1, LAUNCH_TOKEN_RESERVE);
   }
 
-  /** Rents machines; the caller has taken the token. */
+  /** Launches machines. The caller has acquired the token. */
   launch(request: LaunchRequest, done: (result: LaunchResult) => void): void {
     const { name, kind, count } = request;
     const body = writeLaunchRequest(name, kind.type.name, kind.zone, kind.spot, count);
-    this.call('rented', 'POST', '/machines', body, (reply) => done(this.launchResult(reply)));
+    this.call('launch-response', 'POST', '/machines', body, (reply) =>
+      done(this.launchResult(reply)),
+    );
   }
 
   private launchResult(reply: Reply): LaunchResult {
-    if (reply.status === STATUS_NO_RESPONSE) return { kind: 'lost' };
+    if (reply.status === STATUS_NO_RESPONSE) return { kind: 'unconfirmed' };
     if (reply.status !== STATUS_OK) return { kind: 'refused' };
     try {
-      return { kind: 'rented', machineIds: readLaunchedIds(reply.body) };
+      return { kind: 'launched', machineIds: readLaunchedIds(reply.body) };
     } catch (err) {
-      this.eventLoop.log.warn({ err }, 'broken answer to a rental');
+      this.eventLoop.log.warn({ err }, 'malformed response to a launch request');
       return { kind: 'refused' };
     }
   }
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -1,4 +1,7 @@
-/** Which machines there are: rents what waiting work lacks, returns what is of no use. */
+/**
+ * The machine fleet: scales out for tasks without capacity, scales in by releasing machines that are not
+ * needed any more.
+ */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Placement } from '../placement/placement.js';
@@ -13,14 +16,14 @@
 import { ScaleIn } from './scale-in.js';
 import { ScaleOut } from './scale-out.js';
 import { UnresponsiveReplicaHosts } from './unresponsive-replica-hosts.js';
-import { UnusedMachines } from './unused-machines.js';
+import { UnusedMachines, type WorkloadState } from './unused-machines.js';
 
-/** A pause of the steps that is longer than this many leases of the leader hides arrivals. */
+/** Steps further apart than this many leader leases count as an interruption, which hides arrivals. */
 const INTERRUPTION_LEASES = 2;
-/** Users whose submissions fail try again within this ratio of the workers' lease. */
-const LEAST_SILENCE_LEASES = 2;
+/** Shortest quiet period that counts, in worker leases: users retry a failed submission within it. */
+const MIN_QUIET_LEASES = 2;
 
-/** The machines of one leader's term. */
+/** Scales the fleet during one leader's term. */
 export class Fleet {
   private readonly bootingMachines: BootingMachines = new Map();
   private readonly scaleIn: ScaleIn;
@@ -28,7 +31,7 @@
   private readonly unused: UnusedMachines;
   private readonly scaleOut: ScaleOut;
   private readonly unresponsiveReplicaHosts: UnresponsiveReplicaHosts;
-  /** When there last was any unfinished job. */
+  /** When the last step saw an unfinished job. */
   private lastWorkAt: number;
   private readonly arrivals: ArrivalMonitor;
   private steppedAt = -Infinity;
@@ -44,17 +47,17 @@
   ) {
     this.lastWorkAt = eventLoop.now();
     const memoryMs = settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio');
-    const leastMs = settings.workerLeaseMs * LEAST_SILENCE_LEASES;
-    this.arrivals = new ArrivalMonitor(memoryMs, leastMs, eventLoop.now());
+    const minQuietMs = settings.workerLeaseMs * MIN_QUIET_LEASES;
+    this.arrivals = new ArrivalMonitor(memoryMs, minQuietMs, eventLoop.now());
     const cloud = new CloudClient(eventLoop, settings);
-    const common = { workers, placement, cloud, booting: this.bootingMachines, types, holdsLease };
-    this.scaleIn = new ScaleIn(eventLoop, settings, common);
+    const shared = { workers, placement, cloud, booting: this.bootingMachines, types, holdsLease };
+    this.scaleIn = new ScaleIn(eventLoop, settings, shared);
     this.inventory = new MachineInventory(eventLoop, settings, {
-      ...common,
+      ...shared,
       scaleIn: this.scaleIn,
     });
-    this.unused = new UnusedMachines(eventLoop, settings, { ...common, scaleIn: this.scaleIn });
-    this.scaleOut = new ScaleOut(eventLoop, settings, common);
+    this.unused = new UnusedMachines(eventLoop, settings, { ...shared, scaleIn: this.scaleIn });
+    this.scaleOut = new ScaleOut(eventLoop, settings, shared);
     this.unresponsiveReplicaHosts = new UnresponsiveReplicaHosts(
       eventLoop,
       settings,
@@ -63,29 +66,30 @@
     );
   }
 
-  /** Called about once a second. */
+  /** Runs one round of scaling; called about once a second. Does nothing without the leader's lease. */
   step(): void {
     if (!this.holdsLease()) return;
     const now = this.eventLoop.now();
     this.inventory.step(now);
-    this.noteWork(now);
-    this.noteArrivals(now);
+    this.observeJobs(now);
+    this.observeArrivals(now);
     const types = this.types();
     if (types === null) return;
     this.unresponsiveReplicaHosts.step(now);
     const noWork = this.noWork(now);
-    this.returnUnused(now, noWork);
-    const ahead = !noWork && !this.arrivals.haveStopped(now);
+    const arrivalsStopped = this.arrivals.haveStopped(now);
+    this.releaseUnused(now, { noWork, arrivalsStopped });
+    const preProvision = !noWork && !arrivalsStopped;
     if (this.inventory.synced && !this.scaleOut.hasOpenRequests)
-      this.scaleOut.step(now, types, ahead);
+      this.scaleOut.step(now, types, preProvision);
   }
 
-  private noteWork(now: number): void {
+  private observeJobs(now: number): void {
     if (this.table.jobs.size > 0) this.lastWorkAt = now;
     for (const job of this.table.jobs.values()) this.scaleOut.observeJob(job.spec, now);
   }
 
-  private noteArrivals(now: number): void {
+  private observeArrivals(now: number): void {
     const pauseMs = this.settings.leaderLeaseMs * INTERRUPTION_LEASES;
     if (now - this.steppedAt > pauseMs) this.arrivals.noteInterruption(now);
     this.steppedAt = now;
@@ -96,32 +100,30 @@
     for (const job of this.table.jobs.values()) yield job.submittedAt;
   }
 
-  /** Nothing at all to do for long: nobody should pay for readiness. */
+  /** There has been no unfinished job for so long that idle machines only cost money. */
   private noWork(now: number): boolean {
     const emptyMs = this.settings.workerLeaseMs * this.settings.get('fleet.empty.ratio');
     return now - this.lastWorkAt > emptyMs;
   }
 
-  private returnUnused(now: number, noWork: boolean): void {
-    const rentalsRefused = this.scaleOut.capacityRefused(now);
-    const arrivalsStopped = this.arrivals.haveStopped(now);
-    const machineIds = this.unused.find(now, {
-      noWork,
-      scaleOutRefused: rentalsRefused,
-      arrivalsStopped,
-    });
-    if (machineIds.length > 0) this.scaleIn.release(machineIds, 'no use');
+  private releaseUnused(now: number, workload: Omit<WorkloadState, 'scaleOutRefused'>): void {
+    const scaleOutRefused = this.scaleOut.capacityRefused(now);
+    const machineIds = this.unused.find(now, { ...workload, scaleOutRefused });
+    if (machineIds.length > 0) this.scaleIn.release(machineIds, 'unused');
   }
 
-  /** Releases machines that fell silent with replicas of services. */
+  /** Releases unresponsive machines so that their service replicas can start elsewhere (invariant 5). */
   private releaseUnresponsive(machines: readonly Machine[]): void {
     const ids = machines.map((machine) => machine.id).filter((id) => !this.scaleIn.isReleasing(id));
     if (ids.length === 0 || !this.holdsLease()) return;
-    this.eventLoop.log.info({ machines: ids }, 'silent machines with replicas are returned');
-    this.scaleIn.release(ids, 'silent with replicas');
+    this.eventLoop.log.info(
+      { machines: ids },
+      'unresponsive machines with replicas selected for release',
+    );
+    this.scaleIn.release(ids, 'unresponsive with replicas');
   }
 
-  /** How many machines are on their way, for the operators' view. */
+  /** Machines that have been launched and are not up yet. */
   get bootingCount(): number {
     return this.bootingMachines.size;
   }
--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -1,14 +1,15 @@
-/** Demand that is expected: classes of jobs seen lately should find room for some more tasks. */
+/** Pre-provisioning: job classes seen lately should find free capacity for some more tasks. */
 import { isAllowed } from '../placement/capacity/machine-kind.js';
 import { resourceRequestOf, countFittingTasks } from '../placement/need.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { Machine } from '../workers/machine.js';
 import type { CapacityDemand } from './scale-out-plan.js';
 
-/** How much room is kept ahead, and for how long after the last job of a class. */
+/** How much free capacity is kept per class, and for how long after its last job. */
 export interface HeadroomSettings {
-  /** Tasks to have room for, as a share of the class's tasks that run. */
+  /** Tasks to keep capacity for, as a ratio to the class's running tasks; 0 turns headroom off. */
   ratio: number;
+  /** A class is forgotten this long after its last unfinished job. */
   retentionMs: number;
 }
 
@@ -17,8 +18,8 @@
   observedAt: number;
 }
 
-/** Tasks of the job that fit on the machine beside what runs there. */
-function tasksThatFit(spec: JobSpec, machine: Machine): number {
+/** Number of tasks of the job that fit into the machine's free capacity. */
+function fittingTasks(spec: JobSpec, machine: Machine): number {
   const { type, zone, spot } = machine;
   if (type === null || !isAllowed(spec, { type, zone, spot })) return 0;
   return countFittingTasks(
@@ -29,37 +30,40 @@
   );
 }
 
-/** Free room for the job's tasks, counted up to `most`. */
-function freeTasks(spec: JobSpec, machines: readonly Machine[], most: number): number {
-  let free = 0;
+/** Number of tasks of the job that fit on all machines, counted up to `limit`. */
+function countFitting(spec: JobSpec, machines: readonly Machine[], limit: number): number {
+  let fitting = 0;
   for (const machine of machines) {
-    free += tasksThatFit(spec, machine);
-    if (free >= most) break;
+    fitting += fittingTasks(spec, machine);
+    if (fitting >= limit) break;
   }
-  return free;
+  return fitting;
 }
 
-/** Remembers the classes of jobs and asks for room ahead of their next jobs. */
+/** Remembers job classes and demands capacity ahead of their next jobs. */
 export class Headroom {
   private readonly classes = new Map<string, ObservedClass>();
 
   constructor(private readonly settings: HeadroomSettings) {}
 
-  /** A job of the class is unfinished. */
+  /** Notes that a job of the class is unfinished. */
   observeClass(spec: JobSpec, now: number): void {
     this.classes.set(spec.class, { spec, observedAt: now });
   }
 
-  /** Some room is to be kept at all. */
+  /** Whether any headroom is to be kept. */
   get enabled(): boolean {
     return this.settings.ratio > 0;
   }
 
-  /** What would find no room on the machines; `running` has the tasks of each class. */
+  /**
+   * Demand for the expected tasks that do not fit on the machines. `runningByClass` has the running tasks of
+   * each class.
+   */
   demand(
     now: number,
     machines: readonly Machine[],
-    running: ReadonlyMap<string, number>,
+    runningByClass: ReadonlyMap<string, number>,
   ): CapacityDemand[] {
     const demands: CapacityDemand[] = [];
     for (const { spec, observedAt } of this.classes.values()) {
@@ -67,9 +71,12 @@
         this.classes.delete(spec.class);
         continue;
       }
-      const tasks = Math.max(1, Math.ceil((running.get(spec.class) ?? 0) * this.settings.ratio));
-      const free = freeTasks(spec, machines, tasks);
-      if (free < tasks) demands.push({ spec, tasks: tasks - free });
+      const tasks = Math.max(
+        1,
+        Math.ceil((runningByClass.get(spec.class) ?? 0) * this.settings.ratio),
+      );
+      const fitting = countFitting(spec, machines, tasks);
+      if (fitting < tasks) demands.push({ spec, tasks: tasks - fitting });
     }
     return demands;
   }
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -1,4 +1,4 @@
-/** The cloud's list of machines, read now and then and compared with those known. */
+/** The machine inventory: reads the cloud's list periodically and reconciles it with the known machines. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { ListedMachine, MachineType } from '../wire/cloud.js';
@@ -8,27 +8,27 @@
 import type { CloudClient } from './cloud-client.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** Reports between two lists, at least. */
-const REPORTS_PER_LIST = 2;
-/** After a failure the list is read again when this share of its lag has not yet passed. */
+/** Heartbeat intervals between two lists, at least. */
+const HEARTBEATS_PER_LIST = 2;
+/** After a failure the interval until the next attempt is shortened by this share of the list's lag. */
 const RETRY_LAG_SHARE = 0.7;
-/** A machine that lists don't show is absent after so many times their lag, or their interval. */
+/** A machine missing from the list counts as absent after this many times the list's lag or interval. */
 const ABSENT_LAGS = 4;
 
-/** What the list needs of the other parts of the leader. */
+/** Parts of the leader that the inventory depends on. */
 export interface MachineInventoryContext {
   workers: Pick<Workers, 'machines' | 'setDescription'>;
   cloud: Pick<CloudClient, 'listIntervalMs' | 'listMachines'>;
   scaleIn: Pick<ScaleIn, 'isReleasing' | 'release'>;
   booting: BootingMachines;
   types(): MachineType[] | null;
-  /** The leader may act. */
+  /** Whether this node still holds the leader's lease (invariant 1). */
   holdsLease(): boolean;
 }
 
-/** Keeps what is known of machines in step with the cloud's list. */
+/** Keeps the known machines in step with the cloud's list. */
 export class MachineInventory {
-  /** A list has been read in this term. */
+  /** Whether a list has been read in this term. */
   synced = false;
   private reading = false;
   private readAt = -Infinity;
@@ -39,11 +39,12 @@
     private readonly context: MachineInventoryContext,
   ) {}
 
+  /** How far the cloud's list may lag behind. */
   private get lagMs(): number {
     return this.settings.platform.cloudLimits.listLagS * 1000;
   }
 
-  /** Reads the list if it is due. */
+  /** Reads the list when it is due. */
   step(now: number): void {
     if (!this.reading && now - this.readAt >= this.intervalMs) this.read();
   }
@@ -52,33 +53,33 @@
     const { cloud, workers } = this.context;
     return Math.max(
       this.lagMs,
-      this.settings.heartbeatIntervalMs * REPORTS_PER_LIST,
+      this.settings.heartbeatIntervalMs * HEARTBEATS_PER_LIST,
       cloud.listIntervalMs(workers.machines.size),
     );
   }
 
   private read(): void {
     this.reading = true;
-    this.context.cloud.listMachines((machines) => {
+    this.context.cloud.listMachines((result) => {
       this.reading = false;
-      if (machines === null) {
+      if (result.kind === 'failed') {
         this.readAt = this.eventLoop.now() - RETRY_LAG_SHARE * this.lagMs;
         return;
       }
       this.readAt = this.eventLoop.now();
-      if (this.context.holdsLease()) this.apply(machines);
+      if (this.context.holdsLease()) this.apply(result.machines);
     });
   }
 
-  private apply(listed: readonly ListedMachine[]): void {
+  private apply(entries: readonly ListedMachine[]): void {
     this.synced = true;
     const now = this.eventLoop.now();
-    const ids = new Set<string>();
-    for (const entry of listed) {
-      ids.add(entry.id);
+    const listedIds = new Set<string>();
+    for (const entry of entries) {
+      listedIds.add(entry.id);
       if (!this.context.scaleIn.isReleasing(entry.id)) this.applyEntry(entry, now);
     }
-    this.markAbsent(ids, now);
+    this.markAbsent(listedIds, now);
   }
 
   private applyEntry(entry: ListedMachine, now: number): void {
@@ -86,7 +87,7 @@
     const known = workers.machines.get(entry.id);
     if (known !== undefined) this.update(known, entry, now);
     else if (entry.state === 'failed') scaleIn.release([entry.id], 'failed');
-    else this.noteBooting(entry, now);
+    else this.addBooting(entry, now);
   }
 
   private update(machine: Machine, entry: ListedMachine, now: number): void {
@@ -97,7 +98,7 @@
       this.context.workers.setDescription(machine, entry.type, entry.zone, entry.spot, entry.addr);
   }
 
-  private noteBooting(
+  private addBooting(
     { id, type: name, zone, spot, ageS, state }: ListedMachine,
     now: number,
   ): void {
@@ -120,10 +121,10 @@
     });
   }
 
-  /** Once listed a machine stays listed until it is gone; but a list may be older than the last. */
+  /** A listed machine stays listed until it is gone, but a list may be older than the one before it. */
   private markAbsent(listedIds: ReadonlySet<string>, now: number): void {
-    const shownMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
-    const absentMs = shownMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
+    const listDelayMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
+    const absentMs = listDelayMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
     for (const machine of this.context.workers.machines.values()) {
       if (listedIds.has(machine.id) || machine.cloudStateAt === -Infinity) continue;
       if (now - machine.cloudStateAt > absentMs) machine.cloudState = 'absent';
--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -1,4 +1,4 @@
-/** The machine types that the cloud offers, read at the start and refreshed now and then. */
+/** The machine types that the cloud offers: read at the start, refreshed periodically, shared by the nodes. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -8,65 +8,65 @@
 const CATALOGUE_KEY = 'catalogue';
 const STATE_TIMEOUT_MS = 1500;
 const CLOUD_TIMEOUT_MS = 3000;
-/** Wait before the next attempt: at least this, and up to as much again. */
-const RETRY_MS = 500;
-/** The catalogue is read anew after so many leases of the workers. */
+/** Delay before a retry; jitter adds up to as much again. */
+const RETRY_DELAY_MS = 500;
+/** The catalogue is refreshed after this many worker leases. */
 const REFRESH_LEASES = 3;
 
-/** The leader's term as far as the catalogue is written under it. */
+/** The leader's term, as far as storing the catalogue needs it. */
 export interface CatalogueWriter {
-  /** The term is over. */
+  /** Whether the term is over. */
   readonly closed: boolean;
   readonly records: Pick<RecordStore, 'transact'>;
 }
 
-/** The cloud's machine types as this node knows them. */
+/** The machine types as this node knows them. */
 export class MachineTypeCatalogue {
-  private known: MachineType[] | null = null;
+  private knownTypes: MachineType[] | null = null;
   private knownAt = -Infinity;
 
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly client: Pick<StateStoreClient, 'read' | 'requestTokens'>,
-    /** This node's term as leader, if it has taken over. */
-    private readonly writer: () => CatalogueWriter | null,
+    /** This node's term as leader, `null` unless it leads and has recovered the state. */
+    private readonly currentTerm: () => CatalogueWriter | null,
   ) {}
 
-  /** The machine types; `null` until they have been read. */
+  /** The machine types, `null` until they have been read. */
   get types(): MachineType[] | null {
-    return this.known;
+    return this.knownTypes;
   }
 
-  /** Reads what a leader has stored, and asks the cloud where there is nothing. */
+  /** Reads the stored catalogue, or asks the cloud if there is none. */
   load(): void {
     this.client.requestTokens.forceTake();
     this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
-      if (got.kind === 'ok' && got.value !== null && this.known === null)
-        this.take(got.value.value);
-      if (this.known === null) this.askCloud();
+      if (got.kind === 'ok' && got.value !== null && this.knownTypes === null)
+        this.update(got.value.value);
+      if (this.knownTypes === null) this.askCloud();
     });
   }
 
-  /** Asks the cloud again if the types are old. */
+  /** Asks the cloud again if the types were read too long ago. */
   refreshIfDue(): void {
     const refreshMs = this.settings.workerLeaseMs * REFRESH_LEASES;
-    if (this.known === null || this.eventLoop.now() - this.knownAt <= refreshMs) return;
+    if (this.knownTypes === null || this.eventLoop.now() - this.knownAt <= refreshMs) return;
     this.knownAt = this.eventLoop.now();
     this.askCloud();
   }
 
-  /** Stores the machine types for nodes that start while the cloud does not answer. */
-  publish(writer: CatalogueWriter): void {
+  /** Stores the catalogue, for nodes that start while the cloud is unavailable. */
+  publish(term: CatalogueWriter): void {
     this.client.requestTokens.forceTake();
     this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
-      if (got.kind === 'failed' || writer.closed) return;
-      if (got.value !== null && this.known === null) this.take(got.value.value);
-      if (this.known === null) return;
-      const value = writeCatalogue(this.known);
+      if (got.kind === 'failed' || term.closed) return;
+      if (got.value !== null && this.knownTypes === null) this.update(got.value.value);
+      if (this.knownTypes === null) return;
+      const value = writeCatalogue(this.knownTypes);
       if (JSON.stringify(got.value?.value) === JSON.stringify(value)) return;
       const version = got.value?.version ?? 0;
-      writer.records.transact(
+      term.records.transact(
         [{ key: CATALOGUE_KEY, version }],
         [{ put: CATALOGUE_KEY, value }],
         () => undefined,
@@ -80,31 +80,31 @@
       { to, method: 'GET', path: '/catalog', timeoutMs: CLOUD_TIMEOUT_MS },
       (reply) => {
         this.eventLoop.post('catalogue', () => {
-          const before = JSON.stringify(this.known);
-          if (reply.status === 200) this.take(reply.body);
-          if (this.known === null) this.loadLater();
-          else if (JSON.stringify(this.known) !== before) this.shareChange();
+          const before = JSON.stringify(this.knownTypes);
+          if (reply.status === 200) this.update(reply.body);
+          if (this.knownTypes === null) this.retryLoad();
+          else if (JSON.stringify(this.knownTypes) !== before) this.publishChange();
         });
       },
     );
   }
 
-  private loadLater(): void {
-    const delayMs = RETRY_MS + RETRY_MS * this.eventLoop.runtime.random();
+  private retryLoad(): void {
+    const delayMs = RETRY_DELAY_MS + RETRY_DELAY_MS * this.eventLoop.runtime.random();
     this.eventLoop.after(delayMs, 'catalogue', () => this.load());
   }
 
-  private shareChange(): void {
-    const writer = this.writer();
-    if (writer !== null) this.publish(writer);
+  private publishChange(): void {
+    const term = this.currentTerm();
+    if (term !== null) this.publish(term);
   }
 
-  private take(body: unknown): void {
+  private update(body: unknown): void {
     try {
-      this.known = readCatalogue(body);
+      this.knownTypes = readCatalogue(body);
       this.knownAt = this.eventLoop.now();
     } catch (err) {
-      this.eventLoop.log.warn({ err }, 'broken catalogue');
+      this.eventLoop.log.warn({ err }, 'malformed machine type catalogue');
     }
   }
 }
--- /dev/null
+++ b/src/controller/fleet/scale-in.test.ts
@@ -0,0 +1,46 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { fleetFixture, listLagMs, settings } from '../../../test/fleet-fixture.js';
+import { CloudClient } from './cloud-client.js';
+import { ScaleIn } from './scale-in.js';
+
+describe('ScaleIn', () => {
+  it('retries a release until the cloud confirms it and remembers the machine for a while', () => {
+    const { runtime, eventLoop, workers } = fleetFixture();
+    const machine = workers.add('n-1');
+    const cloud = new CloudClient(eventLoop, settings);
+    const scaleIn = new ScaleIn(eventLoop, settings, { workers, cloud, holdsLease: () => true });
+    scaleIn.release(['n-1'], 'test');
+    assert.ok(machine.releasing);
+    runtime.answer(500);
+    assert.equal(workers.machines.size, 1);
+    runtime.advance(1000);
+    runtime.answer(200);
+    assert.equal(workers.machines.size, 0);
+    runtime.advance(listLagMs);
+    assert.ok(scaleIn.isReleasing('n-1'));
+    runtime.advance(listLagMs * 3 + 5000);
+    assert.ok(!scaleIn.isReleasing('n-1'));
+  });
+
+  it('releases in batches of a hundred, and only while the leader holds its lease', () => {
+    const { runtime, eventLoop, workers } = fleetFixture();
+    let leaseHeld = false;
+    const scaleIn = new ScaleIn(eventLoop, settings, {
+      workers,
+      cloud: new CloudClient(eventLoop, settings),
+      holdsLease: () => leaseHeld,
+    });
+    scaleIn.release(
+      Array.from({ length: 150 }, (_, index) => `n-${index}`),
+      'test',
+    );
+    assert.equal(runtime.calls.length, 0);
+    leaseHeld = true;
+    runtime.advance(1000);
+    assert.deepEqual(
+      runtime.calls.map(({ call }) => (call.body as { kilns: string[] }).kilns.length),
+      [100, 50],
+    );
+  });
+});
--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -1,29 +1,29 @@
-/** Returns machines to the cloud and repeats that until the cloud has confirmed it. */
+/** Scale in: releases machines at the cloud and retries until the cloud has confirmed it. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Workers } from '../workers/workers.js';
 import type { CloudClient } from './cloud-client.js';
 
-/** Machines returned with one request. */
+/** Largest number of machines in one release request. */
 const MAX_MACHINES_PER_REQUEST = 100;
 const RETRY_MS = 1000;
 const TOKEN_WAIT_MS = 500;
-/** Lists may show a returned machine for so many times their lag, and this time more. */
+/** The cloud's list may show a released machine for this many times its lag, plus a margin. */
 const FORGET_LAGS = 4;
 const FORGET_MARGIN_MS = 5000;
 
-/** What releases need of the other parts of the leader. */
+/** Parts of the leader that scaling in depends on. */
 export interface ScaleInContext {
   workers: Pick<Workers, 'machines' | 'removeMachine'>;
   cloud: Pick<CloudClient, 'acquireReleaseToken' | 'release'>;
-  /** The leader may act. */
+  /** Whether this node still holds the leader's lease (invariant 1). */
   holdsLease(): boolean;
 }
 
-/** The machines that are being returned. */
+/** The machines that are being released. */
 export class ScaleIn {
-  /** Kept until the cloud's list can't show them any more. */
-  private readonly ids = new Set<string>();
+  /** Ids of released machines, kept until the cloud's list cannot show them any more. */
+  private readonly releasingIds = new Set<string>();
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -31,21 +31,24 @@
     private readonly context: ScaleInContext,
   ) {}
 
-  /** The machine is being returned, or was a moment ago. */
+  /** Whether the machine is being released, or was so recently that the cloud may still list it. */
   isReleasing(id: string): boolean {
-    return this.ids.has(id);
+    return this.releasingIds.has(id);
   }
 
-  /** Returns the machines; nothing is placed on them from now on. */
-  release(ids: readonly string[], reason: string): void {
-    const batch = ids.slice(0, MAX_MACHINES_PER_REQUEST);
+  /**
+   * Releases the machines; nothing is placed on them from now on. Their tasks count as gone only once the
+   * cloud has confirmed the release (invariant 5).
+   */
+  release(machineIds: readonly string[], reason: string): void {
+    const batch = machineIds.slice(0, MAX_MACHINES_PER_REQUEST);
     for (const id of batch) {
-      this.ids.add(id);
+      this.releasingIds.add(id);
       const machine = this.context.workers.machines.get(id);
       if (machine !== undefined) machine.releasing = true;
     }
     this.send(batch, reason);
-    const rest = ids.slice(MAX_MACHINES_PER_REQUEST);
+    const rest = machineIds.slice(MAX_MACHINES_PER_REQUEST);
     if (rest.length > 0) this.release(rest, reason);
   }
 
@@ -54,7 +57,7 @@
     if (!this.context.cloud.acquireReleaseToken())
       return this.sendLater(TOKEN_WAIT_MS, batch, reason);
     this.context.cloud.release(batch, (confirmed) => {
-      if (confirmed) this.released(batch, reason);
+      if (confirmed) this.onReleased(batch, reason);
       else this.sendLater(RETRY_MS, batch, reason);
     });
   }
@@ -63,8 +66,8 @@
     this.eventLoop.after(delayMs, 'release', () => this.send(batch, reason));
   }
 
-  private released(batch: string[], reason: string): void {
-    this.eventLoop.log.info({ machines: batch, reason }, 'machines returned');
+  private onReleased(batch: string[], reason: string): void {
+    this.eventLoop.log.info({ machines: batch, reason }, 'machines released');
     for (const id of batch) {
       const machine = this.context.workers.machines.get(id);
       if (machine !== undefined) this.context.workers.removeMachine(machine);
@@ -74,7 +77,7 @@
       listLagS * 1000 * FORGET_LAGS + FORGET_MARGIN_MS,
       'forget-released',
       () => {
-        for (const id of batch) this.ids.delete(id);
+        for (const id of batch) this.releasingIds.delete(id);
       },
     );
   }
--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -1,47 +1,48 @@
-/** Pauses in renting of kinds of machines that the cloud does not have just now. */
+/** Backoff for kinds of machines that the cloud has no capacity for at present. */
 import type { MachineKind } from '../placement/capacity/machine-kind.js';
 
-/** The longest pause, in times of the first. */
+/** Longest pause, as a multiple of the first. */
 const MAX_PAUSE_FACTOR = 8;
 
+/** A kind of machine is not requested before `until` (steady clock, milliseconds). */
 interface Pause {
   until: number;
-  lengthMs: number;
+  durationMs: number;
 }
 
-/** A kind of machine as text: key of its pause, and its name in the log. */
+/** A kind of machine as text, used as a key and in the log. */
 export function machineKindKey(kind: MachineKind): string {
   return `${kind.type.name}/${kind.zone}/${kind.spot ? 'spot' : 'ordinary'}`;
 }
 
-/** Exponential backoff for each kind of machine. */
+/** Exponential backoff of launch requests, for each kind of machine. */
 export class ScaleOutBackoff {
   private readonly pauses = new Map<string, Pause>();
 
   constructor(private readonly firstPauseMs: number) {}
 
-  /** The cloud had all that was asked for. */
+  /** The cloud has launched all machines that were requested: ends the pause. */
   recordSuccess(kind: MachineKind): void {
     this.pauses.delete(machineKindKey(kind));
   }
 
-  /** The cloud had fewer than asked for. `some`: it had a few, so the pause is the first again. */
+  /** The cloud has launched fewer machines than requested. After `some` the pause is the shortest again. */
   recordShortage(kind: MachineKind, now: number, some: boolean): void {
     const before = this.pauses.get(machineKindKey(kind));
-    const lengthMs =
+    const durationMs =
       before === undefined || some
         ? this.firstPauseMs
-        : Math.min(before.lengthMs * 2, this.firstPauseMs * MAX_PAUSE_FACTOR);
-    this.pauses.set(machineKindKey(kind), { until: now + lengthMs, lengthMs });
+        : Math.min(before.durationMs * 2, this.firstPauseMs * MAX_PAUSE_FACTOR);
+    this.pauses.set(machineKindKey(kind), { until: now + durationMs, durationMs });
   }
 
-  /** The kind may be asked for. */
+  /** Whether machines of the kind may be requested now. */
   allows(kind: MachineKind, now: number): boolean {
     const pause = this.pauses.get(machineKindKey(kind));
     return pause === undefined || pause.until <= now;
   }
 
-  /** Some kind is not to be had just now. */
+  /** Whether requests for any kind are paused now. */
   anyPaused(now: number): boolean {
     for (const pause of this.pauses.values()) if (pause.until > now) return true;
     return false;
--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -1,38 +1,39 @@
-/** Which machines to rent for tasks that lack room. Pure: no clock, no I/O. */
+/** Decides which machines to launch for tasks without capacity. Pure functions: no clock, no I/O. */
 import { type MachineKind, isAllowed } from '../placement/capacity/machine-kind.js';
 import { resourceRequestOf, countFittingTasks } from '../placement/need.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { ResourceRequest } from '../workers/assignment.js';
 
-/** Machines asked for with one order. */
-const MAX_MACHINES_PER_ORDER = 50;
-/** Orders made at one time. */
-const MAX_ORDERS = 4;
-/** Price factor of a GPU machine for work without GPUs: it blocks others and can't use them. */
+/** Largest number of machines in one launch request. */
+const MAX_MACHINES_PER_LAUNCH = 50;
+/** Largest number of launch requests in one plan. */
+const MAX_LAUNCHES = 4;
+/** Price factor of a GPU machine for tasks without GPUs, which would keep the GPUs from other tasks. */
 const UNUSED_GPU_PRICE_FACTOR = 3;
-/** Weight of a machine that the zone has already: work that asks for spread, and other work. */
+/** Price increase per machine that the zone has already, for jobs that ask to be spread over zones. */
 const SPREAD_ZONE_WEIGHT = 1;
+/** The same for other jobs: decides only between equal prices. */
 const ZONE_WEIGHT = 1e-3;
 
-/** Tasks of a job that lack room. */
+/** A number of tasks of one job that need capacity. */
 export interface CapacityDemand {
   spec: JobSpec;
   tasks: number;
 }
 
-/** A kind of machine that can be rented, and how many machines its zone has. */
+/** A kind of machine that can be launched, and how many machines its zone has (booting ones included). */
 export interface InstanceOffer {
   kind: MachineKind;
   machinesInZone: number;
 }
 
-/** Machines of one kind to rent. */
+/** A number of machines of one kind to launch. */
 export interface PlannedLaunch {
   kind: MachineKind;
   count: number;
 }
 
-/** Free room of a machine that is booting or to be rented. */
+/** Free capacity of a machine that is booting or about to be launched. */
 interface FreeCapacity extends ResourceRequest {
   kind: MachineKind;
 }
@@ -42,47 +43,49 @@
   return { kind, cpus, gpus, memoryGb };
 }
 
-/** Takes room for as many of the tasks as fit; returns how many. */
-function takeCapacity(room: FreeCapacity, need: ResourceRequest, tasks: number): number {
-  const taken = Math.min(tasks, countFittingTasks(need, room.cpus, room.gpus, room.memoryGb));
-  room.cpus -= need.cpus * taken;
-  room.gpus -= need.gpus * taken;
-  room.memoryGb -= need.memoryGb * taken;
+/** Takes capacity for as many of the tasks as fit; returns how many. */
+function takeCapacity(free: FreeCapacity, request: ResourceRequest, tasks: number): number {
+  const taken = Math.min(tasks, countFittingTasks(request, free.cpus, free.gpus, free.memoryGb));
+  free.cpus -= request.cpus * taken;
+  free.gpus -= request.gpus * taken;
+  free.memoryGb -= request.memoryGb * taken;
   return taken;
 }
 
-/** Price per task, `null` if the offer holds none. Of equal offers the emptiest zone is cheapest. */
+/**
+ * Weighted price of the offer per task, `null` if no task fits. Of offers at the same price, that in the zone
+ * with the fewest machines is cheapest.
+ */
 function weightedPrice(
   demand: CapacityDemand,
-  need: ResourceRequest,
+  request: ResourceRequest,
   offer: InstanceOffer,
 ): number | null {
   const { spec, tasks } = demand;
   const { type, spot } = offer.kind;
   if (!isAllowed(spec, offer.kind)) return null;
-  const holds = Math.min(tasks, countFittingTasks(need, type.cpus, type.gpus, type.memoryGb));
-  if (holds < 1) return null;
-  // A replica on a spot machine is down each time that the machine is taken.
+  const fitting = Math.min(tasks, countFittingTasks(request, type.cpus, type.gpus, type.memoryGb));
+  if (fitting < 1) return null;
+  // A service replica is down whenever its spot machine is interrupted, so spot is not cheaper for it.
   const atSpotPrice = spot && spec.kind !== 'service';
-  const unusedGpus = need.gpus === 0 && type.gpus > 0;
+  const unusedGpus = request.gpus === 0 && type.gpus > 0;
   const price =
-    ((atSpotPrice ? type.spotPrice : type.price) / holds) *
+    ((atSpotPrice ? type.spotPrice : type.price) / fitting) *
     (unusedGpus ? UNUSED_GPU_PRICE_FACTOR : 1);
-  // Scattered work needs several machines of a zone.
   const zoneWeight = spec.spread ? SPREAD_ZONE_WEIGHT : ZONE_WEIGHT;
   return price * (1 + offer.machinesInZone * zoneWeight);
 }
 
-/** The cheapest offer for the demand's tasks. */
+/** The cheapest offer that fits a task of the demand, `null` if there is none. */
 export function cheapestOffer(
   demand: CapacityDemand,
   offers: readonly InstanceOffer[],
 ): InstanceOffer | null {
-  const need = resourceRequestOf(demand.spec);
+  const request = resourceRequestOf(demand.spec);
   let best: InstanceOffer | null = null;
   let bestPrice = Infinity;
   for (const offer of offers) {
-    const price = weightedPrice(demand, need, offer);
+    const price = weightedPrice(demand, request, offer);
     if (price === null || price >= bestPrice) continue;
     best = offer;
     bestPrice = price;
@@ -90,58 +93,64 @@
   return best;
 }
 
-/** Orders of one round of renting, each for machines of one kind. */
+/** Collects the launches of one plan. */
 class ScaleOutPlan {
   readonly launches: PlannedLaunch[] = [];
+  /** The launch of each kind that is not full yet. */
   private readonly openLaunches = new Map<MachineKind, PlannedLaunch>();
-  private readonly capacities: FreeCapacity[];
+  /** Free capacity of the booting machines and of those planned so far. */
+  private readonly machines: FreeCapacity[];
 
   constructor(
     booting: readonly MachineKind[],
     private readonly offers: readonly InstanceOffer[],
   ) {
-    this.capacities = booting.map(emptyMachine);
+    this.machines = booting.map(emptyMachine);
   }
 
+  /** Plans machines for the tasks that the booting and planned machines cannot hold. */
   add(demand: CapacityDemand): void {
     const { spec } = demand;
-    const need = resourceRequestOf(spec);
-    let tasks = demand.tasks - this.placeOnBooting(demand, need);
+    const request = resourceRequestOf(spec);
+    let tasks = demand.tasks - this.takeExisting(demand, request);
     while (tasks > 0) {
       const offer = cheapestOffer({ spec, tasks }, this.offers);
       if (offer === null || !this.addMachine(offer)) return;
-      const room = emptyMachine(offer.kind);
-      this.capacities.push(room);
-      tasks -= takeCapacity(room, need, tasks);
+      const machine = emptyMachine(offer.kind);
+      this.machines.push(machine);
+      tasks -= takeCapacity(machine, request, tasks);
     }
   }
 
-  /** Tasks that fit on what is booting or ordered already. */
-  private placeOnBooting({ spec, tasks }: CapacityDemand, need: ResourceRequest): number {
-    let placed = 0;
-    for (const room of this.capacities) {
-      if (placed === tasks) break;
-      if (isAllowed(spec, room.kind)) placed += takeCapacity(room, need, tasks - placed);
+  /** Takes capacity of the booting and planned machines; returns how many of the tasks fit there. */
+  private takeExisting({ spec, tasks }: CapacityDemand, request: ResourceRequest): number {
+    let taken = 0;
+    for (const machine of this.machines) {
+      if (taken === tasks) break;
+      if (isAllowed(spec, machine.kind)) taken += takeCapacity(machine, request, tasks - taken);
     }
-    return placed;
+    return taken;
   }
 
-  /** False if no more orders may be made. */
+  /** Adds one machine of the offer's kind; false if the plan has no place for another launch. */
   private addMachine(offer: InstanceOffer): boolean {
-    let order = this.openLaunches.get(offer.kind);
-    if (order === undefined || order.count >= MAX_MACHINES_PER_ORDER) {
-      if (this.launches.length >= MAX_ORDERS) return false;
-      order = { kind: offer.kind, count: 0 };
-      this.launches.push(order);
-      this.openLaunches.set(offer.kind, order);
+    let launch = this.openLaunches.get(offer.kind);
+    if (launch === undefined || launch.count >= MAX_MACHINES_PER_LAUNCH) {
+      if (this.launches.length >= MAX_LAUNCHES) return false;
+      launch = { kind: offer.kind, count: 0 };
+      this.launches.push(launch);
+      this.openLaunches.set(offer.kind, launch);
     }
-    order.count++;
+    launch.count++;
     offer.machinesInZone++;
     return true;
   }
 }
 
-/** Orders for the demands, in their order, beyond what the booting machines hold. Counts offers up. */
+/**
+ * Plans launches for the demands, in their order, beyond what the booting machines can hold. Increments
+ * `machinesInZone` of the offers that it uses.
+ */
 export function planScaleOut(
   demands: readonly CapacityDemand[],
   booting: readonly MachineKind[],
--- /dev/null
+++ b/src/controller/fleet/scale-out.test.ts
@@ -0,0 +1,29 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { arraySpec } from '../../../test/fakes.js';
+import { fleetFixture, machineType, settings } from '../../../test/fleet-fixture.js';
+import { CloudClient } from './cloud-client.js';
+import { ScaleOut } from './scale-out.js';
+
+describe('ScaleOut', () => {
+  it('retries an unconfirmed launch under the same name and backs off after a refusal', () => {
+    const { runtime, eventLoop, workers, booting } = fleetFixture();
+    const scaleOut = new ScaleOut(eventLoop, settings, {
+      ...{ workers, booting, holdsLease: () => true },
+      cloud: new CloudClient(eventLoop, settings),
+      placement: { shortages: [] },
+    });
+    const types = [{ ...machineType('plain', 0, 1), zones: ['a'] }];
+    scaleOut.observeJob(arraySpec({ cpus: 4, spot: false }), 0);
+    scaleOut.step(0, types, true);
+    assert.ok(scaleOut.hasOpenRequests);
+    const first = runtime.answer(0);
+    const second = runtime.answer(200, { kilns: [] });
+    assert.deepEqual(second.body, first.body);
+    assert.equal((first.body as { hire: string }).hire, 't7-1');
+    assert.ok(!scaleOut.hasOpenRequests);
+    assert.ok(scaleOut.capacityRefused(0));
+    scaleOut.step(0, types, true);
+    assert.equal(runtime.calls.length, 0);
+  });
+});
--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -1,4 +1,4 @@
-/** Rents machines for work that lacks room. */
+/** Scale out: launches machines for tasks that lack capacity. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { MachineKind } from '../placement/capacity/machine-kind.js';
@@ -17,24 +17,24 @@
   type PlannedLaunch,
 } from './scale-out-plan.js';
 
-/** Repeats of a request to rent that got no response. */
-const RETRIES = 3;
+/** Retries of a launch request that got no response. */
+const MAX_RETRIES = 3;
 
-/** What renting needs of the other parts of the leader. */
+/** Parts of the leader that scaling out depends on. */
 export interface ScaleOutContext {
   workers: Pick<Workers, 'machines' | 'assignedCountByClass' | 'term' | 'isAlive'>;
   placement: Pick<Placement, 'shortages'>;
   cloud: Pick<CloudClient, 'acquireLaunchToken' | 'launch'>;
   booting: BootingMachines;
-  /** The leader may act. */
+  /** Whether this node still holds the leader's lease (invariant 1). */
   holdsLease(): boolean;
 }
 
-/** Rents what waiting work lacks, and some room ahead of what is to come. */
+/** Launches machines for waiting tasks, and pre-provisions some for tasks that are expected. */
 export class ScaleOut {
   private readonly backoff: ScaleOutBackoff;
   private readonly headroom: Headroom;
-  /** Names of this term's rentals are numbered. */
+  /** Launch requests of this term; numbers their names. */
   private launchCount = 0;
   private openRequests = 0;
 
@@ -50,29 +50,29 @@
     });
   }
 
-  /** A job is unfinished. */
+  /** Notes that a job of this kind is unfinished. */
   observeJob(spec: JobSpec, now: number): void {
     this.headroom.observeClass(spec, now);
   }
 
-  /** Some request has not been answered. */
+  /** Whether a launch request has not been answered yet. */
   get hasOpenRequests(): boolean {
     return this.openRequests > 0;
   }
 
-  /** The cloud lacks machines that were asked for. */
+  /** Whether the cloud has lately refused some kind of machine. */
   capacityRefused(now: number): boolean {
     return this.backoff.anyPaused(now);
   }
 
-  /** `ahead`: rent for expected work too. */
-  step(now: number, types: readonly MachineType[], ahead: boolean): void {
+  /** Launches what is missing; with `preProvision` also for tasks that are only expected. */
+  step(now: number, types: readonly MachineType[], preProvision: boolean): void {
     const demands = this.waitingDemand(now);
-    if (ahead && this.headroom.enabled) demands.push(...this.expectedDemand(now));
+    if (preProvision && this.headroom.enabled) demands.push(...this.expectedDemand(now));
     if (demands.length === 0) return;
     const booting = [...this.context.booting.values()];
-    const orders = planScaleOut(demands, booting, this.offers(types, now));
-    for (const order of orders) this.launch(order, now);
+    const launches = planScaleOut(demands, booting, this.offers(types, now));
+    for (const planned of launches) this.launch(planned, now);
   }
 
   private waitingDemand(now: number): CapacityDemand[] {
@@ -96,71 +96,71 @@
     return this.headroom.demand(now, machines, workers.assignedCountByClass);
   }
 
-  /** What can be rented just now, each with the machines that its zone has already. */
+  /** The kinds of machines that may be launched now, with the number of machines in their zone. */
   private offers(types: readonly MachineType[], now: number): InstanceOffer[] {
-    const inZone = this.machinesByZone();
+    const machinesByZone = this.countByZone();
     const offers: InstanceOffer[] = [];
     for (const type of types)
       for (const zone of type.zones)
         for (const spot of [true, false]) {
           const kind: MachineKind = { type, zone, spot };
           if (this.backoff.allows(kind, now))
-            offers.push({ kind, machinesInZone: inZone.get(zone) ?? 0 });
+            offers.push({ kind, machinesInZone: machinesByZone.get(zone) ?? 0 });
         }
     return offers;
   }
 
-  private machinesByZone(): Map<string, number> {
+  private countByZone(): Map<string, number> {
     const { booting, workers } = this.context;
-    const inZone = new Map<string, number>();
-    const count = (zone: string): unknown => inZone.set(zone, (inZone.get(zone) ?? 0) + 1);
+    const counts = new Map<string, number>();
+    const count = (zone: string): unknown => counts.set(zone, (counts.get(zone) ?? 0) + 1);
     for (const machine of booting.values()) count(machine.zone);
     for (const machine of workers.machines.values()) count(machine.zone);
-    return inZone;
+    return counts;
   }
 
-  private launch(order: PlannedLaunch, now: number): void {
+  private launch(planned: PlannedLaunch, now: number): void {
     if (!this.context.cloud.acquireLaunchToken()) return;
     this.launchCount++;
-    // Unique over all time: no other leader has this term.
+    // Unique forever, since no other leader has this term; this makes retries idempotent (invariant 2).
     const name = `t${this.context.workers.term}-${this.launchCount}`;
     this.openRequests++;
-    this.send({ name, ...order }, now, RETRIES);
+    this.send({ name, ...planned }, now, MAX_RETRIES);
   }
 
-  private send(request: LaunchRequest, orderedAt: number, retries: number): void {
+  private send(request: LaunchRequest, requestedAt: number, retries: number): void {
     this.context.cloud.launch(request, (result) => {
-      if (result.kind === 'lost' && retries > 0 && this.context.holdsLease()) {
-        // The same name rents nothing twice.
-        this.send(request, orderedAt, retries - 1);
+      if (result.kind === 'unconfirmed' && retries > 0 && this.context.holdsLease()) {
+        // A repeated name launches nothing twice.
+        this.send(request, requestedAt, retries - 1);
         return;
       }
       this.openRequests--;
-      this.answered(request, orderedAt, result);
+      this.onResult(request, requestedAt, result);
     });
   }
 
-  private answered(request: LaunchRequest, orderedAt: number, result: LaunchResult): void {
+  private onResult(request: LaunchRequest, requestedAt: number, result: LaunchResult): void {
     const { kind, count } = request;
-    const machineIds = result.kind === 'rented' ? result.machineIds : [];
-    if (result.kind === 'rented') this.addBooting(request, orderedAt, machineIds);
-    if (result.kind === 'rented' && machineIds.length >= count) this.backoff.recordSuccess(kind);
+    const machineIds = result.kind === 'launched' ? result.machineIds : [];
+    if (result.kind === 'launched') this.addBooting(request, requestedAt, machineIds);
+    if (result.kind === 'launched' && machineIds.length >= count) this.backoff.recordSuccess(kind);
     else this.backoff.recordShortage(kind, this.eventLoop.now(), machineIds.length > 0);
   }
 
-  private addBooting(request: LaunchRequest, orderedAt: number, machineIds: string[]): void {
+  private addBooting(request: LaunchRequest, requestedAt: number, machineIds: string[]): void {
     const { name, kind, count } = request;
     for (const id of machineIds)
       if (!this.context.workers.machines.has(id))
         this.context.booting.set(id, {
           ...kind,
-          requestedAt: orderedAt,
-          knownSince: orderedAt,
+          requestedAt,
+          knownSince: requestedAt,
           listedAsRunning: false,
         });
     this.eventLoop.log.info(
-      { hire: name, offer: machineKindKey(kind), asked: count, machines: machineIds },
-      'machines rented',
+      { launch: name, machineKind: machineKindKey(kind), requested: count, machines: machineIds },
+      'machines launched',
     );
   }
 }
--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { standalonePlatform } from '../../../test/platform.js';
+import { arraySpec } from '../../../test/fakes.js';
 import { immediateRecords } from '../../../test/fake-records.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Call, Runtime, Logger, Reply } from '../runtime/runtime.js';
@@ -18,27 +19,29 @@
 const MACHINES = 20;
 const STEP_MS = 1000;
 const settings = new Settings(standalonePlatform(), defaultProperties());
-const share = settings.get('fleet.replicas.silent.share');
+const maxShare = settings.get('fleet.replicas.silent.share');
 const nothing = (): void => undefined;
-const quiet: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
+const silentLog: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 
-/** Machines whose workers report in time unless they are silent, and what was asked and released. */
-class Fleet {
+/** Machines whose workers send heartbeats unless they are unresponsive; records probes and releases. */
+class Cluster {
   now = 0;
-  private seq = 0;
-  readonly silent = new Set<string>();
-  /** Silent machines that answer when asked. */
-  readonly answering = new Set<string>();
-  readonly asked: string[] = [];
+  private sequence = 0;
+  readonly unresponsive = new Set<string>();
+  /** Unresponsive machines that still answer probes. */
+  readonly answeringProbes = new Set<string>();
+  /** Machines in the order in which they were probed. */
+  readonly probed: string[] = [];
   readonly released: string[] = [];
-  private readonly there = new Map<string, TaskStatus[]>();
+  /** What the heartbeat of each machine tells of its tasks. */
+  private readonly taskStatuses = new Map<string, TaskStatus[]>();
   private readonly replies: { at: number; done: (reply: Reply) => void; reply: Reply }[] = [];
-  private readonly soon: (() => void)[] = [];
+  private readonly deferred: (() => void)[] = [];
   private readonly timers: { at: number; run: () => void }[] = [];
   private readonly eventLoop: EventLoop;
   readonly table: JobTable;
   readonly workers: Workers;
-  private readonly watch: UnresponsiveReplicaHosts;
+  private readonly hosts: UnresponsiveReplicaHosts;
 
   constructor() {
     const runtime: Runtime = {
@@ -46,7 +49,7 @@
       now: () => this.now,
       wallClock: () => this.now,
       random: () => 0.5,
-      defer: (run) => this.soon.push(run),
+      defer: (run) => this.deferred.push(run),
       startTimer: (ms, run) => {
         this.timers.push({ at: this.now + ms, run });
         return { cancel: nothing };
@@ -55,7 +58,7 @@
       hasSpareConnection: () => true,
       sendPeer: nothing,
     };
-    this.eventLoop = new EventLoop(runtime, quiet);
+    this.eventLoop = new EventLoop(runtime, silentLog);
     const records = immediateRecords();
     this.table = new JobTable(
       this.eventLoop,
@@ -78,14 +81,14 @@
       findMachineType: () => undefined,
       ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
     });
-    this.watch = new UnresponsiveReplicaHosts(
+    this.hosts = new UnresponsiveReplicaHosts(
       this.eventLoop,
       settings,
       this.workers,
       (machines) => {
-        for (const m of machines) {
-          m.releasing = true;
-          this.released.push(m.id);
+        for (const machine of machines) {
+          machine.releasing = true;
+          this.released.push(machine.id);
         }
       },
     );
@@ -98,27 +101,18 @@
 
   private call(call: Call, done: (reply: Reply) => void): void {
     if (call.path !== '/inspect') return;
-    this.asked.push(call.to);
-    const answers = this.answering.has(call.to) || !this.silent.has(call.to);
+    this.probed.push(call.to);
+    const answers = this.answeringProbes.has(call.to) || !this.unresponsive.has(call.to);
     const reply: Reply = { status: answers ? 200 : 0, body: null };
     this.replies.push({ at: this.now + (answers ? 0 : call.timeoutMs), done, reply });
   }
 
-  /** A job whose tasks run on the machines named, one on each. */
+  /** Starts a job with one task on each of the machines. */
   place(part: Partial<JobSpec>, machines: string[]): Job {
-    const spec: JobSpec = {
-      ...{ id: `req-${this.table.jobs.size}`, class: 'c', team: 't', kind: 'service' },
-      ...{ priority: 'production', tasks: machines.length, cpus: 1, gpus: 0, memoryGb: 1 },
-      ...{ image: 'i', imageGb: 1, types: null, zone: null, singleZone: false, spread: false },
-      ...{
-        spot: true,
-        estimatedRunS: 0,
-        checkpointIntervalS: 0,
-        checkpointSaveS: 0,
-        deadlineS: null,
-      },
-      ...part,
-    };
+    const spec = arraySpec({
+      ...{ id: `req-${this.table.jobs.size}`, kind: 'service', priority: 'production' },
+      ...{ tasks: machines.length, estimatedRunS: 0, ...part },
+    });
     this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
     const job = this.table.jobs.get(spec.id) ?? assert.fail();
     for (const [task, id] of machines.entries()) {
@@ -128,167 +122,169 @@
     this.workers.flush();
     for (const [task, id] of machines.entries()) {
       const name = `${spec.id}/${task}`;
-      const report: TaskStatus = {
-        name,
-        attempt: 1,
-        state: 'running',
-        cause: null,
-        checkpointSaved: false,
+      const status: TaskStatus = {
+        ...{ name, attempt: 1, state: 'running', cause: null, checkpointSaved: false },
       };
-      this.there.set(id, [...(this.there.get(id) ?? []), report]);
+      this.taskStatuses.set(id, [...(this.taskStatuses.get(id) ?? []), status]);
     }
     this.run(3);
     assert.equal(job.runningCount, machines.length);
     return job;
   }
 
-  /** The task of the job on the machine ends by itself. */
-  exit(job: Job, machine: string): void {
-    for (const t of this.there.get(machine) ?? [])
-      if (t.name.startsWith(`${job.spec.id}/`))
-        Object.assign(t, { state: 'exited', cause: 'peers' });
+  /** The job's task on the machine exits by itself. */
+  exitTask(job: Job, machine: string): void {
+    for (const status of this.taskStatuses.get(machine) ?? [])
+      if (status.name.startsWith(`${job.spec.id}/`))
+        Object.assign(status, { state: 'exited', cause: 'peers' });
   }
 
-  run(seconds: number, answers = true): void {
+  run(seconds: number, leaderAnswers = true): void {
     for (let i = 0; i < seconds; i++) {
       this.now += STEP_MS;
-      for (const id of this.ids) if (!this.silent.has(id) && answers) this.report(id);
-      this.workers.setAnswering(answers, STEP_MS);
+      for (const id of this.ids)
+        if (!this.unresponsive.has(id) && leaderAnswers) this.sendHeartbeat(id);
+      this.workers.setAnswering(leaderAnswers, STEP_MS);
       this.workers.expireLeases();
-      this.watch.step(this.now);
-      this.settle();
+      this.hosts.step(this.now);
+      this.runDue();
     }
   }
 
-  private report(machine: string): void {
+  private sendHeartbeat(machine: string): void {
     this.workers.handleHeartbeat({
       ...{ machine, addr: machine, type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
-      ...{ sequence: ++this.seq, fencingToken: makeFencingToken(TERM, 0), spotNoticeS: null },
-      tasks: this.there.get(machine) ?? [],
+      ...{ sequence: ++this.sequence, fencingToken: makeFencingToken(TERM, 0), spotNoticeS: null },
+      tasks: this.taskStatuses.get(machine) ?? [],
     });
   }
 
-  /** Lets what is due by now happen. */
-  private settle(): void {
-    for (const r of this.replies.splice(0))
-      if (r.at <= this.now) r.done(r.reply);
-      else this.replies.push(r);
-    for (let run = this.soon.shift(); run !== undefined; run = this.soon.shift()) run();
-    for (const t of this.timers.splice(0))
-      if (t.at <= this.now) t.run();
-      else this.timers.push(t);
-    for (let run = this.soon.shift(); run !== undefined; run = this.soon.shift()) run();
+  /** Delivers replies and runs timers that are due. */
+  private runDue(): void {
+    for (const pending of this.replies.splice(0))
+      if (pending.at <= this.now) pending.done(pending.reply);
+      else this.replies.push(pending);
+    this.runDeferred();
+    for (const timer of this.timers.splice(0))
+      if (timer.at <= this.now) timer.run();
+      else this.timers.push(timer);
+    this.runDeferred();
+  }
+
+  private runDeferred(): void {
+    for (let run = this.deferred.shift(); run !== undefined; run = this.deferred.shift()) run();
   }
 }
 
-/** Longer than a silent machine with replicas is kept, and well within the worker's lease. */
-const SOON_S = Math.ceil(
+/** Longer than an unresponsive machine with replicas is kept, and well within the worker's lease. */
+const RELEASED_WITHIN_S = Math.ceil(
   settings.platform.workers.heartbeatIntervalS * (settings.get('fleet.replicas.silent.ratio') + 1),
 );
 
-describe('a silent machine with replicas of services', () => {
-  it('is released well before its lease has run out', () => {
-    const f = new Fleet();
-    const job = f.place({}, ['n-0', 'n-1']);
-    f.silent.add('n-0');
-    f.run(settings.platform.workers.heartbeatIntervalS);
-    assert.deepEqual(f.released, [], 'not for one late report');
-    f.run(SOON_S);
-    assert.deepEqual(f.released, ['n-0']);
+describe('an unresponsive machine with service replicas', () => {
+  it('is released well before its lease expires', () => {
+    const cluster = new Cluster();
+    const job = cluster.place({}, ['n-0', 'n-1']);
+    cluster.unresponsive.add('n-0');
+    cluster.run(settings.platform.workers.heartbeatIntervalS);
+    assert.deepEqual(cluster.released, [], 'not for one late heartbeat');
+    cluster.run(RELEASED_WITHIN_S);
+    assert.deepEqual(cluster.released, ['n-0']);
     assert.equal(job.runningCount, 2, 'its replica counts until the cloud has confirmed');
-    f.workers.removeMachine(f.workers.getOrCreateMachine('n-0'));
+    cluster.workers.removeMachine(cluster.workers.getOrCreateMachine('n-0'));
     assert.ok(job.pending.has(0));
   });
 
-  it('is kept while it answers when asked', () => {
-    const f = new Fleet();
-    f.place({}, ['n-0']);
-    f.silent.add('n-0');
-    f.answering.add('n-0');
-    f.run(SOON_S);
-    assert.ok(f.asked.includes('n-0'));
-    assert.deepEqual(f.released, []);
+  it('is kept while it answers probes', () => {
+    const cluster = new Cluster();
+    cluster.place({}, ['n-0']);
+    cluster.unresponsive.add('n-0');
+    cluster.answeringProbes.add('n-0');
+    cluster.run(RELEASED_WITHIN_S);
+    assert.ok(cluster.probed.includes('n-0'));
+    assert.deepEqual(cluster.released, []);
   });
 
-  it('is kept if its report comes while it is asked', () => {
-    const f = new Fleet();
-    f.place({}, ['n-0']);
-    f.silent.add('n-0');
-    while (f.asked.length === 0) f.run(1);
-    f.silent.delete('n-0');
-    f.run(3);
-    assert.deepEqual(f.released, []);
+  it('is kept if its heartbeat arrives during the probe', () => {
+    const cluster = new Cluster();
+    cluster.place({}, ['n-0']);
+    cluster.unresponsive.add('n-0');
+    while (cluster.probed.length === 0) cluster.run(1);
+    cluster.unresponsive.delete('n-0');
+    cluster.run(3);
+    assert.deepEqual(cluster.released, []);
   });
 
-  it('is kept while a gang of which it has a part goes on, for it may merely be cut off', () => {
-    const f = new Fleet();
-    f.place({}, ['n-0']);
-    const gang = f.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
-    f.silent.add('n-0');
-    f.run(SOON_S);
-    assert.deepEqual(f.asked, []);
-    f.exit(gang, 'n-1');
-    f.run(3);
-    assert.deepEqual(f.released, ['n-0']);
+  it('is kept while a gang with a member there goes on, since it may merely be partitioned', () => {
+    const cluster = new Cluster();
+    cluster.place({}, ['n-0']);
+    const gang = cluster.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
+    cluster.unresponsive.add('n-0');
+    cluster.run(RELEASED_WITHIN_S);
+    assert.deepEqual(cluster.probed, []);
+    cluster.exitTask(gang, 'n-1');
+    cluster.run(3);
+    assert.deepEqual(cluster.released, ['n-0']);
   });
 
-  it('is kept when its lease has nearly run out anyway', () => {
-    const f = new Fleet();
-    f.place({}, ['n-0']);
-    const gang = f.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
-    f.silent.add('n-0');
-    f.run(settings.platform.workers.leaseS - 1);
-    f.exit(gang, 'n-1');
-    f.run(1);
-    assert.deepEqual(f.released, []);
+  it('is kept when its lease is about to expire anyway', () => {
+    const cluster = new Cluster();
+    cluster.place({}, ['n-0']);
+    const gang = cluster.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
+    cluster.unresponsive.add('n-0');
+    cluster.run(settings.platform.workers.leaseS - 1);
+    cluster.exitTask(gang, 'n-1');
+    cluster.run(1);
+    assert.deepEqual(cluster.released, []);
   });
 
-  it('is kept when its services have been called off', () => {
-    const f = new Fleet();
-    const job = f.place({}, ['n-0']);
-    f.silent.add('n-0');
-    f.table.markCancelled(job.spec.id);
-    f.run(SOON_S);
-    assert.deepEqual(f.released, []);
+  it('is kept when its services have been cancelled', () => {
+    const cluster = new Cluster();
+    const job = cluster.place({}, ['n-0']);
+    cluster.unresponsive.add('n-0');
+    cluster.table.markCancelled(job.spec.id);
+    cluster.run(RELEASED_WITHIN_S);
+    assert.deepEqual(cluster.released, []);
   });
 
-  it('is kept when more machines are silent: the network may be at fault, or the leader', () => {
-    const f = new Fleet();
-    f.place({}, ['n-0']);
-    for (const id of f.ids.slice(0, MACHINES * share + 1)) f.silent.add(id);
-    f.run(SOON_S);
-    assert.deepEqual(f.released, []);
+  it('is kept when too many machines are unresponsive, since the network may be at fault', () => {
+    const cluster = new Cluster();
+    cluster.place({}, ['n-0']);
+    for (const id of cluster.ids.slice(0, MACHINES * maxShare + 1)) cluster.unresponsive.add(id);
+    cluster.run(RELEASED_WITHIN_S);
+    assert.deepEqual(cluster.released, []);
   });
 
-  it('is kept when the leader itself has not answered reports', () => {
-    const f = new Fleet();
-    f.place({}, ['n-0']);
-    f.silent.add('n-0');
-    f.run(SOON_S, false);
-    f.run(settings.platform.workers.heartbeatIntervalS);
-    assert.deepEqual(f.released, []);
+  it('is kept when the leader itself has not answered heartbeats', () => {
+    const cluster = new Cluster();
+    cluster.place({}, ['n-0']);
+    cluster.unresponsive.add('n-0');
+    cluster.run(RELEASED_WITHIN_S, false);
+    cluster.run(settings.platform.workers.heartbeatIntervalS);
+    assert.deepEqual(cluster.released, []);
   });
 });
 
-describe('silent machines', () => {
-  it('without replicas are left alone', () => {
-    const f = new Fleet();
-    f.place({ kind: 'array', estimatedRunS: 900 }, ['n-0']);
-    f.silent.add('n-0').add('n-1');
-    f.run(SOON_S);
-    assert.deepEqual([f.asked, f.released], [[], []]);
+describe('unresponsive machines', () => {
+  it('are neither probed nor released without replicas', () => {
+    const cluster = new Cluster();
+    cluster.place({ kind: 'array', estimatedRunS: 900 }, ['n-0']);
+    cluster.unresponsive.add('n-0').add('n-1');
+    cluster.run(RELEASED_WITHIN_S);
+    assert.deepEqual([cluster.probed, cluster.released], [[], []]);
   });
 
-  it('are released only up to a share of all within a lease', () => {
-    const f = new Fleet();
-    f.place({}, f.ids);
+  it('are released only up to a share of all machines within a lease', () => {
+    const cluster = new Cluster();
+    cluster.place({}, cluster.ids);
     for (let i = 0; i < MACHINES; i++) {
-      // One after the other, so that never many are silent at a time.
-      f.silent.add(`n-${i}`);
-      f.run(2);
-      for (const id of f.released) f.workers.removeMachine(f.workers.getOrCreateMachine(id));
-      if (f.now > settings.workerLeaseMs) break;
+      // One after the other, so that never many are unresponsive at a time.
+      cluster.unresponsive.add(`n-${i}`);
+      cluster.run(2);
+      for (const id of cluster.released)
+        cluster.workers.removeMachine(cluster.workers.getOrCreateMachine(id));
+      if (cluster.now > settings.workerLeaseMs) break;
     }
-    assert.equal(f.released.length, Math.ceil(MACHINES * share));
+    assert.equal(cluster.released.length, Math.ceil(MACHINES * maxShare));
   });
 });
--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -1,30 +1,35 @@
-/** Silent machines whose replicas of services are started elsewhere before their lease has run out. */
+/** Early release of unresponsive machines, so that their service replicas can start elsewhere. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment } from '../workers/assignment.js';
 import type { Machine } from '../workers/machine.js';
 import type { Workers } from '../workers/workers.js';
 
-/** How long a silent machine has for its answer, as a ratio to the report interval. */
-const ANSWER_RATIO = 0.2;
+/** Timeout of a probe, as a ratio to the heartbeat interval. */
+const PROBE_TIMEOUT_RATIO = 0.2;
 
-/** Machines that are found silent within this ratio of the report interval are released together. */
-const GATHER_RATIO = 0.01;
+/** Machines selected within this ratio of the heartbeat interval are released with one request. */
+const BATCH_DELAY_RATIO = 0.01;
+
+/** Path of the request that probes a worker. */
+const PROBE_PATH = '/inspect';
+
+const STATUS_OK = 200;
 
 /**
- * Chooses silent machines whose replicas of services should not wait for the worker's lease to run out:
- * once the cloud has confirmed their release, everything on them is gone, and the replicas may start
- * elsewhere. A machine is asked before, since merely its report may have been lost.
+ * Selects unresponsive machines whose service replicas should not wait for the worker's lease to expire.
+ * Once the cloud has confirmed the release, everything on the machine is gone and the replicas may start
+ * elsewhere (invariant 5). Each machine is probed first, since only its heartbeat may have been lost.
  */
 export class UnresponsiveReplicaHosts {
-  /** When machines were chosen, over the last lease of a worker. */
-  private chosenAt: number[] = [];
-  /** Machines to be released with the next call to the cloud. */
-  private readonly chosen: Machine[] = [];
-  /** Machines that were asked and have not answered yet. */
-  private readonly asked = new Set<string>();
-  /** When silent machines answered last. */
-  private readonly answeredAt = new Map<string, number>();
+  /** When machines were selected, over the last worker lease: limits their rate. */
+  private selectionTimes: number[] = [];
+  /** Machines selected for the next release request. */
+  private readonly selected: Machine[] = [];
+  /** Ids of machines with a probe in flight. */
+  private readonly probing = new Set<string>();
+  /** When machines last answered a probe, by id. */
+  private readonly probeAnsweredAt = new Map<string, number>();
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -33,86 +38,94 @@
     private readonly release: (machines: Machine[]) => void,
   ) {}
 
-  /** Called about once a second. */
+  /** Probes the machines that may have to be released; called about once a second. */
   step(now: number): void {
-    this.forgetAnswers(now);
-    if (this.allowed(now) <= 0) return;
+    this.forgetProbeAnswers(now);
+    if (this.releaseBudget(now) <= 0) return;
     for (const machine of this.workers.machines.values())
-      if (!this.asked.has(machine.id) && this.silent(machine, now) && this.worthwhile(machine, now))
-        this.ask(machine);
+      if (!this.probing.has(machine.id) && this.isCandidate(machine, now)) this.probe(machine);
   }
 
-  private ask(machine: Machine): void {
+  private isCandidate(machine: Machine, now: number): boolean {
+    return this.isUnresponsive(machine, now) && this.isWorthReleasing(machine, now);
+  }
+
+  private probe(machine: Machine): void {
     const { id, addr } = machine;
     if (addr === '' || !this.eventLoop.runtime.hasSpareConnection(addr)) return;
-    this.asked.add(id);
-    const timeoutMs = this.settings.heartbeatIntervalMs * ANSWER_RATIO;
+    this.probing.add(id);
+    const timeoutMs = this.settings.heartbeatIntervalMs * PROBE_TIMEOUT_RATIO;
     this.eventLoop.runtime.call(
-      { to: addr, method: 'GET', path: '/inspect', timeoutMs },
+      { to: addr, method: 'GET', path: PROBE_PATH, timeoutMs },
       (reply) => {
         this.eventLoop.post('inspected', () => {
-          this.asked.delete(id);
-          if (reply.status === 200) this.answeredAt.set(id, this.eventLoop.now());
-          else if (this.workers.machines.get(id) === machine) this.unanswered(machine);
+          this.probing.delete(id);
+          if (reply.status === STATUS_OK) this.probeAnsweredAt.set(id, this.eventLoop.now());
+          else if (this.workers.machines.get(id) === machine) this.onProbeFailed(machine);
         });
       },
     );
   }
 
-  private unanswered(machine: Machine): void {
+  private onProbeFailed(machine: Machine): void {
     const now = this.eventLoop.now();
-    if (this.allowed(now) <= 0 || this.chosen.includes(machine)) return;
-    if (!this.silent(machine, now) || !this.worthwhile(machine, now)) return;
-    this.chosenAt.push(now);
-    this.chosen.push(machine);
-    if (this.chosen.length > 1) return;
-    this.eventLoop.after(this.settings.heartbeatIntervalMs * GATHER_RATIO, 'release-silent', () => {
-      this.release(this.chosen.splice(0));
+    if (this.releaseBudget(now) <= 0 || this.selected.includes(machine)) return;
+    if (!this.isCandidate(machine, now)) return;
+    this.selectionTimes.push(now);
+    this.selected.push(machine);
+    if (this.selected.length > 1) return;
+    const batchDelayMs = this.settings.heartbeatIntervalMs * BATCH_DELAY_RATIO;
+    this.eventLoop.after(batchDelayMs, 'release-unresponsive', () => {
+      this.release(this.selected.splice(0));
     });
   }
 
-  /** How many machines may be released now. */
-  private allowed(now: number): number {
+  /** How many machines may still be selected now; at most 0 if none. */
+  private releaseBudget(now: number): number {
     const share = this.settings.get('fleet.replicas.silent.share');
-    // When many machines are silent the network is at fault, possibly this node's own.
+    // Many unresponsive machines point to a fault of the network, possibly of this node's own.
     if (this.workers.overdueShare(0, false) > share) return 0;
-    this.chosenAt = this.chosenAt.filter((at) => now - at < this.settings.workerLeaseMs);
-    return Math.ceil(this.workers.machines.size * share) - this.chosenAt.length;
+    this.selectionTimes = this.selectionTimes.filter(
+      (at) => now - at < this.settings.workerLeaseMs,
+    );
+    return Math.ceil(this.workers.machines.size * share) - this.selectionTimes.length;
   }
 
-  private silent(machine: Machine, now: number): boolean {
-    const ms = this.settings.heartbeatIntervalMs * this.settings.get('fleet.replicas.silent.ratio');
-    const answeredAt = this.answeredAt.get(machine.id) ?? -Infinity;
+  private isUnresponsive(machine: Machine, now: number): boolean {
+    const limitMs =
+      this.settings.heartbeatIntervalMs * this.settings.get('fleet.replicas.silent.ratio');
+    const answeredAt = this.probeAnsweredAt.get(machine.id) ?? -Infinity;
     return (
-      this.workers.unresponsiveMs(machine) > ms &&
+      this.workers.unresponsiveMs(machine) > limitMs &&
       now - answeredAt > this.settings.heartbeatIntervalMs
     );
   }
 
-  private forgetAnswers(now: number): void {
-    for (const [id, at] of this.answeredAt)
-      if (now - at > this.settings.workerLeaseMs) this.answeredAt.delete(id);
+  private forgetProbeAnswers(now: number): void {
+    for (const [id, at] of this.probeAnsweredAt)
+      if (now - at > this.settings.workerLeaseMs) this.probeAnsweredAt.delete(id);
   }
 
-  /** Whether a release would bring replicas back clearly sooner, at no loss to a gang that still runs. */
-  private worthwhile(machine: Machine, now: number): boolean {
+  /** Whether a release would bring replicas back clearly sooner without harm to a gang that still runs. */
+  private isWorthReleasing(machine: Machine, now: number): boolean {
     if (machine.releasing || machine.agentEpoch < machine.lowestValidAgentEpoch) return false;
     const leaseLeftMs = machine.leaseRenewedAt + this.settings.workerLeaseExpiryMs - now;
     if (leaseLeftMs < this.settings.heartbeatIntervalMs) return false;
     const assignments = [...machine.assignments.values()].filter((a) => a.phase !== 'ended');
-    return assignments.some(isReplica) && !assignments.some(isPartOfRunningGang);
+    return assignments.some(isReplica) && !assignments.some(isMemberOfRunningGang);
   }
 }
 
+/** Whether the task is a replica of a service that has not been cancelled. */
 function isReplica(assignment: Assignment): boolean {
   return assignment.job?.isService === true && assignment.job.terminalState === null;
 }
 
 /**
- * A gang with parts on other machines is told of a machine that hangs or is gone by its parts' exits;
- * where it goes on, the machine may merely be cut off.
+ * Whether the task belongs to a gang that still runs on other machines too. If this machine hung or were
+ * gone, the other members would exit; as long as they run, the machine may merely be partitioned.
  */
-function isPartOfRunningGang({ job }: Assignment): boolean {
+function isMemberOfRunningGang({ job }: Assignment): boolean {
   return (
     job?.spec.kind === 'gang' &&
     job.spec.tasks > 1 &&
--- /dev/null
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -0,0 +1,73 @@
+import assert from 'node:assert/strict';
+import { beforeEach, describe, it } from 'node:test';
+import {
+  fleetFixture,
+  plainType,
+  settings,
+  type FleetFixture,
+} from '../../../test/fleet-fixture.js';
+import { UnusedMachines, type WorkloadState } from './unused-machines.js';
+
+const unresponsiveLimitMs = settings.workerLeaseExpiryMs * settings.get('fleet.silent.ratio');
+const idleLimitMs = settings.workerLeaseMs * settings.get('fleet.idle.ratio');
+const bootMs = plainType.bootS * 1000;
+const steady: WorkloadState = { noWork: false, scaleOutRefused: false, arrivalsStopped: false };
+
+describe('UnusedMachines', () => {
+  let workers: FleetFixture['workers'];
+  let booting: FleetFixture['booting'];
+  let unused: UnusedMachines;
+  beforeEach(() => {
+    const fixture = fleetFixture();
+    ({ workers, booting } = fixture);
+    unused = new UnusedMachines(fixture.eventLoop, settings, {
+      ...{ workers, booting, placement: { shortages: [] } },
+      scaleIn: { isReleasing: () => false },
+    });
+  });
+
+  const launched = { type: plainType, zone: 'a', spot: false, requestedAt: -Infinity };
+
+  it('finds machines that failed, did not boot in time or are unresponsive', () => {
+    workers.add('failed').cloudState = 'failed';
+    workers.add('unresponsive');
+    workers.unresponsive.set('unresponsive', unresponsiveLimitMs + 1);
+    workers.add('up');
+    booting.set('late', { ...launched, knownSince: 0, listedAsRunning: false });
+    assert.deepEqual(unused.find(0, steady), ['late', 'failed', 'unresponsive']);
+    assert.equal(booting.size, 0);
+  });
+
+  // A new leader reads the list before the workers have found it: those without a record were released.
+  it('gives a machine that is listed as running time to find this leader', () => {
+    booting.set('partitioned', { ...launched, knownSince: 0, listedAsRunning: true });
+    assert.deepEqual(unused.find(unresponsiveLimitMs, steady), []);
+    assert.deepEqual(unused.find(unresponsiveLimitMs + 1, steady), ['partitioned']);
+  });
+
+  it('removes an unresponsive machine that the cloud no longer lists', () => {
+    workers.add('gone').cloudState = 'absent';
+    workers.unresponsive.set('gone', unresponsiveLimitMs + 1);
+    assert.deepEqual(unused.find(unresponsiveLimitMs * 2, steady), []);
+    assert.equal(workers.machines.size, 1);
+    assert.deepEqual(unused.find(unresponsiveLimitMs * 2 + 1, steady), []);
+    assert.equal(workers.machines.size, 0);
+  });
+
+  it('keeps one idle machine of a kind unless there is no work', () => {
+    for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
+    assert.deepEqual(unused.find(idleLimitMs, steady), []);
+    assert.deepEqual(unused.find(idleLimitMs + 1, steady), ['n-1', 'n-2']);
+    const rest = unused.find(idleLimitMs + 1, { ...steady, noWork: true });
+    assert.ok(rest.includes('n-3'));
+  });
+
+  // Kept for jobs that do not come, they would cost as much as busy ones.
+  it('keeps idle machines no longer than a boot takes once arrivals have stopped', () => {
+    for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
+    const stopped = { ...steady, arrivalsStopped: true };
+    assert.deepEqual(unused.find(bootMs, stopped), []);
+    assert.deepEqual(unused.find(bootMs + 1, steady), []);
+    assert.deepEqual(unused.find(bootMs + 1, stopped), ['n-1', 'n-2']);
+  });
+});
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -1,4 +1,4 @@
-/** Finds the machines that are of no use any more. */
+/** Finds the machines that are not needed any more. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
@@ -7,12 +7,12 @@
 import type { BootingMachines } from './booting-machines.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** Idle machines go sooner by this factor while they may be in the way of a waiting gang. */
+/** Factor on the idle limit while idle machines may block the launch of machines for a waiting gang. */
 const STUCK_IDLE_FACTOR = 1 / 8;
-/** Other idle machines of a kind that keep one's return from having it rented again. */
-const MIN_IDLE_ALIKE = 2;
+/** Idle machines of a kind, at least, for one of them to be released: the last would be launched again. */
+const MIN_IDLE_OF_KIND = 2;
 
-/** What the search needs of the other parts of the leader. */
+/** Parts of the leader that the search depends on. */
 export interface UnusedMachinesContext {
   workers: Pick<
     Workers,
@@ -23,31 +23,32 @@
   booting: BootingMachines;
 }
 
-/** What is known of the work, for the decision on idle machines. */
+/** State of the workload, which decides how long idle machines are kept. */
 export interface WorkloadState {
-  /** There has been no work for long. */
+  /** There has been no unfinished job for long. */
   noWork: boolean;
-  /** The cloud refuses some kinds of machines. */
+  /** The cloud has refused to launch some kind of machine. */
   scaleOutRefused: boolean;
-  /** No jobs have arrived for much longer than is usual. */
+  /** No job has arrived for much longer than usual. */
   arrivalsStopped: boolean;
 }
 
+/** Machines with the same key stand in for one another when idle. */
 function idleKey(machine: Machine): string {
   return `${machine.typeName} ${machine.spot ? 1 : 0}`;
 }
 
-/** Once no jobs arrive any more, a machine is kept no longer than renting it again would take. */
+/** Once jobs have stopped arriving, a machine is kept no longer than a new one would take to boot. */
 function idleLimitMs(
   machine: Machine,
-  usualMs: number,
+  defaultMs: number,
   { arrivalsStopped }: WorkloadState,
 ): number {
   const bootMs = (machine.type?.bootS ?? 0) * 1000;
-  return arrivalsStopped ? Math.min(usualMs, bootMs) : usualMs;
+  return arrivalsStopped ? Math.min(defaultMs, bootMs) : defaultMs;
 }
 
-/** Machines that never came up, have failed, are silent or idle. */
+/** Finds machines that failed to boot, have failed, are unresponsive or idle. */
 export class UnusedMachines {
   constructor(
     private readonly eventLoop: EventLoop,
@@ -55,33 +56,34 @@
     private readonly context: UnusedMachinesContext,
   ) {}
 
-  /** The machines to return. Forgets those that are gone by themselves. */
-  find(now: number, outlook: WorkloadState): string[] {
-    const silentMs = this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
-    const idleMs = this.allowedIdleMs(now, outlook);
-    const found = this.neverUp(now, silentMs);
-    const idleAlike = this.idleByKind();
+  /** Ids of the machines to release. Removes those that are gone by themselves. */
+  find(now: number, workload: WorkloadState): string[] {
+    const unresponsiveMs =
+      this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
+    const idleMs = this.idleLimitMs(now, workload);
+    const found = this.findFailedBoots(now, unresponsiveMs);
+    const idleCounts = this.countIdleByKind();
     for (const machine of [...this.context.workers.machines.values()]) {
       if (this.context.scaleIn.isReleasing(machine.id)) continue;
       if (machine.cloudState === 'failed') found.push(machine.id);
-      else if (this.silent(machine, silentMs)) {
-        if (this.silentToReturn(machine, now, silentMs)) found.push(machine.id);
+      else if (this.isUnresponsive(machine, unresponsiveMs)) {
+        if (this.releasesUnresponsive(machine, now, unresponsiveMs)) found.push(machine.id);
       } else if (
         !machine.isBusy &&
-        now - machine.idleSince > idleLimitMs(machine, idleMs, outlook)
+        now - machine.idleSince > idleLimitMs(machine, idleMs, workload)
       ) {
-        if (this.idleToReturn(machine, idleAlike, outlook.noWork)) found.push(machine.id);
+        if (this.releasesIdle(machine, idleCounts, workload.noWork)) found.push(machine.id);
       }
     }
     return found;
   }
 
   /**
-   * Booting machines that take too long; those that are up are no longer booting. A machine that runs by
-   * the cloud's list may be one that has not found this leader yet, or is cut off: it has the time that
-   * a silent one has.
+   * Booting machines that take too long. Those that have sent a heartbeat no longer count as booting. A
+   * machine that the cloud lists as running may not have found this leader yet, or may be partitioned: it
+   * gets the same time as an unresponsive one.
    */
-  private neverUp(now: number, silentMs: number): string[] {
+  private findFailedBoots(now: number, unresponsiveMs: number): string[] {
     const { booting, workers } = this.context;
     const found: string[] = [];
     const bootRatio = this.settings.get('fleet.boot.ratio');
@@ -90,66 +92,71 @@
         booting.delete(id);
         continue;
       }
-      const bootMs = machine.type.bootS * bootRatio * 1000;
+      const bootLimitMs = machine.type.bootS * bootRatio * 1000;
       const late = machine.listedAsRunning
-        ? now - machine.knownSince > silentMs
-        : now - machine.requestedAt > bootMs;
+        ? now - machine.knownSince > unresponsiveMs
+        : now - machine.requestedAt > bootLimitMs;
       if (!late) continue;
       booting.delete(id);
       found.push(id);
-      this.eventLoop.log.info({ machine: id }, 'machine never came up');
+      this.eventLoop.log.info({ machine: id }, 'machine failed to boot in time');
     }
     return found;
   }
 
   /**
-   * How long a machine may be idle. While a gang has long lacked room that the cloud refuses, what
-   * stands idle may be in its way. Not sooner: a returned machine takes its images along.
+   * How long a machine may be idle. While a gang has long lacked capacity and the cloud refuses machines,
+   * idle ones may use up the quota that the gang needs. Not sooner: a released machine's images are lost.
    */
-  private allowedIdleMs(now: number, outlook: WorkloadState): number {
-    if (outlook.noWork) return 0;
+  private idleLimitMs(now: number, workload: WorkloadState): number {
+    if (workload.noWork) return 0;
     const idleMs = this.settings.workerLeaseMs * this.settings.get('fleet.idle.ratio');
-    const longMs = this.settings.get('placement.cannot.fill.s') * 1000;
-    const stuck =
-      outlook.scaleOutRefused &&
-      this.context.placement.shortages.some(({ job }) => now - job.waitingSince > longMs);
-    return stuck ? idleMs * STUCK_IDLE_FACTOR : idleMs;
+    const longWaitMs = this.settings.get('placement.cannot.fill.s') * 1000;
+    const gangBlocked =
+      workload.scaleOutRefused &&
+      this.context.placement.shortages.some(({ job }) => now - job.waitingSince > longWaitMs);
+    return gangBlocked ? idleMs * STUCK_IDLE_FACTOR : idleMs;
   }
 
-  private idleByKind(): Map<string, number> {
+  private countIdleByKind(): Map<string, number> {
     const { workers } = this.context;
-    const idle = new Map<string, number>();
+    const counts = new Map<string, number>();
     for (const machine of workers.machines.values()) {
       if (machine.isBusy || machine.releasing || !workers.isAlive(machine)) continue;
-      idle.set(idleKey(machine), (idle.get(idleKey(machine)) ?? 0) + 1);
+      const key = idleKey(machine);
+      counts.set(key, (counts.get(key) ?? 0) + 1);
     }
-    return idle;
+    return counts;
   }
 
-  private silent(machine: Machine, silentMs: number): boolean {
+  private isUnresponsive(machine: Machine, limitMs: number): boolean {
     const { workers } = this.context;
-    return (
-      workers.unresponsiveMs(machine) > silentMs || workers.unacknowledgedMs(machine) > silentMs
-    );
+    return workers.unresponsiveMs(machine) > limitMs || workers.unacknowledgedMs(machine) > limitMs;
   }
 
-  private silentToReturn(machine: Machine, now: number, silentMs: number): boolean {
+  /** Whether an unresponsive machine is to be released; one that no longer exists is removed instead. */
+  private releasesUnresponsive(machine: Machine, now: number, limitMs: number): boolean {
     if (machine.cloudState === 'absent' || machine.cloudStateAt === -Infinity) {
-      // Not there any more, and its lease has run out.
-      if (now - machine.firstSeenAt > silentMs * 2) this.context.workers.removeMachine(machine);
+      // The machine no longer exists, and its worker's lease has expired (invariant 5).
+      if (now - machine.firstSeenAt > limitMs * 2) this.context.workers.removeMachine(machine);
       return false;
     }
-    this.eventLoop.log.info({ machine: machine.id }, 'silent machine is returned');
+    this.eventLoop.log.info({ machine: machine.id }, 'unresponsive machine selected for release');
     return true;
   }
 
-  /** Where enough others like it are idle, returning one won't have it rented again at once. */
-  private idleToReturn(machine: Machine, idleAlike: Map<string, number>, noWork: boolean): boolean {
-    const alike = idleAlike.get(idleKey(machine)) ?? 0;
-    if (alike < MIN_IDLE_ALIKE && !noWork) return false;
-    idleAlike.set(idleKey(machine), alike - 1);
+  /** Whether an idle machine is to be released: only if another of its kind stays, or there is no work. */
+  private releasesIdle(
+    machine: Machine,
+    idleCounts: Map<string, number>,
+    noWork: boolean,
+  ): boolean {
+    const key = idleKey(machine);
+    const idleCount = idleCounts.get(key) ?? 0;
+    if (idleCount < MIN_IDLE_OF_KIND && !noWork) return false;
+    idleCounts.set(key, idleCount - 1);
     machine.releasing = true;
-    this.eventLoop.log.info({ machine: machine.id }, 'idle machine is returned');
+    this.eventLoop.log.info({ machine: machine.id }, 'idle machine selected for release');
     return true;
   }
 }
