--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -18,6 +18,7 @@
 import { GangReservations } from '../src/controller/placement/placers/gang-reservations.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
+import type { RecordStore } from '../src/controller/store/record-store.js';
 import { PageTable } from '../src/controller/store/page-table.js';
 import { decodeBody, encodeBody } from '../src/controller/wire/cbor.js';
 import { readCatalogue, writeCatalogue } from '../src/controller/wire/cloud.js';
@@ -25,12 +26,7 @@
 import { MachineStore } from '../src/controller/workers/machine-store.js';
 import { MachineRegistry } from '../src/controller/workers/machine-registry.js';
 import { FencingTokenSync } from '../src/controller/workers/fencing-token-sync.js';
-import {
-  decodeMachineRecord,
-  encodeMachineRecord,
-} from '../src/controller/workers/machine-record.js';
-import type { Assignment } from '../src/controller/workers/assignment.js';
-import type { Machine } from '../src/controller/workers/machine.js';
+import { restoreAssignment } from '../src/controller/workers/assignment.js';
 import { standalonePlatform } from './platform.js';
 import { digestScenarios } from './simulation/digest-scenarios.js';
 import { storedFormsOf, type StoredForms } from './simulation/stored-forms.js';
@@ -55,6 +51,25 @@
   return { key, text, value: JSON.parse(text) as unknown };
 }
 
+/** A time of day later than all in the fixture. */
+const WALL_CLOCK = 1.8e12;
+
+/** The store of machines over these records; it takes in the tasks that they tell of. */
+function machineStore(records: RecordStore): { registry: MachineRegistry; store: MachineStore } {
+  const clock = new FakeClock(WALL_CLOCK);
+  const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
+  const sync = new FencingTokenSync(eventLoop, 1);
+  const registry = new MachineRegistry(eventLoop, settings, sync, () => undefined);
+  const store = new MachineStore(eventLoop, settings, records, registry, {
+    taskRestored: (machine, task, assignedAt) => {
+      const assignment = restoreAssignment(task, null, machine, assignedAt);
+      machine.assignments.set(assignment.name, assignment);
+    },
+    assignmentsRecorded: () => undefined,
+  });
+  return { registry, store };
+}
+
 describe('stored records and messages, as the present version writes them', () => {
   it('are in their kinds and to the byte as they were recorded', async () => {
     assert.deepEqual(await storedFormsOf(digestScenarios.slice(3, 5)), forms);
@@ -121,25 +136,16 @@
 
 describe('a record in a page', () => {
   it('has the tasks on a machine, which are written alike', () => {
-    const { value, text } = recordOf('m/');
-    const wall = 1.8e12;
-    const read = decodeMachineRecord(value, wall);
-    assert.ok(read !== null && read.tasks.length > 1);
-    const { agentEpoch, type: typeName, zone, spot, addr } = read;
-    const assignments = read.tasks.map((task, i): [string, Assignment] => [
-      String(i),
-      { ...task, assignedAt: task.assignedAtWallClock - wall } as unknown as Assignment,
-    ]);
-    const machine = {
-      session: agentEpoch,
-      typeName,
-      zone,
-      spot,
-      addr,
-      assignments: new Map(assignments),
-    };
-    const written = encodeMachineRecord(machine as unknown as Machine, settings, 0, wall);
-    assert.equal(JSON.stringify(written), text);
+    const { key, value, text } = recordOf('m/');
+    const records = immediateRecords({ [key]: value });
+    const { registry, store } = machineStore(records);
+    store.restore();
+    const machine = registry.getOrCreate(key.slice('m/'.length));
+    assert.ok(machine.assignments.size > 1);
+    records.set(key, undefined, 'lazy');
+    store.markChanged(machine);
+    store.flush();
+    assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
   });
 
   it('has the done tasks of a job, which are written alike', () => {
@@ -160,17 +166,8 @@
 
   it('has the images on a machine, which are written alike', () => {
     const { key, value } = recordOf('i/');
-    const clock = new FakeClock(1000);
-    const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
-    const registry = new MachineRegistry(
-      eventLoop,
-      settings,
-      new FencingTokenSync(eventLoop, 1),
-      () => undefined,
-    );
-    const events = { taskRestored: () => undefined, assignmentsRecorded: () => undefined };
     const records = immediateRecords({ [key]: value });
-    const store = new MachineStore(eventLoop, settings, records, registry, events);
+    const { registry, store } = machineStore(records);
     store.restore();
     const machine = registry.getOrCreate(key.slice('i/'.length));
     assert.ok(machine.images.size > 1);
