--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -4,7 +4,7 @@
 import { EventLoop } from '../runtime/event-loop.js';
 import type { Runtime, Logger } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
-import { SettingsError } from '../settings/platform.js';
+import { SettingsError } from '../settings/settings-error.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import { JobWatch } from './job-watch.js';
--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -1,228 +1,225 @@
-/** The settings that the platform hands to each controller, as TOML. */
-import { parse } from 'smol-toml';
-
-/** The settings that the platform hands over, checked. Unknown fields are ignored. */
+/** The settings that the platform hands to each controller as TOML. */
+import { SettingsError } from './settings-error.js';
+import {
+  parseToml,
+  readAddress,
+  readNumber,
+  readTable,
+  readTables,
+  readText,
+  type TomlTable,
+} from './toml-fields.js';
+
+/** The platform's settings after all checks. Fields that this version does not know are ignored. */
 export interface Platform {
+  /** Name of the host of this controller. */
   host: string;
+  /** Zone of the host. */
   zone: string;
+  /** Address of the API for users, workers and operators. */
   apiAddr: string;
+  /** Address for messages of other controllers. */
   internalAddr: string;
+  /** The other controllers of the deployment, with their addresses for messages. */
   peers: { host: string; addr: string }[];
+  /** Address of the cloud's machine API. */
   cloudAddr: string;
+  /** Address of the state store. */
   stateStoreAddr: string;
+  /** Largest difference between the wall clocks of two hosts. */
   clockBoundMs: number;
   teams: Team[];
   objectives: Objective[];
-  workers: {
-    heartbeatIntervalS: number;
-    leaseS: number;
-    gangFetchWaitS: number;
-    gangPeerExitS: number;
-    cancelDeadlineS: number;
-  };
+  workers: WorkerTimes;
   stateLimits: StateLimits;
-  /** Limits that the state service will have from some moment on, without notice. */
+  /** Limits that the state store will have from some moment on, without notice. */
   upcomingStateLimits: StateLimits;
-  cloudLimits: { rps: number; listLagS: number };
-  quota: { cpus: number; ramMb: number; maxSockets: number };
+  cloudLimits: CloudLimits;
+  quota: ProcessQuota;
+}
+
+/** Intervals and time limits of the workers, in seconds. */
+export interface WorkerTimes {
+  /** Time between two heartbeats. */
+  heartbeatIntervalS: number;
+  /** A worker without an answer ends its tasks this long after it sent the last answered heartbeat. */
+  leaseS: number;
+  /** A gang member waits this long for the others to fetch their image. */
+  gangFetchWaitS: number;
+  /** Time within which the other members of a gang notice that one has exited. */
+  gangPeerExitS: number;
+  /** Tasks of a cancelled job have to be gone after this time. */
+  cancelDeadlineS: number;
 }
 
-/** What the state service takes: calls and writes a second, and the size of what is written. */
+/** Limits of the state store: requests and writes per second, and the size of what is written. */
 export interface StateLimits {
   rps: number;
+  /** Puts and deletes per second. */
   writeRps: number;
+  /** Largest value, in KiB. */
   valueKb: number;
+  /** Largest number of writes in a transaction. */
   txnOps: number;
 }
 
-/** What is expected for a class; kinds that this version doesn't know are kept and not used. */
+/** Limits of the cloud's machine API. */
+export interface CloudLimits {
+  /** Requests per second. */
+  rps: number;
+  /** The machine list may lag behind by this time. */
+  listLagS: number;
+}
+
+/** Resources that the platform grants this process. */
+export interface ProcessQuota {
+  cpus: number;
+  ramMb: number;
+  /** Largest number of open sockets. */
+  maxSockets: number;
+}
+
+/** A service-level objective. Kinds that this version does not know are kept and not used. */
 export interface Objective {
   kind: string;
+  /** The job class that it is for, `null` for all. */
   class: string | null;
   withinS: number | null;
-  /** Of a due time. */
+  /** For deadlines: the multiple of the deadline within which the job should end. */
   deadlineFactor: number;
 }
 
-/** A team's guaranteed share of the cluster, and its caps. */
+/** A team's guaranteed share of the cluster and its caps. */
 export interface Team {
   name: string;
-  /** Guaranteed amounts. */
   guaranteedCpus: number;
   guaranteedGpus: number;
-  /** Caps; 0 means none. */
+  /** 0 means no cap. */
   maxCpus: number;
+  /** 0 means no cap. */
   maxGpus: number;
 }
 
-/** Settings that can't be used; the message names the field. */
-export class SettingsError extends Error {}
-
-type Table = Record<string, unknown>;
-
-function table(parent: Table, name: string, path: string): Table {
-  const v = parent[name];
-  if (typeof v !== 'object' || v === null || Array.isArray(v))
-    throw new SettingsError(`${path}${name}: expected a table`);
-  return v as Table;
-}
-
-function tables(parent: Table, name: string, path: string): Table[] {
-  const v = parent[name] ?? [];
-  if (!Array.isArray(v)) throw new SettingsError(`${path}${name}: expected a list of tables`);
-  return v.map((x: unknown, i) => table({ [i]: x }, String(i), `${path}${name}.`));
-}
-
-function str(parent: Table, name: string, path: string): string {
-  const v = parent[name];
-  if (typeof v !== 'string' || v === '')
-    throw new SettingsError(`${path}${name}: expected a non-empty text`);
-  return v;
-}
-
-function addr(parent: Table, name: string, path: string): string {
-  const v = str(parent, name, path);
-  const m = /^\d{1,3}(?:\.\d{1,3}){3}:(\d{1,5})$/.exec(v);
-  if (m === null || Number(m[1]) > 65535)
-    throw new SettingsError(`${path}${name}: expected an address such as 10.0.0.1:8080`);
-  return v;
-}
-
-function num(parent: Table, name: string, path: string, min: number, fallback?: number): number {
-  const v = parent[name] ?? fallback;
-  const n = typeof v === 'bigint' ? Number(v) : v;
-  if (typeof n !== 'number' || !Number.isFinite(n) || n < min)
-    throw new SettingsError(`${path}${name}: expected a number of at least ${min}`);
-  return n;
+/** Reads the platform's settings. Throws a `SettingsError` that names the field at fault. */
+export function readPlatform(source: string): Platform {
+  const platform = parsePlatform(source);
+  checkConsistency(platform);
+  return platform;
 }
 
-function readStateLimits(from: Table, path: string, others?: StateLimits): StateLimits {
+function parsePlatform(source: string): Platform {
+  const root = parseToml(source);
+  const services = readTable(root, 'services', '');
+  const params = readTable(root, 'params', '');
+  const workers = readTable(params, 'workers', 'params.');
+  const state = readTable(params, 'state', 'params.');
+  const cloud = readTable(params, 'cloud', 'params.');
+  const quota = readTable(params, 'quota', 'params.');
+  const stateLimits = readStateLimits(state, 'params.state.');
+  const next = state['next'] === undefined ? {} : readTable(state, 'next', 'params.state.');
   return {
-    rps: num(from, 'rps', path, 1, others?.rps),
-    writeRps: num(from, 'write_rps', path, 1, others?.writeRps),
-    valueKb: num(from, 'value_kb', path, 1, others?.valueKb),
-    txnOps: num(from, 'txn_ops', path, 2, others?.txnOps),
+    host: readText(root, 'host_name', ''),
+    zone: readText(root, 'site', ''),
+    apiAddr: readAddress(root, 'api_addr', ''),
+    internalAddr: readAddress(root, 'internal_addr', ''),
+    peers: readTables(root, 'peers', '').map((peer, index) => readPeer(peer, `peers.${index}.`)),
+    cloudAddr: readAddress(services, 'cloud', 'services.'),
+    stateStoreAddr: readAddress(services, 'state', 'services.'),
+    clockBoundMs: readNumber(params, 'time_bound_ms', 'params.', 0, 1000),
+    teams: readTables(params, 'teams', 'params.').map((team, index) =>
+      readTeam(team, `params.teams.${index}.`),
+    ),
+    objectives: readTables(params, 'objectives', 'params.').map((objective, index) =>
+      readObjective(objective, `params.objectives.${index}.`),
+    ),
+    workers: readWorkers(workers, 'params.workers.'),
+    stateLimits,
+    upcomingStateLimits: readStateLimits(next, 'params.state.next.', stateLimits),
+    cloudLimits: readCloudLimits(cloud, 'params.cloud.'),
+    quota: readQuota(quota, 'params.quota.'),
   };
 }
 
-/** Caps of a team are 0, which means none, or not below what it is guaranteed. */
-function checkTeam(team: Team, path: string): void {
-  if (team.maxCpus > 0 && team.maxCpus < team.guaranteedCpus)
-    throw new SettingsError(
-      `${path}cpus_max: ${team.maxCpus} is below cpus ${team.guaranteedCpus}`,
-    );
-  if (team.maxGpus > 0 && team.maxGpus < team.guaranteedGpus)
-    throw new SettingsError(
-      `${path}gpus_max: ${team.maxGpus} is below gpus ${team.guaranteedGpus}`,
-    );
+function readPeer(table: TomlTable, path: string): Platform['peers'][number] {
+  return { host: readText(table, 'host_name', path), addr: readAddress(table, 'addr', path) };
 }
 
-/** Ends the start where figures that are each in range contradict one another. */
-function checkConsistency(platform: Platform): void {
-  const { heartbeatIntervalS, leaseS } = platform.workers;
-  if (leaseS <= heartbeatIntervalS)
-    throw new SettingsError(
-      `params.workers.lease_s: ${leaseS} is not above report_s ${heartbeatIntervalS}: every lease would run out`,
-    );
-  platform.teams.forEach((team, i) => checkTeam(team, `params.teams.${i}.`));
-  const names = [platform.host];
-  platform.peers.forEach(({ host }, i) => {
-    if (names.includes(host))
-      throw new SettingsError(`peers.${i}.host_name: ${host} is named twice`);
-    names.push(host);
-  });
-}
-
-function parseToml(source: string): Table {
-  try {
-    return parse(source);
-  } catch (error) {
-    const message = error instanceof Error ? error.message : String(error);
-    throw new SettingsError(`not TOML: ${message.split('\n', 1)[0] ?? ''}`);
-  }
+/** Limits that are absent from the table are those of `current`. */
+function readStateLimits(table: TomlTable, path: string, current?: StateLimits): StateLimits {
+  return {
+    rps: readNumber(table, 'rps', path, 1, current?.rps),
+    writeRps: readNumber(table, 'write_rps', path, 1, current?.writeRps),
+    valueKb: readNumber(table, 'value_kb', path, 1, current?.valueKb),
+    txnOps: readNumber(table, 'txn_ops', path, 2, current?.txnOps),
+  };
 }
 
-function readTeam(from: Table, path: string): Team {
+function readTeam(table: TomlTable, path: string): Team {
   return {
-    name: str(from, 'name', path),
-    guaranteedCpus: num(from, 'cpus', path, 0, 0),
-    guaranteedGpus: num(from, 'gpus', path, 0, 0),
-    maxCpus: num(from, 'cpus_max', path, 0, 0),
-    maxGpus: num(from, 'gpus_max', path, 0, 0),
+    name: readText(table, 'name', path),
+    guaranteedCpus: readNumber(table, 'cpus', path, 0, 0),
+    guaranteedGpus: readNumber(table, 'gpus', path, 0, 0),
+    maxCpus: readNumber(table, 'cpus_max', path, 0, 0),
+    maxGpus: readNumber(table, 'gpus_max', path, 0, 0),
   };
 }
 
-function readObjective(from: Table, path: string): Objective {
-  const { class: className, within_s: withinS, times } = from;
+function readObjective(table: TomlTable, path: string): Objective {
+  const { class: className, within_s: withinS, times } = table;
   return {
-    kind: str(from, 'kind', path),
+    kind: readText(table, 'kind', path),
     class: typeof className === 'string' ? className : null,
     withinS: typeof withinS === 'number' ? withinS : null,
     deadlineFactor: typeof times === 'number' ? times : 1,
   };
 }
 
-function readWorkers(from: Table, path: string): Platform['workers'] {
+function readWorkers(table: TomlTable, path: string): WorkerTimes {
   return {
-    heartbeatIntervalS: num(from, 'report_s', path, 0.1),
-    leaseS: num(from, 'lease_s', path, 1),
-    gangFetchWaitS: num(from, 'gang_wait_s', path, 1),
-    gangPeerExitS: num(from, 'gang_peer_s', path, 0.1),
-    cancelDeadlineS: num(from, 'cancel_s', path, 1),
+    heartbeatIntervalS: readNumber(table, 'report_s', path, 0.1),
+    leaseS: readNumber(table, 'lease_s', path, 1),
+    gangFetchWaitS: readNumber(table, 'gang_wait_s', path, 1),
+    gangPeerExitS: readNumber(table, 'gang_peer_s', path, 0.1),
+    cancelDeadlineS: readNumber(table, 'cancel_s', path, 1),
   };
 }
 
-function readCloudLimits(from: Table, path: string): Platform['cloudLimits'] {
-  return { rps: num(from, 'rps', path, 0.1), listLagS: num(from, 'list_lag_s', path, 0, 0) };
+function readCloudLimits(table: TomlTable, path: string): CloudLimits {
+  return {
+    rps: readNumber(table, 'rps', path, 0.1),
+    listLagS: readNumber(table, 'list_lag_s', path, 0, 0),
+  };
 }
 
-function readQuota(from: Table, path: string): Platform['quota'] {
+function readQuota(table: TomlTable, path: string): ProcessQuota {
   return {
-    cpus: num(from, 'cores', path, 0.01, 1),
-    ramMb: num(from, 'ram_mb', path, 32, 256),
-    maxSockets: num(from, 'fd_limit', path, 16, 1024),
+    cpus: readNumber(table, 'cores', path, 0.01, 1),
+    ramMb: readNumber(table, 'ram_mb', path, 32, 256),
+    maxSockets: readNumber(table, 'fd_limit', path, 16, 1024),
   };
 }
 
-/** Reads the platform's settings; throws a SettingsError that names the field at fault. */
-export function readPlatform(source: string): Platform {
-  const platform = parsePlatform(source);
-  checkConsistency(platform);
-  return platform;
+/** Throws where values that are each in range contradict one another. */
+function checkConsistency(platform: Platform): void {
+  const { heartbeatIntervalS, leaseS } = platform.workers;
+  if (leaseS <= heartbeatIntervalS)
+    throw new SettingsError(
+      `params.workers.lease_s: ${leaseS} is not above report_s ${heartbeatIntervalS}: every lease would run out`,
+    );
+  platform.teams.forEach((team, index) => checkTeam(team, `params.teams.${index}.`));
+  const names = [platform.host];
+  platform.peers.forEach(({ host }, index) => {
+    if (names.includes(host))
+      throw new SettingsError(`peers.${index}.host_name: ${host} is named twice`);
+    names.push(host);
+  });
 }
 
-function parsePlatform(source: string): Platform {
-  const root = parseToml(source);
-  const services = table(root, 'services', '');
-  const params = table(root, 'params', '');
-  const workers = table(params, 'workers', 'params.');
-  const state = table(params, 'state', 'params.');
-  const cloud = table(params, 'cloud', 'params.');
-  const quota = table(params, 'quota', 'params.');
-  const stateLimits = readStateLimits(state, 'params.state.');
-  const next = state['next'] === undefined ? {} : table(state, 'next', 'params.state.');
-  return {
-    host: str(root, 'host_name', ''),
-    zone: str(root, 'site', ''),
-    apiAddr: addr(root, 'api_addr', ''),
-    internalAddr: addr(root, 'internal_addr', ''),
-    peers: tables(root, 'peers', '').map((peer, index) => ({
-      host: str(peer, 'host_name', `peers.${index}.`),
-      addr: addr(peer, 'addr', `peers.${index}.`),
-    })),
-    cloudAddr: addr(services, 'cloud', 'services.'),
-    stateStoreAddr: addr(services, 'state', 'services.'),
-    clockBoundMs: num(params, 'time_bound_ms', 'params.', 0, 1000),
-    teams: tables(params, 'teams', 'params.').map((team, index) =>
-      readTeam(team, `params.teams.${index}.`),
-    ),
-    objectives: tables(params, 'objectives', 'params.').map((objective, index) =>
-      readObjective(objective, `params.objectives.${index}.`),
-    ),
-    workers: readWorkers(workers, 'params.workers.'),
-    stateLimits,
-    upcomingStateLimits: readStateLimits(next, 'params.state.next.', stateLimits),
-    cloudLimits: readCloudLimits(cloud, 'params.cloud.'),
-    quota: readQuota(quota, 'params.quota.'),
-  };
+/** Caps of a team are 0, which means none, or not below what it is guaranteed. */
+function checkTeam(team: Team, path: string): void {
+  const { guaranteedCpus, guaranteedGpus, maxCpus, maxGpus } = team;
+  if (maxCpus > 0 && maxCpus < guaranteedCpus)
+    throw new SettingsError(`${path}cpus_max: ${maxCpus} is below cpus ${guaranteedCpus}`);
+  if (maxGpus > 0 && maxGpus < guaranteedGpus)
+    throw new SettingsError(`${path}gpus_max: ${maxGpus} is below gpus ${guaranteedGpus}`);
 }
--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -4,12 +4,13 @@
 import { platformToml, defaultOptions, type PlatformOptions } from '../../../test/platform.js';
 
 import { memoryWarning } from '../runtime/heap-budget.js';
-import { readPlatform, SettingsError } from './platform.js';
+import { readPlatform } from './platform.js';
 import { defaultProperties, formatProperties, readProperties } from './properties.js';
+import { SettingsError } from './settings-error.js';
 import { Settings } from './settings.js';
 
 describe('properties', () => {
-  it('ships a file that documents every key with its default', () => {
+  it('are documented with their defaults in the shipped file', () => {
     const shipped = readFileSync(
       new URL('../../../deploy/bitternvale.properties', import.meta.url),
       'utf8',
@@ -18,17 +19,20 @@
     assert.deepEqual(readProperties(shipped), defaultProperties());
   });
 
-  it('names what is wrong', () => {
-    assert.throws(() => readProperties('no.such.key = 1'), /no\.such\.key: unknown key/);
-    assert.throws(
-      () => readProperties('fleet.strikes = many'),
-      /fleet\.strikes: expected a number/,
-    );
-    assert.throws(() => readProperties('fleet.strikes = 1e9'), SettingsError);
-  });
+  const invalid: [string, string, RegExp][] = [
+    ['an unknown key', 'no.such.key = 1', /no\.such\.key: unknown key/],
+    ['a text', 'fleet.strikes = many', /fleet\.strikes: expected a number/],
+    ['a number out of range', 'fleet.strikes = 1e9', /fleet\.strikes: expected a number/],
+  ];
+  for (const [what, source, message] of invalid)
+    it(`are refused with a SettingsError that names the key on ${what}`, () =>
+      assert.throws(
+        () => readProperties(source),
+        (error) => error instanceof SettingsError && message.test(error.message),
+      ));
 });
 
-describe("the platform's settings", () => {
+describe('platform settings', () => {
   const hosts = ['kiln-0', 'kiln-1'];
   const text = (parts: Partial<PlatformOptions>): string =>
     platformToml(hosts, 'kiln-0', { ...defaultOptions, ...parts });
@@ -37,11 +41,11 @@
   const team = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
 
   const contradictions: [string, string, RegExp][] = [
-    ['a lease below the report interval', text({ leaseS: 2 }), /^params\.workers\.lease_s: /],
-    ['a lease of one report interval', text({ leaseS: 3 }), /^params\.workers\.lease_s: /],
-    ['no time to cancel in', text({ cancelS: 26 }), /^params\.workers\.cancel_s: /],
-    ['a value that holds no record', text({ valueKb: 0.5 }), /^params\.state\.value_kb: /],
-    ['a transaction of one change', text({ txnOps: 1 }), /^params\.state\.txn_ops: /],
+    ['a lease below the heartbeat interval', text({ leaseS: 2 }), /^params\.workers\.lease_s: /],
+    ['a lease of one heartbeat interval', text({ leaseS: 3 }), /^params\.workers\.lease_s: /],
+    ['too short a time to cancel tasks', text({ cancelS: 26 }), /^params\.workers\.cancel_s: /],
+    ['a value size that fits no record', text({ valueKb: 0.5 }), /^params\.state\.value_kb: /],
+    ['a transaction size of one write', text({ txnOps: 1 }), /^params\.state\.txn_ops: /],
     [
       'a cap of GPUs below the guarantee',
       text({ teams: team('gpus = 9\ngpus_max = 8') }),
@@ -52,27 +56,33 @@
       text({ teams: team('cpus = 9.0\ncpus_max = 8.0') }),
       /^params\.teams\.0\.cpus_max: /,
     ],
-    ['a peer named as itself', text({}).replaceAll('kiln-1', 'kiln-0'), /^peers\.0\.host_name: /],
+    [
+      'a peer with the name of the host',
+      text({}).replaceAll('kiln-1', 'kiln-0'),
+      /^peers\.0\.host_name: /,
+    ],
   ];
   for (const [what, source, line] of contradictions)
-    it(`ends the start with one line on ${what}`, () =>
+    it(`are refused with one line that names the field on ${what}`, () =>
       assert.throws(
         () => read(source),
-        (err) =>
-          err instanceof SettingsError && line.test(err.message) && !err.message.includes('\n'),
+        (error) =>
+          error instanceof SettingsError &&
+          line.test(error.message) &&
+          !error.message.includes('\n'),
       ));
 
-  it('takes a team without caps, caps at the guarantee, and fields that it does not know', () => {
+  it('accept a team without caps, caps equal to the guarantee, and unknown fields', () => {
     const teams = team('gpus = 9') + team('gpus = 8\ngpus_max = 8\nspare = "x"');
     const source = text({ teams }).replace('[params.quota]', '[params.quota]\nmagic = [1]');
     assert.equal(read(`novelty = 1\n${source}`).platform.teams.length, 2);
   });
 
-  // A place where cancel_s leaves little beside lease_s was refused, though a shorter lease fits it.
-  it('shortens the lease of the leader where cancel_s leaves little time', () => {
-    const usualLease = read(text({})).leaderLeaseMs;
+  // A deployment whose cancel_s leaves little time beside lease_s was refused, though a shorter lease fits it.
+  it('shorten the leader lease where cancel_s leaves little time', () => {
+    const usualLeaseMs = read(text({})).leaderLeaseMs;
     const short = read(text({ leaseS: 6, cancelS: 12, reportS: 1 }));
-    assert.equal(usualLease, defaultOptions.leaseS * 1000 * short.get('leadership.lease.ratio'));
+    assert.equal(usualLeaseMs, defaultOptions.leaseS * 1000 * short.get('leadership.lease.ratio'));
     assert.ok(short.leaderLeaseMs < 6000 * short.get('leadership.lease.ratio'));
     assert.ok(short.leaderLeaseMs * 2 <= short.maxWatchStalenessMs + 1);
     assert.ok(
@@ -81,7 +91,7 @@
     );
   });
 
-  it('tells where the heap may outgrow the memory of the process', () => {
+  it('lead to a warning where the heap may outgrow the memory of the process', () => {
     const warning = (ramMb: number) => memoryWarning(readPlatform(text({ ramMb })).quota);
     assert.equal(warning(146), null);
     assert.match(warning(100) ?? '', /^params\.quota\.ram_mb: 100 /);
--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -1,36 +1,39 @@
-/** The settings of a controller, and the durations that follow from them. */
-import { SettingsError, type Platform } from './platform.js';
-import { propertyDefinitions, type Properties, type PropertyName } from './properties.js';
-
-/** Steady clocks of two machines drift apart by at most this (PROTOCOL). */
+/** The settings of a controller and the durations derived from them. */
+import { groupByClass, type ClassObjectives } from './class-objectives.js';
+import type { Platform } from './platform.js';
+import type { Properties } from './properties.js';
+import { propertyDefinitions, type PropertyName } from './property-definitions.js';
+import { SettingsError } from './settings-error.js';
+
+/** Largest drift between the steady clocks of two hosts, as a ratio to the elapsed time (PROTOCOL). */
 export const MAX_CLOCK_DRIFT = 0.0005;
 
-/** A worker takes an answer up to this long after it has sent the report (PROTOCOL). */
-const ANSWER_MS = 4000;
+/** A worker drops a heartbeat's response later than this after it has sent the heartbeat (PROTOCOL). */
+const HEARTBEAT_RESPONSE_LIMIT_MS = 4000;
 
-/** A promise not to act as leader lasts for this share of the leader's lease. */
-const PROMISE_LEASES = 0.2;
+/** Duration of a follower's lease grant, as a ratio to the leader's lease. */
+const LEASE_GRANT_RATIO = 0.2;
 
-/** Leases of the leader that its view of cancellations lasts at least. */
-const VIEW_LEASES = 2;
+/** The tolerated watch staleness is at least this many leader leases. */
+const MIN_STALENESS_LEASES = 2;
 
-/** Both kinds of settings, and the figures that follow from them, in milliseconds. */
+/** The platform's settings, the operators' properties, and what is derived from both. */
 export class Settings {
+  /** Time between two heartbeats of a worker. */
   readonly heartbeatIntervalMs: number;
+  /** Nominal lease of a worker, without drift and margin; see `workerLeaseExpiryMs`. */
   readonly workerLeaseMs: number;
+  /** Nominal lease of the leader at the state store; see `usableLeaderLeaseMs`. */
   readonly leaderLeaseMs: number;
+  /** Time between two renewals of the leader's lease. */
   readonly leaderRenewIntervalMs: number;
   /**
-   * How old the leader's view of cancellations may be when it answers a worker. A task of a job that
-   * was cancelled then may go on for a worker's lease; so this, the lease and the time in which a
-   * stop takes effect are together less than the time in which cancelled tasks have to be gone.
+   * Largest staleness of the leader's job watch with which it may answer a worker (F in invariant 8). A job
+   * cancelled in that time may keep its tasks for one more worker lease, so this, the lease and the time in
+   * which a stop takes effect add up to less than the time in which cancelled tasks have to be gone.
    */
   readonly maxWatchStalenessMs: number;
-  /** Objectives by class: latest starts and ends in milliseconds, and multiples of due times. */
-  private readonly objectives = new Map<
-    string,
-    { starts: number[]; ends: number[]; deadlines: number[] }
-  >();
+  private readonly objectives: ReadonlyMap<string, ClassObjectives>;
 
   constructor(
     readonly platform: Platform,
@@ -39,31 +42,27 @@
     this.heartbeatIntervalMs = platform.workers.heartbeatIntervalS * 1000;
     this.workerLeaseMs = platform.workers.leaseS * 1000;
     const cancelMs = platform.workers.cancelDeadlineS * 1000 * (1 - 2 * MAX_CLOCK_DRIFT);
-    const slackMs = cancelMs - this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT) - ANSWER_MS;
+    const slackMs =
+      cancelMs - this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT) - HEARTBEAT_RESPONSE_LIMIT_MS;
     this.maxWatchStalenessMs = slackMs * this.get('workers.view.ratio');
     this.leaderLeaseMs = this.fittingLeaderLeaseMs();
     this.leaderRenewIntervalMs = this.leaderLeaseMs * this.get('leadership.renew.ratio');
-    for (const objective of platform.objectives) {
-      const { kind, class: className, withinS, deadlineFactor } = objective;
-      if (className === null) continue;
-      const aims = this.objectives.get(className) ?? { starts: [], ends: [], deadlines: [] };
-      this.objectives.set(className, aims);
-      if (kind === 'wait' && withinS !== null) aims.starts.push(withinS * 1000);
-      if (kind === 'finished' && withinS !== null) aims.ends.push(withinS * 1000);
-      if (kind === 'deadline') aims.deadlines.push(deadlineFactor);
-    }
+    this.objectives = groupByClass(platform.objectives);
   }
 
   /**
-   * A view is renewed with each watch, and below two leases no leader could keep it: where
-   * `cancel_s` is short the leader's lease is shortened to fit, down to the least that is allowed.
+   * The watch becomes fresh with each read, and a leader could not keep it fresh for less than two of its
+   * leases. So where `cancel_s` leaves little time the leader's lease is shortened to fit, down to the
+   * smallest ratio that is allowed; with less, throws a `SettingsError`.
    */
   private fittingLeaderLeaseMs(): number {
     const { cancelDeadlineS, leaseS } = this.platform.workers;
     const wantedMs = this.workerLeaseMs * this.get('leadership.lease.ratio');
-    const fittingMs = Math.round(Math.min(wantedMs, this.maxWatchStalenessMs / VIEW_LEASES));
-    const leastRatio = propertyDefinitions['leadership.lease.ratio'].min;
-    if (fittingMs < this.workerLeaseMs * leastRatio)
+    const fittingMs = Math.round(
+      Math.min(wantedMs, this.maxWatchStalenessMs / MIN_STALENESS_LEASES),
+    );
+    const minRatio = propertyDefinitions['leadership.lease.ratio'].min;
+    if (fittingMs < this.workerLeaseMs * minRatio)
       throw new SettingsError(
         `params.workers.cancel_s: ${cancelDeadlineS} is too short for lease_s ${leaseS} and ` +
           `workers.view.ratio ${this.get('workers.view.ratio')}: cancelled tasks could outlast it`,
@@ -76,28 +75,28 @@
     return this.properties[name];
   }
 
-  /** Largest value at the state service, now and after its limits have changed. */
+  /** Largest value in bytes that the state store takes now and after its limits have changed. */
   get maxValueBytes(): number {
     const { stateLimits, upcomingStateLimits } = this.platform;
     return Math.min(stateLimits.valueKb, upcomingStateLimits.valueKb) * 1024;
   }
 
-  /** How long a controller is bound by a promise not to act as leader. */
+  /** How long a follower's lease grant binds it not to act as leader (invariant 1). */
   get leaseGrantMs(): number {
-    return this.leaderLeaseMs * PROMISE_LEASES;
+    return this.leaderLeaseMs * LEASE_GRANT_RATIO;
   }
 
-  /** How long after sending a renewal the leader may act on it. */
+  /** How long the leader may rely on its lease, counted from when it sent the last renewal (invariant 1). */
   get usableLeaderLeaseMs(): number {
     return this.leaderLeaseMs * (1 - 2 * MAX_CLOCK_DRIFT - this.get('leadership.margin.ratio'));
   }
 
-  /** After this time since a worker's last answered report its tasks are surely gone. */
+  /** Time after a worker's last answered heartbeat by which its lease has surely expired (invariant 5). */
   get workerLeaseExpiryMs(): number {
     return this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT + this.get('workers.lease.margin.ratio'));
   }
 
-  /** Wait within which tasks of a class should start; null: nothing is said of it. */
+  /** Wait within which tasks of the class should start, `null` if there is no such objective. */
   startObjectiveMs(className: string): number | null {
     const objective = this.platform.objectives.find(
       (candidate) => candidate.kind === 'wait' && candidate.class === className,
@@ -105,27 +104,30 @@
     return objective?.withinS == null ? null : objective.withinS * 1000;
   }
 
-  /** Wait within which work inside a team's guarantee should start. */
+  /** Wait within which tasks inside a team's guarantee should start, `null` if there is no such objective. */
   get guaranteeObjectiveMs(): number | null {
     const objective = this.platform.objectives.find(({ kind }) => kind === 'guarantee');
     return objective?.withinS == null ? null : objective.withinS * 1000;
   }
 
-  /** What is expected of a job of the class, in milliseconds since its submission. */
+  /**
+   * Times since its submission, in milliseconds, within which a job's tasks should start and the job should
+   * end. `deadlineS`: the job's own deadline.
+   */
   objectivesFor(
     className: string,
     deadlineS: number | null,
   ): { starts: readonly number[]; ends: number[] } {
-    const aims = this.objectives.get(className);
-    const ends = aims === undefined ? [] : aims.ends.slice();
+    const objectives = this.objectives.get(className);
+    const ends = objectives === undefined ? [] : objectives.ends.slice();
     if (deadlineS !== null) {
-      for (const times of aims?.deadlines ?? []) ends.push(deadlineS * times * 1000);
+      for (const factor of objectives?.deadlineFactors ?? []) ends.push(deadlineS * factor * 1000);
       if (ends.length === 0) ends.push(deadlineS * 1000);
     }
-    return { starts: aims?.starts ?? [], ends };
+    return { starts: objectives?.starts ?? [], ends };
   }
 
-  /** Cap of a team, where 0 in the settings means none. */
+  /** A team's cap as a number to compare with: 0 in the settings means no cap. */
   static effectiveCap(value: number): number {
     return value > 0 ? value : Infinity;
   }
--- /dev/null
+++ b/src/controller/settings/toml-fields.ts
@@ -0,0 +1,71 @@
+/**
+ * Typed access to the fields of a TOML table. Each function throws a `SettingsError` that names the field by
+ * its whole path: `path` is the part before `name`, with a dot at its end.
+ */
+import { parse } from 'smol-toml';
+import { SettingsError } from './settings-error.js';
+
+/** A TOML table. */
+export type TomlTable = Record<string, unknown>;
+
+const MAX_PORT = 65535;
+const IPV4_ADDRESS = /^\d{1,3}(?:\.\d{1,3}){3}:(\d{1,5})$/;
+
+/** Parses a TOML document. */
+export function parseToml(source: string): TomlTable {
+  try {
+    return parse(source);
+  } catch (error) {
+    const message = error instanceof Error ? error.message : String(error);
+    throw new SettingsError(`not TOML: ${message.split('\n', 1)[0] ?? ''}`, { cause: error });
+  }
+}
+
+/** A required table. */
+export function readTable(parent: TomlTable, name: string, path: string): TomlTable {
+  const value = parent[name];
+  if (typeof value !== 'object' || value === null || Array.isArray(value))
+    throw new SettingsError(`${path}${name}: expected a table`);
+  return value as TomlTable;
+}
+
+/** A list of tables, empty where it is absent. */
+export function readTables(parent: TomlTable, name: string, path: string): TomlTable[] {
+  const value = parent[name] ?? [];
+  if (!Array.isArray(value)) throw new SettingsError(`${path}${name}: expected a list of tables`);
+  return value.map((item: unknown, index) =>
+    readTable({ [index]: item }, String(index), `${path}${name}.`),
+  );
+}
+
+/** A required text that is not empty. */
+export function readText(parent: TomlTable, name: string, path: string): string {
+  const value = parent[name];
+  if (typeof value !== 'string' || value === '')
+    throw new SettingsError(`${path}${name}: expected a non-empty text`);
+  return value;
+}
+
+/** A required IPv4 address with a port. */
+export function readAddress(parent: TomlTable, name: string, path: string): string {
+  const value = readText(parent, name, path);
+  const match = IPV4_ADDRESS.exec(value);
+  if (match === null || Number(match[1]) > MAX_PORT)
+    throw new SettingsError(`${path}${name}: expected an address such as 10.0.0.1:8080`);
+  return value;
+}
+
+/** A finite number of at least `min`; required unless there is a fallback. */
+export function readNumber(
+  parent: TomlTable,
+  name: string,
+  path: string,
+  min: number,
+  fallback?: number,
+): number {
+  const value = parent[name] ?? fallback;
+  const number = typeof value === 'bigint' ? Number(value) : value;
+  if (typeof number !== 'number' || !Number.isFinite(number) || number < min)
+    throw new SettingsError(`${path}${name}: expected a number of at least ${min}`);
+  return number;
+}
--- a/src/main.ts
+++ b/src/main.ts
@@ -4,12 +4,13 @@
 import { callApi } from './controller/operators/api-client.js';
 import { run } from './controller/node/run.js';
 import { oldGenerationMb } from './controller/runtime/heap-budget.js';
-import { readPlatform, SettingsError, type Platform } from './controller/settings/platform.js';
+import { readPlatform, type Platform } from './controller/settings/platform.js';
 import {
   defaultProperties,
   formatProperties,
   readProperties,
 } from './controller/settings/properties.js';
+import { SettingsError } from './controller/settings/settings-error.js';
 import { Settings } from './controller/settings/settings.js';
 
 const VERSION = '0.1.0';
