--- a/src/controller/jobs/job-progress.ts
+++ b/src/controller/jobs/job-progress.ts
@@ -1,54 +1,61 @@
-/** Counts of jobs for display, which the leader tells the other controllers. */
+/** Progress of jobs for display, which the leader sends to the other controllers. */
 import type { JobProgress } from '../peers/message.js';
 import type { JobStatus } from '../wire/jobs.js';
-import type { Job } from './job-table.js';
+import { BoundedMap } from './bounded-map.js';
+import type { Job } from './job.js';
 
+/** Jobs whose progress a controller remembers by default. */
 const MAX_JOBS = 20_000;
 
-/** The last counts heard of each job; the longest unheard of are dropped. */
+/**
+ * The last progress received of each job; jobs not heard of for longest are dropped. It is only
+ * shown: no rule depends on it.
+ */
 export class ProgressCache {
-  private readonly jobs = new Map<string, JobProgress>();
+  private readonly jobs: BoundedMap<JobProgress>;
 
-  constructor(private readonly maxJobs = MAX_JOBS) {}
+  constructor(maxJobs = MAX_JOBS) {
+    this.jobs = new BoundedMap(maxJobs);
+  }
 
-  /** Counts that the leader has told. */
+  /** Remembers what the leader has sent of a job. */
   set(progress: JobProgress): void {
-    this.jobs.delete(progress.id);
     this.jobs.set(progress.id, progress);
-    if (this.jobs.size <= this.maxJobs) return;
-    const oldest = this.jobs.keys().next();
-    if (oldest.done !== true) this.jobs.delete(oldest.value);
   }
 
-  /** The job has ended. */
+  /** Forgets a job that has ended. */
   delete(id: string): void {
     this.jobs.delete(id);
   }
 
-  /** The job's counts as users get them. */
+  /** The job's progress in the form that users get; null: nothing was received of it. */
   answer(id: string): JobStatus | null {
     const progress = this.jobs.get(id);
     if (progress === undefined) return null;
-    const { blocked, ...rest } = progress;
-    return blocked === '' ? rest : { ...rest, blocked };
+    const { blocked, ...counts } = progress;
+    return blocked === '' ? counts : { ...counts, blocked };
   }
 }
 
-/** Counts of the jobs that have changed since the last call. */
+/** Progress of the jobs whose progress has changed since the last call. */
 export function takeChangedProgress(jobs: Iterable<Job>): JobProgress[] {
   const changed: JobProgress[] = [];
   for (const job of jobs) {
     if (!job.progressChanged) continue;
     job.progressChanged = false;
-    const answer = job.answer();
-    changed.push({
-      id: answer.id,
-      state: answer.state,
-      done: answer.done ?? 0,
-      running: answer.running ?? 0,
-      exits: { ...job.exitCounts },
-      blocked: answer.blocked ?? '',
-    });
+    changed.push(progressOf(job));
   }
   return changed;
 }
+
+function progressOf(job: Job): JobProgress {
+  const { id, state, done, running, blocked } = job.answer();
+  return {
+    id,
+    state,
+    done: done ?? 0,
+    running: running ?? 0,
+    exits: { ...job.exitCounts },
+    blocked: blocked ?? '',
+  };
+}
--- a/src/controller/jobs/job-state-cache.ts
+++ b/src/controller/jobs/job-state-cache.ts
@@ -1,76 +1,57 @@
-/** What one controller remembers of jobs, within a limit. */
+/** One controller's cache of the states of jobs, within a limit. */
 import type { TerminalState } from '../wire/jobs.js';
+import { BoundedMap } from './bounded-map.js';
 
-/** A map that forgets its oldest entries. */
-class BoundedMap<Value> {
-  private readonly map = new Map<string, Value>();
-
-  constructor(private readonly limit: number) {}
-
-  get(key: string): Value | undefined {
-    return this.map.get(key);
-  }
-
-  set(key: string, value: Value): void {
-    this.map.delete(key);
-    this.map.set(key, value);
-    if (this.map.size <= this.limit) return;
-    const oldest = this.map.keys().next();
-    if (oldest.done !== true) this.map.delete(oldest.value);
-  }
-
-  delete(key: string): void {
-    this.map.delete(key);
-  }
-}
-
-/** The version of a live record that exists, but has not been read. */
+/** Stands for the version of an active record that exists, but that this node has not read. */
 const VERSION_UNKNOWN = 0;
 
-/** Jobs that this node knows to be live or to have ended. */
+/**
+ * What this node knows of jobs. A terminal state never changes, so it may be answered from here
+ * (invariant 3). That a job is active is only a hint: another node may have ended it since.
+ */
 export class JobStateCache {
   private readonly terminalStates: BoundedMap<TerminalState>;
-  /** Versions of live records that this node has seen. */
+  /** Versions of active records, for transactions that replace them. */
   private readonly activeVersions: BoundedMap<number>;
 
-  /** `limit`: how many of each kind are remembered. */
-  constructor(limit: number) {
-    this.terminalStates = new BoundedMap(limit);
-    this.activeVersions = new BoundedMap(limit);
+  /** @param maxJobs - how many terminal and how many active jobs are remembered */
+  constructor(maxJobs: number) {
+    this.terminalStates = new BoundedMap(maxJobs);
+    this.activeVersions = new BoundedMap(maxJobs);
   }
 
-  /** How the job has ended; the end is for ever. */
+  /** The job's terminal state, if this node knows it. */
   terminalState(id: string): TerminalState | undefined {
     return this.terminalStates.get(id);
   }
 
-  /** The job has been accepted, and this node does not know of its end. */
+  /** Whether this node knows that the job was accepted, and does not know that it has ended. */
   isActive(id: string): boolean {
     return this.activeVersions.get(id) !== undefined;
   }
 
-  /** The version of the job's live record, if this node has seen it. */
+  /** The version of the job's active record, if this node has read or written it. */
   activeVersion(id: string): number | undefined {
     const version = this.activeVersions.get(id);
     return version === VERSION_UNKNOWN ? undefined : version;
   }
 
-  /** The live record was written or read with this version. */
+  /** Notes that the active record was written or read with this version. */
   setActiveVersion(id: string, version: number): void {
     this.activeVersions.set(id, version);
   }
 
-  /** The live record exists; its version is not known. */
+  /** Notes that the active record exists, in whatever version. */
   markActive(id: string): void {
     if (!this.isActive(id)) this.activeVersions.set(id, VERSION_UNKNOWN);
   }
 
-  /** The live record has gone or has another version. */
+  /** Forgets what is known of the active record: it is gone or has another version. */
   forgetActive(id: string): void {
     this.activeVersions.delete(id);
   }
 
-  /** The job has ended. */
+  /** Notes how the job has ended. */
   markTerminal(id: string, state: TerminalState): void {
     if (this.terminalStates.get(id) !== undefined) return;
     this.terminalStates.set(id, state);
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -3,11 +3,17 @@
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import type { RecordStore } from '../store/record-store.js';
-import { isMap } from '../wire/cbor.js';
-import { readJobSpec, type TerminalState, type JobSpec } from '../wire/jobs.js';
+import type { TerminalState } from '../wire/jobs.js';
 import type { ExitCause } from '../wire/workers.js';
 import { CompletionRecords } from './completion-records.js';
-import { terminalKey, terminalRecord, activeKey, readTerminalState } from './job-records.js';
+import {
+  activeKey,
+  readActiveRecord,
+  terminalKey,
+  terminalRecord,
+  terminalStateIn,
+  type ActiveRecord,
+} from './job-records.js';
 import { Job } from './job.js';
 
 export { Job, priorityLevels, type GangReservation } from './job.js';
@@ -68,22 +74,17 @@
   }
 
   private readRecord(id: string, value: unknown, version: number): Job | null {
-    const spec = this.readSpec(id, value);
-    if (spec === null || !isMap(value)) return null;
-    const now = this.eventLoop.now();
-    const wall = this.eventLoop.runtime.wallClock();
-    const acceptedAt = typeof value['at'] === 'number' ? value['at'] : wall;
-    return new Job(spec, now - Math.max(0, wall - acceptedAt), version, now);
-  }
-
-  private readSpec(id: string, value: unknown): JobSpec | null {
+    let record: ActiveRecord;
     try {
-      if (!isMap(value)) throw new Error('not a map');
-      return readJobSpec(value['job']);
+      record = readActiveRecord(value);
     } catch (err) {
-      this.eventLoop.log.error({ job: id, err }, 'unreadable job record');
+      this.eventLoop.log.error({ job: id, err }, 'malformed job record');
       return null;
     }
+    const now = this.eventLoop.now();
+    const wallClock = this.eventLoop.runtime.wallClock();
+    const ageMs = Math.max(0, wallClock - (record.acceptedAt ?? wallClock));
+    return new Job(record.spec, now - ageMs, version, now);
   }
 
   /** What the leaders before have recorded as done, read at takeover. */
@@ -202,8 +203,7 @@
     this.client.requestTokens.forceTake();
     this.client.read(terminalKey(job.spec.id), this.settings.leaderLeaseMs / 4, (got) => {
       if (job.terminalState !== null) return;
-      const state =
-        got.kind === 'ok' && got.value !== null ? readTerminalState(got.value.value) : null;
+      const state = terminalStateIn(got);
       if (state !== null) this.terminate(job, state);
       else this.retryEndLater(job);
     });
