--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -1,6 +1,7 @@
 /** The paths of the API, and which node answers. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { ApiResponse, Frontend } from '../jobs/frontend.js';
+import type { ApiResponse, Respond } from '../jobs/api-response.js';
+import type { Frontend } from '../jobs/frontend.js';
 import type { Leadership } from '../leadership/leadership.js';
 import type { ForwardedReply } from '../peers/message.js';
 import type { Peers } from '../peers/peers.js';
@@ -14,8 +15,6 @@
 /** Path of a job, or of its cancellation. */
 const JOB_PATH = /^\/submissions\/([^/]+)(\/abort)?$/;
 
-type Respond = (answer: ApiResponse) => void;
-
 /** What answers requests with one method for one path. */
 interface Endpoint {
   method: 'GET' | 'POST';
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -2,7 +2,9 @@
 import { EventLoop } from './runtime/event-loop.js';
 import type { Runtime, Logger } from './runtime/runtime.js';
 import { MachineTypeCatalogue } from './fleet/machine-type-catalogue.js';
-import { Frontend, type ApiResponse, type FrontendHooks } from './jobs/frontend.js';
+import type { Respond } from './jobs/api-response.js';
+import type { FrontendHooks } from './jobs/frontend-context.js';
+import { Frontend } from './jobs/frontend.js';
 import { ProgressCache } from './jobs/job-progress.js';
 import { LearnedStatistics } from './leader/learned-statistics.js';
 import { LeaderTerm } from './leader/leader-term.js';
@@ -36,8 +38,6 @@
 const STATUSES_PER_HEARTBEAT = 3;
 const NEWS_PER_HEARTBEAT = 15;
 
-type Respond = (answer: ApiResponse) => void;
-
 /** One of a deployment's equal controllers, of which one leads. */
 export class Controller {
   readonly eventLoop: EventLoop;
@@ -289,9 +289,12 @@
     metrics.setUnreadableMessages(this.peers.unreadableMessages);
     setNodeGauges(metrics, this.mayActAsLeader, this.leadership.leader?.term ?? 0);
     if (leaderTerm !== null) setLeaderGauges(metrics, leaderTerm);
-    void metrics
-      .render()
-      .then((text) => respond({ status: 200, raw: Buffer.from(text), type: METRICS_CONTENT_TYPE }));
+    void metrics.render().then((text) =>
+      respond({
+        status: 200,
+        encodedBody: { bytes: Buffer.from(text), contentType: METRICS_CONTENT_TYPE },
+      }),
+    );
   }
 
   private handleHeartbeat(body: unknown, respond: Respond): void {
--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -1,19 +1,15 @@
-/** Users' cancellations: a job ends by one transaction on its live and its final record. */
+/** Users' cancellations: one transaction replaces a job's active record by its terminal one. */
 import { tokenReserve } from '../store/client.js';
 import type { ReadResult, TransactionResult } from '../store/results.js';
 import { isJobId } from '../wire/jobs.js';
 import type { KeyValue } from '../wire/state.js';
-import {
-  CALL_TIMEOUT_MS,
-  jobNotFound,
-  respondRetryLater,
-  type FrontendContext,
-  type Respond,
-} from './frontend-context.js';
-import { terminalKey, terminalRecord, activeKey } from './job-records.js';
+import { jobNotFound, type Respond } from './api-response.js';
+import { CALL_TIMEOUT_MS, respondRetryLater, type FrontendContext } from './frontend-context.js';
+import { activeKey, terminalKey, terminalRecord } from './job-records.js';
+import type { RecordedStates } from './recorded-states.js';
 import type { StatusQueries } from './status-queries.js';
 
-/** How often the version of a job's live record may prove outdated before the user has to retry. */
+/** How often the version of a job's active record may prove outdated before the user has to retry. */
 const MAX_ATTEMPTS = 3;
 
 /** One user's cancellation of a job. */
@@ -23,14 +19,15 @@
   respond: Respond;
 }
 
-/** Cancels jobs. */
+/** Cancels jobs. A cancellation is idempotent: that of an ended job is answered with its end. */
 export class Cancellations {
   constructor(
     private readonly context: FrontendContext,
-    private readonly queries: StatusQueries,
+    private readonly recordedStates: RecordedStates,
+    private readonly statusQueries: StatusQueries,
   ) {}
 
-  /** Ends a job that has not ended, and tells how it ended. */
+  /** Ends a job that has not ended, and responds with how it ended. */
   cancel(id: string, respond: Respond): void {
     if (!isJobId(id)) return respond(jobNotFound());
     this.attempt({ id, attemptsLeft: MAX_ATTEMPTS, respond });
@@ -38,11 +35,11 @@
 
   private attempt(cancellation: Cancellation): void {
     const { id, attemptsLeft, respond } = cancellation;
-    const { known, client } = this.context;
-    const ended = known.terminalState(id);
-    if (ended !== undefined) return this.queries.reply(id, ended, respond);
+    const { jobStates, client } = this.context;
+    const terminal = jobStates.terminalState(id);
+    if (terminal !== undefined) return this.statusQueries.reply(id, terminal, respond);
     if (client.isUnavailable || attemptsLeft === 0) return respondRetryLater(this.context, respond);
-    const version = known.activeVersion(id);
+    const version = jobStates.activeVersion(id);
     if (version === undefined) this.readVersion(cancellation);
     else this.write(cancellation, version);
   }
@@ -52,58 +49,63 @@
   }
 
   private readVersion(cancellation: Cancellation): void {
-    const { id, respond } = cancellation;
     const { client } = this.context;
     if (!client.requestTokens.tryTake(1, tokenReserve.submissions))
-      return respondRetryLater(this.context, respond);
-    client.read(activeKey(id), CALL_TIMEOUT_MS, (got) => this.versionRead(cancellation, got));
+      return respondRetryLater(this.context, cancellation.respond);
+    client.read(activeKey(cancellation.id), CALL_TIMEOUT_MS, (read) =>
+      this.versionRead(cancellation, read),
+    );
   }
 
-  private versionRead(cancellation: Cancellation, got: ReadResult<KeyValue | null>): void {
+  private versionRead(cancellation: Cancellation, read: ReadResult<KeyValue | null>): void {
     const { id, respond } = cancellation;
-    if (got.kind === 'failed') return respondRetryLater(this.context, respond);
-    if (got.value !== null) {
-      this.context.known.setActiveVersion(id, got.value.version);
-      return this.attempt(cancellation);
-    }
-    this.context.known.forgetActive(id);
-    this.queries.query(id, (standing) => {
-      // Accepted between the two questions: look again.
-      if (standing === 'live') this.retry(cancellation);
-      else this.queries.reply(id, standing, respond);
+    if (read.kind === 'failed') return respondRetryLater(this.context, respond);
+    if (read.value === null) return this.notActive(cancellation);
+    this.context.jobStates.setActiveVersion(id, read.value.version);
+    this.attempt(cancellation);
+  }
+
+  /** No active record was found: the job has ended, was never accepted, or is being accepted. */
+  private notActive(cancellation: Cancellation): void {
+    const { id, respond } = cancellation;
+    this.context.jobStates.forgetActive(id);
+    this.recordedStates.query(id, (state) => {
+      // It was accepted between the read and the query.
+      if (state === 'active') this.retry(cancellation);
+      else this.statusQueries.reply(id, state, respond);
     });
   }
 
   private write(cancellation: Cancellation, version: number): void {
     const { id, respond } = cancellation;
     const { eventLoop, writes } = this.context;
-    const added = writes.add({
+    const endedAt = Math.round(eventLoop.runtime.wallClock());
+    const queued = writes.add({
       conditions: [
         { key: activeKey(id), version },
         { key: terminalKey(id), version: 0 },
       ],
       writes: [
         { delete: activeKey(id) },
-        {
-          put: terminalKey(id),
-          value: terminalRecord('cancelled', Math.round(eventLoop.runtime.wallClock())),
-        },
+        { put: terminalKey(id), value: terminalRecord('cancelled', endedAt) },
       ],
       done: (result) => this.settle(cancellation, result),
     });
-    if (!added) respondRetryLater(this.context, respond);
+    if (!queued) respondRetryLater(this.context, respond);
   }
 
   private settle(cancellation: Cancellation, result: TransactionResult): void {
     const { id, respond } = cancellation;
-    const { known, hooks } = this.context;
+    const { jobStates, hooks } = this.context;
     if (result.kind === 'ok') {
-      known.markTerminal(id, 'cancelled');
+      jobStates.markTerminal(id, 'cancelled');
       hooks.onCancelled(id);
-      this.queries.reply(id, 'cancelled', respond);
+      this.statusQueries.reply(id, 'cancelled', respond);
     } else if (result.kind === 'conflict') {
-      known.forgetActive(id);
+      jobStates.forgetActive(id);
       this.retry(cancellation);
-    } else respondRetryLater(this.context, respond);
+    } else {
+      respondRetryLater(this.context, respond);
+    }
   }
 }
--- a/src/controller/jobs/frontend.ts
+++ b/src/controller/jobs/frontend.ts
@@ -1,25 +1,25 @@
 /** The users' side of a controller: submissions, status queries and cancellations. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import { GroupCommit } from '../store/group-commit.js';
 import { tokenReserve, type StateStoreClient } from '../store/client.js';
+import { GroupCommit } from '../store/group-commit.js';
 import type { TerminalState } from '../wire/jobs.js';
+import type { Respond } from './api-response.js';
 import { Cancellations } from './cancellations.js';
-import { CALL_TIMEOUT_MS, type FrontendHooks, type Respond } from './frontend-context.js';
+import { CALL_TIMEOUT_MS, type FrontendHooks } from './frontend-context.js';
 import { JobStateCache } from './job-state-cache.js';
+import { RecordedStates } from './recorded-states.js';
 import { StatusQueries } from './status-queries.js';
 import { Submissions } from './submissions.js';
 
-export type { ApiResponse, FrontendHooks } from './frontend-context.js';
-
 /**
- * The users' side, the same on every node. A job's end is final and answered from memory; anything
- * else, a 404 too, is an answer only after the state service has confirmed it, for another node may
- * have told the user something newer.
+ * The users' side, the same on every node. A terminal state never changes and is answered from
+ * memory. Anything else, a 404 too, is answered only after the state store has confirmed it, for
+ * another node may have told the user something newer (invariant 3).
  */
 export class Frontend {
   private readonly jobStates: JobStateCache;
-  private readonly queries: StatusQueries;
+  private readonly statusQueries: StatusQueries;
   private readonly submissions: Submissions;
   private readonly cancellations: Cancellations;
 
@@ -36,38 +36,39 @@
       tokenReserve: tokenReserve.submissions,
       minIntervalMs: 0,
     });
-    const context = { eventLoop, settings, client, hooks, known: this.jobStates, writes };
-    this.queries = new StatusQueries(context);
-    this.submissions = new Submissions(context, this.queries);
-    this.cancellations = new Cancellations(context, this.queries);
+    const context = { eventLoop, settings, client, hooks, jobStates: this.jobStates, writes };
+    const recordedStates = new RecordedStates(context);
+    this.statusQueries = new StatusQueries(context, recordedStates);
+    this.submissions = new Submissions(context, recordedStates, this.statusQueries);
+    this.cancellations = new Cancellations(context, recordedStates, this.statusQueries);
   }
 
-  /** Another controller has accepted the job. */
+  /** Notes that another controller has accepted the job. */
   markAccepted(id: string): void {
     if (this.jobStates.terminalState(id) === undefined) this.jobStates.markActive(id);
   }
 
-  /** How a job ended that this node knows to have ended; the end is for ever. */
+  /** How the job has ended; null: it is not known to have ended. */
   terminalState(id: string): TerminalState | null {
     return this.jobStates.terminalState(id) ?? null;
   }
 
-  /** A job has ended, as another controller or this node's leader says. */
+  /** Notes how a job has ended, as another controller or this node's leader tells. */
   markTerminal(id: string, state: TerminalState): void {
     this.jobStates.markTerminal(id, state);
   }
 
-  /** Answers a submission. */
+  /** Responds to a submission with this decoded body. */
   submit(body: unknown, respond: Respond): void {
     this.submissions.submit(body, respond);
   }
 
-  /** Answers a question about a job. */
+  /** Responds with a job's status. */
   poll(id: string, respond: Respond): void {
-    this.queries.poll(id, respond);
+    this.statusQueries.poll(id, respond);
   }
 
-  /** Answers a cancellation. */
+  /** Cancels a job, and responds with how it has ended. */
   cancel(id: string, respond: Respond): void {
     this.cancellations.cancel(id, respond);
   }
--- a/src/controller/jobs/service-requests.test.ts
+++ b/src/controller/jobs/service-requests.test.ts
@@ -6,7 +6,8 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { StateStoreClient } from '../store/client.js';
-import { Frontend, type ApiResponse } from './frontend.js';
+import type { ApiResponse } from './api-response.js';
+import { Frontend } from './frontend.js';
 
 const teams = '[[params.teams]]\nname = "t"\ncpus_max = 8.0\ngpus_max = 4.0\n';
 const settings = new Settings(standalonePlatform(teams), defaultProperties());
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -1,129 +1,120 @@
-/** Users' submissions: judged, and put on record once however often they are repeated. */
-import type { TransactionResult } from '../store/results.js';
+/** Users' submissions: checked, and recorded once however often they are retried. */
 import { storedSize } from '../store/page-table.js';
+import type { TransactionResult } from '../store/results.js';
 import { WireError } from '../wire/cbor.js';
-import {
-  readJobSpec,
-  readJobId,
-  writeJobStatus,
-  writeJobSpec,
-  type JobSpec,
-} from '../wire/jobs.js';
+import { readJobId, readJobSpec, writeJobStatus, type JobSpec } from '../wire/jobs.js';
 import { admit } from './admission.js';
-import {
-  respondRetryLater,
-  type ApiResponse,
-  type FrontendContext,
-  type Respond,
-} from './frontend-context.js';
-import { terminalKey, activeKey } from './job-records.js';
+import type { ApiResponse, Respond } from './api-response.js';
+import { respondRetryLater, type FrontendContext } from './frontend-context.js';
+import { activeKey, activeRecord, terminalKey } from './job-records.js';
+import type { RecordedState, RecordedStates } from './recorded-states.js';
+import { SharedRequests, type SharedRequest } from './shared-requests.js';
 import type { StatusQueries } from './status-queries.js';
 
-/** Users who wait for the outcome of the same submission. */
-type Waiters = Respond[];
-
-/** Accepts jobs. */
+/** Accepts jobs. A submission is idempotent: a retried one is answered with the job's status. */
 export class Submissions {
-  /** Submissions that have not left yet, with all who wait for them. */
-  private readonly queued = new Map<string, Waiters>();
+  private readonly shared = new SharedRequests<Respond>();
 
   constructor(
     private readonly context: FrontendContext,
-    private readonly queries: StatusQueries,
+    private readonly recordedStates: RecordedStates,
+    private readonly statusQueries: StatusQueries,
   ) {}
 
-  /** Accepts a job, refuses it, or tells a user who repeats a submission what is current. */
+  /** Accepts a job, refuses it, or answers a retried submission with the job's status. */
   submit(body: unknown, respond: Respond): void {
-    const spec = this.parse(body, respond);
-    if (spec === null) return;
-    const { known, settings, hooks } = this.context;
-    const ended = known.terminalState(spec.id);
-    if (ended !== undefined) return this.queries.reply(spec.id, ended, respond);
-    const verdict = admit(spec, settings.platform.teams, hooks.machineTypes());
-    if (typeof verdict === 'object')
-      return this.refuse(spec.id, { status: 422, body: { error: verdict.refuse } }, respond);
-    if (verdict !== 'accept' || known.isActive(spec.id)) {
-      this.replyIfKnown(spec.id, respond, () => respondRetryLater(this.context, respond));
-      return;
-    }
-    this.record(spec, respond);
-  }
-
-  /** Null: malformed, and refused. */
-  private parse(body: unknown, respond: Respond): JobSpec | null {
+    let spec: JobSpec;
     try {
-      return readJobSpec(body);
+      spec = readJobSpec(body);
     } catch (error) {
       if (!(error instanceof WireError)) throw error;
-      this.context.eventLoop.log.debug({ reason: error.message, body }, 'malformed submission');
-      this.refuse(readJobId(body), { status: 400, body: { error: error.message } }, respond);
-      return null;
+      this.refuseMalformed(body, error, respond);
+      return;
     }
+    this.submitSpec(spec, respond);
+  }
+
+  private refuseMalformed(body: unknown, { message }: WireError, respond: Respond): void {
+    this.context.eventLoop.log.debug({ reason: message, body }, 'malformed submission');
+    const refusal = { status: 400, body: { error: message } };
+    const id = readJobId(body);
+    if (id === null) respond(refusal);
+    else this.refuse(id, refusal, respond);
+  }
+
+  private submitSpec(spec: JobSpec, respond: Respond): void {
+    const { jobStates, settings, hooks } = this.context;
+    const { id } = spec;
+    const terminal = jobStates.terminalState(id);
+    if (terminal !== undefined) return this.statusQueries.reply(id, terminal, respond);
+    const admission = admit(spec, settings.platform.teams, hooks.machineTypes());
+    if (admission.kind === 'refused')
+      this.refuse(id, { status: 422, body: { error: admission.reason } }, respond);
+    else if (admission.kind === 'undecided' || jobStates.isActive(id))
+      this.replyUnlessAbsent(id, respond, () => respondRetryLater(this.context, respond));
+    else this.record(spec, respond);
   }
 
   /**
-   * A job that is known already is recognised before it is judged: teams, machine types and what a
-   * version takes for a submission may have changed since it was accepted.
+   * Refuses a submission, unless its job is known: teams, machine types and what a version takes
+   * for well-formed may have changed since it was accepted.
    */
-  private refuse(id: string | null, refusal: ApiResponse, respond: Respond): void {
-    if (id === null) respond(refusal);
-    else this.replyIfKnown(id, respond, () => respond(refusal));
+  private refuse(id: string, refusal: ApiResponse, respond: Respond): void {
+    this.replyUnlessAbsent(id, respond, () => respond(refusal));
   }
 
-  private replyIfKnown(id: string, respond: Respond, absent: () => void): void {
-    this.queries.query(id, (standing) => {
-      if (standing === 'absent') absent();
-      else this.queries.reply(id, standing, respond);
+  private replyUnlessAbsent(id: string, respond: Respond, onAbsent: () => void): void {
+    this.recordedStates.query(id, (state) => {
+      if (state === 'absent') onAbsent();
+      else this.statusQueries.reply(id, state, respond);
     });
   }
 
   private record(spec: JobSpec, respond: Respond): void {
     const { eventLoop, client } = this.context;
-    const value = { job: writeJobSpec(spec), at: Math.round(eventLoop.runtime.wallClock()) };
+    const value = activeRecord(spec, Math.round(eventLoop.runtime.wallClock()));
     if (storedSize(value) > client.limits.maxValueBytes) {
       const refusal = { status: 400, body: { error: 'models: too many or too long' } };
       return this.refuse(spec.id, refusal, respond);
     }
     if (client.isUnavailable) return respondRetryLater(this.context, respond);
-    const waiting = this.queued.get(spec.id);
-    if (waiting !== undefined) waiting.push(respond);
-    else this.create(spec.id, value, respond);
+    if (!this.shared.join(spec.id, respond)) this.create(spec.id, value, respond);
   }
 
   private create(id: string, value: unknown, respond: Respond): void {
-    const waiters = [respond];
-    const close = (): void => {
-      if (this.queued.get(id) === waiters) this.queued.delete(id);
-    };
-    const added = this.context.writes.add({
+    const request = this.shared.create(id, respond);
+    const queued = this.context.writes.add({
       conditions: [
         { key: activeKey(id), version: 0 },
         { key: terminalKey(id), version: 0 },
       ],
       writes: [{ put: activeKey(id), value }],
-      // A repeat that comes once the transaction has left may not share its answer: meanwhile the
-      // user may have been told at another node that the job has ended.
-      onSent: close,
-      done: (result) => this.settle(id, result, waiters, close),
+      onSent: () => request.seal(),
+      done: (result) => this.settle(id, result, request),
     });
-    if (added) this.queued.set(id, waiters);
+    if (queued) request.open();
     else respondRetryLater(this.context, respond);
   }
 
-  private settle(id: string, result: TransactionResult, waiters: Waiters, close: () => void): void {
-    const answer = (each: (respond: Respond) => void): void => {
-      close();
-      for (const waiter of waiters) each(waiter);
-    };
-    if (result.kind === 'ok') {
-      this.context.known.setActiveVersion(id, result.revision);
-      this.context.hooks.onAccepted(id);
-      const body = writeJobStatus({ id, state: 'queued' });
-      answer((respond) => respond({ status: 201, body }));
-    } else if (result.kind === 'conflict') {
-      this.queries.resolveConflict(id, result.failedKeys, (standing) =>
-        answer((respond) => this.queries.reply(id, standing, respond)),
+  private settle(id: string, result: TransactionResult, request: SharedRequest<Respond>): void {
+    if (result.kind === 'ok') this.accepted(id, result.revision, request);
+    else if (result.kind === 'conflict')
+      this.recordedStates.resolveConflict(id, result.failedKeys, (state) =>
+        this.replyToAll(id, state, request),
       );
-    } else answer((respond) => respondRetryLater(this.context, respond));
+    else this.replyToAll(id, 'unknown', request);
+  }
+
+  private accepted(id: string, version: number, request: SharedRequest<Respond>): void {
+    this.context.jobStates.setActiveVersion(id, version);
+    this.context.hooks.onAccepted(id);
+    const body = writeJobStatus({ id, state: 'queued' });
+    request.seal();
+    for (const respond of request.waiters) respond({ status: 201, body });
+  }
+
+  private replyToAll(id: string, state: RecordedState, request: SharedRequest<Respond>): void {
+    request.seal();
+    for (const respond of request.waiters) this.statusQueries.reply(id, state, respond);
   }
 }
--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -10,7 +10,7 @@
 import type { HttpResponse } from '../http/parser.js';
 import { HttpServer, type RequestHandler } from '../http/server.js';
 import { SocketBudget } from '../http/socket-budget.js';
-import type { ApiResponse } from '../jobs/frontend.js';
+import type { ApiResponse } from '../jobs/api-response.js';
 import { readPeerConnection } from '../peers/peer-connection.js';
 import { HEARTBEAT_PATH } from '../api/router.js';
 import type { Settings } from '../settings/settings.js';
@@ -102,11 +102,11 @@
 }
 
 function encodeAnswer(answer: ApiResponse): HttpResponse {
-  const { status, body, raw, type, retryAfterS, allow } = answer;
+  const { status, body, encodedBody, retryAfterS, allow } = answer;
   return {
     status,
-    body: raw ?? (body === undefined ? EMPTY_BODY : encodeBody(body)),
-    ...(type === undefined ? {} : { contentType: type }),
+    body: encodedBody?.bytes ?? (body === undefined ? EMPTY_BODY : encodeBody(body)),
+    ...(encodedBody === undefined ? {} : { contentType: encodedBody.contentType }),
     ...(retryAfterS === undefined ? {} : { retryAfterS }),
     ...(allow === undefined ? {} : { allow }),
   };
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -58,7 +58,7 @@
   async dropped(): Promise<number> {
     const text = new Promise<string>((resolve) => {
       this.controller.request('GET', '/metrics', Buffer.alloc(0), (a) =>
-        resolve((a.raw ?? '').toString()),
+        resolve((a.encodedBody?.bytes ?? '').toString()),
       );
     });
     this.pass();
--- a/test/simulation/traffic-digest.ts
+++ b/test/simulation/traffic-digest.ts
@@ -98,9 +98,11 @@
     override request(method: string, path: string, body: Buffer, respond: Answered): void {
       this.add('request', [method, path], body);
       super.request(method, path, body, (answer) => {
-        const { status, retryAfterS = '', allow = '', type = '', raw } = answer;
-        const details = [method, path, status, retryAfterS, allow, type];
-        this.add('answer', details, raw === undefined ? bytesOf(answer.body) : withoutMemory(raw));
+        const { status, retryAfterS = '', allow = '', encodedBody } = answer;
+        const details = [method, path, status, retryAfterS, allow, encodedBody?.contentType ?? ''];
+        const bytes =
+          encodedBody === undefined ? bytesOf(answer.body) : withoutMemory(encodedBody.bytes);
+        this.add('answer', details, bytes);
         respond(answer);
       });
     }
