--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -18,7 +18,7 @@
 import { Readiness } from './operators/readiness.js';
 import { clusterView } from './operators/cluster-view.js';
 import type { PeerStatus } from './peers/message.js';
-import { Peers, type PeerEvents } from './peers/peers.js';
+import { Peers, peersOptions, type PeerEvents } from './peers/peers.js';
 import { Router } from './api/router.js';
 import type { Settings } from './settings/settings.js';
 import { StateStoreClient } from './store/client.js';
@@ -33,10 +33,8 @@
 const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4';
 const RETRY_LEADER_S = 1;
 const RETRY_METRICS_S = 5;
-/** Ticks, statuses and news to the peers in a report interval. */
+/** Ticks in a heartbeat interval. */
 const TICKS_PER_HEARTBEAT = 3;
-const STATUSES_PER_HEARTBEAT = 3;
-const NEWS_PER_HEARTBEAT = 15;
 
 /** One of a deployment's equal controllers, of which one leads. */
 export class Controller {
@@ -76,7 +74,7 @@
     this.leadership = new Leadership(eventLoop, settings, this.client, identity, events, ask);
     this.peers = new Peers(
       eventLoop,
-      settings.platform.peers.map((peer) => peer.host),
+      peersOptions(settings),
       () => this.status(identity),
       this.peerEvents(),
     );
@@ -171,14 +169,10 @@
 
   /** Begins to follow the others, or to lead. */
   start(): void {
-    const { heartbeatIntervalMs } = this.settings;
     this.eventLoop.post('start', () => {
       this.leadership.start();
       this.catalogue.load();
-      this.peers.start(
-        heartbeatIntervalMs / STATUSES_PER_HEARTBEAT,
-        heartbeatIntervalMs / NEWS_PER_HEARTBEAT,
-      );
+      this.peers.start();
       this.eventLoop.every(this.tickMs, 'tick', () => this.tick());
       this.eventLoop.onBatchEnd(() => this.leaderTerm?.onBatchEnd());
     });
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -288,6 +288,6 @@
 
   private publishProgress(): void {
     const changed = takeChangedProgress(this.table.jobs.values());
-    if (changed.length > 0) this.context.peers.publish(changed, null);
+    if (changed.length > 0) this.context.peers.publishProgress(changed);
   }
 }
--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -2,6 +2,7 @@
 import net from 'node:net';
 import { randomBytes } from 'node:crypto';
 import { Controller } from '../controller.js';
+import { splitAddress } from '../runtime/address.js';
 import type { Logger } from '../runtime/runtime.js';
 import { HeapBudget, memoryWarning, type MemoryQuota } from '../runtime/heap-budget.js';
 import { createLogger, LOG_LEVELS } from './logger.js';
@@ -28,11 +29,6 @@
 const PEER_SOCKETS_RATIO = 0.02;
 const MIN_PEER_SOCKETS = 8;
 
-function splitAddress(address: string): { host: string; port: number } {
-  const colon = address.lastIndexOf(':');
-  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
-}
-
 function openLog(host: string): Logger {
   const wanted = process.env['LOG_LEVEL'] ?? 'info';
   return createLogger(LOG_LEVELS.includes(wanted) ? wanted : 'info', host);
--- a/src/controller/peers/avro-validation.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of Avro's binary encoding before it is decoded. avsc makes room for as many items as the bytes
+ * Validates Avro's binary encoding before it is decoded. avsc allocates as many items as the bytes
  * announce, whatever their number, so a few bytes could take all memory of the process.
  */
 
@@ -10,7 +10,7 @@
 /** The schemas that messages are made of; a list is a union. */
 export type Schema = SingleSchema | SingleSchema[];
 
-/** A sequence of fields. */
+/** Fields in the order of their encoding. */
 export interface RecordSchema {
   type: 'record';
   name: string;
@@ -33,23 +33,23 @@
   symbols: string[];
 }
 
-/** Bytes that do not follow their schema. */
+/** Bytes that are not a value of their schema. */
 export class AvroEncodingError extends Error {
-  override readonly name = 'EncodingError';
+  override readonly name = 'AvroEncodingError';
 }
 
 const DOUBLE_BYTES = 8;
-/** Bytes of the longest integer, of 64 bits. */
-const LONGEST_INTEGER = 10;
+/** Bytes of the longest integer, which has 64 bits, 7 in each byte. */
+const MAX_INTEGER_BYTES = 10;
 
-/** Throws an `EncodingError` unless the bytes are one whole value of the schema. */
+/** Throws an `AvroEncodingError` unless the bytes are one whole value of the schema. */
 export function validateAvroEncoding(schema: Schema, bytes: Buffer): void {
   const reader = new AvroReader(bytes);
   skip(schema, reader);
   if (reader.remaining > 0) throw new AvroEncodingError('trailing bytes');
 }
 
-/** Walks over the bytes; never past their end. */
+/** Reads forward through the bytes, never past their end. */
 class AvroReader {
   private position = 0;
 
@@ -59,7 +59,7 @@
     return this.bytes.length - this.position;
   }
 
-  /** Passes over bytes without looking at them. */
+  /** Skips bytes without reading them. */
   skip(count: number): void {
     if (count < 0 || count > this.remaining) throw new AvroEncodingError('length out of range');
     this.position += count;
@@ -68,7 +68,7 @@
   /** A zigzag integer of variable length; only those within the safe integers are exact. */
   integer(): number {
     let value = 0;
-    for (let i = 0; i < LONGEST_INTEGER; i++) {
+    for (let i = 0; i < MAX_INTEGER_BYTES; i++) {
       const byte = this.bytes[this.position++];
       if (byte === undefined) throw new AvroEncodingError('truncated');
       value += (byte & 0x7f) * 2 ** (7 * i);
--- a/src/controller/peers/framing.ts
+++ b/src/controller/peers/framing.ts
@@ -1,4 +1,4 @@
-/** Frames on a connection between controllers: four bytes of length, then one message. */
+/** Frames on a connection between controllers: the length in four bytes, big-endian, then one message. */
 
 /** Bytes of the longest message. */
 export const MAX_FRAME_BYTES = 256 * 1024;
@@ -9,8 +9,8 @@
 export class FrameTooLargeError extends Error {
   override readonly name = 'FrameTooLargeError';
 
-  constructor(size: number) {
-    super(`frame of ${size} bytes`);
+  constructor(announcedBytes: number) {
+    super(`frame of ${announcedBytes} bytes`);
   }
 }
 
@@ -24,37 +24,37 @@
 }
 
 /** The frame of one message. */
-export function encodeFrame(bytes: Buffer): Buffer {
-  const out = Buffer.allocUnsafe(bytes.length + LENGTH_BYTES);
-  out.writeUInt32BE(bytes.length, 0);
-  bytes.copy(out, LENGTH_BYTES);
-  return out;
+export function encodeFrame(message: Buffer): Buffer {
+  const frame = Buffer.allocUnsafe(LENGTH_BYTES + message.length);
+  frame.writeUInt32BE(message.length, 0);
+  message.copy(frame, LENGTH_BYTES);
+  return frame;
 }
 
-/** Puts the messages of one connection together again. */
+/** Reassembles the messages of one connection. */
 export class FrameDecoder {
   private buffered: Buffer = Buffer.alloc(0);
 
-  /** Whether a part of a frame has arrived, and its rest has not. */
+  /** A part of a frame has arrived, and its rest has not. */
   get hasPartialFrame(): boolean {
     return this.buffered.length > 0;
   }
 
   /**
-   * Takes what has arrived and returns the messages that are whole. Throws when a frame is longer than
-   * any message may be.
+   * Takes bytes as they arrive and returns the messages that are complete. Throws a
+   * `FrameTooLargeError` on a frame that is longer than any message may be.
    */
   push(bytes: Buffer): Buffer[] {
     this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
-    const frames: Buffer[] = [];
+    const messages: Buffer[] = [];
     while (this.buffered.length >= LENGTH_BYTES) {
-      const size = this.buffered.readUInt32BE(0);
-      if (size > MAX_FRAME_BYTES) throw new FrameTooLargeError(size);
-      const end = LENGTH_BYTES + size;
+      const messageBytes = this.buffered.readUInt32BE(0);
+      if (messageBytes > MAX_FRAME_BYTES) throw new FrameTooLargeError(messageBytes);
+      const end = LENGTH_BYTES + messageBytes;
       if (this.buffered.length < end) break;
-      frames.push(this.buffered.subarray(LENGTH_BYTES, end));
+      messages.push(this.buffered.subarray(LENGTH_BYTES, end));
       this.buffered = this.buffered.subarray(end);
     }
-    return frames;
+    return messages;
   }
 }
--- a/src/controller/peers/message.ts
+++ b/src/controller/peers/message.ts
@@ -1,26 +1,30 @@
-/** The messages that controllers send one another, and their binary form (Avro, without a version). */
-import avsc from 'avsc';
-import type { TerminalState, JobState } from '../wire/jobs.js';
-import { validateAvroEncoding, type RecordSchema } from './avro-validation.js';
+/**
+ * The messages that controllers send one another. Their property names are those of the wire schema
+ * (`message-schema.ts`) and can't change.
+ */
+import type { JobState, TerminalState } from '../wire/jobs.js';
 
 /**
- * What a controller says of itself. None of it is needed for the rules: it only saves questions to
- * the state service.
+ * What a controller says of itself. No invariant depends on it: it only saves requests to the state
+ * store.
  */
 export interface PeerStatus {
   host: string;
+  /** Tells apart the processes of one host. */
   identity: string;
-  /** Milliseconds since the state service last served the sender; -1: never. */
+  /** Milliseconds since the state store last served the sender; -1: never. */
   stateOkAgeMs: number;
+  /** Host of the leader as far as the sender knows; empty: none. */
   leaderHost: string;
+  /** Term of that leader; 0: none. */
   term: number;
-  /** Puts and deletes at the state service that the sender would make a second. */
+  /** Puts and deletes a second that the sender would make at the state store. */
   wantedWrites: number;
-  /** Workers' reports a second that the sender has sent on to the leader. */
+  /** Workers' heartbeats a second that the sender has redirected to the leader. */
   strayReports: number;
 }
 
-/** The end of a job. Final states never change, so they may be passed on and kept. */
+/** The end of a job. Terminal states never change, so they may be passed on and cached. */
 export interface JobEnd {
   id: string;
   state: TerminalState;
@@ -32,12 +36,15 @@
   state: JobState;
   done: number;
   running: number;
+  /** Runs that have ended, by cause. */
   exits: Record<string, number>;
+  /** Why the job does not start; empty: nothing is known to block it. */
   blocked: string;
 }
 
-/** A user's request that the sender can't answer: the state service doesn't serve it just now. */
+/** A user's request that the sender can't answer because the state store doesn't serve it. */
 export interface ForwardedRequest {
+  /** Host of the sender, which gets the reply. */
   from: string;
   id: number;
   method: string;
@@ -45,7 +52,7 @@
   body: Buffer;
 }
 
-/** The answer to the forwarded request of the same id. */
+/** The reply to the forwarded request of the same id. */
 export interface ForwardedReply {
   id: number;
   status: number;
@@ -56,7 +63,7 @@
 export interface PeerMessage {
   status: PeerStatus | null;
   finals: JobEnd[];
-  /** Jobs that the sender has accepted. */
+  /** Ids of jobs that the sender has accepted. */
   accepted: string[];
   progress: JobProgress[];
   request: ForwardedRequest | null;
@@ -72,119 +79,3 @@
   request: null,
   reply: null,
 };
-
-/** The form on the wire. Older versions read and write the same: it can't change. */
-const schema: RecordSchema = {
-  type: 'record',
-  name: 'PeerMessage',
-  fields: [
-    {
-      name: 'status',
-      type: [
-        'null',
-        {
-          type: 'record',
-          name: 'Status',
-          fields: [
-            { name: 'host', type: 'string' },
-            { name: 'identity', type: 'string' },
-            { name: 'stateOkAgeMs', type: 'double' },
-            { name: 'leaderHost', type: 'string' },
-            { name: 'term', type: 'long' },
-            { name: 'wantedWrites', type: 'double' },
-            { name: 'strayReports', type: 'double' },
-          ],
-        },
-      ],
-    },
-    {
-      name: 'finals',
-      type: {
-        type: 'array',
-        items: {
-          type: 'record',
-          name: 'Final',
-          fields: [
-            { name: 'id', type: 'string' },
-            {
-              name: 'state',
-              type: { type: 'enum', name: 'FinalState', symbols: ['done', 'cancelled'] },
-            },
-          ],
-        },
-      },
-    },
-    { name: 'accepted', type: { type: 'array', items: 'string' } },
-    {
-      name: 'progress',
-      type: {
-        type: 'array',
-        items: {
-          type: 'record',
-          name: 'Progress',
-          fields: [
-            { name: 'id', type: 'string' },
-            {
-              name: 'state',
-              type: {
-                type: 'enum',
-                name: 'JobState',
-                symbols: ['queued', 'running', 'done', 'cancelled'],
-              },
-            },
-            { name: 'done', type: 'int' },
-            { name: 'running', type: 'int' },
-            { name: 'exits', type: { type: 'map', values: 'int' } },
-            { name: 'blocked', type: 'string' },
-          ],
-        },
-      },
-    },
-    {
-      name: 'request',
-      type: [
-        'null',
-        {
-          type: 'record',
-          name: 'Request',
-          fields: [
-            { name: 'from', type: 'string' },
-            { name: 'id', type: 'long' },
-            { name: 'method', type: 'string' },
-            { name: 'path', type: 'string' },
-            { name: 'body', type: 'bytes' },
-          ],
-        },
-      ],
-    },
-    {
-      name: 'reply',
-      type: [
-        'null',
-        {
-          type: 'record',
-          name: 'Reply',
-          fields: [
-            { name: 'id', type: 'long' },
-            { name: 'status', type: 'int' },
-            { name: 'body', type: 'bytes' },
-          ],
-        },
-      ],
-    },
-  ],
-};
-
-const type = avsc.Type.forSchema(schema);
-
-/** The bytes of a message. */
-export function encodePeerMessage(message: PeerMessage): Buffer {
-  return type.toBuffer(message);
-}
-
-/** Throws on bytes that are not one whole message. */
-export function decodePeerMessage(bytes: Buffer): PeerMessage {
-  validateAvroEncoding(schema, bytes);
-  const value: unknown = type.fromBuffer(bytes);
-  return value as PeerMessage;
-}
--- a/src/controller/peers/peer-connection.ts
+++ b/src/controller/peers/peer-connection.ts
@@ -1,16 +1,16 @@
 /** The receiving end of a connection from another controller. */
 import type net from 'node:net';
-import { TruncatedFrameError, FrameDecoder } from './framing.js';
+import { FrameDecoder, TruncatedFrameError } from './framing.js';
 
 /** Takes what arrives on the connections from other controllers. */
 export interface PeerFrameHandler {
-  /** A whole message, as yet unread. */
+  /** A complete frame; its message has not been decoded yet. */
   peerFrame(bytes: Buffer): void;
   /** What arrived can't be read: the connection ends, or has ended, and its rest is dropped. */
   peerConnectionFailed(err: Error): void;
 }
 
-/** Reads messages from a connection until it ends; never throws. */
+/** Reads frames from a connection until it ends, and closes it then; never throws. */
 export function readPeerConnection(socket: net.Socket, handler: PeerFrameHandler): void {
   const decoder = new FrameDecoder();
   let failed = false;
@@ -23,7 +23,7 @@
   socket.on('data', (bytes) => {
     if (failed) return;
     try {
-      for (const message of decoder.push(bytes)) handler.peerFrame(message);
+      for (const frame of decoder.push(bytes)) handler.peerFrame(frame);
     } catch (err) {
       fail(err as Error);
     }
--- a/src/controller/peers/peer-statuses.ts
+++ b/src/controller/peers/peer-statuses.ts
@@ -3,10 +3,11 @@
 
 interface ReceivedStatus {
   status: PeerStatus;
+  /** When it arrived, on this node's steady clock. */
   receivedAt: number;
 }
 
-/** The newest status of each peer. */
+/** The latest status of each peer. */
 export class PeerStatuses {
   private readonly latest = new Map<string, ReceivedStatus>();
 
@@ -18,27 +19,29 @@
     this.latest.set(status.host, { status, receivedAt: this.now() });
   }
 
-  /** The statuses that came within `freshMs`. */
-  recent(freshMs: number): PeerStatus[] {
+  /** The statuses that have arrived within `maxAgeMs`. */
+  recent(maxAgeMs: number): PeerStatus[] {
     const now = this.now();
-    return [...this.latest.values()]
-      .filter((h) => now - h.receivedAt < freshMs)
-      .map((h) => h.status);
+    const received = [...this.latest.values()];
+    return received
+      .filter(({ receivedAt }) => now - receivedAt < maxAgeMs)
+      .map(({ status }) => status);
   }
 
-  /** The peer that the state service served last, if within `freshMs`. */
-  hostServedByStateStore(freshMs: number): string | null {
-    let best: string | null = null;
-    let bestAgeMs = freshMs;
-    for (const [host, heard] of this.latest) {
-      const ageMs = this.stateStoreAgeMs(heard);
+  /** The peer that the state store served last, if within `maxAgeMs`. */
+  hostServedByStateStore(maxAgeMs: number): string | null {
+    let bestHost: string | null = null;
+    let bestAgeMs = maxAgeMs;
+    for (const [host, received] of this.latest) {
+      const ageMs = this.stateStoreAgeMs(received);
       if (ageMs >= bestAgeMs) continue;
-      best = host;
+      bestHost = host;
       bestAgeMs = ageMs;
     }
-    return best;
+    return bestHost;
   }
 
+  /** Time since the state store served the peer, as far as its status tells. */
   private stateStoreAgeMs({ status, receivedAt }: ReceivedStatus): number {
     if (status.stateOkAgeMs < 0) return Infinity;
     return status.stateOkAgeMs + (this.now() - receivedAt);
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -1,26 +1,29 @@
-/** The exchange of news between the controllers of a deployment. */
+/** The exchange of messages between the controllers of a deployment. */
 import type { EventLoop } from '../runtime/event-loop.js';
+import type { Settings } from '../settings/settings.js';
 import type { TerminalState } from '../wire/jobs.js';
-import { RequestForwarder, type ReplyHandler } from './request-forwarder.js';
-import {
-  decodePeerMessage,
-  EMPTY_MESSAGE,
-  encodePeerMessage,
-  type ForwardedRequest,
-  type JobEnd,
-  type JobProgress,
-  type PeerMessage,
-  type PeerStatus,
-} from './message.js';
+import { decodePeerMessage } from './message-codec.js';
+import type { ForwardedRequest, JobProgress, PeerMessage, PeerStatus } from './message.js';
+import { PeerPublisher } from './peer-publisher.js';
 import { PeerStatuses } from './peer-statuses.js';
+import { RequestForwarder, type ReplyHandler } from './request-forwarder.js';
+
+/** Statuses in a heartbeat interval. */
+const STATUSES_PER_HEARTBEAT = 3;
+/** Delays of an announcement in a heartbeat interval. */
+const ANNOUNCEMENTS_PER_HEARTBEAT = 15;
 
-/** What is done with the news of the other controllers. */
+/** What is done with the messages of the other controllers. */
 export interface PeerEvents {
+  /** A peer has accepted a job. */
   jobAccepted(id: string): void;
+  /** A peer has sent its status. */
   statusReceived(status: PeerStatus): void;
+  /** A peer knows how a job ended. */
   jobEnded(id: string, state: TerminalState): void;
-  jobProgressed(p: JobProgress): void;
-  /** To be answered here, and not passed on again. */
+  /** The leader has sent new counts of a job. */
+  jobProgressed(progress: JobProgress): void;
+  /** A peer has forwarded a request, which is answered here and not forwarded again. */
   requestForwarded(
     method: string,
     path: string,
@@ -29,89 +32,91 @@
   ): void;
 }
 
-/** Items of each kind that one message carries at most. */
-const MAX_ITEMS_PER_MESSAGE = 200;
+/** Who the other controllers are, and how often they are told something. */
+export interface PeersOptions {
+  /** Hosts of the other controllers. */
+  hosts: readonly string[];
+  /** Time between two messages with this controller's status. */
+  statusIntervalMs: number;
+  /** How long an announcement waits for others to share its message. */
+  announcementDelayMs: number;
+}
 
-/** Tells the other controllers this one's news, and takes theirs. */
+/** The options that follow from the settings. */
+export function peersOptions({ platform, heartbeatIntervalMs }: Settings): PeersOptions {
+  return {
+    hosts: platform.peers.map((peer) => peer.host),
+    statusIntervalMs: heartbeatIntervalMs / STATUSES_PER_HEARTBEAT,
+    announcementDelayMs: heartbeatIntervalMs / ANNOUNCEMENTS_PER_HEARTBEAT,
+  };
+}
+
+/**
+ * Publishes this controller's status and announcements to the others, and dispatches what they send.
+ * No invariant depends on a message: each may be lost.
+ */
 export class Peers {
-  private readonly statuses: PeerStatuses;
-  private readonly forwarder: RequestForwarder;
-  private endedJobs: JobEnd[] = [];
-  private acceptedJobs: string[] = [];
-  private newsScheduled = false;
-  private newsDelayMs = 0;
   /** Messages that could not be read, since the process began. */
   unreadableMessages = 0;
+  private readonly statuses: PeerStatuses;
+  private readonly publisher: PeerPublisher;
+  private readonly forwarder: RequestForwarder;
 
+  /** `ownStatus`: what this controller says of itself, asked anew for each message. */
   constructor(
     private readonly eventLoop: EventLoop,
-    private readonly hosts: string[],
+    private readonly options: PeersOptions,
     private readonly ownStatus: () => PeerStatus,
     private readonly events: PeerEvents,
   ) {
+    const { hosts, announcementDelayMs } = options;
     this.statuses = new PeerStatuses(() => eventLoop.now());
+    this.publisher = new PeerPublisher(eventLoop, hosts, announcementDelayMs);
     this.forwarder = new RequestForwarder(eventLoop, (host, request) =>
-      this.sendTo(host, { request }),
+      this.publisher.sendTo(host, { request }),
     );
   }
 
-  /** Begins to tell the own status every `statusMs`, and news within `newsMs`. */
-  start(statusMs: number, newsMs: number): void {
-    this.newsDelayMs = newsMs;
-    this.eventLoop.every(statusMs, 'peer-status', () => this.publish([], this.ownStatus()));
+  /** Begins to publish this controller's status at intervals. */
+  start(): void {
+    this.eventLoop.every(this.options.statusIntervalMs, 'peer-status', () =>
+      this.publisher.publish([], this.ownStatus()),
+    );
   }
 
-  /** Tells the others of a job's end, with what else comes within a moment. */
+  // ---- sending
+
+  /** Announces a job's end to the others, in one message with what follows within a moment. */
   announceJobEnd(id: string, state: TerminalState): void {
-    this.endedJobs.push({ id, state });
-    this.scheduleNews();
+    this.publisher.announceJobEnd(id, state);
   }
 
-  /** Tells the others that this controller has accepted a job. */
+  /** Announces to the others that this controller has accepted a job. */
   announceJobAccepted(id: string): void {
-    this.acceptedJobs.push(id);
-    this.scheduleNews();
-  }
-
-  private scheduleNews(): void {
-    if (this.newsScheduled) return;
-    this.newsScheduled = true;
-    this.eventLoop.after(this.newsDelayMs, 'peer-news', () => {
-      this.newsScheduled = false;
-      this.publish([], null);
-    });
+    this.publisher.announceJobAccepted(id);
   }
 
-  /** Sends what has been announced to all, with progress and a status, in as many messages as it takes. */
-  publish(progress: JobProgress[], status: PeerStatus | null): void {
-    let { endedJobs, acceptedJobs } = this;
-    this.endedJobs = [];
-    this.acceptedJobs = [];
-    do {
-      this.broadcast({
-        ...EMPTY_MESSAGE,
-        status,
-        finals: endedJobs.slice(0, MAX_ITEMS_PER_MESSAGE),
-        accepted: acceptedJobs.slice(0, MAX_ITEMS_PER_MESSAGE),
-        progress: progress.slice(0, MAX_ITEMS_PER_MESSAGE),
-      });
-      endedJobs = endedJobs.slice(MAX_ITEMS_PER_MESSAGE);
-      acceptedJobs = acceptedJobs.slice(MAX_ITEMS_PER_MESSAGE);
-      progress = progress.slice(MAX_ITEMS_PER_MESSAGE);
-      status = null;
-    } while (endedJobs.length + acceptedJobs.length + progress.length > 0);
+  /** Sends the others the counts of jobs, with all pending announcements. */
+  publishProgress(progress: readonly JobProgress[]): void {
+    this.publisher.publish(progress, null);
   }
 
-  private broadcast(message: PeerMessage): void {
-    const bytes = encodePeerMessage(message);
-    for (const host of this.hosts) this.eventLoop.runtime.sendPeer(host, bytes);
+  /** Has a peer answer a request; `done` gets `null` if no reply has come within the time-out. */
+  forward(
+    host: string,
+    method: string,
+    path: string,
+    body: Buffer,
+    timeoutMs: number,
+    done: ReplyHandler,
+  ): void {
+    const request = { from: this.ownStatus().host, method, path, body };
+    this.forwarder.forward(host, request, timeoutMs, done);
   }
 
-  private sendTo(host: string, part: Partial<PeerMessage>): void {
-    this.eventLoop.runtime.sendPeer(host, encodePeerMessage({ ...EMPTY_MESSAGE, ...part }));
-  }
+  // ---- receiving
 
-  /** Takes a message of another controller; one that can't be read is dropped and counted. */
+  /** Takes a message of another controller; one that can't be read is dropped, logged and counted. */
   receive(bytes: Buffer): void {
     let message: PeerMessage;
     try {
@@ -120,63 +125,48 @@
       this.dropUnreadable(err);
       return;
     }
-    this.handleMessage(message);
+    this.dispatch(message);
   }
 
-  /** Counts and logs what came from another controller and can't be read. */
+  /** Logs and counts what came from another controller and can't be read. */
   dropUnreadable(err: unknown): void {
     this.unreadableMessages++;
-    this.eventLoop.log.warn({ err }, 'broken message from a peer');
+    this.eventLoop.log.warn({ err }, 'unreadable peer message dropped');
   }
 
-  private handleMessage(message: PeerMessage): void {
+  private dispatch(message: PeerMessage): void {
     const { status, request, reply } = message;
     if (status !== null) {
       this.statuses.record(status);
       this.events.statusReceived(status);
     }
-    if (request !== null) this.handleForwardedRequest(request);
+    if (request !== null) this.answer(request);
     if (reply !== null) this.forwarder.handleReply(reply);
     for (const id of message.accepted) this.events.jobAccepted(id);
     for (const end of message.finals) this.events.jobEnded(end.id, end.state);
     for (const progress of message.progress) this.events.jobProgressed(progress);
   }
 
-  private handleForwardedRequest({ from, id, method, path, body }: ForwardedRequest): void {
+  private answer({ from, id, method, path, body }: ForwardedRequest): void {
     this.events.requestForwarded(method, path, body, (status, answer) => {
-      this.sendTo(from, { reply: { id, status, body: answer } });
+      this.publisher.sendTo(from, { reply: { id, status, body: answer } });
     });
   }
 
-  /** The peer that the state service served last, if within `freshMs`. */
-  hostServedByStateStore(freshMs: number): string | null {
-    return this.statuses.hostServedByStateStore(freshMs);
-  }
+  // ---- what the peers say of themselves
 
-  /** Some peer was served by the state service within `freshMs`, by what it said lately. */
-  stateServedElsewhere(freshMs: number): boolean {
-    return this.hostServedByStateStore(freshMs) !== null;
+  /** The peer that the state store served last, if within `maxAgeMs`. */
+  hostServedByStateStore(maxAgeMs: number): string | null {
+    return this.statuses.hostServedByStateStore(maxAgeMs);
   }
 
-  /** What the others have said of themselves within `freshMs`. */
-  recentStatuses(freshMs: number): PeerStatus[] {
-    return this.statuses.recent(freshMs);
+  /** The state store has served some peer within `maxAgeMs`. */
+  stateServedElsewhere(maxAgeMs: number): boolean {
+    return this.hostServedByStateStore(maxAgeMs) !== null;
   }
 
-  /** Has a peer answer a request. */
-  forward(
-    host: string,
-    method: string,
-    path: string,
-    body: Buffer,
-    timeoutMs: number,
-    done: ReplyHandler,
-  ): void {
-    this.forwarder.forward(
-      host,
-      { from: this.ownStatus().host, method, path, body },
-      timeoutMs,
-      done,
-    );
+  /** The statuses that have arrived within `maxAgeMs`. */
+  recentStatuses(maxAgeMs: number): PeerStatus[] {
+    return this.statuses.recent(maxAgeMs);
   }
 }
--- a/src/controller/peers/request-forwarder.ts
+++ b/src/controller/peers/request-forwarder.ts
@@ -1,27 +1,28 @@
-/** Requests of users that a peer answers in this controller's place. */
+/** Requests that a peer answers in this controller's place. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { ForwardedReply, ForwardedRequest } from './message.js';
 
-/** From how many the first id of a forwarded request is drawn. */
-const FIRST_IDS = 2 ** 48;
+/** The id before the first forwarded request's is drawn from 0 up to here. */
+const MAX_INITIAL_ID = 2 ** 48;
 
-/** Takes the peer's answer; null: none came in time. */
+/** Takes the peer's reply; `null`: none came in time. */
 export type ReplyHandler = (reply: ForwardedReply | null) => void;
 
-/** The requests that were passed on and wait for their answer. */
+/** Numbers forwarded requests and gives each its reply or its time-out. */
 export class RequestForwarder {
   private readonly pendingReplies = new Map<number, ReplyHandler>();
   private lastId: number;
 
+  /** `send`: sends a request to the peer on a host. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly send: (host: string, request: ForwardedRequest) => void,
   ) {
-    // The process before on this host has counted too, and answers to it may still be on their way.
-    this.lastId = Math.floor(eventLoop.runtime.random() * FIRST_IDS);
+    // The previous process on this host numbered requests too, and replies to it may still arrive.
+    this.lastId = Math.floor(eventLoop.runtime.random() * MAX_INITIAL_ID);
   }
 
-  /** Has the peer `host` answer a request. */
+  /** Has the peer on `host` answer a request; `done` is called once. */
   forward(
     host: string,
     request: Omit<ForwardedRequest, 'id'>,
@@ -39,7 +40,7 @@
     this.send(host, { ...request, id });
   }
 
-  /** An answer has arrived, perhaps to a request that nobody waits for any more. */
+  /** Takes a reply; one to a request that is no longer pending is ignored. */
   handleReply(reply: ForwardedReply): void {
     this.pendingReplies.get(reply.id)?.(reply);
   }
--- /dev/null
+++ b/src/controller/runtime/address.ts
@@ -0,0 +1,13 @@
+/** Addresses of the form `host:port`. */
+
+/** A host and its port, as `net` takes them. */
+export interface Address {
+  host: string;
+  port: number;
+}
+
+/** Splits `host:port` at its last colon. */
+export function splitAddress(address: string): Address {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
+}
--- a/test/simulation/stored-forms.ts
+++ b/test/simulation/stored-forms.ts
@@ -1,5 +1,5 @@
 /** Collects one of each form that controllers store or send each other, with its bytes. */
-import { decodePeerMessage } from '../../src/controller/peers/message.js';
+import { decodePeerMessage } from '../../src/controller/peers/message-codec.js';
 import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
 import { playDigestScenario, type DigestScenario } from './digest-scenarios.js';
 import type { Transaction } from './state-store/key-value-store.js';
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -14,7 +14,7 @@
   decodeLeaseGrantRequest,
   encodeLeaseGrantRequest,
 } from '../src/controller/leadership/lease-grant-request.js';
-import { decodePeerMessage, encodePeerMessage } from '../src/controller/peers/message.js';
+import { decodePeerMessage, encodePeerMessage } from '../src/controller/peers/message-codec.js';
 import { GangReservations } from '../src/controller/placement/placers/gang-reservations.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
