--- a/src/controller/workers/agent-epochs.ts
+++ b/src/controller/workers/agent-epochs.ts
@@ -1,19 +1,19 @@
-/** Sessions of workers: when one begins, and when its lease has surely run out. */
+/** Agent epochs of workers: when one begins, and when its lease has certainly expired. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignments } from './assignments.js';
 import type { Machine } from './machine.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
-/** What sessions tell of. */
+/** What follows from the begin or end of an agent epoch. */
 export interface AgentEpochEvents {
-  /** Machines changed: placement should look again. */
+  /** The usable machines changed: a placement pass is needed. */
   placementInputChanged(): void;
   /** The machine's record has to be written. */
   recordDue(machine: Machine): void;
 }
 
-/** Begins and ends the sessions of machines. */
+/** Begins and ends the agent epochs of machines. */
 export class AgentEpochs {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
@@ -23,23 +23,26 @@
     private readonly events: AgentEpochEvents,
   ) {}
 
-  /** The worker's lease had ended: everything of the sessions before is gone from the machine. */
+  /**
+   * Begins the agent epoch that a heartbeat shows. The worker's lease had ended before, so everything
+   * assigned in earlier epochs is gone from the machine.
+   */
   begin(machine: Machine, agentEpoch: number): void {
     this.assignments.endBeforeEpoch(machine, agentEpoch);
-    // A machine that is new has still to show this term, and so hears.
-    const known = machine.agentEpoch > 0;
+    // A machine that was not known before still has to acknowledge this term anyway.
+    const wasKnown = machine.agentEpoch > 0;
     machine.agentEpoch = agentEpoch;
     machine.directStartTokens.clear();
-    if (known) this.fencingTokens.requireNewToken(machine);
+    if (wasKnown) this.fencingTokens.requireNewToken(machine);
     this.events.recordDue(machine);
   }
 
-  /** Ends what must be gone by now: sessions whose lease has surely run out. */
+  /** Ends the agent epochs whose worker lease has certainly expired. */
   expireLeases(machines: Iterable<Machine>): void {
     const now = this.eventLoop.now();
     for (const machine of machines) {
-      const ended = machine.lowestValidAgentEpoch > machine.agentEpoch;
-      if (ended || now - machine.leaseRenewedAt <= this.settings.workerLeaseExpiryMs) continue;
+      const isOver = machine.lowestValidAgentEpoch > machine.agentEpoch;
+      if (isOver || now - machine.leaseRenewedAt <= this.settings.workerLeaseExpiryMs) continue;
       this.expireLease(machine);
     }
   }
@@ -49,7 +52,7 @@
     machine.lowestValidAgentEpoch = agentEpoch + 1;
     this.fencingTokens.requireNewToken(machine);
     if (machine.assignments.size > 0)
-      this.eventLoop.log.info({ machine: id, agentEpoch }, 'lease of a silent machine ran out');
+      this.eventLoop.log.info({ machine: id, agentEpoch }, 'worker lease expired');
     this.assignments.endAll(machine);
     this.events.placementInputChanged();
   }
--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -106,7 +106,7 @@
     const first = bench.start(0);
     const second = bench.start(1);
     bench.assignments.end(first, 'lost');
-    assert.equal(second.stop?.reason, 'gang lost a part');
+    assert.equal(second.stop?.reason, 'gang lost a member');
     assert.ok(!bench.told.some((text) => text.startsWith('put back')));
     bench.assignments.end(second, 'stopped');
     assert.deepEqual(bench.told.slice(-2), ['put back 1', 'put back 0']);
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -1,4 +1,4 @@
-/** The life of assignments: given, stopped, ended, and what follows for their jobs. */
+/** The life cycle of assignments: assigned, stopped, ended; and what follows for their jobs. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job, JobTable } from '../jobs/job-table.js';
 import type { TeamUsage } from './team-usage.js';
@@ -13,23 +13,23 @@
 import type { Machine } from './machine.js';
 import type { RecordedTask } from './machine-record.js';
 
-/** What assignments tell of. */
+/** What follows from changes of assignments. */
 export interface AssignmentEvents {
-  /** Room or tasks changed: placement should look again. */
+  /** Free capacity or tasks changed: a placement pass is needed. */
   placementInputChanged(): void;
-  /** A task ran to its end: what it took against what was expected. */
+  /** A task was completed, this long after it began to run. */
   taskCompleted(assignment: Assignment, tookMs: number): void;
   /** The machine's record has to be written. */
   recordDue(machine: Machine): void;
-  /** The machine has to be told of a stop. */
+  /** The machine has to be sent a stop. */
   commandDue(machine: Machine): void;
 }
 
-/** Every task that may be on a machine, and what all of them take. */
+/** All tasks that may be on a machine, counted until they are proven gone (invariants 5 and 7). */
 export class Assignments {
-  /** Tasks that are not surely gone, by class. */
+  /** Number of tasks that are not proven gone, by class. */
   readonly countByClass = new Map<string, number>();
-  /** All tasks that are not surely gone. */
+  /** Number of tasks that are not proven gone. */
   count = 0;
 
   constructor(
@@ -40,7 +40,7 @@
     private readonly events: AssignmentEvents,
   ) {}
 
-  /** Gives the task to the machine; it starts once that is on record. */
+  /** Assigns the task to the machine; it is started once the assignment is recorded (invariant 4). */
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
     const assignment = planAssignment(job, task, attempt, machine, this.eventLoop.now());
     this.register(assignment);
@@ -52,7 +52,7 @@
     );
   }
 
-  /** Takes over a task that an earlier leader has left on the machine. */
+  /** Restores a task that an earlier leader has recorded on the machine. */
   restore(machine: Machine, recorded: RecordedTask, assignedAt: number): void {
     const job = this.table.jobs.get(recorded.jobId) ?? null;
     const assignment = restoreAssignment(recorded, job, machine, assignedAt);
@@ -61,12 +61,15 @@
     else attachLatestAttempt(job, assignment);
   }
 
-  /** Ends the assignment at once if it was never sent, and else has the worker told to stop it. */
+  /**
+   * Stops the assignment: at once if its start was never sent, otherwise by a command to the worker,
+   * which has `graceS` seconds to save a checkpoint. Only an earlier end than before is sent again.
+   */
   stop(assignment: Assignment, graceS: number, reason: string): void {
     const { phase, machine, jobId, task } = assignment;
     if (phase === 'ended') return;
     if (phase === 'planned' || phase === 'recorded') {
-      // Not sent by anyone: it is nowhere.
+      // No leader has sent the start, so the task is on no machine.
       this.end(assignment, 'unsent');
       return;
     }
@@ -78,24 +81,30 @@
       sentAsDirectCommand: false,
     };
     this.events.commandDue(machine);
-    this.eventLoop.log.debug({ job: jobId, task, machine: machine.id, graceS, reason }, 'stop');
+    this.eventLoop.log.debug(
+      { job: jobId, task, machine: machine.id, graceS, reason },
+      'stop requested',
+    );
   }
 
-  /** Stops a job as a whole; a gang's parts have to be told within `gang_peer_s` of each other. */
+  /** Stops all tasks of a job; the members of a gang have to be told within `gang_peer_s` of each other. */
   stopJob(job: Job, graceS: number, reason: string): void {
     if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) job.gangRestarting = true;
     for (const assignment of [...job.currentAssignments.values()])
       this.stop(assignment, graceS, reason);
-    this.regroup(job);
+    this.restartGang(job);
   }
 
-  /** The job has ended somehow: older attempts, of which only records tell, are stopped as well. */
+  /** Stops all attempts of a job that has ended, those included that only records tell of. */
   stopAll(job: Job, reason: string): void {
     this.stopJob(job, 0, reason);
     for (const assignment of [...job.allAssignments]) this.stop(assignment, 0, reason);
   }
 
-  /** The job has ended. Completed gangs end by themselves, all at the same time. */
+  /**
+   * The job has ended: forgets assignments that have ended, and stops the others if it was cancelled.
+   * The members of a completed gang all exit by themselves at the same time.
+   */
   jobClosed(job: Job): void {
     for (const assignment of [...job.allAssignments]) {
       if (assignment.phase === 'ended') this.forget(assignment);
@@ -103,24 +112,24 @@
     }
   }
 
-  /** Completion is on record: the task may be cleared, and its assignment forgotten. */
+  /** The completion of the task is recorded: the worker may clear it, and its assignment is forgotten. */
   completionRecorded(job: Job, task: number): void {
     const assignment = job.currentAssignments.get(task);
     if (assignment?.phase === 'ended') this.forget(assignment);
   }
 
-  /** All that was assigned to sessions of the machine before this one is surely gone. */
+  /** Ends what was assigned in earlier agent epochs of the machine: it is proven gone. */
   endBeforeEpoch(machine: Machine, agentEpoch: number): void {
     for (const assignment of [...machine.assignments.values()])
       if (assignment.agentEpoch < agentEpoch) this.end(assignment, 'lost');
   }
 
-  /** All that was assigned to the machine is surely gone. */
+  /** Ends all that was assigned to the machine: it is proven gone. */
   endAll(machine: Machine): void {
     for (const assignment of [...machine.assignments.values()]) this.end(assignment, 'lost');
   }
 
-  /** The assignment is over: the task is surely not on the machine any more. */
+  /** Ends the assignment: its task is proven to be no longer on the machine. */
   end(assignment: Assignment, outcome: AssignmentOutcome): void {
     if (assignment.phase === 'ended') return;
     const { job } = assignment;
@@ -132,10 +141,10 @@
       return;
     }
     this.forget(assignment);
-    if (job?.terminalState === null) this.replace(assignment, job, outcome);
+    if (job?.terminalState === null) this.requeue(assignment, job, outcome);
   }
 
-  /** The task has run to its end; the assignment stays until that is on record. */
+  /** The task is completed; the assignment stays until that is recorded. */
   private complete(assignment: Assignment, job: Job): void {
     const { machine, task, runningAt } = assignment;
     if (runningAt !== null) this.events.taskCompleted(assignment, this.eventLoop.now() - runningAt);
@@ -145,36 +154,33 @@
     if (job.doneRecorded[task] === 1) this.forget(assignment);
   }
 
-  /** Tasks of a gang complete together. */
+  /** The members of a gang complete together. */
   private completeGang(job: Job): void {
     for (let task = 0; task < job.spec.tasks; task++) this.table.markDone(job, task);
   }
 
-  /** The task has ended and is to run again. */
-  private replace(assignment: Assignment, job: Job, outcome: AssignmentOutcome): void {
+  /** The task has ended without being completed, and has to run again. */
+  private requeue(assignment: Assignment, job: Job, outcome: AssignmentOutcome): void {
     const { machine, task } = assignment;
     if (outcome !== 'unsent') this.table.countExit(job, outcome);
-    this.eventLoop.log.info(
-      { job: job.spec.id, task, machine: machine.id, outcome },
-      'task off its machine',
-    );
+    this.eventLoop.log.info({ job: job.spec.id, task, machine: machine.id, outcome }, 'task ended');
     this.failures.recordFailure(machine, job, outcome);
     if (job.spec.kind === 'gang') this.gangLostMember(job);
     else if (!job.currentAssignments.has(task)) this.table.putBack(job, task);
   }
 
-  /** Also when this was the gang's only part: nothing is left to stop then, but all to regroup. */
+  /** Stops the other members of the gang; if there are none, the gang restarts at once. */
   private gangLostMember(job: Job): void {
     if (job.gangRestarting || job.isComplete) {
-      this.regroup(job);
+      this.restartGang(job);
       return;
     }
     job.gangRestarting = true;
-    this.stopJob(job, 0, 'gang lost a part');
+    this.stopJob(job, 0, 'gang lost a member');
   }
 
-  /** A gang starts anew once nothing of its old attempt is left anywhere. */
-  private regroup(job: Job): void {
+  /** Has a gang start anew once nothing of its old attempt is left on any machine. */
+  private restartGang(job: Job): void {
     if (
       !job.gangRestarting ||
       job.currentAssignments.size > 0 ||
@@ -199,7 +205,7 @@
     adjustCount(this.countByClass, job.spec.class, 1);
   }
 
-  /** The task is gone, whatever is still to be written of it. */
+  /** Frees what the task used: it is gone, even if its completion has yet to be recorded. */
   private release(assignment: Assignment): void {
     const { machine, job, team, request } = assignment;
     machine.deallocate(assignment);
@@ -210,7 +216,7 @@
     job.progressChanged = true;
   }
 
-  /** Takes an assignment that has ended from its machine, its job and the record. */
+  /** Removes an assignment that has ended from its machine, the machine's record and its job. */
   private forget(assignment: Assignment): void {
     const { machine, job, name, task } = assignment;
     if (machine.assignments.get(name) === assignment) {
@@ -225,11 +231,11 @@
 }
 
 /**
- * Leaders before may have left a task's record on a machine that it had gone from, beside that of
- * where it went. Both count until reports tell; the job knows the later attempt.
+ * Earlier leaders may have left a task on the record of a machine that it had left, beside that of the
+ * machine it went to. Both count until heartbeats show which is gone; the job knows the later attempt.
  */
 function attachLatestAttempt(job: Job, assignment: Assignment): void {
-  const other = job.currentAssignments.get(assignment.task);
-  if (other === undefined || other.attempt < assignment.attempt)
+  const known = job.currentAssignments.get(assignment.task);
+  if (known === undefined || known.attempt < assignment.attempt)
     job.currentAssignments.set(assignment.task, assignment);
 }
--- a/src/controller/workers/commands.ts
+++ b/src/controller/workers/commands.ts
@@ -1,35 +1,38 @@
-/** Orders to workers, as they follow from assignments. */
+/** Commands to workers, derived from the state of assignments. */
 import type { Settings } from '../settings/settings.js';
 import type { WorkerCommand, Heartbeat } from '../wire/workers.js';
 import type { Assignment, StopRequest } from './assignment.js';
 
-/** Saving that takes longer than this many times its announced time is cut short. */
+/** A save that takes longer than this many times its announced time is cut short. */
 const SAVE_TIME_TOLERANCE = 2;
 
-/** The order to start a recorded assignment. */
+/** The command to start a recorded assignment. */
 export function startCommand({ name, attempt }: Assignment): WorkerCommand {
   return { op: 'start', name, attempt };
 }
 
-/** The order to stop an assignment, with this time for saving. */
+/** The command to stop an assignment, with so many seconds to save a checkpoint. */
 export function stopCommand({ name, attempt }: Assignment, graceS: number): WorkerCommand {
   return { op: 'stop', name, attempt, graceS };
 }
 
-/** Adds the order, if any, that the answer to the report has for the assignment. */
+/**
+ * Adds the command, if any, that the response to the heartbeat carries for the assignment. An
+ * assignment whose start is added counts as sent.
+ */
 export function addCommand(
   assignment: Assignment,
-  report: Pick<Heartbeat, 'agentEpoch' | 'sequence'>,
+  heartbeat: Pick<Heartbeat, 'agentEpoch' | 'sequence'>,
   commands: WorkerCommand[],
   settings: Settings,
   now: number,
 ): void {
   const { phase, stop } = assignment;
-  if (assignment.agentEpoch !== report.agentEpoch) return;
+  if (assignment.agentEpoch !== heartbeat.agentEpoch) return;
   if (phase === 'recorded') {
     commands.push(startCommand(assignment));
     assignment.phase = 'sent';
-    assignment.startSentSequence = report.sequence;
+    assignment.startSentSequence = heartbeat.sequence;
     return;
   }
   if ((phase !== 'seen' && phase !== 'sent') || stop === null) return;
@@ -38,7 +41,7 @@
     commands.push(stopCommand(assignment, 0));
 }
 
-/** Whether a task that saves should long be done with it, or is to end without. */
+/** Whether a task that is saving should have ended long ago, or is to end without a checkpoint. */
 function isSaveOverdue(
   { checkpointSaveS }: Assignment,
   stop: StopRequest,
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -34,9 +34,12 @@
     };
     const eventLoop = new EventLoop(runtime, clock.log);
     const fencingTokens = new FencingTokenSync(eventLoop, TERM);
-    const alive = { isAlive: () => true };
-    this.commands = new DirectCommands(eventLoop, settings, fencingTokens, alive, (term) =>
-      this.higherTerms.push(term),
+    this.commands = new DirectCommands(
+      eventLoop,
+      settings,
+      fencingTokens,
+      { isAlive: () => true },
+      { higherTermSeen: (term) => this.higherTerms.push(term) },
     );
     Object.assign(this.machine, {
       addr: '10.1.0.1:9',
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -1,4 +1,4 @@
-/** Starts and stops sent straight to workers, ahead of the answers to their reports. */
+/** Starts and stops sent directly to workers, ahead of the responses to their heartbeats. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Reply } from '../runtime/runtime.js';
 import type { Settings } from '../settings/settings.js';
@@ -15,27 +15,34 @@
 import { termOfToken } from './fencing-token.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
-/** Direct commands to one machine that wait for its answer: a machine that is cut off takes no more sockets. */
+/** Direct calls to one machine that may wait for a response, so that an unreachable machine takes no more sockets. */
 const OPEN_CALLS_LIMIT = 2;
 
 /** Path of direct commands at a worker. */
 const COMMAND_PATH = '/do';
 
 const OK = 200;
-/** The worker has seen a higher token, and has carried out nothing. */
+/** The worker has seen a higher fencing token, and has carried out nothing. */
 const CONFLICT = 409;
 
-/** One direct command: its orders, and those of them that are starts. */
+/** The commands of one direct call, and the assignments that they start. */
 interface CommandBatch {
   readonly agentEpoch: number;
   readonly commands: WorkerCommand[];
   readonly starts: Assignment[];
 }
 
+/** What follows from the responses to direct commands. */
+export interface DirectCommandEvents {
+  /** The worker has seen a leader of this term. */
+  higherTermSeen(term: number): void;
+}
+
 /**
- * Starts and stops go out at once as well; the answers to reports repeat them until they show.
- * Starts only to a worker that is known to have our term in this session: there the command can
- * be carried out at most until the token is raised or the session ends.
+ * Sends starts and stops to workers at once; the responses to heartbeats repeat them until they take
+ * effect. Starts go only to a worker that has acknowledged this term in its agent epoch: there a copy
+ * of the call can be carried out until the fencing token is raised or the agent epoch ends, and no
+ * longer (invariant 6).
  */
 export class DirectCommands {
   private readonly due = new Set<Machine>();
@@ -45,27 +52,27 @@
     private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
     private readonly fencingTokens: FencingTokenSync,
     private readonly liveness: Pick<Liveness, 'isAlive'>,
-    private readonly higherTerm: (term: number) => void,
+    private readonly events: DirectCommandEvents,
   ) {}
 
-  /** The machine has something to be told at the end of the batch. */
+  /** Marks the machine as one that may need commands at the end of the batch. */
   request(machine: Machine): void {
     this.due.add(machine);
   }
 
-  /** The machine is gone. */
+  /** Forgets a machine that is gone. */
   cancel(machine: Machine): void {
     this.due.delete(machine);
   }
 
-  /** Sends all that is due. */
+  /** Sends the commands that are due. */
   flush(): void {
     for (const machine of this.due) this.send(machine);
     this.due.clear();
   }
 
   private send(machine: Machine): void {
-    // The answers to reports say the same a little later.
+    // Responses to heartbeats carry the same commands a little later.
     if (machine.addr === '' || machine.pendingDirectCalls >= OPEN_CALLS_LIMIT) return;
     if (!this.eventLoop.runtime.hasSpareConnection(machine.addr)) return;
     const batch = this.batchFor(machine);
@@ -77,12 +84,12 @@
   private batchFor(machine: Machine): CommandBatch {
     const { agentEpoch } = machine;
     const batch: CommandBatch = { agentEpoch, commands: [], starts: [] };
-    const startable =
+    const mayStart =
       machine.interruptionAt === null &&
       this.fencingTokens.mayStartDirectly(machine) &&
       this.liveness.isAlive(machine);
     for (const assignment of machine.assignments.values())
-      if (assignment.agentEpoch === agentEpoch) addToBatch(batch, assignment, startable);
+      if (assignment.agentEpoch === agentEpoch) addToBatch(batch, assignment, mayStart);
     return batch;
   }
 
@@ -120,31 +127,32 @@
 
   private handleResponse(machine: Machine, batch: CommandBatch, { status, body }: Reply): void {
     if (status !== OK && status !== CONFLICT) return;
-    const report = this.parseResponse(machine, body);
-    if (report === null) return;
-    if (status === CONFLICT) this.higherTerm(termOfToken(report.fencingToken));
+    const heartbeat = this.readResponse(machine, body);
+    if (heartbeat === null) return;
+    if (status === CONFLICT) this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
     if (machine.agentEpoch !== batch.agentEpoch) return;
     for (const assignment of batch.starts) {
       if (status === CONFLICT) revertStart(machine, assignment);
-      // Reports sent before the command was carried out cannot show the task.
-      else if (assignment.phase === 'sent') assignment.startSentSequence = report.sequence;
+      // Heartbeats sent before the command was carried out cannot show the task.
+      else if (assignment.phase === 'sent') assignment.startSentSequence = heartbeat.sequence;
     }
   }
 
-  private parseResponse(machine: Machine, body: unknown): Heartbeat | null {
+  /** The state that a worker responds with; null, after a warning, if the response is malformed. */
+  private readResponse(machine: Machine, body: unknown): Heartbeat | null {
     try {
       return readHeartbeat(body);
     } catch (err) {
-      this.eventLoop.log.warn({ machine: machine.id, err }, 'broken answer of a worker');
+      this.eventLoop.log.warn({ machine: machine.id, err }, 'malformed response of a worker');
       return null;
     }
   }
 }
 
-/** Adds the start or the stop of the assignment to the command, if it has one to send. */
-function addToBatch(batch: CommandBatch, assignment: Assignment, startable: boolean): void {
+/** Adds the start or the stop of the assignment to the batch, if one has to be sent directly. */
+function addToBatch(batch: CommandBatch, assignment: Assignment, mayStart: boolean): void {
   const { phase, stop } = assignment;
-  if (phase === 'recorded' && stop === null && startable) {
+  if (phase === 'recorded' && stop === null && mayStart) {
     batch.commands.push(startCommand(assignment));
     batch.starts.push(assignment);
     return;
@@ -154,7 +162,7 @@
   batch.commands.push(stopCommand(assignment, stop.graceS));
 }
 
-/** The worker has not carried out the start and never will: it goes out again. */
+/** The worker has not carried out the start and never will: it has to be sent again. */
 function revertStart(machine: Machine, assignment: Assignment): void {
   machine.directStartTokens.delete(attemptKey(assignment.name, assignment.attempt));
   if (assignment.phase === 'sent') assignment.phase = 'recorded';
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -1,4 +1,4 @@
-/** What the ends of tasks say of their machines and of their jobs. */
+/** Failures of tasks: machines are quarantined for them, and jobs back off. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
@@ -6,18 +6,18 @@
 import type { Machine } from './machine.js';
 
 /**
- * A quarantine lasts no longer than this many leases: the machine may be the only one that fits a
- * job, and no job may be left waiting beside room for long.
+ * Longest quarantine in worker leases: the machine may be the only one that fits a job, and no job may
+ * wait for long beside free capacity.
  */
 const QUARANTINE_MAX_LEASES = 3;
 
-/** A job waits after failures no longer than this many leases. */
+/** Longest backoff of a job after failures, in worker leases. */
 const BACKOFF_MAX_LEASES = 2;
 
-/** Failures after which the backoff of a job or of a machine for a service doubles no more. */
+/** Failures after which the backoff of a job, or of a machine for a service, no longer doubles. */
 const BACKOFF_MAX_DOUBLINGS = 5;
 
-/** Ends of a service's replica that say something of it or of its machine. */
+/** Outcomes of a service's replica that tell something about it or its machine. */
 const REPLICA_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'done',
   'error',
@@ -26,27 +26,27 @@
   'other',
 ]);
 
-/** Ends that are no failure of the task; its job pauses for a report. */
+/** Outcomes that are no failure of the task; its job pauses for one heartbeat interval. */
 const UNEXPLAINED_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'busy',
   'unknown',
   'other',
 ]);
 
-/** Puts failing machines into quarantine and delays failing jobs. */
+/** Quarantines failing machines and delays failing jobs. */
 export class FailureTracker {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly settings: Settings,
   ) {}
 
-  /** A task ran to its end on the machine. */
+  /** Records that a task was completed on the machine: its consecutive failures start from zero. */
   recordSuccess(machine: Machine): void {
     machine.failedJobs.clear();
     machine.consecutiveQuarantines = 0;
   }
 
-  /** A task of the job ended on the machine without being completed. */
+  /** Records that a task of the job ended on the machine without being completed. */
   recordFailure(machine: Machine, job: Job, outcome: AssignmentOutcome): void {
     const now = this.eventLoop.now();
     const pausedUntil = now + this.settings.heartbeatIntervalMs;
@@ -61,16 +61,16 @@
   private recordError(machine: Machine, job: Job, now: number): void {
     job.failedMachines.add(machine.id);
     if (job.isService) {
-      // The service goes on elsewhere at once; only where all machines fail it, it waits.
+      // The service goes on elsewhere at once; it backs off only if it fails on several machines.
       if (this.isFaulty(job)) job.backoffUntil = now + this.settings.heartbeatIntervalMs;
     } else {
       job.errorCount++;
       job.backoffUntil = now + this.backoffMs(job.errorCount);
     }
-    this.countAgainst(machine, job, now);
+    this.recordMachineFailure(machine, job, now);
   }
 
-  /** A replica that ends by itself runs again elsewhere: its machine is left out for a while that grows. */
+  /** A replica that ends by itself runs again elsewhere; its machine is avoided for a time that doubles. */
   private avoidMachine(machine: Machine, job: Job, now: number): void {
     const times = (job.avoidedMachines.get(machine.id)?.times ?? 0) + 1;
     job.avoidedMachines.set(machine.id, { times, until: now + this.backoffMs(times) });
@@ -82,16 +82,16 @@
     return Math.min(doubled, this.settings.workerLeaseMs * BACKOFF_MAX_LEASES);
   }
 
-  /** A job that has failed on several machines is itself at fault. */
+  /** A job that has failed on several machines is itself the cause; it counts against no machine. */
   private isFaulty(job: Job): boolean {
     return job.failedMachines.size > this.settings.get('fleet.strikes');
   }
 
-  private countAgainst(machine: Machine, job: Job, now: number): void {
+  private recordMachineFailure(machine: Machine, job: Job, now: number): void {
     if (!this.isFaulty(job)) machine.failedJobs.add(job.spec.id);
-    // One that was let out on trial and fails again goes back at once.
-    const tolerated = machine.consecutiveQuarantines > 0 ? 1 : this.settings.get('fleet.strikes');
-    if (machine.failedJobs.size < tolerated) return;
+    // A machine that fails again after a quarantine goes back at once.
+    const threshold = machine.consecutiveQuarantines > 0 ? 1 : this.settings.get('fleet.strikes');
+    if (machine.failedJobs.size < threshold) return;
     machine.consecutiveQuarantines++;
     machine.failedJobs.clear();
     const leases = Math.min(2 ** machine.consecutiveQuarantines, QUARANTINE_MAX_LEASES);
--- a/src/controller/workers/fencing-token-sync.ts
+++ b/src/controller/workers/fencing-token-sync.ts
@@ -1,13 +1,13 @@
-/** Whether workers hear their leader, by the tokens that their reports show. */
+/** Raises fencing tokens and tracks, by the tokens in heartbeats, which workers receive their leader. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import { attemptKey } from './assignment.js';
 import type { Machine } from './machine.js';
 import { FENCING_EPOCH_LIMIT, makeFencingToken, termOfToken } from './fencing-token.js';
 
-/** Reports with lost starts after which a machine is taken to hear nothing. */
+/** After so many heartbeats in a row that lack a start the machine is taken to receive nothing. */
 const LOST_START_LIMIT = 2;
 
-/** Raises and checks the tokens of one leader's workers. */
+/** Raises and checks the fencing tokens of one leader's workers. */
 export class FencingTokenSync {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now'>,
@@ -15,20 +15,21 @@
     readonly term: number,
   ) {}
 
-  /** The token of the commands and answers that go to the machine now. */
+  /** The token of the commands and heartbeat responses that go to the machine now. */
   currentToken(machine: Machine): number {
     return makeFencingToken(this.term, machine.fencingEpoch);
   }
 
-  /** Whether a report with this token was sent by a worker that knew this leader. */
+  /** Whether a heartbeat with this token was sent by a worker that knew this leader. */
   isOfThisTerm(token: number | bigint): boolean {
     return termOfToken(token) === this.term;
   }
 
   /**
-   * Nothing is placed on the machine until it shows a token that it can only have from an answer
-   * that is yet to come. A machine whose reports arrive while answers and commands don't looks idle
-   * in every new session; without this it would be given the same tasks again and again.
+   * Raises the token that the machine has to show before anything more is placed on it; the worker
+   * can only have it from a response that is yet to be sent. A machine whose heartbeats arrive while
+   * responses and commands are lost looks idle in every new agent epoch, and would otherwise be given
+   * the same tasks again and again.
    */
   requireNewToken(machine: Machine): void {
     if (machine.fencingEpoch < FENCING_EPOCH_LIMIT) machine.fencingEpoch++;
@@ -37,7 +38,10 @@
     machine.tokenUnacknowledgedSince = this.eventLoop.now();
   }
 
-  /** Takes note of the token that a report shows; true if the machine is known to hear from now on. */
+  /**
+   * Takes note of the token in a heartbeat. Returns true if the machine has just been found to
+   * receive responses: it shows the expected token, and had not done so before.
+   */
   acknowledge(machine: Machine, token: number | bigint): boolean {
     for (const [attempt, startToken] of machine.directStartTokens)
       if (token > startToken) machine.directStartTokens.delete(attempt);
@@ -52,8 +56,8 @@
   }
 
   /**
-   * Sees to it that the answer to the report at hand voids direct starts of the attempt; true if any
-   * may still be carried out.
+   * Makes sure that the response to the present heartbeat invalidates direct starts of the attempt.
+   * Returns true if one may still be carried out.
    */
   voidDirectStart(machine: Machine, name: string, attempt: number | bigint): boolean {
     const token = machine.directStartTokens.get(attemptKey(name, attempt));
@@ -63,8 +67,9 @@
   }
 
   /**
-   * A start did not arrive, as the report of this number shows. True if the machine is taken to hear
-   * nothing, so that the task may go elsewhere.
+   * Records that a start did not arrive, as the heartbeat of this number shows; several lost starts in
+   * one heartbeat count once. Returns true if the machine is taken to receive nothing, so that the
+   * task may be placed elsewhere.
    */
   recordLostStart(machine: Machine, heartbeatNumber: number): boolean {
     if (machine.lastLostStartHeartbeat !== heartbeatNumber) machine.lostStartHeartbeats++;
@@ -74,7 +79,7 @@
     return true;
   }
 
-  /** Whether the worker is known to have our term in this session, and epochs are left for it. */
+  /** Whether the worker has acknowledged this term in its agent epoch, and fencing epochs are left. */
   mayStartDirectly(machine: Machine): boolean {
     return machine.tokenAcknowledged && machine.fencingEpoch < FENCING_EPOCH_LIMIT;
   }
--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Reports of workers: what they prove, and the orders in their answers. */
+/** Handles the heartbeats of workers: what they prove, and the commands in their responses. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import { writeHeartbeatResponse, type Heartbeat } from '../wire/workers.js';
@@ -10,21 +10,25 @@
 import { termOfToken } from './fencing-token.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
-/** A report that came too late or from a session that is over gets no 200: it must not renew. */
+/**
+ * The response to a heartbeat. Only 200 renews the worker's lease; a heartbeat that is late, or of an
+ * agent epoch that is over, must not renew it and gets 503.
+ */
 export type HeartbeatResponse = { status: 200; body: unknown } | { status: 503 };
 
 const REFUSED: HeartbeatResponse = { status: 503 };
 
-/** What reports tell of. */
+/** What follows from heartbeats. */
 export interface HeartbeatEvents {
   /** The worker has seen a leader of this term. */
   higherTermSeen(term: number): void;
-  /** Machines changed: placement should look again. */
+  /** The usable machines changed: a placement pass is needed. */
   placementInputChanged(): void;
 }
 
-/** Answers the reports of workers. */
+/** Answers the heartbeats of workers. */
 export class HeartbeatHandler {
+  /** Heartbeats of all machines that were accepted in this term. */
   private heartbeatCount = 0;
 
   constructor(
@@ -40,10 +44,10 @@
     private readonly events: HeartbeatEvents,
   ) {}
 
-  /** Takes over what the report says; an answer of 200 renews the worker's lease. */
+  /** Takes over the state that the heartbeat shows; a response of 200 renews the worker's lease. */
   handle(heartbeat: Heartbeat): HeartbeatResponse {
     this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
-    // Late copies of reports must not bring back a machine that the cloud has taken.
+    // Late copies of heartbeats must not bring back a machine that the cloud has taken.
     if (this.registry.wasRemoved(heartbeat.machine)) return REFUSED;
     const machine = this.registry.getOrCreate(heartbeat.machine);
     if (isOutdated(heartbeat, machine)) return REFUSED;
@@ -54,53 +58,46 @@
     this.renewLease(machine, heartbeat, now);
     if (this.fencingTokens.acknowledge(machine, heartbeat.fencingToken))
       this.events.placementInputChanged();
-    const handled: HeartbeatInProgress = {
+    const inProgress: HeartbeatInProgress = {
       machine,
       heartbeat,
       heartbeatNumber: ++this.heartbeatCount,
       sentUnderThisTerm: this.fencingTokens.isOfThisTerm(heartbeat.fencingToken),
       commands: [],
     };
-    this.reconcile(handled, now);
+    this.reconcile(inProgress, now);
     if (machine.interruptionAt !== null) this.events.placementInputChanged();
     return {
       status: 200,
-      body: writeHeartbeatResponse(this.fencingTokens.currentToken(machine), handled.commands),
+      body: writeHeartbeatResponse(this.fencingTokens.currentToken(machine), inProgress.commands),
     };
   }
 
   private renewLease(machine: Machine, { sequence, spotNoticeS }: Heartbeat, now: number): void {
-    const first = machine.lastHeartbeatAt === -Infinity;
+    const isFirst = machine.lastHeartbeatAt === -Infinity;
     machine.lastHeartbeatSequence = sequence;
     machine.lastHeartbeatAt = now;
     machine.leaseRenewedAt = now;
     machine.interruptionAt = spotNoticeS === null ? null : now + spotNoticeS * 1000;
-    if (first) this.events.placementInputChanged();
+    if (isFirst) this.events.placementInputChanged();
   }
 
-  private reconcile(handled: HeartbeatInProgress, now: number): void {
-    const { machine, heartbeat, heartbeatNumber, sentUnderThisTerm, commands } = handled;
-    for (const task of heartbeat.tasks) this.reconciliation.reconcileReportedTask(handled, task);
-    // Ending one takes it from the map, which a loop over a map allows for.
+  private reconcile(inProgress: HeartbeatInProgress, now: number): void {
+    const { machine, heartbeat, heartbeatNumber, sentUnderThisTerm, commands } = inProgress;
+    for (const task of heartbeat.tasks) this.reconciliation.reconcileReportedTask(inProgress, task);
+    // An assignment that ends is deleted from the map, which iteration over a Map allows.
     for (const assignment of machine.assignments.values()) {
-      const unlisted =
+      const isMissing =
         assignment.lastHeartbeatNumber !== heartbeatNumber && assignment.phase !== 'ended';
-      if (sentUnderThisTerm && unlisted && assignment.agentEpoch === heartbeat.agentEpoch)
-        this.reconciliation.reconcileMissingTask(handled, assignment);
+      if (sentUnderThisTerm && isMissing && assignment.agentEpoch === heartbeat.agentEpoch)
+        this.reconciliation.reconcileMissingTask(inProgress, assignment);
       addCommand(assignment, heartbeat, commands, this.settings, now);
     }
   }
 }
 
-/** Whether the report is of a session that is over, or older than the last of its session. */
-function isOutdated(heartbeat: Heartbeat, machine: Machine): boolean {
-  if (
-    heartbeat.agentEpoch < machine.agentEpoch ||
-    heartbeat.agentEpoch < machine.lowestValidAgentEpoch
-  )
-    return true;
-  return (
-    heartbeat.agentEpoch === machine.agentEpoch &&
-    heartbeat.sequence <= machine.lastHeartbeatSequence
-  );
+/** Whether the heartbeat is of an agent epoch that is over, or no later than the last of its epoch. */
+function isOutdated({ agentEpoch, sequence }: Heartbeat, machine: Machine): boolean {
+  if (agentEpoch < machine.agentEpoch || agentEpoch < machine.lowestValidAgentEpoch) return true;
+  return agentEpoch === machine.agentEpoch && sequence <= machine.lastHeartbeatSequence;
 }
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -1,15 +1,15 @@
-/** Which machines report, and for how long others have not. */
+/** Which machines send heartbeats, and for how long the others have been unresponsive. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Machine } from './machine.js';
 
-/** Workers report at least this often, in times of the report interval (PROTOCOL), with a little over. */
+/** The longest time between two heartbeats (PROTOCOL, with a small margin), in heartbeat intervals. */
 const MAX_HEARTBEAT_INTERVAL_RATIO = 1.35;
 
-/** A process that was not heard of for this many of its own intervals was held up. */
+/** A controller whose tick is this many tick intervals late was stalled itself. */
 const STALL_INTERVALS = 3;
 
-/** Silence of machines; it counts only while this node would have answered them. */
+/** How long machines are unresponsive; only the time in which this node would have answered them counts. */
 export class Liveness {
   private answeringSince: number;
   private lastTickAt: number;
@@ -24,37 +24,41 @@
     this.lastTickAt = now;
   }
 
-  /** Told as time passes: whether this node may answer workers. */
+  /**
+   * Notes whether this node may answer workers; to be called every `intervalMs`. A call that comes
+   * late shows that the process was stalled.
+   */
   setAnswering(mayAnswer: boolean, intervalMs: number): void {
     const now = this.eventLoop.now();
-    // A process that was held up has not answered either.
-    const heldUp = now - this.lastTickAt > intervalMs * STALL_INTERVALS;
-    if (!mayAnswer || heldUp) this.answeringSince = now;
+    // A stalled process has not answered either.
+    const wasStalled = now - this.lastTickAt > intervalMs * STALL_INTERVALS;
+    if (!mayAnswer || wasStalled) this.answeringSince = now;
     this.lastTickAt = now;
   }
 
-  /** How long nothing was heard of the machine while its reports would have been answered. */
+  /** Time in ms without a heartbeat of the machine, while heartbeats would have been answered. */
   unresponsiveMs(machine: Machine): number {
     const heardAt = Math.max(machine.lastHeartbeatAt, machine.firstSeenAt, this.answeringSince);
     return this.eventLoop.now() - heardAt;
   }
 
-  /** How long the machine has been answered without showing that it hears. */
+  /** Time in ms in which the machine was answered without acknowledging its fencing token. */
   unacknowledgedMs(machine: Machine): number {
     if (machine.tokenAcknowledged) return 0;
     return this.eventLoop.now() - Math.max(machine.tokenUnacknowledgedSince, this.answeringSince);
   }
 
-  /** Reports lately, and its session is not over. */
+  /** Whether the machine sent a heartbeat lately and its agent epoch is not over. */
   isAlive(machine: Machine): boolean {
-    const silentMs = this.settings.workerLeaseMs * this.settings.get('workers.silent.ratio');
-    const reportsLately = this.eventLoop.now() - machine.lastHeartbeatAt < silentMs;
-    return reportsLately && machine.agentEpoch >= machine.lowestValidAgentEpoch;
+    const allowedMs = this.settings.workerLeaseMs * this.settings.get('workers.silent.ratio');
+    const isResponsive = this.eventLoop.now() - machine.lastHeartbeatAt < allowedMs;
+    return isResponsive && machine.agentEpoch >= machine.lowestValidAgentEpoch;
   }
 
   /**
-   * Share of the machines whose reports are overdue by `lateMs`, though they would have been
-   * answered; of those that may still report.
+   * Share, from 0 to 1, of the machines whose heartbeats are overdue by `lateMs` though they would have
+   * been answered, among those from which heartbeats are expected. With `onlyHeardInThisTerm`
+   * machines that have sent none in this term don't count.
    */
   overdueShare(lateMs: number, onlyHeardInThisTerm: boolean): number {
     const allowedMs = this.settings.heartbeatIntervalMs * MAX_HEARTBEAT_INTERVAL_RATIO + lateMs;
--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -1,4 +1,4 @@
-/** The machines that a leader knows. */
+/** The machines that a leader knows, and the names of those that are gone. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
@@ -6,24 +6,24 @@
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /**
- * Machines that are gone are remembered for so many leases, however many they are: the network may
- * bring copies of their reports for minutes.
+ * Machines that are gone are remembered for this many worker leases, however many they are: the network
+ * may deliver copies of their heartbeats for minutes.
  */
 const REMOVED_MACHINE_LEASES = 60;
 
-/** What reports and the cloud's list say of a machine. */
+/** Properties of a machine, as heartbeats, records and the cloud's list give them. */
 export interface MachineDescription {
   type: string;
   zone: string;
   spot: boolean;
-  /** Empty while it is not known. */
+  /** `host:port` of the worker; empty while it is not known. */
   addr: string;
 }
 
-/** Machines by name, and the names of those that are gone for ever. */
+/** Machines by name, and the names of those that are gone for good. */
 export class MachineRegistry {
   readonly machines = new Map<string, Machine>();
-  /** Machines that are gone, and since when, the oldest first; names are not used again. */
+  /** Names of machines that are gone, with the time of removal, oldest first; a name is never reused. */
   private readonly removedMachines = new Map<string, number>();
 
   constructor(
@@ -33,7 +33,7 @@
     private readonly findType: (name: string) => MachineType | undefined,
   ) {}
 
-  /** The machine of this name, made known if it is not. */
+  /** The machine of this name; it is created if it is not known. */
   getOrCreate(id: string): Machine {
     const known = this.machines.get(id);
     if (known !== undefined) return known;
@@ -43,7 +43,7 @@
     return machine;
   }
 
-  /** Sets what is known of the machine; an empty address changes nothing. */
+  /** Sets the properties of the machine; an empty address leaves the known one. */
   setDescription(machine: Machine, { type, zone, spot, addr }: MachineDescription): void {
     machine.typeName = type;
     machine.type = this.findType(type) ?? null;
@@ -52,7 +52,7 @@
     if (addr !== '') machine.addr = addr;
   }
 
-  /** Takes over what a report says of the machine, if it is new. */
+  /** Sets the properties of the machine if the heartbeat shows others than are known. */
   updateDescription(machine: Machine, reported: MachineDescription): void {
     const changed =
       machine.typeName !== reported.type ||
@@ -63,7 +63,7 @@
     if (changed) this.setDescription(machine, reported);
   }
 
-  /** The machine is gone for ever. */
+  /** Removes a machine that is gone for good; its name is remembered for a while. */
   remove(machine: Machine): void {
     this.machines.delete(machine.id);
     this.removedMachines.set(machine.id, this.eventLoop.now());
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Whether a machine of this name is gone for ever, as far as remembered. */
+  /** Whether a machine of this name is gone for good, as far as that is remembered. */
   wasRemoved(id: string): boolean {
     return this.removedMachines.has(id);
   }
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -1,4 +1,4 @@
-/** The records of machines: what of them is to be written, and what earlier leaders have left. */
+/** Writes the records of machines that have changed, and restores what earlier leaders have recorded. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore, WritePriority } from '../store/record-store.js';
@@ -15,23 +15,23 @@
   return `${MACHINE_PREFIX}${id}`;
 }
 
-/** Key of the record of the images on a machine. */
+/** Key of the record of the images cached on a machine. */
 export function imagesKey(id: string): string {
   return `${IMAGES_PREFIX}${id}`;
 }
 
-/** What the store of machines tells of. */
+/** What follows from records that were read or stored. */
 export interface MachineStoreEvents {
-  /** A task that an earlier leader has left on the machine. */
-  taskRestored(machine: Machine, task: RecordedTask, since: number): void;
-  /** The machine's planned assignments are on record: they may be started. */
+  /** An earlier leader has recorded a task on the machine, assigned at this time of the steady clock. */
+  taskRestored(machine: Machine, task: RecordedTask, assignedAt: number): void;
+  /** The machine's planned assignments are recorded: they may be started (invariant 4). */
   assignmentsRecorded(machine: Machine): void;
 }
 
-/** Writes machines that have changed, once a batch. */
+/** Writes the machines that have changed once per batch of the event loop. */
 export class MachineStore {
   private readonly changed = new Set<Machine>();
-  /** Machines whose images changed: written in their own time. */
+  /** Machines whose images changed; their records are never urgent. */
   private readonly imagesChanged = new Set<Machine>();
 
   constructor(
@@ -42,7 +42,7 @@
     private readonly events: MachineStoreEvents,
   ) {}
 
-  /** What the leaders before have left, read at takeover. */
+  /** Restores what earlier leaders have recorded; called once, at failover. */
   restore(): void {
     for (const { key, value } of this.records.list(MACHINE_PREFIX))
       this.restoreMachine(key.slice(MACHINE_PREFIX.length), value);
@@ -51,14 +51,14 @@
   }
 
   private restoreMachine(id: string, value: unknown): void {
-    const wall = this.eventLoop.runtime.wallClock();
-    const record = decodeMachineRecord(value, wall);
+    const wallClockNow = this.eventLoop.runtime.wallClock();
+    const record = decodeMachineRecord(value, wallClockNow);
     if (record === null) return;
     const machine = this.registry.getOrCreate(id);
     machine.agentEpoch = record.agentEpoch;
     this.registry.setDescription(machine, record);
     for (const task of record.tasks) {
-      const ageMs = Math.max(0, wall - task.assignedAtWallClock);
+      const ageMs = Math.max(0, wallClockNow - task.assignedAtWallClock);
       this.events.taskRestored(machine, task, this.eventLoop.now() - ageMs);
     }
   }
@@ -70,17 +70,17 @@
       images.set(String(value[i]), Number(value[i + 1]));
   }
 
-  /** The machine's session or assignments differ from its record. */
+  /** Notes that the machine's agent epoch or assignments differ from its record. */
   markChanged(machine: Machine): void {
     this.changed.add(machine);
   }
 
-  /** The machine's images differ from their record. */
+  /** Notes that the machine's images differ from their record. */
   markImagesChanged(machine: Machine): void {
     this.imagesChanged.add(machine);
   }
 
-  /** The machine is gone for ever, and so are its records. */
+  /** Removes the records of a machine that is gone for good. */
   remove(machine: Machine): void {
     this.changed.delete(machine);
     this.imagesChanged.delete(machine);
@@ -88,7 +88,7 @@
       if (this.records.has(key)) this.records.set(key, undefined, 'lazy');
   }
 
-  /** Writes all that has changed. */
+  /** Writes the records of all machines that have changed. */
   flush(): void {
     for (const machine of this.changed) this.write(machine);
     this.changed.clear();
@@ -115,7 +115,7 @@
   }
 }
 
-/** Replicas go first, since each second without one is downtime. */
+/** Replicas of services go first, since each second without one is downtime. */
 function urgencyOf(planned: readonly Assignment[]): WritePriority {
   if (planned.some(({ job }) => job?.isService === true)) return 'first';
   return planned.length > 0 ? 'urgent' : 'lazy';
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -1,4 +1,4 @@
-/** What a worker reports of its tasks, held against what is assigned to its machine. */
+/** Reconciles the tasks that a heartbeat lists with those that are assigned to the machine. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/job-table.js';
 import {
@@ -12,29 +12,29 @@
 import type { Machine } from './machine.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
-/** A report that is being handled, and the orders of its answer. */
+/** A heartbeat that is being handled, and the commands of its response. */
 export interface HeartbeatInProgress {
   readonly machine: Machine;
   readonly heartbeat: Heartbeat;
-  /** Counts the reports of all machines. */
+  /** Number of this heartbeat among those of all machines in this term. */
   readonly heartbeatNumber: number;
   /**
-   * Whether the worker knew our term when it sent the report. One sent before may be as old as any
-   * report: what it lacks proves nothing, for the leader before may have started it since.
+   * Whether the worker knew this leader's term when it sent the heartbeat. One sent before may be
+   * arbitrarily old: a task that it lacks may have been started since by the previous leader.
    */
   readonly sentUnderThisTerm: boolean;
   readonly commands: WorkerCommand[];
 }
 
-/** What reconciliation tells of. */
+/** What follows from the tasks that heartbeats show. */
 export interface ReconciliationEvents {
-  /** Tasks changed: placement should look again. */
+  /** Tasks changed: a placement pass is needed. */
   placementInputChanged(): void;
-  /** An image was seen on the machine that was not known to be there. */
+  /** The machine was found to have an image that was not known to be there. */
   imagesChanged(machine: Machine): void;
 }
 
-/** Follows the tasks that reports show, and those that they lack. */
+/** Brings assignments in line with the tasks that heartbeats list, and with those that they lack. */
 export class Reconciliation {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
@@ -44,58 +44,59 @@
     private readonly events: ReconciliationEvents,
   ) {}
 
-  /** The report lists a task. */
-  reconcileReportedTask(handled: HeartbeatInProgress, task: TaskStatus): void {
-    const { machine } = handled;
+  /** Handles a task that the heartbeat lists. */
+  reconcileReportedTask(inProgress: HeartbeatInProgress, task: TaskStatus): void {
+    const { machine } = inProgress;
     const assignment = machine.assignments.get(task.name);
     if (assignment?.attempt === task.attempt && assignment.agentEpoch === machine.agentEpoch) {
-      if (!this.reconcileAssignment(handled, assignment, task)) return;
+      if (!this.reconcileAssignment(inProgress, assignment, task)) return;
     } else if (task.state !== 'exited') {
-      // Nothing on record and yet there: it should not be; it must not stay either.
-      this.eventLoop.log.warn({ task: task.name, machine: machine.id }, 'unexpected task');
-      handled.commands.push({ op: 'stop', name: task.name, attempt: task.attempt, graceS: 0 });
+      // No record assigns it to this machine, so it must not run here.
+      this.eventLoop.log.warn({ task: task.name, machine: machine.id }, 'orphaned task');
+      inProgress.commands.push({ op: 'stop', name: task.name, attempt: task.attempt, graceS: 0 });
       return;
     }
-    if (task.state === 'exited') this.clearExited(handled, task);
+    if (task.state === 'exited') this.clearExited(inProgress, task);
   }
 
-  /** A report that was sent under our term lacks a task that should be there. */
+  /** Handles an assigned task that a heartbeat sent under this term lacks (invariants 5 and 6). */
   reconcileMissingTask(
     { machine, heartbeat, heartbeatNumber }: HeartbeatInProgress,
     assignment: Assignment,
   ): void {
     const { phase, name, attempt, startSentSequence } = assignment;
     if (phase !== 'seen' && phase !== 'sent') return;
-    // A direct start may yet come. Once the worker shows the raised token, it can't any more.
+    // A direct start may yet be carried out; no longer once the worker shows the raised token.
     if (this.fencingTokens.voidDirectStart(machine, name, attempt)) return;
-    // The worker has one report in flight at a time, so a later report without the task means that
-    // the answer with its start was dropped, or that the task is gone.
+    // The worker has one heartbeat in flight at a time, so a later one without the task means that
+    // the response with its start was dropped, or that the task is gone.
     if (startSentSequence !== null && heartbeat.sequence <= startSentSequence) return;
-    // A start of this term that never arrived may go out again. One of the leader before may have
-    // arrived, ended and been cleared: its attempt is over.
+    // A start of this term that never arrived may be sent again. One of an earlier leader may have
+    // arrived, and its task have ended and been cleared: that attempt is over.
     if (phase === 'seen' || startSentSequence === null || assignment.stop !== null) {
       this.assignments.end(assignment, 'lost');
       return;
     }
     assignment.phase = 'recorded';
-    // Answers don't get there. It is surely not there and not on its way: others may have it.
+    // The machine receives no responses. The task is neither there nor on its way, so it may be placed
+    // elsewhere.
     if (this.fencingTokens.recordLostStart(machine, heartbeatNumber))
       this.assignments.end(assignment, 'unsent');
   }
 
-  /** True if the task's exit, should it have one, is to be acted on. */
+  /** Returns true if the task's exit, if it has exited, is to be cleared. */
   private reconcileAssignment(
-    handled: HeartbeatInProgress,
+    inProgress: HeartbeatInProgress,
     assignment: Assignment,
     task: TaskStatus,
   ): boolean {
-    assignment.lastHeartbeatNumber = handled.heartbeatNumber;
-    // A report from before our term may be as old as any. That a task is done stays true; but one
-    // that had ended otherwise may have been cleared and started again under the same attempt.
-    const lasting = task.cause === 'done' && assignment.job?.isService !== true;
-    if (!handled.sentUnderThisTerm && task.state === 'exited' && !lasting) return false;
+    assignment.lastHeartbeatNumber = inProgress.heartbeatNumber;
+    // A heartbeat from before this term may be arbitrarily old. That a task is done stays true; but one
+    // that ended otherwise may have been cleared and started again under the same attempt.
+    const isLasting = task.cause === 'done' && assignment.job?.isService !== true;
+    if (!inProgress.sentUnderThisTerm && task.state === 'exited' && !isLasting) return false;
     if (task.cause === 'alone' && isGangMemberAwaited(assignment)) {
-      this.restartGangMember(handled, assignment, task);
+      this.restartGangMember(inProgress, assignment, task);
       return false;
     }
     if (assignment.phase !== 'ended') this.applyTaskState(assignment, task);
@@ -103,8 +104,8 @@
   }
 
   /**
-   * A part of the gang came too early: the others still fetch their image. It starts again under the
-   * same attempt; tearing the gang down would throw those fetches away.
+   * A gang member gave up waiting while the others still fetch their image. It is started again under
+   * the same attempt; stopping the whole gang would throw those fetches away.
    */
   private restartGangMember(
     { machine, commands }: HeartbeatInProgress,
@@ -118,14 +119,14 @@
     assignment.startSentSequence = machine.lastHeartbeatSequence;
   }
 
-  /** Has the worker forget a task that has exited, unless its report is still needed. */
+  /** Has the worker clear a task that has exited, unless the completion still has to be recorded. */
   private clearExited({ machine, commands }: HeartbeatInProgress, task: TaskStatus): void {
     if (task.cause === 'done' && this.isCompletionUnrecorded(task)) return;
     this.fencingTokens.voidDirectStart(machine, task.name, task.attempt);
     commands.push({ op: 'forget', name: task.name, attempt: task.attempt });
   }
 
-  /** A completion of which this report is the only trace until it is on record. */
+  /** Whether the worker's state is the only trace of the completion until that is recorded. */
   private isCompletionUnrecorded({ name }: TaskStatus): boolean {
     const { job: id, task } = parseTaskName(name);
     const job = this.table.jobs.get(id);
@@ -134,7 +135,7 @@
     return job.doneRecorded[task] !== 1;
   }
 
-  /** Takes over the state that the report shows. */
+  /** Takes over the task state that the heartbeat shows. */
   private applyTaskState(assignment: Assignment, { state, cause }: TaskStatus): void {
     const { job, machine } = assignment;
     if (assignment.phase !== 'seen') machine.lostStartHeartbeats = 0;
@@ -145,10 +146,10 @@
     }
     if (state === assignment.state) return;
     if (state === 'running' || state === 'waiting') this.recordImage(assignment);
-    // The run is timed only from a start that was seen, not from one of the leader before.
-    const startSeen = assignment.startSentSequence !== null;
+    // Only runs that this leader started are timed: of others it does not know when they began.
+    const startedInThisTerm = assignment.startSentSequence !== null;
     const now = this.eventLoop.now();
-    if (state === 'running' && startSeen) assignment.runningAt ??= now;
+    if (state === 'running' && startedInThisTerm) assignment.runningAt ??= now;
     assignment.state = state;
     if (job !== null) job.progressChanged = true;
     const { jobId, task, assignedAt } = assignment;
@@ -160,7 +161,7 @@
     this.events.placementInputChanged();
   }
 
-  /** The task has its image, so the machine has. */
+  /** A task that no longer fetches has its image, so the machine has it cached. */
   private recordImage({ job, machine }: Assignment): void {
     if (job === null) return;
     const { image, imageGb } = job.spec;
@@ -168,7 +169,7 @@
   }
 }
 
-/** Whether a gang's part that gave up waiting is still wanted. */
+/** Whether a gang member that gave up waiting is still needed, since other members fetch their image. */
 function isGangMemberAwaited(assignment: Assignment): boolean {
   const { job, machine } = assignment;
   if (job?.terminalState !== null || job.gangRestarting) return false;
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -1,4 +1,4 @@
-/** The leader's view of the machines and of every task that may be on one. */
+/** The leader's state of the machines, and of every task that may be on one of them. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job, JobTable } from '../jobs/job-table.js';
 import { TeamUsage } from './team-usage.js';
@@ -7,36 +7,51 @@
 import type { MachineType } from '../wire/cloud.js';
 import type { Heartbeat } from '../wire/workers.js';
 import type { Assignment } from './assignment.js';
-import { Assignments } from './assignments.js';
-import { DirectCommands } from './direct-commands.js';
+import { Assignments, type AssignmentEvents } from './assignments.js';
+import { DirectCommands, type DirectCommandEvents } from './direct-commands.js';
 import { FailureTracker } from './failure-tracker.js';
 import { Liveness } from './liveness.js';
 import type { Machine } from './machine.js';
-import { MachineStore } from './machine-store.js';
-import { Reconciliation } from './reconciliation.js';
+import { MachineStore, type MachineStoreEvents } from './machine-store.js';
+import { Reconciliation, type ReconciliationEvents } from './reconciliation.js';
 import { MachineRegistry } from './machine-registry.js';
-import { HeartbeatHandler, type HeartbeatResponse } from './heartbeat-handler.js';
-import { AgentEpochs } from './agent-epochs.js';
+import {
+  HeartbeatHandler,
+  type HeartbeatEvents,
+  type HeartbeatResponse,
+} from './heartbeat-handler.js';
+import { AgentEpochs, type AgentEpochEvents } from './agent-epochs.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
 
-/** What the workers' slice needs of the others. */
+/** What the workers module needs of the other modules of a leader. */
 export interface WorkersEvents {
   /** The machine type of this name, if the catalogue has it. */
   findMachineType(name: string): MachineType | undefined;
   /** A worker has seen a leader of this term. */
   higherTermSeen(term: number): void;
-  /** Room, tasks or machines changed: placement should look again. */
+  /** Capacity, tasks or machines changed: a placement pass is needed. */
   placementInputChanged(): void;
-  /** A task ran to its end: what it took against what was expected. */
+  /** A task was completed, this long after it began to run. */
   taskCompleted(assignment: Assignment, tookMs: number): void;
 }
 
-/** Machines, assignments, reports and commands of one leader; made anew for each term. */
+/** The events of all components of `Workers`. */
+type ComponentEvents = AssignmentEvents &
+  AgentEpochEvents &
+  DirectCommandEvents &
+  HeartbeatEvents &
+  MachineStoreEvents &
+  ReconciliationEvents;
+
+/**
+ * Machines, assignments, heartbeats and commands of one leader. Created anew for each term; `flush` has
+ * to be called after each batch of the event loop.
+ */
 export class Workers {
   readonly machines: ReadonlyMap<string, Machine>;
-  /** What each team's tasks take, over every task that is not surely gone. */
+  /** What the tasks of each team use, counting every task that is not proven gone (invariant 7). */
   readonly teams: TeamUsage;
-  /** Tasks that are not surely gone, by class. */
+  /** Number of tasks that are not proven gone, by class. */
   readonly assignedCountByClass: ReadonlyMap<string, number>;
   private readonly registry: MachineRegistry;
   private readonly store: MachineStore;
@@ -52,158 +67,150 @@
     readonly term: number,
     records: RecordStore,
     table: JobTable,
-    private readonly events: WorkersEvents,
+    private readonly listener: WorkersEvents,
   ) {
     const fencingTokens = new FencingTokenSync(eventLoop, term);
-    const placementInputChanged = (): void => events.placementInputChanged();
-    const higherTermSeen = (seen: number): void => events.higherTermSeen(seen);
-    const recordDue = (machine: Machine): void => this.store.markChanged(machine);
-    const commandDue = (machine: Machine): void => this.commands.request(machine);
-
+    const events = this.componentEvents();
     this.teams = new TeamUsage(settings.platform.teams);
     this.registry = new MachineRegistry(eventLoop, settings, fencingTokens, (name) =>
-      events.findMachineType(name),
+      listener.findMachineType(name),
     );
     this.machines = this.registry.machines;
     this.liveness = new Liveness(eventLoop, settings, this.machines);
-    this.store = new MachineStore(eventLoop, settings, records, this.registry, {
-      taskRestored: (machine, task, since) => this.assignments.restore(machine, task, since),
-      assignmentsRecorded: commandDue,
-    });
-    this.assignments = new Assignments(
-      eventLoop,
-      table,
-      this.teams,
-      new FailureTracker(eventLoop, settings),
-      {
-        taskCompleted: (assignment, tookMs) => events.taskCompleted(assignment, tookMs),
-        ...{ placementInputChanged, recordDue, commandDue },
-      },
-    );
+    this.store = new MachineStore(eventLoop, settings, records, this.registry, events);
+    const failures = new FailureTracker(eventLoop, settings);
+    this.assignments = new Assignments(eventLoop, table, this.teams, failures, events);
     this.assignedCountByClass = this.assignments.countByClass;
-    this.agentEpochs = new AgentEpochs(eventLoop, settings, fencingTokens, this.assignments, {
-      placementInputChanged,
-      recordDue,
-    });
-    this.commands = new DirectCommands(
+    this.agentEpochs = new AgentEpochs(
       eventLoop,
       settings,
       fencingTokens,
-      this.liveness,
-      higherTermSeen,
+      this.assignments,
+      events,
     );
-    const reconciliation = new Reconciliation(eventLoop, table, this.assignments, fencingTokens, {
-      placementInputChanged,
-      imagesChanged: (machine) => this.store.markImagesChanged(machine),
-    });
+    this.commands = new DirectCommands(eventLoop, settings, fencingTokens, this.liveness, events);
     this.heartbeats = new HeartbeatHandler(
-      ...([
-        eventLoop,
-        settings,
-        this.registry,
-        this.agentEpochs,
-        fencingTokens,
-        reconciliation,
-      ] as const),
-      { placementInputChanged, higherTermSeen },
+      eventLoop,
+      settings,
+      this.registry,
+      this.agentEpochs,
+      fencingTokens,
+      new Reconciliation(eventLoop, table, this.assignments, fencingTokens, events),
+      events,
     );
   }
 
-  /** Tasks that are not surely gone. */
+  /** Connects the events of the components with each other and with the other modules. */
+  private componentEvents(): ComponentEvents {
+    const { listener } = this;
+    return {
+      placementInputChanged: () => listener.placementInputChanged(),
+      higherTermSeen: (term) => listener.higherTermSeen(term),
+      taskCompleted: (assignment, tookMs) => listener.taskCompleted(assignment, tookMs),
+      recordDue: (machine) => this.store.markChanged(machine),
+      commandDue: (machine) => this.commands.request(machine),
+      taskRestored: (machine, task, assignedAt) =>
+        this.assignments.restore(machine, task, assignedAt),
+      assignmentsRecorded: (machine) => this.commands.request(machine),
+      imagesChanged: (machine) => this.store.markImagesChanged(machine),
+    };
+  }
+
+  /** Number of tasks that are not proven gone. */
   get assignedCount(): number {
     return this.assignments.count;
   }
 
-  /** The machine of this name, made known if it is not. */
+  /** The machine of this name; it is created if it is not known. */
   getOrCreateMachine(id: string): Machine {
     return this.registry.getOrCreate(id);
   }
 
-  /** What the cloud says of the machine; an empty address changes nothing. */
+  /** Sets what the cloud's list says of the machine; an empty address leaves the known one. */
   setDescription(machine: Machine, type: string, zone: string, spot: boolean, addr: string): void {
     this.registry.setDescription(machine, { type, zone, spot, addr });
   }
 
-  /** What the leaders before have left, read at takeover. */
+  /** Restores the machines and tasks that earlier leaders have recorded; called once, at failover. */
   restore(): void {
     this.store.restore();
   }
 
-  /** Gives the task to the machine; it starts once that is on record. */
+  /** Assigns the task to the machine; it is started once the assignment is recorded (invariant 4). */
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
     this.assignments.assign(job, task, attempt, machine);
   }
 
-  /** Stops one task, with this time for saving. */
+  /** Stops one task, with so many seconds to save a checkpoint. */
   stop(assignment: Assignment, graceS: number, reason: string): void {
     this.assignments.stop(assignment, graceS, reason);
   }
 
-  /** Stops a job as a whole; a gang's parts have to be told within `gang_peer_s` of each other. */
+  /** Stops all tasks of a job; the members of a gang have to be told within `gang_peer_s` of each other. */
   stopJob(job: Job, graceS: number, reason: string): void {
     this.assignments.stopJob(job, graceS, reason);
   }
 
-  /** The job has ended somehow: older attempts, of which only records tell, are stopped as well. */
+  /** Stops all attempts of a job that has ended, those included that only records tell of. */
   stopAll(job: Job, reason: string): void {
     this.assignments.stopAll(job, reason);
   }
 
-  /** The job has ended: what is left of it goes from the machines. */
+  /** The job has ended: removes what is left of it from the machines. */
   jobClosed(job: Job): void {
     this.assignments.jobClosed(job);
   }
 
-  /** Completion is on record: the task may be cleared, and its assignment forgotten. */
+  /** The completion of the task is recorded: the worker may clear it, and its assignment is forgotten. */
   completionRecorded(job: Job, task: number): void {
     this.assignments.completionRecorded(job, task);
   }
 
-  /** Takes over what a worker reports; an answer of 200 renews its lease. */
+  /** Takes over the state that a worker's heartbeat shows; a response of 200 renews its lease. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     return this.heartbeats.handle(heartbeat);
   }
 
-  /** Ends what must be gone by now: sessions whose lease has surely run out. */
+  /** Ends the agent epochs, with all their tasks, whose worker lease has certainly expired (invariant 5). */
   expireLeases(): void {
     this.agentEpochs.expireLeases(this.machines.values());
   }
 
-  /** The cloud has confirmed that the machine and all on it is gone. */
+  /** Removes a machine of which the cloud has confirmed that it is gone. */
   removeMachine(machine: Machine): void {
     this.assignments.endAll(machine);
     this.registry.remove(machine);
     this.commands.cancel(machine);
     this.store.remove(machine);
-    this.events.placementInputChanged();
+    this.listener.placementInputChanged();
   }
 
-  /** Told as time passes: whether this node may answer workers. Silence counts only while it may. */
+  /** Notes, every `intervalMs`, whether this node may answer workers; see `Liveness.setAnswering`. */
   setAnswering(mayAnswer: boolean, intervalMs: number): void {
     this.liveness.setAnswering(mayAnswer, intervalMs);
   }
 
-  /** How long nothing was heard of the machine while its reports would have been answered. */
+  /** Time in ms without a heartbeat of the machine, while heartbeats would have been answered. */
   unresponsiveMs(machine: Machine): number {
     return this.liveness.unresponsiveMs(machine);
   }
 
-  /** How long the machine has been answered without showing that it hears. */
+  /** Time in ms in which the machine was answered without acknowledging its fencing token. */
   unacknowledgedMs(machine: Machine): number {
     return this.liveness.unacknowledgedMs(machine);
   }
 
-  /** Share of the machines whose reports are overdue by `lateMs`; see `Liveness`. */
+  /** Share of the machines whose heartbeats are overdue by `lateMs`; see `Liveness.overdueShare`. */
   overdueShare(lateMs: number, onlyHeardInThisTerm: boolean): number {
     return this.liveness.overdueShare(lateMs, onlyHeardInThisTerm);
   }
 
-  /** Reports lately, and its session is not over. */
+  /** Whether the machine sent a heartbeat lately and its agent epoch is not over. */
   isAlive(machine: Machine): boolean {
     return this.liveness.isAlive(machine);
   }
 
-  /** After each batch: writes the records of what has changed, and sends what is due. */
+  /** Writes the records of changed machines and sends direct commands; called after each batch. */
   flush(): void {
     this.store.flush();
     this.commands.flush();
