--- /dev/null
+++ b/src/command-line/input-files.test.ts
@@ -0,0 +1,61 @@
+import assert from 'node:assert/strict';
+import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import { after, describe, it } from 'node:test';
+import { defaultOptions, platformToml } from '../../test/platform.js';
+import { checkConfig } from './check-config.js';
+import { CommandError } from './command-error.js';
+import { loadSettings, readJsonFile } from './input-files.js';
+
+const directory = mkdtempSync(join(tmpdir(), 'bitternvale-'));
+after(() => rmSync(directory, { recursive: true }));
+
+/** Writes a file and returns its path. */
+function file(name: string, content: string): string {
+  const path = join(directory, name);
+  writeFileSync(path, content);
+  return path;
+}
+
+const toml = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultOptions);
+const config = file('settings.toml', toml);
+
+describe('loadSettings', () => {
+  const absent = join(directory, 'absent.toml');
+  const invalid = file('invalid.toml', toml.replace(/^site .*/m, ''));
+  const short = file('short.toml', toml.replace(/^cancel_s .*/m, 'cancel_s = 26.0'));
+  const properties = file('invalid.properties', 'fleet.strikes = many');
+  const cases: [string, Parameters<typeof loadSettings>[0], string][] = [
+    ['the file that is absent', { config: absent }, `${absent}: ENOENT`],
+    ['the file and the field', { config: invalid }, `${invalid}: site: expected a non-empty text`],
+    ['the property', { config, properties }, `${properties}: fleet.strikes: expected a number`],
+    ['contradicting fields', { config: short }, 'params.workers.cancel_s: 26 is too short'],
+  ];
+  for (const [what, files, message] of cases)
+    it(`throws a CommandError that names ${what}`, () =>
+      assert.throws(
+        () => loadSettings(files),
+        (error) => error instanceof CommandError && error.message.startsWith(message),
+      ));
+});
+
+describe('checkConfig', () => {
+  it('prints what follows from the settings, one fact a line', () => {
+    const lines = checkConfig(loadSettings({ config })).split('\n');
+    assert.equal(lines[0], 'host kiln-0, 1 peers, 0 teams');
+    assert.match(lines[1] ?? '', /^leader lease \d+ ms, renewed every \d+ ms, used for \d+ ms$/);
+    assert.equal(lines.length, 6);
+    assert.equal(lines.at(-1), '');
+  });
+});
+
+describe('readJsonFile', () => {
+  it('returns the value', () => {
+    assert.deepEqual(readJsonFile(file('job.json', '{"id":"req-1"}')), { id: 'req-1' });
+  });
+
+  it('throws a CommandError that names a file that is not JSON', () => {
+    assert.throws(() => readJsonFile(config), new CommandError(`${config}: not JSON`));
+  });
+});
--- /dev/null
+++ b/src/command-line/operator-commands.ts
@@ -0,0 +1,49 @@
+/** Commands for operators: each sends one request to the API of a running controller. */
+import type { Command } from 'commander';
+import { callApi, type ApiRequest } from '../controller/operators/api-client.js';
+import { CommandError } from './command-error.js';
+import { readJsonFile } from './input-files.js';
+
+const API_ADDRESS = /^[^:\s]+:\d{1,5}$/;
+
+/** Adds the operators' commands to the program. */
+export function addOperatorCommands(program: Command): void {
+  addCommand(program, 'submit', 'submits the job described in a JSON file', (file) => ({
+    method: 'POST',
+    path: '/submissions',
+    body: readJsonFile(file),
+  })).argument('<file>', 'fields as in a submission to the API');
+  addCommand(program, 'status', 'prints the state of a job', (id) => ({
+    method: 'GET',
+    path: `/submissions/${id}`,
+  })).argument('<id>');
+  addCommand(program, 'cancel', 'cancels a job', (id) => ({
+    method: 'POST',
+    path: `/submissions/${id}/abort`,
+  })).argument('<id>');
+  addCommand(program, 'cluster', 'prints the cluster as its leader sees it', (after) => ({
+    method: 'GET',
+    path: after === '' ? '/cluster' : `/cluster?after=${encodeURIComponent(after)}`,
+  })).argument('[after]', 'lists machines from the one after this name');
+}
+
+/** Adds a command; `request` makes its request from the first argument, '' where that is absent. */
+function addCommand(
+  program: Command,
+  name: string,
+  description: string,
+  request: (argument: string) => ApiRequest,
+): Command {
+  return program
+    .command(name)
+    .description(description)
+    .requiredOption('--api <host:port>', 'API address of any controller')
+    .action(async (...given: unknown[]) => {
+      const command = given.at(-1) as Command;
+      const { api } = command.opts<{ api: string }>();
+      if (!API_ADDRESS.test(api)) throw new CommandError(`--api ${api}: expected HOST:PORT`);
+      const result = await callApi(api, request(command.args[0] ?? ''));
+      if (!result.ok) throw new CommandError(result.text);
+      process.stdout.write(`${result.text}\n`);
+    });
+}
