--- /dev/null
+++ b/test/mixed-versions/alternating-leaders.test.ts
@@ -0,0 +1,35 @@
+/** Leaders of an older version and of the present one that follow each other again and again. */
+import assert from 'node:assert/strict';
+import { it } from 'node:test';
+import { presentVersion, type ProgramVersion } from '../simulation/program-version.js';
+import { MixedVersionScenario } from './mixed-version-scenario.js';
+import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
+
+const VERSION_CHANGES = 10;
+
+function playAlternatingLeaders(
+  seed: number,
+  older: ProgramVersion,
+  present: ProgramVersion,
+): void {
+  const scenario = new MixedVersionScenario(seed, [older, present, older]);
+  const { clock, electedVersions } = scenario.simulation;
+  scenario.alternateLeaders(VERSION_CHANGES);
+  scenario.finish([
+    { kind: 'cancelled', count: 2, at: clock.between(2, 10) },
+    { kind: 'cancelled', count: 2, at: clock.between(15, 30), elsewhere: true },
+    { kind: 'cancelled', count: 2, at: clock.between(35, 50) },
+    { kind: 'cancelled', count: 2, at: clock.between(55, 70), elsewhere: true },
+  ]);
+  const { versionChanges } = scenario;
+  assert.ok(versionChanges >= VERSION_CHANGES, `only ${versionChanges} failovers`);
+  for (const version of [older, present])
+    assert.ok(electedVersions.includes(version), `${version.name} never led`);
+}
+
+await describeOlderVersions('alternating leaders', ({ name, version: older }) => {
+  it('keep the rules and finish all jobs when the lead passes between them ten times', () => {
+    const present = presentVersion();
+    playSeeds(seedCountsFor(name).frequent, (seed) => playAlternatingLeaders(seed, older, present));
+  });
+});
--- /dev/null
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -0,0 +1,125 @@
+/** Rollouts and rollbacks during or before which the state service lowers its limits. */
+import { it } from 'node:test';
+import type { Fault } from '../simulation/faults/faults.js';
+import { presentVersion } from '../simulation/program-version.js';
+import {
+  LONGEST_RESTART_MS,
+  type MixedVersionScenario,
+  type RollingUpdate,
+} from './mixed-version-scenario.js';
+import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
+import { BOTH_VERSIONS_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
+
+/** A moment at which the limits of the state service are lowered. */
+interface LimitsDecreaseMoment {
+  name: string;
+  /** Plans the decrease for such a moment from the time given on. */
+  plan(scenario: MixedVersionScenario, fromMs: number): PlannedEvent;
+}
+
+const decreaseMoments: LimitsDecreaseMoment[] = [
+  {
+    name: 'during a commit',
+    plan: (scenario, fromMs) => {
+      scenario.lowerLimitsDuringCommit(fromMs);
+      return { faults: [], occurred: () => scenario.limitsDecrease?.transaction != null };
+    },
+  },
+  { name: 'during a failover', plan: planDuringFailover },
+  {
+    name: 'during an outage',
+    plan: (scenario, fromMs) => {
+      const { clock } = scenario.simulation;
+      clock.after(fromMs + clock.between(1000, 4000), () => scenario.lowerLimits());
+      return {
+        faults: [{ kind: 'outage', at: fromMs / 1000, for: clock.between(5, 20) }],
+        occurred: () => scenario.limitsDecrease?.inOutage === true,
+      };
+    },
+  },
+];
+
+/** The leader ends, and the limits are lowered before another is elected. */
+function planDuringFailover(scenario: MixedVersionScenario, fromMs: number): PlannedEvent {
+  const { simulation } = scenario;
+  const { clock } = simulation;
+  const endLeader = (): void => {
+    if (simulation.leader !== null) simulation.kill(simulation.leader, clock.between(2000, 6000));
+    clock.after(clock.between(50, 1500), () => scenario.lowerLimits());
+  };
+  scenario.when(fromMs, () => simulation.leader !== null, endLeader);
+  return { faults: [], occurred: () => scenario.limitsDecrease?.leader === null };
+}
+
+/** The limits are lowered after the rollout: a version that doesn't know of them can't write under them. */
+function decreaseAfterRollout(moment: LimitsDecreaseMoment): RolloutEvent {
+  return limitsDecrease(moment, 1, ({ completeMs }) => completeMs);
+}
+
+/** The limits are lowered while both versions serve. */
+function decreaseDuringRollout(moment: LimitsDecreaseMoment): RolloutEvent {
+  const fromMs = ({ firstRestartMs }: RollingUpdate): number => firstRestartMs + LONGEST_RESTART_MS;
+  return { ...limitsDecrease(moment, 2, fromMs), pauseMs: BOTH_VERSIONS_MS };
+}
+
+/** `versionsRunning`: how many versions serve as the limits are lowered. */
+function limitsDecrease(
+  moment: LimitsDecreaseMoment,
+  versionsRunning: number,
+  fromMs: (update: RollingUpdate) => number,
+): RolloutEvent {
+  return {
+    name: `limits of the state service that are lowered ${moment.name}`,
+    plan: (scenario, update) => {
+      const { faults, occurred } = moment.plan(scenario, fromMs(update));
+      const moreJobs: Fault = { kind: 'jobs', count: 10, at: update.completeMs / 1000 + 5 };
+      const { stateStore } = scenario.simulation;
+      const asPlanned = (): boolean =>
+        occurred() && scenario.limitsDecrease?.versionsRunning === versionsRunning;
+      return {
+        faults: [...faults, moreJobs],
+        occurred: () => asPlanned() && stateStore.tooLarge === 0,
+      };
+    },
+  };
+}
+
+/** The limits are lowered after the rollout, shortly before or after the end of a leader. */
+const decreaseNearFailover: RolloutEvent = {
+  name: 'lower limits near a failover',
+  plan: ({ simulation: { clock, stateStore } }) => ({
+    faults: [
+      { kind: 'limits fall', at: clock.between(50, 60) },
+      { kind: 'ended', who: 'leader', restartAfter: 1, at: clock.between(48, 62) },
+      { kind: 'jobs', count: 10, at: 62 },
+    ],
+    occurred: () => stateStore.tooLarge === 0,
+  }),
+};
+
+await describeOlderVersions('lower limits of the state service', (olderVersion) => {
+  const { name, version: older, knowsServicesAndLimits } = olderVersion;
+  const present = presentVersion();
+  const { frequent, rare } = seedCountsFor(name);
+
+  // What the version in production has written is larger than the new limits allow to write.
+  it('write nothing too large when rolled out before the limits are lowered', () => {
+    playSeeds(frequent, (seed) => playRollout(seed, older, present, decreaseNearFailover));
+  });
+  for (const moment of decreaseMoments) {
+    if (!knowsServicesAndLimits) {
+      it(`write nothing too large when rolled out before the limits are lowered ${moment.name}`, () => {
+        const event = decreaseAfterRollout(moment);
+        playSeeds(rare, (seed) => playRollout(seed, older, present, event));
+      });
+      continue;
+    }
+    const event = decreaseDuringRollout(moment);
+    it(`write nothing too large when rolled out as the limits are lowered ${moment.name}`, () => {
+      playSeeds(rare, (seed) => playRollout(seed, older, present, event));
+    });
+    it(`write nothing too large when rolled back as the limits are lowered ${moment.name}`, () => {
+      playSeeds(rare, (seed) => playRollout(seed, present, older, event));
+    });
+  }
+});
--- /dev/null
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -0,0 +1,227 @@
+/** Scenarios in which controllers of two versions serve side by side. */
+import assert from 'node:assert/strict';
+import type { JobSpec } from '../../src/controller/wire/jobs.js';
+import { longJobs } from '../simulation/scenarios/fault-scenario.js';
+import { shrinkingLimits as deployment } from '../simulation/deployments/deployment.js';
+import { injectFaults, type Fault } from '../simulation/faults/faults.js';
+import type { ProgramVersion } from '../simulation/program-version.js';
+import { Simulation } from '../simulation/simulation.js';
+
+/** The first jobs run by then; the versions serve side by side in the `MIXED_MS` that follow. */
+const START_MS = 15_000;
+const MIXED_MS = 200_000;
+/** Longest time between the end of a process and its restart in a rolling update. */
+export const LONGEST_RESTART_MS = 6000;
+/** How often a condition that a scenario waits for is evaluated. */
+const CONDITION_INTERVAL_MS = 10;
+
+/** Jobs of a scenario: long ones, long arrays of which a part is done for a long time, and gangs. */
+const jobTemplates: Partial<JobSpec>[] = [
+  longJobs,
+  { ...longJobs, tasks: 20, cpus: 4, estimatedRunS: 12 },
+  { ...longJobs, kind: 'gang', tasks: 2, gpus: 1, estimatedRunS: 25 },
+];
+
+/** Replicas of each service that a scenario submits. */
+export const REPLICAS = 3;
+
+/** A service that is so small that the deployment runs several at a time. */
+const serviceTemplate: Partial<JobSpec> = {
+  ...{ kind: 'service', tasks: REPLICAS, priority: 'production', team: 'red' },
+  ...{ cpus: 1, gpus: 0, memoryGb: 1, types: null, zone: null, singleZone: false, spread: false },
+  ...{ estimatedRunS: 0, checkpointIntervalS: 0, checkpointSaveS: 0, deadlineS: null },
+};
+
+/** The start of a host's process, and the version that it runs. */
+export interface ProcessStart {
+  host: string;
+  version: ProgramVersion;
+}
+
+/** The moment at which the limits of the state service were lowered. */
+export interface LimitsDecrease {
+  /** The leader at that moment. */
+  leader: string | null;
+  inOutage: boolean;
+  /** Keys of the transaction that arrived at that moment, if one did. */
+  transaction: readonly string[] | null;
+  /** Number of different versions that the processes ran. */
+  versionsRunning: number;
+}
+
+/** The times of a rolling update, in milliseconds from its beginning. */
+export interface RollingUpdate {
+  /** The first process ends. */
+  firstRestartMs: number;
+  /** All processes run the new version. */
+  completeMs: number;
+}
+
+/** A simulation in which each host runs a version of its own. */
+export class MixedVersionScenario {
+  readonly simulation: Simulation;
+  readonly starts: ProcessStart[] = [];
+  /** How the limits were lowered; null until they are. */
+  limitsDecrease: LimitsDecrease | null = null;
+  private readonly versions = new Map<string, ProgramVersion>();
+
+  /** `versions`: the version that each host runs at first. */
+  constructor(seed: number, versions: readonly ProgramVersion[]) {
+    for (const [i, host] of deployment.hosts.entries()) {
+      const version = versions[i];
+      assert.ok(version, `no version for host ${i}`);
+      this.versions.set(host, version);
+    }
+    const quiet = { meanIntervalMs: Infinity, duplicated: 0.01, taskFailures: 0, bootFailures: 0 };
+    this.simulation = new Simulation(deployment, seed, quiet, undefined, (host) =>
+      this.versionToStart(host),
+    );
+    this.submitJobs(14, START_MS / 2);
+    this.simulation.play(START_MS);
+  }
+
+  private versionToStart(host: string): ProgramVersion {
+    const version = this.versions.get(host);
+    assert.ok(version, host);
+    this.starts.push({ host, version });
+    return version;
+  }
+
+  private submitJobs(count: number, withinMs: number): void {
+    const { simulation } = this;
+    for (let i = 0; i < count; i++)
+      simulation.clock.after(simulation.clock.between(0, withinMs), () =>
+        simulation.submit(
+          simulation.jobWith(jobTemplates[i % jobTemplates.length] ?? longJobs),
+          null,
+        ),
+      );
+  }
+
+  /** Users submit services; returns their ids. */
+  submitServices(count: number): string[] {
+    const specs = Array.from({ length: count }, () => this.simulation.jobWith(serviceTemplate));
+    for (const spec of specs) this.simulation.submit(spec, null);
+    return specs.map(({ id }) => id);
+  }
+
+  /**
+   * Restarts the hosts' processes one by one with version `to`, the leader's last.
+   * `pauseMs`: time between two restarts beyond what is drawn.
+   */
+  rollingUpdate(to: ProgramVersion, pauseMs = 0): RollingUpdate {
+    const { clock, hosts, leader } = this.simulation;
+    const followers = hosts.filter((host) => host !== leader);
+    const restartsMs: number[] = [];
+    let atMs = 0;
+    for (const host of leader === null ? followers : [...followers, leader]) {
+      atMs += clock.between(3000, 15_000);
+      restartsMs.push(atMs);
+      clock.after(atMs, () => {
+        this.versions.set(host, to);
+        this.simulation.kill(host, clock.between(500, LONGEST_RESTART_MS));
+      });
+      atMs += pauseMs;
+    }
+    return {
+      firstRestartMs: restartsMs[0] ?? 0,
+      completeMs: atMs - pauseMs + LONGEST_RESTART_MS,
+    };
+  }
+
+  /** The version that each host's process runs, or ran last. */
+  get runningVersions(): ProgramVersion[] {
+    const latest = new Map(this.starts.map(({ host, version }) => [host, version]));
+    return [...latest.values()];
+  }
+
+  /** How often a leader of one version has followed a leader of the other. */
+  get versionChanges(): number {
+    const { electedVersions } = this.simulation;
+    return electedVersions.filter(
+      (version, index) => index > 0 && version !== electedVersions[index - 1],
+    ).length;
+  }
+
+  /** Ends the leader again and again, until leaders of the two versions have followed each other so often. */
+  alternateLeaders(times: number): void {
+    const { simulation } = this;
+    const endLeader = (): void => {
+      if (this.versionChanges >= times) return;
+      if (simulation.leader !== null)
+        simulation.kill(simulation.leader, simulation.clock.between(100, 6000));
+      simulation.clock.after(simulation.clock.between(2000, 8000), endLeader);
+    };
+    endLeader();
+  }
+
+  /** Runs `then` as soon as the condition holds, and not before `afterMs`. */
+  when(afterMs: number, condition: () => boolean, then: () => void): void {
+    const { clock } = this.simulation;
+    const evaluate = (): void => {
+      if (condition()) then();
+      else clock.after(CONDITION_INTERVAL_MS, evaluate);
+    };
+    clock.after(afterMs, evaluate);
+  }
+
+  /** Lowers the limits of the state service now. */
+  lowerLimits(transaction: LimitsDecrease['transaction'] = null): void {
+    const { simulation } = this;
+    assert.equal(this.limitsDecrease, null, 'the limits are lowered once');
+    this.limitsDecrease = {
+      leader: simulation.leader,
+      inOutage: simulation.stateStore.inOutage,
+      transaction,
+      versionsRunning: new Set(this.runningVersions).size,
+    };
+    simulation.stateStore.lowerLimits(simulation.upcomingStateLimits);
+  }
+
+  /** Lowers the limits as a transaction with one of the leader's pages arrives, before it is checked. */
+  lowerLimitsDuringCommit(afterMs: number): void {
+    const { clock, stateStore } = this.simulation;
+    clock.after(afterMs, () => {
+      stateStore.onTransaction = (keys) => {
+        if (!keys.some((key) => key.startsWith('page/'))) return;
+        stateStore.onTransaction = () => undefined;
+        this.lowerLimits(keys);
+      };
+    });
+  }
+
+  /** Submits more jobs and injects the faults; then plays on without faults until all jobs are done. */
+  finish(faults: Fault[]): void {
+    const { simulation } = this;
+    this.submitJobs(8, MIXED_MS / 4);
+    injectFaults(simulation, faults);
+    simulation.play(MIXED_MS);
+    simulation.stopFaults(0);
+    const until = simulation.clock.now + 400_000;
+    do simulation.play(60_000);
+    while (simulation.clock.now < until && simulation.checker.unfinishedJobs().length > 0);
+    const { checker } = simulation;
+    assert.deepEqual(checker.unfinishedJobs(), [], 'never finished');
+    assert.ok(checker.cancelledWhileRunning.length > 0, 'no running job was cancelled');
+  }
+
+  /** Asserts that the latest process of every host runs `version`. */
+  assertAllRun(version: ProgramVersion): void {
+    for (const { host } of this.starts)
+      assert.equal(
+        this.starts.findLast((start) => start.host === host)?.version,
+        version,
+        `${host} does not run ${version.name}`,
+      );
+  }
+
+  /** The number of replicas of each service that are on machines. */
+  replicaCounts(services: readonly string[]): number[] {
+    return services.map((id) => this.simulation.checker.machinesOf(id).length);
+  }
+
+  /** Whether all replicas of the services are on machines. */
+  allReplicasRun(services: readonly string[]): boolean {
+    return this.replicaCounts(services).every((count) => count === REPLICAS);
+  }
+}
--- /dev/null
+++ b/test/mixed-versions/rollout.test.ts
@@ -0,0 +1,95 @@
+/** Rollouts and rollbacks between an older version and the present one, with faults in their midst. */
+import assert from 'node:assert/strict';
+import { it } from 'node:test';
+import { shrinkingLimits as deployment } from '../simulation/deployments/deployment.js';
+import { presentVersion } from '../simulation/program-version.js';
+import {
+  LONGEST_RESTART_MS,
+  type MixedVersionScenario,
+  type RollingUpdate,
+} from './mixed-version-scenario.js';
+import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
+import { BOTH_VERSIONS_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
+
+// The operators roll out a new version while an older one serves (and back, where it fails), so both
+// read each other's records and follow each other as leaders. Rules are checked after every step.
+
+/** Events in the midst of a rolling update, which takes 9 to 45 s. */
+const rolloutEvents: RolloutEvent[] = [
+  {
+    name: 'a leader that dies before its turn and comes back as it was',
+    plan: ({ simulation: { clock }, starts }) => {
+      const restartAfter = clock.between(0.1, 2);
+      const at = clock.between(0.5, 2.5);
+      return {
+        faults: [{ kind: 'ended', who: 'leader', restartAfter, at }],
+        occurred: () => {
+          const oldVersion = starts[0]?.version;
+          const oldStarts = starts.filter(({ version }) => version === oldVersion);
+          return oldStarts.length > deployment.hosts.length;
+        },
+      };
+    },
+  },
+  {
+    name: 'an outage of the state service',
+    plan: ({ simulation: { clock, stateStore } }) => ({
+      faults: [{ kind: 'outage', at: clock.between(3, 12), for: clock.between(5, 30) }],
+      occurred: () => stateStore.requestsInOutage > 0,
+    }),
+  },
+  {
+    name: 'late writes',
+    plan: ({ simulation: { stateStore } }) => ({
+      faults: [{ kind: 'late writes', share: 0.4, at: 0, for: 60 }],
+      occurred: () => stateStore.lateCommits.applied + stateStore.lateCommits.refused > 0,
+    }),
+  },
+  {
+    name: 'late heartbeats',
+    plan: ({ simulation: { network } }) => ({
+      faults: [{ kind: 'late reports', share: 0.4, at: 0, for: 60 }],
+      occurred: () => network.duplicatesDelivered > 0,
+    }),
+  },
+  {
+    name: 'all controllers that end at once',
+    // Time for it between the restart of the first process and the end of the second.
+    pauseMs: BOTH_VERSIONS_MS,
+    rare: true,
+    plan: planEndOfAll,
+  },
+];
+
+/** All controllers end at once while one of them runs the other version, and come back as they were. */
+function planEndOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
+  const { simulation, starts } = scenario;
+  const { clock, hosts } = simulation;
+  let versionsRunning = 0;
+  let leaderless = false;
+  clock.after(update.firstRestartMs + LONGEST_RESTART_MS + clock.between(500, 4500), () => {
+    versionsRunning = new Set(scenario.runningVersions).size;
+    const startsBefore = starts.length;
+    const restartMs = clock.between(200, 8000);
+    for (const host of hosts) simulation.kill(host, restartMs);
+    leaderless = simulation.leader === null;
+    clock.after(restartMs + 1, () => {
+      assert.equal(starts.length - startsBefore, hosts.length, 'not all ended at once');
+    });
+  });
+  return { faults: [], occurred: () => versionsRunning === 2 && leaderless };
+}
+
+await describeOlderVersions('rollouts', ({ name, version: older }) => {
+  const present = presentVersion();
+  const { frequent, rare } = seedCountsFor(name);
+  for (const event of rolloutEvents) {
+    const seeds = event.rare === true ? rare : frequent;
+    it(`keep the rules and finish all jobs when rolled out, with ${event.name}`, () => {
+      playSeeds(seeds, (seed) => playRollout(seed, older, present, event));
+    });
+    it(`keep the rules and finish all jobs when rolled back, with ${event.name}`, () => {
+      playSeeds(seeds, (seed) => playRollout(seed, present, older, event));
+    });
+  }
+});
--- /dev/null
+++ b/test/mixed-versions/services.test.ts
@@ -0,0 +1,118 @@
+/** Services that run during or after a rollout, and on through failovers. */
+import assert from 'node:assert/strict';
+import { it } from 'node:test';
+import { presentVersion, type ProgramVersion } from '../simulation/program-version.js';
+import { LONGEST_RESTART_MS, MixedVersionScenario, REPLICAS } from './mixed-version-scenario.js';
+import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
+
+const SERVICES = 3;
+/** After a failover, this long until the services are expected to be complete. */
+const RECOVERY_MS = 1000;
+
+/** Whether there is a leader, and all replicas run. */
+function isServing(scenario: MixedVersionScenario, services: readonly string[]): boolean {
+  return scenario.simulation.leader !== null && scenario.allReplicasRun(services);
+}
+
+/** Services are submitted once all run `to`, keep running in a failover, and are cancelled. */
+function playServicesAfterRollout(seed: number, from: ProgramVersion, to: ProgramVersion): void {
+  const scenario = new MixedVersionScenario(seed, [from, from, from]);
+  const { clock } = scenario.simulation;
+  const { completeMs } = scenario.rollingUpdate(to);
+  let services: string[] = [];
+  let survived = false;
+  clock.after(completeMs, () => {
+    scenario.assertAllRun(to);
+    services = scenario.submitServices(SERVICES);
+    scenario.when(
+      0,
+      () => isServing(scenario, services),
+      () => failOver(scenario, services, () => (survived = true)),
+    );
+  });
+  scenario.finish([{ kind: 'cancelled', count: 3, at: clock.between(1, 5) }]);
+  assert.ok(survived, 'services did not run through a failover');
+  assertCancelled(scenario, services);
+}
+
+/** Ends the leader while all replicas run: until there is another, replicas end only by themselves. */
+function failOver(
+  scenario: MixedVersionScenario,
+  services: readonly string[],
+  survived: () => void,
+): void {
+  const { simulation } = scenario;
+  const electionsBefore = simulation.electedVersions.length;
+  const endedBefore = simulation.replicasEnded;
+  assert.ok(simulation.leader !== null);
+  simulation.kill(simulation.leader, LONGEST_RESTART_MS);
+  const elected = (): boolean => simulation.electedVersions.length > electionsBefore;
+  scenario.when(0, elected, () => {
+    const running = scenario.replicaCounts(services).reduce((sum, count) => sum + count, 0);
+    const ended = simulation.replicasEnded - endedBefore;
+    assert.ok(running + ended >= SERVICES * REPLICAS, 'replicas were lost with the leader');
+    const recovered = (): boolean => scenario.allReplicasRun(services);
+    scenario.when(RECOVERY_MS, recovered, () => {
+      survived();
+      for (const id of services) simulation.cancel(id);
+    });
+  });
+}
+
+/** Services run from before the rollout until after it, with leaders of both versions, and are cancelled. */
+function playServicesDuringRollout(seed: number, from: ProgramVersion, to: ProgramVersion): void {
+  const scenario = new MixedVersionScenario(seed, [from, from, from]);
+  const { simulation } = scenario;
+  const services = scenario.submitServices(SERVICES);
+  const electionsBefore = simulation.electedVersions.length;
+  let fewestReplicas = Infinity;
+  let survived = false;
+  const rollOut = (): void => {
+    assert.equal(simulation.electedVersions.at(-1), from);
+    let complete = false;
+    simulation.clock.after(scenario.rollingUpdate(to).completeMs, () => (complete = true));
+    const finished = (): boolean => {
+      fewestReplicas = Math.min(fewestReplicas, ...scenario.replicaCounts(services));
+      return complete && isServing(scenario, services);
+    };
+    scenario.when(0, finished, () => {
+      survived = true;
+      for (const id of services) simulation.cancel(id);
+    });
+  };
+  scenario.when(0, () => isServing(scenario, services), rollOut);
+  scenario.finish([{ kind: 'cancelled', count: 3, at: simulation.clock.between(1, 5) }]);
+  assert.ok(survived, 'services did not run through the rollout');
+  assert.ok(fewestReplicas > 0, 'a service had no replica for a while');
+  const elected = simulation.electedVersions.slice(electionsBefore);
+  assert.ok(elected.includes(to), `${to.name} never led with services`);
+  scenario.assertAllRun(to);
+  assertCancelled(scenario, services);
+}
+
+function assertCancelled(scenario: MixedVersionScenario, services: readonly string[]): void {
+  const { checker } = scenario.simulation;
+  for (const id of services) assert.ok(checker.toldCancelled(id), `${id} not cancelled`);
+  const replicas = scenario.replicaCounts(services);
+  assert.ok(
+    replicas.every((count) => count === 0),
+    'replicas left',
+  );
+}
+
+await describeOlderVersions('services', ({ name, version: older, knowsServicesAndLimits }) => {
+  const present = presentVersion();
+  const { rare } = seedCountsFor(name);
+
+  // Services are submitted only once all versions that serve know them.
+  it('keep services running through a failover after a rollout', () => {
+    playSeeds(rare, (seed) => playServicesAfterRollout(seed, older, present));
+  });
+  if (!knowsServicesAndLimits) return;
+  it('keep services running during a rollout', () => {
+    playSeeds(rare, (seed) => playServicesDuringRollout(seed, older, present));
+  });
+  it('keep services running during a rollback', () => {
+    playSeeds(rare, (seed) => playServicesDuringRollout(seed, present, older));
+  });
+});
