--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -96,7 +96,8 @@
     const help = (): boolean => {
       if (answered || helping) return helping;
       const slow = this.settings.heartbeatIntervalMs / 25;
-      if (this.client.consecutiveFailures === 0 && this.client.stalledMs < slow) return false;
+      if (this.client.health.consecutiveFailures === 0 && this.client.health.stalledMs < slow)
+        return false;
       const host = this.peers.hostServedByStateStore(this.settings.heartbeatIntervalMs / 2);
       if (host === null) return false;
       helping = true;
@@ -116,7 +117,7 @@
       if (a.status !== 503) return answer(a);
       own = a;
       // Out of tokens is not a reason: the peers' are for their own users.
-      if (helping || (this.client.consecutiveFailures > 0 && help())) return;
+      if (helping || (this.client.health.consecutiveFailures > 0 && help())) return;
       answer(a);
     });
   }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -22,7 +22,7 @@
 import { Router } from './api/router.js';
 import type { Settings } from './settings/settings.js';
 import { StateStoreClient } from './store/client.js';
-import { DecayingRate } from './store/write-share.js';
+import { DecayingRate } from './runtime/decaying-rate.js';
 import { encodeBody } from './wire/cbor.js';
 import type { JobStatus } from './wire/jobs.js';
 import { readHeartbeat } from './wire/workers.js';
@@ -81,7 +81,7 @@
     this.frontend = new Frontend(eventLoop, settings, this.client, this.frontendHooks());
     this.readiness = new Readiness(
       settings,
-      this.client,
+      this.client.health,
       this.peers,
       () => this.catalogue.types !== null,
     );
@@ -154,10 +154,12 @@
     return {
       host: this.settings.platform.host,
       identity,
-      stateOkAgeMs: Number.isFinite(client.sinceSuccessMs) ? client.sinceSuccessMs : -1,
+      stateOkAgeMs: Number.isFinite(client.health.sinceSuccessMs)
+        ? client.health.sinceSuccessMs
+        : -1,
       leaderHost: leadership.leader?.host ?? '',
       term: leadership.leader?.term ?? 0,
-      wantedWrites: client.writeDemand.writesPerSecond,
+      wantedWrites: client.budget.writeDemand.writesPerSecond,
       strayReports: this.redirectedHeartbeats.perSecond,
     };
   }
@@ -184,7 +186,7 @@
 
   private tick(): void {
     const heard = this.peers.recentStatuses(this.settings.heartbeatIntervalMs);
-    this.client.updateWriteShare(
+    this.client.budget.updateWriteShare(
       heard.map((peer) => ({
         isLeader: peer.leaderHost === peer.host,
         writesPerSecond: peer.wantedWrites,
--- a/src/controller/fleet/machine-type-catalogue.test.ts
+++ b/src/controller/fleet/machine-type-catalogue.test.ts
@@ -15,7 +15,7 @@
   function load() {
     const { runtime, eventLoop } = fleetFixture();
     const client = {
-      requestTokens: { forceTake: () => undefined },
+      budget: { requestTokens: { forceTake: () => undefined } },
       read: (_key: string, _timeoutMs: number, done: (got: unknown) => void) =>
         done({ kind: 'ok', value: null }),
     };
--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -28,7 +28,7 @@
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly client: Pick<StateStoreClient, 'read' | 'requestTokens'>,
+    private readonly client: Pick<StateStoreClient, 'read' | 'budget'>,
     /** This node's term as leader, `null` unless it leads and has recovered the state. */
     private readonly currentTerm: () => CatalogueWriter | null,
   ) {}
@@ -40,7 +40,7 @@
 
   /** Reads the stored catalogue, or asks the cloud if there is none. */
   load(): void {
-    this.client.requestTokens.forceTake();
+    this.client.budget.requestTokens.forceTake();
     this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
       if (got.kind === 'ok' && got.value !== null && this.knownTypes === null)
         this.update(got.value.value);
@@ -58,7 +58,7 @@
 
   /** Stores the catalogue, for nodes that start while the cloud is unavailable. */
   publish(term: CatalogueWriter): void {
-    this.client.requestTokens.forceTake();
+    this.client.budget.requestTokens.forceTake();
     this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
       if (got.kind === 'failed' || term.closed) return;
       if (got.value !== null && this.knownTypes === null) this.update(got.value.value);
--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -1,5 +1,5 @@
 /** Users' cancellations: one transaction replaces a job's active record by its terminal one. */
-import { tokenReserve } from '../store/client.js';
+import { tokenReserve } from '../store/rate-budget.js';
 import type { ReadResult, TransactionResult } from '../store/results.js';
 import { isJobId } from '../wire/jobs.js';
 import type { KeyValue } from '../wire/state.js';
@@ -38,7 +38,8 @@
     const { jobStates, client } = this.context;
     const terminal = jobStates.terminalState(id);
     if (terminal !== undefined) return this.statusQueries.reply(id, terminal, respond);
-    if (client.isUnavailable || attemptsLeft === 0) return respondRetryLater(this.context, respond);
+    if (client.health.isUnavailable || attemptsLeft === 0)
+      return respondRetryLater(this.context, respond);
     const version = jobStates.activeVersion(id);
     if (version === undefined) this.readVersion(cancellation);
     else this.write(cancellation, version);
@@ -50,7 +51,7 @@
 
   private readVersion(cancellation: Cancellation): void {
     const { client } = this.context;
-    if (!client.requestTokens.tryTake(1, tokenReserve.submissions))
+    if (!client.budget.requestTokens.tryTake(1, tokenReserve.submissions))
       return respondRetryLater(this.context, cancellation.respond);
     client.read(activeKey(cancellation.id), CALL_TIMEOUT_MS, (read) =>
       this.versionRead(cancellation, read),
--- a/src/controller/jobs/frontend-context.ts
+++ b/src/controller/jobs/frontend-context.ts
@@ -39,7 +39,7 @@
 
 /** Asks the user to try again later, once the state store can be expected to take the request. */
 export function respondRetryLater({ writes, client }: FrontendContext, respond: Respond): void {
-  const waitMs = Math.max(writes.waitMs(), client.isUnavailable ? UNAVAILABLE_RETRY_MS : 0);
+  const waitMs = Math.max(writes.waitMs(), client.health.isUnavailable ? UNAVAILABLE_RETRY_MS : 0);
   const retryAfterS = Math.max(1, Math.ceil(waitMs / 1000));
   respond({ status: 503, body: { error: 'not now' }, retryAfterS });
 }
--- a/src/controller/jobs/frontend.test.ts
+++ b/src/controller/jobs/frontend.test.ts
@@ -50,7 +50,7 @@
       silent,
     );
     const client = new StateStoreClient(this.eventLoop, settings);
-    client.setRole(true);
+    client.budget.setRole(true);
     this.frontend = new Frontend(this.eventLoop, settings, client, {
       machineTypes: () => [
         {
--- a/src/controller/jobs/frontend.ts
+++ b/src/controller/jobs/frontend.ts
@@ -1,7 +1,8 @@
 /** The users' side of a controller: submissions, status queries and cancellations. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import { tokenReserve, type StateStoreClient } from '../store/client.js';
+import type { StateStoreClient } from '../store/client.js';
+import { tokenReserve } from '../store/rate-budget.js';
 import { GroupCommit } from '../store/group-commit.js';
 import type { TerminalState } from '../wire/jobs.js';
 import type { Respond } from './api-response.js';
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -200,7 +200,7 @@
   }
 
   private readEnd(job: Job): void {
-    this.client.requestTokens.forceTake();
+    this.client.budget.requestTokens.forceTake();
     this.client.read(terminalKey(job.spec.id), this.settings.leaderLeaseMs / 4, (got) => {
       if (job.terminalState !== null) return;
       const state = terminalStateIn(got);
@@ -210,7 +210,7 @@
   }
 
   private retryEndLater(job: Job): void {
-    const delayMs = this.client.isUnavailable ? FIND_END_RETRY_DOWN_MS : FIND_END_RETRY_MS;
+    const delayMs = this.client.health.isUnavailable ? FIND_END_RETRY_DOWN_MS : FIND_END_RETRY_MS;
     this.eventLoop.after(delayMs, 'find-end', () => {
       if (job.terminalState !== null) return;
       if (job.recordRemoved) return this.readEnd(job);
--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -1,5 +1,5 @@
 /** The state of single jobs as the state store has it at this time. */
-import { tokenReserve } from '../store/client.js';
+import { tokenReserve } from '../store/rate-budget.js';
 import { GroupCommit } from '../store/group-commit.js';
 import type { TransactionResult } from '../store/results.js';
 import type { TerminalState } from '../wire/jobs.js';
@@ -47,7 +47,7 @@
     const { jobStates, client } = this.context;
     const terminal = jobStates.terminalState(id);
     if (terminal !== undefined) return done(terminal);
-    if (client.isUnavailable) return done('unknown');
+    if (client.health.isUnavailable) return done('unknown');
     if (!this.shared.join(id, done)) this.enqueue(id, done);
   }
 
@@ -95,7 +95,7 @@
 
   private readTerminalState(id: string, done: RecordedStateCallback): void {
     const { client, jobStates } = this.context;
-    if (!client.requestTokens.tryTake(1, tokenReserve.reads)) return done('unknown');
+    if (!client.budget.requestTokens.tryTake(1, tokenReserve.reads)) return done('unknown');
     client.read(terminalKey(id), CALL_TIMEOUT_MS, (read) => {
       const state = terminalStateIn(read);
       if (state !== null) jobStates.markTerminal(id, state);
--- a/src/controller/jobs/service-requests.test.ts
+++ b/src/controller/jobs/service-requests.test.ts
@@ -82,7 +82,7 @@
     };
     this.eventLoop = new EventLoop(runtime, silent);
     const client = new StateStoreClient(this.eventLoop, settings);
-    client.setRole(true);
+    client.budget.setRole(true);
     const type = { name: 'g', cpus: 16, gpus: 4, memoryGb: 64, cacheGb: 10, fetchGbPerS: 1 };
     this.frontend = new Frontend(this.eventLoop, settings, client, {
       machineTypes: () => [{ ...type, price: 1, spotPrice: 1, bootS: 1, zones: ['a'] }],
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -73,11 +73,11 @@
   private record(spec: JobSpec, respond: Respond): void {
     const { eventLoop, client } = this.context;
     const value = activeRecord(spec, Math.round(eventLoop.runtime.wallClock()));
-    if (storedSize(value) > client.limits.maxValueBytes) {
+    if (storedSize(value) > client.budget.limits.maxValueSize) {
       const refusal = { status: 400, body: { error: 'models: too many or too long' } };
       return this.refuse(spec.id, refusal, respond);
     }
-    if (client.isUnavailable) return respondRetryLater(this.context, respond);
+    if (client.health.isUnavailable) return respondRetryLater(this.context, respond);
     if (!this.shared.join(spec.id, respond)) this.create(spec.id, value, respond);
   }
 
--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -58,7 +58,7 @@
   private makeKey(candidacy: Candidacy, decided: ElectionCallback): void {
     const { lease } = candidacy;
     const value = { host: this.settings.platform.host, identity: this.identity, lease };
-    this.client.requestTokens.forceTake();
+    this.client.budget.requestTokens.forceTake();
     this.client.transact(
       [{ key: LEADER_KEY, version: 0 }],
       [{ put: LEADER_KEY, value, lease }],
@@ -79,7 +79,7 @@
   }
 
   private readKey(candidacy: Candidacy, decided: ElectionCallback): void {
-    this.client.requestTokens.forceTake();
+    this.client.budget.requestTokens.forceTake();
     this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
       const item = got.kind === 'ok' ? got.value : null;
       const leader = item === null ? null : readLeader(item.value, item.version);
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -146,7 +146,7 @@
     this.extension.end();
     this.noLeader();
     this.generation++;
-    this.client.setRole(false);
+    this.client.budget.setRole(false);
     // The lease goes too: otherwise a late copy of the request that made the key could make it
     // once more under a lease that nobody renews.
     this.client.revokeLease(ownTerm.lease, this.timeoutMs, () => undefined);
@@ -184,7 +184,7 @@
   private observe(): void {
     if (this.observing || this.election.inProgress || this.ownTerm !== null) return;
     this.observing = true;
-    this.client.requestTokens.forceTake();
+    this.client.budget.requestTokens.forceTake();
     this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
       this.observing = false;
       if (this.ownTerm === null) this.observed(got);
@@ -240,7 +240,7 @@
     this.leaseHeldUntil = sentAt + this.settings.usableLeaderLeaseMs;
     this.knownLeader = { host: this.settings.platform.host, identity: this.identity, lease, term };
     this.generation++;
-    this.client.setRole(true);
+    this.client.budget.setRole(true);
     this.eventLoop.log.info({ term }, 'elected leader');
     this.renewLater(this.generation, this.settings.leaderRenewIntervalMs);
     this.beginTermOnceGrantExpires(this.generation, term);
@@ -268,7 +268,7 @@
     const sentAt = this.eventLoop.now();
     this.client.renewLease(ownTerm.lease, this.timeoutMs, (outcome) => {
       if (generation !== this.generation) return;
-      if (outcome === 'ended') return this.stepDown('lease ended');
+      if (outcome === 'expired') return this.stepDown('lease ended');
       if (outcome === 'ok') this.renewed(ownTerm, sentAt);
       else this.extend(ownTerm);
       const waitMs =
--- a/src/controller/operators/readiness.ts
+++ b/src/controller/operators/readiness.ts
@@ -1,7 +1,7 @@
 /** Whether the load balancer should send users to this node. */
 import type { Peers } from '../peers/peers.js';
 import type { Settings } from '../settings/settings.js';
-import type { StateStoreClient } from '../store/client.js';
+import type { CallHealth } from '../store/call-health.js';
 
 /** Share of the leader's lease without an answer of the state service after which peers count. */
 const UNSERVED_LEASE_SHARE = 0.4;
@@ -16,7 +16,7 @@
 
   constructor(
     private readonly settings: Pick<Settings, 'leaderLeaseMs'>,
-    private readonly client: Pick<StateStoreClient, 'sinceSuccessMs' | 'isUnavailable'>,
+    private readonly health: Pick<CallHealth, 'sinceSuccessMs' | 'isUnavailable'>,
     private readonly peers: Pick<Peers, 'stateServedElsewhere'>,
     private readonly typesKnown: () => boolean,
   ) {}
@@ -24,13 +24,13 @@
   /** Asked with each probe. */
   get ready(): boolean {
     if (!this.served) {
-      this.served = this.typesKnown() && Number.isFinite(this.client.sinceSuccessMs);
+      this.served = this.typesKnown() && Number.isFinite(this.health.sinceSuccessMs);
       return this.served;
     }
     const unservedMs = this.settings.leaderLeaseMs * UNSERVED_LEASE_SHARE;
     return (
-      this.client.sinceSuccessMs < unservedMs ||
-      !this.client.isUnavailable ||
+      this.health.sinceSuccessMs < unservedMs ||
+      !this.health.isUnavailable ||
       !this.peers.stateServedElsewhere(unservedMs)
     );
   }
--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -1,28 +1,160 @@
 import assert from 'node:assert/strict';
-import { describe, it } from 'node:test';
+import { beforeEach, describe, it } from 'node:test';
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
 import { platformOf, defaultOptions } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { StateStoreClient } from './client.js';
+import type { ReadResult, RenewalOutcome, TransactionResult } from './results.js';
 
-describe('state client', () => {
-  /** How long after its end a watch without an answer is given up. */
-  function graceMs(leaseS: number, cancelS: number): number {
-    const runtime = new ManualRuntime();
+describe('StateStoreClient', () => {
+  let runtime: ManualRuntime;
+  let client: StateStoreClient;
+
+  function createClient(leaseS: number, cancelS: number): StateStoreClient {
     const platform = platformOf(['kiln-0'], 'kiln-0', { ...defaultOptions, leaseS, cancelS });
-    const client = new StateStoreClient(
-      new EventLoop(runtime, silentLogger),
-      new Settings(platform, defaultProperties()),
-    );
-    const holdMs = 1000;
-    client.watch('lead', 1, holdMs, () => undefined);
-    return (runtime.calls[0]?.call.timeoutMs ?? NaN) - holdMs;
+    const settings = new Settings(platform, defaultProperties());
+    return new StateStoreClient(new EventLoop(runtime, silentLogger), settings);
   }
 
-  it('gives a lost watch up in proportion to the lease, at 22 s after 2 s', () => {
-    assert.equal(Math.round(graceMs(22, 50) / 10) * 10, 2000);
-    assert.ok(graceMs(10, 35) < 1000);
+  beforeEach(() => {
+    runtime = new ManualRuntime();
+    client = createClient(defaultOptions.leaseS, defaultOptions.cancelS);
+  });
+
+  describe('watch', () => {
+    /** How long after its end a watch without a response times out. */
+    function graceMs(leaseS: number, cancelS: number): number {
+      const holdMs = 1000;
+      createClient(leaseS, cancelS).watch('lead', 1, holdMs, () => undefined);
+      return (runtime.calls.shift()?.call.timeoutMs ?? NaN) - holdMs;
+    }
+
+    it('times out in proportion to the lease, at 22 s after 2 s', () => {
+      assert.equal(Math.round(graceMs(22, 50) / 10) * 10, 2000);
+      assert.ok(graceMs(10, 35) < 1000);
+    });
+
+    it('tells that changes were dropped', () => {
+      let kind: string | undefined;
+      client.watch('live/', 1, 1000, (result) => (kind = result.kind));
+      runtime.answer(410);
+      assert.equal(kind, 'too-old');
+    });
+  });
+
+  const transactionResults: [string, number, unknown, TransactionResult][] = [
+    ['a revision', 200, { ledger: 7 }, { kind: 'ok', revision: 7 }],
+    ['failed conditions', 409, { failed: ['k'] }, { kind: 'conflict', failedKeys: ['k'] }],
+    ['an expired lease', 400, { error: 'no such lease' }, { kind: 'lease-expired' }],
+    ['another fault', 400, { error: 'too large' }, { kind: 'too-large' }],
+    ['an exceeded rate', 429, null, { kind: 'refused' }],
+    ['an unavailable store', 503, null, { kind: 'refused' }],
+    ['a missing response', 0, null, { kind: 'unknown' }],
+    ['a malformed response', 200, { ledger: 'seven' }, { kind: 'unknown' }],
+  ];
+  for (const [what, status, body, expected] of transactionResults)
+    it(`transact reports ${what} as ${expected.kind}`, () => {
+      let result: TransactionResult | undefined;
+      client.transact([], [], 1000, (outcome) => (result = outcome));
+      runtime.answer(status, body);
+      assert.deepEqual(result, expected);
+    });
+
+  it('transact halves the sizes that are written after a transaction was rejected', () => {
+    const { limits } = client.budget;
+    const before = limits.maxValueSize;
+    client.transact([], [], 1000, () => undefined);
+    runtime.answer(400, { error: 'too large' });
+    assert.equal(limits.maxValueSize, before / 2);
+  });
+
+  const readResults: [string, number, unknown, ReadResult<unknown>][] = [
+    [
+      'a value',
+      200,
+      { k: 'lead', value: 1, stamp: 3 },
+      { kind: 'ok', value: { key: 'lead', value: 1, version: 3 } },
+    ],
+    ['a missing key', 404, null, { kind: 'ok', value: null }],
+    ['a malformed response', 200, { k: 'lead' }, { kind: 'failed' }],
+    ['a missing response', 0, null, { kind: 'failed' }],
+  ];
+  for (const [what, status, body, expected] of readResults)
+    it(`read reports ${what} as ${expected.kind}`, () => {
+      let result: ReadResult<unknown> | undefined;
+      client.read('lead', 1000, (outcome) => (result = outcome));
+      assert.equal(runtime.answer(status, body).path, '/keys/lead');
+      assert.deepEqual(result, expected);
+    });
+
+  it('readPrefix goes on from the last key, and gives the revision of the first request', () => {
+    let result: ReadResult<{ items: { key: string }[]; revision: number }> | undefined;
+    client.readPrefix('page/', 1000, (outcome) => (result = outcome));
+    const entry = (k: string) => ({ k, value: 0, stamp: 1 });
+    const first = { entries: [entry('page/0')], has_next: true, ledger: 5 };
+    assert.equal(runtime.answer(200, first).path, '/keys?starts=page/&limit=1000');
+    const second = { entries: [entry('page/1')], has_next: false, ledger: 9 };
+    assert.equal(runtime.answer(200, second).path, '/keys?starts=page/&from=page/0&limit=1000');
+    assert.ok(result?.kind === 'ok');
+    assert.deepEqual(
+      result.value.items.map(({ key }) => key),
+      ['page/0', 'page/1'],
+    );
+    assert.equal(result.value.revision, 5);
+  });
+
+  const renewals: [number, RenewalOutcome][] = [
+    [200, 'ok'],
+    [404, 'expired'],
+    [503, 'failed'],
+    [0, 'failed'],
+  ];
+  for (const [status, expected] of renewals)
+    it(`renewLease reports status ${status} as ${expected}`, () => {
+      let outcome: RenewalOutcome | undefined;
+      client.renewLease(4, 1000, (renewal) => (outcome = renewal));
+      assert.equal(runtime.answer(status).path, '/holds/4/extend');
+      assert.equal(outcome, expected);
+    });
+
+  describe('health', () => {
+    function read(status: number): void {
+      client.read('lead', 1000, () => undefined);
+      runtime.answer(status);
+    }
+
+    it('is unavailable from the second consecutive failure until the next success', () => {
+      const { health } = client;
+      read(0);
+      assert.equal(health.isUnavailable, false);
+      read(503);
+      assert.equal(health.isUnavailable, true);
+      assert.equal(health.consecutiveFailures, 2);
+      runtime.advance(10);
+      read(404);
+      assert.equal(health.isUnavailable, false);
+      assert.equal(health.consecutiveFailures, 0);
+      runtime.advance(30);
+      assert.equal(health.sinceSuccessMs, 30);
+    });
+
+    it('counts a stall from the oldest call without response, watches left out', () => {
+      client.watch('live/', 1, 1000, () => undefined);
+      runtime.advance(100);
+      assert.equal(client.health.stalledMs, 0);
+      client.read('lead', 1000, () => undefined);
+      runtime.advance(40);
+      assert.equal(client.health.stalledMs, 40);
+    });
+
+    it('pauses requests and writes after a refusal for the rate', () => {
+      read(429);
+      const { requestTokens, writeTokens } = client.budget;
+      assert.ok(requestTokens.waitMs() > 0);
+      assert.ok(writeTokens.waitMs() > 0);
+      assert.equal(client.health.consecutiveFailures, 0);
+    });
   });
 });
--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -1,7 +1,7 @@
 /** Gathers one transaction of the leader, within the limits of the state service. */
 import type { Condition } from '../wire/state.js';
 import { MAX_CONDITIONS_PER_WRITE } from './batch.js';
-import { tokenReserve } from './client.js';
+import { tokenReserve } from './rate-budget.js';
 import type { RecordEntry, Page } from './page.js';
 import { storedSize } from './page-table.js';
 import type { RecordStoreContext } from './record-store-context.js';
@@ -37,7 +37,7 @@
     private readonly context: RecordStoreContext,
     fence: Condition,
   ) {
-    this.maxWrites = context.client.limits.current.txnOps;
+    this.maxWrites = context.client.budget.limits.current.txnOps;
     this.conditions = [fence];
   }
 
@@ -72,7 +72,7 @@
     this.writes++;
     this.bytes += page.bytes;
     this.conditions.push({ key: page.key, version: page.version });
-    this.context.client.writeTokens.forceTake(1);
+    this.context.client.budget.writeTokens.forceTake(1);
   }
 
   /** Takes transactions from the queue, as many as there is room for. */
@@ -86,7 +86,7 @@
       if (!this.fits(writes.length, conditions.length, size)) return;
       queue.shift();
       this.transactions.push(transaction);
-      client.writeTokens.forceTake(writes.length);
+      client.budget.writeTokens.forceTake(writes.length);
       this.writes += writes.length;
       this.bytes += size;
       this.conditions.push(...conditions);
@@ -98,7 +98,7 @@
       this.writes + writes <= this.maxWrites &&
       this.conditions.length + conditions <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.bytes + bytes <= MAX_TRANSACTION_BYTES &&
-      this.context.client.writeTokens.waitMs(writes, tokenReserve.records) === 0
+      this.context.client.budget.writeTokens.waitMs(writes, tokenReserve.records) === 0
     );
   }
 
--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -49,7 +49,7 @@
 
   /** Least time between two commits of pages that keeps within their share of the puts. */
   private get minPageIntervalMs(): number {
-    return 1000 / (this.context.client.writeTokens.perSecond * PAGE_WRITES_RATIO);
+    return 1000 / (this.context.client.budget.writeTokens.perSecond * PAGE_WRITES_RATIO);
   }
 
   /** The next commit, or null where there are no write tokens for any part of it. */
--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -69,7 +69,7 @@
     const callbacks = this.context.pending.markSent(commit.entries);
     const sent: SentCommit = { ...commit, sentPages, callbacks };
     this.writesSent += writes.length;
-    this.context.client.requestTokens.forceTake();
+    this.context.client.budget.requestTokens.forceTake();
     this.inFlight = true;
     this.context.client.transact(commit.conditions, writes, this.timeoutMs, (result) => {
       this.inFlight = false;
@@ -120,7 +120,7 @@
   /** Finds out which version of a page is stored, before it is written again. */
   rereadPage(page: Page): void {
     this.inFlight = true;
-    this.context.client.requestTokens.forceTake();
+    this.context.client.budget.requestTokens.forceTake();
     this.context.client.read(page.key, this.timeoutMs, (result) => {
       this.inFlight = false;
       if (this.closed) return;
--- a/src/controller/store/group-commit.test.ts
+++ b/src/controller/store/group-commit.test.ts
@@ -16,7 +16,7 @@
     const runtime = new ManualRuntime();
     const eventLoop = new EventLoop(runtime, silentLogger);
     const client = new StateStoreClient(eventLoop, new Settings(platform, defaultProperties()));
-    client.setRole(true);
+    client.budget.setRole(true);
     runtime.advance(1000);
     const options = { tokenReserve: 0, timeoutMs: 1000, maxQueueMs: 1000, minIntervalMs: 200 };
     const batcher = new GroupCommit(eventLoop, client, options);
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -58,12 +58,12 @@
   private count({ writes, conditions }: BatchEntry, times: 1 | -1): void {
     this.queuedWrites += writes.length * times;
     this.queuedConditions += conditions.length * times;
-    this.client.queuedWrites += writes.length * times;
+    this.client.budget.queuedWrites += writes.length * times;
   }
 
   /** A whole transaction waits: more entries could not share it. */
   private get hasFullBatch(): boolean {
-    const { txnOps } = this.client.limits.current;
+    const { txnOps } = this.client.budget.limits.current;
     return (
       this.queuedWrites >= txnOps || this.queuedConditions >= txnOps * MAX_CONDITIONS_PER_WRITE
     );
@@ -72,7 +72,7 @@
   /** How long until tokens for one more entry are there, after all that wait already. */
   waitMs(writes = 1): number {
     const { tokenReserve } = this.options;
-    const { requestTokens, writeTokens } = this.client;
+    const { requestTokens, writeTokens } = this.client.budget;
     const request = requestTokens.waitMs(1, tokenReserve);
     return writes === 0
       ? request
@@ -84,7 +84,7 @@
     const now = this.eventLoop.now();
     if (now < this.nextFlushAt && !this.hasFullBatch)
       return this.flushLater(this.nextFlushAt - now);
-    const waitMs = this.client.requestTokens.waitMs(1, this.options.tokenReserve);
+    const waitMs = this.client.budget.requestTokens.waitMs(1, this.options.tokenReserve);
     if (waitMs > 0) return this.flushLater(waitMs);
     this.nextFlushAt = now + this.options.minIntervalMs;
     this.dropExpired(now);
@@ -94,7 +94,7 @@
 
   /** The first of the queue, as many as limits and write tokens allow. */
   private takeBatch(): Batch<QueuedEntry> {
-    const batch = new Batch<QueuedEntry>(this.client.limits.current.txnOps);
+    const batch = new Batch<QueuedEntry>(this.client.budget.limits.current.txnOps);
     for (;;) {
       const next = this.queue[0];
       if (next === undefined) return batch;
@@ -111,16 +111,16 @@
   }
 
   private takeWriteTokens({ writes }: QueuedEntry): boolean {
-    const { writeTokens } = this.client;
+    const { writeTokens } = this.client.budget;
     return writes.length === 0 || writeTokens.tryTake(writes.length, this.options.tokenReserve);
   }
 
   private writeWaitMs({ writes }: QueuedEntry): number {
-    return this.client.writeTokens.waitMs(writes.length, this.options.tokenReserve);
+    return this.client.budget.writeTokens.waitMs(writes.length, this.options.tokenReserve);
   }
 
   private send({ entries, conditions, writes }: Batch<QueuedEntry>): void {
-    this.client.requestTokens.tryTake(1, 0);
+    this.client.budget.requestTokens.tryTake(1, 0);
     this.inFlight = true;
     for (const entry of entries) entry.onSent?.();
     this.client.transact(conditions, writes, this.options.timeoutMs, (result) => {
--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -92,10 +92,12 @@
     this.entries.set('lead', { key: 'lead', value: 1, version: term });
     const now = (): number => this.now;
     const client = {
-      requestTokens: new TokenBucket(now, 100, 100),
-      writeTokens: new TokenBucket(now, 30, 30),
-      queuedWrites: 0,
-      limits: this.limits,
+      budget: {
+        requestTokens: new TokenBucket(now, 100, 100),
+        writeTokens: new TokenBucket(now, 30, 30),
+        queuedWrites: 0,
+        limits: this.limits,
+      },
       transact: (c: Condition[], w: Write[], _ms: number, done: (r: TransactionResult) => void) =>
         this.transact(c, w, done),
       read: (key: string, _ms: number, done: (r: unknown) => void) =>
--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -2,7 +2,8 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Condition, KeyValue, Write } from '../wire/state.js';
-import { tokenReserve, type StateStoreClient } from './client.js';
+import type { StateStoreClient } from './client.js';
+import { tokenReserve } from './rate-budget.js';
 import { CommitPlanner } from './commit-planner.js';
 import { CommitSender } from './commit-sender.js';
 import type { Page } from './page.js';
@@ -52,8 +53,8 @@
     private readonly client: StateStoreClient,
     private readonly options: RecordStoreOptions,
   ) {
-    this.pages = new PageTable(() => client.limits.maxValueBytes);
-    this.transactions = new TransactionQueue(client);
+    this.pages = new PageTable(() => client.budget.limits.maxValueSize);
+    this.transactions = new TransactionQueue(client.budget);
     const { pages, pending, transactions } = this;
     const context = { eventLoop, settings, client, pages, pending, transactions };
     this.planner = new CommitPlanner(context);
@@ -131,7 +132,7 @@
   }
 
   private get tokensWaitMs(): number {
-    const { requestTokens, writeTokens } = this.client;
+    const { requestTokens, writeTokens } = this.client.budget;
     return Math.max(
       requestTokens.waitMs(1, tokenReserve.records),
       writeTokens.waitMs(1, tokenReserve.records),
--- a/src/controller/store/results.ts
+++ b/src/controller/store/results.ts
@@ -1,20 +1,24 @@
-/** Outcomes of calls to the state service. */
+/** Outcomes of calls to the state store. */
 
-/** Outcome of a transaction. */
+/** Outcome of a compare-and-swap transaction. */
 export type TransactionResult =
   | { kind: 'ok'; revision: number }
+  /** Conditions did not hold, or other nodes wrote first. Not carried out. */
   | { kind: 'conflict'; failedKeys: string[] }
-  /** Surely not carried out: no tokens, 429 or 503. */
+  /** The store refused to serve it (429 or 503), or it was never sent. Not carried out. */
   | { kind: 'refused' }
-  /** The lease named in a put has ended. Not carried out. */
-  | { kind: 'no-lease' }
-  /** A value or the whole is larger than the service takes, or it finds fault. Not carried out. */
+  /** The lease that a put is bound to has expired. Not carried out. */
+  | { kind: 'lease-expired' }
+  /** A value or the whole exceeds the store's limits, or the store finds another fault. Not carried out. */
   | { kind: 'too-large' }
-  /** No response: carried out, or not, or later. */
+  /** No response, or a malformed one: carried out, or not, or yet to be. */
   | { kind: 'unknown' };
 
 /** Outcome of a call that returns a value. */
 export type ReadResult<Value> = { kind: 'ok'; value: Value } | { kind: 'failed' };
 
-/** Outcome of the renewal of a lease; `ended`: the service has the lease no more. */
-export type RenewalOutcome = 'ok' | 'ended' | 'failed';
+/** Outcome of the renewal of a lease; `expired`: the store no longer has the lease. */
+export type RenewalOutcome = 'ok' | 'expired' | 'failed';
+
+/** Outcome of one request of a watch; `too-old`: changes were dropped, the keys must be read again. */
+export type WatchResult<Value> = ReadResult<Value> | { kind: 'too-old' };
--- a/src/controller/store/transaction-queue.ts
+++ b/src/controller/store/transaction-queue.ts
@@ -1,24 +1,24 @@
-/** Transactions on keys that other nodes write too, in the order in which they were asked for. */
+/** The leader's transactions on keys that other nodes write too, in the order of their requests. */
 import type { Condition, Write } from '../wire/state.js';
-import type { StateStoreClient } from './client.js';
+import type { RateBudget } from './rate-budget.js';
 
-/** Whether a transaction was carried out, or found one of its own conditions failed. */
+/** Whether a transaction was carried out, or one of its own conditions did not hold. */
 export type TransactionOutcome = 'ok' | 'conflict';
 
-/** Writes that are carried out all or none, if the conditions hold. */
+/** A compare-and-swap transaction that waits to be sent. */
 export interface PendingTransaction {
   conditions: Condition[];
   writes: Write[];
   done: (outcome: TransactionOutcome) => void;
 }
 
-/** The queue; its writes count among those that this node has waiting (`StateClient.queued`). */
+/** First-in, first-out queue; its writes count as queued in the node's budget. */
 export class TransactionQueue {
   private readonly transactions: PendingTransaction[] = [];
 
-  constructor(private readonly client: StateStoreClient) {}
+  constructor(private readonly budget: Pick<RateBudget, 'queuedWrites'>) {}
 
-  /** Transactions that wait. */
+  /** Number of transactions that wait. */
   get length(): number {
     return this.transactions.length;
   }
@@ -28,26 +28,26 @@
     return this.transactions[0];
   }
 
-  /** Queues a transaction behind all others. */
+  /** Adds a transaction behind all others. */
   push(transaction: PendingTransaction): void {
     this.transactions.push(transaction);
-    this.client.queuedWrites += transaction.writes.length;
+    this.budget.queuedWrites += transaction.writes.length;
   }
 
-  /** Removes the transaction that `peek` has given. */
+  /** Removes the transaction that `peek` has returned. */
   shift(): void {
     const transaction = this.transactions.shift();
-    this.client.queuedWrites -= transaction?.writes.length ?? 0;
+    this.budget.queuedWrites -= transaction?.writes.length ?? 0;
   }
 
   /** Puts a transaction that was not carried out before all others. */
   unshift(transaction: PendingTransaction): void {
     this.transactions.unshift(transaction);
-    this.client.queuedWrites += transaction.writes.length;
+    this.budget.queuedWrites += transaction.writes.length;
   }
 
-  /** Nothing will be sent any more. */
+  /** Nothing is sent any more: the queued writes leave the budget. To be called once. */
   close(): void {
-    for (const { writes } of this.transactions) this.client.queuedWrites -= writes.length;
+    for (const { writes } of this.transactions) this.budget.queuedWrites -= writes.length;
   }
 }
--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -4,39 +4,44 @@
 import { writeShare, type WriteDemand } from './write-share.js';
 
 const LIMIT = 30;
-const FOLLOWERS = 0.3;
-const part = (isLeader: boolean, writesPerSecond: number): WriteDemand => ({
-  isLeader,
-  writesPerSecond,
-});
+const FOLLOWERS_SHARE = 0.3;
+
+function demand(isLeader: boolean, writesPerSecond: number): WriteDemand {
+  return { isLeader, writesPerSecond };
+}
+
+function shareOf(own: WriteDemand, peers: (WriteDemand | null)[]): number {
+  return writeShare(own, peers, FOLLOWERS_SHARE, LIMIT);
+}
 
-describe('shares of the puts', () => {
-  it('are fixed by role where nothing is heard', () => {
-    const silent = [null, null, null, null];
-    assert.ok(Math.abs(writeShare(part(true, 50), silent, FOLLOWERS, LIMIT) - 0.7) < 1e-9);
-    assert.ok(Math.abs(writeShare(part(false, 50), silent, FOLLOWERS, LIMIT) - 0.075) < 1e-9);
-    assert.equal(writeShare(part(true, 0), [], FOLLOWERS, LIMIT), 1);
+describe('writeShare', () => {
+  it('is fixed by role where no demand of a peer is known', () => {
+    const unknown = [null, null, null, null];
+    assert.ok(Math.abs(shareOf(demand(true, 50), unknown) - 0.7) < 1e-9);
+    assert.ok(Math.abs(shareOf(demand(false, 50), unknown) - 0.075) < 1e-9);
+    assert.equal(shareOf(demand(true, 0), []), 1);
   });
 
-  it('follow what is wanted, and together never exceed the limit', () => {
-    const idle = part(false, 0);
-    const share = writeShare(part(false, 20), [part(true, 5), idle, idle, idle], FOLLOWERS, LIMIT);
+  it('follows the demands that are known', () => {
+    const idle = demand(false, 0);
+    const share = shareOf(demand(false, 20), [demand(true, 5), idle, idle, idle]);
     assert.ok(share > 0.6, `a node with all the submissions may use ${share}`);
+  });
+
+  it('never adds up to more than 1, whether all demands are known or none', () => {
+    const rates = fc.array(fc.double({ min: 0, max: 100, noNaN: true }), {
+      minLength: 1,
+      maxLength: 7,
+    });
     fc.assert(
-      fc.property(
-        fc.array(fc.double({ min: 0, max: 100, noNaN: true }), { minLength: 1, maxLength: 7 }),
-        fc.nat(6),
-        fc.array(fc.boolean(), { minLength: 7, maxLength: 7 }),
-        (wants, leader, deaf) => {
-          const parts = wants.map((w, i) => part(i === leader % wants.length, w));
-          // Each hears all others, or none.
-          const sum = parts.reduce((total, own, i) => {
-            const heard = parts.filter((_, j) => j !== i).map((p) => (deaf[0] === true ? null : p));
-            return total + writeShare(own, heard, FOLLOWERS, LIMIT);
-          }, 0);
-          assert.ok(sum <= 1 + 1e-9, `${sum}`);
-        },
-      ),
+      fc.property(rates, fc.nat(6), fc.boolean(), (wanted, leader, areUnknown) => {
+        const demands = wanted.map((rate, i) => demand(i === leader % wanted.length, rate));
+        const sum = demands.reduce((total, own, i) => {
+          const peers = demands.filter((_, j) => j !== i);
+          return total + shareOf(own, areUnknown ? peers.map(() => null) : peers);
+        }, 0);
+        assert.ok(sum <= 1 + 1e-9, `${sum}`);
+      }),
       { seed: 9 },
     );
   });
--- a/src/controller/store/write-share.ts
+++ b/src/controller/store/write-share.ts
@@ -1,18 +1,23 @@
-/** How the controllers share the puts of the state service. */
-/** A controller's part in the state service's puts, as far as it is known. */
+/** How the controllers share the state store's rate of writes. */
+
+/** What a controller would write, as far as is known. */
 export interface WriteDemand {
   isLeader: boolean;
   /** Puts and deletes that it would make a second. */
   writesPerSecond: number;
 }
 
-/** Part of its even share that a controller counts for when it wants nothing: it may at any time. */
-const IDLE_RATIO = 0.15;
+/** Ratio of its fixed share for which an idle controller counts: it may want to write at any time. */
+const IDLE_WEIGHT_RATIO = 0.15;
 
 /**
- * Which share of the state service's puts a controller may use. By its role each has a fixed share;
- * those that have told of their wants lately share theirs among them in proportion. `null`: a
- * controller that is not heard of, which may use its fixed share in full.
+ * The share of the state store's writes that a controller may use, from 0 to 1. Each has a fixed share
+ * by its role: `followersShare` is split evenly among the followers, the leader has the rest. Those
+ * whose demands are known put their fixed shares together and split the sum by demand. A peer whose
+ * demand is unknown (`null`) may use its fixed share in full; so the shares never add up to more than
+ * 1, whoever has heard from whom.
+ *
+ * `writesPerSecondLimit`: the store's limit, by which shares are weighed against demands.
  */
 export function writeShare(
   own: WriteDemand,
@@ -20,49 +25,19 @@
   followersShare: number,
   writesPerSecondLimit: number,
 ): number {
-  const fixed = (part: WriteDemand): number => {
+  const fixedShare = ({ isLeader }: WriteDemand): number => {
     if (peers.length === 0) return 1;
-    return part.isLeader ? 1 - followersShare : followersShare / peers.length;
+    return isLeader ? 1 - followersShare : followersShare / peers.length;
   };
-  const weight = (part: WriteDemand): number =>
-    part.writesPerSecond + IDLE_RATIO * fixed(part) * writesPerSecondLimit;
-  let pool = fixed(own);
-  let weights = weight(own);
+  const weight = (demand: WriteDemand): number =>
+    demand.writesPerSecond + IDLE_WEIGHT_RATIO * fixedShare(demand) * writesPerSecondLimit;
+  const ownWeight = weight(own);
+  let pooledShare = fixedShare(own);
+  let totalWeight = ownWeight;
   for (const peer of peers) {
     if (peer === null) continue;
-    pool += fixed(peer);
-    weights += weight(peer);
-  }
-  return (Math.min(1, pool) * weight(own)) / weights;
-}
-
-/** A rate that follows what is counted over the last few seconds. */
-export class DecayingRate {
-  private decayedSum = 0;
-  private decayedAt: number;
-
-  constructor(
-    private readonly now: () => number,
-    private readonly timeConstantMs: number,
-  ) {
-    this.decayedAt = now();
-  }
-
-  /** Adds to what is counted. */
-  count(amount: number): void {
-    this.decay();
-    this.decayedSum += amount;
-  }
-
-  /** The rate now. */
-  get perSecond(): number {
-    this.decay();
-    return (this.decayedSum / this.timeConstantMs) * 1000;
-  }
-
-  private decay(): void {
-    const now = this.now();
-    this.decayedSum *= Math.exp((this.decayedAt - now) / this.timeConstantMs);
-    this.decayedAt = now;
+    pooledShare += fixedShare(peer);
+    totalWeight += weight(peer);
   }
+  return (Math.min(1, pooledShare) * ownWeight) / totalWeight;
 }
--- a/src/controller/workers/workers.test.ts
+++ b/src/controller/workers/workers.test.ts
@@ -290,7 +290,7 @@
     const asked: ((r: unknown) => void)[] = [];
     const ended: string[] = [];
     const client = {
-      requestTokens: { forceTake: () => undefined },
+      budget: { requestTokens: { forceTake: () => undefined } },
       read: (_key: string, _ms: number, done: (r: unknown) => void) => asked.push(done),
     } as unknown as StateStoreClient;
     const table = new JobTable(b.eventLoop, settings, client, immediateRecords(), {
