--- a/eslint.config.js
+++ b/eslint.config.js
@@ -58,5 +58,5 @@
       '@typescript-eslint/no-floating-promises': 'off',
     },
   },
-  { files: ['eslint.config.js'], ...tseslint.configs.disableTypeChecked },
+  { files: ['eslint.config.js', '.dependency-cruiser.mjs'], ...tseslint.configs.disableTypeChecked },
 );
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -4,10 +4,10 @@
  */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/job-table.js';
+import type { Machine } from '../model/entities.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
-import type { Machine } from '../workers/machine.js';
 import type { Workers } from '../workers/workers.js';
 import { ArrivalMonitor } from './arrival-monitor.js';
 import type { BootingMachines } from './booting-machines.js';
--- a/src/controller/fleet/headroom.test.ts
+++ b/src/controller/fleet/headroom.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { arraySpec } from '../../../test/fakes.js';
 import { plainType, settings } from '../../../test/fleet-fixture.js';
-import { Machine } from '../workers/machine.js';
+import { Machine } from '../model/entities.js';
 import { Headroom } from './headroom.js';
 
 describe('Headroom', () => {
--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -1,8 +1,8 @@
 /** Pre-provisioning: job classes seen lately should find free capacity for some more tasks. */
 import { isAllowed } from '../placement/capacity/machine-kind.js';
-import { resourceRequestOf, countFittingTasks } from '../placement/need.js';
+import { resourceRequestOf, countFittingTasks } from '../model/resource-request.js';
 import type { JobSpec } from '../wire/jobs.js';
-import type { Machine } from '../workers/machine.js';
+import type { Machine } from '../model/entities.js';
 import type { CapacityDemand } from './scale-out-plan.js';
 
 /** How much free capacity is kept per class, and for how long after its last job. */
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -2,7 +2,7 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { ListedMachine, MachineType } from '../wire/cloud.js';
-import type { Machine } from '../workers/machine.js';
+import type { Machine } from '../model/entities.js';
 import type { Workers } from '../workers/workers.js';
 import type { BootingMachines } from './booting-machines.js';
 import type { CloudClient } from './cloud-client.js';
--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -1,8 +1,11 @@
 /** Decides which machines to launch for tasks without capacity. Pure functions: no clock, no I/O. */
 import { type MachineKind, isAllowed } from '../placement/capacity/machine-kind.js';
-import { resourceRequestOf, countFittingTasks } from '../placement/need.js';
+import {
+  resourceRequestOf,
+  countFittingTasks,
+  type ResourceRequest,
+} from '../model/resource-request.js';
 import type { JobSpec } from '../wire/jobs.js';
-import type { ResourceRequest } from '../workers/assignment.js';
 
 /** Largest number of machines in one launch request. */
 const MAX_MACHINES_PER_LAUNCH = 50;
--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -1,8 +1,7 @@
 /** Early release of unresponsive machines, so that their service replicas can start elsewhere. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { Assignment } from '../workers/assignment.js';
-import type { Machine } from '../workers/machine.js';
+import type { Assignment, Machine } from '../model/entities.js';
 import type { Workers } from '../workers/workers.js';
 
 /** Timeout of a probe, as a ratio to the heartbeat interval. */
--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -3,8 +3,8 @@
 import { immediateRecords } from '../../../test/fake-records.js';
 import type { JobSpec } from '../wire/jobs.js';
 import { CompletionRecords } from './completion-records.js';
-import { Job } from './job.js';
-import { PendingTasks } from './pending.js';
+import { Job } from '../model/entities.js';
+import { PendingTasks } from '../model/pending-tasks.js';
 
 function job(id: string, tasks: number): Job {
   const spec: JobSpec = {
--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -1,6 +1,6 @@
 /** Which tasks are done, on record: a bit for each task, in records of a fixed number of tasks. */
 import type { RecordStore } from '../store/record-store.js';
-import type { Job } from './job.js';
+import type { Job } from '../model/entities.js';
 
 /** Tasks whose completion one record holds. */
 const TASKS_PER_RECORD = 8192;
--- a/src/controller/jobs/job-progress.ts
+++ b/src/controller/jobs/job-progress.ts
@@ -2,7 +2,7 @@
 import type { JobProgress } from '../peers/message.js';
 import type { JobStatus } from '../wire/jobs.js';
 import { BoundedMap } from './bounded-map.js';
-import type { Job } from './job.js';
+import type { Job } from '../model/entities.js';
 
 /** Jobs whose progress a controller remembers by default. */
 const MAX_JOBS = 20_000;
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -14,10 +14,7 @@
   terminalStateIn,
   type ActiveRecord,
 } from './job-records.js';
-import { Job } from './job.js';
-
-export { Job, priorityLevels, type GangReservation } from './job.js';
-export { PendingTasks } from './pending.js';
+import { Job } from '../model/entities.js';
 
 /** What the table tells the other parts of the leader. */
 export interface JobTableHooks {
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -1,6 +1,6 @@
 /** What was learned of classes of jobs, kept on record from one leader to the next. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../model/entities.js';
 import { DurationEstimator } from '../placement/estimates/duration-estimator.js';
 import { ClassHeadroom } from '../placement/headroom/class-headroom.js';
 import type { Settings } from '../settings/settings.js';
--- a/src/controller/workers/assignment.ts
+++ b/src/controller/model/entities.ts
@@ -1,15 +1,19 @@
-/** Assignments: tasks given to machines. */
-import type { Job } from '../jobs/job-table.js';
+/**
+ * Jobs, machines, and the assignments that connect them: the records that the leader keeps in memory.
+ * The three refer to each other. So that their modules don't, those of jobs and machines leave the type
+ * of assignments open, and it is filled in here.
+ */
 import { taskName, type ExitCause, type TaskState } from '../wire/workers.js';
-import type { Machine } from './machine.js';
-import type { RecordedTask } from './machine-record.js';
+import { JobState } from './job.js';
+import type { RecordedAssignment, RecordedJob } from './machine-record-size.js';
+import { MachineState } from './machine.js';
+import { resourceRequestOf } from './resource-request.js';
 
-/** What one task takes of a machine. */
-export interface ResourceRequest {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-}
+/** An unfinished job as its leader knows it. */
+export class Job extends JobState<Assignment> {}
+
+/** A machine, its agent's epoch and what is assigned to it. */
+export class Machine extends MachineState<Assignment> {}
 
 /** Why an assignment ended. `lost`: the machine or its session is gone, or the start never arrived. */
 export type AssignmentOutcome = ExitCause | 'lost' | 'unsent';
@@ -27,20 +31,14 @@
  * A task given to a machine's session. It counts as being there from the moment its record is on
  * its way to the state service until it is known to be gone.
  */
-export interface Assignment {
+export interface Assignment extends RecordedAssignment {
   /** The task's name at the worker. */
   readonly name: string;
-  readonly jobId: string;
   /** null: the job had ended before this leader took over. */
   readonly job: Job | null;
-  readonly team: string;
   readonly task: number;
-  readonly attempt: number;
   readonly machine: Machine;
   readonly agentEpoch: number;
-  readonly request: ResourceRequest;
-  readonly checkpointSaveS: number;
-  readonly assignedAt: number;
   /** `planned`: not on record yet. `recorded`: may be sent. `sent`: out. `seen`: in a report. */
   phase: 'planned' | 'recorded' | 'sent' | 'seen' | 'ended';
   state: TaskState | null;
@@ -82,7 +80,7 @@
     attempt,
     machine,
     agentEpoch: machine.agentEpoch,
-    request: { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb },
+    request: resourceRequestOf(spec),
     checkpointSaveS: spec.checkpointSaveS,
     assignedAt: now,
     phase: 'planned',
@@ -90,6 +88,14 @@
   };
 }
 
+/** A task on record, as the leader before has left it. */
+export interface RecordedTask extends RecordedJob {
+  attempt: number;
+  task: number;
+  /** Time of day at which it was assigned. */
+  assignedAtWallClock: number;
+}
+
 /** An assignment that an earlier leader has left on record: its start may have been sent. */
 export function restoreAssignment(
   recorded: RecordedTask,
--- a/src/controller/jobs/job.ts
+++ b/src/controller/model/job.ts
@@ -1,7 +1,7 @@
 /** One unfinished job: its tasks, its assignments and what is known for placing it. */
 import type { TerminalState, JobStatus, JobSpec, Priority } from '../wire/jobs.js';
-import type { Assignment } from '../workers/assignment.js';
-import { PendingTasks } from './pending.js';
+import type { TaskState } from '../wire/workers.js';
+import { PendingTasks } from './pending-tasks.js';
 
 /** Priorities as numbers; higher goes first. */
 export const priorityLevels: Record<Priority, number> = {
@@ -21,17 +21,22 @@
   searchedAt: number;
 }
 
-/** An unfinished job as its leader knows it. */
-export class Job {
+/** What a job asks of the assignments of its tasks. */
+interface TaskAssignment {
+  readonly state: TaskState | null;
+}
+
+/** An unfinished job as its leader knows it, with assignments of the type `TAssignment`. */
+export class JobState<TAssignment extends TaskAssignment> {
   readonly done: Uint8Array;
   readonly doneRecorded: Uint8Array;
   doneCount = 0;
   doneRecordedCount = 0;
   /** Tasks that are neither done nor assigned, lowest number last. */
   readonly pending: PendingTasks;
-  readonly currentAssignments = new Map<number, Assignment>();
+  readonly currentAssignments = new Map<number, TAssignment>();
   /** Every assignment of its tasks that is not forgotten, older attempts and ended ones too. */
-  readonly allAssignments = new Set<Assignment>();
+  readonly allAssignments = new Set<TAssignment>();
   /** Its answer may differ from what was last told. */
   progressChanged = true;
   /** Cancelled, or its end is being written: nothing of it may be placed. */
--- a/src/controller/workers/machine.ts
+++ b/src/controller/model/machine.ts
@@ -1,12 +1,17 @@
 /** Machines as the leader knows them. */
 import type { MachineType } from '../wire/cloud.js';
+import type { JobSpec } from '../wire/jobs.js';
 import type { Settings } from '../settings/settings.js';
-import type { Assignment } from './assignment.js';
 import { adjustCount } from './keyed-counts.js';
-import { MachineRecordSize } from './machine-record.js';
+import { MachineRecordSize, type RecordedAssignment } from './machine-record-size.js';
 
-/** A machine, its worker's session and what is assigned to it. */
-export class Machine {
+/** What a machine asks of the assignments to it. */
+interface MachineAssignment extends RecordedAssignment {
+  readonly job: { readonly spec: Pick<JobSpec, 'class'> } | null;
+}
+
+/** A machine, its agent's epoch and what is assigned to it, as assignments of the type `TAssignment`. */
+export class MachineState<TAssignment extends MachineAssignment> {
   addr = '';
   typeName = '';
   type: MachineType | null = null;
@@ -37,7 +42,7 @@
   leaseRenewedAt: number;
   /** When the cloud takes the machine, by its notice. */
   interruptionAt: number | null = null;
-  readonly assignments = new Map<string, Assignment>();
+  readonly assignments = new Map<string, TAssignment>();
   /** Raised to void old direct commands; see token.ts. */
   fencingEpoch = 0;
   /**
@@ -83,16 +88,16 @@
   }
 
   /** Takes the assignment's room. */
-  allocate(assignment: Assignment): void {
+  allocate(assignment: TAssignment): void {
     this.adjustUsage(assignment, 1);
   }
 
   /** Gives the assignment's room back. */
-  deallocate(assignment: Assignment): void {
+  deallocate(assignment: TAssignment): void {
     this.adjustUsage(assignment, -1);
   }
 
-  private adjustUsage({ request, job }: Assignment, sign: number): void {
+  private adjustUsage({ request, job }: TAssignment, sign: number): void {
     this.taskCount += sign;
     this.cpus += request.cpus * sign;
     this.gpus += request.gpus * sign;
--- a/src/controller/placement/need.ts
+++ b/src/controller/model/resource-request.ts
@@ -1,6 +1,12 @@
 /** Arithmetic of what tasks need and machines have: processors, GPUs and memory. */
 import type { JobSpec } from '../wire/jobs.js';
-import type { ResourceRequest } from '../workers/assignment.js';
+
+/** What one task takes of a machine. */
+export interface ResourceRequest {
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+}
 
 /** Amounts are decimals: sums of them may be off by this much. */
 export const AMOUNT_TOLERANCE = 1e-6;
--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -2,10 +2,9 @@
 import { describe, it } from 'node:test';
 import { standalonePlatform } from '../../../test/platform.js';
 import { arraySpec } from '../../../test/fakes.js';
-import { Job } from '../jobs/job-table.js';
+import { Job, Machine } from '../model/entities.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { Machine } from '../workers/machine.js';
 import { clusterView, type ClusterViewSource } from './cluster-view.js';
 
 const MACHINES = 4500;
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -1,11 +1,10 @@
 /** The cluster as its leader sees it, for a person. */
 import type { Fleet } from '../fleet/fleet.js';
-import type { Job } from '../jobs/job.js';
+import type { Job, Machine } from '../model/entities.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Placement } from '../placement/placement.js';
-import { countFitting } from '../placement/need.js';
+import { countFitting } from '../model/resource-request.js';
 import type { Settings } from '../settings/settings.js';
-import type { Machine } from '../workers/machine.js';
 import type { Workers } from '../workers/workers.js';
 import type { MachineType } from '../wire/cloud.js';
 
--- a/src/controller/operators/gauges.ts
+++ b/src/controller/operators/gauges.ts
@@ -1,6 +1,7 @@
 /** Sets the figures that are read off a controller's state when metrics are scraped. */
 import type { Fleet } from '../fleet/fleet.js';
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { JobTable } from '../jobs/job-table.js';
+import type { Job } from '../model/entities.js';
 import type { Placement } from '../placement/placement.js';
 import type { Workers } from '../workers/workers.js';
 import type { Metrics } from './metrics.js';
--- a/src/controller/placement/capacity/cluster-capacity.ts
+++ b/src/controller/placement/capacity/cluster-capacity.ts
@@ -1,6 +1,6 @@
 /** All machines as one placement pass sees them. */
 import type { JobSpec } from '../../wire/jobs.js';
-import type { Machine } from '../../workers/machine.js';
+import type { Machine } from '../../model/entities.js';
 import { isAllowed, type MachineKind } from './machine-kind.js';
 import { FreeCapacity } from './free-capacity.js';
 
--- a/src/controller/placement/capacity/free-capacity.ts
+++ b/src/controller/placement/capacity/free-capacity.ts
@@ -1,9 +1,12 @@
 /** A machine as a placement pass sees it: what is free, and who has claimed it. */
 import type { JobSpec } from '../../wire/jobs.js';
-import type { ResourceRequest } from '../../workers/assignment.js';
-import type { Machine } from '../../workers/machine.js';
-import type { RecordSpace } from '../../workers/machine-record.js';
-import { AMOUNT_TOLERANCE, countFittingTasks } from '../need.js';
+import {
+  AMOUNT_TOLERANCE,
+  countFittingTasks,
+  type ResourceRequest,
+} from '../../model/resource-request.js';
+import type { Machine } from '../../model/entities.js';
+import type { RecordSpace } from '../../model/machine-record-size.js';
 import type { MachineForecast } from './machine-forecast.js';
 
 /** Where the size of the machine's record is of no interest. */
--- a/src/controller/placement/capacity/hypothetical-capacity.ts
+++ b/src/controller/placement/capacity/hypothetical-capacity.ts
@@ -1,6 +1,5 @@
 /** Counting of what a machine would have free without some of its tasks. */
-import type { ResourceRequest } from '../../workers/assignment.js';
-import { AMOUNT_TOLERANCE } from '../need.js';
+import { AMOUNT_TOLERANCE, type ResourceRequest } from '../../model/resource-request.js';
 import type { FreeCapacity } from './free-capacity.js';
 
 /** What is free in a room as one thinks tasks away. One is used for all: nothing is allocated. */
--- a/src/controller/placement/capacity/machine-forecast.ts
+++ b/src/controller/placement/capacity/machine-forecast.ts
@@ -1,5 +1,5 @@
 /** What is to be expected of the tasks on one machine. */
-import type { Assignment } from '../../workers/assignment.js';
+import type { Assignment } from '../../model/entities.js';
 
 /** When a task should have left its machine by itself. */
 export interface ExpectedEnd {
--- a/src/controller/placement/capacity/schedulable-machines.ts
+++ b/src/controller/placement/capacity/schedulable-machines.ts
@@ -1,5 +1,5 @@
 /** Which machines tasks may be placed on. */
-import type { Machine } from '../../workers/machine.js';
+import type { Machine } from '../../model/entities.js';
 
 /** Tells whether a machine's worker is known to be there. */
 export interface WorkerLiveness {
--- a/src/controller/placement/capacity/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -1,5 +1,5 @@
 /** How a job's tasks may be divided among zones. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
 import type { JobSpec } from '../../wire/jobs.js';
 import type { ClusterCapacity } from './cluster-capacity.js';
 
--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -1,7 +1,6 @@
 /** Replicas of services that are moved from machines that go. */
-import type { Job } from '../../jobs/job-table.js';
-import type { Assignment, ResourceRequest } from '../../workers/assignment.js';
-import type { Machine } from '../../workers/machine.js';
+import type { Job, Assignment, Machine } from '../../model/entities.js';
+import type { ResourceRequest } from '../../model/resource-request.js';
 
 /** A replica that was stopped because another machine has a place ready for it. */
 interface Migration {
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -1,9 +1,7 @@
 /** How long runs and image fetches take. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job, Assignment, Machine } from '../../model/entities.js';
 import { isMap } from '../../wire/cbor.js';
 import type { JobSpec } from '../../wire/jobs.js';
-import type { Assignment } from '../../workers/assignment.js';
-import type { Machine } from '../../workers/machine.js';
 
 /** Weight of the newest run in what is known of a class. */
 const NEWEST_RUN_WEIGHT = 0.15;
--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -1,5 +1,5 @@
 /** When a job has to start at the latest to meet what is expected of it. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { DurationEstimator } from './duration-estimator.js';
 
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -1,9 +1,10 @@
 /** Room kept ahead for classes of large tasks. */
-import { priorityLevels, type Job } from '../../jobs/job-table.js';
+import { priorityLevels } from '../../model/job.js';
+import type { Job } from '../../model/entities.js';
 import { isMap } from '../../wire/cbor.js';
 import { readJobSpec, writeJobSpec, type JobSpec } from '../../wire/jobs.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
-import { resourceRequestOf, countFittingTasks } from '../need.js';
+import { resourceRequestOf, countFittingTasks } from '../../model/resource-request.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 import type { ClusterCapacity } from '../capacity/cluster-capacity.js';
 
--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -1,5 +1,5 @@
 /** What a placement pass remembers of searches without a result, so that none is made twice. */
-import type { ResourceRequest } from '../../workers/assignment.js';
+import type { ResourceRequest } from '../../model/resource-request.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** A search for machines where a task can start now. */
--- a/src/controller/placement/pass/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -1,6 +1,5 @@
 /** The state of one placement pass: its queue, its view of the machines, what it has found. */
-import type { Job } from '../../jobs/job-table.js';
-import type { Machine } from '../../workers/machine.js';
+import type { Job, Machine } from '../../model/entities.js';
 import { NegativeSearchCache } from './negative-search-cache.js';
 import { compareQueued, type QueuedJob } from './rank.js';
 import type { ClusterCapacity } from '../capacity/cluster-capacity.js';
--- a/src/controller/placement/placement.test.ts
+++ b/src/controller/placement/placement.test.ts
@@ -1,14 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
-import { Job } from '../jobs/job-table.js';
+import { Job, type Assignment, Machine } from '../model/entities.js';
 import type { JobSpec, Priority } from '../wire/jobs.js';
 import type { MachineType } from '../wire/cloud.js';
-import type { Assignment } from '../workers/assignment.js';
-import { Machine } from '../workers/machine.js';
 import { DurationEstimator } from './estimates/duration-estimator.js';
 import { compareRank, compareQueued, rankTime, queuedJob, type RankSettings } from './pass/rank.js';
-import { resourceRequestOf } from './need.js';
+import { resourceRequestOf } from '../model/resource-request.js';
 import { FreeCapacity } from './capacity/free-capacity.js';
 import { ReservationCandidateFinder } from './search/reservation-candidate-finder.js';
 import { Guarantees, TeamUsage } from '../workers/team-usage.js';
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -1,10 +1,10 @@
 /** Placement of what waits: the parts of a pass put together, and its beginning and end. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { JobTable } from '../jobs/job-table.js';
+import type { Job, Machine } from '../model/entities.js';
+import { recordCapacityBytes } from '../model/machine-record-size.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
-import type { Machine } from '../workers/machine.js';
-import { recordCapacityBytes } from '../workers/machine-record.js';
 import type { Workers } from '../workers/workers.js';
 import { IndependentTaskPlacer } from './placers/independent-task-placer.js';
 import { CandidateFinder } from './search/candidate-finder.js';
--- a/src/controller/placement/placers/blocked-reason.ts
+++ b/src/controller/placement/placers/blocked-reason.ts
@@ -1,5 +1,5 @@
 /** Why a job waits, as its users are told. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
 
 /** Sets why the job waits; empty: nothing is to be said. */
 export function setBlockedReason(job: Job, reason: string): void {
--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -1,5 +1,5 @@
 /** Placement of gangs: all tasks at once, or a reservation for them. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import { setBlockedReason } from './blocked-reason.js';
 import type { Candidate, CandidateFinder } from '../search/candidate-finder.js';
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -1,15 +1,16 @@
 /** Reservations of gangs that cannot start yet: kept on record until the gang starts or ends. */
 import type { EventLoop } from '../../runtime/event-loop.js';
-import type { GangReservation, Job, JobTable } from '../../jobs/job-table.js';
+import type { JobTable } from '../../jobs/job-table.js';
+import type { GangReservation } from '../../model/job.js';
+import type { Job, Assignment } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { RecordStore } from '../../store/record-store.js';
-import type { Assignment } from '../../workers/assignment.js';
 import { setBlockedReason } from './blocked-reason.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import { machinePenalty } from '../search/machine-penalty.js';
 import type { PlacementPass } from '../pass/placement-pass.js';
 import type { Preemptor } from '../preemption/preemptor.js';
-import { resourceRequestOf } from '../need.js';
+import { resourceRequestOf } from '../../model/resource-request.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 import type {
   ReservationCandidate,
--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -1,5 +1,5 @@
 /** Placement of tasks that start one by one: those of arrays, and replicas of services. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { CandidateFinder } from '../search/candidate-finder.js';
 import { machineKindsKey } from '../pass/negative-search-cache.js';
@@ -9,7 +9,7 @@
 import type { Preemptor } from '../preemption/preemptor.js';
 import type { QueuedJob } from '../pass/rank.js';
 import { spreadReplicas } from '../search/replica-spread.js';
-import { resourceRequestOf } from '../need.js';
+import { resourceRequestOf } from '../../model/resource-request.js';
 import type { ReservationCandidateFinder } from '../search/reservation-candidate-finder.js';
 import type { TaskStarter } from './task-starter.js';
 import type { TeamUsage } from '../../workers/team-usage.js';
--- a/src/controller/placement/placers/task-starter.ts
+++ b/src/controller/placement/placers/task-starter.ts
@@ -1,5 +1,5 @@
 /** Gives tasks to machines, under attempts that are unique over all time. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
 import type { Workers } from '../../workers/workers.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 
--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -1,7 +1,6 @@
 /** Which tasks may be stopped for a job, in which order, and what that loses. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job, Assignment } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
-import type { Assignment } from '../../workers/assignment.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import type { ExpectedEnd, MachineForecast } from '../capacity/machine-forecast.js';
 import type { TeamUsage } from '../../workers/team-usage.js';
--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -1,8 +1,7 @@
 /** Stopping of tasks for work that goes before them, and its limit. */
 import type { EventLoop } from '../../runtime/event-loop.js';
-import type { Job } from '../../jobs/job-table.js';
+import type { Job, Assignment } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
-import type { Assignment } from '../../workers/assignment.js';
 import type { Workers } from '../../workers/workers.js';
 
 /** Tasks that may be stopped within a lease whatever the share of all tasks is. */
--- a/src/controller/placement/reserve.test.ts
+++ b/src/controller/placement/reserve.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { Job } from '../jobs/job-table.js';
+import { Job } from '../model/entities.js';
 import { isList, isMap } from '../wire/cbor.js';
 import type { JobSpec } from '../wire/jobs.js';
 import { DurationEstimator } from './estimates/duration-estimator.js';
--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -1,13 +1,12 @@
 /** Machines where tasks of a job can start now. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
+import { resourceRequestOf, type ResourceRequest } from '../../model/resource-request.js';
+import { recordSpaceOf, type RecordSpace } from '../../model/machine-record-size.js';
 import type { Settings } from '../../settings/settings.js';
-import type { ResourceRequest } from '../../workers/assignment.js';
-import { recordSpaceOf, type RecordSpace } from '../../workers/machine-record.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import { machineKindsKey } from '../pass/negative-search-cache.js';
 import { machinePenalty } from './machine-penalty.js';
 import type { PlacementPass } from '../pass/placement-pass.js';
-import { resourceRequestOf } from '../need.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** A machine where tasks of a job can start now. */
--- a/src/controller/placement/search/machine-penalty.ts
+++ b/src/controller/placement/search/machine-penalty.ts
@@ -1,5 +1,5 @@
 /** Scoring of machines for a job, beside the fetch of its image. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** Work without GPUs on a machine that has some. */
--- a/src/controller/placement/search/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -1,5 +1,5 @@
 /** The order in which machines take replicas of a service. */
-import type { Job } from '../../jobs/job-table.js';
+import type { Job } from '../../model/entities.js';
 import type { Candidate } from './candidate-finder.js';
 
 /** A machine with room for replicas, and what decides between it and others. */
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -1,6 +1,6 @@
 /** Search for the machines that a job fills up, and for the work to stop for it. */
 import type { Settings } from '../../settings/settings.js';
-import type { Assignment } from '../../workers/assignment.js';
+import type { Assignment } from '../../model/entities.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 import {
--- a/src/controller/workers/agent-epochs.test.ts
+++ b/src/controller/workers/agent-epochs.test.ts
@@ -4,7 +4,7 @@
 import { FakeClock } from '../../../test/fakes.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { Machine } from './machine.js';
+import { Machine } from '../model/entities.js';
 import { AgentEpochs } from './agent-epochs.js';
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
--- a/src/controller/workers/agent-epochs.ts
+++ b/src/controller/workers/agent-epochs.ts
@@ -2,7 +2,7 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignments } from './assignments.js';
-import type { Machine } from './machine.js';
+import type { Machine } from '../model/entities.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /** What follows from the begin or end of an agent epoch. */
--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -2,12 +2,10 @@
 import { describe, it } from 'node:test';
 import { standalonePlatform } from '../../../test/platform.js';
 import { acceptedJob, FakeClock } from '../../../test/fakes.js';
-import type { Job } from '../jobs/job-table.js';
+import { type Job, type Assignment, Machine } from '../model/entities.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import type { Assignment } from './assignment.js';
 import { Assignments } from './assignments.js';
-import { Machine } from './machine.js';
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
 const ATTEMPT = 9;
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -1,17 +1,18 @@
 /** The life cycle of assignments: assigned, stopped, ended; and what follows for their jobs. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job, JobTable } from '../jobs/job-table.js';
-import type { TeamUsage } from './team-usage.js';
+import type { JobTable } from '../jobs/job-table.js';
 import {
+  type Job,
   planAssignment,
   restoreAssignment,
   type Assignment,
   type AssignmentOutcome,
-} from './assignment.js';
-import { adjustCount } from './keyed-counts.js';
+  type Machine,
+  type RecordedTask,
+} from '../model/entities.js';
+import type { TeamUsage } from './team-usage.js';
+import { adjustCount } from '../model/keyed-counts.js';
 import type { FailureTracker } from './failure-tracker.js';
-import type { Machine } from './machine.js';
-import type { RecordedTask } from './machine-record.js';
 
 /** What follows from changes of assignments. */
 export interface AssignmentEvents {
--- a/src/controller/workers/commands.test.ts
+++ b/src/controller/workers/commands.test.ts
@@ -5,8 +5,7 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { WorkerCommand } from '../wire/workers.js';
-import { planAssignment, type Assignment } from './assignment.js';
-import { Machine } from './machine.js';
+import { planAssignment, type Assignment, Machine } from '../model/entities.js';
 import { addCommand } from './commands.js';
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -6,9 +6,8 @@
 import type { Call, Reply } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { attemptKey, planAssignment, type Assignment } from './assignment.js';
+import { attemptKey, planAssignment, type Assignment, Machine } from '../model/entities.js';
 import { DirectCommands } from './direct-commands.js';
-import { Machine } from './machine.js';
 import { makeFencingToken } from './fencing-token.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
 
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -8,9 +8,8 @@
   type WorkerCommand,
   type Heartbeat,
 } from '../wire/workers.js';
-import { attemptKey, type Assignment } from './assignment.js';
+import { attemptKey, type Assignment, type Machine } from '../model/entities.js';
 import type { Liveness } from './liveness.js';
-import type { Machine } from './machine.js';
 import { startCommand, stopCommand } from './commands.js';
 import { termOfToken } from './fencing-token.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
--- a/src/controller/workers/failure-tracker.test.ts
+++ b/src/controller/workers/failure-tracker.test.ts
@@ -1,11 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { standalonePlatform } from '../../../test/platform.js';
-import type { Job } from '../jobs/job-table.js';
+import { type Job, Machine } from '../model/entities.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { FailureTracker } from './failure-tracker.js';
-import { Machine } from './machine.js';
 import { acceptedJob, FakeClock } from '../../../test/fakes.js';
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -1,9 +1,7 @@
 /** Failures of tasks: machines are quarantined for them, and jobs back off. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job } from '../jobs/job-table.js';
+import type { Job, AssignmentOutcome, Machine } from '../model/entities.js';
 import type { Settings } from '../settings/settings.js';
-import type { AssignmentOutcome } from './assignment.js';
-import type { Machine } from './machine.js';
 
 /**
  * Longest quarantine in worker leases: the machine may be the only one that fits a job, and no job may
--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -2,7 +2,7 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import { writeHeartbeatResponse, type Heartbeat } from '../wire/workers.js';
-import type { Machine } from './machine.js';
+import type { Machine } from '../model/entities.js';
 import { addCommand } from './commands.js';
 import type { Reconciliation, HeartbeatInProgress } from './reconciliation.js';
 import type { MachineRegistry } from './machine-registry.js';
--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -5,8 +5,7 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import { storedSize } from '../store/page-table.js';
-import type { Assignment } from './assignment.js';
-import { Machine } from './machine.js';
+import { type Assignment, Machine } from '../model/entities.js';
 import { decodeMachineRecord, encodeMachineRecord } from './machine-record.js';
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -2,7 +2,7 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
-import { Machine } from './machine.js';
+import { Machine } from '../model/entities.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /**
--- a/src/controller/workers/machine-store.test.ts
+++ b/src/controller/workers/machine-store.test.ts
@@ -7,9 +7,8 @@
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
-import { planAssignment, type Assignment } from './assignment.js';
+import { planAssignment, type Assignment, type Machine } from '../model/entities.js';
 import { imagesKey, machineKey, MachineStore } from './machine-store.js';
-import type { Machine } from './machine.js';
 import { MachineRegistry } from './machine-registry.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
 
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -2,9 +2,8 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore, WritePriority } from '../store/record-store.js';
-import type { Assignment } from './assignment.js';
-import type { Machine } from './machine.js';
-import { decodeMachineRecord, encodeMachineRecord, type RecordedTask } from './machine-record.js';
+import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
+import { decodeMachineRecord, encodeMachineRecord } from './machine-record.js';
 import type { MachineRegistry } from './machine-registry.js';
 
 const MACHINE_PREFIX = 'm/';
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -1,15 +1,14 @@
 /** Reconciles the tasks that a heartbeat lists with those that are assigned to the machine. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/job-table.js';
+import type { Assignment, Machine } from '../model/entities.js';
 import {
   parseTaskName,
   type WorkerCommand,
   type Heartbeat,
   type TaskStatus,
 } from '../wire/workers.js';
-import type { Assignment } from './assignment.js';
 import type { Assignments } from './assignments.js';
-import type { Machine } from './machine.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /** A heartbeat that is being handled, and the commands of its response. */
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -1,17 +1,16 @@
 /** The leader's state of the machines, and of every task that may be on one of them. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { JobTable } from '../jobs/job-table.js';
+import type { Job, Assignment, Machine } from '../model/entities.js';
 import { TeamUsage } from './team-usage.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { Heartbeat } from '../wire/workers.js';
-import type { Assignment } from './assignment.js';
 import { Assignments, type AssignmentEvents } from './assignments.js';
 import { DirectCommands, type DirectCommandEvents } from './direct-commands.js';
 import { FailureTracker } from './failure-tracker.js';
 import { Liveness } from './liveness.js';
-import type { Machine } from './machine.js';
 import { MachineStore, type MachineStoreEvents } from './machine-store.js';
 import { Reconciliation, type ReconciliationEvents } from './reconciliation.js';
 import { MachineRegistry } from './machine-registry.js';
--- a/test/fakes.ts
+++ b/test/fakes.ts
@@ -1,6 +1,6 @@
 /** Stand-ins for the unit tests of single modules. */
 import type { Runtime, Logger } from '../src/controller/runtime/runtime.js';
-import { Job } from '../src/controller/jobs/job-table.js';
+import { Job } from '../src/controller/model/entities.js';
 import type { JobSpec } from '../src/controller/wire/jobs.js';
 
 const ignore = (): void => undefined;
--- a/test/fleet-fixture.ts
+++ b/test/fleet-fixture.ts
@@ -4,7 +4,7 @@
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
 import type { MachineType } from '../src/controller/wire/cloud.js';
-import { Machine } from '../src/controller/workers/machine.js';
+import { Machine } from '../src/controller/model/entities.js';
 import { ManualRuntime, silentLogger } from './manual-runtime.js';
 import { standalonePlatform } from './platform.js';
 
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -26,7 +26,7 @@
 import { MachineStore } from '../src/controller/workers/machine-store.js';
 import { MachineRegistry } from '../src/controller/workers/machine-registry.js';
 import { FencingTokenSync } from '../src/controller/workers/fencing-token-sync.js';
-import { restoreAssignment } from '../src/controller/workers/assignment.js';
+import { restoreAssignment } from '../src/controller/model/entities.js';
 import { standalonePlatform } from './platform.js';
 import { digestScenarios } from './simulation/digest-scenarios.js';
 import { storedFormsOf, type StoredForms } from './simulation/stored-forms.js';
