--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -1,231 +1,304 @@
+/** The simulation finds what its rule checker catches: here each rule is violated once or more. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobSpec } from '../src/controller/wire/jobs.js';
+import { arraySpec } from './fakes.js';
 import type { FreeCapacity, Placement } from './simulation/rules/placement.js';
 import { RuleChecker } from './simulation/rules/rule-checker.js';
 
-// The simulation is worth what its checks catch: one violation of each rule.
-
-const spec: JobSpec = {
-  id: 'req-1',
-  class: 'train',
-  team: 'red',
-  kind: 'gang',
-  priority: 'normal',
-  tasks: 2,
-  cpus: 1,
-  gpus: 2,
-  memoryGb: 1,
-  image: 'i',
-  imageGb: 1,
-  types: ['big'],
-  zone: null,
-  singleZone: true,
-  spread: false,
-  spot: false,
-  estimatedRunS: 10,
-  checkpointIntervalS: 0,
-  checkpointSaveS: 0,
-  deadlineS: null,
-};
-const a: Placement = { machine: 'n-1', type: 'big', zone: 'a', spot: false };
-const free: FreeCapacity = {
+/** A gang of two tasks that needs a machine type, on demand, in one zone. */
+const gang: JobSpec = arraySpec({
+  ...{ id: 'req-1', class: 'train', team: 'red', kind: 'gang', gpus: 2 },
+  ...{ types: ['big'], singleZone: true, spot: false },
+});
+const placement: Placement = { machine: 'n-1', type: 'big', zone: 'a', spot: false };
+const freeMachine: FreeCapacity = {
   ...{ type: 'big', zone: 'a', spot: false, interruptionNotice: false },
   ...{ cpus: 16, gpus: 4, memoryGb: 128 },
 };
 const team = { name: 'red', guaranteedCpus: 0, guaranteedGpus: 0, maxCpus: 0, maxGpus: 4 };
+const CANCEL_MS = 45_000;
+const BOTH_TASKS = [0, 1];
 
-function broken(violate: (r: RuleChecker, time: { now: number }) => void): string[] {
+/** What a test does to a checker that knows of the gang's submission. */
+type Steps = (checker: RuleChecker, time: { now: number }) => void;
+
+/** The names of the rules that the checker finds violated. */
+function violatedRules(play: Steps): string[] {
   const time = { now: 0 };
-  const checker = new RuleChecker([team], 45_000, () => time.now);
-  checker.jobSubmitted(spec);
-  violate(checker, time);
-  return checker.violations.map((b) => b.split(' s ')[1]?.split(':')[0] ?? '');
+  const checker = new RuleChecker([team], CANCEL_MS, () => time.now);
+  checker.jobSubmitted(gang);
+  play(checker, time);
+  return checker.violations.map((text) => text.split(' s ')[1]?.split(':')[0] ?? '');
 }
 
-describe('planted violations', () => {
-  it('none on a clean life', () => {
-    const found = broken((r) => {
-      r.responseReceived('req-1', 201, 'pending', true);
-      for (const t of [0, 1]) r.taskStarted('req-1', t, a);
-      for (const t of [0, 1]) {
-        r.taskCompleted('req-1', t);
-        r.taskStopped('req-1', t, 'n-1');
-      }
-      r.responseReceived('req-1', 200, 'done', false);
-      r.tick();
-    });
-    assert.deepEqual(found, []);
-  });
+/** The user is told that the submission is accepted. */
+function accept(checker: RuleChecker, id = 'req-1'): void {
+  checker.responseReceived(id, 201, 'pending', true);
+}
 
-  it('none where a job waits for room that no machine has, or for its team', () => {
-    const waits = (room: FreeCapacity, use: (r: RuleChecker) => void = () => undefined): string[] =>
-      broken((r, time) => {
-        r.responseReceived('req-1', 201, 'pending', true);
-        use(r);
-        for (; time.now <= 200_000; time.now += 1000) r.checkWaitingJobs([room]);
-      });
-    assert.deepEqual(waits({ ...free, gpus: 3 }), []);
-    assert.deepEqual(waits({ ...free, type: 'small' }), []);
-    assert.deepEqual(waits({ ...free, spot: true }), []);
-    const other = (r: RuleChecker): void => {
-      r.jobSubmitted({ ...spec, id: 'req-2' });
-      r.taskStarted('req-2', 0, a);
-    };
-    assert.deepEqual(waits(free, other), []);
-  });
+/** The user cancels the gang, and is told that it is cancelled. */
+function cancel(checker: RuleChecker): void {
+  checker.cancelRequested('req-1');
+  checker.responseReceived('req-1', 200, 'aborted', false);
+}
+
+/** Checks every second until then that jobs don't wait beside free capacity. */
+function waitUntil(
+  checker: RuleChecker,
+  time: { now: number },
+  untilMs: number,
+  free: FreeCapacity,
+): void {
+  for (; time.now <= untilMs; time.now += 1000) checker.checkWaitingJobs([free]);
+}
 
-  it('none where an answer to a question from before arrives after a newer one', () => {
-    const found = broken((r) => {
-      const unknown = r.visibleState('req-1');
-      r.responseReceived('req-1', 201, 'pending', true);
-      r.responseReceived('req-1', 404, '', false, unknown);
-      const accepted = r.visibleState('req-1');
-      r.cancelRequested('req-1');
-      r.responseReceived('req-1', 200, 'aborted', false);
-      r.responseReceived('req-1', 200, 'running', false, accepted);
+describe('the rule checker finds no violation', () => {
+  it('when a job is accepted, runs and is done', () => {
+    const violated = violatedRules((checker) => {
+      accept(checker);
+      for (const task of BOTH_TASKS) checker.taskStarted('req-1', task, placement);
+      for (const task of BOTH_TASKS) {
+        checker.taskCompleted('req-1', task);
+        checker.taskStopped('req-1', task, 'n-1');
+      }
+      checker.responseReceived('req-1', 200, 'done', false);
+      checker.tick();
     });
-    assert.deepEqual(found, []);
+    assert.deepEqual(violated, []);
   });
 
-  const cases: [string, (r: RuleChecker, time: { now: number }) => void][] = [
-    [
-      'ran_twice',
-      (r) => {
-        r.taskStarted('req-1', 0, a);
-        r.taskStarted('req-1', 0, { ...a, machine: 'n-2' });
-      },
-    ],
-    [
-      'quota',
-      (r) => {
-        for (const t of [0, 1]) r.taskStarted('req-1', t, a);
-        r.jobSubmitted({ ...spec, id: 'req-2' });
-        r.taskStarted('req-2', 0, a);
-      },
-    ],
-    ['wrong_place', (r) => r.taskStarted('req-1', 0, { ...a, type: 'small' })],
-    ['wrong_place', (r) => r.taskStarted('req-1', 0, { ...a, spot: true })],
-    [
-      'wrong_place',
-      (r) => {
-        r.taskStarted('req-1', 0, a);
-        r.taskStarted('req-1', 1, { ...a, zone: 'b', machine: 'n-2' });
-      },
-    ],
-    [
-      'wrong_place',
-      (r) => {
-        r.jobSubmitted({ ...spec, id: 'req-2', singleZone: false, spread: true, gpus: 1 });
-        r.taskStarted('req-2', 0, a);
-        r.taskStarted('req-2', 1, a);
-      },
-    ],
-    [
-      'ran_cancelled',
-      (r, time) => {
-        r.taskStarted('req-1', 0, a);
-        r.cancelRequested('req-1');
-        r.responseReceived('req-1', 200, 'aborted', false);
-        time.now = 46_000;
-        r.tick();
-      },
-    ],
-    [
-      'forgotten',
-      (r) => {
-        r.responseReceived('req-1', 201, 'pending', true);
-        r.responseReceived('req-1', 404, '', false);
-      },
-    ],
-    [
-      'forgotten',
-      (r) => {
-        r.responseReceived('req-1', 201, 'pending', true);
-        r.responseReceived('req-1', 422, '', true);
-      },
-    ],
-    ['invented', (r) => r.responseReceived('req-9', 200, 'pending', false)],
-    ['not_done', (r) => r.responseReceived('req-1', 200, 'done', false)],
-    [
-      'went_back',
-      (r) => {
-        for (const t of [0, 1]) r.taskCompleted('req-1', t);
-        r.responseReceived('req-1', 200, 'done', false);
-        r.responseReceived('req-1', 200, 'running', false);
-      },
-    ],
-    ['went_back', (r) => r.responseReceived('req-1', 200, 'aborted', false)],
-    [
-      'forgotten',
-      (r, time) => {
-        r.responseReceived('req-1', 201, 'pending', true);
-        r.faultsEndedAt = time.now;
-        r.responseReceived('req-1', 503, '', false);
-        time.now = 76_000;
-        r.tick();
-      },
-    ],
-    [
-      'left_waiting',
-      (r, time) => {
-        r.responseReceived('req-1', 201, 'pending', true);
-        r.faultsEndedAt = time.now;
-        for (; time.now <= 91_000; time.now += 1000) r.checkWaitingJobs([free]);
-      },
-    ],
-    [
-      'left_waiting',
-      (r, time) => {
-        r.jobSubmitted({ ...spec, id: 'req-2', kind: 'service', tasks: 2, gpus: 1 });
-        r.responseReceived('req-2', 201, 'pending', true);
-        r.faultsEndedAt = time.now;
-        r.taskStarted('req-2', 0, a);
-        for (; time.now <= 31_000; time.now += 1000) r.checkWaitingJobs([free]);
-      },
-    ],
-    [
-      'forgotten',
-      (r, time) => {
-        r.responseReceived('req-1', 201, 'pending', true);
-        r.cancelRequested('req-1');
-        r.faultsEndedAt = time.now;
-        r.responseReceived('req-1', 503, '', false);
-        time.now = 76_000;
-        r.tick();
-      },
-    ],
-    [
-      'forgotten',
-      (r) => {
-        r.responseReceived('req-1', 201, 'pending', true);
-        const accepted = r.visibleState('req-1');
-        r.responseReceived('req-1', 404, '', false, accepted);
-      },
-    ],
-    [
-      'went_back',
-      (r) => {
-        r.cancelRequested('req-1');
-        r.responseReceived('req-1', 200, 'aborted', false);
-        const cancelled = r.visibleState('req-1');
-        r.responseReceived('req-1', 200, 'running', false, cancelled);
-      },
-    ],
+  const waitingReasons: [string, FreeCapacity, Steps][] = [
+    ['no machine has enough GPUs', { ...freeMachine, gpus: 3 }, () => undefined],
+    ['no machine has a type that it needs', { ...freeMachine, type: 'small' }, () => undefined],
+    ['all machines are spot instances', { ...freeMachine, spot: true }, () => undefined],
     [
-      'went_back',
-      (r) => {
-        const accepted = r.visibleState('req-1');
-        r.cancelRequested('req-1');
-        for (const t of [0, 1]) r.taskCompleted('req-1', t);
-        r.responseReceived('req-1', 200, 'done', false);
-        r.responseReceived('req-1', 200, 'aborted', false, accepted);
+      'its team is at its limit',
+      freeMachine,
+      (checker) => {
+        checker.jobSubmitted({ ...gang, id: 'req-2' });
+        checker.taskStarted('req-2', 0, placement);
       },
     ],
-    ['accepted_odd', (r) => r.invalidJobAccepted('req-odd-1')],
   ];
-  for (const [i, [rule, violate]] of cases.entries())
-    it(`${rule} is caught (${i})`, () => {
-      assert.ok(broken(violate).includes(rule));
+  for (const [reason, free, prepare] of waitingReasons)
+    it(`when a job waits because ${reason}`, () => {
+      const violated = violatedRules((checker, time) => {
+        accept(checker);
+        prepare(checker, time);
+        waitUntil(checker, time, 200_000, free);
+      });
+      assert.deepEqual(violated, []);
+    });
+
+  it('when the response to an earlier request arrives after a newer one', () => {
+    const violated = violatedRules((checker) => {
+      const unknown = checker.visibleState('req-1');
+      accept(checker);
+      checker.responseReceived('req-1', 404, '', false, unknown);
+      const accepted = checker.visibleState('req-1');
+      cancel(checker);
+      checker.responseReceived('req-1', 200, 'running', false, accepted);
     });
+    assert.deepEqual(violated, []);
+  });
 });
+
+/** A sequence of steps that violates a rule. */
+interface Violation {
+  rule: string;
+  when: string;
+  play: Steps;
+}
+
+const placementViolations: Violation[] = [
+  {
+    rule: 'ran_twice',
+    when: 'a task is on two machines',
+    play: (checker) => {
+      checker.taskStarted('req-1', 0, placement);
+      checker.taskStarted('req-1', 0, { ...placement, machine: 'n-2' });
+    },
+  },
+  {
+    rule: 'quota',
+    when: "tasks take more than their team's limit",
+    play: (checker) => {
+      for (const task of BOTH_TASKS) checker.taskStarted('req-1', task, placement);
+      checker.jobSubmitted({ ...gang, id: 'req-2' });
+      checker.taskStarted('req-2', 0, placement);
+    },
+  },
+  {
+    rule: 'wrong_place',
+    when: 'a task is on a machine of a type that its job does not allow',
+    play: (checker) => checker.taskStarted('req-1', 0, { ...placement, type: 'small' }),
+  },
+  {
+    rule: 'wrong_place',
+    when: 'a task that needs an on-demand machine is on a spot instance',
+    play: (checker) => checker.taskStarted('req-1', 0, { ...placement, spot: true }),
+  },
+  {
+    rule: 'wrong_place',
+    when: 'tasks that have to be in one zone are in two',
+    play: (checker) => {
+      checker.taskStarted('req-1', 0, placement);
+      checker.taskStarted('req-1', 1, { ...placement, zone: 'b', machine: 'n-2' });
+    },
+  },
+  {
+    rule: 'wrong_place',
+    when: 'tasks that have to be spread over zones are in one',
+    play: (checker) => {
+      checker.jobSubmitted({ ...gang, id: 'req-2', singleZone: false, spread: true, gpus: 1 });
+      for (const task of BOTH_TASKS) checker.taskStarted('req-2', task, placement);
+    },
+  },
+  {
+    rule: 'ran_cancelled',
+    when: 'a task runs on for longer than cancel_s after its cancellation was confirmed',
+    play: (checker, time) => {
+      checker.taskStarted('req-1', 0, placement);
+      cancel(checker);
+      time.now = CANCEL_MS + 1000;
+      checker.tick();
+    },
+  },
+];
+
+const responseViolations: Violation[] = [
+  {
+    rule: 'forgotten',
+    when: 'an accepted job is unknown to a later status query',
+    play: (checker) => {
+      accept(checker);
+      checker.responseReceived('req-1', 404, '', false);
+    },
+  },
+  {
+    rule: 'forgotten',
+    when: 'an accepted job is refused as its submission is retried',
+    play: (checker) => {
+      accept(checker);
+      checker.responseReceived('req-1', 422, '', true);
+    },
+  },
+  {
+    rule: 'forgotten',
+    when: 'a job that was accepted before the query was sent is unknown to it',
+    play: (checker) => {
+      accept(checker);
+      const accepted = checker.visibleState('req-1');
+      checker.responseReceived('req-1', 404, '', false, accepted);
+    },
+  },
+  {
+    rule: 'invented',
+    when: 'a job that nobody submitted has a state',
+    play: (checker) => checker.responseReceived('req-9', 200, 'pending', false),
+  },
+  {
+    rule: 'not_done',
+    when: 'a job is told to be done before its tasks are',
+    play: (checker) => checker.responseReceived('req-1', 200, 'done', false),
+  },
+  {
+    rule: 'went_back',
+    when: 'a job is running after it was done',
+    play: (checker) => {
+      for (const task of BOTH_TASKS) checker.taskCompleted('req-1', task);
+      checker.responseReceived('req-1', 200, 'done', false);
+      checker.responseReceived('req-1', 200, 'running', false);
+    },
+  },
+  {
+    rule: 'went_back',
+    when: 'a job is cancelled that nobody asked to cancel',
+    play: (checker) => checker.responseReceived('req-1', 200, 'aborted', false),
+  },
+  {
+    rule: 'went_back',
+    when: 'a job is running that was cancelled before the query was sent',
+    play: (checker) => {
+      cancel(checker);
+      const cancelled = checker.visibleState('req-1');
+      checker.responseReceived('req-1', 200, 'running', false, cancelled);
+    },
+  },
+  {
+    rule: 'went_back',
+    when: 'a job is done, and then cancelled in the response to an earlier request',
+    play: (checker) => {
+      const accepted = checker.visibleState('req-1');
+      checker.cancelRequested('req-1');
+      for (const task of BOTH_TASKS) checker.taskCompleted('req-1', task);
+      checker.responseReceived('req-1', 200, 'done', false);
+      checker.responseReceived('req-1', 200, 'aborted', false, accepted);
+    },
+  },
+  {
+    rule: 'accepted_odd',
+    when: 'a submission is accepted that is not valid',
+    play: (checker) => checker.invalidJobAccepted('req-odd-1'),
+  },
+];
+
+const neglectViolations: Violation[] = [
+  {
+    rule: 'forgotten',
+    when: 'an accepted job goes unanswered for long after the last fault',
+    play: (checker, time) => {
+      accept(checker);
+      checker.faultsEndedAt = time.now;
+      checker.responseReceived('req-1', 503, '', false);
+      time.now = 76_000;
+      checker.tick();
+    },
+  },
+  {
+    rule: 'forgotten',
+    when: 'a cancellation goes unanswered for long after the last fault',
+    play: (checker, time) => {
+      accept(checker);
+      checker.cancelRequested('req-1');
+      checker.faultsEndedAt = time.now;
+      checker.responseReceived('req-1', 503, '', false);
+      time.now = 76_000;
+      checker.tick();
+    },
+  },
+  {
+    rule: 'left_waiting',
+    when: 'a gang waits for long beside free capacity',
+    play: (checker, time) => {
+      accept(checker);
+      checker.faultsEndedAt = time.now;
+      waitUntil(checker, time, 91_000, freeMachine);
+    },
+  },
+  {
+    rule: 'left_waiting',
+    when: 'a service lacks a replica for long beside free capacity',
+    play: (checker, time) => {
+      checker.jobSubmitted({ ...gang, id: 'req-2', kind: 'service', tasks: 2, gpus: 1 });
+      accept(checker, 'req-2');
+      checker.faultsEndedAt = time.now;
+      checker.taskStarted('req-2', 0, placement);
+      waitUntil(checker, time, 31_000, freeMachine);
+    },
+  },
+];
+
+const violations: [string, Violation[]][] = [
+  ['of tasks on machines', placementViolations],
+  ['of what users are told', responseViolations],
+  ['of what is due to users once faults are over', neglectViolations],
+];
+for (const [subject, list] of violations)
+  describe(`the rule checker catches a violation ${subject}`, () => {
+    for (const { rule, when, play } of list)
+      it(`${rule}, when ${when}`, () => {
+        assert.ok(violatedRules(play).includes(rule));
+      });
+  });
