--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -7,7 +7,8 @@
 import type { Peers } from '../peers/peers.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
-import { decodeBody, WireError } from '../wire/cbor.js';
+import { decodeBody } from '../wire/cbor.js';
+import { WireError } from '../wire/fields.js';
 
 /** Where workers send their reports. */
 export const HEARTBEAT_PATH = '/v1/report';
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -124,7 +124,8 @@
   /** Launches machines. The caller has acquired the token. */
   launch(request: LaunchRequest, done: (result: LaunchResult) => void): void {
     const { name, kind, count } = request;
-    const body = writeLaunchRequest(name, kind.type.name, kind.zone, kind.spot, count);
+    const { type, zone, spot } = kind;
+    const body = writeLaunchRequest({ name, type: type.name, zone, spot, count });
     this.call('launch-response', 'POST', '/machines', body, (reply) =>
       done(this.launchResult(reply)),
     );
--- a/src/controller/jobs/job-records.ts
+++ b/src/controller/jobs/job-records.ts
@@ -1,6 +1,7 @@
 /** Keys and values of jobs in the state store, which every controller reads and writes. */
 import type { ReadResult } from '../store/results.js';
-import { isMap, WireError } from '../wire/cbor.js';
+import { isMap } from '../wire/cbor.js';
+import { WireError } from '../wire/fields.js';
 import { readJobSpec, writeJobSpec, type JobSpec, type TerminalState } from '../wire/jobs.js';
 import type { KeyValue } from '../wire/state.js';
 
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -1,7 +1,7 @@
 /** Users' submissions: checked, and recorded once however often they are retried. */
 import { storedSize } from '../store/page-table.js';
 import type { TransactionResult } from '../store/results.js';
-import { WireError } from '../wire/cbor.js';
+import { WireError } from '../wire/fields.js';
 import { readJobId, readJobSpec, writeJobStatus, type JobSpec } from '../wire/jobs.js';
 import { admit } from './admission.js';
 import type { ApiResponse, Respond } from './api-response.js';
--- /dev/null
+++ b/src/controller/wire/cbor.test.ts
@@ -0,0 +1,19 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { decodeBody, encodeBody } from './cbor.js';
+
+describe('decodeBody', () => {
+  const malformed: [string, Buffer][] = [
+    ['a second item', Buffer.concat([encodeBody({}), Buffer.from([0])])],
+    ['an incomplete map', Buffer.from([0xa1])],
+    ['NaN', Buffer.from('f97e00', 'hex')],
+    ['an empty body', Buffer.alloc(0)],
+  ];
+  for (const [what, bytes] of malformed)
+    it(`throws on ${what}`, () => assert.throws(() => decodeBody(bytes)));
+
+  it('keeps integers up to 2^64', () => {
+    const large = 2n ** 64n - 1n;
+    assert.deepEqual(decodeBody(encodeBody({ x: large })), { x: large });
+  });
+});
--- a/src/controller/wire/cloud.ts
+++ b/src/controller/wire/cloud.ts
@@ -1,30 +1,37 @@
-/** The cloud's protocol: machine types, the list of machines, renting and releasing. */
+/** The cloud's protocol: machine types, the machine list, launches and releases. */
+import { isMap, type Fields } from './cbor.js';
 import {
-  amount,
-  amountOrNull,
-  flagOrFalse,
-  isMap,
-  list,
-  text,
+  readAmount,
+  readList,
+  readOptionalAmount,
+  readOptionalBoolean,
+  readText,
+  readTexts,
+  requireMap,
   WireError,
-  type Fields,
-} from './cbor.js';
+} from './fields.js';
 
-/** A type of machine that can be rented. */
+/** A type of machine that the cloud offers. */
 export interface MachineType {
   name: string;
   cpus: number;
   gpus: number;
   memoryGb: number;
+  /** Disk space for images. */
   cacheGb: number;
+  /** Speed at which a machine fetches images. */
   fetchGbPerS: number;
+  /** Price per hour. */
   price: number;
+  /** Price per hour of a spot machine. */
   spotPrice: number;
+  /** Nominal time from the launch until the machine runs. */
   bootS: number;
+  /** The zones in which the type is offered. */
   zones: string[];
 }
 
-/** A rented machine as the cloud lists it. */
+/** A launched machine as the cloud lists it. */
 export interface ListedMachine {
   id: string;
   addr: string;
@@ -32,92 +39,114 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
+  /** Time since the launch was requested. */
   ageS: number;
 }
 
 /** Reads the machine types. */
 export function readCatalogue(body: unknown): MachineType[] {
-  if (!isMap(body)) throw new WireError('catalogue: expected a map');
-  return list(body, 'models').map((item) => {
-    if (!isMap(item)) throw new WireError('models: expected maps');
-    return {
-      name: text(item, 'name'),
-      cpus: amount(item, 'cores'),
-      gpus: amountOrNull(item, 'cards') ?? 0,
-      memoryGb: amount(item, 'mem_gb'),
-      cacheGb: amountOrNull(item, 'local_gb') ?? 0,
-      fetchGbPerS: amountOrNull(item, 'fetch_gb_per_s') ?? 0,
-      price: amountOrNull(item, 'hourly') ?? 0,
-      spotPrice: amountOrNull(item, 'market_price') ?? 0,
-      bootS: amountOrNull(item, 'boot_s') ?? 0,
-      zones: list(item, 'halls').map((zone) => {
-        if (typeof zone !== 'string') throw new WireError('halls: expected texts');
-        return zone;
-      }),
-    };
-  });
+  return readList(requireMap(body, 'catalogue'), 'models').map(readMachineType);
 }
 
-/** The catalogue as the controllers keep it at the state service: the cloud's own form. */
-export function writeCatalogue(types: MachineType[]): unknown {
+function readMachineType(item: unknown): MachineType {
+  const fields = requireMaps(item, 'models');
   return {
-    models: types.map((type) => ({
-      name: type.name,
-      cores: type.cpus,
-      cards: type.gpus,
-      mem_gb: type.memoryGb,
-      local_gb: type.cacheGb,
-      fetch_gb_per_s: type.fetchGbPerS,
-      hourly: type.price,
-      market_price: type.spotPrice,
-      boot_s: type.bootS,
-      halls: type.zones,
-    })),
+    name: readText(fields, 'name'),
+    cpus: readAmount(fields, 'cores'),
+    gpus: readOptionalAmount(fields, 'cards') ?? 0,
+    memoryGb: readAmount(fields, 'mem_gb'),
+    cacheGb: readOptionalAmount(fields, 'local_gb') ?? 0,
+    fetchGbPerS: readOptionalAmount(fields, 'fetch_gb_per_s') ?? 0,
+    price: readOptionalAmount(fields, 'hourly') ?? 0,
+    spotPrice: readOptionalAmount(fields, 'market_price') ?? 0,
+    bootS: readOptionalAmount(fields, 'boot_s') ?? 0,
+    zones: readTexts(fields, 'halls'),
   };
 }
 
-/** Reads one page of the list of machines. */
-export function readMachinePage(body: unknown): { machines: ListedMachine[]; more: boolean } {
-  if (!isMap(body)) throw new WireError('machines: expected a map');
-  const machines = list(body, 'kilns').map((item): ListedMachine => {
-    if (!isMap(item)) throw new WireError('kilns: expected maps');
-    const state = text(item, 'status');
-    if (state !== 'booting' && state !== 'running' && state !== 'failed')
-      throw new WireError('status: unknown machine state');
-    return {
-      id: text(item, 'id'),
-      addr: text(item, 'address'),
-      type: text(item, 'model'),
-      zone: text(item, 'hall'),
-      spot: flagOrFalse(item, 'loaners'),
-      state,
-      ageS: amount(item, 'age_s'),
-    };
-  });
-  return { machines, more: flagOrFalse(body, 'has_next') };
+/** The catalogue as the controllers store it at the state store: in the cloud's own form. */
+export function writeCatalogue(types: MachineType[]): Fields {
+  return { models: types.map(writeMachineType) };
 }
 
-/** Reads the ids of the machines that were rented. */
+function writeMachineType(type: MachineType): Fields {
+  return {
+    name: type.name,
+    cores: type.cpus,
+    cards: type.gpus,
+    mem_gb: type.memoryGb,
+    local_gb: type.cacheGb,
+    fetch_gb_per_s: type.fetchGbPerS,
+    hourly: type.price,
+    market_price: type.spotPrice,
+    boot_s: type.bootS,
+    halls: type.zones,
+  };
+}
+
+/** One page of the machine list. */
+export interface MachinePage {
+  machines: ListedMachine[];
+  /** Whether another page follows. */
+  more: boolean;
+}
+
+/** Reads one page of the machine list. */
+export function readMachinePage(body: unknown): MachinePage {
+  const fields = requireMap(body, 'machines');
+  return {
+    machines: readList(fields, 'kilns').map(readListedMachine),
+    more: readOptionalBoolean(fields, 'has_next'),
+  };
+}
+
+function readListedMachine(item: unknown): ListedMachine {
+  const fields = requireMaps(item, 'kilns');
+  return {
+    state: readMachineState(fields),
+    id: readText(fields, 'id'),
+    addr: readText(fields, 'address'),
+    type: readText(fields, 'model'),
+    zone: readText(fields, 'hall'),
+    spot: readOptionalBoolean(fields, 'loaners'),
+    ageS: readAmount(fields, 'age_s'),
+  };
+}
+
+function readMachineState(fields: Fields): ListedMachine['state'] {
+  const state = readText(fields, 'status');
+  if (state !== 'booting' && state !== 'running' && state !== 'failed')
+    throw new WireError('status: unknown machine state');
+  return state;
+}
+
+/** An item of the list `name` as a map. */
+function requireMaps(item: unknown, name: string): Fields {
+  if (!isMap(item)) throw new WireError(`${name}: expected maps`);
+  return item;
+}
+
+/** Reads the ids of the machines that were launched. */
 export function readLaunchedIds(body: unknown): string[] {
-  if (!isMap(body)) throw new WireError('rented: expected a map');
-  return list(body, 'kilns').map((id) => {
-    if (typeof id !== 'string') throw new WireError('kilns: expected texts');
-    return id;
-  });
+  return readTexts(requireMap(body, 'rented'), 'kilns');
+}
+
+/** Machines of one kind to launch. */
+export interface MachineLaunch {
+  /** A request with the same name launches nothing twice. */
+  name: string;
+  type: string;
+  zone: string;
+  spot: boolean;
+  count: number;
 }
 
-/** The request to rent machines; `name` makes its repeats harmless. */
-export function writeLaunchRequest(
-  name: string,
-  type: string,
-  zone: string,
-  spot: boolean,
-  count: number,
-): Fields {
+/** The body of a request to launch machines. */
+export function writeLaunchRequest({ name, type, zone, spot, count }: MachineLaunch): Fields {
   return { hire: name, model: type, hall: zone, loaners: spot, how_many: count };
 }
 
-/** The request to release machines. */
-export function writeReleaseRequest(machines: string[]): Fields {
-  return { kilns: machines };
+/** The body of a request to release machines. */
+export function writeReleaseRequest(machineIds: string[]): Fields {
+  return { kilns: machineIds };
 }
--- a/src/controller/wire/jobs.ts
+++ b/src/controller/wire/jobs.ts
@@ -1,26 +1,26 @@
-/** The users' protocol: submissions and answers about jobs. */
+/** The users' protocol: submissions, and what is told of jobs. */
+import { isMap, type Fields } from './cbor.js';
 import {
-  amount,
-  amountOrNull,
-  flag,
-  isMap,
-  smallInt,
-  text,
-  textsOrNull,
+  readAmount,
+  readBoolean,
+  readOptionalAmount,
+  readOptionalTexts,
+  readSmallInt,
+  readText,
+  requireMap,
   WireError,
-  type Fields,
-} from './cbor.js';
+} from './fields.js';
 
-/** `service`: tasks that run until their job is cancelled; each is replaced when it is lost. */
+/** `service`: replicas that run until the job is cancelled; each is replaced when it is lost. */
 export type JobKind = 'array' | 'gang' | 'service';
-/** How urgent a job is, the most urgent first. */
+/** Priority classes, the highest first. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
-/** What a user is told of a job. */
+/** State of a job as users see it. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
-/** How a job has ended. */
+/** State of a job that has ended; it never changes. */
 export type TerminalState = 'done' | 'cancelled';
 
-/** What a user asks for, in the field's terms. */
+/** A job as it was submitted. */
 export interface JobSpec {
   id: string;
   class: string;
@@ -28,29 +28,39 @@
   kind: JobKind;
   priority: Priority;
   tasks: number;
+  /** Resources of one task. */
   cpus: number;
   gpus: number;
   memoryGb: number;
   image: string;
   imageGb: number;
+  /** Machine types that the tasks may use, `null` for all. */
   types: string[] | null;
+  /** The only zone that the tasks may use, `null` for all. */
   zone: string | null;
+  /** All tasks have to run in one zone. */
   singleZone: boolean;
+  /** The tasks should be spread over zones. */
   spread: boolean;
+  /** The tasks may use spot machines. */
   spot: boolean;
+  /** The owner's estimate of how long a task runs. */
   estimatedRunS: number;
+  /** Time between two checkpoints, 0 if the tasks save none while they run. */
   checkpointIntervalS: number;
+  /** Time that a task takes to save a checkpoint when it is stopped, 0 if it saves none. */
   checkpointSaveS: number;
+  /** Time since the submission within which the job should end. */
   deadlineS: number | null;
 }
 
-/** Most tasks of a job. */
+/** Largest number of tasks of a job. */
 export const MAX_TASKS = 100_000;
-const ID = /^req-[0-9A-Za-z._-]{1,64}$/;
-const NAME_MAX = 200;
+const JOB_ID = /^req-[0-9A-Za-z._-]{1,64}$/;
+const MAX_NAME_LENGTH = 200;
 
-const kinds: Record<string, JobKind> = { batch: 'array', gang: 'gang', standing: 'service' };
-const priorities: Record<string, Priority> = {
+const kindsByName: Record<string, JobKind> = { batch: 'array', gang: 'gang', standing: 'service' };
+const prioritiesByName: Record<string, Priority> = {
   critical: 'production',
   high: 'high',
   normal: 'normal',
@@ -72,76 +82,77 @@
 
 /** Whether a text is a job's id. */
 export function isJobId(id: string): boolean {
-  return ID.test(id);
+  return JOB_ID.test(id);
 }
 
-function oneOf<Value>(table: Record<string, Value>, map: Fields, name: string): Value {
-  const word = text(map, name);
-  const found = Object.hasOwn(table, word) ? table[word] : undefined;
-  if (found === undefined) throw new WireError(`${name}: unknown value`);
-  return found;
+/** The value that `valuesByName` has for the text of the field. */
+function readOneOf<Value>(valuesByName: Record<string, Value>, map: Fields, field: string): Value {
+  const name = readText(map, field);
+  const value = Object.hasOwn(valuesByName, name) ? valuesByName[name] : undefined;
+  if (value === undefined) throw new WireError(`${field}: unknown value`);
+  return value;
 }
 
-function name(map: Fields, field: string): string {
-  const value = text(map, field);
-  if (value.length === 0 || value.length > NAME_MAX)
+function readName(map: Fields, field: string): string {
+  const value = readText(map, field);
+  if (value.length === 0 || value.length > MAX_NAME_LENGTH)
     throw new WireError(`${field}: length out of range`);
   return value;
 }
 
-/** Bounds that keep a job's record well below the size of a value at the state service. */
-const TYPES_MAX = 64;
-const TYPE_NAME_MAX = 64;
+/** Bounds that keep a job's record well below the largest value of the state store. */
+const MAX_TYPES = 64;
+const MAX_TYPE_NAME_LENGTH = 64;
 
-function typeNames(map: Fields): string[] | null {
-  const names = textsOrNull(map, 'models');
+function readTypeNames(map: Fields): string[] | null {
+  const names = readOptionalTexts(map, 'models');
   if (
     names !== null &&
-    (names.length > TYPES_MAX || names.some(({ length }) => length > TYPE_NAME_MAX))
+    (names.length > MAX_TYPES || names.some(({ length }) => length > MAX_TYPE_NAME_LENGTH))
   )
     throw new WireError('models: too many or too long');
   return names;
 }
 
-/** The id that a submission names, whatever else is wrong with it. */
+/** The id of a submission whose other fields may be wrong, `null` if it has no valid id. */
 export function readJobId(body: unknown): string | null {
   const id = isMap(body) ? body['id'] : null;
   return typeof id === 'string' && isJobId(id) ? id : null;
 }
 
-/** Reads a submission; throws a WireError that names the field at fault. */
+/** Reads a submission. Throws a `WireError` that names the field at fault. */
 export function readJobSpec(body: unknown): JobSpec {
-  if (!isMap(body)) throw new WireError('body: expected a map');
-  const id = text(body, 'id');
+  const fields = requireMap(body, 'body');
+  const id = readText(fields, 'id');
   if (!isJobId(id)) throw new WireError('id: not a job id');
-  const kind = oneOf(kinds, body, 'shape');
-  const estimateS = amount(body, 'expect_s');
+  const kind = readOneOf(kindsByName, fields, 'shape');
+  const estimateS = readAmount(fields, 'expect_s');
   if (estimateS === 0 && kind !== 'service') throw new WireError('expect_s: must not be 0');
   return {
     id,
-    class: name(body, 'shift'),
-    team: name(body, 'crew'),
+    class: readName(fields, 'shift'),
+    team: readName(fields, 'crew'),
     kind,
-    priority: oneOf(priorities, body, 'urgency'),
-    tasks: smallInt(body, 'duties', 1, MAX_TASKS),
-    cpus: amount(body, 'cores'),
-    gpus: amount(body, 'cards'),
-    memoryGb: amount(body, 'mem_gb'),
-    image: name(body, 'recipe'),
-    imageGb: amount(body, 'pull_gb'),
-    types: typeNames(body),
-    zone: body['hall'] == null ? null : name(body, 'hall'),
-    singleZone: flag(body, 'same_place'),
-    spread: flag(body, 'scatter'),
-    spot: flag(body, 'loaners'),
+    priority: readOneOf(prioritiesByName, fields, 'urgency'),
+    tasks: readSmallInt(fields, 'duties', 1, MAX_TASKS),
+    cpus: readAmount(fields, 'cores'),
+    gpus: readAmount(fields, 'cards'),
+    memoryGb: readAmount(fields, 'mem_gb'),
+    image: readName(fields, 'recipe'),
+    imageGb: readAmount(fields, 'pull_gb'),
+    types: readTypeNames(fields),
+    zone: fields['hall'] == null ? null : readName(fields, 'hall'),
+    singleZone: readBoolean(fields, 'same_place'),
+    spread: readBoolean(fields, 'scatter'),
+    spot: readBoolean(fields, 'loaners'),
     estimatedRunS: estimateS,
-    checkpointIntervalS: amount(body, 'bookmark_s'),
-    checkpointSaveS: amount(body, 'stow_s'),
-    deadlineS: amountOrNull(body, 'due_s'),
+    checkpointIntervalS: readAmount(fields, 'bookmark_s'),
+    checkpointSaveS: readAmount(fields, 'stow_s'),
+    deadlineS: readOptionalAmount(fields, 'due_s'),
   };
 }
 
-/** A job in the form of a submission. */
+/** A job in the form of a submission, which is also the form of its record. */
 export function writeJobSpec(spec: JobSpec): Fields {
   return {
     id: spec.id,
@@ -167,25 +178,27 @@
   };
 }
 
-/** What is told of a job. */
+/** What users are told of a job. Counts are absent where the node does not know them. */
 export interface JobStatus {
   id: string;
   state: JobState;
+  /** Tasks that are done. */
   done?: number;
+  /** Tasks that are running. */
   running?: number;
-  /** Exits so far by cause. */
+  /** Task exits so far, by cause. */
   exits?: Record<string, number>;
-  /** Why a gang has not been able to fill its hold. */
+  /** Why a gang has not been able to fill its reservation. */
   blocked?: string;
 }
 
-/** The body of an answer about a job. */
-export function writeJobStatus(answer: JobStatus): Fields {
-  const out: Fields = { id: answer.id, status: stateNames[answer.state] };
-  if (answer.done !== undefined) out['done'] = answer.done;
-  if (answer.running !== undefined) out['running'] = answer.running;
-  if (answer.exits !== undefined && Object.keys(answer.exits).length > 0)
-    out['exits'] = answer.exits;
-  if (answer.blocked !== undefined) out['blocked'] = answer.blocked;
-  return out;
+/** The body of a response about a job. */
+export function writeJobStatus(status: JobStatus): Fields {
+  const fields: Fields = { id: status.id, status: stateNames[status.state] };
+  if (status.done !== undefined) fields['done'] = status.done;
+  if (status.running !== undefined) fields['running'] = status.running;
+  if (status.exits !== undefined && Object.keys(status.exits).length > 0)
+    fields['exits'] = status.exits;
+  if (status.blocked !== undefined) fields['blocked'] = status.blocked;
+  return fields;
 }
--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -1,101 +1,127 @@
-/** The protocol of the state service: keys, transactions, leases and watches. */
-import { isMap, list, smallInt, text, flagOrFalse, WireError, type Fields } from './cbor.js';
+/** The protocol of the state store: keys, transactions, leases and watches. */
+import { isMap, type Fields } from './cbor.js';
+import {
+  readList,
+  readOptionalBoolean,
+  readSmallInt,
+  readText,
+  readTexts,
+  requireMap,
+} from './fields.js';
 
-/** A key has this version; 0: it does not exist. */
+/** A condition of a compare-and-swap transaction: the key has this version, or does not exist for 0. */
 export interface Condition {
   key: string;
   version: number;
 }
 
-/** A change of one key; a put may bind it to a lease. */
+/** A write to one key. A put may bind the key to a lease, with which it is deleted. */
 export type Write = { put: string; value: unknown; lease?: number } | { delete: string };
 
-/** A key with its value. */
+/** A key with its value and the version of the last write. */
 export interface KeyValue {
   key: string;
   value: unknown;
   version: number;
 }
 
-/** A change that a watch tells of. */
+/** A change of a key that a watch reports. */
 export type WatchEvent =
   { kind: 'put'; key: string; value: unknown; version: number } | { kind: 'delete'; key: string };
 
+/** Revisions, versions and lease ids stay far below 2^53 in the life of any deployment. */
 const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
 
-function fields(body: unknown): Fields {
-  if (!isMap(body)) throw new WireError('state: expected a map');
-  return body;
+function fieldsOf(body: unknown): Fields {
+  return requireMap(body, 'state');
 }
 
-/** Revisions of the state service; far below 2^53 in any life of a deployment. */
+/** Reads the revision of the state store at which a response was made. */
 export function readRevision(body: unknown): number {
-  return smallInt(fields(body), 'ledger', 0, MAX_INTEGER);
+  return readSmallInt(fieldsOf(body), 'ledger', 0, MAX_INTEGER);
 }
 
 /** Reads one key. */
 export function readKeyValue(body: unknown): KeyValue {
-  const map = fields(body);
+  const map = fieldsOf(body);
   return {
-    key: text(map, 'k'),
+    key: readText(map, 'k'),
     value: map['value'],
-    version: smallInt(map, 'stamp', 0, MAX_INTEGER),
+    version: readSmallInt(map, 'stamp', 0, MAX_INTEGER),
   };
 }
 
-/** Reads one page of keys. */
-export function readRange(body: unknown): { items: KeyValue[]; more: boolean; revision: number } {
-  const map = fields(body);
+/** One page of the keys of a range. */
+export interface RangePage {
+  items: KeyValue[];
+  /** Whether another page follows. */
+  more: boolean;
+  revision: number;
+}
+
+/** Reads one page of a range. */
+export function readRange(body: unknown): RangePage {
+  const map = fieldsOf(body);
   return {
-    items: list(map, 'entries').map(readKeyValue),
-    more: flagOrFalse(map, 'has_next'),
-    revision: smallInt(map, 'ledger', 0, MAX_INTEGER),
+    items: readList(map, 'entries').map(readKeyValue),
+    more: readOptionalBoolean(map, 'has_next'),
+    revision: readSmallInt(map, 'ledger', 0, MAX_INTEGER),
   };
 }
 
-/** Reads the keys whose conditions failed. */
+/** Reads the keys whose conditions did not hold. */
 export function readFailedKeys(body: unknown): string[] {
-  return list(fields(body), 'failed').map((key) => {
-    if (typeof key !== 'string') throw new WireError('failed: expected texts');
-    return key;
-  });
+  return readTexts(fieldsOf(body), 'failed');
 }
 
-/** Of the answers with 400, the one that tells of an ended lease. */
+/** Whether a response with status 400 says that the lease does not exist any more. */
 export function isLeaseNotFound(body: unknown): boolean {
   return isMap(body) && body['error'] === 'no such lease';
 }
 
 /** Reads the id of a lease. */
 export function readLeaseId(body: unknown): number {
-  return smallInt(fields(body), 'permit', 0, MAX_INTEGER);
-}
-
-/** Reads the changes that a watch tells of. */
-export function readWatchEvents(body: unknown): { events: WatchEvent[]; revision: number } {
-  const map = fields(body);
-  const events = list(map, 'log').map((item): WatchEvent => {
-    const event = fields(item);
-    if (typeof event['delete'] === 'string') return { kind: 'delete', key: event['delete'] };
-    return {
-      kind: 'put',
-      key: text(event, 'set'),
-      value: event['value'],
-      version: smallInt(event, 'stamp', 0, MAX_INTEGER),
-    };
-  });
-  return { events, revision: smallInt(map, 'ledger', 0, MAX_INTEGER) };
-}
-
-/** The body of a transaction. */
-export function writeTransaction(conditions: Condition[], writes: Write[]): Fields {
+  return readSmallInt(fieldsOf(body), 'permit', 0, MAX_INTEGER);
+}
+
+/** The changes that one response to a watch reports, up to a revision. */
+export interface WatchEvents {
+  events: WatchEvent[];
+  revision: number;
+}
+
+/** Reads a response to a watch. */
+export function readWatchEvents(body: unknown): WatchEvents {
+  const map = fieldsOf(body);
+  return {
+    events: readList(map, 'log').map(readWatchEvent),
+    revision: readSmallInt(map, 'ledger', 0, MAX_INTEGER),
+  };
+}
+
+function readWatchEvent(item: unknown): WatchEvent {
+  const fields = fieldsOf(item);
+  if (typeof fields['delete'] === 'string') return { kind: 'delete', key: fields['delete'] };
   return {
-    if: conditions.map(({ key, version }) => ({ k: key, stamp: version })),
-    writes: writes.map((write) => {
-      if ('delete' in write) return { delete: write.delete };
-      const put: Fields = { set: write.put, value: write.value };
-      if (write.lease !== undefined) put['permit'] = write.lease;
-      return put;
-    }),
+    kind: 'put',
+    key: readText(fields, 'set'),
+    value: fields['value'],
+    version: readSmallInt(fields, 'stamp', 0, MAX_INTEGER),
   };
 }
+
+/** The body of a compare-and-swap transaction. */
+export function writeTransaction(conditions: Condition[], writes: Write[]): Fields {
+  return { if: conditions.map(writeCondition), writes: writes.map(writeWrite) };
+}
+
+function writeCondition({ key, version }: Condition): Fields {
+  return { k: key, stamp: version };
+}
+
+function writeWrite(write: Write): Fields {
+  if ('delete' in write) return { delete: write.delete };
+  const put: Fields = { set: write.put, value: write.value };
+  if (write.lease !== undefined) put['permit'] = write.lease;
+  return put;
+}
--- a/src/controller/wire/workers.ts
+++ b/src/controller/wire/workers.ts
@@ -1,21 +1,21 @@
-/** The workers' protocol: reports, orders and direct commands. */
+/** The workers' protocol: heartbeats, the commands in their responses, and direct commands. */
+import { isMap, type Fields } from './cbor.js';
 import {
-  amountOrNull,
-  flagOrFalse,
-  int,
-  isMap,
-  list,
-  smallInt,
-  text,
+  readInt,
+  readList,
+  readOptionalAmount,
+  readOptionalBoolean,
+  readSmallInt,
+  readText,
+  requireMap,
   WireError,
-  type Fields,
   type Int,
-} from './cbor.js';
+} from './fields.js';
 import { MAX_TASKS } from './jobs.js';
 
 /** State of a task on its machine. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-/** Why a task has exited. */
+/** Why a task has exited. The names are also those in responses to users. */
 export type ExitCause =
   | 'done'
   | 'stopped'
@@ -25,34 +25,41 @@
   | 'no_room'
   | 'busy'
   | 'unknown'
-  /** A cause of a later version of the protocol; treated like an unexplained exit. */
+  /** A cause that this version does not know; treated like an unexplained exit. */
   | 'other';
 
-/** What a worker tells of one task. */
+/** State of one task in a heartbeat. */
 export interface TaskStatus {
-  /** `job/number`, as `splitTask` takes it apart. */
+  /** `job/number`; see `parseTaskName`. */
   name: string;
   attempt: Int;
   state: TaskState;
+  /** `null` until the task has exited. */
   cause: ExitCause | null;
+  /** The task has exited and saved a checkpoint. */
   checkpointSaved: boolean;
 }
 
-/** What a worker tells of itself and its tasks. */
+/** A heartbeat: what a worker tells of itself and its tasks. */
 export interface Heartbeat {
+  /** Id of the machine. */
   machine: string;
   addr: string;
   type: string;
   zone: string;
   spot: boolean;
+  /** Epoch of the worker's agent: once it has advanced, tasks of earlier epochs are gone (invariant 5). */
   agentEpoch: number;
+  /** Increases with each heartbeat of the epoch. */
   sequence: Int;
+  /** The highest fencing token that the worker has seen (invariant 6). */
   fencingToken: Int;
+  /** Time until the spot machine is interrupted, `null` without a notice. */
   spotNoticeS: number | null;
   tasks: TaskStatus[];
 }
 
-/** What a worker is to do with a task. */
+/** What a worker is to do with a task. `name` is the task's name. */
 export type WorkerCommand =
   | { op: 'start' | 'forget'; name: string; attempt: Int }
   | { op: 'stop'; name: string; attempt: Int; graceS: number };
@@ -76,12 +83,12 @@
 ]);
 const commandVerbs = { start: 'run', stop: 'stop', forget: 'clear' } as const;
 
-/** The name of a task among the workers. */
+/** The name of a task towards the workers. */
 export function taskName(job: string, task: number): string {
   return `${job}/${task}`;
 }
 
-/** Throws on what is no task's name. */
+/** The job and number in a task's name. Throws a `WireError` on any other text. */
 export function parseTaskName(name: string): { job: string; task: number } {
   const slash = name.lastIndexOf('/');
   const digits = name.slice(slash + 1);
@@ -91,33 +98,33 @@
   return { job: name.slice(0, slash), task };
 }
 
-/** Reads a worker's report. */
+/** Reads a heartbeat. */
 export function readHeartbeat(body: unknown): Heartbeat {
-  if (!isMap(body)) throw new WireError('report: expected a map');
+  const fields = requireMap(body, 'report');
   return {
-    machine: text(body, 'kiln'),
-    addr: text(body, 'address'),
-    type: text(body, 'model'),
-    zone: text(body, 'hall'),
-    spot: flagOrFalse(body, 'loaners'),
-    agentEpoch: smallInt(body, 'tenure', 0, Number.MAX_SAFE_INTEGER),
-    sequence: int(body, 'tally'),
-    fencingToken: int(body, 'baton'),
-    spotNoticeS: amountOrNull(body, 'recall_s'),
-    tasks: list(body, 'duties').map(readTaskStatus),
+    machine: readText(fields, 'kiln'),
+    addr: readText(fields, 'address'),
+    type: readText(fields, 'model'),
+    zone: readText(fields, 'hall'),
+    spot: readOptionalBoolean(fields, 'loaners'),
+    agentEpoch: readSmallInt(fields, 'tenure', 0, Number.MAX_SAFE_INTEGER),
+    sequence: readInt(fields, 'tally'),
+    fencingToken: readInt(fields, 'baton'),
+    spotNoticeS: readOptionalAmount(fields, 'recall_s'),
+    tasks: readList(fields, 'duties').map(readTaskStatus),
   };
 }
 
 function readTaskStatus(item: unknown): TaskStatus {
   if (!isMap(item)) throw new WireError('duties: expected maps');
-  const state = taskStates.get(text(item, 'status'));
+  const state = taskStates.get(readText(item, 'status'));
   if (state === undefined) throw new WireError('status: unknown task state');
   return {
-    name: text(item, 'duty'),
-    attempt: int(item, 'try'),
+    name: readText(item, 'duty'),
+    attempt: readInt(item, 'try'),
     state,
-    cause: state === 'exited' ? (exitCauses.get(text(item, 'cause')) ?? 'other') : null,
-    checkpointSaved: state === 'exited' && flagOrFalse(item, 'saved'),
+    cause: state === 'exited' ? (exitCauses.get(readText(item, 'cause')) ?? 'other') : null,
+    checkpointSaved: state === 'exited' && readOptionalBoolean(item, 'saved'),
   };
 }
 
@@ -131,16 +138,16 @@
   return fields;
 }
 
-/** The answer to a report. */
-export function writeHeartbeatResponse(fencingToken: number, orders: WorkerCommand[]): Fields {
-  return { baton: fencingToken, orders: orders.map(writeCommand) };
+/** The response to a heartbeat. */
+export function writeHeartbeatResponse(fencingToken: number, commands: WorkerCommand[]): Fields {
+  return { baton: fencingToken, orders: commands.map(writeCommand) };
 }
 
-/** A command that is sent to a worker without a report. */
+/** Commands that are sent to a worker without waiting for its heartbeat (invariant 6). */
 export function writeDirectCommands(
   fencingToken: number,
   agentEpoch: number,
-  orders: WorkerCommand[],
+  commands: WorkerCommand[],
 ): Fields {
-  return { baton: fencingToken, tenure: agentEpoch, orders: orders.map(writeCommand) };
+  return { baton: fencingToken, tenure: agentEpoch, orders: commands.map(writeCommand) };
 }
