--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -1,3 +1,4 @@
+/** A scenario is worth what it catches: controllers with an injected bug violate a rule in it. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Controller } from '../src/controller/controller.js';
@@ -11,23 +12,23 @@
 import { failoverScenarios } from './simulation/scenarios/failover-scenarios.js';
 import { presentVersion, type ProgramVersion } from './simulation/program-version.js';
 
-// A day of the table is worth what it catches: controllers with a injected bug break a rule on it.
-
-function named(part: string): FaultScenario {
-  const table = [...faultScenarios, ...failoverScenarios, ...responseScenarios];
-  const m = table.find((x) => x.name.includes(part));
-  assert.ok(m, part);
-  return m;
+/** The scenario whose name contains the text. */
+function scenarioNamed(part: string): FaultScenario {
+  const scenarios = [...faultScenarios, ...failoverScenarios, ...responseScenarios];
+  const scenario = scenarios.find(({ name }) => name.includes(part));
+  assert.ok(scenario, part);
+  return scenario;
 }
 
-type Request = Parameters<Controller['request']>;
+type RequestArguments = Parameters<Controller['request']>;
+type Response = Parameters<RequestArguments[3]>[0];
 
-/** How long the faulty controller remembers its answers. */
-const REMEMBERED_MS = 1000;
+/** How long the buggy controller caches its responses. */
+const CACHE_MS = 1000;
 
-/** Answers a poll from memory for a moment, whatever other nodes have told since. */
+/** Responds to status queries from a cache for a while, whatever other controllers have told since. */
 class CachingController extends Controller {
-  private readonly answers = new Map<string, { at: number; answer: Parameters<Request[3]>[0] }>();
+  private readonly cache = new Map<string, { at: number; response: Response }>();
   private readonly runtime: Runtime;
 
   constructor(...parts: ConstructorParameters<typeof Controller>) {
@@ -35,65 +36,66 @@
     [this.runtime] = parts;
   }
 
-  override request(...[method, path, bytes, respond]: Request): void {
-    const known = this.answers.get(path);
+  override request(...[method, path, bytes, respond]: RequestArguments): void {
+    const cached = this.cache.get(path);
     const now = this.runtime.now();
-    if (method === 'GET' && known !== undefined && now - known.at < REMEMBERED_MS)
-      return respond(known.answer);
-    super.request(method, path, bytes, (answer) => {
-      if (method === 'GET' && answer.status === 200) this.answers.set(path, { at: now, answer });
-      respond(answer);
+    if (method === 'GET' && cached !== undefined && now - cached.at < CACHE_MS)
+      return respond(cached.response);
+    super.request(method, path, bytes, (response) => {
+      if (method === 'GET' && response.status === 200) this.cache.set(path, { at: now, response });
+      respond(response);
     });
   }
 }
 
-interface Report {
+/** The part of a heartbeat that tells how new it is, by the names on the wire. */
+interface HeartbeatOrder {
   kiln: string;
   tenure: number;
   tally: number;
   baton: number;
 }
 
-/** Takes every report for the newest, and for one that shows the leader's own term. */
+/** Takes every heartbeat for the newest, and for one that shows the leader's own term. */
 class StaleHeartbeatController extends Controller {
-  private readonly newest = new Map<string, Report>();
+  private readonly newest = new Map<string, HeartbeatOrder>();
 
-  override request(...[method, path, bytes, respond]: Request): void {
+  override request(...[method, path, bytes, respond]: RequestArguments): void {
     if (path !== '/v1/report') return super.request(method, path, bytes, respond);
-    const report = decodeBody(bytes) as Report;
-    const last = this.newest.get(report.kiln);
+    const heartbeat = decodeBody(bytes) as HeartbeatOrder;
+    const last = this.newest.get(heartbeat.kiln);
     if (last !== undefined) {
-      report.tenure = Math.max(report.tenure, last.tenure);
-      report.tally = Math.max(report.tally, last.tally + 1);
-      report.baton = Math.max(report.baton, last.baton);
+      heartbeat.tenure = Math.max(heartbeat.tenure, last.tenure);
+      heartbeat.tally = Math.max(heartbeat.tally, last.tally + 1);
+      heartbeat.baton = Math.max(heartbeat.baton, last.baton);
     }
-    this.newest.set(report.kiln, report);
-    super.request(method, path, encodeBody(report), respond);
+    this.newest.set(heartbeat.kiln, heartbeat);
+    super.request(method, path, encodeBody(heartbeat), respond);
   }
 }
 
-function withController(buggy: typeof Controller): ProgramVersion {
-  return { ...presentVersion(), Controller: buggy };
+/** The present version with another controller. */
+function versionWith(BuggyController: typeof Controller): ProgramVersion {
+  return { ...presentVersion(), Controller: BuggyController };
 }
 
-describe('planted faults in the code under test', () => {
+describe('an injected bug', () => {
   // Without its bound a leader renews workers for as long as its lease is renewed.
-  it('a leader that answers on a view of any age', () => {
+  it('violates ran_cancelled if a leader serves workers on a job watch of any staleness', () => {
     const version = presentVersion({ ...defaultProperties(), 'workers.view.ratio': 1000 });
-    assert.throws(() => playScenario(named('whose watches do not'), 1, version), /ran_cancelled/);
+    const scenario = scenarioNamed('whose watches do not');
+    assert.throws(() => playScenario(scenario, 1, version), /ran_cancelled/);
   });
 
-  for (const day of ['right after each answer', 'whose answers alone are lost'])
-    it(`a node that remembers its answers, where ${day}`, () => {
-      const version = withController(CachingController);
-      assert.throws(() => playScenario(named(day), 1, version), /went_back/);
+  for (const part of ['right after each answer', 'whose answers alone are lost'])
+    it(`violates went_back if a controller caches its responses, in "${part}"`, () => {
+      const version = versionWith(CachingController);
+      assert.throws(() => playScenario(scenarioNamed(part), 1, version), /went_back/);
     });
 
-  it('a leader that believes reports of any age', () => {
-    const day = named('which arrive 4 s after');
-    assert.throws(
-      () => playScenario(day, 1, withController(StaleHeartbeatController)),
-      /ran_twice|quota/,
-    );
+  it('violates ran_twice or quota if a leader accepts heartbeats of any age', () => {
+    const version = versionWith(StaleHeartbeatController);
+    const scenario = scenarioNamed('which arrive 4 s after');
+    assert.throws(() => playScenario(scenario, 1, version), /ran_twice|quota/);
   });
 });
