--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -1,64 +1,64 @@
-/** The leader's table of jobs: how they become known, are done and end. */
+/** The leader's table of jobs: how they become known, progress and end. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
+import { Job } from '../model/entities.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { TerminalState } from '../wire/jobs.js';
 import type { ExitCause } from '../wire/workers.js';
 import { CompletionRecords } from './completion-records.js';
-import {
-  activeKey,
-  readActiveRecord,
-  terminalKey,
-  terminalRecord,
-  terminalStateIn,
-  type ActiveRecord,
-} from './job-records.js';
-import { Job } from '../model/entities.js';
+import { JobEndRecorder } from './job-end-recorder.js';
+import { readActiveRecord, type ActiveRecord } from './job-records.js';
 
 /** What the table tells the other parts of the leader. */
 export interface JobTableHooks {
-  /** The leader before has left only parts of a gang. */
-  onIncompleteGang(job: Job): void;
-  /** The job has ended somehow: nothing of it should run. */
-  onRecordRemoved(job: Job): void;
-  /** The job has ended: its tasks must go from their machines. */
-  onJobTerminated(job: Job): void;
   /** A job became known to this leader. */
   onJobAdded(job: Job): void;
-  /** Something became placeable. */
+  /** Tasks wait to be placed that did not before. */
   onTasksPending(): void;
-  /** Completion of this task is on record. */
+  /** Only some members of the gang were running under the leader before: all have to stop. */
+  onIncompleteGang(job: Job): void;
+  /** The completion of this task is on record. */
   onCompletionRecorded(job: Job, task: number): void;
-  /** A job's end is known. */
+  /** The job has ended, it is not known yet how: its tasks have to stop. */
+  onRecordRemoved(job: Job): void;
+  /** The job's terminal state is known; called before `onJobTerminated`. */
   onTerminalState(id: string, state: TerminalState): void;
+  /** The job has left the table: its tasks have to leave their machines. */
+  onJobTerminated(job: Job): void;
 }
 
-/** Waits before an end that could not be read is looked for again. */
-const FIND_END_RETRY_MS = 200;
-const FIND_END_RETRY_DOWN_MS = 1000;
-
-/** The leader's jobs: all that have not ended. */
+/** The leader's jobs: all that are active. */
 export class JobTable {
+  /** By id. */
   readonly jobs = new Map<string, Job>();
   private readonly completions: CompletionRecords;
+  private readonly ends: JobEndRecorder;
 
   constructor(
     private readonly eventLoop: EventLoop,
-    private readonly settings: Settings,
-    private readonly client: StateStoreClient,
-    private readonly records: RecordStore,
+    settings: Settings,
+    client: StateStoreClient,
+    records: RecordStore,
     private readonly hooks: JobTableHooks,
   ) {
     this.completions = new CompletionRecords(records, (job, task) =>
       hooks.onCompletionRecorded(job, task),
     );
+    this.ends = new JobEndRecorder(eventLoop, settings, client, records, (job, state) =>
+      this.terminate(job, state),
+    );
   }
 
-  /** A live record, read at takeover or seen in the watch. */
+  // ---- becoming known
+
+  /**
+   * Adds a job by its active record, which was read during recovery or seen by the watch. A
+   * malformed record is logged and left out.
+   */
   add(id: string, value: unknown, version: number): void {
     if (this.jobs.has(id)) return;
-    const job = this.readRecord(id, value, version);
+    const job = this.readJob(id, value, version);
     if (job === null) return;
     this.jobs.set(id, job);
     this.hooks.onJobAdded(job);
@@ -70,7 +70,7 @@
     this.hooks.onTasksPending();
   }
 
-  private readRecord(id: string, value: unknown, version: number): Job | null {
+  private readJob(id: string, value: unknown, version: number): Job | null {
     let record: ActiveRecord;
     try {
       record = readActiveRecord(value);
@@ -84,65 +84,42 @@
     return new Job(record.spec, now - ageMs, version, now);
   }
 
-  /** What the leaders before have recorded as done, read at takeover. */
+  /** Takes in the completions that the leaders before have recorded. */
   loadCompletions(): void {
     this.completions.load(this.jobs);
   }
 
-  /** After all has been read: what is left to place, and jobs that only lack their end. */
+  /**
+   * Called once completions and assignments of the leaders before are loaded: finds out which tasks
+   * are left to place, and ends jobs that only lack their terminal record.
+   */
   finishRecovery(): void {
     for (const job of this.jobs.values()) {
       job.pending.retain((task) => job.done[task] !== 1 && !job.currentAssignments.has(task));
-      // A gang of which some parts are still about starts again as a whole once they are gone.
-      if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) {
-        const attempts = new Set(
-          [...job.currentAssignments.values()].map((assignment) => assignment.attempt),
-        );
-        if (job.pending.length > 0 || attempts.size > 1) this.hooks.onIncompleteGang(job);
-        job.pending.retain(() => false);
-      }
-      if (job.isComplete) this.writeEnd(job);
+      if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) this.recoverGang(job);
+      if (job.isComplete) this.ends.recordDone(job);
     }
   }
 
-  /**
-   * The live record is gone and this leader did not remove it. Most likely its user has cancelled
-   * it; but a leader that has been replaced without knowing it yet sees the same when its successor
-   * finishes the job. So the tasks are stopped, and how the job ended is read, never guessed.
-   */
-  handleRecordRemoved(id: string): void {
-    const job = this.jobs.get(id);
-    if (job === undefined || job.endPending) return;
-    job.endPending = true;
-    job.recordRemoved = true;
-    this.hooks.onRecordRemoved(job);
-    this.readEnd(job);
-  }
-
-  /** The job is known to have been cancelled. */
-  markCancelled(id: string): void {
-    const job = this.jobs.get(id);
-    if (job !== undefined) this.terminate(job, 'cancelled');
-  }
-
-  private terminate(job: Job, state: TerminalState): void {
-    if (job.terminalState !== null) return;
-    job.terminalState = state;
+  /** A gang of which only some members are left starts again as a whole once those are gone. */
+  private recoverGang(job: Job): void {
+    const assignments = [...job.currentAssignments.values()];
+    const attempts = new Set(assignments.map(({ attempt }) => attempt));
+    if (job.pending.length > 0 || attempts.size > 1) this.hooks.onIncompleteGang(job);
     job.pending.retain(() => false);
-    job.reservation = null;
-    this.jobs.delete(job.spec.id);
-    this.completions.remove(job);
-    this.eventLoop.log.info({ job: job.spec.id, state, exits: job.exitCounts }, 'job ended');
-    this.hooks.onTerminalState(job.spec.id, state);
-    this.hooks.onJobTerminated(job);
   }
 
-  /** An attempt of one of its tasks has ended so. */
+  // ---- progress
+
+  /** Counts an attempt of one of the job's tasks that has ended for this cause. */
   countExit(job: Job, cause: ExitCause | 'lost'): void {
     job.exitCounts[cause] = (job.exitCounts[cause] ?? 0) + 1;
   }
 
-  /** A report shows the task done. It may be cleared once that is on record. */
+  /**
+   * Notes that a heartbeat shows the task as done. The worker may be told to clear it only once
+   * that is on record (invariant 4). Has no effect for replicas of services, which are never done.
+   */
   markDone(job: Job, task: number): void {
     if (job.terminalState !== null || job.isService || job.done[task] === 1) return;
     job.done[task] = 1;
@@ -150,69 +127,59 @@
     job.progressChanged = true;
     job.pending.remove(task);
     if (job.isComplete) {
+      // The terminal record tells all.
       this.completions.discard(job);
-      this.writeEnd(job);
-      return;
+      this.ends.recordDone(job);
+    } else {
+      this.completions.add(job, task);
     }
-    this.completions.add(job, task);
   }
 
-  /** The task is on no machine and not done. */
+  /** Has a task placed again that is on no machine, unless it is done or pending already. */
   putBack(job: Job, task: number): void {
     if (job.terminalState !== null || job.done[task] === 1) return;
-    // Twice in the list would be twice on machines.
+    // Pending twice would be running twice.
     if (job.currentAssignments.has(task) || job.pending.has(task)) return;
     if (job.pending.length === 0) job.waitingSince = this.eventLoop.now();
     job.pending.push(task);
     this.hooks.onTasksPending();
   }
 
-  /** Once a batch: writes the completions of the batch. */
+  /** Writes the completions noted since the last call; called once a batch of events. */
   flushCompletions(): void {
     this.completions.flush();
   }
 
-  /** Replaces the live record by the final one, in one step, unless a cancellation came first. */
-  private writeEnd(job: Job): void {
-    if (job.endPending || job.terminalState !== null) return;
+  // ---- end
+
+  /**
+   * The watch has seen the job's active record go, and this leader did not remove it. Most likely a
+   * user has cancelled the job, but a successor of this leader may have finished it.
+   */
+  handleRecordRemoved(id: string): void {
+    const job = this.jobs.get(id);
+    if (job === undefined || job.endPending) return;
     job.endPending = true;
-    const { id } = job.spec;
-    this.records.transact(
-      [
-        { key: activeKey(id), version: job.recordVersion },
-        { key: terminalKey(id), version: 0 },
-      ],
-      [
-        { delete: activeKey(id) },
-        {
-          put: terminalKey(id),
-          value: terminalRecord('done', Math.round(this.eventLoop.runtime.wallClock())),
-        },
-      ],
-      (result) => {
-        if (result === 'ok') this.terminate(job, 'done');
-        else this.readEnd(job);
-      },
-    );
+    job.recordRemoved = true;
+    this.hooks.onRecordRemoved(job);
+    this.ends.readEnd(job);
   }
 
-  private readEnd(job: Job): void {
-    this.client.budget.requestTokens.forceTake();
-    this.client.read(terminalKey(job.spec.id), this.settings.leaderLeaseMs / 4, (got) => {
-      if (job.terminalState !== null) return;
-      const state = terminalStateIn(got);
-      if (state !== null) this.terminate(job, state);
-      else this.retryEndLater(job);
-    });
+  /** A node has confirmed that the job was cancelled. */
+  markCancelled(id: string): void {
+    const job = this.jobs.get(id);
+    if (job !== undefined) this.terminate(job, 'cancelled');
   }
 
-  private retryEndLater(job: Job): void {
-    const delayMs = this.client.health.isUnavailable ? FIND_END_RETRY_DOWN_MS : FIND_END_RETRY_MS;
-    this.eventLoop.after(delayMs, 'find-end', () => {
-      if (job.terminalState !== null) return;
-      if (job.recordRemoved) return this.readEnd(job);
-      job.endPending = false;
-      this.writeEnd(job);
-    });
+  private terminate(job: Job, state: TerminalState): void {
+    if (job.terminalState !== null) return;
+    job.terminalState = state;
+    job.pending.retain(() => false);
+    job.reservation = null;
+    this.jobs.delete(job.spec.id);
+    this.completions.remove(job);
+    this.eventLoop.log.info({ job: job.spec.id, state, exits: job.exitCounts }, 'job ended');
+    this.hooks.onTerminalState(job.spec.id, state);
+    this.hooks.onJobTerminated(job);
   }
 }
