--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -136,7 +136,7 @@
   }
 
   /** Has a task placed again that is on no machine, unless it is done or pending already. */
-  putBack(job: Job, task: number): void {
+  requeue(job: Job, task: number): void {
     if (job.terminalState !== null || job.done[task] === 1) return;
     // Pending twice would be running twice.
     if (job.currentAssignments.has(task) || job.pending.has(task)) return;
--- a/src/controller/model/job.ts
+++ b/src/controller/model/job.ts
@@ -14,7 +14,7 @@
 /** Machines that a waiting gang fills up. */
 export interface GangReservation {
   machines: string[];
-  since: number;
+  reservedAt: number;
   fillAt: number;
   /** When the gang could run there, images included. */
   readyAt: number;
--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -34,7 +34,7 @@
       const job = new Job(arraySpec({ id, kind: i % 2 === 0 ? 'gang' : 'service' }), 0, 1, 0);
       if (i % 2 === 0)
         job.reservation = {
-          ...{ machines: names.slice(0, 30), since: 0, searchedAt: 0 },
+          ...{ machines: names.slice(0, 30), reservedAt: 0, searchedAt: 0 },
           ...{ fillAt: Infinity, readyAt: Infinity },
         };
       jobs.set(id, job);
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -124,7 +124,7 @@
     job: job.spec.id,
     class: job.spec.class,
     ...namesView(job.reservation?.machines ?? []),
-    held_s: -(seconds(job.reservation?.since ?? source.now) ?? 0),
+    held_s: -(seconds(job.reservation?.reservedAt ?? source.now) ?? 0),
     fills_in_s: seconds(job.reservation?.fillAt ?? Infinity),
     blocked: job.blockedReason,
   }));
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -69,7 +69,7 @@
       else {
         job.reservation = {
           machines: value.map(String),
-          since: eventLoop.now(),
+          reservedAt: eventLoop.now(),
           fillAt: Infinity,
           readyAt: Infinity,
           searchedAt: -Infinity,
@@ -186,8 +186,8 @@
     const machines = found.capacities.map((capacity) => capacity.machine.id);
     if (job.reservation?.machines.join() !== machines.join())
       records.set(reservationKey(job.spec.id), machines, 'lazy');
-    const since = job.reservation?.since ?? pass.now;
-    job.reservation = { machines, since, fillAt, readyAt, searchedAt: pass.now };
+    const since = job.reservation?.reservedAt ?? pass.now;
+    job.reservation = { machines, reservedAt: since, fillAt, readyAt, searchedAt: pass.now };
     eventLoop.log.debug(
       {
         job: job.spec.id,
--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -24,7 +24,7 @@
       {
         jobs,
         markDone: (_, task) => this.told.push(`done ${task}`),
-        putBack: (_, task) => this.told.push(`put back ${task}`),
+        requeue: (_, task) => this.told.push(`put back ${task}`),
         countExit: (_, cause) => this.told.push(`exit ${cause}`),
       },
       { add: (_team, _need, count) => (this.teamTasks += count) },
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -35,7 +35,7 @@
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
-    private readonly table: Pick<JobTable, 'jobs' | 'markDone' | 'putBack' | 'countExit'>,
+    private readonly table: Pick<JobTable, 'jobs' | 'markDone' | 'requeue' | 'countExit'>,
     private readonly teams: Pick<TeamUsage, 'add'>,
     private readonly failures: Pick<FailureTracker, 'recordFailure' | 'recordSuccess'>,
     private readonly events: AssignmentEvents,
@@ -167,7 +167,7 @@
     this.eventLoop.log.info({ job: job.spec.id, task, machine: machine.id, outcome }, 'task ended');
     this.failures.recordFailure(machine, job, outcome);
     if (job.spec.kind === 'gang') this.gangLostMember(job);
-    else if (!job.currentAssignments.has(task)) this.table.putBack(job, task);
+    else if (!job.currentAssignments.has(task)) this.table.requeue(job, task);
   }
 
   /** Stops the other members of the gang; if there are none, the gang restarts at once. */
@@ -190,7 +190,7 @@
     )
       return;
     job.gangRestarting = false;
-    for (let task = job.spec.tasks - 1; task >= 0; task--) this.table.putBack(job, task);
+    for (let task = job.spec.tasks - 1; task >= 0; task--) this.table.requeue(job, task);
   }
 
   /** Counts the task as being on its machine. */
