--- /dev/null
+++ b/test/pages.test.ts
@@ -0,0 +1,66 @@
+/** The pages for developers name files and members of the code: what they name has to be there. */
+import assert from 'node:assert/strict';
+import { execFileSync } from 'node:child_process';
+import { existsSync, readFileSync } from 'node:fs';
+import { dirname, join } from 'node:path';
+import { fileURLToPath } from 'node:url';
+import { describe, it } from 'node:test';
+
+const root = fileURLToPath(new URL('../', import.meta.url));
+
+/** Pages that describe the present code; results and incidents tell of the code of their day. */
+const PAGES = [
+  'README.md',
+  'docs/architecture.md',
+  'docs/design.md',
+  'docs/glossary.md',
+  'docs/operations.md',
+];
+
+/** Directories that the pages leave out where a path is clear without them. */
+const PREFIXES = ['', 'src/', 'src/controller/', 'test/', 'test/simulation/'];
+
+const SOURCE_PATH = /`([\w./-]+\.(?:ts|mjs))`/g;
+const MEMBER = /`([A-Z]\w+)\.([a-z]\w+)`/g;
+const LINK = /\]\(([\w./-]+)\)/g;
+
+function matchesIn(page: string, pattern: RegExp): RegExpMatchArray[] {
+  return [...readFileSync(join(root, page), 'utf8').matchAll(pattern)];
+}
+
+/** All source and test files, relative to the root, as they are in the working tree. */
+function sourceFiles(): string[] {
+  return execFileSync('find', ['src', 'test', '-name', '*.ts'], { cwd: root, encoding: 'utf8' })
+    .trim()
+    .split('\n');
+}
+
+describe('the pages for developers', () => {
+  const files = sourceFiles();
+  const sources = files.map((file) => readFileSync(join(root, file), 'utf8'));
+
+  for (const page of PAGES) {
+    it(`names only files that exist: ${page}`, () => {
+      for (const [, path = ''] of matchesIn(page, SOURCE_PATH)) {
+        const exists = path.includes('/')
+          ? PREFIXES.some((prefix) => existsSync(join(root, prefix + path)))
+          : existsSync(join(root, path)) || files.some((file) => file.endsWith(`/${path}`));
+        assert.ok(exists, `${page} names ${path}`);
+      }
+    });
+
+    it(`names only members that exist: ${page}`, () => {
+      for (const [, type = '', member = ''] of matchesIn(page, MEMBER)) {
+        const declaration = new RegExp(`(class|interface|type|const) ${type}\\b`);
+        const declaring = sources.filter((source) => declaration.test(source));
+        const used = declaring.some((source) => new RegExp(`\\b${member}\\b`).test(source));
+        assert.ok(used, `${page} names ${type}.${member}`);
+      }
+    });
+
+    it(`links only to pages that exist: ${page}`, () => {
+      for (const [, target = ''] of matchesIn(page, LINK))
+        assert.ok(existsSync(join(root, dirname(page), target)), `${page} links to ${target}`);
+    });
+  }
+});
