--- /dev/null
+++ b/src/controller/api/endpoints.ts
@@ -0,0 +1,85 @@
+/** The paths of the API and what answers them on this node. */
+import type { ApiResponse, Respond } from '../jobs/api-response.js';
+import { decodeBody } from '../wire/cbor.js';
+import { WireError } from '../wire/fields.js';
+import type { ApiContext } from './api-context.js';
+import { ClusterEndpoint } from './cluster-endpoint.js';
+import { HEARTBEAT_PATH, HeartbeatEndpoint } from './heartbeat-endpoint.js';
+import { MetricsEndpoint } from './metrics-endpoint.js';
+
+/** Path of a job, or of its cancellation. */
+const JOB_PATH = /^\/submissions\/([^/]+)(\/abort)?$/;
+
+/** Answers requests of one method to one path. */
+export interface Endpoint {
+  method: 'GET' | 'POST';
+  /** `query`: the parameters of the request's target. */
+  serve: (body: Buffer, respond: Respond, query: URLSearchParams) => void;
+}
+
+function decodeRequest(body: Buffer): unknown {
+  try {
+    return decodeBody(body);
+  } catch (err) {
+    throw new WireError('body: not CBOR', { cause: err });
+  }
+}
+
+/** All endpoints of a node. */
+export class Endpoints {
+  /** Those whose paths have no parameters. */
+  private readonly byPath: ReadonlyMap<string, Endpoint>;
+
+  constructor(private readonly context: ApiContext) {
+    this.byPath = this.createEndpoints();
+  }
+
+  /** The endpoint of a path; `null`: there is no such path. */
+  find(path: string): Endpoint | null {
+    return this.byPath.get(path) ?? this.findJobEndpoint(path);
+  }
+
+  private findJobEndpoint(path: string): Endpoint | null {
+    const match = JOB_PATH.exec(path);
+    if (match === null) return null;
+    const [, id = '', abort] = match;
+    const { frontend } = this.context;
+    if (abort !== undefined)
+      return { method: 'POST', serve: (_body, respond) => frontend.cancel(id, respond) };
+    return { method: 'GET', serve: (_body, respond) => frontend.poll(id, respond) };
+  }
+
+  private createEndpoints(): Map<string, Endpoint> {
+    const { frontend } = this.context;
+    const heartbeat = new HeartbeatEndpoint(this.context);
+    const cluster = new ClusterEndpoint(this.context);
+    const metrics = new MetricsEndpoint(this.context);
+    return new Map<string, Endpoint>([
+      [
+        HEARTBEAT_PATH,
+        {
+          method: 'POST',
+          serve: (body, respond) => heartbeat.handle(decodeRequest(body), respond),
+        },
+      ],
+      ['/ready', { method: 'GET', serve: (_body, respond) => respond(this.readiness()) }],
+      [
+        '/cluster',
+        {
+          method: 'GET',
+          serve: (_body, respond, query) => cluster.handle(query.get('after') ?? '', respond),
+        },
+      ],
+      ['/metrics', { method: 'GET', serve: (_body, respond) => metrics.handle(respond) }],
+      [
+        '/submissions',
+        { method: 'POST', serve: (body, respond) => frontend.submit(decodeRequest(body), respond) },
+      ],
+    ]);
+  }
+
+  private readiness(): ApiResponse {
+    const { ready } = this.context.readiness;
+    return { status: ready ? 200 : 503, body: { ready } };
+  }
+}
--- /dev/null
+++ b/src/controller/api/hedged-request.ts
@@ -0,0 +1,85 @@
+/**
+ * Requests of users that a peer answers where the state store serves the peer and not this node. The
+ * peer is asked when this node has failed or is late, so that a network partition costs the user little.
+ */
+import type { ApiResponse, Respond } from '../jobs/api-response.js';
+import type { ForwardedReply } from '../peers/message.js';
+import type { Timer } from '../runtime/runtime.js';
+import type { ApiContext } from './api-context.js';
+import type { ApiRequest } from './api-request.js';
+import { toApiResponse } from './peer-response.js';
+
+const UNAVAILABLE_STATUS = 503;
+
+/** This node is late after a heartbeat interval divided by this. */
+const LATE_DIVISOR = 25;
+/** A peer is asked if the state store served it within a heartbeat interval divided by this. */
+const PEER_FRESHNESS_DIVISOR = 2;
+/** The peer has to reply within a heartbeat interval divided by this. */
+const PEER_TIMEOUT_DIVISOR = 6;
+
+/** Answers a request on this node. */
+export type AnswerLocally = (request: ApiRequest, respond: Respond) => void;
+
+/** One request, answered once: by this node or by a peer. */
+export class HedgedRequest {
+  private isAnswered = false;
+  private isPeerAsked = false;
+  /** This node's response where it can't answer; kept for the case that no peer can either. */
+  private ownFailure: ApiResponse | null = null;
+  private lateTimer: Timer | null = null;
+
+  constructor(
+    private readonly context: ApiContext,
+    private readonly request: ApiRequest,
+    private readonly respond: Respond,
+  ) {}
+
+  /** Answers the request; called once. */
+  start(answerLocally: AnswerLocally): void {
+    this.lateTimer = this.context.eventLoop.after(this.lateMs, 'late', () => void this.askPeer());
+    answerLocally(this.request, (response) => this.answeredLocally(response));
+  }
+
+  private get lateMs(): number {
+    return this.context.settings.heartbeatIntervalMs / LATE_DIVISOR;
+  }
+
+  private answeredLocally(response: ApiResponse): void {
+    if (response.status !== UNAVAILABLE_STATUS) return this.answer(response);
+    this.ownFailure = response;
+    if (this.isPeerAsked) return;
+    // Not where only this node's rate share is used up: the peers' are for their own users.
+    if (this.context.client.health.consecutiveFailures > 0 && this.askPeer()) return;
+    this.answer(response);
+  }
+
+  /** Asks a peer, if the state store seems to serve one and not this node; tells whether a reply is awaited. */
+  private askPeer(): boolean {
+    if (this.isAnswered || this.isPeerAsked) return this.isPeerAsked;
+    const { client, peers, settings } = this.context;
+    if (client.health.consecutiveFailures === 0 && client.health.stalledMs < this.lateMs)
+      return false;
+    const { heartbeatIntervalMs } = settings;
+    const host = peers.hostServedByStateStore(heartbeatIntervalMs / PEER_FRESHNESS_DIVISOR);
+    if (host === null) return false;
+    this.isPeerAsked = true;
+    const { method, target, body } = this.request;
+    const timeoutMs = heartbeatIntervalMs / PEER_TIMEOUT_DIVISOR;
+    peers.forward(host, method, target, body, timeoutMs, (reply) => this.peerReplied(reply));
+    return true;
+  }
+
+  private peerReplied(reply: ForwardedReply | null): void {
+    this.isPeerAsked = false;
+    if (reply !== null && reply.status !== UNAVAILABLE_STATUS) this.answer(toApiResponse(reply));
+    else if (this.ownFailure !== null) this.answer(this.ownFailure);
+  }
+
+  private answer(response: ApiResponse): void {
+    if (this.isAnswered) return;
+    this.isAnswered = true;
+    this.lateTimer?.cancel();
+    this.respond(response);
+  }
+}
--- /dev/null
+++ b/src/controller/api/peer-response.ts
@@ -0,0 +1,14 @@
+/** Responses that a peer gave to forwarded requests. */
+import type { ApiResponse } from '../jobs/api-response.js';
+import type { ForwardedReply } from '../peers/message.js';
+import { decodeBody } from '../wire/cbor.js';
+
+/** The response that a peer's reply carries; a 503 where its body can't be decoded. */
+export function toApiResponse({ status, body }: ForwardedReply): ApiResponse {
+  if (body.length === 0) return { status };
+  try {
+    return { status, body: decodeBody(body) };
+  } catch {
+    return { status: 503, body: { error: 'broken answer of a peer' } };
+  }
+}
--- /dev/null
+++ b/src/controller/controller-components.ts
@@ -0,0 +1,133 @@
+/** The parts of one controller, and how they call each other. */
+import { MachineTypeCatalogue } from './fleet/machine-type-catalogue.js';
+import { Frontend } from './jobs/frontend.js';
+import type { FrontendHooks } from './jobs/frontend-context.js';
+import { ProgressCache } from './jobs/job-progress.js';
+import type { LeaderEnvironment } from './leader/leader-context.js';
+import { LeaderRole } from './leader/leader-role.js';
+import { LearnedStatistics } from './leader/learned-statistics.js';
+import { Leadership } from './leadership/leadership.js';
+import { requestLeaseGrantsOver } from './leadership/lease-grant-exchange.js';
+import type { ApiContext } from './api/api-context.js';
+import type { MetricsSink } from './operators/gauges.js';
+import { Readiness } from './operators/readiness.js';
+import type { PeerStatus } from './peers/message.js';
+import { Peers, peersOptions, type PeerEvents } from './peers/peers.js';
+import { DecayingRate } from './runtime/decaying-rate.js';
+import type { EventLoop } from './runtime/event-loop.js';
+import type { Settings } from './settings/settings.js';
+import { StateStoreClient } from './store/client.js';
+import type { JobStatus, TerminalState } from './wire/jobs.js';
+
+/** Age that a peer's status gives where the state store has never served the sender. */
+const NEVER_SERVED = -1;
+
+/** Answers a request that a peer has forwarded. */
+export type AnswerForwarded = PeerEvents['requestForwarded'];
+
+/** Everything of a controller that outlasts its terms as leader. */
+export class ControllerComponents implements LeaderEnvironment, ApiContext {
+  /** Loaded a little after the start, which is to be short. */
+  metrics: MetricsSink | null = null;
+  readonly redirectedHeartbeats: DecayingRate;
+  readonly learned: LearnedStatistics;
+  readonly client: StateStoreClient;
+  readonly catalogue: MachineTypeCatalogue;
+  readonly role: LeaderRole;
+  readonly leadership: Leadership;
+  readonly peers: Peers;
+  readonly frontend: Frontend;
+  readonly progress = new ProgressCache();
+  readonly readiness: Readiness;
+
+  /** `identity`: tells apart the processes of one host. */
+  constructor(
+    readonly eventLoop: EventLoop,
+    readonly settings: Settings,
+    private readonly identity: string,
+    answerForwarded: AnswerForwarded,
+  ) {
+    this.redirectedHeartbeats = new DecayingRate(
+      () => eventLoop.now(),
+      settings.heartbeatIntervalMs,
+    );
+    this.learned = new LearnedStatistics(eventLoop, settings);
+    this.client = new StateStoreClient(eventLoop, settings);
+    this.role = new LeaderRole(this);
+    this.catalogue = new MachineTypeCatalogue(
+      eventLoop,
+      settings,
+      this.client,
+      () => this.role.recoveredTerm,
+    );
+    this.leadership = new Leadership(
+      eventLoop,
+      settings,
+      this.client,
+      identity,
+      this.role,
+      requestLeaseGrantsOver(() => this.peers),
+    );
+    this.peers = this.createPeers(answerForwarded);
+    this.frontend = new Frontend(eventLoop, settings, this.client, this.frontendHooks());
+    this.readiness = new Readiness(
+      settings,
+      this.client.health,
+      this.peers,
+      () => this.catalogue.types !== null,
+    );
+  }
+
+  private createPeers(answerForwarded: AnswerForwarded): Peers {
+    const { eventLoop, settings } = this;
+    return new Peers(eventLoop, peersOptions(settings), () => this.ownStatus(), {
+      jobAccepted: (id) => this.frontend.markAccepted(id),
+      statusReceived: ({ leaderHost, term }) =>
+        this.leadership.peerReportedLeader(leaderHost, term),
+      jobEnded: (id, state) => this.jobEnded(id, state),
+      requestForwarded: answerForwarded,
+      jobProgressed: (progress) => this.progress.set(progress),
+    });
+  }
+
+  private frontendHooks(): FrontendHooks {
+    return {
+      machineTypes: () => this.catalogue.types,
+      progress: (id) => this.jobStatus(id),
+      onAccepted: (id) => this.peers.announceJobAccepted(id),
+      onCancelled: (id) => {
+        this.peers.announceJobEnd(id, 'cancelled');
+        this.progress.delete(id);
+        this.role.currentTerm?.components.table.markCancelled(id);
+      },
+    };
+  }
+
+  /** A peer knows how a job ended. */
+  private jobEnded(id: string, state: TerminalState): void {
+    this.frontend.markTerminal(id, state);
+    this.progress.delete(id);
+    // The leader learns of a cancellation on another node sooner than from its watch.
+    if (state === 'cancelled') this.role.currentTerm?.components.table.markCancelled(id);
+  }
+
+  private jobStatus(id: string): JobStatus | null {
+    const job = this.role.currentTerm?.components.table.jobs.get(id);
+    return job === undefined ? this.progress.answer(id) : job.answer();
+  }
+
+  /** What this node says of itself. */
+  private ownStatus(): PeerStatus {
+    const { client, leadership } = this;
+    const { sinceSuccessMs } = client.health;
+    return {
+      host: this.settings.platform.host,
+      identity: this.identity,
+      stateOkAgeMs: Number.isFinite(sinceSuccessMs) ? sinceSuccessMs : NEVER_SERVED,
+      leaderHost: leadership.leader?.host ?? '',
+      term: leadership.leader?.term ?? 0,
+      wantedWrites: client.budget.writeDemand.writesPerSecond,
+      strayReports: this.redirectedHeartbeats.perSecond,
+    };
+  }
+}
--- /dev/null
+++ b/src/controller/leader/active-jobs.ts
@@ -0,0 +1,44 @@
+/** Applies the state store's records of active jobs to the leader's job table. */
+import type { Frontend } from '../jobs/frontend.js';
+import { ACTIVE_PREFIX } from '../jobs/job-records.js';
+import type { JobTable } from '../jobs/job-table.js';
+import type { KeyValue, WatchEvent } from '../wire/state.js';
+
+function jobIdOf(key: string): string {
+  return key.slice(ACTIVE_PREFIX.length);
+}
+
+/** Keeps the table in step with the records. */
+export class ActiveJobs {
+  constructor(
+    private readonly frontend: Pick<Frontend, 'terminalState'>,
+    private readonly table: Pick<JobTable, 'add' | 'handleRecordRemoved' | 'jobs'>,
+  ) {}
+
+  /** Adds jobs whose records have been read. */
+  add(records: readonly KeyValue[]): void {
+    for (const { key, value, version } of records) this.addJob(key, value, version);
+  }
+
+  /** Takes all records of active jobs: adds theirs, and removes the jobs without a record. */
+  replaceAll(records: readonly KeyValue[]): void {
+    const activeKeys = new Set(records.map((record) => record.key));
+    this.add(records);
+    for (const id of [...this.table.jobs.keys()])
+      if (!activeKeys.has(ACTIVE_PREFIX + id)) this.table.handleRecordRemoved(id);
+  }
+
+  /** Applies changes of the records, in their order. */
+  apply(events: readonly WatchEvent[]): void {
+    for (const event of events) {
+      if (event.kind === 'put') this.addJob(event.key, event.value, event.version);
+      else this.table.handleRecordRemoved(jobIdOf(event.key));
+    }
+  }
+
+  private addJob(key: string, value: unknown, version: number): void {
+    const id = jobIdOf(key);
+    // This node may know of the job's end already, from another node.
+    if (this.frontend.terminalState(id) === null) this.table.add(id, value, version);
+  }
+}
--- a/src/controller/leader/failover-recovery.ts
+++ b/src/controller/leader/failover-recovery.ts
@@ -1,39 +1,42 @@
-/** Reads what the leaders before have left, once this node has been elected. */
-import type { EventLoop } from '../runtime/event-loop.js';
+/** Reads the state that previous leaders have stored, once this node has been elected. */
 import { ACTIVE_PREFIX } from '../jobs/job-records.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { StateStoreClient } from '../store/client.js';
 import { PAGE_PREFIX } from '../store/page-table.js';
 import type { KeyValue } from '../wire/state.js';
 
 const READ_TIMEOUT_MS = 3000;
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
-/** All that is stored. From the election on no earlier leader can change it. */
+/** All that is stored. From the election on no previous leader can change it. */
 export interface RecoveredState {
+  /** Records of the active jobs. */
   jobs: KeyValue[];
-  /** The state service's revision when the jobs were read. */
+  /** The state store's revision when the jobs were read. */
   revision: number;
-  /** When the read of the jobs was sent. */
+  /** When the read of the jobs was sent, on this node's steady clock. */
   sentAt: number;
+  /** Pages with all other records. */
   pages: KeyValue[];
 }
 
-interface RangeRead {
+interface PrefixRead {
   items: KeyValue[];
   revision: number;
   sentAt: number;
 }
 
-/** What takes in the records of the leaders before. */
+/** What takes in the recovered state. */
 export interface RecoveryTarget {
-  /** The term is over. */
+  /** The term is over: nothing more is read. */
   readonly closed: boolean;
-  /** The live jobs have been read, the pages not yet. */
+  /** The active jobs have been read, the pages not yet. */
   activeJobsRead(jobs: readonly KeyValue[]): void;
-  recover(inheritance: RecoveredState): void;
+  /** Everything has been read. */
+  recover(state: RecoveredState): void;
 }
 
-/** The reads of one takeover; each is repeated until it is answered or the term is over. */
+/** The reads of one failover; each is repeated until it is answered or the term is over. */
 export class FailoverRecovery {
   constructor(
     private readonly eventLoop: EventLoop,
@@ -41,7 +44,7 @@
     private readonly target: RecoveryTarget,
   ) {}
 
-  /** Reads jobs, then pages. */
+  /** Reads the jobs, then the pages. */
   start(): void {
     this.read(ACTIVE_PREFIX, ({ items: jobs, revision, sentAt }) => {
       this.target.activeJobsRead(jobs);
@@ -51,17 +54,17 @@
     });
   }
 
-  private read(prefix: string, done: (read: RangeRead) => void): void {
+  private read(prefix: string, done: (read: PrefixRead) => void): void {
     const sentAt = this.eventLoop.now();
     this.client.readPrefix(prefix, READ_TIMEOUT_MS, (got) => {
       if (this.target.closed) return;
-      if (got.kind === 'failed') return this.readLater(prefix, done);
+      if (got.kind === 'failed') return this.retry(prefix, done);
       done({ items: got.value.items, revision: got.value.revision, sentAt });
     });
   }
 
-  private readLater(prefix: string, done: (read: RangeRead) => void): void {
-    this.eventLoop.after(RETRY_MS, 'load', () => {
+  private retry(prefix: string, done: (read: PrefixRead) => void): void {
+    this.eventLoop.after(RETRY_DELAY_MS, 'recovery-retry', () => {
       if (!this.target.closed) this.read(prefix, done);
     });
   }
--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -1,38 +1,39 @@
-/** Tells whether the workers reach the other controllers and not the leader. */
+/** Detects that the workers reach the other controllers and not the leader. */
 import type { PeerStatus } from '../peers/message.js';
 
-/** Reports at other nodes that show that workers are there, as a share of all that are usual. */
+/** Heartbeats at other nodes that show that workers are up, as a share of the usual rate of all. */
 const REDIRECTED_HEARTBEATS_SHARE = 0.1;
-/** Share of the machines that are overdue here, where peers tell of reports. */
+/** Share of the machines that are overdue here, where peers tell of their heartbeats. */
 const OVERDUE_SHARE = 0.5;
-/** Share of the machines that are silent here, where no peer is heard either. */
-const SILENT_SHARE = 0.9;
+/** Share of the machines that are unresponsive here, where no peer is heard either. */
+const UNRESPONSIVE_SHARE = 0.9;
 
 /** What the leader sees of the workers. */
 export interface WorkerReachability {
-  reportMs: number;
+  heartbeatIntervalMs: number;
   machineCount: number;
   /**
-   * Share of machines whose reports are late by `lateMs`; `heardBefore`: only of those that had
-   * reported in this term.
+   * Share of the machines whose heartbeats are late by `lateMs`; `onlyHeardInThisTerm`: of those
+   * that have sent one in this term.
    */
-  overdue(lateMs: number, heardBefore: boolean): number;
+  overdueShare(lateMs: number, onlyHeardInThisTerm: boolean): number;
 }
 
 /**
  * Whether the workers have lost this node and not the others. Its lease goes on, so nobody else
- * would answer them, and every task would end with its worker's lease. Their reports at the other
- * nodes are the proof; where the peers are not heard either, silence has to do, but only of
- * machines that had reported here: a leader that never heard any has nothing to tell it from a day
- * on which the machines themselves are gone.
+ * would answer them, and every task would end with its worker's lease. Their heartbeats at the other
+ * nodes are the proof. Where the peers are not heard either, missing heartbeats have to do, but only
+ * those of machines that have sent some in this term: without them a leader could not tell its own
+ * isolation from the loss of the machines.
  */
 export function isIsolated(
-  reachability: WorkerReachability,
+  workers: WorkerReachability,
   peers: readonly Pick<PeerStatus, 'strayReports'>[],
 ): boolean {
-  const forwarded = peers.reduce((sum, peer) => sum + peer.strayReports, 0);
-  const usual = (reachability.machineCount / reachability.reportMs) * 1000;
-  const reachOthers = forwarded >= usual * REDIRECTED_HEARTBEATS_SHARE;
-  if (reachOthers && reachability.overdue(0, false) > OVERDUE_SHARE) return true;
-  return peers.length === 0 && reachability.overdue(reachability.reportMs, true) > SILENT_SHARE;
+  const { heartbeatIntervalMs, machineCount } = workers;
+  const redirectedPerSecond = peers.reduce((sum, peer) => sum + peer.strayReports, 0);
+  const usualPerSecond = (machineCount / heartbeatIntervalMs) * 1000;
+  const workersReachPeers = redirectedPerSecond >= usualPerSecond * REDIRECTED_HEARTBEATS_SHARE;
+  if (workersReachPeers && workers.overdueShare(0, false) > OVERDUE_SHARE) return true;
+  return peers.length === 0 && workers.overdueShare(heartbeatIntervalMs, true) > UNRESPONSIVE_SHARE;
 }
--- /dev/null
+++ b/src/controller/leader/leader-components.ts
@@ -0,0 +1,110 @@
+/** The parts that only a leader has: created for each term and dropped with it. */
+import { Fleet } from '../fleet/fleet.js';
+import { JobTable } from '../jobs/job-table.js';
+import { LEADER_KEY } from '../leadership/leader-record.js';
+import type { Job } from '../model/entities.js';
+import { reservationKey } from '../placement/placers/gang-reservations.js';
+import { Placement } from '../placement/placement.js';
+import { RecordStore } from '../store/record-store.js';
+import { Workers } from '../workers/workers.js';
+import type { CurrentRole, LeaderEnvironment } from './leader-context.js';
+
+/** Creates the parts of one term and connects them. */
+export class LeaderComponents {
+  /** The leader's records; every write is conditional on this term's leader key. */
+  readonly records: RecordStore;
+  readonly table: JobTable;
+  readonly workers: Workers;
+  readonly placement: Placement;
+  readonly fleet: Fleet;
+
+  constructor(
+    private readonly term: number,
+    private readonly environment: LeaderEnvironment,
+    private readonly role: CurrentRole,
+  ) {
+    this.records = this.createRecords();
+    this.table = this.createTable();
+    this.workers = this.createWorkers();
+    this.placement = this.createPlacement();
+    this.fleet = this.createFleet();
+  }
+
+  private createRecords(): RecordStore {
+    const { eventLoop, settings, client, leadership } = this.environment;
+    return new RecordStore(eventLoop, settings, client, {
+      fencingCondition: { key: LEADER_KEY, version: this.term },
+      leaseAllowsWrites: () => leadership.holdsLease,
+      onFenced: () => leadership.stepDown('another leader'),
+    });
+  }
+
+  private createTable(): JobTable {
+    const { eventLoop, settings, client, frontend, peers } = this.environment;
+    return new JobTable(eventLoop, settings, client, this.records, {
+      onIncompleteGang: (job) => this.workers.stopJob(job, 0, 'gang lost a part'),
+      onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
+      onJobTerminated: (job) => this.jobTerminated(job),
+      onJobAdded: (job) => this.jobAdded(job),
+      onTasksPending: () => this.role.requestPlacement(),
+      onCompletionRecorded: (job, task) => this.workers.completionRecorded(job, task),
+      onTerminalState: (id, state) => {
+        frontend.markTerminal(id, state);
+        peers.announceJobEnd(id, state);
+      },
+    });
+  }
+
+  private createWorkers(): Workers {
+    const { eventLoop, settings, catalogue, leadership, learned } = this.environment;
+    return new Workers(eventLoop, settings, this.term, this.records, this.table, {
+      findMachineType: (name) => catalogue.types?.find((type) => type.name === name),
+      higherTermSeen: (term) => leadership.observeTerm(term),
+      placementInputChanged: () => this.role.requestPlacement(),
+      taskCompleted: (assignment, tookMs) => {
+        if (assignment.job === null) return;
+        learned.observeTaskEnd(assignment.job, tookMs, assignment.assignedAt);
+      },
+    });
+  }
+
+  private createPlacement(): Placement {
+    const { eventLoop, settings, leadership, learned } = this.environment;
+    return new Placement(
+      eventLoop,
+      settings,
+      this.table,
+      this.workers,
+      this.records,
+      learned.estimates,
+      learned.headroom,
+      { attemptsExhausted: () => leadership.stepDown('attempts used up') },
+    );
+  }
+
+  private createFleet(): Fleet {
+    const { eventLoop, settings, catalogue } = this.environment;
+    return new Fleet(
+      eventLoop,
+      settings,
+      () => catalogue.types,
+      this.table,
+      this.workers,
+      this.placement,
+      () => this.role.mayActAsLeader,
+    );
+  }
+
+  private jobAdded(job: Job): void {
+    const { learned, eventLoop } = this.environment;
+    // A job that a previous leader knew was counted by that leader.
+    if (this.role.hasRecovered) learned.headroom.recordSubmission(job, eventLoop.now());
+  }
+
+  private jobTerminated(job: Job): void {
+    this.workers.jobClosed(job);
+    const key = reservationKey(job.spec.id);
+    if (this.records.has(key)) this.records.set(key, undefined, 'lazy');
+    this.environment.progress.delete(job.spec.id);
+  }
+}
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -1,4 +1,4 @@
-/** What was learned of classes of jobs, kept on record from one leader to the next. */
+/** Statistics of classes of jobs, recorded so that the next leader goes on with them. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../model/entities.js';
 import { DurationEstimator } from '../placement/estimates/duration-estimator.js';
@@ -9,10 +9,10 @@
 import { isMap } from '../wire/cbor.js';
 
 const LEARNED_KEY = 'learned';
-/** A class's record may take this share of the largest value. */
+/** A class's record is stored if it takes no more than this share of the largest value. */
 const MAX_VALUE_SHARE = 0.5;
 
-/** How wrong estimates are, and how often jobs arrive, by class. */
+/** The error of estimated run times and the arrivals of jobs, by class. */
 export class LearnedStatistics {
   readonly estimates = new DurationEstimator();
   readonly headroom: ClassHeadroom;
@@ -21,44 +21,44 @@
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
   ) {
-    const reserveSettings = {
+    const headroomSettings = {
       memoryMs: settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio'),
       share: settings.get('placement.reserve.share'),
       spare: settings.get('placement.reserve.spare'),
     };
     this.headroom = new ClassHeadroom(
-      reserveSettings,
+      headroomSettings,
       this.estimates,
       eventLoop.now(),
       (className) => settings.startObjectiveMs(className),
     );
   }
 
-  /** A task of the job has ended after `tookMs`, having been on its machine since `assignedAt`. */
+  /** A task of the job has completed after running for `tookMs`, assigned to its machine since `assignedAt`. */
   observeTaskEnd(job: Job, tookMs: number, assignedAt: number): void {
     this.estimates.observe(job.spec, tookMs);
     this.headroom.recordOccupancy(job.spec, this.eventLoop.now() - assignedAt);
   }
 
   /**
-   * Takes in what the leaders before have recorded, and then the live jobs, which must have been read:
+   * Takes in what previous leaders have recorded, and then the active jobs, which must have been read:
    * counted before the records, they would make these look outdated.
    */
-  load(records: Pick<RecordStore, 'list'>, liveJobs: Iterable<Job>): void {
+  load(records: Pick<RecordStore, 'list'>, activeJobs: Iterable<Job>): void {
     const recorded = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
     for (const { ratios } of recorded) this.estimates.importStatistics(ratios);
     const arrivals = recorded.map((record) => record['arrivals']);
     this.headroom.restore(
       arrivals,
-      liveJobs,
+      activeJobs,
       this.eventLoop.now(),
       this.eventLoop.runtime.wallClock(),
     );
   }
 
   /**
-   * Records the figures, a record for each class: all classes together may be larger than a value.
-   * The versions before read every record under this key, and wrote a single one.
+   * Records the statistics, a record for each class: all classes together may exceed the largest value.
+   * Older versions read every record whose key begins with `learned`, and wrote a single one.
    */
   save(records: Pick<RecordStore, 'set'>): void {
     const ratios = this.estimates.exportStatistics();
--- /dev/null
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -0,0 +1,71 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
+import { standalonePlatform } from '../../../test/platform.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import { defaultProperties } from '../settings/properties.js';
+import { Settings } from '../settings/settings.js';
+import { PassScheduler } from './pass-scheduler.js';
+
+const settings = new Settings(standalonePlatform(), defaultProperties());
+const intervalMs = settings.heartbeatIntervalMs * settings.get('placement.interval.ratio');
+
+/** A scheduler of passes that take `sliceCount` slices of `sliceMs` each. */
+function schedule(sliceCount: number, sliceMs: number) {
+  const runtime = new ManualRuntime();
+  const seen = { begun: 0, finished: [] as number[] };
+  let slicesLeft = 0;
+  const placement = {
+    get passInProgress(): boolean {
+      return slicesLeft > 0;
+    },
+    begin: () => {
+      seen.begun++;
+      slicesLeft = sliceCount;
+    },
+    advance: () => {
+      runtime.advance(sliceMs);
+      return --slicesLeft === 0;
+    },
+  };
+  const eventLoop = new EventLoop(runtime, silentLogger);
+  const scheduler = new PassScheduler(eventLoop, settings, placement, (tookMs) =>
+    seen.finished.push(tookMs),
+  );
+  return { runtime, seen, scheduler };
+}
+
+describe('PassScheduler', () => {
+  it('runs one slice in each step and tells what the slices took together', () => {
+    const { seen, scheduler } = schedule(3, 10);
+    scheduler.step();
+    scheduler.step();
+    assert.deepEqual(seen.finished, []);
+    scheduler.step();
+    assert.deepEqual(seen, { begun: 1, finished: [30] });
+  });
+
+  it('begins no second pass before one is requested', () => {
+    const { runtime, seen, scheduler } = schedule(1, 1);
+    scheduler.step();
+    runtime.advance(intervalMs * 10);
+    scheduler.step();
+    assert.equal(seen.begun, 1);
+    scheduler.request();
+    scheduler.step();
+    assert.equal(seen.begun, 2);
+  });
+
+  it('waits for the interval, and three times as long as the last pass took', () => {
+    const tookMs = intervalMs;
+    const { runtime, seen, scheduler } = schedule(1, tookMs);
+    scheduler.step();
+    scheduler.request();
+    runtime.advance(tookMs * 3 - 1);
+    scheduler.step();
+    assert.equal(seen.begun, 1);
+    runtime.advance(1);
+    scheduler.step();
+    assert.equal(seen.begun, 2);
+  });
+});
--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -1,61 +1,61 @@
-/** When placement passes begin and go on, so that requests are served between their slices. */
+/** Schedules placement passes and their slices, so that requests are served in between. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Time without a placement pass after one, in times of what it took. */
+/** Least time between two passes, as a multiple of what the first one took. */
 const PASS_REST_FACTOR = 3;
 
 /** The placement whose passes are scheduled. */
 export type SlicedPlacement = Pick<Placement, 'passInProgress' | 'begin' | 'advance'>;
 
 /**
- * Runs placement passes in slices. Between the slices reports and users are served; and passes
- * together take only a part of the time, however much is waiting.
+ * Runs placement passes in slices. Between the slices heartbeats and users are served. All passes
+ * together take a bounded share of the time, however many tasks are waiting.
  */
 export class PassScheduler {
-  private passDue = true;
-  private timerSet = false;
+  private isPassDue = true;
+  private isTimerSet = false;
   private startedAt = -Infinity;
   private lastSliceEndedAt = -Infinity;
-  /** What the slices of the pass took together. */
+  /** What the slices of the latest pass took together. */
   private tookMs = 0;
 
+  /** `onPassFinished`: told, when a pass is over, what its slices took together. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly placement: SlicedPlacement,
-    /** A pass is over. */
     private readonly onPassFinished: (tookMs: number) => void,
   ) {}
 
-  /** Something has changed: a pass is due. */
+  /** Requests a pass, which begins once those before leave time for it. */
   request(): void {
-    this.passDue = true;
+    this.isPassDue = true;
   }
 
-  /** Goes on with the pass, or begins one when it is due. */
+  /** Runs a slice of the pass in progress, or of a new one if it is due; called after each batch of commands. */
   step(): void {
-    const sliceStart = this.eventLoop.now();
-    if (!this.placement.passInProgress && !this.begin(sliceStart)) return;
+    const sliceStartedAt = this.eventLoop.now();
+    if (!this.placement.passInProgress && !this.begin(sliceStartedAt)) return;
     const sliceMs = this.settings.heartbeatIntervalMs * this.settings.get('placement.slice.ratio');
-    const over = this.placement.advance(sliceStart + sliceMs);
+    const isOver = this.placement.advance(sliceStartedAt + sliceMs);
     const now = this.eventLoop.now();
-    this.tookMs += now - sliceStart;
+    this.tookMs += now - sliceStartedAt;
     this.lastSliceEndedAt = now;
-    if (over) this.onPassFinished(this.tookMs);
+    if (isOver) this.onPassFinished(this.tookMs);
     else this.wakeAfter(0);
   }
 
-  /** False if no pass is due yet. */
+  /** Begins a pass if one is due; tells whether it did. */
   private begin(now: number): boolean {
-    if (!this.passDue) return false;
+    if (!this.isPassDue) return false;
     const waitMs = this.waitMs(now);
     if (waitMs > 0) {
       this.wakeAfter(waitMs);
       return false;
     }
-    this.passDue = false;
+    this.isPassDue = false;
     this.startedAt = now;
     this.tookMs = 0;
     this.placement.begin();
@@ -71,12 +71,12 @@
     );
   }
 
-  /** An empty command: `step` runs after its batch. */
+  /** Posts an empty command: `step` runs after its batch. */
   private wakeAfter(delayMs: number): void {
-    if (this.timerSet) return;
-    this.timerSet = true;
+    if (this.isTimerSet) return;
+    this.isTimerSet = true;
     this.eventLoop.after(delayMs, 'pass', () => {
-      this.timerSet = false;
+      this.isTimerSet = false;
     });
   }
 }
--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -13,7 +13,7 @@
 import { SocketBudget } from '../http/socket-budget.js';
 import type { ApiResponse } from '../jobs/api-response.js';
 import { readPeerConnection } from '../peers/peer-connection.js';
-import { HEARTBEAT_PATH } from '../api/router.js';
+import { HEARTBEAT_PATH } from '../api/heartbeat-endpoint.js';
 import type { Settings } from '../settings/settings.js';
 import { encodeBody } from '../wire/cbor.js';
 
