--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -1,5 +1,5 @@
 /** Users' submissions: checked, and recorded once however often they are retried. */
-import { storedSize } from '../store/page-table.js';
+import { storedSize } from '../store/page.js';
 import type { TransactionResult } from '../store/results.js';
 import { WireError } from '../wire/fields.js';
 import { readJobId, readJobSpec, writeJobStatus, type JobSpec } from '../wire/jobs.js';
--- a/src/controller/leader/failover-recovery.ts
+++ b/src/controller/leader/failover-recovery.ts
@@ -2,7 +2,7 @@
 import { ACTIVE_PREFIX } from '../jobs/job-records.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { StateStoreClient } from '../store/client.js';
-import { PAGE_PREFIX } from '../store/page-table.js';
+import { PAGE_PREFIX } from '../store/page-codec.js';
 import type { KeyValue } from '../wire/state.js';
 
 const READ_TIMEOUT_MS = 3000;
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -4,7 +4,7 @@
 import { DurationEstimator } from '../placement/estimates/duration-estimator.js';
 import { ClassHeadroom } from '../placement/headroom/class-headroom.js';
 import type { Settings } from '../settings/settings.js';
-import { storedSize } from '../store/page-table.js';
+import { storedSize } from '../store/page.js';
 import type { RecordStore } from '../store/record-store.js';
 import { isMap } from '../wire/cbor.js';
 
--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -1,17 +1,16 @@
-/** Gathers one transaction of the leader, within the limits of the state service. */
+/** Gathers one transaction of the leader's records, within the limits of the state store. */
 import type { Condition } from '../wire/state.js';
 import { MAX_CONDITIONS_PER_WRITE } from './batch.js';
+import { moveToPage, storedSize, type Page, type RecordEntry } from './page.js';
 import { tokenReserve } from './rate-budget.js';
-import type { RecordEntry, Page } from './page.js';
-import { storedSize } from './page-table.js';
 import type { RecordStoreContext } from './record-store-context.js';
 import type { PendingTransaction } from './transaction-queue.js';
 
-/** Bytes of a transaction, with room for its frame below the service's 64 KiB. */
-const MAX_TRANSACTION_BYTES = 56 * 1024;
+/** Size of a transaction, which leaves space for its frame below the store's 64 KiB. */
+const MAX_TRANSACTION_SIZE = 56 * 1024;
 
-/** Bytes of the leader's fence and of what surrounds the lists. */
-const FRAME_BYTES = 512;
+/** Size of the fencing condition and of what surrounds the lists. */
+const FRAME_SIZE = 512;
 
 /** What is written in one transaction. */
 export interface Commit {
@@ -26,19 +25,19 @@
 export class CommitBuilder {
   private readonly maxWrites: number;
   private readonly conditions: Condition[];
-  private readonly targets = new Set<Page>();
+  private readonly pages = new Set<Page>();
   private readonly entries = new Set<RecordEntry>();
   private readonly transactions: PendingTransaction[] = [];
   private writes = 0;
-  private bytes = FRAME_BYTES;
+  private size = FRAME_SIZE;
 
-  /** `fence`: the condition that the leader's key is still its own. */
+  /** `fencingCondition`: the leader's key is still its own. */
   constructor(
     private readonly context: RecordStoreContext,
-    fence: Condition,
+    fencingCondition: Condition,
   ) {
     this.maxWrites = context.client.budget.limits.current.txnOps;
-    this.conditions = [fence];
+    this.conditions = [fencingCondition];
   }
 
   /** Nothing has been added. */
@@ -51,31 +50,31 @@
     return this.entries.has(entry);
   }
 
-  /** False: no room is left for the entry. Without `newPages` it may only join a page of the commit. */
-  tryAddEntry(entry: RecordEntry, newPages: boolean): boolean {
-    const target = this.context.pages.targetPage(entry);
-    const growth = entry.page === target ? 0 : entry.bytes;
-    if (this.targets.has(target)) {
-      if (this.bytes + growth > MAX_TRANSACTION_BYTES) return false;
+  /** False: the entry does not fit. Without `mayAddPage` it may only join a page of the commit. */
+  tryAddEntry(entry: RecordEntry, mayAddPage: boolean): boolean {
+    const page = this.context.pages.allocator.targetPage(entry);
+    const growth = entry.page === page ? 0 : entry.size;
+    if (this.pages.has(page)) {
+      if (this.size + growth > MAX_TRANSACTION_SIZE) return false;
     } else {
-      if (!newPages || !this.fits(1, 1, target.bytes + growth)) return false;
-      this.addPage(target);
+      if (!mayAddPage || !this.fits(1, 1, page.size + growth)) return false;
+      this.addPage(page);
     }
-    this.bytes += growth;
-    this.context.pages.move(entry, target);
+    this.size += growth;
+    moveToPage(entry, page);
     this.entries.add(entry);
     return true;
   }
 
   private addPage(page: Page): void {
-    this.targets.add(page);
+    this.pages.add(page);
     this.writes++;
-    this.bytes += page.bytes;
+    this.size += page.size;
     this.conditions.push({ key: page.key, version: page.version });
     this.context.client.budget.writeTokens.forceTake(1);
   }
 
-  /** Takes transactions from the queue, as many as there is room for. */
+  /** Takes transactions from the front of the queue, as many as fit. */
   addTransactions(): void {
     const { client, transactions: queue } = this.context;
     for (;;) {
@@ -88,28 +87,27 @@
       this.transactions.push(transaction);
       client.budget.writeTokens.forceTake(writes.length);
       this.writes += writes.length;
-      this.bytes += size;
+      this.size += size;
       this.conditions.push(...conditions);
     }
   }
 
-  private fits(writes: number, conditions: number, bytes: number): boolean {
+  private fits(writes: number, conditions: number, size: number): boolean {
     return (
       this.writes + writes <= this.maxWrites &&
       this.conditions.length + conditions <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
-      this.bytes + bytes <= MAX_TRANSACTION_BYTES &&
+      this.size + size <= MAX_TRANSACTION_SIZE &&
       this.context.client.budget.writeTokens.waitMs(writes, tokenReserve.records) === 0
     );
   }
 
-  /** The commit, with all that its pages carry along. */
+  /** The commit. A page is written with the newest values of all its entries, so these are added. */
   build(): Commit {
-    // A page goes out with the newest values of all its entries.
-    for (const page of this.targets)
+    for (const page of this.pages)
       for (const entry of page.entries) if (entry.dirty) this.entries.add(entry);
     return {
       conditions: this.conditions,
-      pages: [...this.targets],
+      pages: [...this.pages],
       entries: [...this.entries],
       transactions: this.transactions,
     };
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -2,28 +2,32 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import { Batch, MAX_CONDITIONS_PER_WRITE, type BatchEntry } from './batch.js';
 import type { StateStoreClient } from './client.js';
+import { storedSize } from './page.js';
 import type { TransactionResult } from './results.js';
-import { storedSize } from './page-table.js';
+
+/** Shortest timer until the next flush. */
+const MIN_TIMER_MS = 5;
 
 interface QueuedEntry extends BatchEntry {
-  /** Nobody waits for the outcome any more from then on. */
+  /** When its caller has given up waiting for the outcome. */
   expiresAt: number;
 }
 
-/** How a batcher shares the tokens, and for how long it waits. */
+/** How a group commit shares the tokens with other callers, and how long it waits. */
 export interface GroupCommitOptions {
-  /** Share of the tokens that is left to calls of higher priority. */
+  /** Ratio of the burst that is left to calls of higher priority. */
   tokenReserve: number;
+  /** Time-out of a transaction. */
   timeoutMs: number;
   /** How long an entry may wait for its transaction to be sent. */
   maxQueueMs: number;
-  /** Least time between two transactions that are not full: more entries share each. */
+  /** Least time between two transactions that are not full: so more entries share each. */
   minIntervalMs: number;
 }
 
 /**
- * Group commit: entries of many callers go into one transaction, at most one in flight. When it
- * fails on a condition, the entries concerned learn so and the rest go again without them.
+ * Puts the entries of many callers into one transaction, with at most one in flight. When it fails on
+ * a condition, the entries concerned are told and the others go into the next without them.
  */
 export class GroupCommit {
   private queue: QueuedEntry[] = [];
@@ -32,9 +36,9 @@
   private queuedConditions = 0;
   private nextFlushAt = 0;
   private inFlight = false;
-  /** Entries go one by one: it has to be found out whose fault a failure was. */
+  /** Entries are sent one by one, to find out which of them makes a transaction fail. */
   private oneByOne = false;
-  /** A timer that leads to the next flush is running. */
+  /** A timer runs; the event that it posts ends a batch, and so leads to the next flush. */
   private timerRunning = false;
 
   constructor(
@@ -45,23 +49,23 @@
     eventLoop.onBatchEnd(() => this.flush());
   }
 
-  /** False: it could not be sent in time; nothing was queued. */
+  /** Queues an entry. False: it could not be sent in time, so it was not queued. */
   add(entry: BatchEntry): boolean {
     const { maxQueueMs } = this.options;
     if (this.waitMs(entry.writes.length) > maxQueueMs) return false;
     this.queue.push({ ...entry, expiresAt: this.eventLoop.now() + maxQueueMs });
-    this.count(entry, 1);
+    this.countQueued(entry, 1);
     return true;
   }
 
-  /** Counts an entry that has been queued, or with -1 one that has left the queue. */
-  private count({ writes, conditions }: BatchEntry, times: 1 | -1): void {
-    this.queuedWrites += writes.length * times;
-    this.queuedConditions += conditions.length * times;
-    this.client.budget.queuedWrites += writes.length * times;
+  /** Counts an entry that has joined the queue (1) or left it (-1). */
+  private countQueued({ writes, conditions }: BatchEntry, sign: 1 | -1): void {
+    this.queuedWrites += writes.length * sign;
+    this.queuedConditions += conditions.length * sign;
+    this.client.budget.queuedWrites += writes.length * sign;
   }
 
-  /** A whole transaction waits: more entries could not share it. */
+  /** The queued entries fill a transaction: nothing is gained by waiting for more. */
   private get hasFullBatch(): boolean {
     const { txnOps } = this.client.budget.limits.current;
     return (
@@ -69,14 +73,13 @@
     );
   }
 
-  /** How long until tokens for one more entry are there, after all that wait already. */
+  /** How long until there are tokens for an entry with so many writes, behind all that wait already. */
   waitMs(writes = 1): number {
     const { tokenReserve } = this.options;
     const { requestTokens, writeTokens } = this.client.budget;
-    const request = requestTokens.waitMs(1, tokenReserve);
-    return writes === 0
-      ? request
-      : Math.max(request, writeTokens.waitMs(this.queuedWrites + writes, tokenReserve));
+    const requestMs = requestTokens.waitMs(1, tokenReserve);
+    if (writes === 0) return requestMs;
+    return Math.max(requestMs, writeTokens.waitMs(this.queuedWrites + writes, tokenReserve));
   }
 
   private flush(): void {
@@ -89,28 +92,28 @@
     this.nextFlushAt = now + this.options.minIntervalMs;
     this.dropExpired(now);
     const batch = this.takeBatch();
-    if (batch.entries.length > 0) this.send(batch);
+    if (!batch.isEmpty) this.send(batch);
   }
 
-  /** The first of the queue, as many as limits and write tokens allow. */
+  /** Takes entries from the front of the queue, as many as limits and write tokens allow. */
   private takeBatch(): Batch<QueuedEntry> {
     const batch = new Batch<QueuedEntry>(this.client.budget.limits.current.txnOps);
     for (;;) {
       const next = this.queue[0];
       if (next === undefined) return batch;
-      const bytes = storedSize([next.conditions, next.writes]);
-      if (!batch.isEmpty && (this.oneByOne || !batch.fits(next, bytes))) return batch;
-      if (!this.takeWriteTokens(next)) {
+      const size = storedSize([next.conditions, next.writes]);
+      if (!batch.isEmpty && (this.oneByOne || !batch.fits(next, size))) return batch;
+      if (!this.tryTakeWriteTokens(next)) {
         if (batch.isEmpty) this.flushLater(this.writeWaitMs(next));
         return batch;
       }
       this.queue.shift();
-      this.count(next, -1);
-      batch.add(next, bytes);
+      this.countQueued(next, -1);
+      batch.add(next, size);
     }
   }
 
-  private takeWriteTokens({ writes }: QueuedEntry): boolean {
+  private tryTakeWriteTokens({ writes }: QueuedEntry): boolean {
     const { writeTokens } = this.client.budget;
     return writes.length === 0 || writeTokens.tryTake(writes.length, this.options.tokenReserve);
   }
@@ -129,50 +132,56 @@
     });
   }
 
-  /** Whoever asked has given up: carrying it out now would only delay those who still wait. */
+  /** Drops entries whose callers have given up: sending them would only delay those who still wait. */
   private dropExpired(now: number): void {
-    const late = this.queue.filter((entry) => entry.expiresAt < now);
-    if (late.length === 0) return;
+    const expired = this.queue.filter((entry) => entry.expiresAt < now);
+    if (expired.length === 0) return;
     this.queue = this.queue.filter((entry) => entry.expiresAt >= now);
-    for (const entry of late) {
-      this.count(entry, -1);
+    for (const entry of expired) {
+      this.countQueued(entry, -1);
       entry.done({ kind: 'refused' });
     }
   }
 
-  private settle(batch: QueuedEntry[], result: TransactionResult): void {
-    if (result.kind === 'too-large' && batch.length > 1) {
-      // Refused as malformed: one entry's fault must not be that of all in its batch.
+  private settle(entries: QueuedEntry[], result: TransactionResult): void {
+    if (entries.length > 1 && result.kind === 'too-large') {
+      // One entry's fault must not fail all that share its transaction.
       this.oneByOne = true;
-      this.requeue(batch);
-      return;
-    }
-    if (result.kind !== 'conflict' || batch.length === 1) {
+      this.requeue(entries);
+    } else if (entries.length > 1 && result.kind === 'conflict') {
+      this.settleConflict(entries, result);
+    } else {
       this.oneByOne = false;
-      for (const entry of batch) entry.done(result);
-      return;
+      for (const entry of entries) entry.done(result);
     }
-    const failed = new Set(result.failedKeys);
-    const rest: QueuedEntry[] = [];
-    for (const entry of batch) {
-      if (entry.conditions.some(({ key }) => failed.has(key))) entry.done(result);
-      else rest.push(entry);
+  }
+
+  /** Tells the entries whose conditions failed; the others go again. */
+  private settleConflict(
+    entries: QueuedEntry[],
+    result: TransactionResult & { kind: 'conflict' },
+  ): void {
+    const failedKeys = new Set(result.failedKeys);
+    const others: QueuedEntry[] = [];
+    for (const entry of entries) {
+      if (entry.conditions.some(({ key }) => failedKeys.has(key))) entry.done(result);
+      else others.push(entry);
     }
-    // Nobody named: find out one by one.
-    this.oneByOne = rest.length === batch.length;
-    this.requeue(rest);
+    // The store has named no key of any entry.
+    this.oneByOne = others.length === entries.length;
+    this.requeue(others);
   }
 
   private requeue(entries: QueuedEntry[]): void {
     this.queue.unshift(...entries);
-    for (const entry of entries) this.count(entry, 1);
+    for (const entry of entries) this.countQueued(entry, 1);
     this.nextFlushAt = 0;
   }
 
-  private flushLater(ms: number): void {
+  private flushLater(delayMs: number): void {
     if (this.timerRunning) return;
     this.timerRunning = true;
-    this.eventLoop.after(Math.max(5, ms), 'tokens', () => {
+    this.eventLoop.after(Math.max(MIN_TIMER_MS, delayMs), 'group-commit', () => {
       this.timerRunning = false;
     });
   }
--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -2,35 +2,34 @@
 import type { RecordEntry } from './page.js';
 
 /**
- * `lazy` may wait to be written together with others, `urgent` goes out as soon as there are tokens,
- * and `first` before all that.
+ * How soon a record is written: `lazy` may wait to be written together with others, `urgent` is
+ * written as soon as there are tokens, and `first` before all others.
  */
 export type WritePriority = 'lazy' | 'urgent' | 'first';
 
 /** Called once a value, or a newer one of the same key, is stored. */
 export type StoredCallback = () => void;
 
-/** The callbacks that wait for the values of a commit. */
+/** By entry, the callbacks that wait for the value that a commit writes. */
 export type StoredCallbacks = Map<RecordEntry, StoredCallback[]>;
 
-/** Entries whose newest value has not been sent, by urgency, with the callbacks that wait for them. */
+/** Entries whose newest value has not been sent, by priority, with the callbacks that wait for them. */
 export class PendingWrites {
-  /** All that does not wait for others, `first` included. */
+  /** All that do not wait for others, the immediate ones included. */
   readonly urgent = new Set<RecordEntry>();
-  /** Of the urgent ones, those that go before the others. */
   readonly immediate = new Set<RecordEntry>();
   readonly deferrable = new Set<RecordEntry>();
   private readonly callbacks: StoredCallbacks = new Map();
 
-  /** Entries that wait to be sent. */
+  /** Number of entries that wait to be sent. */
   get size(): number {
     return this.urgent.size + this.deferrable.size;
   }
 
-  /** Queues an entry; one that is urgent already stays so. */
-  add(entry: RecordEntry, urgency: WritePriority): void {
-    if (urgency === 'first') this.immediate.add(entry);
-    if (urgency === 'lazy') {
+  /** Queues an entry. A priority is raised, but never lowered. */
+  add(entry: RecordEntry, priority: WritePriority): void {
+    if (priority === 'first') this.immediate.add(entry);
+    if (priority === 'lazy') {
       if (!this.urgent.has(entry)) this.deferrable.add(entry);
       return;
     }
@@ -38,54 +37,54 @@
     this.deferrable.delete(entry);
   }
 
-  /** The entry is not to be sent, or has been. */
+  /** Removes an entry that has been sent, or can't be. */
   remove(entry: RecordEntry): void {
     this.urgent.delete(entry);
     this.immediate.delete(entry);
     this.deferrable.delete(entry);
   }
 
-  /** Calls back once the entry's present value is stored. */
-  whenStored(entry: RecordEntry, stored: StoredCallback): void {
-    const list = this.callbacks.get(entry);
-    if (list === undefined) this.callbacks.set(entry, [stored]);
-    else list.push(stored);
+  /** Calls back once the entry's present value, or a newer one, is stored. */
+  whenStored(entry: RecordEntry, callback: StoredCallback): void {
+    const callbacks = this.callbacks.get(entry);
+    if (callbacks === undefined) this.callbacks.set(entry, [callback]);
+    else callbacks.push(callback);
   }
 
-  /** Marks the entries as sent, and hands over the callbacks that wait for what is sent. */
-  markSent(entries: RecordEntry[]): StoredCallbacks {
-    const waiting: StoredCallbacks = new Map();
+  /** The entries are sent with their present values. Returns the callbacks that wait for these. */
+  markSent(entries: readonly RecordEntry[]): StoredCallbacks {
+    const sent: StoredCallbacks = new Map();
     for (const entry of entries) {
       this.remove(entry);
       entry.dirty = false;
       entry.inFlight = true;
-      const list = this.callbacks.get(entry);
-      if (list !== undefined) waiting.set(entry, list);
+      const callbacks = this.callbacks.get(entry);
+      if (callbacks !== undefined) sent.set(entry, callbacks);
       this.callbacks.delete(entry);
     }
-    return waiting;
+    return sent;
   }
 
-  /** What was sent is stored. */
-  markStored(entries: RecordEntry[], waiting: StoredCallbacks): void {
+  /** What was sent is stored: calls back. */
+  markStored(entries: readonly RecordEntry[], sent: StoredCallbacks): void {
     for (const entry of entries) {
-      for (const stored of waiting.get(entry) ?? []) stored();
-      // Set once more to the same value while it was on its way.
+      for (const callback of sent.get(entry) ?? []) callback();
       if (entry.dirty) continue;
+      // Set again while in flight, to the same value: that is stored now, too.
       const later = this.callbacks.get(entry);
       this.callbacks.delete(entry);
-      for (const stored of later ?? []) stored();
+      for (const callback of later ?? []) callback();
     }
   }
 
-  /** What was sent may not be stored: it is urgent again, with those who waited for it. */
-  putBack(entries: RecordEntry[], waiting: StoredCallbacks): void {
+  /** What was sent may not be stored: it is urgent again, with the callbacks that waited for it first. */
+  putBack(entries: readonly RecordEntry[], sent: StoredCallbacks): void {
     for (const entry of entries) {
       entry.dirty = true;
       this.urgent.add(entry);
-      const list = waiting.get(entry);
-      if (list === undefined) continue;
-      this.callbacks.set(entry, [...list, ...(this.callbacks.get(entry) ?? [])]);
+      const callbacks = sent.get(entry);
+      if (callbacks === undefined) continue;
+      this.callbacks.set(entry, [...callbacks, ...(this.callbacks.get(entry) ?? [])]);
     }
   }
 }
--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -1,42 +1,42 @@
-/** The leader's write-ahead records: what it has decided, stored before it is acted upon. */
+/** The leader's write-ahead records: what it has decided is stored before it is acted upon. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Condition, KeyValue, Write } from '../wire/state.js';
 import type { StateStoreClient } from './client.js';
-import { tokenReserve } from './rate-budget.js';
 import { CommitPlanner } from './commit-planner.js';
 import { CommitSender } from './commit-sender.js';
 import type { Page } from './page.js';
 import { PageTable } from './page-table.js';
 import { PendingWrites, type StoredCallback, type WritePriority } from './pending-writes.js';
+import { tokenReserve } from './rate-budget.js';
 import { TransactionQueue, type PendingTransaction } from './transaction-queue.js';
 
 export type { WritePriority } from './pending-writes.js';
 
-/** What ties the records to the term of one leader. */
+/** What binds a record store to the term of one leader. */
 export interface RecordStoreOptions {
   /** Key and version that every transaction is conditional on: the leader's own. */
   fencingCondition: Condition;
-  /** Whether the leader's lease allows it to write. */
+  /** Whether the leader's lease allows it to write now. */
   leaseAllowsWrites: () => boolean;
-  /** Another leader holds the key. */
+  /** Called when another leader holds the key. */
   onFenced: () => void;
 }
 
 /** How soon it is tried again without a lease, and without write tokens. */
 const NO_LEASE_RETRY_MS = 50;
 const NO_TOKENS_RETRY_MS = 10;
-/** Shortest wait of a timer. */
+/** Shortest timer until the next flush. */
 const MIN_TIMER_MS = 5;
 
 /**
- * The leader's records at the state service. Callers set the newest value of a key and are called
- * back once it, or a newer one, is stored. Records are packed into pages (pages.ts). One transaction
+ * The leader's records in the state store. Callers set the newest value of a key and are called back
+ * once it, or a newer one, is stored. Records are packed into pages (page-table.ts). One transaction
  * is in flight at a time.
  *
- * Every write is conditional on the leader's key and on the version of the page that it replaces.
- * So a copy that the network delivers late finds either another leader or a newer version, and
- * cannot put an old list of assignments over a newer one.
+ * Invariant: every write is conditional on the leader's key and on the version of the page that it
+ * replaces. So a copy that the network delivers late meets either another leader or a newer version,
+ * and cannot replace a newer list of assignments by an older one.
  */
 export class RecordStore {
   private readonly pages: PageTable;
@@ -45,6 +45,7 @@
   private readonly planner: CommitPlanner;
   private readonly sender: CommitSender;
   private closed = false;
+  /** When the earliest timer of a flush ends. */
   private timerAt = Infinity;
 
   constructor(
@@ -64,7 +65,7 @@
     });
   }
 
-  /** Sends nothing any more, and calls nobody back. */
+  /** Ends the store with its term: nothing is sent and nobody is called back any more. */
   close(): void {
     if (this.closed) return;
     this.closed = true;
@@ -72,47 +73,50 @@
     this.transactions.close();
   }
 
-  /** Puts and deletes sent, for the operators' figures. */
+  /** Puts and deletes sent so far, for the metrics. */
   get writesSent(): number {
     return this.sender.writesSent;
   }
 
-  /** What the leaders before have left. */
+  /** Takes over the pages that earlier leaders have stored. */
   load(items: KeyValue[]): void {
     this.pages.load(items);
   }
 
-  /** Keys and values under a prefix, as they were loaded or set. */
+  /** Keys and values under a prefix, as they were loaded or set; changes meanwhile are not seen. */
   *list(prefix: string): Iterable<{ key: string; value: unknown }> {
     for (const { key, json } of [...this.pages.entries.values()])
       if (json !== null && key.startsWith(prefix))
         yield { key, value: JSON.parse(json) as unknown };
   }
 
-  /** Whether a value is set. */
+  /** Whether the key has a value. */
   has(key: string): boolean {
     return this.pages.entries.get(key)?.json != null;
   }
 
-  /** `undefined` deletes. */
-  set(key: string, value: unknown, urgency: WritePriority, stored?: StoredCallback): void {
+  /**
+   * Sets the newest value of a key; `undefined` deletes it. `stored` is called once that or a newer
+   * value is stored: at once where it is already.
+   */
+  set(key: string, value: unknown, priority: WritePriority, stored?: StoredCallback): void {
     const entry = this.pages.set(key, value);
     if (entry === null || (!entry.dirty && !entry.inFlight)) return stored?.();
     if (stored !== undefined) this.pending.whenStored(entry, stored);
-    if (entry.dirty) this.pending.add(entry, urgency);
+    if (entry.dirty) this.pending.add(entry, priority);
   }
 
-  /** Writes on keys that others write too, all or none, under the leader's fence. */
+  /** Writes keys that other nodes write too, all or none, if the conditions and the leader's hold. */
   transact(conditions: Condition[], writes: Write[], done: PendingTransaction['done']): void {
     this.transactions.push({ conditions, writes, done });
   }
 
-  /** Entries and transactions that wait to be sent. */
+  /** Number of entries and transactions that wait to be sent. */
   get backlog(): number {
     return this.pending.size + this.transactions.length;
   }
 
-  /** Sends the next commit if one is due and may go out; otherwise wakes up when it may. */
+  /** Sends the next commit if one is due and allowed; otherwise starts a timer for when it may be. */
   flush(): void {
     if (this.closed || this.sender.inFlight || this.backlog === 0) return;
     const now = this.eventLoop.now();
@@ -124,8 +128,8 @@
       return this.flushLater(this.planner.nextPagesDueAt - now);
     const waitMs = this.tokensWaitMs;
     if (waitMs > 0) return this.flushLater(waitMs);
-    const unsure = this.unsurePage();
-    if (unsure !== null) return this.sender.rereadPage(unsure);
+    const page = this.pageOfUnknownVersion();
+    if (page !== null) return this.sender.rereadPage(page);
     const commit = this.planner.plan(due, this.options.fencingCondition);
     if (commit === null) this.flushLater(NO_TOKENS_RETRY_MS);
     else this.sender.send(commit);
@@ -139,18 +143,18 @@
     );
   }
 
-  private unsurePage(): Page | null {
+  private pageOfUnknownVersion(): Page | null {
     for (const page of this.pages.pages.values()) if (page.versionUnknown) return page;
     return null;
   }
 
-  /** The queue's next command flushes again; the timer sees to it that there is one. */
-  private flushLater(ms: number): void {
-    const waitMs = Math.max(MIN_TIMER_MS, ms);
+  /** The owner flushes after each batch of events; the timer sees to it that there is one. */
+  private flushLater(delayMs: number): void {
+    const waitMs = Math.max(MIN_TIMER_MS, delayMs);
     const at = this.eventLoop.now() + waitMs;
     if (at >= this.timerAt) return;
     this.timerAt = at;
-    this.eventLoop.after(waitMs, 'records', () => {
+    this.eventLoop.after(waitMs, 'flush-records', () => {
       if (this.timerAt === at) this.timerAt = Infinity;
     });
   }
--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -4,7 +4,7 @@
 import { standalonePlatform } from '../../../test/platform.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
-import { storedSize } from '../store/page-table.js';
+import { storedSize } from '../store/page.js';
 import { type Assignment, Machine } from '../model/entities.js';
 import { decodeMachineRecord, encodeMachineRecord } from './machine-record.js';
 
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -19,6 +19,7 @@
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
 import type { RecordStore } from '../src/controller/store/record-store.js';
+import { encodePage } from '../src/controller/store/page-codec.js';
 import { PageTable } from '../src/controller/store/page-table.js';
 import { decodeBody, encodeBody } from '../src/controller/wire/cbor.js';
 import { readCatalogue, writeCatalogue } from '../src/controller/wire/cloud.js';
@@ -130,7 +131,7 @@
       i % 2 === 0 && value.entries[i + 1] !== null ? [entry, value.entries[i + 1]] : [],
     );
     // Nothing else has an older value of what was deleted: it goes as the page is read.
-    assert.deepEqual(pages.pageValue(page, value.seq), { seq: value.seq, entries: live });
+    assert.deepEqual(encodePage(page, value.seq), { seq: value.seq, entries: live });
   });
 });
 
--- /dev/null
+++ b/test/unreliable-state-store.ts
@@ -0,0 +1,216 @@
+/** A state store for tests of the leader's records: responses get lost, and requests arrive late. */
+import assert from 'node:assert/strict';
+import { EventLoop } from '../src/controller/runtime/event-loop.js';
+import { seededRandom } from '../src/controller/runtime/random.js';
+import type { Runtime } from '../src/controller/runtime/runtime.js';
+import { TokenBucket } from '../src/controller/runtime/token-bucket.js';
+import { defaultProperties } from '../src/controller/settings/properties.js';
+import type { StateLimits } from '../src/controller/settings/platform.js';
+import { Settings } from '../src/controller/settings/settings.js';
+import { MAX_CONDITIONS_PER_WRITE } from '../src/controller/store/batch.js';
+import type { StateStoreClient } from '../src/controller/store/client.js';
+import { StateStoreLimits } from '../src/controller/store/limits.js';
+import { PAGE_PREFIX } from '../src/controller/store/page-codec.js';
+import { storedSize } from '../src/controller/store/page.js';
+import { RecordStore } from '../src/controller/store/record-store.js';
+import type { ReadResult, TransactionResult } from '../src/controller/store/results.js';
+import type { Condition, KeyValue, Write } from '../src/controller/wire/state.js';
+import { silentLogger } from './manual-runtime.js';
+import { standalonePlatform } from './platform.js';
+
+const settings = new Settings(standalonePlatform(), defaultProperties());
+
+/** Limits of the state store that the tests' platform has. */
+export const { stateLimits } = settings.platform;
+
+const LEADER_KEY = 'lead';
+const RESPONSE_MS = 5;
+const TIMEOUT_MS = 700;
+const MAX_DELAY_MS = 5000;
+const MAX_TRANSACTION_SIZE = 64 * 1024;
+/** Longer than any test: sizes that were halved are not tried again. */
+const SIZE_RETRY_MS = 3_600_000;
+
+function ignore(): void {
+  // Nothing follows.
+}
+
+function copyOf<Value>(value: Value): Value {
+  return JSON.parse(JSON.stringify(value)) as Value;
+}
+
+/** The store, its virtual clock, and the records of the leader that writes to it. */
+export class UnreliableStateStore {
+  now = 0;
+  /** Puts and deletes received. */
+  writesReceived = 0;
+  /** Transactions refused for their size. */
+  sizeRefusals = 0;
+  readonly items = new Map<string, KeyValue>();
+  /** Limits as the leader knows them. */
+  knownLimits: StateStoreLimits;
+  records: RecordStore;
+  private revision = 1;
+  private timers: { at: number; run: () => void }[] = [];
+  private readonly random: () => number;
+  private readonly eventLoop: EventLoop;
+
+  /** `faultRate`: ratio of transactions that meet a fault. `limits`: those that the store enforces. */
+  constructor(
+    seed: number,
+    private readonly faultRate: number,
+    public limits: StateLimits = stateLimits,
+  ) {
+    this.knownLimits = this.limitsKnownAs(limits, limits);
+    this.random = seededRandom(seed);
+    this.eventLoop = new EventLoop(this.createRuntime(), silentLogger);
+    this.eventLoop.onBatchEnd(() => this.records.flush());
+    this.records = this.electLeader();
+  }
+
+  /** The leader's knowledge of limits, before any refusal. */
+  limitsKnownAs(present: StateLimits, upcoming: StateLimits): StateStoreLimits {
+    const platform = { stateLimits: present, upcomingStateLimits: upcoming };
+    return new StateStoreLimits(platform, () => this.now, SIZE_RETRY_MS);
+  }
+
+  private createRuntime(): Runtime {
+    return {
+      startedAt: -Infinity,
+      now: () => this.now,
+      wallClock: () => this.now,
+      random: this.random,
+      defer: (fn) => this.after(0, fn),
+      startTimer: (delayMs, fn) => {
+        this.after(delayMs, fn);
+        return { cancel: ignore };
+      },
+      call: ignore,
+      sendPeer: ignore,
+      hasSpareConnection: () => true,
+    };
+  }
+
+  private after(delayMs: number, run: () => void): void {
+    this.timers.push({ at: this.now + delayMs, run });
+  }
+
+  /** Lets time pass, after the events that are due. */
+  run(durationMs: number): void {
+    this.eventLoop.post('records were set', ignore);
+    const until = this.now + durationMs;
+    for (;;) {
+      const due = this.timers.filter((t) => t.at <= until).sort((a, b) => a.at - b.at)[0];
+      if (due === undefined) break;
+      this.timers.splice(this.timers.indexOf(due), 1);
+      this.now = Math.max(this.now, due.at);
+      due.run();
+    }
+    this.now = until;
+  }
+
+  /** A new leader takes over what the one before has stored. */
+  electLeader(): RecordStore {
+    (this.records as RecordStore | undefined)?.close();
+    const version = ++this.revision;
+    this.items.set(LEADER_KEY, { key: LEADER_KEY, value: 1, version });
+    this.records = new RecordStore(this.eventLoop, settings, this.createClient(), {
+      fencingCondition: { key: LEADER_KEY, version },
+      leaseAllowsWrites: () => true,
+      onFenced: ignore,
+    });
+    const pages = [...this.items.values()].filter(({ key }) => key.startsWith(PAGE_PREFIX));
+    this.records.load(copyOf(pages));
+    return this.records;
+  }
+
+  private createClient(): StateStoreClient {
+    const now = (): number => this.now;
+    const client: Pick<StateStoreClient, 'transact' | 'read'> & { budget: object } = {
+      budget: {
+        requestTokens: new TokenBucket(now, 100, 100),
+        writeTokens: new TokenBucket(now, 30, 30),
+        queuedWrites: 0,
+        limits: this.knownLimits,
+      },
+      transact: (conditions, writes, _timeoutMs, done) => this.transact(conditions, writes, done),
+      read: (key, _timeoutMs, done) => this.read(key, done),
+    };
+    return client as StateStoreClient;
+  }
+
+  private read(key: string, done: (result: ReadResult<KeyValue | null>) => void): void {
+    this.after(RESPONSE_MS, () =>
+      this.respond(() => done({ kind: 'ok', value: this.items.get(key) ?? null })),
+    );
+  }
+
+  private respond(done: () => void): void {
+    this.eventLoop.post('response', done);
+  }
+
+  private transact(
+    conditions: Condition[],
+    writes: Write[],
+    done: (result: TransactionResult) => void,
+  ): void {
+    const respondAfter = (delayMs: number, result: () => TransactionResult): void =>
+      this.after(delayMs, () => {
+        const outcome = result();
+        this.respond(() => done(outcome));
+      });
+    this.assertKeepsKnownLimits(conditions, writes);
+    if (exceeds(this.limits, conditions, writes)) {
+      this.sizeRefusals++;
+      this.knownLimits.recordSizeRefusal();
+      return respondAfter(RESPONSE_MS, () => ({ kind: 'too-large' }));
+    }
+    this.writesReceived += writes.length;
+    const copy = copyOf(writes);
+    const fault = this.nextFault();
+    if (fault === 'refused') return respondAfter(RESPONSE_MS, () => ({ kind: 'refused' }));
+    if (fault === null) return respondAfter(RESPONSE_MS, () => this.apply(conditions, copy));
+    if (fault.appliedAfterMs !== null)
+      this.after(fault.appliedAfterMs, () => this.apply(conditions, copy));
+    respondAfter(TIMEOUT_MS, () => ({ kind: 'unknown' }));
+  }
+
+  /** What happens to a transaction. Without response it is carried out at once, much later, or never. */
+  private nextFault(): 'refused' | { appliedAfterMs: number | null } | null {
+    const luck = this.random() < this.faultRate ? this.random() : 1;
+    if (luck < 0.2) return 'refused';
+    if (luck < 0.4) return { appliedAfterMs: 2 };
+    if (luck < 0.6) return { appliedAfterMs: MAX_DELAY_MS * this.random() };
+    return luck < 0.8 ? { appliedAfterMs: null } : null;
+  }
+
+  private assertKeepsKnownLimits(conditions: Condition[], writes: Write[]): void {
+    const known = this.knownLimits.current;
+    assert.ok(writes.length <= known.txnOps);
+    assert.ok(conditions.length <= MAX_CONDITIONS_PER_WRITE * known.txnOps);
+    assert.ok(storedSize([conditions, writes]) <= MAX_TRANSACTION_SIZE);
+    assert.ok(!exceeds(known, conditions, writes), 'a value too large');
+  }
+
+  private apply(conditions: Condition[], writes: Write[]): TransactionResult {
+    const failed = conditions.filter((c) => (this.items.get(c.key)?.version ?? 0) !== c.version);
+    if (failed.length > 0) return { kind: 'conflict', failedKeys: failed.map((c) => c.key) };
+    const version = ++this.revision;
+    for (const write of writes)
+      if ('put' in write)
+        this.items.set(write.put, { key: write.put, value: write.value, version });
+      else this.items.delete(write.delete);
+    return { kind: 'ok', revision: version };
+  }
+}
+
+/** Whether a transaction is larger than the limits allow. */
+function exceeds(limits: StateLimits, conditions: Condition[], writes: Write[]): boolean {
+  const isLarge = (write: Write): boolean =>
+    'put' in write && storedSize(write.value) > limits.valueKb * 1024;
+  return (
+    writes.length > limits.txnOps ||
+    conditions.length > MAX_CONDITIONS_PER_WRITE * limits.txnOps ||
+    writes.some(isLarge)
+  );
+}
