--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -29,10 +29,10 @@
   {
     name: 'during an outage',
     plan: (scenario, fromMs) => {
-      const { clock } = scenario.simulation;
-      clock.after(fromMs + clock.between(1000, 4000), () => scenario.lowerLimits());
+      const { clock, random } = scenario.simulation;
+      clock.after(fromMs + random.between(1000, 4000), () => scenario.lowerLimits());
       return {
-        faults: [{ kind: 'outage', at: fromMs / 1000, for: clock.between(5, 20) }],
+        faults: [{ kind: 'outage', at: fromMs / 1000, for: random.between(5, 20) }],
         occurred: () => scenario.limitsDecrease?.inOutage === true,
       };
     },
@@ -42,10 +42,10 @@
 /** The leader ends, and the limits are lowered before another is elected. */
 function planDuringFailover(scenario: MixedVersionScenario, fromMs: number): PlannedEvent {
   const { simulation } = scenario;
-  const { clock } = simulation;
+  const { clock, random } = simulation;
   const endLeader = (): void => {
-    if (simulation.leader !== null) simulation.kill(simulation.leader, clock.between(2000, 6000));
-    clock.after(clock.between(50, 1500), () => scenario.lowerLimits());
+    if (simulation.leader !== null) simulation.kill(simulation.leader, random.between(2000, 6000));
+    clock.after(random.between(50, 1500), () => scenario.lowerLimits());
   };
   scenario.when(fromMs, () => simulation.leader !== null, endLeader);
   return { faults: [], occurred: () => scenario.limitsDecrease?.leader === null };
@@ -87,10 +87,10 @@
 /** The limits are lowered after the rollout, shortly before or after the end of a leader. */
 const decreaseNearFailover: RolloutEvent = {
   name: 'lower limits near a failover',
-  plan: ({ simulation: { clock, stateStore } }) => ({
+  plan: ({ simulation: { random, stateStore } }) => ({
     faults: [
-      { kind: 'limits fall', at: clock.between(50, 60) },
-      { kind: 'ended', who: 'leader', restartAfter: 1, at: clock.between(48, 62) },
+      { kind: 'limits fall', at: random.between(50, 60) },
+      { kind: 'ended', who: 'leader', restartAfter: 1, at: random.between(48, 62) },
       { kind: 'jobs', count: 10, at: 62 },
     ],
     occurred: () => stateStore.tooLarge === 0,
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -90,7 +90,7 @@
   private submitJobs(count: number, withinMs: number): void {
     const { simulation } = this;
     for (let i = 0; i < count; i++)
-      simulation.clock.after(simulation.clock.between(0, withinMs), () =>
+      simulation.clock.after(simulation.random.between(0, withinMs), () =>
         simulation.submit(
           simulation.jobWith(jobTemplates[i % jobTemplates.length] ?? longJobs),
           null,
@@ -110,16 +110,16 @@
    * `pauseMs`: time between two restarts beyond what is drawn.
    */
   rollingUpdate(to: ProgramVersion, pauseMs = 0): RollingUpdate {
-    const { clock, hosts, leader } = this.simulation;
+    const { clock, random, hosts, leader } = this.simulation;
     const followers = hosts.filter((host) => host !== leader);
     const restartsMs: number[] = [];
     let atMs = 0;
     for (const host of leader === null ? followers : [...followers, leader]) {
-      atMs += clock.between(3000, 15_000);
+      atMs += random.between(3000, 15_000);
       restartsMs.push(atMs);
       clock.after(atMs, () => {
         this.versions.set(host, to);
-        this.simulation.kill(host, clock.between(500, LONGEST_RESTART_MS));
+        this.simulation.kill(host, random.between(500, LONGEST_RESTART_MS));
       });
       atMs += pauseMs;
     }
@@ -149,8 +149,8 @@
     const endLeader = (): void => {
       if (this.versionChanges >= times) return;
       if (simulation.leader !== null)
-        simulation.kill(simulation.leader, simulation.clock.between(100, 6000));
-      simulation.clock.after(simulation.clock.between(2000, 8000), endLeader);
+        simulation.kill(simulation.leader, simulation.random.between(100, 6000));
+      simulation.clock.after(simulation.random.between(2000, 8000), endLeader);
     };
     endLeader();
   }
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -18,9 +18,9 @@
 const rolloutEvents: RolloutEvent[] = [
   {
     name: 'a leader that dies before its turn and comes back as it was',
-    plan: ({ simulation: { clock }, starts }) => {
-      const restartAfter = clock.between(0.1, 2);
-      const at = clock.between(0.5, 2.5);
+    plan: ({ simulation: { random }, starts }) => {
+      const restartAfter = random.between(0.1, 2);
+      const at = random.between(0.5, 2.5);
       return {
         faults: [{ kind: 'ended', who: 'leader', restartAfter, at }],
         occurred: () => {
@@ -33,8 +33,8 @@
   },
   {
     name: 'an outage of the state service',
-    plan: ({ simulation: { clock, stateStore } }) => ({
-      faults: [{ kind: 'outage', at: clock.between(3, 12), for: clock.between(5, 30) }],
+    plan: ({ simulation: { random, stateStore } }) => ({
+      faults: [{ kind: 'outage', at: random.between(3, 12), for: random.between(5, 30) }],
       occurred: () => stateStore.requestsInOutage > 0,
     }),
   },
@@ -64,13 +64,13 @@
 /** All controllers end at once while one of them runs the other version, and come back as they were. */
 function planEndOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
   const { simulation, starts } = scenario;
-  const { clock, hosts } = simulation;
+  const { clock, random, hosts } = simulation;
   let versionsRunning = 0;
   let leaderless = false;
-  clock.after(update.firstRestartMs + LONGEST_RESTART_MS + clock.between(500, 4500), () => {
+  clock.after(update.firstRestartMs + LONGEST_RESTART_MS + random.between(500, 4500), () => {
     versionsRunning = new Set(scenario.runningVersions).size;
     const startsBefore = starts.length;
-    const restartMs = clock.between(200, 8000);
+    const restartMs = random.between(200, 8000);
     for (const host of hosts) simulation.kill(host, restartMs);
     leaderless = simulation.leader === null;
     clock.after(restartMs + 1, () => {
--- a/test/mixed-versions/rollout.ts
+++ b/test/mixed-versions/rollout.ts
@@ -32,11 +32,11 @@
   event: RolloutEvent,
 ): void {
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
-  const { clock, electedVersions } = scenario.simulation;
+  const { random, electedVersions } = scenario.simulation;
   const { faults, occurred } = event.plan(scenario, scenario.rollingUpdate(to, event.pauseMs));
   scenario.finish([
-    { kind: 'cancelled', count: 3, at: clock.between(1, 5), hang: clock.between(0, 10) },
-    { kind: 'cancelled', count: 3, at: clock.between(10, 30), elsewhere: true },
+    { kind: 'cancelled', count: 3, at: random.between(1, 5), hang: random.between(0, 10) },
+    { kind: 'cancelled', count: 3, at: random.between(10, 30), elsewhere: true },
     ...faults,
   ]);
   assert.ok(occurred(), `${event.name} did not happen`);
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -56,12 +56,12 @@
   for (const seed of [1, 2, 3, 4])
     it(`keeps the rules when controllers end and come back in it, seed ${seed}`, () => {
       const simulation = playOutage(seed, (playing) => {
-        const { clock, processes } = playing;
+        const { clock, random, processes } = playing;
         for (let i = 0; i < 12; i++)
-          clock.after(clock.between(0, OUTAGE_MS + 3000), () => {
-            const host = clock.pick(shortLeases.hosts);
-            if (clock.random() < 0.5) playing.kill(host, clock.between(50, 400));
-            else processes.freeze(host, clock.between(100, 4000));
+          clock.after(random.between(0, OUTAGE_MS + 3000), () => {
+            const host = random.pick(shortLeases.hosts);
+            if (random.next() < 0.5) playing.kill(host, random.between(50, 400));
+            else processes.freeze(host, random.between(100, 4000));
           });
       });
       simulation.stopFaults(10_000);
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -11,6 +11,7 @@
 import { smallDeployment } from './simulation/deployments/deployment.js';
 import { Network } from './simulation/network.js';
 import { ProcessRuntime } from './simulation/process-runtime.js';
+import { SeededRandom } from './simulation/seeded-random.js';
 import { VirtualClock } from './simulation/virtual-clock.js';
 
 const HOST = 'kiln-0';
@@ -19,7 +20,8 @@
 class SingleController {
   readonly warnings: string[] = [];
   readonly errors: string[] = [];
-  private readonly clock = new VirtualClock(1);
+  private readonly clock = new VirtualClock();
+  private readonly random = new SeededRandom(1);
   private readonly controller: Controller;
 
   constructor() {
@@ -29,7 +31,13 @@
       warn: (_, text) => this.warnings.push(text),
       error: (_, text) => this.errors.push(text),
     };
-    const runtime = new ProcessRuntime(this.clock, new Network(this.clock), HOST, new Map());
+    const runtime = new ProcessRuntime(
+      this.clock,
+      this.random,
+      new Network(this.clock, this.random),
+      HOST,
+      new Map(),
+    );
     const settings = new Settings(
       platformOf(smallDeployment.hosts, HOST, smallDeployment.platform),
       defaultProperties(),
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -33,11 +33,11 @@
 const UNKNOWN_JOB_QUERY_MS = 7000;
 
 function submitRandomJobs(simulation: Simulation, withinMs: number): void {
-  const { clock } = simulation;
+  const { clock, random } = simulation;
   for (let i = 0; i < JOBS; i++)
-    clock.after(clock.between(0, withinMs), () => {
-      const cancelled = clock.random() < CANCELLED_SHARE;
-      const cancelAfterMs = cancelled ? clock.between(0, CANCELLED_WITHIN_MS) : null;
+    clock.after(random.between(0, withinMs), () => {
+      const cancelled = random.next() < CANCELLED_SHARE;
+      const cancelAfterMs = cancelled ? random.between(0, CANCELLED_WITHIN_MS) : null;
       simulation.submit(simulation.randomJob(), cancelAfterMs);
     });
 }
--- a/test/simulation/deployments/deployment.ts
+++ b/test/simulation/deployments/deployment.ts
@@ -2,7 +2,7 @@
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import { defaultOptions, type PlatformOptions } from '../../platform.js';
-import type { VirtualClock } from '../virtual-clock.js';
+import type { SeededRandom } from '../seeded-random.js';
 
 /** A deployment that the simulation plays. */
 export interface Deployment {
@@ -22,7 +22,7 @@
   bootFailures?: number;
   /** Tasks of scripted jobs take so many times the processors and memory that their table says. */
   taskScale?: number;
-  randomJob(clock: VirtualClock, id: string): JobSpec;
+  randomJob(random: SeededRandom, id: string): JobSpec;
 }
 
 export const hostNames = (count: number): string[] =>
@@ -69,32 +69,32 @@
   },
   // Small pages, so that paging is used.
   pageSize: 7,
-  randomJob(clock, id) {
-    const gang = clock.random() < 0.5;
-    const gpus = gang ? clock.pick([1, 2, 4]) : clock.pick([0, 0, 1]);
-    const tasks = gang ? clock.pick([1, 2, 3]) : clock.pick([1, 3, 10]);
-    const twoZones = tasks > 1 && clock.random() < 0.3;
+  randomJob(random, id) {
+    const gang = random.next() < 0.5;
+    const gpus = gang ? random.pick([1, 2, 4]) : random.pick([0, 0, 1]);
+    const tasks = gang ? random.pick([1, 2, 3]) : random.pick([1, 3, 10]);
+    const twoZones = tasks > 1 && random.next() < 0.3;
     return {
       id,
       class: gang ? 'train' : 'batch',
-      team: clock.pick(['red', 'blue']),
+      team: random.pick(['red', 'blue']),
       kind: gang ? 'gang' : 'array',
-      priority: clock.pick(['low', 'normal', 'normal', 'high']),
+      priority: random.pick(['low', 'normal', 'normal', 'high']),
       tasks,
-      cpus: clock.pick([1, 2, 4]),
+      cpus: random.pick([1, 2, 4]),
       gpus,
-      memoryGb: clock.pick([1, 4, 8]),
-      image: clock.pick(['img-1', 'img-2', 'img-3']),
-      imageGb: clock.pick([1, 3]),
-      types: clock.random() < 0.2 ? ['big'] : null,
-      zone: !twoZones && clock.random() < 0.1 ? 'a' : null,
-      singleZone: !twoZones && gang && clock.random() < 0.5,
+      memoryGb: random.pick([1, 4, 8]),
+      image: random.pick(['img-1', 'img-2', 'img-3']),
+      imageGb: random.pick([1, 3]),
+      types: random.next() < 0.2 ? ['big'] : null,
+      zone: !twoZones && random.next() < 0.1 ? 'a' : null,
+      singleZone: !twoZones && gang && random.next() < 0.5,
       spread: twoZones,
-      spot: clock.random() < 0.5,
+      spot: random.next() < 0.5,
       estimatedRunS: 20,
       checkpointIntervalS: gang ? 10 : 0,
       checkpointSaveS: gang ? 2 : 0,
-      deadlineS: clock.random() < 0.3 ? 100 : null,
+      deadlineS: random.next() < 0.3 ? 100 : null,
     };
   },
 };
@@ -131,30 +131,38 @@
         objectiveToml('finished', 'score', 200, 0.9),
     },
     pageSize: 1000,
-    randomJob(clock, id) {
+    randomJob(random, id) {
       const base = {
         ...{ id, types: null, zone: null, spread: false, deadlineS: null },
-        ...{ imageGb: clock.between(1, 6), estimatedRunS: clock.between(20, 60) },
+        ...{ imageGb: random.between(1, 6), estimatedRunS: random.between(20, 60) },
       };
-      const kind = clock.random();
+      const kind = random.next();
       if (kind < 0.2)
         return {
-          ...{ ...base, class: 'train', team: clock.pick(['red', 'blue']), kind: 'gang' },
-          ...{ priority: 'high', tasks: clock.pick([1, 1, 2, 2, 4, 8]), cpus: 14, gpus: 4 },
-          ...{ memoryGb: 100, image: `train-${Math.floor(clock.between(0, 6))}`, singleZone: true },
+          ...{ ...base, class: 'train', team: random.pick(['red', 'blue']), kind: 'gang' },
+          ...{ priority: 'high', tasks: random.pick([1, 1, 2, 2, 4, 8]), cpus: 14, gpus: 4 },
+          ...{
+            memoryGb: 100,
+            image: `train-${Math.floor(random.between(0, 6))}`,
+            singleZone: true,
+          },
           ...{ spot: false, checkpointIntervalS: 20, checkpointSaveS: 2 },
         };
       if (kind < 0.6)
         return {
           ...{ ...base, class: 'score', team: 'red', kind: 'array', priority: 'normal' },
-          ...{ tasks: Math.ceil(clock.between(1, 20)), cpus: clock.between(2, 4), gpus: 1 },
-          ...{ memoryGb: 20, image: `score-${Math.floor(clock.between(0, 8))}`, singleZone: false },
+          ...{ tasks: Math.ceil(random.between(1, 20)), cpus: random.between(2, 4), gpus: 1 },
+          ...{
+            memoryGb: 20,
+            image: `score-${Math.floor(random.between(0, 8))}`,
+            singleZone: false,
+          },
           ...{ spot: true, checkpointIntervalS: 0, checkpointSaveS: 0 },
         };
       return {
         ...{ ...base, class: 'print', team: 'blue', kind: 'array', priority: 'normal' },
-        ...{ tasks: Math.ceil(clock.between(1, 60)), cpus: 1, gpus: 0, memoryGb: 2 },
-        ...{ image: `print-${Math.floor(clock.between(0, 8))}`, singleZone: false, spot: true },
+        ...{ tasks: Math.ceil(random.between(1, 60)), cpus: 1, gpus: 0, memoryGb: 2 },
+        ...{ image: `print-${Math.floor(random.between(0, 8))}`, singleZone: false, spot: true },
         ...{ checkpointIntervalS: 0, checkpointSaveS: 0 },
       };
     },
--- a/test/simulation/deployments/large-fleet.ts
+++ b/test/simulation/deployments/large-fleet.ts
@@ -70,13 +70,13 @@
   };
   const deployment = largeFleet(machines);
   const simulation = new Simulation(deployment, seed, rates);
-  const { clock } = simulation;
+  const { clock, random } = simulation;
   for (let i = 0; i < machines / MACHINES_PER_JOB; i++)
     simulation.submit(simulation.randomJob(), null);
   const submitNext = (): void => {
     if (clock.now > DAY.end) return;
-    simulation.submit(simulation.randomJob(), clock.random() < 0.04 ? 20_000 : null);
-    clock.after(clock.between(0.3, 1.7) * (MACHINE_MS_PER_JOB / machines), submitNext);
+    simulation.submit(simulation.randomJob(), random.next() < 0.04 ? 20_000 : null);
+    clock.after(random.between(0.3, 1.7) * (MACHINE_MS_PER_JOB / machines), submitNext);
   };
   submitNext();
   clock.after(DAY.leaderEnds, () => simulation.kill(simulation.leader ?? 'kiln-0', RESTART_MS));
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -9,7 +9,7 @@
   type FaultScenario,
 } from '../scenarios/fault-scenario.js';
 import { hostNames, teamToml, type Deployment } from './deployment.js';
-import type { VirtualClock } from '../virtual-clock.js';
+import type { SeededRandom } from '../seeded-random.js';
 import type { Fault } from '../faults/faults.js';
 
 const LEASE_S = 10;
@@ -20,35 +20,35 @@
 const MEMORY_GB = 400;
 
 /** Gangs of whole machines, arrays of single GPUs that checkpoint, and arrays without GPUs. */
-function randomJob(clock: VirtualClock, id: string): JobSpec {
-  const name = clock.pick(['red', 'blue']);
+function randomJob(random: SeededRandom, id: string): JobSpec {
+  const name = random.pick(['red', 'blue']);
   const base = {
     ...{ id, team: name, types: null, spread: false, deadlineS: null },
-    ...{ priority: clock.pick(['low', 'normal', 'normal', 'high'] as const), spot: true },
-    ...{ imageGb: clock.between(1, 4), estimatedRunS: 20, checkpointSaveS: 1 },
-    zone: clock.random() < 0.1 ? 'a' : null,
+    ...{ priority: random.pick(['low', 'normal', 'normal', 'high'] as const), spot: true },
+    ...{ imageGb: random.between(1, 4), estimatedRunS: 20, checkpointSaveS: 1 },
+    zone: random.next() < 0.1 ? 'a' : null,
   };
-  const kind = clock.random();
+  const kind = random.next();
   if (kind < 0.3)
     return {
       ...{
         ...base,
         class: 'train',
         kind: 'gang',
-        tasks: clock.pick(name === 'red' ? [1, 2] : [1, 2, 3]),
+        tasks: random.pick(name === 'red' ? [1, 2] : [1, 2, 3]),
       },
       ...{ cpus: CPUS - 8, gpus: GPUS, memoryGb: MEMORY_GB - 80 },
-      ...{ image: clock.pick(['train-1', 'train-2']), singleZone: clock.random() < 0.5 },
+      ...{ image: random.pick(['train-1', 'train-2']), singleZone: random.next() < 0.5 },
       ...{ checkpointIntervalS: 10 },
     };
   const array = { ...base, kind: 'array' as const, singleZone: false };
   if (kind < 0.8)
     return {
-      ...{ ...array, class: 'score', tasks: Math.ceil(clock.between(0, 12)), cpus: 6, gpus: 1 },
-      ...{ memoryGb: 40, image: clock.pick(['score-1', 'score-2']), checkpointIntervalS: 5 },
+      ...{ ...array, class: 'score', tasks: Math.ceil(random.between(0, 12)), cpus: 6, gpus: 1 },
+      ...{ memoryGb: 40, image: random.pick(['score-1', 'score-2']), checkpointIntervalS: 5 },
     };
   return {
-    ...{ ...array, class: 'print', tasks: clock.pick([1, 3, 10]), cpus: 4, gpus: 0 },
+    ...{ ...array, class: 'print', tasks: random.pick([1, 3, 10]), cpus: 4, gpus: 0 },
     ...{ memoryGb: 10, image: 'print-1', checkpointIntervalS: 0 },
   };
 }
--- a/test/simulation/digest-scenarios.ts
+++ b/test/simulation/digest-scenarios.ts
@@ -164,11 +164,11 @@
 }
 
 function submitRandomJobs(simulation: Simulation, count: number, withinMs: number): void {
-  const { clock } = simulation;
+  const { clock, random } = simulation;
   for (let i = 0; i < count; i++)
-    clock.after(clock.between(0, withinMs), () => {
-      const cancelled = clock.random() < CANCELLED_SHARE;
-      const cancelAfterMs = cancelled ? clock.between(0, CANCELLED_WITHIN_MS) : null;
+    clock.after(random.between(0, withinMs), () => {
+      const cancelled = random.next() < CANCELLED_SHARE;
+      const cancelAfterMs = cancelled ? random.between(0, CANCELLED_WITHIN_MS) : null;
       simulation.submit(simulation.randomJob(), cancelAfterMs);
     });
 }
--- a/test/simulation/faults/connection-faults.ts
+++ b/test/simulation/faults/connection-faults.ts
@@ -1,5 +1,6 @@
 /** Faults of the network between controllers, machines, users, cloud and state service. */
 import type { CutMode, Network } from '../network.js';
+import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 import type { Worker } from '../machines/worker.js';
 
@@ -7,6 +8,7 @@
 export class ConnectionFaults {
   constructor(
     private readonly clock: VirtualClock,
+    private readonly random: SeededRandom,
     private readonly network: Network,
     private readonly hosts: readonly string[],
     /** Workers of the machines that are up. */
@@ -20,7 +22,7 @@
   }
 
   private drawCut(): CutMode {
-    return this.clock.random() < 0.5 ? 'hold' : 'reset';
+    return this.random.next() < 0.5 ? 'hold' : 'reset';
   }
 
   /** A controller loses the other controllers. */
--- a/test/simulation/faults/faults.ts
+++ b/test/simulation/faults/faults.ts
@@ -54,19 +54,19 @@
 /** Workers on a share of the machines, at least one. */
 function some(simulation: Simulation, share: number): Simulation['workers'] {
   const all = simulation.workers;
-  const chosen = all.filter(() => simulation.clock.random() < share);
+  const chosen = all.filter(() => simulation.random.next() < share);
   return chosen.length > 0 ? chosen : all.slice(0, 1);
 }
 
 /** Calls off jobs that run, within a fifth of a second; their machines may hang or be cut at that moment. */
 function cancel(simulation: Simulation, t: Fault & { kind: 'cancelled' }): void {
-  const { clock } = simulation;
+  const { clock, random } = simulation;
   const hangMs = (t.hang ?? 0) * 1000;
   const cutMs = (t.cut ?? 0) * 1000;
   const others = hostsOf(simulation, 'others');
   for (const id of simulation.checker.runningJobs().slice(0, t.count)) {
-    const host = t.elsewhere === true ? clock.pick(others) : undefined;
-    clock.after(clock.between(0, 200), () => {
+    const host = t.elsewhere === true ? random.pick(others) : undefined;
+    clock.after(random.between(0, 200), () => {
       for (const worker of simulation.workersOf(id)) {
         if (hangMs > 0) worker.hang(hangMs);
         if (cutMs > 0) simulation.connectionFaults.cutMachine(worker, cutMs);
@@ -78,13 +78,13 @@
 
 /** Ends the leader a moment after a new machine is up, or has been given its first task. */
 function endBesideNewMachines(simulation: Simulation, backMs: number, ms: number): void {
-  const { clock, cloud, checker } = simulation;
+  const { clock, random, cloud, checker } = simulation;
   const until = clock.now + ms;
   let planned = false;
   const end = (withinMs: number): void => {
     if (planned || clock.now > until) return;
     planned = true;
-    clock.after(clock.between(0, withinMs), () => {
+    clock.after(random.between(0, withinMs), () => {
       planned = false;
       const { leader } = simulation;
       if (leader === null) return;
@@ -117,24 +117,24 @@
 
 /** Calls off running jobs in the seconds after a leader has given up the lead. */
 function cancelAtHandOvers(simulation: Simulation, count: number, ms: number): void {
-  const { clock, checker } = simulation;
+  const { clock, random, checker } = simulation;
   const until = clock.now + ms;
   simulation.onLog.push((text) => {
     if (text !== 'no longer leader' || clock.now > until) return;
     for (const id of checker.runningJobs().slice(0, count))
-      clock.after(clock.between(0, 2500), () =>
-        simulation.cancel(id, clock.pick(simulation.hosts)),
+      clock.after(random.between(0, 2500), () =>
+        simulation.cancel(id, random.pick(simulation.hosts)),
       );
   });
 }
 
 /** Jobs come at a steady rate; a share of them is cancelled before, while or after they run. */
 function stream(simulation: Simulation, t: Fault & { kind: 'stream' }): void {
-  const { clock } = simulation;
+  const { clock, random } = simulation;
   const everyMs = 1000 / t.perSecond;
   for (let at = 0; at < (t.for ?? 0) * 1000; at += everyMs)
     clock.after(at, () => {
-      const cancelAfterMs = clock.random() < t.cancelled ? clock.between(0, 12_000) : null;
+      const cancelAfterMs = random.next() < t.cancelled ? random.between(0, 12_000) : null;
       simulation.submit(simulation.jobWith(t.template), cancelAfterMs);
     });
 }
@@ -173,7 +173,7 @@
 
 function begin(simulation: Simulation, t: Fault): void {
   const ms = (t.for ?? 0) * 1000;
-  const { clock, network, stateStore } = simulation;
+  const { clock, random, network, stateStore } = simulation;
   switch (t.kind) {
     case 'refused':
       return hostsOf(simulation, t.who).forEach((h) => stateStore.refuse(h, ms));
@@ -268,7 +268,7 @@
     case 'cancelled at the end': {
       const until = clock.now + ms;
       simulation.checker.onLastTaskCompleted.push((id) => {
-        if (clock.now <= until && clock.random() < t.share) simulation.cancel(id);
+        if (clock.now <= until && random.next() < t.share) simulation.cancel(id);
       });
       return;
     }
--- a/test/simulation/faults/machine-faults.ts
+++ b/test/simulation/faults/machine-faults.ts
@@ -1,6 +1,7 @@
 /** Faults that meet a share of the machines at one time. */
 import type { Cloud } from '../machines/cloud.js';
 import type { ConnectionFaults } from './connection-faults.js';
+import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 import type { Worker } from '../machines/worker.js';
 
@@ -8,6 +9,7 @@
 export class MachineFaults {
   constructor(
     private readonly clock: VirtualClock,
+    private readonly random: SeededRandom,
     private readonly cloud: Cloud,
     private readonly connections: ConnectionFaults,
   ) {}
@@ -26,10 +28,10 @@
   reclaimSpot(share: number, overMs: number): void {
     for (const worker of this.some(share))
       if (worker.spot)
-        this.clock.after(this.clock.between(0, overMs), () => this.cloud.reclaim(worker.id));
+        this.clock.after(this.random.between(0, overMs), () => this.cloud.reclaim(worker.id));
   }
 
   private some(share: number): Worker[] {
-    return this.cloud.workers.filter(() => this.clock.random() < share);
+    return this.cloud.workers.filter(() => this.random.next() < share);
   }
 }
--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -10,10 +10,10 @@
 
 /** Asks one node about a job, by a poll or a repeated submission; the rules judge the answer. */
 function look(simulation: Simulation, id: string, host: string): void {
-  const { checker, clock } = simulation;
+  const { checker, random } = simulation;
   const spec = simulation.users.specOf(id);
   if (spec === undefined) return;
-  const repeated = clock.random() < REPEATED_SHARE;
+  const repeated = random.next() < REPEATED_SHARE;
   const before = checker.visibleState(id);
   simulation.observedEvents.record('close look');
   simulation.sendRequest(
@@ -30,16 +30,16 @@
  * cancelled, and repeat its submission; a share of them calls the job off at that moment.
  */
 export function pollAfterChanges(simulation: Simulation, cancelShare: number, ms: number): void {
-  const { checker, clock } = simulation;
+  const { checker, clock, random } = simulation;
   const until = clock.now + ms;
   const lookClosely = (id: string): void => {
     if (clock.now > until) return;
     for (const host of simulation.hosts)
       for (let i = 0; i < QUESTIONS_PER_NODE; i++)
-        clock.after(clock.between(0, WITHIN_MS), () => look(simulation, id, host));
-    if (clock.random() < cancelShare)
-      clock.after(clock.between(0, WITHIN_MS), () =>
-        simulation.cancel(id, clock.pick(simulation.hosts)),
+        clock.after(random.between(0, WITHIN_MS), () => look(simulation, id, host));
+    if (random.next() < cancelShare)
+      clock.after(random.between(0, WITHIN_MS), () =>
+        simulation.cancel(id, random.pick(simulation.hosts)),
       );
   };
   checker.onVisibleChange.push(lookClosely);
--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -20,16 +20,16 @@
 const RANDOM_FAULTS: readonly RandomFault[] = [
   ({ processes }, { host, restartMs }) => processes.kill(host, restartMs),
   ({ processes, hosts }, { restartMs }) => hosts.forEach((h) => processes.kill(h, restartMs)),
-  ({ stateStore, clock }) => stateStore.outage(clock.between(1000, 30_000)),
+  ({ stateStore, random }) => stateStore.outage(random.between(1000, 30_000)),
   ({ stateStore }, { host, durationMs }) => stateStore.refuse(host, durationMs),
   ({ connectionFaults }, { host, durationMs }) =>
     connectionFaults.cutFor(host, 'state', durationMs),
   ({ connectionFaults }, { host, durationMs }) => connectionFaults.cutFromWorkers(host, durationMs),
   ({ connectionFaults }, { host, durationMs }) => connectionFaults.cutFromPeers(host, durationMs),
   cutWorker,
-  ({ clock }, { worker }) => worker?.hang(clock.between(1000, 60_000)),
+  ({ random }, { worker }) => worker?.hang(random.between(1000, 60_000)),
   (_, { worker }) => worker?.die(),
-  ({ clock }, { worker }) => worker?.restart(clock.between(100, 600)),
+  ({ random }, { worker }) => worker?.restart(random.between(100, 600)),
   deafenWorker,
   ({ connectionFaults }, { host, durationMs }) => connectionFaults.isolate(host, durationMs),
   ({ processes }) => processes.killElected(),
@@ -37,14 +37,14 @@
   ({ stateStore }, { durationMs }) => stateStore.slowDown(durationMs),
   ({ connectionFaults }, { durationMs }) => connectionFaults.refusePeers(durationMs),
   ({ machineFaults }, { durationMs }) => machineFaults.cut(0.3, durationMs),
-  ({ processes, clock }) => processes.rollingRestart(clock.between(2000, 15_000)),
+  ({ processes, random }) => processes.rollingRestart(random.between(2000, 15_000)),
   recallSpotMachine,
 ];
 
 /** Injects a fault every now and then, until the simulation is calm. */
 export function injectRandomFaults(simulation: Simulation, everyMs: number): void {
-  const { clock } = simulation;
-  clock.after(everyMs * clock.between(0.3, 1.7), () => {
+  const { clock, random } = simulation;
+  clock.after(everyMs * random.between(0.3, 1.7), () => {
     if (simulation.faultsStopped) return;
     injectRandomFault(simulation);
     injectRandomFaults(simulation, everyMs);
@@ -52,14 +52,14 @@
 }
 
 function injectRandomFault(simulation: Simulation): void {
-  const { clock, hosts, workers } = simulation;
+  const { random, hosts, workers } = simulation;
   const draw: Draw = {
-    host: clock.pick(hosts),
-    worker: workers.length > 0 ? clock.pick(workers) : undefined,
-    durationMs: clock.between(1000, 45_000),
-    restartMs: clock.random() < 0.3 ? clock.between(100, 600) : RESTART_MS,
+    host: random.pick(hosts),
+    worker: workers.length > 0 ? random.pick(workers) : undefined,
+    durationMs: random.between(1000, 45_000),
+    restartMs: random.next() < 0.3 ? random.between(100, 600) : RESTART_MS,
   };
-  clock.pick(RANDOM_FAULTS)(simulation, draw);
+  random.pick(RANDOM_FAULTS)(simulation, draw);
 }
 
 function cutWorker({ connectionFaults, hosts }: Simulation, { worker, durationMs }: Draw): void {
--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -9,17 +9,17 @@
 
 /** For a time users repeat, cancel what is done, ask for what can't run or leave a field out. */
 export function sendUnusualRequests(simulation: Simulation, ms: number): void {
-  const { clock, checker, users } = simulation;
+  const { clock, random, checker, users } = simulation;
   const until = clock.now + ms;
   const again = (): void => {
     if (clock.now > until) return;
-    clock.after(clock.between(BETWEEN_MS.least, BETWEEN_MS.most), again);
+    clock.after(random.between(BETWEEN_MS.least, BETWEEN_MS.most), again);
     const known = checker.acceptedJobs();
-    const id = known.length > 0 ? clock.pick(known) : '';
+    const id = known.length > 0 ? random.pick(known) : '';
     const spec = users.specOf(id);
     if (spec === undefined) return;
     if (checker.toldDone(id)) users.cancel(id);
-    else if (clock.random() < 0.5) users.repeat(id);
+    else if (random.next() < 0.5) users.repeat(id);
     else submitOdd(simulation, spec);
   };
   again();
@@ -27,10 +27,10 @@
 
 /** Submits a job like the one given that can't run or lacks a field. */
 function submitOdd(simulation: Simulation, spec: JobSpec): void {
-  const { clock, checker, users } = simulation;
+  const { random, checker, users } = simulation;
   const odd = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
-  if (clock.random() < 0.5) odd['cores'] = TOO_MANY_CORES;
-  else Reflect.deleteProperty(odd, clock.pick(['duties', 'loaners', 'scatter', 'expect_s']));
+  if (random.next() < 0.5) odd['cores'] = TOO_MANY_CORES;
+  else Reflect.deleteProperty(odd, random.pick(['duties', 'loaners', 'scatter', 'expect_s']));
   users.sendRequest('POST', '/submissions', odd, (status) => {
     if (status === 200 || status === 201) checker.invalidJobAccepted(String(odd['id']));
   });
--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -106,10 +106,10 @@
   }
 
   private bootMs(type: MachineType): number | null {
-    const { clock } = this.context;
-    if (clock.now < this.quickUntil) return clock.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
-    if (clock.random() < this.bootFails) return null;
-    return type.bootS * 1000 * clock.between(BOOT_SHARES.least, BOOT_SHARES.most);
+    const { clock, random } = this.context;
+    if (clock.now < this.quickUntil) return random.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
+    if (random.next() < this.bootFails) return null;
+    return type.bootS * 1000 * random.between(BOOT_SHARES.least, BOOT_SHARES.most);
   }
 
   private snapshot(): void {
@@ -135,8 +135,8 @@
   }
 
   private list(request: IncomingRequest, respond: Respond): void {
-    const { clock } = this.context;
-    const lag = this.lagMs * clock.between(1, 2);
+    const { clock, random } = this.context;
+    const lag = this.lagMs * random.between(1, 2);
     const snapshot = this.snapshots.filter(({ at }) => at <= clock.now - lag).at(-1);
     const query = new URL(request.path, 'http://cloud').searchParams;
     const from = query.get('from') ?? '';
--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -47,8 +47,8 @@
     private readonly source: HeartbeatSource,
     private readonly context: MachineContext,
   ) {
-    const { clock, controllers } = context;
-    this.node = Math.floor(clock.random() * controllers.length);
+    const { clock, random, controllers } = context;
+    this.node = Math.floor(random.next() * controllers.length);
     this.nextAt = clock.now;
   }
 
@@ -91,12 +91,12 @@
   }
 
   private send(): void {
-    const { clock, settings } = this.context;
+    const { clock, random, settings } = this.context;
     this.inFlight = true;
     this.dirty = false;
     this.lastSent = clock.now;
     this.nextAt =
-      clock.now + settings.heartbeatIntervalMs * clock.between(JITTER.least, JITTER.most);
+      clock.now + settings.heartbeatIntervalMs * random.between(JITTER.least, JITTER.most);
     if (!this.blocked) return this.post();
     clock.after(1, () => {
       this.inFlight = false;
@@ -138,11 +138,11 @@
   }
 
   private redirect(leader = ''): void {
-    const { controllers, clock } = this.context;
+    const { controllers, random } = this.context;
     const node = controllers.indexOf(leader);
     if (node < 0 || node === this.node) return this.tryNext();
     this.node = node;
-    this.retry(clock.between(0, REDIRECT_WITHIN_MS));
+    this.retry(random.between(0, REDIRECT_WITHIN_MS));
   }
 
   private retry(ms: number): void {
--- a/test/simulation/machines/machine-context.ts
+++ b/test/simulation/machines/machine-context.ts
@@ -4,6 +4,7 @@
 import type { ObservedEvents } from '../faults/observed-events.js';
 import type { Network } from '../network.js';
 import type { RuleChecker } from '../rules/rule-checker.js';
+import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 
 /** Periods that the platform gives to workers, in milliseconds. */
@@ -17,6 +18,7 @@
 /** What each machine of a simulation has access to. */
 export interface MachineContext {
   clock: VirtualClock;
+  random: SeededRandom;
   network: Network;
   checker: RuleChecker;
   settings: WorkerSettings;
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -133,11 +133,11 @@
 
   /** Replicas should not end; now and then one does. */
   private runReplica(task: Task): void {
-    const { clock } = this.context;
+    const { clock, random } = this.context;
     task.status = 'running';
     const { least, most } = REPLICA_SHARES;
-    const endsAfterMs = this.context.runMs(task.jobId) * clock.between(least, most);
-    const cause = clock.pick(['done', 'error', 'other']);
+    const endsAfterMs = this.context.runMs(task.jobId) * random.between(least, most);
+    const cause = random.pick(['done', 'error', 'other']);
     task.timer = clock.after(endsAfterMs, () =>
       this.host.whenAwake(() => {
         this.context.replicasEnded++;
@@ -147,9 +147,9 @@
   }
 
   private runArrayTask(task: Task): void {
-    const { clock } = this.context;
+    const { clock, random } = this.context;
     task.status = 'running';
-    const fails = clock.random() < this.context.taskFailures;
+    const fails = random.next() < this.context.taskFailures;
     const endsAfterMs = this.context.runMs(task.jobId) * (fails ? FAILURE_SHARE : 1);
     task.timer = clock.after(endsAfterMs, () =>
       this.host.whenAwake(() => this.finish(task, fails ? 'error' : 'done')),
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -1,6 +1,7 @@
 /** The network between the hosts of a simulation. */
 import type { Call, Reply } from '../../src/controller/runtime/runtime.js';
 import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
+import type { SeededRandom } from './seeded-random.js';
 import type { VirtualClock } from './virtual-clock.js';
 
 /** Sends the answer to a request. */
@@ -57,7 +58,10 @@
   /** Messages take up to this long; milliseconds. */
   maxLatencyMs = 2;
 
-  constructor(private readonly clock: VirtualClock) {}
+  constructor(
+    private readonly clock: VirtualClock,
+    private readonly random: SeededRandom,
+  ) {}
 
   /** `serve` answers requests to the address, which is on `host`. */
   listen(address: string, host: string, serve: RequestHandler): void {
@@ -87,7 +91,7 @@
     if (this.held.length === 0) return;
     const released = this.held.filter((h) => !this.cuts.has(`${h.from} ${h.to}`));
     this.held = this.held.filter((h) => this.cuts.has(`${h.from} ${h.to}`));
-    for (const h of released) this.clock.after(this.clock.between(0.2, 3), h.run);
+    for (const h of released) this.clock.after(this.random.between(0.2, 3), h.run);
   }
 
   private cutOf(from: string, to: string): CutMode | undefined {
@@ -100,7 +104,7 @@
     if (cut === 'reset') this.clock.after(1, lost);
     else if (cut === 'hold') this.held.push({ from, to, run });
     else {
-      this.clock.after(this.clock.between(0.2, this.maxLatencyMs), () => {
+      this.clock.after(this.random.between(0.2, this.maxLatencyMs), () => {
         // A cut may have come while the message was under way.
         const now = this.cutOf(from, to);
         if (now === undefined) run();
@@ -116,7 +120,7 @@
     this.kept = [];
     for (const { from, arrival } of kept)
       for (const address of addresses)
-        this.clock.after(afterMs + this.clock.between(0, 50), () => {
+        this.clock.after(afterMs + this.random.between(0, 50), () => {
           const service = this.services.get(address);
           if (service === undefined) return;
           this.duplicatesDelivered++;
@@ -127,8 +131,8 @@
   /** Whether the command is held up; it then arrives once, 2 to 16 s late, and is not answered. */
   private holdsUp(call: Call, deliver: (respond: Respond) => void): boolean {
     if (call.path !== '/do' || this.delayedCommands === 0) return false;
-    if (this.clock.random() >= this.delayedCommands) return false;
-    this.clock.after(this.clock.between(2000, 16_000), () => {
+    if (this.random.next() >= this.delayedCommands) return false;
+    this.clock.after(this.random.between(2000, 16_000), () => {
       this.delayedCommandsDelivered++;
       deliver(() => undefined);
     });
@@ -198,16 +202,16 @@
     deliver: (request: IncomingRequest, respond: Respond) => void,
   ): void {
     const copy = (fromMs: number): void => {
-      this.clock.after(this.clock.between(fromMs, this.maxDuplicateDelayMs), () => {
+      this.clock.after(this.random.between(fromMs, this.maxDuplicateDelayMs), () => {
         this.duplicatesDelivered++;
         deliver({ ...arrival, duplicate: true }, () => undefined);
       });
     };
-    if (call.method === 'POST' && this.duplicated > 0 && this.clock.random() < this.duplicated)
+    if (call.method === 'POST' && this.duplicated > 0 && this.random.next() < this.duplicated)
       copy(5);
     if (this.duplicatedHeartbeats > 0 && call.path === '/v1/report')
-      if (this.clock.random() < this.duplicatedHeartbeats) copy(2000);
+      if (this.random.next() < this.duplicatedHeartbeats) copy(2000);
     if (this.retainedHeartbeats > 0 && call.path === '/v1/report')
-      if (this.clock.random() < this.retainedHeartbeats) this.kept.push({ from, arrival });
+      if (this.random.next() < this.retainedHeartbeats) this.kept.push({ from, arrival });
   }
 }
--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -1,6 +1,7 @@
 /** Clock, timers and network as one controller process sees them. */
 import type { Call, Runtime, Reply, Timer } from '../../src/controller/runtime/runtime.js';
 import type { Network } from './network.js';
+import type { SeededRandom } from './seeded-random.js';
 import type { VirtualClock } from './virtual-clock.js';
 
 /** What a controller process runs on; everything stops when the process is killed. */
@@ -14,12 +15,13 @@
 
   constructor(
     private readonly clock: VirtualClock,
+    private readonly seededRandom: SeededRandom,
     private readonly network: Network,
     private readonly host: string,
     private readonly peers: Map<string, (bytes: Buffer) => void>,
   ) {
-    this.drift = 1 + clock.between(0, 0.0005);
-    this.offset = clock.between(0, 1e6);
+    this.drift = 1 + seededRandom.between(0, 0.0005);
+    this.offset = seededRandom.between(0, 1e6);
     this.startedAt = this.now();
   }
 
@@ -32,7 +34,7 @@
   }
 
   random(): number {
-    return this.clock.random();
+    return this.seededRandom.next();
   }
 
   defer(fn: () => void): void {
@@ -63,7 +65,7 @@
 
   /** Now and then sockets are short. */
   hasSpareConnection(): boolean {
-    return this.clock.random() < 0.95;
+    return this.seededRandom.next() < 0.95;
   }
 
   sendPeer(host: string, frame: Buffer): void {
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -5,6 +5,7 @@
 import type { Network } from './network.js';
 import { ProcessRuntime } from './process-runtime.js';
 import type { Deployment } from './deployments/deployment.js';
+import type { SeededRandom } from './seeded-random.js';
 import type { VirtualClock } from './virtual-clock.js';
 import type { ProgramVersion } from './program-version.js';
 
@@ -34,6 +35,7 @@
 
   constructor(
     private readonly clock: VirtualClock,
+    private readonly random: SeededRandom,
     private readonly network: Network,
     private readonly deployment: Deployment,
     private readonly apiOf: (host: string) => string,
@@ -45,7 +47,7 @@
   /** Starts the host's process, unless it runs. */
   start(host: string): void {
     if (this.processes.has(host)) return;
-    const runtime = new ProcessRuntime(this.clock, this.network, host, this.peers);
+    const runtime = new ProcessRuntime(this.clock, this.random, this.network, host, this.peers);
     const version = this.versionOf(host);
     const { hosts, platform } = this.deployment;
     const settings = new version.Settings(
@@ -119,11 +121,11 @@
 
   /** The leader ends, and so do those who follow, each in the midst of its election; all are soon back. */
   killElected(times = 4, overMs = 6000): void {
-    const { clock } = this;
+    const { clock, random } = this;
     let left = times;
     const again = (): void => {
-      for (const host of this.leaders()) this.kill(host, clock.between(50, 400));
-      if (--left > 0) clock.after(clock.between(20, (2 * overMs) / times), again);
+      for (const host of this.leaders()) this.kill(host, random.between(50, 400));
+      if (--left > 0) clock.after(random.between(20, (2 * overMs) / times), again);
     };
     again();
   }
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -23,17 +23,17 @@
   const { startMs = START_MS, bootFailures = 0, warmUpJob } = deployment;
   const quiet = { meanIntervalMs: Infinity, duplicated: 0.01, taskFailures: 0, bootFailures };
   const simulation = new Simulation(deployment, seed, quiet, undefined, () => version);
-  const { clock } = simulation;
+  const { clock, random } = simulation;
   if (warmUpJob !== undefined) simulation.submit(simulation.jobWith(warmUpJob), null);
   const submittedMs = startMs - START_MS;
   for (let i = 0; i < scenario.jobCount; i++)
-    clock.after(submittedMs + clock.between(0, START_MS / 2), () =>
+    clock.after(submittedMs + random.between(0, START_MS / 2), () =>
       simulation.submit(simulation.jobWith(scenario.jobs), null),
     );
   simulation.play(startMs);
   injectFaults(
     simulation,
-    scenario.faults((from, to) => clock.between(from, to)),
+    scenario.faults((from, to) => random.between(from, to)),
   );
   simulation.play(FAULTS_MS);
   simulation.stopFaults(0);
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -14,6 +14,7 @@
 import { injectRandomFaults } from './faults/random-faults.js';
 import { RuleChecker } from './rules/rule-checker.js';
 import type { Deployment } from './deployments/deployment.js';
+import { SeededRandom } from './seeded-random.js';
 import { VirtualClock } from './virtual-clock.js';
 import { StateStoreServer } from './state-store/state-store-server.js';
 import { UserPopulation } from './users/user-population.js';
@@ -53,7 +54,8 @@
 
 /** The controllers of a deployment with all that is around them, in virtual time. */
 export class Simulation {
-  readonly clock: VirtualClock;
+  readonly clock = new VirtualClock();
+  readonly random: SeededRandom;
   readonly network: Network;
   readonly stateStore: StateStoreServer;
   readonly cloud: Cloud;
@@ -81,8 +83,8 @@
     const platform = platformOf(hosts, hosts[0] ?? '', deployment.platform);
     const { stateStoreAddr, stateLimits, workers } = platform;
     this.upcomingStateLimits = platform.upcomingStateLimits;
-    this.clock = new VirtualClock(seed);
-    this.network = new Network(this.clock);
+    this.random = new SeededRandom(seed);
+    this.network = new Network(this.clock, this.random);
     this.network.duplicated = rates.duplicated;
     this.network.maxDuplicateDelayMs = workers.leaseS * 1000 * LATEST_COPY_LEASES;
     this.checker = new RuleChecker(
@@ -92,6 +94,7 @@
     );
     this.stateStore = new StateStoreServer(
       this.clock,
+      this.random,
       this.network,
       stateStoreAddr,
       stateLimits,
@@ -103,13 +106,20 @@
     this.cloud = this.startCloud(platform, rates);
     this.connectionFaults = new ConnectionFaults(
       this.clock,
+      this.random,
       this.network,
       hosts,
       () => this.workers,
     );
-    this.machineFaults = new MachineFaults(this.clock, this.cloud, this.connectionFaults);
+    this.machineFaults = new MachineFaults(
+      this.clock,
+      this.random,
+      this.cloud,
+      this.connectionFaults,
+    );
     this.processes = new ControllerProcesses(
       this.clock,
+      this.random,
       this.network,
       deployment,
       (host) => this.apiOf(host),
@@ -124,6 +134,7 @@
   private machineContext({ workers }: Platform, rates: FaultRates): MachineContext {
     return {
       clock: this.clock,
+      random: this.random,
       network: this.network,
       checker: this.checker,
       settings: {
@@ -145,10 +156,11 @@
   }
 
   private userPopulation(): UserPopulation {
-    const { clock, network, stateStore, checker, observedEvents, deployment } = this;
+    const { clock, random, network, stateStore, checker, observedEvents, deployment } = this;
     const apiOf = (host: string): string => this.apiOf(host);
     return new UserPopulation({
       clock,
+      random,
       network,
       stateStore,
       checker,
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -3,6 +3,7 @@
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../../src/controller/settings/platform.js';
 import type { IncomingRequest, Network, Respond } from '../network.js';
+import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 import { withinLimits, KeyValueStore, type Transaction, type Watch } from './key-value-store.js';
 import { UnansweredWrites } from './unanswered-writes.js';
@@ -49,6 +50,7 @@
 
   constructor(
     private readonly clock: VirtualClock,
+    private readonly random: SeededRandom,
     network: Network,
     address: string,
     private limits: StateLimits,
@@ -153,9 +155,9 @@
 
   /** While the service is slow some answers are late. */
   private delayed(answer: Respond): Respond {
-    const slow = this.clock.now < this.slowUntil && this.clock.random() < SLOW_SHARE;
+    const slow = this.clock.now < this.slowUntil && this.random.next() < SLOW_SHARE;
     if (!slow) return answer;
-    const lateMs = this.clock.between(SLOW_MS.least, SLOW_MS.most);
+    const lateMs = this.random.between(SLOW_MS.least, SLOW_MS.most);
     return (reply) => this.clock.after(lateMs, () => answer(reply));
   }
 
@@ -175,13 +177,13 @@
     copy: boolean,
     respond: Respond,
   ): void {
-    const { clock } = this;
-    if (this.lateWrites > 0 && clock.random() < this.lateWrites) {
-      const lateMs = clock.between(this.maxWriteDelayMs / 6, this.maxWriteDelayMs);
+    const { clock, random } = this;
+    if (this.lateWrites > 0 && random.next() < this.lateWrites) {
+      const lateMs = random.between(this.maxWriteDelayMs / 6, this.maxWriteDelayMs);
       clock.after(lateMs, () => this.commitLate(transaction));
       return;
     }
-    if (this.lostAnswers > 0 && clock.random() < this.lostAnswers) {
+    if (this.lostAnswers > 0 && random.next() < this.lostAnswers) {
       if (this.commit(transaction).status === 200) this.unanswered.record(from, transaction);
       return;
     }
--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -4,6 +4,7 @@
 import type { Network } from '../network.js';
 import type { RuleChecker } from '../rules/rule-checker.js';
 import type { Deployment } from '../deployments/deployment.js';
+import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 import type { StateStoreServer } from '../state-store/state-store-server.js';
 import { User, type RequestSender } from './user.js';
@@ -17,6 +18,7 @@
 /** What the users' requests pass through. */
 export interface UserContext {
   clock: VirtualClock;
+  random: SeededRandom;
   network: Network;
   stateStore: StateStoreServer;
   checker: RuleChecker;
@@ -45,20 +47,20 @@
 
   /** A random job of a kind that the deployment can run. */
   randomJob(): JobSpec {
-    const { deployment, clock } = this.context;
-    return deployment.randomJob(clock, `req-${String(this.nextNumber()).padStart(6, '0')}`);
+    const { deployment, random } = this.context;
+    return deployment.randomJob(random, `req-${String(this.nextNumber()).padStart(6, '0')}`);
   }
 
   /** A user who submits, polls and perhaps cancels one job. */
   submit(spec: JobSpec, cancelAfterMs: number | null): void {
-    const { clock, checker } = this.context;
+    const { clock, random, checker } = this.context;
     const runMs =
       spec.kind === 'service'
-        ? clock.between(SERVICE_MS.least, SERVICE_MS.most)
-        : spec.estimatedRunS * 1000 * clock.between(RUN_SHARES.least, RUN_SHARES.most);
+        ? random.between(SERVICE_MS.least, SERVICE_MS.most)
+        : spec.estimatedRunS * 1000 * random.between(RUN_SHARES.least, RUN_SHARES.most);
     this.jobs.set(spec.id, { spec, runMs });
     const sendRequest: RequestSender = (...request) => this.sendRequest(...request);
-    this.users.set(spec.id, new User(clock, checker, sendRequest, spec, cancelAfterMs));
+    this.users.set(spec.id, new User(clock, random, checker, sendRequest, spec, cancelAfterMs));
   }
 
   /** What the job's user has submitted. */
@@ -98,7 +100,7 @@
     path: string,
     body: unknown,
     done: (status: number, state: string) => void,
-    host = this.context.clock.pick(this.context.deployment.hosts),
+    host = this.context.random.pick(this.context.deployment.hosts),
   ): void {
     const { network, stateStore, observedEvents } = this.context;
     const to = this.context.apiOf(host);
--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -2,6 +2,7 @@
 import type { Timer } from '../../../src/controller/runtime/runtime.js';
 import { writeJobSpec, type JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { RuleChecker } from '../rules/rule-checker.js';
+import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 
 /** How a user asks a controller; `host`: a certain one. */
@@ -24,6 +25,7 @@
 
   constructor(
     private readonly clock: VirtualClock,
+    private readonly random: SeededRandom,
     private readonly checker: RuleChecker,
     private readonly sendRequest: RequestSender,
     private readonly spec: JobSpec,
@@ -67,7 +69,7 @@
     const cancel = this.accepted && this.wish === 'cancel';
     // Now and then the submission is repeated long after it was accepted.
     const submit =
-      !this.accepted || (!cancel && (this.wish === 'repeat' || this.clock.random() < 0.1));
+      !this.accepted || (!cancel && (this.wish === 'repeat' || this.random.next() < 0.1));
     if (cancel) this.checker.cancelRequested(id);
     if (submit && this.wish === 'repeat') this.wish = 'none';
     const before = this.checker.visibleState(id);
@@ -83,8 +85,8 @@
         if (answered) this.accepted = true;
         if (cancel && answered) this.wish = 'none';
         const end = state === 'done' || state === 'aborted';
-        const { clock } = this;
-        const pause = end ? clock.between(10_000, 40_000) : this.accepted ? 4000 : 1200;
+        const { clock, random } = this;
+        const pause = end ? random.between(10_000, 40_000) : this.accepted ? 4000 : 1200;
         const soon = this.accepted && this.wish !== 'none';
         this.next = clock.after(soon ? 1000 : pause, () => this.step());
       },
--- a/test/simulation/virtual-clock.ts
+++ b/test/simulation/virtual-clock.ts
@@ -1,6 +1,5 @@
-/** Virtual time and the random numbers of a seeded run. */
+/** Virtual time: a queue of events, and a clock that jumps from one to the next. */
 import type { Timer } from '../../src/controller/runtime/runtime.js';
-import { seededRandom } from '../../src/controller/runtime/random.js';
 
 interface Event {
   at: number;
@@ -11,16 +10,11 @@
 
 const doNothing = (): void => undefined;
 
-/** Virtual time: events in order of time, then of scheduling. Milliseconds. */
+/** Runs events in order of time, then of scheduling; milliseconds since the start of the run. */
 export class VirtualClock {
   now = 0;
   private order = 0;
   private readonly heap: Event[] = [];
-  readonly random: () => number;
-
-  constructor(seed: number) {
-    this.random = seededRandom(seed);
-  }
 
   /** Runs the function once so much time has passed. */
   after(ms: number, run: () => void): Timer {
@@ -36,18 +30,6 @@
     };
   }
 
-  /** A random number in the range. */
-  between(from: number, to: number): number {
-    return from + (to - from) * this.random();
-  }
-
-  /** A random element of the list. */
-  pick<T>(list: readonly T[]): T {
-    const picked = list[Math.floor(this.random() * list.length)];
-    if (picked === undefined) throw new Error('nothing to pick from');
-    return picked;
-  }
-
   /** Runs all events up to `until`; `check` after each of them. */
   run(until: number, check: () => void): void {
     for (;;) {
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -31,8 +31,8 @@
   for (let i = 0; i < 30; i++) simulation.submit(simulation.randomJob(), null);
   const next = (): void => {
     if (simulation.clock.now > ms) return;
-    simulation.submit(simulation.randomJob(), simulation.clock.random() < 0.04 ? 20_000 : null);
-    simulation.clock.after(simulation.clock.between(0.3, 1.7) * EVERY_MS, next);
+    simulation.submit(simulation.randomJob(), simulation.random.next() < 0.04 ? 20_000 : null);
+    simulation.clock.after(simulation.random.between(0.3, 1.7) * EVERY_MS, next);
   };
   next();
   for (const [at, fault] of faults) simulation.clock.after(at, () => fault(simulation));
