--- a/src/controller/workers/commands.test.ts
+++ b/src/controller/workers/commands.test.ts
@@ -1,59 +1,59 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { standalonePlatform } from '../../../test/platform.js';
 import { acceptedJob } from '../../../test/fakes.js';
-import { defaultProperties } from '../settings/properties.js';
-import { Settings } from '../settings/settings.js';
+import { ATTEMPT, newMachine, settings } from '../../../test/workers-fixture.js';
 import type { WorkerCommand } from '../wire/workers.js';
-import { planAssignment, type Assignment, Machine } from '../model/entities.js';
+import { planAssignment, type Assignment } from '../model/entities.js';
 import { addCommand } from './commands.js';
 
-const settings = new Settings(standalonePlatform(), defaultProperties());
-const ATTEMPT = 9;
 const STOP = { graceS: 5, requestedAt: 0, reason: 'preempted', sentAsDirectCommand: false };
 
-function assignmentIn(part: Partial<Assignment>): Assignment {
-  const machine = new Machine('n-1', 0, settings);
+/** An assignment of agent epoch 1 whose task takes 10 s to save a checkpoint. */
+function assignmentIn(state: Partial<Assignment>): Assignment {
+  const machine = newMachine();
   machine.agentEpoch = 1;
   const job = acceptedJob({ checkpointSaveS: 10 });
-  return Object.assign(planAssignment(job, 0, ATTEMPT, machine, 0), part);
+  return Object.assign(planAssignment(job, 0, ATTEMPT, machine, 0), state);
 }
 
-function ordersFor(assignment: Assignment, now = 0, session = 1): WorkerCommand[] {
-  const orders: WorkerCommand[] = [];
-  addCommand(assignment, { agentEpoch: session, sequence: 7 }, orders, settings, now);
-  return orders;
+function commandsFor(assignment: Assignment, now = 0, agentEpoch = 1): WorkerCommand[] {
+  const commands: WorkerCommand[] = [];
+  addCommand(assignment, { agentEpoch, sequence: 7 }, commands, settings, now);
+  return commands;
 }
 
-describe('orders', () => {
-  it('start what is on record, in its own session', () => {
+describe('addCommand', () => {
+  it('starts a recorded assignment once, in its own agent epoch', () => {
     const assignment = assignmentIn({ phase: 'recorded' });
-    assert.deepEqual(ordersFor(assignment, 0, 2), []);
+    assert.deepEqual(commandsFor(assignment, 0, 2), []);
     const start = { op: 'start', name: 'req-1/0', attempt: ATTEMPT };
-    assert.deepEqual(ordersFor(assignment), [start]);
+    assert.deepEqual(commandsFor(assignment), [start]);
     assert.equal(assignment.phase, 'sent');
     assert.equal(assignment.startSentSequence, 7);
-    assert.deepEqual(ordersFor(assignment), []);
-    assert.deepEqual(ordersFor(assignmentIn({ phase: 'planned' })), []);
+    assert.deepEqual(commandsFor(assignment), []);
   });
 
-  it('repeat a stop until the task saves', () => {
+  it('does not start an assignment that is not recorded yet', () => {
+    assert.deepEqual(commandsFor(assignmentIn({ phase: 'planned' })), []);
+  });
+
+  it('repeats a stop until the task saves its checkpoint', () => {
     const assignment = assignmentIn({ phase: 'seen', state: 'running', stop: { ...STOP } });
     const stop = { op: 'stop', name: 'req-1/0', attempt: ATTEMPT, graceS: 5 };
-    assert.deepEqual(ordersFor(assignment), [stop]);
-    assert.deepEqual(ordersFor(assignment), [stop]);
+    assert.deepEqual(commandsFor(assignment), [stop]);
+    assert.deepEqual(commandsFor(assignment), [stop]);
     assignment.state = 'saving';
-    assert.deepEqual(ordersFor(assignment), []);
+    assert.deepEqual(commandsFor(assignment), []);
   });
 
-  it('cut saving short that takes far too long, or is not wanted any more', () => {
+  it('cuts a save short that takes far too long, or is no longer wanted', () => {
     const assignment = assignmentIn({ phase: 'seen', state: 'saving', stop: { ...STOP } });
     const { gangPeerExitS } = settings.platform.workers;
     const allowedMs = (10 * 2 + gangPeerExitS) * 1000 + settings.heartbeatIntervalMs;
     const stop = { op: 'stop', name: 'req-1/0', attempt: ATTEMPT, graceS: 0 };
-    assert.deepEqual(ordersFor(assignment, allowedMs), []);
-    assert.deepEqual(ordersFor(assignment, allowedMs + 1), [stop]);
+    assert.deepEqual(commandsFor(assignment, allowedMs), []);
+    assert.deepEqual(commandsFor(assignment, allowedMs + 1), [stop]);
     assignment.stop = { ...STOP, graceS: 0 };
-    assert.deepEqual(ordersFor(assignment), [stop]);
+    assert.deepEqual(commandsFor(assignment), [stop]);
   });
 });
--- a/src/controller/workers/failure-tracker.test.ts
+++ b/src/controller/workers/failure-tracker.test.ts
@@ -1,64 +1,57 @@
 import assert from 'node:assert/strict';
-import { describe, it } from 'node:test';
-import { standalonePlatform } from '../../../test/platform.js';
-import { type Job, Machine } from '../model/entities.js';
-import { defaultProperties } from '../settings/properties.js';
-import { Settings } from '../settings/settings.js';
-import { FailureTracker } from './failure-tracker.js';
+import { beforeEach, describe, it } from 'node:test';
 import { acceptedJob, FakeClock } from '../../../test/fakes.js';
+import { newMachine, settings } from '../../../test/workers-fixture.js';
+import { FailureTracker } from './failure-tracker.js';
+import type { Machine } from '../model/entities.js';
 
-const settings = new Settings(standalonePlatform(), defaultProperties());
 const NOW = 1000;
 
-function job(id: string, kind: 'array' | 'service' = 'array'): Job {
-  return acceptedJob({ id, kind });
-}
+describe('FailureTracker', () => {
+  const failures = new FailureTracker(new FakeClock(NOW), settings);
+  let machine: Machine;
 
-describe('failures', () => {
-  const clock = new FakeClock(NOW);
-  const failures = new FailureTracker(clock, settings);
-  const tolerated = settings.get('fleet.strikes');
+  beforeEach(() => {
+    machine = newMachine();
+  });
 
-  it('quarantine a machine that enough different jobs have failed on', () => {
-    const machine = new Machine('n-1', 0, settings);
-    for (let i = 1; i < tolerated; i++) failures.recordFailure(machine, job(`req-${i}`), 'error');
+  it('quarantines a machine on which enough different jobs have failed', () => {
+    const threshold = settings.get('fleet.strikes');
+    for (let i = 1; i < threshold; i++)
+      failures.recordFailure(machine, acceptedJob({ id: `req-${i}` }), 'error');
     assert.equal(machine.unschedulableUntil, 0);
-    failures.recordFailure(machine, job('req-last'), 'error');
+    failures.recordFailure(machine, acceptedJob({ id: 'req-last' }), 'error');
     assert.equal(machine.unschedulableUntil, NOW + 2 * settings.workerLeaseMs);
     assert.equal(machine.failedJobs.size, 0);
   });
 
-  it('are forgotten when a task runs to its end', () => {
-    const machine = new Machine('n-1', 0, settings);
-    failures.recordFailure(machine, job('req-1'), 'error');
+  it('forgets the failures of a machine when a task is completed on it', () => {
+    failures.recordFailure(machine, acceptedJob(), 'error');
     machine.consecutiveQuarantines = 1;
     failures.recordSuccess(machine);
     assert.equal(machine.failedJobs.size, 0);
     assert.equal(machine.consecutiveQuarantines, 0);
   });
 
-  it('delay a job longer each time, up to two leases', () => {
-    const machine = new Machine('n-1', 0, settings);
-    const failing = job('req-1');
-    failures.recordFailure(machine, failing, 'error');
-    assert.equal(failing.backoffUntil, NOW + settings.heartbeatIntervalMs * 2);
-    failures.recordFailure(machine, failing, 'error');
-    assert.equal(failing.backoffUntil, NOW + settings.heartbeatIntervalMs * 4);
-    for (let i = 0; i < 10; i++) failures.recordFailure(machine, failing, 'error');
-    assert.ok(failing.backoffUntil <= NOW + settings.workerLeaseMs * 2);
+  it('doubles the backoff of a failing job each time, up to two leases', () => {
+    const job = acceptedJob();
+    failures.recordFailure(machine, job, 'error');
+    assert.equal(job.backoffUntil, NOW + settings.heartbeatIntervalMs * 2);
+    failures.recordFailure(machine, job, 'error');
+    assert.equal(job.backoffUntil, NOW + settings.heartbeatIntervalMs * 4);
+    for (let i = 0; i < 10; i++) failures.recordFailure(machine, job, 'error');
+    assert.ok(job.backoffUntil <= NOW + settings.workerLeaseMs * 2);
   });
 
-  it('tell a full machine from a failing job', () => {
-    const machine = new Machine('n-1', 0, settings);
-    const placed = job('req-1');
-    failures.recordFailure(machine, placed, 'no_room');
+  it('pauses a machine without room for one heartbeat interval, and not the job', () => {
+    const job = acceptedJob();
+    failures.recordFailure(machine, job, 'no_room');
     assert.equal(machine.unschedulableUntil, NOW + settings.heartbeatIntervalMs);
-    assert.equal(placed.backoffUntil, 0);
+    assert.equal(job.backoffUntil, 0);
   });
 
-  it('leave the machine out for the service whose replica ended', () => {
-    const machine = new Machine('n-1', 0, settings);
-    const service = job('req-1', 'service');
+  it('avoids a machine for the service whose replicas ended there, for a doubling time', () => {
+    const service = acceptedJob({ kind: 'service' });
     failures.recordFailure(machine, service, 'done');
     failures.recordFailure(machine, service, 'other');
     const until = NOW + settings.heartbeatIntervalMs * 4;
--- a/src/controller/workers/fencing-token-sync.test.ts
+++ b/src/controller/workers/fencing-token-sync.test.ts
@@ -1,71 +1,61 @@
 import assert from 'node:assert/strict';
-import { describe, it } from 'node:test';
-import { standalonePlatform } from '../../../test/platform.js';
-import { defaultProperties } from '../settings/properties.js';
-import { Settings } from '../settings/settings.js';
-import { attemptKey, Machine } from '../model/entities.js';
+import { beforeEach, describe, it } from 'node:test';
 import { FakeClock } from '../../../test/fakes.js';
+import { newMachine, TERM, TOKEN } from '../../../test/workers-fixture.js';
+import { attemptKey, type Machine } from '../model/entities.js';
 import { FENCING_EPOCH_LIMIT, makeFencingToken } from './fencing-token.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
 
-const TERM = 50;
-const settings = new Settings(standalonePlatform(), defaultProperties());
+describe('FencingTokenSync', () => {
+  let fencingTokens: FencingTokenSync;
+  let machine: Machine;
 
-function setUp(): { fencingTokens: FencingTokenSync; machine: Machine } {
-  const fencingTokens = new FencingTokenSync(new FakeClock(1000), TERM);
-  const machine = new Machine('n-1', 0, settings);
-  machine.expectedToken = fencingTokens.currentToken(machine);
-  return { fencingTokens, machine };
-}
+  beforeEach(() => {
+    fencingTokens = new FencingTokenSync(new FakeClock(1000), TERM);
+    machine = newMachine();
+    machine.expectedToken = fencingTokens.currentToken(machine);
+  });
 
-describe('the sync of tokens', () => {
-  it('takes a worker to hear once it shows the expected token of this term', () => {
-    const { fencingTokens, machine } = setUp();
+  it('takes the token for acknowledged once a heartbeat shows the expected one of this term', () => {
     assert.ok(!fencingTokens.acknowledge(machine, makeFencingToken(TERM - 1, 9)));
-    assert.ok(
-      !fencingTokens.acknowledge(machine, makeFencingToken(TERM + 1, 0)),
-      'another leader has it',
-    );
+    const ofLaterLeader = makeFencingToken(TERM + 1, 0);
+    assert.ok(!fencingTokens.acknowledge(machine, ofLaterLeader), 'of another leader');
     assert.ok(!machine.tokenAcknowledged);
-    assert.ok(fencingTokens.acknowledge(machine, makeFencingToken(TERM, 0)));
+    assert.ok(fencingTokens.acknowledge(machine, TOKEN));
     assert.ok(machine.tokenAcknowledged);
-    assert.ok(!fencingTokens.acknowledge(machine, makeFencingToken(TERM, 0)), 'nothing new');
+    assert.ok(!fencingTokens.acknowledge(machine, TOKEN), 'nothing new');
   });
 
-  it('waits for a raised token after it was required', () => {
-    const { fencingTokens, machine } = setUp();
-    fencingTokens.acknowledge(machine, makeFencingToken(TERM, 0));
+  it('waits for the raised token after a new one was required', () => {
+    fencingTokens.acknowledge(machine, TOKEN);
     fencingTokens.requireNewToken(machine);
     assert.equal(machine.tokenUnacknowledgedSince, 1000);
-    assert.ok(!fencingTokens.acknowledge(machine, makeFencingToken(TERM, 0)));
-    assert.ok(fencingTokens.acknowledge(machine, makeFencingToken(TERM, 1)));
+    assert.ok(!fencingTokens.acknowledge(machine, TOKEN));
+    assert.ok(fencingTokens.acknowledge(machine, TOKEN + 1));
   });
 
-  it('raises the epoch once for the direct starts that are out', () => {
-    const { fencingTokens, machine } = setUp();
+  it('raises the fencing epoch once to void a direct start, until the raised token shows', () => {
     assert.ok(!fencingTokens.voidDirectStart(machine, 'req-1/0', 9));
     machine.directStartTokens.set(attemptKey('req-1/0', 9), fencingTokens.currentToken(machine));
     assert.ok(fencingTokens.voidDirectStart(machine, 'req-1/0', 9));
     assert.ok(fencingTokens.voidDirectStart(machine, 'req-1/0', 9), 'until the token shows');
     assert.equal(machine.fencingEpoch, 1);
-    fencingTokens.acknowledge(machine, makeFencingToken(TERM, 1));
+    fencingTokens.acknowledge(machine, TOKEN + 1);
     assert.ok(!fencingTokens.voidDirectStart(machine, 'req-1/0', 9));
   });
 
-  it('counts a report with lost starts once, and takes the second for deafness', () => {
-    const { fencingTokens, machine } = setUp();
-    fencingTokens.acknowledge(machine, makeFencingToken(TERM, 0));
+  it('requires a new token after the second heartbeat with lost starts, each counted once', () => {
+    fencingTokens.acknowledge(machine, TOKEN);
     assert.ok(!fencingTokens.recordLostStart(machine, 1));
     assert.ok(!fencingTokens.recordLostStart(machine, 1));
     assert.ok(machine.tokenAcknowledged);
     assert.ok(fencingTokens.recordLostStart(machine, 2));
     assert.ok(!machine.tokenAcknowledged);
-    assert.equal(machine.expectedToken, makeFencingToken(TERM, 1));
+    assert.equal(machine.expectedToken, TOKEN + 1);
   });
 
-  it('sends no direct starts when the epochs run out', () => {
-    const { fencingTokens, machine } = setUp();
-    fencingTokens.acknowledge(machine, makeFencingToken(TERM, 0));
+  it('allows no direct starts once the fencing epochs run out', () => {
+    fencingTokens.acknowledge(machine, TOKEN);
     assert.ok(fencingTokens.mayStartDirectly(machine));
     machine.fencingEpoch = FENCING_EPOCH_LIMIT;
     assert.ok(!fencingTokens.mayStartDirectly(machine));
--- a/src/controller/workers/liveness.test.ts
+++ b/src/controller/workers/liveness.test.ts
@@ -1,57 +1,54 @@
 import assert from 'node:assert/strict';
-import { describe, it } from 'node:test';
-import { standalonePlatform } from '../../../test/platform.js';
-import { defaultProperties } from '../settings/properties.js';
-import { Settings } from '../settings/settings.js';
-import { Liveness } from './liveness.js';
-import { Machine } from '../model/entities.js';
+import { beforeEach, describe, it } from 'node:test';
 import { FakeClock } from '../../../test/fakes.js';
+import { newMachine, settings } from '../../../test/workers-fixture.js';
+import { Liveness } from './liveness.js';
+import type { Machine } from '../model/entities.js';
 
-const settings = new Settings(standalonePlatform(), defaultProperties());
-const INTERVAL_MS = 100;
+const TICK_MS = 100;
 
-function setUp(...ids: string[]): { clock: FakeClock; machines: Machine[]; liveness: Liveness } {
-  const clock = new FakeClock(0);
-  const machines = ids.map((id) => new Machine(id, 0, settings));
-  const byId = new Map(machines.map((machine) => [machine.id, machine]));
-  return { clock, machines, liveness: new Liveness(clock, settings, byId) };
-}
+describe('Liveness', () => {
+  let clock: FakeClock;
+  let machine: Machine;
+  let otherMachine: Machine;
+  let failedMachine: Machine;
+  let liveness: Liveness;
+
+  beforeEach(() => {
+    clock = new FakeClock(0);
+    machine = newMachine('n-1');
+    otherMachine = newMachine('n-2');
+    failedMachine = newMachine('n-3');
+    failedMachine.cloudState = 'failed';
+    const machines = [machine, otherMachine, failedMachine];
+    liveness = new Liveness(clock, settings, new Map(machines.map((each) => [each.id, each])));
+  });
 
-/** Lets time pass as it does for a node that is not held up. */
-function pass(clock: FakeClock, liveness: Liveness, ms: number, mayAnswer = true): void {
-  for (let passed = 0; passed < ms; passed += INTERVAL_MS) {
-    clock.time += INTERVAL_MS;
-    liveness.setAnswering(mayAnswer, INTERVAL_MS);
+  /** Lets time pass as it does for a controller that is not stalled. */
+  function pass(ms: number, mayAnswer = true): void {
+    for (let passed = 0; passed < ms; passed += TICK_MS) {
+      clock.time += TICK_MS;
+      liveness.setAnswering(mayAnswer, TICK_MS);
+    }
   }
-}
 
-describe('liveness', () => {
-  it('counts silence only while reports would have been answered', () => {
-    const { clock, machines, liveness } = setUp('n-1');
-    const [machine] = machines;
-    assert.ok(machine);
-    pass(clock, liveness, 2000);
+  it('counts a machine as unresponsive only while heartbeats would have been answered', () => {
+    pass(2000);
     assert.equal(liveness.unresponsiveMs(machine), 2000);
     assert.equal(liveness.unacknowledgedMs(machine), 2000);
-    pass(clock, liveness, 1000, false);
+    pass(1000, false);
     assert.equal(liveness.unresponsiveMs(machine), 0);
     assert.equal(liveness.unacknowledgedMs(machine), 0);
   });
 
-  it('takes a standstill of its own for time without answers', () => {
-    const { clock, machines, liveness } = setUp('n-1');
-    const [machine] = machines;
-    assert.ok(machine);
-    clock.time += INTERVAL_MS * 4;
-    liveness.setAnswering(true, INTERVAL_MS);
+  it('does not count the time in which the controller itself was stalled', () => {
+    clock.time += TICK_MS * 4;
+    liveness.setAnswering(true, TICK_MS);
     assert.equal(liveness.unresponsiveMs(machine), 0);
   });
 
-  it('takes machines for alive that report lately in a session that is not over', () => {
-    const { clock, machines, liveness } = setUp('n-1');
-    const [machine] = machines;
-    assert.ok(machine);
-    assert.ok(!liveness.isAlive(machine), 'not heard yet');
+  it('takes a machine for alive that sent a heartbeat lately in an agent epoch that is not over', () => {
+    assert.ok(!liveness.isAlive(machine), 'no heartbeat yet');
     machine.lastHeartbeatAt = 0;
     assert.ok(liveness.isAlive(machine));
     machine.lowestValidAgentEpoch = 1;
@@ -61,13 +58,9 @@
     assert.ok(!liveness.isAlive(machine));
   });
 
-  it('gives the share of overdue machines among those that may report', () => {
-    const { clock, machines, liveness } = setUp('n-1', 'n-2', 'n-3');
-    const [reporting, never, failed] = machines;
-    assert.ok(reporting && never && failed);
-    failed.cloudState = 'failed';
-    pass(clock, liveness, settings.heartbeatIntervalMs * 4);
-    reporting.lastHeartbeatAt = clock.time;
+  it('gives the overdue share of the machines from which heartbeats are expected', () => {
+    pass(settings.heartbeatIntervalMs * 4);
+    machine.lastHeartbeatAt = clock.time;
     assert.equal(liveness.overdueShare(0, false), 0.5);
     assert.equal(liveness.overdueShare(0, true), 0);
     assert.equal(liveness.overdueShare(settings.heartbeatIntervalMs * 4, false), 0);
--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -1,147 +1,149 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { standalonePlatform } from '../../../test/platform.js';
 import { acceptedJob, FakeClock } from '../../../test/fakes.js';
-import { type Job, planAssignment, type Assignment, Machine } from '../model/entities.js';
-import { defaultProperties } from '../settings/properties.js';
-import { Settings } from '../settings/settings.js';
-import type { Heartbeat, TaskStatus } from '../wire/workers.js';
+import { ATTEMPT, heartbeat, newMachine, taskStatus } from '../../../test/workers-fixture.js';
+import { type Assignment, type Job, planAssignment } from '../model/entities.js';
+import type { TaskStatus } from '../wire/workers.js';
 import { Reconciliation, type HeartbeatInProgress } from './reconciliation.js';
 
-const settings = new Settings(standalonePlatform(), defaultProperties());
-const ATTEMPT = 9;
-
-/** A machine with one task that was started with the answer to report 4. */
-class Bench {
-  readonly told: string[] = [];
-  readonly machine = new Machine('n-1', 0, settings);
+/** A machine with one task whose start was sent with the response to heartbeat 4. */
+class Fixture {
+  readonly events: string[] = [];
+  readonly machine = newMachine();
   readonly assignment: Assignment;
-  readonly reconciliation: Reconciliation;
-  startVoided = false;
-  deaf = false;
+  /** Whether a direct start may still be carried out. */
+  directStartOpen = false;
+  /** Whether the machine is taken to receive no responses. */
+  receivesNothing = false;
+  private readonly reconciliation: Reconciliation;
 
   constructor(readonly job: Job = acceptedJob()) {
     this.machine.agentEpoch = 1;
     this.machine.lastHeartbeatSequence = 5;
     this.assignment = planAssignment(job, 0, ATTEMPT, this.machine, 0);
-    Object.assign(this.assignment, { phase: 'sent', startSentSequence: 4 });
+    this.assignment.phase = 'sent';
+    this.assignment.startSentSequence = 4;
     this.machine.assignments.set(this.assignment.name, this.assignment);
     job.currentAssignments.set(0, this.assignment);
     this.reconciliation = new Reconciliation(
       new FakeClock(1000),
       {
         jobs: new Map([[job.spec.id, job]]),
-        markDone: (_, task) => this.told.push(`done ${task}`),
+        markDone: (_, task) => this.events.push(`done ${task}`),
+      },
+      { end: (_, outcome) => this.events.push(`end ${outcome}`) },
+      {
+        voidDirectStart: () => this.directStartOpen,
+        recordLostStart: () => this.receivesNothing,
       },
-      { end: (_, outcome) => this.told.push(`end ${outcome}`) },
-      { voidDirectStart: () => this.startVoided, recordLostStart: () => this.deaf },
       {
         placementInputChanged: () => undefined,
-        imagesChanged: ({ id }) => this.told.push(`images ${id}`),
+        imagesChanged: ({ id }) => this.events.push(`images ${id}`),
       },
     );
   }
 
-  /** A report of this number, under our term if not said otherwise. */
-  handled(seq: number, sentUnderThisTerm = true): HeartbeatInProgress {
-    const heartbeat: Heartbeat = {
-      ...{ machine: 'n-1', addr: '10.1.0.1:9', type: 'g', zone: 'a', spot: false },
-      ...{ agentEpoch: 1, sequence: seq, fencingToken: 0, spotNoticeS: null, tasks: [] },
-    };
+  /** A listed task in a heartbeat of number 5; returns the commands that follow, as `op task`. */
+  reconcileReportedTask(task: Partial<TaskStatus>, sentUnderThisTerm = true): string[] {
+    const inProgress = this.heartbeatInProgress(5, sentUnderThisTerm);
+    this.reconciliation.reconcileReportedTask(inProgress, taskStatus(ATTEMPT, task));
+    return inProgress.commands.map(({ op, name }) => `${op} ${name}`);
+  }
+
+  /** A heartbeat of this number lacks the task. */
+  reconcileMissingTask(sequence: number): void {
+    const inProgress = this.heartbeatInProgress(sequence, true);
+    this.reconciliation.reconcileMissingTask(inProgress, this.assignment);
+  }
+
+  private heartbeatInProgress(sequence: number, sentUnderThisTerm: boolean): HeartbeatInProgress {
     return {
       machine: this.machine,
-      heartbeat,
-      heartbeatNumber: seq,
+      heartbeat: heartbeat({ sequence }),
+      heartbeatNumber: sequence,
       sentUnderThisTerm,
       commands: [],
     };
   }
-
-  /** The orders that follow from one listed task, in words. */
-  list(task: Partial<TaskStatus>, sentUnderThisTerm = true): string[] {
-    const handled = this.handled(5, sentUnderThisTerm);
-    const usual = {
-      name: 'req-1/0',
-      attempt: ATTEMPT,
-      cause: null,
-      checkpointSaved: false,
-    } as const;
-    this.reconciliation.reconcileReportedTask(handled, { ...usual, state: 'running', ...task });
-    return handled.commands.map(({ op, name }) => `${op} ${name}`);
-  }
-
-  missing(seq: number): void {
-    this.reconciliation.reconcileMissingTask(this.handled(seq), this.assignment);
-  }
 }
 
-describe('reconciliation', () => {
-  it('follows a task, and learns of its image', () => {
-    const bench = new Bench();
-    assert.deepEqual(bench.list({}), []);
-    assert.equal(bench.assignment.phase, 'seen');
-    assert.equal(bench.assignment.runningAt, 1000);
-    assert.equal(bench.assignment.lastHeartbeatNumber, 5);
-    assert.deepEqual(bench.told, ['images n-1']);
+describe('Reconciliation of a listed task', () => {
+  it('takes over its state, and records its image', () => {
+    const fixture = new Fixture();
+    assert.deepEqual(fixture.reconcileReportedTask({}), []);
+    assert.equal(fixture.assignment.phase, 'seen');
+    assert.equal(fixture.assignment.runningAt, 1000);
+    assert.equal(fixture.assignment.lastHeartbeatNumber, 5);
+    assert.deepEqual(fixture.events, ['images n-1']);
   });
 
-  it('stops what is not on record', () => {
-    const bench = new Bench();
-    assert.deepEqual(bench.list({ attempt: ATTEMPT - 1 }), ['stop req-1/0']);
-    assert.equal(bench.assignment.phase, 'sent');
+  it('stops an attempt that is not assigned', () => {
+    const fixture = new Fixture();
+    const commands = fixture.reconcileReportedTask({ attempt: ATTEMPT - 1 });
+    assert.deepEqual(commands, ['stop req-1/0']);
+    assert.equal(fixture.assignment.phase, 'sent');
   });
 
-  it('clears an exit at once, a completion only when it is on record', () => {
-    const bench = new Bench();
-    assert.deepEqual(bench.list({ state: 'exited', cause: 'error' }), ['forget req-1/0']);
-    assert.deepEqual(bench.told.splice(0), ['end error']);
-    assert.deepEqual(bench.list({ state: 'exited', cause: 'done' }), []);
-    assert.deepEqual(bench.told, ['end done', 'done 0']);
-    bench.job.doneRecorded[0] = 1;
-    assert.deepEqual(bench.list({ state: 'exited', cause: 'done' }), ['forget req-1/0']);
+  it('clears an exit at once, but a completion only when that is recorded', () => {
+    const fixture = new Fixture();
+    const failed = fixture.reconcileReportedTask({ state: 'exited', cause: 'error' });
+    assert.deepEqual(failed, ['forget req-1/0']);
+    assert.deepEqual(fixture.events.splice(0), ['end error']);
+    assert.deepEqual(fixture.reconcileReportedTask({ state: 'exited', cause: 'done' }), []);
+    assert.deepEqual(fixture.events, ['end done', 'done 0']);
+    fixture.job.doneRecorded[0] = 1;
+    const completed = fixture.reconcileReportedTask({ state: 'exited', cause: 'done' });
+    assert.deepEqual(completed, ['forget req-1/0']);
   });
 
-  it('believes no exit but a completion from before the term', () => {
-    const bench = new Bench();
-    assert.deepEqual(bench.list({ state: 'exited', cause: 'error' }, false), []);
-    assert.equal(bench.told.length, 0);
-    bench.list({ state: 'exited', cause: 'done' }, false);
-    assert.ok(bench.told.includes('end done'));
+  it('ignores an exit that was sent before the term, unless the task is done', () => {
+    const fixture = new Fixture();
+    const failed = fixture.reconcileReportedTask({ state: 'exited', cause: 'error' }, false);
+    assert.deepEqual(failed, []);
+    assert.equal(fixture.events.length, 0);
+    fixture.reconcileReportedTask({ state: 'exited', cause: 'done' }, false);
+    assert.ok(fixture.events.includes('end done'));
   });
 
-  it('starts a part of a gang again while the others fetch their image', () => {
-    const bench = new Bench(acceptedJob({ kind: 'gang' }));
-    const other = planAssignment(bench.job, 1, ATTEMPT, new Machine('n-2', 0, settings), 0);
-    bench.job.currentAssignments.set(1, other);
-    const orders = bench.list({ state: 'exited', cause: 'alone' });
-    assert.deepEqual(orders, ['forget req-1/0', 'start req-1/0']);
-    assert.equal(bench.assignment.startSentSequence, 5);
+  it('restarts a gang member that gave up waiting only while others fetch their image', () => {
+    const fixture = new Fixture(acceptedJob({ kind: 'gang' }));
+    const other = planAssignment(fixture.job, 1, ATTEMPT, newMachine('n-2'), 0);
+    fixture.job.currentAssignments.set(1, other);
+    const whileFetching = fixture.reconcileReportedTask({ state: 'exited', cause: 'alone' });
+    assert.deepEqual(whileFetching, ['forget req-1/0', 'start req-1/0']);
+    assert.equal(fixture.assignment.startSentSequence, 5);
     other.state = 'waiting';
-    assert.deepEqual(bench.list({ state: 'exited', cause: 'alone' }), ['forget req-1/0']);
-    assert.deepEqual(bench.told, ['end alone']);
+    const afterwards = fixture.reconcileReportedTask({ state: 'exited', cause: 'alone' });
+    assert.deepEqual(afterwards, ['forget req-1/0']);
+    assert.deepEqual(fixture.events, ['end alone']);
+  });
+});
+
+describe('Reconciliation of a missing task', () => {
+  it('sends the start again only after the one before is settled', () => {
+    const fixture = new Fixture();
+    fixture.reconcileMissingTask(4);
+    assert.equal(fixture.assignment.phase, 'sent');
+    fixture.directStartOpen = true;
+    fixture.reconcileMissingTask(5);
+    assert.equal(fixture.assignment.phase, 'sent', 'a direct start may yet be carried out');
+    fixture.directStartOpen = false;
+    fixture.reconcileMissingTask(5);
+    assert.equal(fixture.assignment.phase, 'recorded');
+    assert.deepEqual(fixture.events, []);
   });
 
-  it('takes absence for proof only after the start was settled', () => {
-    const bench = new Bench();
-    bench.missing(4);
-    assert.equal(bench.assignment.phase, 'sent');
-    bench.startVoided = true;
-    bench.missing(5);
-    assert.equal(bench.assignment.phase, 'sent', 'a direct start may yet come');
-    bench.startVoided = false;
-    bench.missing(5);
-    assert.equal(bench.assignment.phase, 'recorded');
-    assert.deepEqual(bench.told, []);
+  it('ends an assignment as lost that had been seen before', () => {
+    const fixture = new Fixture();
+    fixture.assignment.phase = 'seen';
+    fixture.reconcileMissingTask(5);
+    assert.deepEqual(fixture.events, ['end lost']);
   });
 
-  it('ends what was there and is not, and what does not get to a deaf machine', () => {
-    const seen = new Bench();
-    seen.assignment.phase = 'seen';
-    seen.missing(5);
-    assert.deepEqual(seen.told, ['end lost']);
-    const unheard = new Bench();
-    unheard.deaf = true;
-    unheard.missing(5);
-    assert.deepEqual(unheard.told, ['end unsent']);
+  it('ends an assignment as unsent if the machine receives no responses', () => {
+    const fixture = new Fixture();
+    fixture.receivesNothing = true;
+    fixture.reconcileMissingTask(5);
+    assert.deepEqual(fixture.events, ['end unsent']);
   });
 });
--- /dev/null
+++ b/test/workers-fixture.ts
@@ -0,0 +1,149 @@
+/** Shared set-up of the unit tests of workers/: settings, heartbeats and the module with immediate records. */
+import assert from 'node:assert/strict';
+import { JobTable } from '../src/controller/jobs/job-table.js';
+import { type Job, Machine } from '../src/controller/model/entities.js';
+import { EventLoop } from '../src/controller/runtime/event-loop.js';
+import { defaultProperties } from '../src/controller/settings/properties.js';
+import { Settings } from '../src/controller/settings/settings.js';
+import type { StateStoreClient } from '../src/controller/store/client.js';
+import { writeJobSpec, type JobSpec } from '../src/controller/wire/jobs.js';
+import type { Heartbeat, TaskStatus } from '../src/controller/wire/workers.js';
+import { makeFencingToken } from '../src/controller/workers/fencing-token.js';
+import { Workers } from '../src/controller/workers/workers.js';
+import { immediateRecords } from './fake-records.js';
+import { arraySpec } from './fakes.js';
+import { ManualRuntime, silentLogger } from './manual-runtime.js';
+import { standalonePlatform } from './platform.js';
+
+export const settings = new Settings(standalonePlatform(), defaultProperties());
+
+/** The term of the leader under test. */
+export const TERM = 50;
+
+/** The lowest fencing token of that term. */
+export const TOKEN = makeFencingToken(TERM, 0);
+
+/** The attempt under which tasks are assigned, unless a test says otherwise. */
+export const ATTEMPT = 9;
+
+/** Time on the steady clock at which `WorkersFixture` starts. */
+const START_MS = 1000;
+
+/** A machine that has been known from time 0 on. */
+export function newMachine(id = 'n-1'): Machine {
+  return new Machine(id, 0, settings);
+}
+
+/** A heartbeat of machine `n-1` in its first agent epoch, without tasks. */
+export function heartbeat(part: Partial<Heartbeat> = {}): Heartbeat {
+  return {
+    ...{ machine: 'n-1', addr: '10.1.0.1:9', type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
+    ...{ sequence: 1, fencingToken: 0, spotNoticeS: null, tasks: [] },
+    ...part,
+  };
+}
+
+/** The same as it comes over the wire. */
+export function heartbeatBody(sequence: number, fencingToken: number): object {
+  return {
+    ...{ kiln: 'n-1', address: '10.1.0.1:9', model: 'g', hall: 'a', loaners: false },
+    ...{ tenure: 1, tally: sequence, baton: fencingToken, recall_s: null, duties: [] },
+  };
+}
+
+/** The first task of `req-1`, running under this attempt. */
+export function taskStatus(attempt: number, part: Partial<TaskStatus> = {}): TaskStatus {
+  return {
+    ...{ name: 'req-1/0', attempt, state: 'running', cause: null, checkpointSaved: false },
+    ...part,
+  };
+}
+
+/** The attempt of the task in `RECORDED_MACHINE`. */
+export const RECORDED_ATTEMPT = 5;
+
+/** The record of machine `n-1` with the first task of `req-1`, as an earlier leader has left it. */
+export const RECORDED_MACHINE = [
+  ...[1, 'g', 'a', 0, '10.1.0.1:9'],
+  ['req-1', 't', 1, 0, 1, 0, [RECORDED_ATTEMPT, 0, 0]],
+];
+
+/** What a worker is sent: commands as `verb task`, and the fencing token. */
+interface SentCommands {
+  commands: string[];
+  token: number;
+}
+
+/** The workers of a leader with one job, with records that are stored at once. */
+export class WorkersFixture {
+  readonly runtime = new ManualRuntime();
+  readonly workers: Workers;
+  /** Calls of `onIncompleteGang`. */
+  incompleteGangs = 0;
+  private readonly table: JobTable;
+  private lastSequence = 0;
+
+  /** The record, if one is given, is restored as that of machine `n-1`. */
+  constructor(jobPart: Partial<JobSpec> = {}, machineRecord?: unknown) {
+    this.runtime.advance(START_MS);
+    const eventLoop = new EventLoop(this.runtime, silentLogger);
+    const records = immediateRecords(machineRecord === undefined ? {} : { 'm/n-1': machineRecord });
+    this.table = new JobTable(eventLoop, settings, {} as unknown as StateStoreClient, records, {
+      onIncompleteGang: (job) => {
+        this.incompleteGangs++;
+        this.workers.stopJob(job, 0, 'incomplete gang');
+      },
+      onJobAdded: () => undefined,
+      onTasksPending: () => undefined,
+      onRecordRemoved: () => undefined,
+      onJobTerminated: () => undefined,
+      onCompletionRecorded: () => undefined,
+      onTerminalState: () => undefined,
+    });
+    this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
+      findMachineType: () => undefined,
+      higherTermSeen: () => undefined,
+      placementInputChanged: () => undefined,
+      taskCompleted: () => undefined,
+    });
+    this.table.add('req-1', { job: writeJobSpec(arraySpec(jobPart)), at: 0 }, 1);
+    this.workers.restore();
+    this.table.finishRecovery();
+  }
+
+  get job(): Job {
+    return this.table.jobs.get('req-1') ?? assert.fail('no job req-1');
+  }
+
+  get machine(): Machine {
+    return this.workers.getOrCreateMachine('n-1');
+  }
+
+  /** Assigns the job's first task to the machine, and ends the batch. */
+  assign(attempt = ATTEMPT): void {
+    this.job.pending.remove(0);
+    this.workers.assign(this.job, 0, attempt, this.machine);
+    this.workers.flush();
+  }
+
+  /** Handles the machine's next heartbeat; null if it is refused. */
+  receiveHeartbeat(
+    fencingToken: number,
+    tasks: TaskStatus[] = [],
+    part: Partial<Heartbeat> = {},
+  ): SentCommands | null {
+    const sequence = ++this.lastSequence;
+    const response = this.workers.handleHeartbeat(
+      heartbeat({ sequence, fencingToken, tasks, ...part }),
+    );
+    if (response.status !== 200) return null;
+    const body = response.body as { baton: number; orders: { verb: string; duty: string }[] };
+    return { commands: body.orders.map(({ verb, duty }) => `${verb} ${duty}`), token: body.baton };
+  }
+
+  /** The worker carries out the direct command that is open, and shows no task in its response. */
+  answerDirectCommand(): void {
+    const sent = this.runtime.calls[0]?.call.body as { baton: number };
+    this.runtime.answer(200, heartbeatBody(++this.lastSequence, sent.baton));
+  }
+}
