--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { standalonePlatform } from '../../../test/platform.js';
 import { arraySpec } from '../../../test/fakes.js';
+import { standalonePlatform } from '../../../test/platform.js';
 import { Job, Machine } from '../model/entities.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -19,7 +19,7 @@
   cut: string[];
 }
 
-describe('the view of the cluster', () => {
+describe('clusterView', () => {
   const settings = new Settings(standalonePlatform(), defaultProperties());
   const names = Array.from(
     { length: MACHINES },
@@ -29,30 +29,33 @@
   function source(after: string): ClusterViewSource {
     const machines = new Map(names.map((id) => [id, new Machine(id, 0, settings)]));
     const jobs = new Map<string, Job>();
-    for (let i = 0; i < JOBS; i++) {
-      const id = `req-${i}`;
-      const job = new Job(arraySpec({ id, kind: i % 2 === 0 ? 'gang' : 'service' }), 0, 1, 0);
-      if (i % 2 === 0)
+    for (let index = 0; index < JOBS; index++) {
+      const id = `req-${index}`;
+      const isGang = index % 2 === 0;
+      const job = new Job(arraySpec({ id, kind: isGang ? 'gang' : 'service' }), 0, 1, 0);
+      if (isGang)
         job.reservation = {
           ...{ machines: names.slice(0, 30), reservedAt: 0, searchedAt: 0 },
           ...{ fillAt: Infinity, readyAt: Infinity },
         };
       jobs.set(id, job);
     }
-    const parts = {
+    return {
       ...{ settings, after, term: 1, holdsLease: true, now: 0, types: [] },
       table: { jobs },
-      workers: { machines, assignedCount: 0, isAlive: () => true, teams: { state: () => [] } },
+      workers: {
+        ...{ machines, assignedCount: 0, isAlive: () => true },
+        teams: { state: () => [] },
+      },
       placement: { shortages: [...jobs.values()].map((job) => ({ job, tasks: 1 })) },
       fleet: { bootingCount: 0 },
     };
-    return parts as unknown as ClusterViewSource;
   }
 
   const view = (after = ''): View => clusterView(source(after)) as View;
 
   // Only the first 200 machines were listed, and nothing said that there were more.
-  it('keeps within the size of a response, and says which lists are cut', () => {
+  it('keeps within the size limit of a response and names the lists that are cut', () => {
     const first = view();
     assert.ok(JSON.stringify(first).length < RESPONSE_BYTES);
     assert.equal(first.machine_count, MACHINES);
@@ -60,13 +63,13 @@
     assert.deepEqual(first.cut, ['machines', 'holds', 'services', 'lacking']);
   });
 
-  it('lists every machine over several answers', () => {
-    const seen: string[] = [];
+  it('lists every machine over several responses', () => {
+    const listedIds: string[] = [];
     for (let more = true; more;) {
-      const { machines, cut } = view(seen.at(-1) ?? '');
-      seen.push(...machines.map(({ id }) => id));
+      const { machines, cut } = view(listedIds.at(-1) ?? '');
+      listedIds.push(...machines.map(({ id }) => id));
       more = cut.includes('machines');
     }
-    assert.deepEqual(seen, names);
+    assert.deepEqual(listedIds, names);
   });
 });
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -1,4 +1,4 @@
-/** The cluster as its leader sees it, for a person. */
+/** The cluster as its leader sees it, for operators: the body of the response to `/cluster`. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { Job, Machine } from '../model/entities.js';
 import type { JobTable } from '../jobs/job-table.js';
@@ -8,43 +8,47 @@
 import type { Workers } from '../workers/workers.js';
 import type { MachineType } from '../wire/cloud.js';
 
-/** Most entries of each list; an answer has to stay below 64 KiB. */
-const LISTED = 75;
+/** Largest number of entries of each list: a response has to stay below 64 KiB. */
+const MAX_LISTED = 75;
 
-/** Machines that are named of one job. */
-const NAMES_OF_A_JOB = 8;
+/** Largest number of machines that are named for one job. */
+const MAX_MACHINES_OF_JOB = 8;
 
-/** A list as far as an answer has room for it. */
+/** The first entries of a list. */
 interface Listing {
   entries: unknown[];
-  /** The list goes on. */
+  /** Whether there are more entries. */
   more: boolean;
 }
 
-/** What the view is made of. */
+/** State of the leader that the view shows. */
 export interface ClusterViewSource {
   settings: Settings;
   term: number;
+  /** Whether the leader holds its lease and has fresh state. */
   holdsLease: boolean;
+  /** Steady clock, milliseconds. */
   now: number;
   types: MachineType[];
-  table: JobTable;
-  workers: Workers;
-  placement: Placement;
-  fleet: Fleet;
-  /** Machines are listed from the first whose name comes after this one. */
+  table: Pick<JobTable, 'jobs'>;
+  workers: Pick<Workers, 'machines' | 'assignedCount' | 'isAlive'> & {
+    teams: Pick<Workers['teams'], 'state'>;
+  };
+  placement: Pick<Placement, 'shortages'>;
+  fleet: Pick<Fleet, 'bootingCount'>;
+  /** Only machines whose ids come after this one are listed. */
   after: string;
 }
 
-/** The body of the answer to `/cluster`. */
+/** The view. `cut` names the lists that have more entries than are shown. */
 export function clusterView(source: ClusterViewSource): unknown {
   const machines = [...source.workers.machines.values()];
   const jobs = [...source.table.jobs.values()];
   const lists = {
     machines: machinesView(source, machines),
-    holds: holdsView(source, jobs),
+    holds: reservationsView(source, jobs),
     services: servicesView(jobs),
-    lacking: lackingView(source),
+    lacking: shortagesView(source),
   };
   const names = Object.keys(lists) as (keyof typeof lists)[];
   return {
@@ -63,19 +67,19 @@
   };
 }
 
-/** The first entries of a list, each as the answer shows it. */
-function listed<Entry>(all: readonly Entry[], view: (entry: Entry) => unknown): Listing {
-  return { entries: all.slice(0, LISTED).map(view), more: all.length > LISTED };
+/** The first entries of a list, each as the view shows it. */
+function listFirst<Entry>(all: readonly Entry[], view: (entry: Entry) => unknown): Listing {
+  return { entries: all.slice(0, MAX_LISTED).map(view), more: all.length > MAX_LISTED };
 }
 
 function machinesView(source: ClusterViewSource, machines: readonly Machine[]): Listing {
   const rest = machines.filter(({ id }) => id > source.after);
   rest.sort((one, other) => (one.id < other.id ? -1 : 1));
-  return listed(rest, (machine) => machineView(source, machine));
+  return listFirst(rest, (machine) => machineView(source, machine));
 }
 
-function lackingView({ placement }: ClusterViewSource): Listing {
-  return listed(placement.shortages, ({ job, tasks }) => ({
+function shortagesView({ placement }: ClusterViewSource): Listing {
+  return listFirst(placement.shortages, ({ job, tasks }) => ({
     job: job.spec.id,
     class: job.spec.class,
     tasks,
@@ -115,17 +119,17 @@
   }));
 }
 
-function holdsView(source: ClusterViewSource, jobs: Job[]): Listing {
-  // To a tenth of a second; null: never.
-  const seconds = (ms: number): number | null =>
-    Number.isFinite(ms) ? Math.round((ms - source.now) / 100) / 10 : null;
-  const holding = jobs.filter((job) => job.reservation !== null);
-  return listed(holding, (job) => ({
+function reservationsView(source: ClusterViewSource, jobs: Job[]): Listing {
+  // Seconds from now to a tenth, `null` for never.
+  const secondsUntil = (at: number): number | null =>
+    Number.isFinite(at) ? Math.round((at - source.now) / 100) / 10 : null;
+  const reserving = jobs.filter((job) => job.reservation !== null);
+  return listFirst(reserving, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
-    ...namesView(job.reservation?.machines ?? []),
-    held_s: -(seconds(job.reservation?.reservedAt ?? source.now) ?? 0),
-    fills_in_s: seconds(job.reservation?.fillAt ?? Infinity),
+    ...machineNames(job.reservation?.machines ?? []),
+    held_s: -(secondsUntil(job.reservation?.reservedAt ?? source.now) ?? 0),
+    fills_in_s: secondsUntil(job.reservation?.fillAt ?? Infinity),
     blocked: job.blockedReason,
   }));
 }
@@ -133,21 +137,24 @@
 function servicesView(jobs: Job[]): Listing {
   const services = jobs.filter((job) => job.isService);
   services.sort((one, other) => other.missingReplicas - one.missingReplicas);
-  return listed(services, (job) => ({
+  return listFirst(services, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
     replicas: job.spec.tasks,
     missing: job.missingReplicas,
-    ...namesView([...job.currentAssignments.values()].map((assignment) => assignment.machine.id)),
+    ...machineNames(
+      [...job.currentAssignments.values()].map((assignment) => assignment.machine.id),
+    ),
     exits: job.exitCounts,
   }));
 }
 
-/** Names of the machines of one job: the first of them, and how many there are. */
-function namesView(names: readonly string[]): { machines: string[]; machine_count: number } {
-  return { machines: names.slice(0, NAMES_OF_A_JOB), machine_count: names.length };
+/** The first machines of one job, and how many there are. */
+function machineNames(names: readonly string[]): { machines: string[]; machine_count: number } {
+  return { machines: names.slice(0, MAX_MACHINES_OF_JOB), machine_count: names.length };
 }
 
+/** What could be placed at once on the machines of a type. */
 function placeableView(source: ClusterViewSource, machines: Machine[], type: MachineType): unknown {
   const usable = machines.filter(
     (machine) =>
@@ -160,7 +167,7 @@
     whole_machines: usable.filter((machine) => !machine.isBusy).length,
     gpus_on_one: Math.max(0, ...gpus),
     cpus_on_one: Math.max(0, ...cpus),
-    // What a gang of one-GPU tasks (or one-CPU tasks, on machines without GPUs) could have.
+    // Largest gang of tasks with one GPU, or with one CPU on machines without GPUs.
     single_tasks: (type.gpus > 0 ? gpus : cpus).reduce(
       (sum, free) => sum + countFitting(Math.max(0, free), 1),
       0,
--- a/src/controller/operators/gauges.ts
+++ b/src/controller/operators/gauges.ts
@@ -1,4 +1,4 @@
-/** Sets the figures that are read off a controller's state when metrics are scraped. */
+/** Gauges that are read from a controller's state when its metrics are scraped. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Job } from '../model/entities.js';
@@ -6,7 +6,7 @@
 import type { Workers } from '../workers/workers.js';
 import type { Metrics } from './metrics.js';
 
-/** Where figures go; `Metrics` is loaded a little after the start. */
+/** The part of `Metrics` that a controller uses; `Metrics` itself is loaded some time after the start. */
 export type MetricsSink = Pick<
   Metrics,
   | 'observeRequest'
@@ -17,7 +17,7 @@
   | 'render'
 >;
 
-/** What a leader has to be measured. */
+/** The leader's state that gauges are read from. */
 export interface LeaderState {
   table: Pick<JobTable, 'jobs'>;
   workers: Pick<Workers, 'machines'>;
@@ -29,20 +29,20 @@
   return jobs.reduce((total, job) => total + amount(job), 0);
 }
 
-/** Figures that every node has. */
+/** Sets the gauges that every node has. */
 export function setNodeGauges(metrics: MetricsSink, leading: boolean, term: number): void {
   metrics.setGauge('leading', '1 on the leader.', leading ? 1 : 0);
   metrics.setGauge('term', 'Term of the leader known here.', term);
   metrics.setGauge('memory_bytes', 'Memory that the process holds.', process.memoryUsage.rss());
 }
 
-/** Figures that only the leader has. */
+/** Sets the gauges that only the leader has. */
 export function setLeaderGauges(metrics: MetricsSink, leader: LeaderState): void {
   const jobs = [...leader.table.jobs.values()];
-  const holding = jobs.filter((job) => job.reservation !== null);
+  const reserving = jobs.filter((job) => job.reservation !== null);
   const services = jobs.filter((job) => job.isService);
   metrics.setGauge('jobs', 'Unfinished jobs.', jobs.length);
-  metrics.setGauge('holds', 'Gangs that hold room.', holding.length);
+  metrics.setGauge('holds', 'Gangs that hold room.', reserving.length);
   metrics.setGauge(
     'pending_tasks',
     'Tasks that wait for room.',
--- a/src/controller/operators/metrics.ts
+++ b/src/controller/operators/metrics.ts
@@ -1,29 +1,29 @@
 /** The metrics of a controller in the text format of Prometheus. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-/** Figures of one controller in the text form that scrapers read. */
+/** The metrics of one controller. */
 export class Metrics {
   private readonly registry = new Registry();
-  private readonly requests = new Counter({
+  private readonly requestCount = new Counter({
     name: 'bitternvale_requests_total',
     help: 'Requests by route and status.',
     labelNames: ['route', 'status'] as const,
     registers: [this.registry],
   });
-  private readonly seconds = new Histogram({
+  private readonly requestSeconds = new Histogram({
     name: 'bitternvale_request_seconds',
     help: 'Time from a request to its answer.',
     labelNames: ['route'] as const,
     buckets: [0.002, 0.005, 0.01, 0.03, 0.1, 0.3, 1, 3],
     registers: [this.registry],
   });
-  private readonly passes = new Histogram({
+  private readonly passSeconds = new Histogram({
     name: 'bitternvale_placement_pass_seconds',
     help: 'Time that a placement pass takes.',
     buckets: [0.001, 0.003, 0.01, 0.03, 0.1, 0.3],
     registers: [this.registry],
   });
-  private readonly preempted = new Counter({
+  private readonly preemptedTasks = new Counter({
     name: 'bitternvale_preempted_tasks_total',
     help: 'Tasks stopped to make room.',
     registers: [this.registry],
@@ -35,40 +35,40 @@
   });
   private readonly gauges = new Map<string, Gauge>();
 
-  /** A request has been answered. */
-  observeRequest(route: string, status: number, ms: number): void {
-    this.requests.inc({ route, status: String(status) });
-    this.seconds.observe({ route }, ms / 1000);
+  /** Counts a request that has been answered. */
+  observeRequest(route: string, status: number, durationMs: number): void {
+    this.requestCount.inc({ route, status: String(status) });
+    this.requestSeconds.observe({ route }, durationMs / 1000);
   }
 
-  /** A placement pass has ended. */
-  observePlacementPass(ms: number): void {
-    this.passes.observe(ms / 1000);
+  /** Counts a placement pass that has ended. */
+  observePlacementPass(durationMs: number): void {
+    this.passSeconds.observe(durationMs / 1000);
   }
 
-  /** Tasks stopped so far to make room. */
+  /** Sets the number of tasks preempted so far. */
   setPreemptions(total: number): void {
-    this.preempted.reset();
-    this.preempted.inc(total);
+    this.preemptedTasks.reset();
+    this.preemptedTasks.inc(total);
   }
 
-  /** Messages of other controllers dropped since the process began. */
+  /** Sets the number of peers' messages dropped since the process began. */
   setUnreadableMessages(total: number): void {
     this.unreadableMessages.reset();
     this.unreadableMessages.inc(total);
   }
 
-  /** Sets a gauge, which is made with the first value. */
+  /** Sets a gauge, which is created with its first value. */
   setGauge(name: string, help: string, value: number): void {
-    let g = this.gauges.get(name);
-    if (g === undefined) {
-      g = new Gauge({ name: `bitternvale_${name}`, help, registers: [this.registry] });
-      this.gauges.set(name, g);
+    let gauge = this.gauges.get(name);
+    if (gauge === undefined) {
+      gauge = new Gauge({ name: `bitternvale_${name}`, help, registers: [this.registry] });
+      this.gauges.set(name, gauge);
     }
-    g.set(value);
+    gauge.set(value);
   }
 
-  /** All metrics as they are scraped. */
+  /** All metrics in the text format. */
   render(): Promise<string> {
     return this.registry.metrics();
   }
--- a/src/controller/operators/readiness.test.ts
+++ b/src/controller/operators/readiness.test.ts
@@ -2,20 +2,20 @@
 import { describe, it } from 'node:test';
 import { Readiness } from './readiness.js';
 
-describe('readiness', () => {
+describe('Readiness', () => {
   function setUp() {
     const state = {
       sinceSuccessMs: Infinity,
       isUnavailable: false,
-      elsewhere: false,
+      servedElsewhere: false,
       typesKnown: false,
     };
-    const peers = { stateServedElsewhere: () => state.elsewhere };
+    const peers = { stateServedElsewhere: () => state.servedElsewhere };
     const readiness = new Readiness({ leaderLeaseMs: 1000 }, state, peers, () => state.typesKnown);
     return { state, readiness };
   }
 
-  it('waits for the machine types and the state service', () => {
+  it('is unready until the machine types are known and the state store has served the node', () => {
     const { state, readiness } = setUp();
     assert.ok(!readiness.ready);
     state.typesKnown = true;
@@ -24,13 +24,13 @@
     assert.ok(readiness.ready);
   });
 
-  it('ends only while the state service serves others and not this node', () => {
+  it('becomes unready only while the state store serves other nodes and not this one', () => {
     const { state, readiness } = setUp();
     Object.assign(state, { typesKnown: true, sinceSuccessMs: 0 });
     assert.ok(readiness.ready);
     Object.assign(state, { sinceSuccessMs: 400, isUnavailable: true });
     assert.ok(readiness.ready);
-    state.elsewhere = true;
+    state.servedElsewhere = true;
     assert.ok(!readiness.ready);
     state.sinceSuccessMs = 399;
     assert.ok(readiness.ready);
--- a/src/controller/operators/readiness.ts
+++ b/src/controller/operators/readiness.ts
@@ -3,16 +3,17 @@
 import type { Settings } from '../settings/settings.js';
 import type { CallHealth } from '../store/call-health.js';
 
-/** Share of the leader's lease without an answer of the state service after which peers count. */
+/** After this share of the leader's lease without a success at the state store the peers are consulted. */
 const UNSERVED_LEASE_SHARE = 0.4;
 
 /**
- * Ready once the node knows the machine types and the state service has served it. Later it is
- * unready only while the state service serves others and not this node: when nobody is served,
- * taking all nodes from the load balancer would only add to the outage.
+ * A node becomes ready once it knows the machine types and the state store has served it. Later it is unready
+ * only while the state store serves other nodes and not this one: in an outage for all, taking every node from
+ * the load balancer would only make it worse.
  */
 export class Readiness {
-  private served = false;
+  /** Whether the node has been ready once. */
+  private wasReady = false;
 
   constructor(
     private readonly settings: Pick<Settings, 'leaderLeaseMs'>,
@@ -21,11 +22,11 @@
     private readonly typesKnown: () => boolean,
   ) {}
 
-  /** Asked with each probe. */
+  /** The answer to a readiness probe. */
   get ready(): boolean {
-    if (!this.served) {
-      this.served = this.typesKnown() && Number.isFinite(this.health.sinceSuccessMs);
-      return this.served;
+    if (!this.wasReady) {
+      this.wasReady = this.typesKnown() && Number.isFinite(this.health.sinceSuccessMs);
+      return this.wasReady;
     }
     const unservedMs = this.settings.leaderLeaseMs * UNSERVED_LEASE_SHARE;
     return (
