--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -3,6 +3,7 @@
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
 import { longJobs } from '../simulation/scenarios/fault-scenario.js';
 import { shrinkingLimits as deployment } from '../simulation/deployments/deployment.js';
+import { noFaults } from '../simulation/faults/fault-rates.js';
 import { injectFaults, type Fault } from '../simulation/faults/faults.js';
 import type { ProgramVersion } from '../simulation/program-version.js';
 import { Simulation } from '../simulation/simulation.js';
@@ -72,8 +73,8 @@
       assert.ok(version, `no version for host ${i}`);
       this.versions.set(host, version);
     }
-    const quiet = { meanIntervalMs: Infinity, duplicated: 0.01, taskFailures: 0, bootFailures: 0 };
-    this.simulation = new Simulation(deployment, seed, quiet, undefined, (host) =>
+    const rates = { ...noFaults, duplicated: 0.01 };
+    this.simulation = new Simulation(deployment, seed, rates, undefined, (host) =>
       this.versionToStart(host),
     );
     this.submitJobs(14, START_MS / 2);
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -2,21 +2,9 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { smallDeployment } from './simulation/deployments/deployment.js';
+import { frequentFaults, noFaults } from './simulation/faults/fault-rates.js';
 import { Simulation, type FaultRates } from './simulation/simulation.js';
 
-const quiet: FaultRates = {
-  meanIntervalMs: Infinity,
-  duplicated: 0,
-  taskFailures: 0,
-  bootFailures: 0,
-};
-const rough: FaultRates = {
-  meanIntervalMs: 9000,
-  duplicated: 0.02,
-  taskFailures: 0.03,
-  bootFailures: 0.1,
-};
-
 /** No fault lasts longer than this. */
 const LONGEST_FAULT_MS = 60_000;
 /** Time without new faults in which all jobs have to end. */
@@ -67,7 +55,7 @@
 
 /** Cuts the leader off from the workers, while all other controllers reach them. */
 function playLeaderCutFromWorkers(seed: number): void {
-  const simulation = new Simulation(smallDeployment, seed, quiet);
+  const simulation = new Simulation(smallDeployment, seed, noFaults);
   for (let i = 0; i < 10; i++) simulation.submit(simulation.randomJob(), null);
   simulation.play(15_000);
   const { leader } = simulation;
@@ -80,7 +68,7 @@
 
 describe('the whole service in the simulation', () => {
   it('keeps the rules and finishes all accepted jobs when there are no faults', () => {
-    playToCompletion(1, quiet, 200_000);
+    playToCompletion(1, noFaults, 200_000);
   });
 
   // Fleet day "apart": the leader lost its workers alone, kept its lease, and 600 tasks ended with theirs.
@@ -90,6 +78,6 @@
 
   for (let seed = 1; seed <= 10; seed++)
     it(`keeps the rules and finishes all accepted jobs under random faults, seed ${seed}`, () => {
-      playToCompletion(seed, rough, 300_000);
+      playToCompletion(seed, frequentFaults, 300_000);
     });
 });
--- a/test/simulation/digest-scenarios.ts
+++ b/test/simulation/digest-scenarios.ts
@@ -2,23 +2,12 @@
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
 import { shrinkingLimits, smallDeployment, type Deployment } from './deployments/deployment.js';
 import { longJobs } from './scenarios/fault-scenario.js';
+import { frequentFaults, noFaults } from './faults/fault-rates.js';
 import { injectFaults, type Fault } from './faults/faults.js';
 import { shortLeases } from './deployments/short-leases.js';
 import { Simulation, type FaultRates } from './simulation.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-const quiet: FaultRates = {
-  meanIntervalMs: Infinity,
-  duplicated: 0,
-  taskFailures: 0,
-  bootFailures: 0,
-};
-const rough: FaultRates = {
-  meanIntervalMs: 9000,
-  duplicated: 0.02,
-  taskFailures: 0.03,
-  bootFailures: 0.1,
-};
 /** Of the jobs at random times this share is cancelled, within so long. */
 const CANCELLED_SHARE = 0.2;
 const CANCELLED_WITHIN_MS = 40_000;
@@ -70,7 +59,7 @@
 /** The scenarios, each of which takes a few seconds at most. */
 export const digestScenarios: DigestScenario[] = [
   {
-    ...{ name: 'quiet', deployment: smallDeployment, seed: 1, rates: quiet, randomJobs: 30 },
+    ...{ name: 'quiet', deployment: smallDeployment, seed: 1, rates: noFaults, randomJobs: 30 },
     ...{ faults: [], playMs: 200_000 },
   },
   {
@@ -78,18 +67,24 @@
       name: 'random faults',
       deployment: smallDeployment,
       seed: 4,
-      rates: rough,
+      rates: frequentFaults,
       randomJobs: 30,
     },
     ...{ faults: [], playMs: 240_000 },
   },
   {
-    ...{ name: 'short leases', deployment: shortLeases, seed: 2, rates: rough, randomJobs: 24 },
+    ...{
+      name: 'short leases',
+      deployment: shortLeases,
+      seed: 2,
+      rates: frequentFaults,
+      randomJobs: 24,
+    },
     ...{ faults: [], playMs: 240_000 },
   },
   {
     ...{ name: 'services, gangs and cancellations', deployment: smallDeployment, seed: 5 },
-    ...{ rates: { ...quiet, taskFailures: 0.03 }, randomJobs: 12, playMs: 180_000 },
+    ...{ rates: { ...noFaults, taskFailures: 0.03 }, randomJobs: 12, playMs: 180_000 },
     faults: [
       { kind: 'jobs', count: 4, template: services, at: 1 },
       { kind: 'jobs', count: 6, template: { ...gangs, priority: 'low' }, at: 2 },
@@ -112,7 +107,7 @@
     ],
   },
   {
-    ...{ name: 'failovers and an outage', deployment: smallDeployment, seed: 6, rates: quiet },
+    ...{ name: 'failovers and an outage', deployment: smallDeployment, seed: 6, rates: noFaults },
     ...{ randomJobs: 12, playMs: 230_000 },
     faults: [
       { kind: 'jobs', count: 12, template: longJobs, at: 0 },
@@ -134,7 +129,7 @@
       name: 'spot notices and falling limits',
       deployment: shrinkingLimits,
       seed: 7,
-      rates: quiet,
+      rates: noFaults,
     },
     ...{ randomJobs: 10, noticeEveryMs: 9000, playMs: 200_000 },
     faults: [
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,96 +1,118 @@
+/** Hundreds of machines: what the service costs, and that it survives one fault after the other. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { mediumFleet } from './simulation/deployments/deployment.js';
-import { Simulation } from './simulation/simulation.js';
+import { Simulation, type FaultRates } from './simulation/simulation.js';
 
 /** Machines at most; more would only make the test slow. */
 const MACHINES = 200;
+const FIRST_JOBS = 30;
 /** Mean time between two jobs: as many as keep most of the machines busy. */
-const EVERY_MS = 1100;
+const MEAN_ARRIVAL_MS = 1100;
+/** This share of the jobs is cancelled after so long. */
+const CANCELLED_SHARE = 0.04;
+const CANCELLED_AFTER_MS = 20_000;
+/** At the state service, by the platform's settings. */
+const REQUESTS_PER_SECOND = 80;
 
-interface Spent {
-  puts: number;
-  requests: number;
-  started: number;
-}
+const rareFaults: FaultRates = {
+  meanIntervalMs: Infinity,
+  duplicated: 0.002,
+  taskFailures: 0.005,
+  bootFailures: 0.02,
+};
 
-function spent(simulation: Simulation): Spent {
-  const { puts, requests } = simulation.stateStore;
-  return { puts, requests, started: simulation.checker.startedTasks };
-}
+/** A time in milliseconds, and what happens then. */
+type TimedAction = [number, (simulation: Simulation) => void];
 
-/** A day of many machines with jobs coming all the time, and the faults given, each at its time. */
-function day(seed: number, ms: number, faults: [number, (w: Simulation) => void][]): Simulation {
-  const quiet = {
-    meanIntervalMs: Infinity,
-    duplicated: 0.002,
-    taskFailures: 0.005,
-    bootFailures: 0.02,
+function submitJobs(simulation: Simulation, untilMs: number): void {
+  const { clock, random } = simulation;
+  const submitNext = (): void => {
+    if (clock.now > untilMs) return;
+    const job = simulation.randomJob();
+    simulation.submit(job, random.next() < CANCELLED_SHARE ? CANCELLED_AFTER_MS : null);
+    clock.after(random.between(0.3, 1.7) * MEAN_ARRIVAL_MS, submitNext);
   };
-  const simulation = new Simulation(mediumFleet(MACHINES), seed, quiet);
-  for (let i = 0; i < 30; i++) simulation.submit(simulation.randomJob(), null);
-  const next = (): void => {
-    if (simulation.clock.now > ms) return;
-    simulation.submit(simulation.randomJob(), simulation.random.next() < 0.04 ? 20_000 : null);
-    simulation.clock.after(simulation.random.between(0.3, 1.7) * EVERY_MS, next);
-  };
-  next();
-  for (const [at, fault] of faults) simulation.clock.after(at, () => fault(simulation));
+  for (let i = 0; i < FIRST_JOBS; i++) simulation.submit(simulation.randomJob(), null);
+  submitNext();
+}
+
+/** Plays a fleet to which jobs come all the time, with the actions given. */
+function playFleet(seed: number, ms: number, actions: readonly TimedAction[]): Simulation {
+  const simulation = new Simulation(mediumFleet(MACHINES), seed, rareFaults);
+  submitJobs(simulation, ms);
+  for (const [at, act] of actions) simulation.clock.after(at, () => act(simulation));
   simulation.play(ms);
   return simulation;
 }
 
-/** Faults over, all that was accepted is done, and nobody was neglected. */
-function ends(simulation: Simulation): void {
+/** Plays on without new faults: all accepted jobs are done then, and none was neglected. */
+function assertCompletes(simulation: Simulation): void {
   simulation.stopFaults(60_000);
   simulation.play(400_000);
   assert.deepEqual(simulation.checker.unfinishedJobs(), []);
   assert.deepEqual(simulation.checker.neglectedJobs(), []);
 }
 
-const leader = (w: Simulation): string => w.leader ?? 'kiln-0';
+/** What was done so far, and what it cost at the state service. */
+interface Usage {
+  puts: number;
+  requests: number;
+  startedTasks: number;
+}
+
+function usageOf({ stateStore, checker }: Simulation): Usage {
+  const { puts, requests } = stateStore;
+  return { puts, requests, startedTasks: checker.startedTasks };
+}
+
+const leaderOf = ({ leader }: Simulation): string => leader ?? 'kiln-0';
+
+const controllerFaults: TimedAction[] = [
+  [30_000, (playing) => playing.connectionFaults.cutFromWorkers(leaderOf(playing), 37_000)],
+  [80_000, (playing) => playing.processes.freeze(leaderOf(playing), 28_000)],
+  [120_000, (playing) => playing.connectionFaults.refusePeers(30_000)],
+  [130_000, (playing) => playing.connectionFaults.isolate(leaderOf(playing), 42_000)],
+  [180_000, (playing) => playing.processes.rollingRestart(9000)],
+];
+
+const massFaults: TimedAction[] = [
+  [30_000, (playing) => playing.machineFaults.cut(0.2, 47_000)],
+  [33_000, (playing) => playing.kill(leaderOf(playing), 6000)],
+  [90_000, (playing) => playing.machineFaults.kill(0.07)],
+  [92_000, (playing) => playing.machineFaults.reclaimSpot(0.6, 8000)],
+  [110_000, (playing) => playing.stateStore.slowDown(60_000)],
+  [150_000, (playing) => playing.stateStore.outage(10_000)],
+  [156_000, (playing) => playing.hosts.forEach((host) => playing.kill(host, 6000))],
+  [200_000, (playing) => playing.processes.killElected()],
+];
 
-describe('the service at size', () => {
-  it('spends little at the state service and the cloud, and stays within their limits', () => {
-    let from: Spent = { puts: 0, requests: 0, started: 0 };
-    const simulation = day(1, 120_000, [[60_000, (w) => (from = spent(w))]]);
-    const to = spent(simulation);
-    const tasks = to.started - from.started;
+describe('a fleet of hundreds of machines', () => {
+  it('takes few requests and writes of the state service, within its limits', () => {
+    let before: Usage = { puts: 0, requests: 0, startedTasks: 0 };
+    const measureMs = 60_000;
+    const measure: TimedAction = [measureMs, (playing) => (before = usageOf(playing))];
+    const simulation = playFleet(1, 2 * measureMs, [measure]);
+    const after = usageOf(simulation);
+    const tasks = after.startedTasks - before.startedTasks;
     assert.ok(tasks > 300, `only ${tasks} tasks started`);
     // Records are packed: a put serves several tasks, beside the three that each job costs.
-    assert.ok((to.puts - from.puts) / tasks < 2, `${(to.puts - from.puts) / tasks} puts a task`);
-    assert.ok((to.requests - from.requests) / 60 < 80);
+    const putsPerTask = (after.puts - before.puts) / tasks;
+    assert.ok(putsPerTask < 2, `${putsPerTask} puts a task`);
+    const requestsPerSecond = (after.requests - before.requests) / (measureMs / 1000);
+    assert.ok(requestsPerSecond < REQUESTS_PER_SECOND);
     assert.equal(simulation.stateStore.rateLimited, 0);
-    ends(simulation);
+    assertCompletes(simulation);
   });
 
   // What the operators expect of a fleet's day, one fault after the other.
-  it('lives through losses of controllers, and loses no lease of a machine that is well', () => {
-    const simulation = day(2, 240_000, [
-      [30_000, (w) => w.connectionFaults.cutFromWorkers(leader(w), 37_000)],
-      [80_000, (w) => w.processes.freeze(leader(w), 28_000)],
-      [120_000, (w) => w.connectionFaults.refusePeers(30_000)],
-      [130_000, (w) => w.connectionFaults.isolate(leader(w), 42_000)],
-      [180_000, (w) => w.processes.rollingRestart(9000)],
-    ]);
+  it('expires no lease and finishes all jobs when controllers are lost one after the other', () => {
+    const simulation = playFleet(2, 240_000, controllerFaults);
     assert.equal(simulation.expiredLeases, 0);
-    ends(simulation);
+    assertCompletes(simulation);
   });
 
-  it('lives through mass losses of machines, an outage, slow answers and crashes of all', () => {
-    const simulation = day(3, 240_000, [
-      [30_000, (w) => w.machineFaults.cut(0.2, 47_000)],
-      [33_000, (w) => w.kill(leader(w), 6000)],
-      [90_000, (w) => w.machineFaults.kill(0.07)],
-      [92_000, (w) => w.machineFaults.reclaimSpot(0.6, 8000)],
-      [110_000, (w) => w.stateStore.slowDown(60_000)],
-      [150_000, (w) => w.stateStore.outage(10_000)],
-      [
-        156_000,
-        (w) => ['kiln-0', 'kiln-1', 'kiln-2', 'kiln-3', 'kiln-4'].forEach((h) => w.kill(h, 6000)),
-      ],
-      [200_000, (w) => w.processes.killElected()],
-    ]);
-    ends(simulation);
+  it('finishes all jobs after mass losses of machines, an outage and crashes of all controllers', () => {
+    assertCompletes(playFleet(3, 240_000, massFaults));
   });
 });
