--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -75,7 +75,7 @@
           onTerminalState: nothing,
         },
         onRecordRemoved: nothing,
-        onJobTerminated: (job) => this.workers.jobClosed(job),
+        onJobTerminated: (job) => this.workers.jobTerminated(job),
       },
     );
     this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
--- a/src/controller/leader/leader-components.ts
+++ b/src/controller/leader/leader-components.ts
@@ -42,7 +42,7 @@
   private createTable(): JobTable {
     const { eventLoop, settings, client, frontend, peers } = this.environment;
     return new JobTable(eventLoop, settings, client, this.records, {
-      onIncompleteGang: (job) => this.workers.stopJob(job, 0, 'gang lost a part'),
+      onIncompleteGang: (job) => this.workers.stopJob(job, 0, 'gang lost a member'),
       onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
       onJobTerminated: (job) => this.jobTerminated(job),
       onJobAdded: (job) => this.jobAdded(job),
@@ -102,7 +102,7 @@
   }
 
   private jobTerminated(job: Job): void {
-    this.workers.jobClosed(job);
+    this.workers.jobTerminated(job);
     const key = reservationKey(job.spec.id);
     if (this.records.has(key)) this.records.set(key, undefined, 'lazy');
     this.environment.progress.delete(job.spec.id);
--- a/src/controller/placement/services.test.ts
+++ b/src/controller/placement/services.test.ts
@@ -94,7 +94,7 @@
         onTerminalState: nothing,
       },
       onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
-      onJobTerminated: (job) => this.workers.jobClosed(job),
+      onJobTerminated: (job) => this.workers.jobTerminated(job),
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
       findMachineType: () => type,
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -106,7 +106,7 @@
    * The job has ended: forgets assignments that have ended, and stops the others if it was cancelled.
    * The members of a completed gang all exit by themselves at the same time.
    */
-  jobClosed(job: Job): void {
+  jobTerminated(job: Job): void {
     for (const assignment of [...job.allAssignments]) {
       if (assignment.phase === 'ended') this.forget(assignment);
       else if (job.terminalState === 'cancelled') this.stop(assignment, 0, 'cancelled');
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -156,8 +156,8 @@
   }
 
   /** The job has ended: removes what is left of it from the machines. */
-  jobClosed(job: Job): void {
-    this.assignments.jobClosed(job);
+  jobTerminated(job: Job): void {
+    this.assignments.jobTerminated(job);
   }
 
   /** The completion of the task is recorded: the worker may clear it, and its assignment is forgotten. */
