--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -1,64 +1,69 @@
-/** The HTTP client for calls to services, workers and the cloud. */
+/** HTTP/1.1 client for calls to the state store, the cloud and the workers. */
 import net from 'node:net';
 import { formatRequest, HttpParser, type HttpMessage } from './parser.js';
 import type { SocketBudget } from './socket-budget.js';
 
 /** Limits of the client. */
 export interface ClientOptions {
-  /** Shared with all else that opens sockets. */
+  /** Budget that all owners of sockets share. */
   sockets: SocketBudget;
-  /** Connections kept or opened to one address. */
+  /** Largest number of connections to one address. */
   maxConnectionsPerHost: number;
-  /** An unused connection is closed after this time. */
+  /** An idle connection is closed after this time. */
   idleTimeoutMs: number;
   maxBodyBytes: number;
 }
 
-interface Pending {
+/** A request that waits for a connection or for its response. */
+interface PendingRequest {
   bytes: Buffer;
   done: (response: HttpMessage | null) => void;
   timer: NodeJS.Timeout;
+  /** The connection that it was sent on, `null` while it waits. */
   connection: Connection | null;
+  /** Whether `done` has been called. */
   settled: boolean;
 }
 
+/** An open connection; it carries one request at a time. */
 interface Connection {
   socket: net.Socket;
   parser: HttpParser;
-  current: Pending | null;
+  current: PendingRequest | null;
 }
 
+/** Connections to one address, and the requests that wait for one. */
 interface Host {
   connections: Set<Connection>;
   idle: Connection[];
-  waiting: Pending[];
+  waiting: PendingRequest[];
 }
 
-/** HTTP/1.1 client on `net` with kept connections. `null` as outcome means no response. */
+/** HTTP/1.1 client on `net` with persistent connections. */
 export class HttpClient {
   private readonly hosts = new Map<string, Host>();
-  /** Unused connections to all hosts, the longest unused first. */
-  private readonly unused = new Set<Connection>();
+  /** Idle connections to all hosts, the longest idle first. */
+  private readonly idle = new Set<Connection>();
 
   constructor(private readonly options: ClientOptions) {
     options.sockets.onExhausted(() => this.closeLongestIdle());
   }
 
   private closeLongestIdle(): boolean {
-    for (const connection of this.unused) {
-      this.unused.delete(connection);
+    for (const connection of this.idle) {
+      this.idle.delete(connection);
       connection.socket.destroy();
       return true;
     }
     return false;
   }
 
-  /** Whether a request would find a connection at once without opening one. */
+  /** Whether a request would find an idle connection. */
   hasIdleConnection(to: string): boolean {
     return (this.hosts.get(to)?.idle.length ?? 0) > 0;
   }
 
-  /** Sends a request once a connection is free; without response in time `done` gets null. */
+  /** Sends a request once a connection is free. `done` gets `null` if there is no valid response in time. */
   request(
     to: string,
     method: string,
@@ -72,7 +77,7 @@
       host = { connections: new Set(), idle: [], waiting: [] };
       this.hosts.set(to, host);
     }
-    const pending: Pending = {
+    const pending: PendingRequest = {
       bytes: formatRequest(method, to, path, body),
       done,
       connection: null,
@@ -83,14 +88,19 @@
     this.advance(to, host);
   }
 
-  private settle(pending: Pending, response: HttpMessage | null, drop: boolean): void {
+  private settle(
+    pending: PendingRequest,
+    response: HttpMessage | null,
+    closeConnection: boolean,
+  ): void {
     if (pending.settled) return;
     pending.settled = true;
     clearTimeout(pending.timer);
-    if (drop) pending.connection?.socket.destroy();
+    if (closeConnection) pending.connection?.socket.destroy();
     pending.done(response);
   }
 
+  /** Sends the waiting requests for which there is a connection. */
   private advance(to: string, host: Host): void {
     while (host.waiting.length > 0) {
       const first = host.waiting[0];
@@ -101,7 +111,7 @@
       const connection = this.takeIdle(host) ?? this.open(to, host);
       if (connection === null) return;
       host.waiting.shift();
-      this.unused.delete(connection);
+      this.idle.delete(connection);
       connection.current = first;
       first.connection = connection;
       connection.socket.setTimeout(0);
@@ -140,7 +150,7 @@
     socket.on('timeout', () => socket.destroy());
     socket.on('close', () => {
       this.options.sockets.closed();
-      this.unused.delete(connection);
+      this.idle.delete(connection);
       host.connections.delete(connection);
       host.idle = host.idle.filter((other) => other !== connection);
       const pending = connection.current;
@@ -163,12 +173,12 @@
     if (response === null) return;
     const pending = connection.current;
     connection.current = null;
-    // An answer nobody asked for would be taken for that of the next request.
+    // An unsolicited response would be taken for that of the next request.
     if (pending === null || !connection.parser.idle || !response.keepAlive)
       connection.socket.destroy();
     else {
       host.idle.push(connection);
-      this.unused.add(connection);
+      this.idle.add(connection);
       connection.socket.setTimeout(this.options.idleTimeoutMs);
     }
     if (pending !== null) this.settle(pending, response, false);
--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -17,8 +17,8 @@
   }
 }
 
-describe('HTTP parser', () => {
-  it('reads messages however they are cut and joined', () => {
+describe('HttpParser', () => {
+  it('reads messages however their bytes are split', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(fc.constantFrom('/a', '/b?x=1'), fc.uint8Array({ maxLength: 300 })), {
@@ -48,7 +48,7 @@
     );
   });
 
-  it('never throws anything but HttpError, whatever comes in', () => {
+  it('throws nothing but HttpError on arbitrary bytes', () => {
     const pieces = fc.oneof(
       fc.uint8Array({ maxLength: 40 }).map((b) => Buffer.from(b)),
       fc
@@ -79,7 +79,7 @@
     );
   });
 
-  it('reads chunked bodies, with extensions and trailers', () => {
+  it('reads chunked bodies with extensions and trailers', () => {
     const p = new HttpParser('request', limits);
     p.push(
       Buffer.from(
@@ -89,7 +89,7 @@
     assert.equal(p.next()?.body.toString(), 'abcde');
   });
 
-  it('refuses what is malformed or too large with the right status', () => {
+  it('rejects malformed and too large messages with the matching status', () => {
     assert.equal(statusOf('nonsense\r\n\r\n'), 400);
     assert.equal(statusOf('GET /x HTTP/2.0\r\n\r\n'), 400);
     assert.equal(statusOf('GET /x HTTP/1.1\r\nbad header\r\n\r\n'), 400);
@@ -107,7 +107,7 @@
     assert.equal(statusOf('POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n'), 413);
   });
 
-  it('tells clients when to come back, in whole seconds of at least one', () => {
+  it('formats Retry-After as whole seconds of at least one', () => {
     const bytes = formatResponse({ status: 503, body: Buffer.alloc(0), retryAfterS: 0.2 }, true);
     assert.match(bytes.toString(), /^HTTP\/1\.1 503 .*\r\n(?:.*\r\n)*Retry-After: 1\r\n/);
     assert.match(bytes.toString(), /Connection: close\r\n/);
--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -1,27 +1,30 @@
 /**
- * Incremental HTTP/1.1 message parser, for requests and for responses. It is fed bytes as they
- * arrive, however split or merged, and hands out whole messages.
+ * Incremental HTTP/1.1 parser for requests and responses, and the formatting of both. The parser takes bytes
+ * as they arrive, however they are split, and returns complete messages.
  */
 
 /** A request or a response. */
 export interface HttpMessage {
-  /** Requests. */
+  /** '' in a response. */
   method: string;
+  /** Path and query; '' in a response. */
   path: string;
-  /** Responses. */
+  /** 0 in a request. */
   status: number;
+  /** By name in lower case. */
   headers: Map<string, string>;
   body: Buffer;
+  /** Whether the connection may carry another message. */
   keepAlive: boolean;
 }
 
-/** Largest head and body that are taken. */
+/** Largest head and body that are accepted. */
 export interface MessageLimits {
   headBytes: number;
   bodyBytes: number;
 }
 
-/** A message that can't be taken, with the status that says why. */
+/** A message that is malformed or too large. `status` is that of the response that says so. */
 export class HttpError extends Error {
   constructor(
     readonly status: number,
@@ -38,14 +41,15 @@
 
 const CR = 13;
 const LF = 10;
-/** Longest line with a chunk's size and its extensions. */
+/** Longest line with a chunk's size and extensions. */
 const CHUNK_SIZE_LINE_BYTES = 128;
 const CHUNK_END_LINE_BYTES = 2;
 
+/** The part of a message that is read next. */
 type Stage = 'head' | 'sized' | 'chunk-size' | 'chunk' | 'chunk-end' | 'trailer';
 
-/** What reading one stage has brought: a whole message, or whether there is another stage to read. */
-type Step = HttpMessage | 'advanced' | 'incomplete';
+/** Outcome of reading one stage: a complete message, the next stage, or a lack of bytes. */
+type StageResult = HttpMessage | 'advanced' | 'incomplete';
 
 function addHeader(headers: Map<string, string>, line: string): void {
   const colon = line.indexOf(':');
@@ -60,47 +64,51 @@
   } else headers.set(key, `${before}, ${value}`);
 }
 
-/** Parses the messages of one connection. */
+/** Parses the messages of one connection in one direction. */
 export class HttpParser {
+  /** Bytes that have arrived and are not used yet. */
   private data: Buffer = EMPTY;
   private stage: Stage = 'head';
   private message: HttpMessage | null = null;
-  private need = 0;
+  /** Length of the body or of the chunk that is being read. */
+  private bytesNeeded = 0;
   private chunks: Buffer[] = [];
-  private chunked = 0;
-  private scanned = 0;
+  /** Length of all chunks so far. */
+  private chunkedBytes = 0;
+  /** Bytes of `data` that were searched for a line's end in vain. */
+  private scannedBytes = 0;
 
   constructor(
     private readonly kind: 'request' | 'response',
     private readonly limits: MessageLimits,
   ) {}
 
-  /** Nothing of a message has arrived yet. */
+  /** Whether nothing of the next message has arrived. */
   get idle(): boolean {
     return this.stage === 'head' && this.data.length === 0;
   }
 
-  /** Takes bytes as they arrive. */
+  /** Takes bytes that have arrived. */
   push(bytes: Buffer): void {
     this.data = this.data.length === 0 ? bytes : Buffer.concat([this.data, bytes]);
   }
 
-  /** The next whole message, or null while more bytes are needed. Throws HttpError. */
+  /** The next complete message, `null` while more bytes are needed. Throws an `HttpError`. */
   next(): HttpMessage | null {
     for (;;) {
-      const step = this.readStage();
-      if (step === 'incomplete') return null;
-      if (step !== 'advanced') return step;
+      const result = this.readStage();
+      if (result === 'incomplete') return null;
+      if (result !== 'advanced') return result;
     }
   }
 
-  private readStage(): Step {
+  private readStage(): StageResult {
     switch (this.stage) {
       case 'head':
         return this.readHead();
       case 'sized':
-        if (this.data.length < this.need) return 'incomplete';
-        return this.finish(this.cut(this.need));
+        if (this.data.length < this.bytesNeeded) return 'incomplete';
+        return this.finish(this.cut(this.bytesNeeded));
       case 'chunk-size':
         return this.readChunkSize();
       case 'chunk':
@@ -112,26 +120,26 @@
     }
   }
 
-  private readChunkSize(): Step {
+  private readChunkSize(): StageResult {
     const line = this.line(CHUNK_SIZE_LINE_BYTES);
     if (line === null) return 'incomplete';
     const size = line.split(';', 1)[0]?.trim() ?? '';
     if (!HEX.test(size)) throw new HttpError(400, 'bad chunk size');
-    this.need = parseInt(size, 16);
-    this.chunked += this.need;
-    if (this.chunked > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
-    this.stage = this.need === 0 ? 'trailer' : 'chunk';
+    this.bytesNeeded = parseInt(size, 16);
+    this.chunkedBytes += this.bytesNeeded;
+    if (this.chunkedBytes > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    this.stage = this.bytesNeeded === 0 ? 'trailer' : 'chunk';
     return 'advanced';
   }
 
-  private readChunk(): Step {
-    if (this.data.length < this.need) return 'incomplete';
-    this.chunks.push(this.cut(this.need));
+  private readChunk(): StageResult {
+    if (this.data.length < this.bytesNeeded) return 'incomplete';
+    this.chunks.push(this.cut(this.bytesNeeded));
     this.stage = 'chunk-end';
     return 'advanced';
   }
 
-  private readChunkEnd(): Step {
+  private readChunkEnd(): StageResult {
     const line = this.line(CHUNK_END_LINE_BYTES);
     if (line === null) return 'incomplete';
     if (line !== '') throw new HttpError(400, 'bad chunk end');
@@ -139,23 +147,25 @@
     return 'advanced';
   }
 
-  private readTrailer(): Step {
+  private readTrailer(): StageResult {
     const line = this.line(this.limits.headBytes);
     if (line === null) return 'incomplete';
     return line === '' ? this.finish(Buffer.concat(this.chunks)) : 'advanced';
   }
 
+  /** Removes the first bytes from `data`. */
   private cut(size: number): Buffer {
     const part = this.data.subarray(0, size);
     this.data = this.data.length === size ? EMPTY : this.data.subarray(size);
-    this.scanned = 0;
+    this.scannedBytes = 0;
     return part;
   }
 
+  /** The next line without its end, `null` while it is incomplete. */
   private line(limit: number): string | null {
-    const end = this.data.indexOf('\r\n', Math.max(0, this.scanned - 1));
+    const end = this.data.indexOf('\r\n', Math.max(0, this.scannedBytes - 1));
     if (end < 0) {
-      this.scanned = this.data.length;
+      this.scannedBytes = this.data.length;
       if (this.data.length > limit + 2) throw new HttpError(400, 'line too long');
       return null;
     }
@@ -169,12 +179,12 @@
     message.body = body;
     this.message = null;
     this.chunks = [];
-    this.chunked = 0;
+    this.chunkedBytes = 0;
     this.stage = 'head';
     return message;
   }
 
-  private readHead(): Step {
+  private readHead(): StageResult {
     const lines = this.headLines();
     if (lines === null) return 'incomplete';
     const message = this.startLine(lines[0] ?? '');
@@ -185,11 +195,11 @@
   }
 
   private headLines(): string[] | null {
-    // Stray empty lines before a start line are allowed.
+    // Empty lines before a start line are allowed (RFC 9112, 2.2).
     while (this.data.length >= 2 && this.data[0] === CR && this.data[1] === LF) this.cut(2);
-    const end = this.data.indexOf('\r\n\r\n', Math.max(0, this.scanned - 3));
+    const end = this.data.indexOf('\r\n\r\n', Math.max(0, this.scannedBytes - 3));
     if (end < 0) {
-      this.scanned = this.data.length;
+      this.scannedBytes = this.data.length;
       if (this.data.length > this.limits.headBytes) throw new HttpError(431, 'head too large');
       return null;
     }
@@ -217,6 +227,7 @@
     return { ...base, method: '', path: '', status: Number(match[2]), keepAlive: match[1] === '1' };
   }
 
+  /** Determines how the body of the message is delimited. */
   private frame(message: HttpMessage): void {
     const connection = message.headers.get('connection')?.toLowerCase() ?? '';
     if (connection.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
@@ -229,13 +240,13 @@
       return;
     }
     if (length !== undefined && !DECIMAL.test(length)) throw new HttpError(400, 'bad length');
-    this.need = length === undefined ? 0 : Number(length);
-    if (this.need > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    this.bytesNeeded = length === undefined ? 0 : Number(length);
+    if (this.bytesNeeded > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
     this.stage = 'sized';
   }
 }
 
-const reasons: Record<number, string> = {
+const reasonPhrases: Record<number, string> = {
   200: 'OK',
   201: 'Created',
   400: 'Bad Request',
@@ -252,19 +263,22 @@
   504: 'Gateway Timeout',
 };
 
-/** A response to be written. */
+/** A response to be sent. */
 export interface HttpResponse {
   status: number;
   body: Buffer;
+  /** Content type of the body; CBOR where it is absent. */
   contentType?: string;
+  /** Sent as whole seconds of at least 1. */
   retryAfterS?: number;
+  /** The allowed method, with status 405. */
   allow?: string;
 }
 
-/** The bytes of a response; `close`: the connection ends after it. */
+/** The bytes of a response. With `close` the connection ends after it. */
 export function formatResponse(response: HttpResponse, close: boolean): Buffer {
   const { status, body, contentType, retryAfterS, allow } = response;
-  let head = `HTTP/1.1 ${status} ${reasons[status] ?? 'Status'}\r\nContent-Length: ${body.length}\r\n`;
+  let head = `HTTP/1.1 ${status} ${reasonPhrases[status] ?? 'Status'}\r\nContent-Length: ${body.length}\r\n`;
   if (body.length > 0) head += `Content-Type: ${contentType ?? 'application/cbor'}\r\n`;
   if (retryAfterS !== undefined) head += `Retry-After: ${Math.max(1, Math.ceil(retryAfterS))}\r\n`;
   if (allow !== undefined) head += `Allow: ${allow}\r\n`;
@@ -272,7 +286,7 @@
   return Buffer.concat([Buffer.from(`${head}\r\n`, 'latin1'), body]);
 }
 
-/** The bytes of a request; the body, if there is one, is CBOR. */
+/** The bytes of a request. The body, if there is one, is CBOR. */
 export function formatRequest(
   method: string,
   host: string,
--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -9,7 +9,7 @@
   type HttpResponse,
 } from './parser.js';
 
-/** Answers a request; `respond` may be called later. */
+/** Handles a request. `respond` may be called later; only its first call counts. */
 export type RequestHandler = (
   request: HttpMessage,
   respond: (response: HttpResponse) => void,
@@ -18,26 +18,27 @@
 /** What a connection needs of its server. */
 export interface ConnectionOptions {
   limits: MessageLimits;
-  /** A started request has to be whole within this time. */
+  /** A request has to arrive completely within this time after its first byte. */
   readTimeoutMs: number;
-  /** An idle connection is closed after this time, by the path last asked for ('' before any). */
+  /** Idle timeout of the connection, by the path of its last request ('' before the first). */
   idleTimeoutMs: (path: string) => number;
   handler: RequestHandler;
-  /** Whether a request is in progress has changed. */
+  /** Called when a request begins (`false`) and after its response (`true`). */
   onIdleChange: (idle: boolean) => void;
   onClose: () => void;
 }
 
 const EMPTY_BODY = Buffer.alloc(0);
 
-/** Reads requests from a socket and writes the responses in the same order. */
+/** Reads requests from a socket and writes their responses. */
 export class ServerConnection {
   private readonly parser: HttpParser;
-  /** A request is being answered. */
+  /** Whether a request is being handled. */
   private busy = false;
+  /** Whether no further request is taken. */
   private ended = false;
   private idleMs: number;
-  /** Runs while a request has begun and is not whole. */
+  /** Runs while a request has arrived in part. */
   private deadline: NodeJS.Timeout | null = null;
 
   constructor(
@@ -49,24 +50,24 @@
     socket.setTimeout(this.idleMs, () => socket.destroy());
     socket.on('data', (bytes) => this.receive(bytes));
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => this.closed());
+    socket.on('close', () => this.onSocketClosed());
   }
 
   private receive(bytes: Buffer): void {
     if (this.ended) return;
     this.parser.push(bytes);
-    // No pipelining in this protocol: a client that sends on without reading is made to wait.
+    // Without pipelining: a client that sends another request before the response has to wait.
     if (this.busy) this.socket.pause();
     else this.advance();
   }
 
-  private closed(): void {
+  private onSocketClosed(): void {
     this.ended = true;
     this.options.onClose();
     if (this.deadline !== null) clearTimeout(this.deadline);
   }
 
-  /** Handles the next request if it is whole. */
+  /** Handles the next request if it has arrived completely. */
   private advance(): void {
     if (this.busy || this.ended) return;
     let request: HttpMessage | null;
@@ -80,12 +81,12 @@
     if (request !== null) this.handle(request);
   }
 
-  /** A request that has begun must arrive whole in time. */
+  /** Starts or stops the deadline for the rest of a partial request. */
   private setDeadline(): void {
-    const waiting = !this.busy && !this.parser.idle;
-    if (waiting && this.deadline === null)
+    const isPartial = !this.busy && !this.parser.idle;
+    if (isPartial && this.deadline === null)
       this.deadline = setTimeout(() => this.socket.destroy(), this.options.readTimeoutMs);
-    if (!waiting && this.deadline !== null) {
+    if (!isPartial && this.deadline !== null) {
       clearTimeout(this.deadline);
       this.deadline = null;
     }
@@ -121,13 +122,14 @@
     this.advance();
   }
 
+  /** Responds to a malformed request and closes the connection. */
   private refuse(error: unknown): void {
     const status = error instanceof HttpError ? error.status : 400;
     this.socket.write(formatResponse({ status, body: EMPTY_BODY }, true));
     this.finish();
   }
 
-  /** Sends what is written and closes. */
+  /** Closes the connection after what has been written. */
   private finish(): void {
     this.ended = true;
     this.socket.setTimeout(this.options.readTimeoutMs, () => this.socket.destroy());
--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -42,17 +42,17 @@
       socket.write(text);
     });
 
-  it('answers malformed bytes with 400, and what is too large with 413, and closes', async () => {
+  it('responds to malformed bytes with 400 and to a too large body with 413, and closes', async () => {
     assert.match(await raw('\0\0\0\0\r\n\r\n'), /^HTTP\/1\.1 400 /);
     assert.match(await raw('POST / HTTP/1.1\r\nContent-Length: 999\r\n\r\n'), /^HTTP\/1\.1 413 /);
   });
 
-  it('closes on a request that does not arrive whole in time', async () => {
+  it('closes a connection whose request does not arrive completely in time', async () => {
     assert.equal(await raw('POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab'), '');
   });
 
   // With 885 workers at one node of 1200 sockets new connections were refused, those of workers too.
-  it('closes the longest idle connection when sockets are short, and serves the new one', async () => {
+  it('closes the longest idle connections when the budget is exhausted, and serves new ones', async () => {
     const closed: number[] = [];
     const open: net.Socket[] = [];
     const answered = (i: number): Promise<void> =>
@@ -69,7 +69,7 @@
     for (const s of open) s.destroy();
   });
 
-  it('keeps connections, and reports no answer as none', async () => {
+  it('reuses connections and reports a missing response as null', async () => {
     const client = new HttpClient({
       ...{
         sockets: new SocketBudget(10),
--- a/src/controller/http/server.ts
+++ b/src/controller/http/server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of the API. */
+/** HTTP/1.1 server of the API. */
 import net from 'node:net';
 import type { MessageLimits } from './parser.js';
 import { ServerConnection, type RequestHandler } from './server-connection.js';
@@ -11,17 +11,17 @@
   host: string;
   port: number;
   limits: MessageLimits;
-  /** Shared with all else that opens sockets. */
+  /** Budget that all owners of sockets share. */
   sockets: SocketBudget;
-  /** Connections at once; further ones are closed on arrival. */
+  /** Largest number of connections; further ones are closed on arrival. */
   maxSockets: number;
-  /** A started request has to be whole within this time. */
+  /** A request has to arrive completely within this time after its first byte. */
   readTimeoutMs: number;
-  /** An idle connection is closed after this time, by the path last asked for ('' before any). */
+  /** Idle timeout of a connection, by the path of its last request ('' before the first). */
   idleTimeoutMs: (path: string) => number;
 }
 
-/** Serves HTTP/1.1 on `net`: one request at a time a connection, answered in order. */
+/** Serves HTTP/1.1 on `net`: one request at a time per connection, without pipelining. */
 export class HttpServer {
   private readonly server: net.Server;
   /** Connections without a request in progress, the longest idle first. */
@@ -45,13 +45,13 @@
     return false;
   }
 
-  /** Starts to listen. */
+  /** Starts to listen. `failed` gets errors of the listening socket. */
   listen(done: () => void, failed: (err: Error) => void): void {
     this.server.on('error', failed);
     this.server.listen(this.options.port, this.options.host, done);
   }
 
-  /** Takes no more connections. */
+  /** Stops accepting connections. */
   close(): void {
     this.server.close();
   }
--- a/src/controller/http/socket-budget.ts
+++ b/src/controller/http/socket-budget.ts
@@ -1,36 +1,39 @@
 /**
- * The sockets of a process, which the platform limits. Users, workers and calls share them by need:
- * when they run short, connections that idle are closed, those missed least first, so that a new
- * one is always taken. Whoever lost an idle connection opens another when it has something to say.
+ * Counts the open sockets of the process, whose number the platform limits. Servers and clients share the
+ * budget by need: when it is exceeded an idle connection is closed, so that a new one can always be accepted.
+ * Its peer opens another one when it has something to send.
  */
 export class SocketBudget {
   private count = 0;
-  private readonly shedders: (() => boolean)[] = [];
+  private readonly closers: (() => boolean)[] = [];
 
   constructor(private readonly limit: number) {}
 
-  /** Sockets that are open now. */
+  /** Number of open sockets. */
   get openCount(): number {
     return this.count;
   }
 
-  /** Calls that can wait for another way are better not made just now. */
+  /** Whether the budget is used up: calls that have an alternative should not be made now. */
   get exhausted(): boolean {
     return this.count >= this.limit;
   }
 
-  /** `shed` closes an idle connection, if there is any. Those added first are asked first. */
-  onExhausted(shed: () => boolean): void {
-    this.shedders.push(shed);
+  /**
+   * Registers an owner of sockets. `closeIdle` closes one idle connection and returns whether there was any.
+   * Owners are asked in the order of their registration.
+   */
+  onExhausted(closeIdle: () => boolean): void {
+    this.closers.push(closeIdle);
   }
 
-  /** A socket has been opened. */
+  /** Counts a socket that has been opened. */
   opened(): void {
     this.count++;
-    if (this.count > this.limit) this.shedders.some((shed) => shed());
+    if (this.count > this.limit) this.closers.some((closeIdle) => closeIdle());
   }
 
-  /** A socket has been closed. */
+  /** Counts a socket that has been closed. */
   closed(): void {
     this.count--;
   }
--- a/src/launcher/application.test.ts
+++ b/src/launcher/application.test.ts
@@ -18,30 +18,30 @@
     return file;
   }
 
-  it('is accepted for the bundle that it was made of', () => {
+  it('is accepted for the bundle that it was made from', () => {
     const file = bundle('same.cjs', 'module.exports = { answer: () => 42 };');
     writeFileSync(cachePath(file), createCache(file));
     assert.equal(compileApplication(file).cachedDataRejected, false);
   });
 
   // Each bundle has a source of its own: V8 compiles the same source only once in a process.
-  it('is left aside for another bundle', () => {
+  it('is rejected for another bundle', () => {
     const file = bundle('other.cjs', 'module.exports = {};');
     writeFileSync(cachePath(file), createCache(file));
     writeFileSync(file, 'module.exports = { longer: true };');
     assert.equal(compileApplication(file).cachedDataRejected, true);
   });
 
-  it('is left aside where it is broken or missing', () => {
-    const broken = bundle('broken.cjs', 'module.exports = { broken: true };');
-    writeFileSync(cachePath(broken), Buffer.alloc(10));
-    assert.equal(compileApplication(broken).cachedDataRejected, true);
+  it('is rejected where it is corrupt, and not needed where it is missing', () => {
+    const corrupt = bundle('corrupt.cjs', 'module.exports = { corrupt: true };');
+    writeFileSync(cachePath(corrupt), Buffer.alloc(10));
+    assert.equal(compileApplication(corrupt).cachedDataRejected, true);
     const missing = bundle('missing.cjs', 'module.exports = { missing: true };');
     assert.equal(compileApplication(missing).cachedDataRejected, undefined);
   });
 
   // The cache was refused without a word where `run` set flags of V8 that the build did not set.
-  it('is accepted in a process that is started as deployed', () => {
+  it('is accepted in a process that is started as deploy/service.toml says', () => {
     const root = fileURLToPath(new URL('../../', import.meta.url));
     const deploy = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
     const [node, ...words] = (deploy['run'] as string).split(' ');
--- a/src/launcher/application.ts
+++ b/src/launcher/application.ts
@@ -8,7 +8,7 @@
 /** The bundle, beside the launcher. */
 export const APPLICATION_FILE = 'application.cjs';
 
-/** Ending of the name of a bundle's code cache. */
+/** Suffix of a bundle's code cache file. */
 const CACHE_SUFFIX = '.cache';
 
 /** A CommonJS module as `Module.wrap` makes it. */
@@ -29,7 +29,7 @@
   try {
     return readFileSync(cachePath(file));
   } catch {
-    // The cache saves time, and nothing depends on it.
+    // The cache only saves time: the program also starts without it.
     return undefined;
   }
 }
@@ -45,9 +45,9 @@
 
 /** Runs a bundle as a CommonJS module of its own. */
 export function loadApplication(file: string): void {
-  const run = compileApplication(file).runInThisContext() as ModuleFunction;
+  const moduleFunction = compileApplication(file).runInThisContext() as ModuleFunction;
   const module = { exports: {} };
-  run(module.exports, createRequire(file), module, file, dirname(file));
+  moduleFunction(module.exports, createRequire(file), module, file, dirname(file));
 }
 
 /**
