--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -113,7 +113,7 @@
 
   private jobStatus(id: string): JobStatus | null {
     const job = this.role.currentTerm?.components.table.jobs.get(id);
-    return job === undefined ? this.progress.answer(id) : job.answer();
+    return job === undefined ? this.progress.status(id) : job.status();
   }
 
   /** What this node says of itself. */
--- a/src/controller/jobs/job-end-recorder.ts
+++ b/src/controller/jobs/job-end-recorder.ts
@@ -34,8 +34,8 @@
    * cancellation came first the job is cancelled.
    */
   recordDone(job: Job): void {
-    if (job.endPending || job.terminalState !== null) return;
-    job.endPending = true;
+    if (job.ending !== null || job.terminalState !== null) return;
+    job.ending = 'recording-done';
     const { id } = job.spec;
     const endedAt = Math.round(this.eventLoop.runtime.wallClock());
     this.records.transact(
@@ -67,8 +67,8 @@
     const delayMs = this.client.health.isUnavailable ? READ_RETRY_UNAVAILABLE_MS : READ_RETRY_MS;
     this.eventLoop.after(delayMs, 'find-end', () => {
       if (job.terminalState !== null) return;
-      if (job.recordRemoved) return this.readEnd(job);
-      job.endPending = false;
+      if (job.ending === 'record-removed') return this.readEnd(job);
+      job.ending = null;
       this.recordDone(job);
     });
   }
--- a/src/controller/jobs/job-progress.test.ts
+++ b/src/controller/jobs/job-progress.test.ts
@@ -13,17 +13,17 @@
     cache.set(progress('req-1'));
     const { blocked, ...counts } = progress('req-1');
     assert.equal(blocked, '');
-    assert.deepEqual(cache.answer('req-1'), counts);
+    assert.deepEqual(cache.status('req-1'), counts);
     cache.set(progress('req-1', 'no room'));
-    assert.equal(cache.answer('req-1')?.blocked, 'no room');
+    assert.equal(cache.status('req-1')?.blocked, 'no room');
     cache.delete('req-1');
-    assert.equal(cache.answer('req-1'), null);
+    assert.equal(cache.status('req-1'), null);
   });
 
   it('drops the job that was not heard of for longest', () => {
     const cache = new ProgressCache(2);
     for (const id of ['req-1', 'req-2', 'req-1', 'req-3']) cache.set(progress(id));
-    assert.equal(cache.answer('req-2'), null);
-    assert.notEqual(cache.answer('req-1'), null);
+    assert.equal(cache.status('req-2'), null);
+    assert.notEqual(cache.status('req-1'), null);
   });
 });
--- a/src/controller/jobs/job-progress.ts
+++ b/src/controller/jobs/job-progress.ts
@@ -29,7 +29,7 @@
   }
 
   /** The job's progress in the form that users get; null: nothing was received of it. */
-  answer(id: string): JobStatus | null {
+  status(id: string): JobStatus | null {
     const progress = this.jobs.get(id);
     if (progress === undefined) return null;
     const { blocked, ...counts } = progress;
@@ -49,7 +49,7 @@
 }
 
 function progressOf(job: Job): JobProgress {
-  const { id, state, done, running, blocked } = job.answer();
+  const { id, state, done, running, blocked } = job.status();
   return {
     id,
     state,
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -158,9 +158,8 @@
    */
   handleRecordRemoved(id: string): void {
     const job = this.jobs.get(id);
-    if (job === undefined || job.endPending) return;
-    job.endPending = true;
-    job.recordRemoved = true;
+    if (job?.ending !== null) return;
+    job.ending = 'record-removed';
     this.hooks.onRecordRemoved(job);
     this.ends.readEnd(job);
   }
--- a/src/controller/model/entities.ts
+++ b/src/controller/model/entities.ts
@@ -4,13 +4,13 @@
  * of assignments open, and it is filled in here.
  */
 import { taskName, type ExitCause, type TaskState } from '../wire/workers.js';
-import { JobState } from './job.js';
+import { JobBase } from './job.js';
 import type { RecordedAssignment, RecordedJob } from './machine-record-size.js';
 import { MachineState } from './machine.js';
 import { resourceRequestOf } from './resource-request.js';
 
-/** An unfinished job as its leader knows it. */
-export class Job extends JobState<Assignment> {}
+/** An active job as its leader knows it. */
+export class Job extends JobBase<Assignment> {}
 
 /** A machine, its agent's epoch and what is assigned to it. */
 export class Machine extends MachineState<Assignment> {}
--- a/src/controller/model/pending-tasks.ts
+++ b/src/controller/model/pending-tasks.ts
@@ -1,13 +1,16 @@
-/** The tasks of a job that wait for a place. */
+/** The tasks of a job that wait to be placed. */
 
-/** Tasks that wait for a place, each at most once, lowest number first. */
+/** Tasks that wait to be placed, each at most once: the lowest number first, requeued ones before. */
 export class PendingTasks {
+  /** The next task is last. */
   private stack: number[];
-  private readonly isPending: Uint8Array;
+  /** By task: 1 if it is in the stack. */
+  private readonly pendingFlags: Uint8Array;
 
+  /** @param tasks - how many tasks the job has; all of them wait at first */
   constructor(tasks: number) {
     this.stack = Array.from({ length: tasks }, (_, index) => tasks - 1 - index);
-    this.isPending = new Uint8Array(tasks).fill(1);
+    this.pendingFlags = new Uint8Array(tasks).fill(1);
   }
 
   /** How many tasks wait. */
@@ -15,35 +18,35 @@
     return this.stack.length;
   }
 
-  /** The task waits. */
+  /** Whether the task waits. */
   has(task: number): boolean {
-    return this.isPending[task] === 1;
+    return this.pendingFlags[task] === 1;
   }
 
-  /** The task waits from now on, as the next. */
+  /** Adds the task as the next, unless it waits already. */
   push(task: number): void {
-    if (this.isPending[task] !== 0) return;
-    this.isPending[task] = 1;
+    if (this.pendingFlags[task] !== 0) return;
+    this.pendingFlags[task] = 1;
     this.stack.push(task);
   }
 
-  /** Takes the next task. */
+  /** Takes the next task; undefined: none waits. */
   pop(): number | undefined {
     const task = this.stack.pop();
-    if (task !== undefined) this.isPending[task] = 0;
+    if (task !== undefined) this.pendingFlags[task] = 0;
     return task;
   }
 
-  /** The task waits no longer. */
+  /** Removes the task, if it waits. */
   remove(task: number): void {
     if (this.has(task)) this.retain((other) => other !== task);
   }
 
-  /** Only the wanted tasks wait on. */
-  retain(wanted: (task: number) => boolean): void {
+  /** Removes all tasks that the predicate does not hold for. */
+  retain(keeps: (task: number) => boolean): void {
     this.stack = this.stack.filter((task) => {
-      const keep = wanted(task);
-      if (!keep) this.isPending[task] = 0;
+      const keep = keeps(task);
+      if (!keep) this.pendingFlags[task] = 0;
       return keep;
     });
   }
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -32,7 +32,7 @@
 /** The job has tasks that may be placed now. */
 function isWaiting(job: Job, now: number): boolean {
   return (
-    job.pending.length > 0 && !job.gangRestarting && !job.endPending && job.backoffUntil <= now
+    job.pending.length > 0 && !job.gangRestarting && job.ending === null && job.backoffUntil <= now
   );
 }
 
--- a/src/controller/placement/services.test.ts
+++ b/src/controller/placement/services.test.ts
@@ -393,7 +393,7 @@
     assert.equal(c.where(job).size, 0);
     assert.equal(c.workers.assignedCount, 0);
     assert.equal(job.allAssignments.size, 0);
-    assert.equal(job.answer().state, 'cancelled');
+    assert.equal(job.status().state, 'cancelled');
   };
 
   it('while it waits for room is gone', () => {
@@ -465,7 +465,7 @@
     for (let round = 0; round < 3; round++) {
       for (const id of c.where(job).keys()) c.exit(job, 'done', id);
       c.run(5);
-      const answer = job.answer();
+      const answer = job.status();
       assert.equal(answer.state, 'running');
       assert.equal(answer.done, 0);
       assert.equal(job.runningCount, 2);
--- a/src/controller/workers/failure-tracker.test.ts
+++ b/src/controller/workers/failure-tracker.test.ts
@@ -55,7 +55,7 @@
     failures.recordFailure(machine, service, 'done');
     failures.recordFailure(machine, service, 'other');
     const until = NOW + settings.heartbeatIntervalMs * 4;
-    assert.deepEqual(service.avoidedMachines.get('n-1'), { times: 2, until });
+    assert.deepEqual(service.avoidedMachines.get('n-1'), { replicaExits: 2, until });
     assert.equal(service.backoffUntil, 0);
   });
 });
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -70,8 +70,11 @@
 
   /** A replica that ends by itself runs again elsewhere; its machine is avoided for a time that doubles. */
   private avoidMachine(machine: Machine, job: Job, now: number): void {
-    const times = (job.avoidedMachines.get(machine.id)?.times ?? 0) + 1;
-    job.avoidedMachines.set(machine.id, { times, until: now + this.backoffMs(times) });
+    const replicaExits = (job.avoidedMachines.get(machine.id)?.replicaExits ?? 0) + 1;
+    job.avoidedMachines.set(machine.id, {
+      replicaExits,
+      until: now + this.backoffMs(replicaExits),
+    });
   }
 
   private backoffMs(failures: number): number {
