--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -60,7 +60,7 @@
     for (const { key, value } of this.records.list(KEY_PREFIX)) {
       const [id = '', chunk] = key.slice(KEY_PREFIX.length).split('/');
       const job = jobs.get(id);
-      if (job === undefined) this.records.set(key, undefined, 'lazy');
+      if (job === undefined) this.records.set(key, undefined, 'deferrable');
       else if (typeof value === 'string' && !job.isService) decodeChunk(job, Number(chunk), value);
     }
   }
@@ -86,7 +86,7 @@
     const chunks = Math.ceil(job.spec.tasks / TASKS_PER_RECORD);
     for (let chunk = 0; chunk < chunks; chunk++) {
       const key = recordKey(job.spec.id, chunk);
-      if (this.records.has(key)) this.records.set(key, undefined, 'lazy');
+      if (this.records.has(key)) this.records.set(key, undefined, 'deferrable');
     }
   }
 
--- a/src/controller/leader/leader-components.ts
+++ b/src/controller/leader/leader-components.ts
@@ -104,7 +104,7 @@
   private jobTerminated(job: Job): void {
     this.workers.jobTerminated(job);
     const key = reservationKey(job.spec.id);
-    if (this.records.has(key)) this.records.set(key, undefined, 'lazy');
+    if (this.records.has(key)) this.records.set(key, undefined, 'deferrable');
     this.environment.progress.delete(job.spec.id);
   }
 }
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -73,8 +73,9 @@
         ratios: ratio === undefined ? {} : { [className]: ratio },
         arrivals: arrivals.get(className) ?? null,
       };
-      if (storedSize(value) < maxBytes) records.set(`${LEARNED_KEY}/${className}`, value, 'lazy');
+      if (storedSize(value) < maxBytes)
+        records.set(`${LEARNED_KEY}/${className}`, value, 'deferrable');
     }
-    records.set(LEARNED_KEY, undefined, 'lazy');
+    records.set(LEARNED_KEY, undefined, 'deferrable');
   }
 }
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -65,7 +65,7 @@
     const { eventLoop, records } = this.parts;
     for (const { key, value } of records.list(KEY_PREFIX)) {
       const job = jobs.get(key.slice(KEY_PREFIX.length));
-      if (job === undefined || !Array.isArray(value)) records.set(key, undefined, 'lazy');
+      if (job === undefined || !Array.isArray(value)) records.set(key, undefined, 'deferrable');
       else {
         job.reservation = {
           machines: value.map(String),
@@ -82,7 +82,7 @@
   drop(job: Job): void {
     if (job.reservation === null) return;
     job.reservation = null;
-    this.parts.records.set(reservationKey(job.spec.id), undefined, 'lazy');
+    this.parts.records.set(reservationKey(job.spec.id), undefined, 'deferrable');
   }
 
   /** Claims room for the gang against all lower ranks, and stops work once the gang is about to fit. */
@@ -185,7 +185,7 @@
     const { fillAt, readyAt, victims } = found;
     const machines = found.capacities.map((capacity) => capacity.machine.id);
     if (job.reservation?.machines.join() !== machines.join())
-      records.set(reservationKey(job.spec.id), machines, 'lazy');
+      records.set(reservationKey(job.spec.id), machines, 'deferrable');
     const since = job.reservation?.reservedAt ?? pass.now;
     job.reservation = { machines, reservedAt: since, fillAt, readyAt, searchedAt: pass.now };
     eventLoop.log.debug(
--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -2,10 +2,10 @@
 import type { RecordEntry } from './page.js';
 
 /**
- * How soon a record is written: `lazy` may wait to be written together with others, `urgent` is
- * written as soon as there are tokens, and `first` before all others.
+ * How soon a record is written: `deferrable` may wait to be written together with others, `urgent` is
+ * written as soon as there are tokens, and `immediate` before all others.
  */
-export type WritePriority = 'lazy' | 'urgent' | 'first';
+export type WritePriority = 'deferrable' | 'urgent' | 'immediate';
 
 /** Called once a value, or a newer one of the same key, is stored. */
 export type StoredCallback = () => void;
@@ -28,8 +28,8 @@
 
   /** Queues an entry. A priority is raised, but never lowered. */
   add(entry: RecordEntry, priority: WritePriority): void {
-    if (priority === 'first') this.immediate.add(entry);
-    if (priority === 'lazy') {
+    if (priority === 'immediate') this.immediate.add(entry);
+    if (priority === 'deferrable') {
       if (!this.urgent.has(entry)) this.deferrable.add(entry);
       return;
     }
--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -52,7 +52,7 @@
     const length = Math.floor(this.random() * this.maxLength);
     const value = this.random() < 0.3 ? undefined : `${name} ${'"'.repeat(length)}`;
     const index = history.values.push(value) - 1;
-    const priority = this.random() < 0.7 ? 'urgent' : 'lazy';
+    const priority = this.random() < 0.7 ? 'urgent' : 'deferrable';
     this.store.records.set(key, value, priority, () => {
       this.callbacks++;
       history.storedIndex = Math.max(history.storedIndex, index);
@@ -103,7 +103,7 @@
         const key = `k/${Math.floor(random() * 60)}`;
         const value = [step, i, 'x'.repeat(Math.floor(random() * 700))];
         last.set(key, value);
-        store.records.set(key, value, random() < 0.5 ? 'urgent' : 'lazy');
+        store.records.set(key, value, random() < 0.5 ? 'urgent' : 'deferrable');
       }
       store.run(100);
     }
@@ -142,10 +142,10 @@
     const order: string[] = [];
     for (let i = 0; i < 300; i++)
       store.records.set(`k/${i}`, 'x'.repeat(5000), 'urgent', () => order.push('urgent'));
-    store.records.set('k/last', 'x'.repeat(100), 'first', () => order.push('first'));
+    store.records.set('k/last', 'x'.repeat(100), 'immediate', () => order.push('immediate'));
     store.run(3000);
     assert.ok(order.length > 10);
-    const index = order.indexOf('first');
+    const index = order.indexOf('immediate');
     assert.ok(index >= 0 && index < 10, `only after ${index}`);
   });
 
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -84,7 +84,7 @@
     this.changed.delete(machine);
     this.imagesChanged.delete(machine);
     for (const key of [machineKey(machine.id), imagesKey(machine.id)])
-      if (this.records.has(key)) this.records.set(key, undefined, 'lazy');
+      if (this.records.has(key)) this.records.set(key, undefined, 'deferrable');
   }
 
   /** Writes the records of all machines that have changed. */
@@ -92,7 +92,7 @@
     for (const machine of this.changed) this.write(machine);
     this.changed.clear();
     for (const machine of this.imagesChanged)
-      this.records.set(imagesKey(machine.id), [...machine.images].flat(), 'lazy');
+      this.records.set(imagesKey(machine.id), [...machine.images].flat(), 'deferrable');
     this.imagesChanged.clear();
   }
 
@@ -116,6 +116,6 @@
 
 /** Replicas of services go first, since each second without one is downtime. */
 function urgencyOf(planned: readonly Assignment[]): WritePriority {
-  if (planned.some(({ job }) => job?.isService === true)) return 'first';
-  return planned.length > 0 ? 'urgent' : 'lazy';
+  if (planned.some(({ job }) => job?.isService === true)) return 'immediate';
+  return planned.length > 0 ? 'urgent' : 'deferrable';
 }
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -143,7 +143,7 @@
     store.restore();
     const machine = registry.getOrCreate(key.slice('m/'.length));
     assert.ok(machine.assignments.size > 1);
-    records.set(key, undefined, 'lazy');
+    records.set(key, undefined, 'deferrable');
     store.markChanged(machine);
     store.flush();
     assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
@@ -172,7 +172,7 @@
     store.restore();
     const machine = registry.getOrCreate(key.slice('i/'.length));
     assert.ok(machine.images.size > 1);
-    records.set(key, undefined, 'lazy');
+    records.set(key, undefined, 'deferrable');
     store.markImagesChanged(machine);
     store.flush();
     assert.deepEqual([...records.list('')], [{ key, value }]);
