--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -1,6 +1,6 @@
 /** Rollouts and rollbacks during or before which the state service lowers its limits. */
 import { it } from 'node:test';
-import type { Fault } from '../simulation/faults/faults.js';
+import type { Fault } from '../simulation/faults/scripted/fault.js';
 import { presentVersion } from '../simulation/program-version.js';
 import {
   LONGEST_RESTART_MS,
@@ -32,7 +32,7 @@
       const { clock, random } = scenario.simulation;
       clock.after(fromMs + random.between(1000, 4000), () => scenario.lowerLimits());
       return {
-        faults: [{ kind: 'outage', at: fromMs / 1000, for: random.between(5, 20) }],
+        faults: [{ kind: 'state store outage', at: fromMs / 1000, for: random.between(5, 20) }],
         occurred: () => scenario.limitsDecrease?.inOutage === true,
       };
     },
@@ -72,7 +72,11 @@
     name: `limits of the state service that are lowered ${moment.name}`,
     plan: (scenario, update) => {
       const { faults, occurred } = moment.plan(scenario, fromMs(update));
-      const moreJobs: Fault = { kind: 'jobs', count: 10, at: update.completeMs / 1000 + 5 };
+      const moreJobs: Fault = {
+        kind: 'jobs submitted',
+        count: 10,
+        at: update.completeMs / 1000 + 5,
+      };
       const { stateStore } = scenario.simulation;
       const asPlanned = (): boolean =>
         occurred() && scenario.limitsDecrease?.versionsRunning === versionsRunning;
@@ -89,9 +93,9 @@
   name: 'lower limits near a failover',
   plan: ({ simulation: { random, stateStore } }) => ({
     faults: [
-      { kind: 'limits fall', at: random.between(50, 60) },
-      { kind: 'ended', who: 'leader', restartAfter: 1, at: random.between(48, 62) },
-      { kind: 'jobs', count: 10, at: 62 },
+      { kind: 'state store limits lowered', at: random.between(50, 60) },
+      { kind: 'controllers killed', target: 'leader', restartAfter: 1, at: random.between(48, 62) },
+      { kind: 'jobs submitted', count: 10, at: 62 },
     ],
     occurred: () => stateStore.tooLarge === 0,
   }),
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -4,7 +4,8 @@
 import { longJobs } from '../simulation/scenarios/fault-scenario.js';
 import { shrinkingLimits as deployment } from '../simulation/deployments/deployment.js';
 import { noFaults } from '../simulation/faults/fault-rates.js';
-import { injectFaults, type Fault } from '../simulation/faults/faults.js';
+import type { Fault } from '../simulation/faults/scripted/fault.js';
+import { injectFaults } from '../simulation/faults/scripted/inject-faults.js';
 import type { ProgramVersion } from '../simulation/program-version.js';
 import { Simulation } from '../simulation/simulation.js';
 
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -22,7 +22,7 @@
       const restartAfter = random.between(0.1, 2);
       const at = random.between(0.5, 2.5);
       return {
-        faults: [{ kind: 'ended', who: 'leader', restartAfter, at }],
+        faults: [{ kind: 'controllers killed', target: 'leader', restartAfter, at }],
         occurred: () => {
           const oldVersion = starts[0]?.version;
           const oldStarts = starts.filter(({ version }) => version === oldVersion);
@@ -34,7 +34,9 @@
   {
     name: 'an outage of the state service',
     plan: ({ simulation: { random, stateStore } }) => ({
-      faults: [{ kind: 'outage', at: random.between(3, 12), for: random.between(5, 30) }],
+      faults: [
+        { kind: 'state store outage', at: random.between(3, 12), for: random.between(5, 30) },
+      ],
       occurred: () => stateStore.requestsInOutage > 0,
     }),
   },
@@ -48,7 +50,7 @@
   {
     name: 'late heartbeats',
     plan: ({ simulation: { network } }) => ({
-      faults: [{ kind: 'late reports', share: 0.4, at: 0, for: 60 }],
+      faults: [{ kind: 'duplicated heartbeats', share: 0.4, at: 0, for: 60 }],
       occurred: () => network.duplicatesDelivered > 0,
     }),
   },
--- a/test/mixed-versions/rollout.ts
+++ b/test/mixed-versions/rollout.ts
@@ -1,6 +1,6 @@
 /** Rollouts from one version to another, each with an event in its midst. */
 import assert from 'node:assert/strict';
-import type { Fault } from '../simulation/faults/faults.js';
+import type { Fault } from '../simulation/faults/scripted/fault.js';
 import type { ProgramVersion } from '../simulation/program-version.js';
 import { MixedVersionScenario, type RollingUpdate } from './mixed-version-scenario.js';
 
@@ -35,8 +35,8 @@
   const { random, electedVersions } = scenario.simulation;
   const { faults, occurred } = event.plan(scenario, scenario.rollingUpdate(to, event.pauseMs));
   scenario.finish([
-    { kind: 'cancelled', count: 3, at: random.between(1, 5), hang: random.between(0, 10) },
-    { kind: 'cancelled', count: 3, at: random.between(10, 30), elsewhere: true },
+    { kind: 'jobs cancelled', count: 3, at: random.between(1, 5), hang: random.between(0, 10) },
+    { kind: 'jobs cancelled', count: 3, at: random.between(10, 30), elsewhere: true },
     ...faults,
   ]);
   assert.ok(occurred(), `${event.name} did not happen`);
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -10,7 +10,7 @@
 } from '../scenarios/fault-scenario.js';
 import { hostNames, teamToml, type Deployment } from './deployment.js';
 import type { SeededRandom } from '../seeded-random.js';
-import type { Fault } from '../faults/faults.js';
+import type { Fault } from '../faults/scripted/fault.js';
 
 const LEASE_S = 10;
 const CANCEL_S = 35;
@@ -116,9 +116,16 @@
 
 /** Faults whose length matters beside the leases; others say for how longJobs something goes on. */
 const PASSING: ReadonlySet<Fault['kind']> = new Set([
-  ...(['refused', 'outage', 'isolated', 'standing still', 'no workers', 'zone cut'] as const),
-  ...(['machines cut', 'machines deaf', 'machines mute', 'machines hang'] as const),
-  ...(['commands held', 'answers held'] as const),
+  ...([
+    'state store refuses',
+    'state store outage',
+    'controllers isolated',
+    'controllers frozen',
+    'cut off from workers',
+    'zone cut off',
+  ] as const),
+  ...(['machines cut off', 'inbound blocked', 'heartbeats blocked', 'machines hang'] as const),
+  ...(['commands held back', 'responses held back'] as const),
 ]);
 
 /** The scenario as a day of the deployment with short leases. */
@@ -138,16 +145,16 @@
     jobCount: 16,
     deployment: shortLeases,
     faults: (between) => [
-      { kind: 'led from', host: 'kiln-2', restartAfter: 4, at: 0 },
-      { kind: 'zone cut', zone: 'b', inside: 'leader', at: 12, for: between(15, 45) },
-      { kind: 'cancelled', count: 5, elsewhere: true, at: between(14, 18) },
-      { kind: 'jobs', count: 6, template: longJobs, at: 16 },
+      { kind: 'leader moved', host: 'kiln-2', restartAfter: 4, at: 0 },
+      { kind: 'zone cut off', zone: 'b', inside: 'leader', at: 12, for: between(15, 45) },
+      { kind: 'jobs cancelled', count: 5, elsewhere: true, at: between(14, 18) },
+      { kind: 'jobs submitted', count: 6, template: longJobs, at: 16 },
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
       alone: simulation.observedEvents.count('leader alone in its zone'),
-      elected: simulation.observedEvents.count('leader elected outside a cut zone'),
-      work: simulation.observedEvents.count('work while a zone is cut'),
+      elected: simulation.observedEvents.count('leader elected outside a zone that is cut off'),
+      work: simulation.observedEvents.count('task started while a zone is cut off'),
       cancelled: cancelledWhileRunning(simulation),
       lost: expiredLeases(simulation),
     }),
@@ -158,15 +165,20 @@
     jobCount: 16,
     deployment: shortLeases,
     faults: (between) => [
-      { kind: 'led from', host: 'kiln-0', restartAfter: 4, at: 0 },
-      { kind: 'zone cut', zone: 'b', inside: 'single', at: 12, for: between(15, 45) },
-      { kind: 'cancelled', count: 5, at: between(14, 18) },
-      { kind: 'ended', who: 'leader', restartAfter: between(0.2, 6), at: between(15, 20) },
-      { kind: 'jobs', count: 6, template: longJobs, at: 16 },
+      { kind: 'leader moved', host: 'kiln-0', restartAfter: 4, at: 0 },
+      { kind: 'zone cut off', zone: 'b', inside: 'single', at: 12, for: between(15, 45) },
+      { kind: 'jobs cancelled', count: 5, at: between(14, 18) },
+      {
+        kind: 'controllers killed',
+        target: 'leader',
+        restartAfter: between(0.2, 6),
+        at: between(15, 20),
+      },
+      { kind: 'jobs submitted', count: 6, template: longJobs, at: 16 },
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
-      work: simulation.observedEvents.count('work while a zone is cut'),
+      work: simulation.observedEvents.count('task started while a zone is cut off'),
       cancelled: cancelledWhileRunning(simulation),
       lost: expiredLeases(simulation),
     }),
--- a/test/simulation/digest-scenarios.ts
+++ b/test/simulation/digest-scenarios.ts
@@ -3,7 +3,8 @@
 import { shrinkingLimits, smallDeployment, type Deployment } from './deployments/deployment.js';
 import { longJobs } from './scenarios/fault-scenario.js';
 import { frequentFaults, noFaults } from './faults/fault-rates.js';
-import { injectFaults, type Fault } from './faults/faults.js';
+import type { Fault } from './faults/scripted/fault.js';
+import { injectFaults } from './faults/scripted/inject-faults.js';
 import { shortLeases } from './deployments/short-leases.js';
 import { Simulation, type FaultRates } from './simulation.js';
 import { TrafficDigest } from './traffic-digest.js';
@@ -86,42 +87,52 @@
     ...{ name: 'services, gangs and cancellations', deployment: smallDeployment, seed: 5 },
     ...{ rates: { ...noFaults, taskFailures: 0.03 }, randomJobs: 12, playMs: 180_000 },
     faults: [
-      { kind: 'jobs', count: 4, template: services, at: 1 },
-      { kind: 'jobs', count: 6, template: { ...gangs, priority: 'low' }, at: 2 },
-      { kind: 'odd requests', at: 5, for: 20 },
-      { kind: 'jobs', count: 3, template: { ...gangs, priority: 'high', deadlineS: 90 }, at: 20 },
-      { kind: 'cancelled', count: 3, at: 30 },
+      { kind: 'jobs submitted', count: 4, template: services, at: 1 },
+      { kind: 'jobs submitted', count: 6, template: { ...gangs, priority: 'low' }, at: 2 },
+      { kind: 'unusual requests', at: 5, for: 20 },
+      {
+        kind: 'jobs submitted',
+        count: 3,
+        template: { ...gangs, priority: 'high', deadlineS: 90 },
+        at: 20,
+      },
+      { kind: 'jobs cancelled', count: 3, at: 30 },
       { kind: 'machines lost', share: 0.3, at: 40 },
-      { kind: 'jobs', count: 30, template: { ...longJobs, tasks: 10, spot: true }, at: 45 },
       {
-        kind: 'stream',
+        kind: 'jobs submitted',
+        count: 30,
+        template: { ...longJobs, tasks: 10, spot: true },
+        at: 45,
+      },
+      {
+        kind: 'job stream',
         perSecond: 2,
-        cancelled: 0.3,
+        cancelShare: 0.3,
         template: { estimatedRunS: 5 },
         at: 60,
         for: 15,
       },
-      { kind: 'close looks', cancelled: 3, at: 80, for: 20 },
+      { kind: 'polls after changes', cancelShare: 3, at: 80, for: 20 },
       { kind: 'machines restart', share: 0.3, restartAfter: 1, at: 100 },
-      { kind: 'cancelled', count: 3, hang: 20, at: 110 },
+      { kind: 'jobs cancelled', count: 3, hang: 20, at: 110 },
     ],
   },
   {
     ...{ name: 'failovers and an outage', deployment: smallDeployment, seed: 6, rates: noFaults },
     ...{ randomJobs: 12, playMs: 230_000 },
     faults: [
-      { kind: 'jobs', count: 12, template: longJobs, at: 0 },
-      { kind: 'jobs', count: 2, template: services, at: 1 },
-      { kind: 'ended', who: 'leader', restartAfter: 4, at: 20 },
-      { kind: 'isolated', who: 'leader', at: 40, for: 25 },
-      { kind: 'cancelled', count: 3, elsewhere: true, at: 45 },
-      { kind: 'outage', at: 75, for: 25 },
+      { kind: 'jobs submitted', count: 12, template: longJobs, at: 0 },
+      { kind: 'jobs submitted', count: 2, template: services, at: 1 },
+      { kind: 'controllers killed', target: 'leader', restartAfter: 4, at: 20 },
+      { kind: 'controllers isolated', target: 'leader', at: 40, for: 25 },
+      { kind: 'jobs cancelled', count: 3, elsewhere: true, at: 45 },
+      { kind: 'state store outage', at: 75, for: 25 },
       { kind: 'late writes', share: 0.2, at: 105, for: 15 },
-      { kind: 'refused', who: 'leader', at: 125, for: 15 },
-      { kind: 'elections', at: 145, for: 6 },
-      { kind: 'no workers', who: 'leader', at: 165, for: 15 },
-      { kind: 'standing still', who: 'leader', at: 185, for: 12 },
-      { kind: 'unwatched', who: 'others', at: 200, for: 10 },
+      { kind: 'state store refuses', target: 'leader', at: 125, for: 15 },
+      { kind: 'repeated elections', at: 145, for: 6 },
+      { kind: 'cut off from workers', target: 'leader', at: 165, for: 15 },
+      { kind: 'controllers frozen', target: 'leader', at: 185, for: 12 },
+      { kind: 'watches refused', target: 'others', at: 200, for: 10 },
     ],
   },
   {
@@ -133,15 +144,20 @@
     },
     ...{ randomJobs: 10, noticeEveryMs: 9000, playMs: 200_000 },
     faults: [
-      { kind: 'jobs', count: 8, template: { ...services, spot: true, spread: false }, at: 0 },
-      { kind: 'jobs', count: 6, template: { ...longJobs, spot: true }, at: 2 },
-      { kind: 'limits fall', at: 60 },
-      { kind: 'jobs', count: 20, template: { estimatedRunS: 5, tasks: 10 }, at: 62 },
-      { kind: 'late commands', share: 0.3, at: 80, for: 40 },
-      { kind: 'late reports', share: 0.2, at: 80, for: 40 },
-      { kind: 'reports for the next leader', share: 0.2, after: 1, at: 90, for: 30 },
-      { kind: 'ended', who: 'leader', restartAfter: 0.3, at: 100 },
-      { kind: 'zone cut', zone: 'a', inside: 'follower', at: 130, for: 30 },
+      {
+        kind: 'jobs submitted',
+        count: 8,
+        template: { ...services, spot: true, spread: false },
+        at: 0,
+      },
+      { kind: 'jobs submitted', count: 6, template: { ...longJobs, spot: true }, at: 2 },
+      { kind: 'state store limits lowered', at: 60 },
+      { kind: 'jobs submitted', count: 20, template: { estimatedRunS: 5, tasks: 10 }, at: 62 },
+      { kind: 'delayed commands', share: 0.3, at: 80, for: 40 },
+      { kind: 'duplicated heartbeats', share: 0.2, at: 80, for: 40 },
+      { kind: 'heartbeats replayed to the next leader', share: 0.2, after: 1, at: 90, for: 30 },
+      { kind: 'controllers killed', target: 'leader', restartAfter: 0.3, at: 100 },
+      { kind: 'zone cut off', zone: 'a', inside: 'follower', at: 130, for: 30 },
     ],
   },
 ];
--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -3,19 +3,19 @@
 
 /** What a scripted day may come to; tests assert that it did. */
 export type ObservedEvent =
-  | 'asked in an outage'
-  | 'cancelled at a hand-over'
+  | 'request in an outage'
+  | 'cancelled at a handover'
   | 'cancelled while the leader alone is refused'
   | 'cancelled with every team at its limit'
-  | 'close look'
+  | 'poll after a change'
   | 'direct command of an older leader'
-  | 'direct command to a mute machine'
-  | 'leader ended beside a new machine'
-  | 'leader ended with every team at its limit'
+  | 'direct command to a machine with blocked heartbeats'
+  | 'leader killed beside a new machine'
+  | 'leader killed with every team at its limit'
   | 'leader alone in its zone'
-  | 'leader elected outside a cut zone'
-  | 'work on a new machine'
-  | 'work while a zone is cut';
+  | 'leader elected outside a zone that is cut off'
+  | 'task started on a new machine'
+  | 'task started while a zone is cut off';
 
 /** Counts of what happened on a day. */
 export class ObservedEvents {
@@ -45,7 +45,7 @@
   let handedOverAt = -Infinity;
   const handOver = (): void => {
     if (Math.abs(cancelledAt - handedOverAt) <= HAND_OVER_MS)
-      observedEvents.record('cancelled at a hand-over');
+      observedEvents.record('cancelled at a handover');
   };
   checker.onVisibleChange.push((_, news) => {
     if (news !== 'cancelled') return;
@@ -58,7 +58,7 @@
   });
   simulation.processes.onKill.push((_, leads) => {
     if (leads && checker.everyTeamAtLimit)
-      observedEvents.record('leader ended with every team at its limit');
+      observedEvents.record('leader killed with every team at its limit');
   });
   simulation.onLog.push((text, fields) => {
     const { reason } = fields as { reason?: string };
@@ -68,6 +68,6 @@
   });
   checker.onTaskStart.push(({ machine }) => {
     if (simulation.cloud.ageMs(machine) < NEW_MACHINE_MS)
-      observedEvents.record('work on a new machine');
+      observedEvents.record('task started on a new machine');
   });
 }
--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -15,7 +15,7 @@
   if (spec === undefined) return;
   const repeated = random.next() < REPEATED_SHARE;
   const before = checker.visibleState(id);
-  simulation.observedEvents.record('close look');
+  simulation.observedEvents.record('poll after a change');
   simulation.sendRequest(
     repeated ? 'POST' : 'GET',
     repeated ? '/submissions' : `/submissions/${id}`,
--- /dev/null
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -0,0 +1,124 @@
+/** Scripted faults of controllers, and of their connections to everything else. */
+import type { Simulation } from '../../simulation.js';
+import { NEW_MACHINE_MS } from '../observed-events.js';
+import type { Injectors } from './fault.js';
+import { hostsOf, type OnControllers } from './targets.js';
+
+interface Restart {
+  /** Seconds until the processes that ended are back. */
+  restartAfter: number;
+}
+
+interface ZoneCut {
+  zone: string;
+  /**
+   * The controller that is inside the zone. Where controllers are spread over zones it is the zone
+   * of that controller, with all controllers in it.
+   */
+  inside: 'leader' | 'follower' | 'single';
+}
+
+/** Parameters of the faults of controllers. */
+export interface ControllerFaults {
+  'controllers killed': OnControllers & Restart;
+  /** The leader ends as machines that were just rented start work. */
+  'leader killed beside new machines': Restart;
+  /** Leaders end again and again, each in the midst of its election. */
+  'repeated elections': object;
+  'controllers frozen': OnControllers;
+  /** Cut off from the state store and from each other, but not from workers and users. */
+  'controllers isolated': OnControllers;
+  'cut off from workers': OnControllers;
+  'peer connections refused': object;
+  /** This controller becomes the leader: all others end, and are back after a time. */
+  'leader moved': Restart & { host: string };
+  'zone cut off': ZoneCut;
+}
+
+const ELECTIONS = 10;
+/** The leader ends within this time after a machine is up, or after the first task on it starts. */
+const AFTER_BOOT_MS = 1500;
+const AFTER_START_MS = 300;
+
+/** Begins faults of controllers. */
+export const controllerFaults: Injectors<ControllerFaults> = {
+  'controllers killed': (simulation, { target, restartAfter }) => {
+    for (const host of hostsOf(simulation, target)) simulation.kill(host, restartAfter * 1000);
+  },
+  'leader killed beside new machines': (simulation, { restartAfter }, ms) =>
+    killLeaderBesideNewMachines(simulation, restartAfter * 1000, ms),
+  'repeated elections': ({ processes }, _, ms) => processes.killElected(ELECTIONS, ms),
+  'controllers frozen': (simulation, { target }, ms) => {
+    for (const host of hostsOf(simulation, target)) simulation.processes.freeze(host, ms);
+  },
+  'controllers isolated': (simulation, { target }, ms) => {
+    for (const host of hostsOf(simulation, target)) simulation.connectionFaults.isolate(host, ms);
+  },
+  'cut off from workers': (simulation, { target }, ms) => {
+    for (const host of hostsOf(simulation, target))
+      simulation.connectionFaults.cutFromWorkers(host, ms);
+  },
+  'peer connections refused': ({ connectionFaults }, _, ms) => connectionFaults.refusePeers(ms),
+  'leader moved': (simulation, { host, restartAfter }) => {
+    for (const other of simulation.hosts)
+      if (other !== host) simulation.kill(other, restartAfter * 1000);
+  },
+  'zone cut off': cutZone,
+};
+
+/** Ends the leader a moment after a new machine is up, or has started its first task. */
+function killLeaderBesideNewMachines(
+  simulation: Simulation,
+  restartMs: number,
+  durationMs: number,
+): void {
+  const { clock, random, cloud, checker } = simulation;
+  const until = clock.now + durationMs;
+  let planned = false;
+  const killWithin = (ms: number): void => {
+    if (planned || clock.now > until) return;
+    planned = true;
+    clock.after(random.between(0, ms), () => {
+      planned = false;
+      const { leader } = simulation;
+      if (leader === null) return;
+      simulation.observedEvents.record('leader killed beside a new machine');
+      simulation.kill(leader, restartMs);
+    });
+  };
+  cloud.onBoot.push(() => killWithin(AFTER_BOOT_MS));
+  checker.onTaskStart.push(({ machine }) => {
+    if (cloud.ageMs(machine) < NEW_MACHINE_MS) killWithin(AFTER_START_MS);
+  });
+}
+
+function cutZone(simulation: Simulation, { zone, inside }: ZoneCut, ms: number): void {
+  const host = hostsOf(simulation, inside === 'leader' ? 'leader' : 'others')[0] ?? '';
+  const site = inside === 'single' ? zone : simulation.zoneOf(host);
+  if (site === undefined) return simulation.connectionFaults.cutZone(zone, [host], ms);
+  const hostsInside = simulation.hosts.filter((other) => simulation.zoneOf(other) === site);
+  simulation.connectionFaults.cutZone(site, hostsInside, ms);
+  observeZoneCut(simulation, hostsInside, ms);
+}
+
+/** Records who leads, and that tasks start, while a zone is cut off. */
+function observeZoneCut(
+  simulation: Simulation,
+  hostsInside: readonly string[],
+  durationMs: number,
+): void {
+  const { clock, observedEvents, checker } = simulation;
+  const until = clock.now + durationMs;
+  if (hostsInside.length === 1 && simulation.leader === hostsInside[0])
+    observedEvents.record('leader alone in its zone');
+  simulation.onLog.push((text) => {
+    if (text !== 'elected leader' || clock.now > until) return;
+    clock.after(0, () => {
+      const outside = simulation.leaders.some((host) => !hostsInside.includes(host));
+      if (outside) observedEvents.record('leader elected outside a zone that is cut off');
+    });
+  });
+  checker.onTaskStart.push(() => {
+    if (clock.now <= until) observedEvents.record('task started while a zone is cut off');
+  });
+}
--- /dev/null
+++ b/test/simulation/faults/scripted/inject-faults.ts
@@ -0,0 +1,26 @@
+/** Injects the faults of a scenario. */
+import type { Simulation } from '../../simulation.js';
+import { controllerFaults } from './controller-faults.js';
+import type { Fault, FaultKind, FaultParameters, Injectors } from './fault.js';
+import { machineOutages } from './machine-outages.js';
+import { messageFaults } from './message-faults.js';
+import { stateStoreFaults } from './state-store-faults.js';
+import { userActions } from './user-actions.js';
+
+const injectors: Injectors<FaultParameters> = {
+  ...stateStoreFaults,
+  ...controllerFaults,
+  ...messageFaults,
+  ...machineOutages,
+  ...userActions,
+};
+
+/** Injects the faults, each at its time from now. */
+export function injectFaults(simulation: Simulation, faults: readonly Fault[]): void {
+  for (const fault of faults)
+    simulation.clock.after(fault.at * 1000, () => begin(simulation, fault));
+}
+
+function begin<K extends FaultKind>(simulation: Simulation, fault: Fault<K>): void {
+  injectors[fault.kind](simulation, fault, (fault.for ?? 0) * 1000);
+}
--- /dev/null
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -0,0 +1,122 @@
+/** Scripted actions of users: new jobs, cancellations, polls, and requests that are out of the ordinary. */
+import type { JobSpec } from '../../../../src/controller/wire/jobs.js';
+import type { Simulation } from '../../simulation.js';
+import { pollAfterChanges } from '../poll-after-changes.js';
+import { sendUnusualRequests } from '../unusual-requests.js';
+import type { FaultTiming, Injectors } from './fault.js';
+import { hostsOf } from './targets.js';
+
+interface Cancellations {
+  count: number;
+  /** Seconds for which the jobs' machines hang from that moment on. */
+  hang?: number;
+  /** Seconds for which the jobs' machines are cut off from that moment on. */
+  cut?: number;
+  /** The cancellation goes to a controller that does not lead. */
+  elsewhere?: boolean;
+}
+
+interface JobStream {
+  perSecond: number;
+  /** Share of the jobs that are cancelled before, while or after they run. */
+  cancelShare: number;
+  template: Partial<JobSpec>;
+}
+
+/** Parameters of the actions of users. */
+export interface UserActions {
+  'jobs submitted': { count: number; template?: Partial<JobSpec> };
+  'job stream': JobStream;
+  'jobs cancelled': Cancellations;
+  'jobs cancelled as they end': { share: number };
+  /** Jobs are cancelled a moment after a leader has stepped down. */
+  'jobs cancelled at handovers': { count: number };
+  'polls after changes': { cancelShare: number };
+  'everyone polls': object;
+  'unusual requests': object;
+}
+
+/** Cancellations are spread over this time. */
+const CANCEL_WITHIN_MS = 200;
+const CANCEL_AFTER_HANDOVER_MS = 2500;
+/** Jobs of a stream that are cancelled are so within this time of their submission. */
+const CANCEL_IN_STREAM_MS = 12_000;
+const POLL_EVERY_MS = 1000;
+
+/** Begins actions of users. */
+export const userActions: Injectors<UserActions> = {
+  'jobs submitted': (simulation, { count, template = {} }) => {
+    for (let i = 0; i < count; i++) simulation.submit(simulation.jobWith(template), null);
+  },
+  'job stream': submitSteadily,
+  'jobs cancelled': cancelRunningJobs,
+  'jobs cancelled as they end': cancelAsTheyEnd,
+  'jobs cancelled at handovers': cancelAtHandovers,
+  'polls after changes': (simulation, { cancelShare }, ms) =>
+    pollAfterChanges(simulation, cancelShare, ms),
+  'everyone polls': ({ users }, _, ms) => users.everyonePolls(POLL_EVERY_MS, ms),
+  'unusual requests': (simulation, _, ms) => sendUnusualRequests(simulation, ms),
+};
+
+function submitSteadily(
+  simulation: Simulation,
+  { perSecond, cancelShare, template }: JobStream & FaultTiming,
+  durationMs: number,
+): void {
+  const { clock, random } = simulation;
+  for (let atMs = 0; atMs < durationMs; atMs += 1000 / perSecond)
+    clock.after(atMs, () => {
+      const cancelled = random.next() < cancelShare;
+      const cancelAfterMs = cancelled ? random.between(0, CANCEL_IN_STREAM_MS) : null;
+      simulation.submit(simulation.jobWith(template), cancelAfterMs);
+    });
+}
+
+/** Cancels running jobs; their machines may hang or be cut off at that moment. */
+function cancelRunningJobs(
+  simulation: Simulation,
+  { count, hang = 0, cut = 0, elsewhere = false }: Cancellations,
+): void {
+  const { clock, random, connectionFaults } = simulation;
+  const others = hostsOf(simulation, 'others');
+  for (const id of simulation.checker.runningJobs().slice(0, count)) {
+    const host = elsewhere ? random.pick(others) : undefined;
+    clock.after(random.between(0, CANCEL_WITHIN_MS), () => {
+      for (const worker of simulation.workersOf(id)) {
+        if (hang > 0) worker.hang(hang * 1000);
+        if (cut > 0) connectionFaults.cutMachine(worker, cut * 1000);
+      }
+      simulation.cancel(id, host);
+    });
+  }
+}
+
+/** Cancels a share of the jobs as the last of their tasks completes. */
+function cancelAsTheyEnd(
+  simulation: Simulation,
+  { share }: { share: number },
+  durationMs: number,
+): void {
+  const { clock, random, checker } = simulation;
+  const until = clock.now + durationMs;
+  checker.onLastTaskCompleted.push((id) => {
+    if (clock.now <= until && random.next() < share) simulation.cancel(id);
+  });
+}
+
+/** Cancels running jobs in the seconds after a leader has stepped down. */
+function cancelAtHandovers(
+  simulation: Simulation,
+  { count }: { count: number },
+  durationMs: number,
+): void {
+  const { clock, random, checker } = simulation;
+  const until = clock.now + durationMs;
+  simulation.onLog.push((text) => {
+    if (text !== 'no longer leader' || clock.now > until) return;
+    for (const id of checker.runningJobs().slice(0, count))
+      clock.after(random.between(0, CANCEL_AFTER_HANDOVER_MS), () =>
+        simulation.cancel(id, random.pick(simulation.hosts)),
+      );
+  });
+}
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -176,7 +176,8 @@
       observedEvents.record('direct command of an older leader');
     if (command.baton < this.fencingToken || command.tenure !== this.agentEpoch)
       return respond({ status: 409, body: this.heartbeat() });
-    if (this.heartbeats.blocked) observedEvents.record('direct command to a mute machine');
+    if (this.heartbeats.blocked)
+      observedEvents.record('direct command to a machine with blocked heartbeats');
     this.fencingToken = command.baton;
     for (const order of command.orders ?? []) this.tasks.execute(order);
     respond({ status: 200, body: this.heartbeat() });
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -24,6 +24,9 @@
 /** Messages on a cut way are held back until it heals, or lost. */
 export type CutMode = 'hold' | 'reset';
 
+/** How long messages take at most while the network is not slow. */
+export const USUAL_MAX_LATENCY_MS = 2;
+
 const NO_BYTES = Buffer.alloc(0);
 
 /** What the caller gets where no reply comes. */
@@ -55,8 +58,8 @@
   /** Share of the workers' reports of which a copy is kept for the next leader. */
   retainedHeartbeats = 0;
   private kept: { from: string; arrival: IncomingRequest }[] = [];
-  /** Messages take up to this long; milliseconds. */
-  maxLatencyMs = 2;
+  /** Messages take up to this long. */
+  maxLatencyMs = USUAL_MAX_LATENCY_MS;
 
   constructor(
     private readonly clock: VirtualClock,
--- a/test/simulation/scenarios/fault-scenario.ts
+++ b/test/simulation/scenarios/fault-scenario.ts
@@ -1,7 +1,7 @@
 /** What a fault scenario consists of, and counters that show that it came about. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Deployment } from '../deployments/deployment.js';
-import type { Fault } from '../faults/faults.js';
+import type { Fault } from '../faults/scripted/fault.js';
 import type { Simulation } from '../simulation.js';
 
 /** Faults that coincide, and what shows that they did. */
--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -104,7 +104,7 @@
   ): void {
     const { network, stateStore, observedEvents } = this.context;
     const to = this.context.apiOf(host);
-    if (stateStore.inOutage) observedEvents.record('asked in an outage');
+    if (stateStore.inOutage) observedEvents.record('request in an outage');
     const timeoutMs = method === 'GET' ? POLL_TIMEOUT_MS : POST_TIMEOUT_MS;
     network.call(
       'user',
