--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -1,29 +1,35 @@
-/** An attempt to become leader: a lease is granted and the leader's key made under it. */
+/** An attempt to become leader: a lease is granted and the leader key created under it. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import type { TransactionResult } from '../store/results.js';
-import { LEADER_KEY, readLeader } from './leader-record.js';
+import { LEADER_KEY, readLeaderRecord, writeLeaderRecord } from './leader-record.js';
 
 /** A lease that was granted for an election. */
 interface Candidacy {
-  lease: number;
-  /** When the lease was asked for, on this node's clock. */
-  sentAt: number;
+  leaseId: number;
+  /** When the lease was asked for, on this node's steady clock. */
+  requestedAt: number;
 }
 
 /** An election that this node has won. */
 export interface WonElection extends Candidacy {
+  kind: 'won';
+  /** Version of the leader key that was created. */
   term: number;
 }
 
-/** Told of the outcome; null: not elected. */
-export type ElectionCallback = (won: WonElection | null) => void;
+/** Outcome of an election; `lost`: another node was faster, or the state store did not serve this one. */
+export type ElectionResult = WonElection | { kind: 'lost' };
+
+/** Takes the outcome of an election. */
+export type ElectionCallback = (result: ElectionResult) => void;
 
 /** Runs at most one attempt at a time. */
 export class Election {
-  private running = false;
+  private isRunning = false;
 
+  /** `identity`: tells apart the processes of one host. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
@@ -33,64 +39,65 @@
 
   /** An attempt has not been decided yet. */
   get inProgress(): boolean {
-    return this.running;
+    return this.isRunning;
   }
 
   private get timeoutMs(): number {
     return this.settings.leaderLeaseMs / 4;
   }
 
-  /** Starts an attempt unless one is in progress. */
+  /** Starts an attempt; does nothing while one is in progress. */
   start(done: ElectionCallback): void {
-    if (this.running) return;
-    this.running = true;
-    const sentAt = this.eventLoop.now();
-    const decided: ElectionCallback = (won) => {
-      this.running = false;
-      done(won);
+    if (this.isRunning) return;
+    this.isRunning = true;
+    const requestedAt = this.eventLoop.now();
+    const decide: ElectionCallback = (result) => {
+      this.isRunning = false;
+      done(result);
     };
     this.client.grantLease(this.settings.leaderLeaseMs, this.timeoutMs, (granted) => {
-      if (granted.kind === 'failed') decided(null);
-      else this.makeKey({ lease: granted.value, sentAt }, decided);
+      if (granted.kind === 'failed') decide({ kind: 'lost' });
+      else this.createKey({ leaseId: granted.value, requestedAt }, decide);
     });
   }
 
-  private makeKey(candidacy: Candidacy, decided: ElectionCallback): void {
-    const { lease } = candidacy;
-    const value = { host: this.settings.platform.host, identity: this.identity, lease };
+  private createKey(candidacy: Candidacy, decide: ElectionCallback): void {
+    const { identity } = this;
+    const { leaseId } = candidacy;
+    const value = writeLeaderRecord({ host: this.settings.platform.host, identity, leaseId });
     this.client.budget.requestTokens.forceTake();
     this.client.transact(
       [{ key: LEADER_KEY, version: 0 }],
-      [{ put: LEADER_KEY, value, lease }],
+      [{ put: LEADER_KEY, value, lease: leaseId }],
       this.timeoutMs,
-      (result) => this.keyMade(candidacy, result, decided),
+      (result) => this.keyCreated(candidacy, result, decide),
     );
   }
 
-  private keyMade(
+  private keyCreated(
     candidacy: Candidacy,
     result: TransactionResult,
-    decided: ElectionCallback,
+    decide: ElectionCallback,
   ): void {
-    if (result.kind === 'ok') decided({ ...candidacy, term: result.revision });
-    // Perhaps it was made: only reading tells.
-    else if (result.kind === 'unknown') this.readKey(candidacy, decided);
-    else this.lost(candidacy, decided);
+    if (result.kind === 'ok') decide({ kind: 'won', ...candidacy, term: result.revision });
+    // The key may have been created: only reading it tells.
+    else if (result.kind === 'unknown') this.readKey(candidacy, decide);
+    else this.lose(candidacy, decide);
   }
 
-  private readKey(candidacy: Candidacy, decided: ElectionCallback): void {
+  private readKey(candidacy: Candidacy, decide: ElectionCallback): void {
     this.client.budget.requestTokens.forceTake();
     this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
       const item = got.kind === 'ok' ? got.value : null;
-      const leader = item === null ? null : readLeader(item.value, item.version);
-      if (leader?.identity === this.identity && leader.lease === candidacy.lease)
-        decided({ ...candidacy, term: leader.term });
-      else this.lost(candidacy, decided);
+      const leader = item === null ? null : readLeaderRecord(item.value, item.version);
+      if (leader?.identity === this.identity && leader.leaseId === candidacy.leaseId)
+        decide({ kind: 'won', ...candidacy, term: leader.term });
+      else this.lose(candidacy, decide);
     });
   }
 
-  private lost(candidacy: Candidacy, decided: ElectionCallback): void {
-    this.client.revokeLease(candidacy.lease, this.timeoutMs, () => undefined);
-    decided(null);
+  private lose({ leaseId }: Candidacy, decide: ElectionCallback): void {
+    this.client.revokeLease(leaseId, this.timeoutMs, () => undefined);
+    decide({ kind: 'lost' });
   }
 }
--- /dev/null
+++ b/src/controller/leadership/leader-watch.ts
@@ -0,0 +1,122 @@
+/** The watch of a follower on the leader key. */
+import type { EventLoop } from '../runtime/event-loop.js';
+import type { Settings } from '../settings/settings.js';
+import type { StateStoreClient } from '../store/client.js';
+import type { ReadResult } from '../store/results.js';
+import type { KeyValue, WatchEvent } from '../wire/state.js';
+import { HandOverBackoff } from './hand-over-backoff.js';
+import { LEADER_KEY, readLeaderRecord, type LeaderRecord } from './leader-record.js';
+
+/** Name of the timers' command in the log. */
+const OBSERVE_COMMAND = 'observe-leader';
+
+/** Delay before the key is read again, as a share of the leader's lease. */
+const RETRY_RATIO = 0.04;
+/** The largest jitter that is added to the delay, as a share of the leader's lease. */
+const RETRY_JITTER_RATIO = 0.04;
+
+/** What the watch asks and tells. */
+export interface LeaderWatchEvents {
+  /** This node neither leads nor has an election in progress: only then is the key observed. */
+  isFollower(): boolean;
+  /** The key has a new value; `null`: it is not a leader's record. */
+  leaderChanged(leader: LeaderRecord | null): void;
+  /** The key does not exist: nobody leads. */
+  leaderGone(): void;
+  /** This node should try to become leader. */
+  electionDue(): void;
+}
+
+/** Finds out who leads, waits for a change, and finds out again; one request at a time. */
+export class LeaderWatch {
+  private isObserving = false;
+  private readonly backoff = new HandOverBackoff();
+
+  /** `identity`: tells apart the processes of one host. */
+  constructor(
+    private readonly eventLoop: EventLoop,
+    private readonly settings: Settings,
+    private readonly client: StateStoreClient,
+    private readonly identity: string,
+    private readonly events: LeaderWatchEvents,
+  ) {}
+
+  /** Reads the key and then watches it, unless that is in progress or this node is no follower. */
+  observe(): void {
+    if (this.isObserving || !this.events.isFollower()) return;
+    this.isObserving = true;
+    this.client.budget.requestTokens.forceTake();
+    this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
+      this.isObserving = false;
+      if (this.events.isFollower()) this.keyRead(got);
+    });
+  }
+
+  /** Observes again after a delay with jitter. */
+  retry(): void {
+    const { leaderLeaseMs } = this.settings;
+    const jitter = RETRY_JITTER_RATIO * this.eventLoop.runtime.random();
+    this.observeAfter(leaderLeaseMs * (RETRY_RATIO + jitter));
+  }
+
+  /** This node hands over, and leaves the key to the others for a while, if they take it. */
+  backOff(): void {
+    this.backoff.begin(this.eventLoop.now() + this.settings.workerLeaseMs);
+  }
+
+  private get timeoutMs(): number {
+    return this.settings.leaderLeaseMs / 4;
+  }
+
+  private observeAfter(delayMs: number): void {
+    this.eventLoop.after(delayMs, OBSERVE_COMMAND, () => this.observe());
+  }
+
+  private keyRead(got: ReadResult<KeyValue | null>): void {
+    if (got.kind === 'failed') return this.retry();
+    const item = got.value;
+    if (item === null) return this.keyFree();
+    this.backoff.keyTaken();
+    const leader = readLeaderRecord(item.value, item.version);
+    if (leader === null) return this.retry();
+    if (this.isOfPreviousProcess(leader)) return this.endLeaseOf(leader);
+    this.events.leaderChanged(leader);
+    this.watch(item.version);
+  }
+
+  /** The key was created by an earlier process of this host, which has ended: one runs at a time. */
+  private isOfPreviousProcess(leader: LeaderRecord): boolean {
+    return leader.host === this.settings.platform.host && leader.identity !== this.identity;
+  }
+
+  private endLeaseOf(leader: LeaderRecord): void {
+    this.eventLoop.log.info({ term: leader.term }, 'revoking the lease of the previous process');
+    this.client.revokeLease(leader.leaseId, this.timeoutMs, () => this.observe());
+  }
+
+  /** Waits for a change of the key after a revision. */
+  private watch(revision: number): void {
+    this.isObserving = true;
+    this.client.watch(LEADER_KEY, revision, this.settings.leaderLeaseMs, (got) => {
+      this.isObserving = false;
+      if (!this.events.isFollower()) return;
+      if (got.kind === 'ok') this.keyWatched(got.value.events, revision, got.value.revision);
+      else this.retry();
+    });
+  }
+
+  private keyWatched(events: readonly WatchEvent[], watchedFrom: number, revision: number): void {
+    const last = events.filter((event) => event.key === LEADER_KEY).at(-1);
+    if (last === undefined) this.watch(Math.max(watchedFrom, revision));
+    else if (last.kind === 'put') {
+      this.events.leaderChanged(readLeaderRecord(last.value, last.version));
+      this.watch(revision);
+    } else this.keyFree();
+  }
+
+  private keyFree(): void {
+    this.events.leaderGone();
+    if (!this.backoff.shouldWait(this.eventLoop.now())) return this.events.electionDue();
+    this.observeAfter(this.settings.leaderLeaseMs / 2);
+  }
+}
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -1,34 +1,56 @@
 /**
- * A leader's right to answer workers beyond its lease, while the state service serves nobody. Workers
- * end their tasks when nobody answers them for a lease of theirs, and an outage may be longer.
+ * The right of a leader to answer workers beyond its lease, while the state store serves nobody.
+ * Workers end their tasks when nobody answers them for a lease of theirs, and an outage may be longer.
  *
- * The leader asks every other controller for a promise not to act as leader for a short time, again and
- * again. It may answer workers for that time, counted from when it has asked, once all have promised.
- * From its last renewal on either its lease ran or all the others were bound, so nobody else has acted:
- * a leader that has let a gap come up gets no extension any more until its lease is renewed.
+ * The leader asks every other controller, again and again, for a lease grant: the promise not to act as
+ * leader for a short time. It may answer workers for that time, counted from when it asked, once all
+ * have granted it. From its last renewal on either its lease was held or all others were bound by their
+ * grants, so nobody else has acted. A leader that has let a gap come up between the two gets no
+ * extension any more until its lease is renewed (design.md, invariant 1).
  */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Rounds of requests while one promise lasts. */
+/** Rounds of requests while one grant lasts. */
 const ROUNDS_PER_GRANT = 3;
 
-/** Asks another controller for its promise; `done` tells whether it has been given. */
+/** Asks the controller on a host for its grant; `done` tells whether it has been given. */
 export type RequestLeaseGrant = (
   host: string,
   term: number,
   timeoutMs: number,
-  done: (promised: boolean) => void,
+  done: (granted: boolean) => void,
 ) => void;
 
-/** The rounds of one leader at a time. */
+/** Whose lease is to be extended, and for how long that is wanted. */
+export interface ExtensionRequest {
+  /** Term of the leader. */
+  term: number;
+  /** Until when the leader holds its lease, on its steady clock. */
+  leaseHeldUntil: () => number;
+  /** Asked before each round; false ends the extension. */
+  isUseful: () => boolean;
+}
+
+/** An extension for which the others are asked. */
+interface RunningExtension {
+  kind: 'running';
+  request: ExtensionRequest;
+  /** Until when all others are bound by their grants. */
+  grantedUntil: number;
+}
+
+type ExtensionState =
+  | { kind: 'idle' }
+  | RunningExtension
+  /** There was a moment at which neither the lease was held nor all others were bound. */
+  | { kind: 'lapsed' };
+
+/** The extensions of one lease, at most one at a time. */
 export class LeaseExtension {
-  private grantedUntil = -Infinity;
-  /** There was a moment at which neither the lease ran nor promises did. */
-  private gap = false;
-  /** Guards against answers to rounds of a time before; `null`: no extension is wanted. */
-  private wanted: object | null = null;
+  private state: ExtensionState = { kind: 'idle' };
 
+  /** `peers`: hosts of all other controllers. */
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'after' | 'now'>,
     private readonly settings: Pick<Settings, 'leaseGrantMs'>,
@@ -36,51 +58,53 @@
     private readonly requestGrant: RequestLeaseGrant,
   ) {}
 
-  /** All others are bound by promises at this moment. */
-  get active(): boolean {
-    return this.eventLoop.now() < this.grantedUntil;
+  /** All others are bound by their grants at this moment. */
+  get isActive(): boolean {
+    return this.state.kind === 'running' && this.eventLoop.now() < this.state.grantedUntil;
   }
 
-  /**
-   * Begins the rounds, unless they go on already. `leaseUntil`: when the lease ends, by this node's
-   * clock. `useful`: false ends the rounds.
-   */
-  begin(term: number, leaseUntil: () => number, useful: () => boolean): void {
-    if (this.wanted !== null || this.peers.length === 0) return;
-    const wanted = {};
-    this.wanted = wanted;
-    const next = (): void => {
-      if (this.wanted !== wanted || this.gap) return;
-      if (!useful()) return this.end();
-      this.requestGrants(term, wanted, leaseUntil);
-      this.eventLoop.after(this.settings.leaseGrantMs / ROUNDS_PER_GRANT, 'promises', next);
-    };
-    next();
+  /** Begins an extension, unless one is running or has lapsed, or there are no other controllers. */
+  begin(request: ExtensionRequest): void {
+    if (this.state.kind !== 'idle' || this.peers.length === 0) return;
+    const extension: RunningExtension = { kind: 'running', request, grantedUntil: -Infinity };
+    this.state = extension;
+    this.runRounds(extension);
   }
 
   /** No extension is wanted any more: the lease has been renewed, or the term is over. */
   end(): void {
-    this.wanted = null;
-    this.gap = false;
-    this.grantedUntil = -Infinity;
+    this.state = { kind: 'idle' };
+  }
+
+  private runRounds(extension: RunningExtension): void {
+    if (this.state !== extension) return;
+    if (!extension.request.isUseful()) return this.end();
+    this.runRound(extension);
+    const intervalMs = this.settings.leaseGrantMs / ROUNDS_PER_GRANT;
+    this.eventLoop.after(intervalMs, 'lease-grants', () => this.runRounds(extension));
   }
 
-  private requestGrants(term: number, wanted: object, leaseUntil: () => number): void {
+  private runRound(extension: RunningExtension): void {
     const { leaseGrantMs } = this.settings;
-    const askedAt = this.eventLoop.now();
-    let missing = this.peers.length;
+    const requestedAt = this.eventLoop.now();
+    let missingGrants = this.peers.length;
     for (const host of this.peers)
-      this.requestGrant(host, term, leaseGrantMs, (promised) => {
-        if (!promised || this.wanted !== wanted) return;
-        missing--;
-        if (missing === 0) this.allGranted(askedAt, leaseUntil());
+      this.requestGrant(host, extension.request.term, leaseGrantMs, (granted) => {
+        if (!granted || this.state !== extension) return;
+        missingGrants--;
+        if (missingGrants === 0) this.allGranted(extension, requestedAt);
       });
   }
 
-  private allGranted(askedAt: number, leaseUntil: number): void {
-    // Before this moment another may have acted.
-    this.gap = this.eventLoop.now() >= Math.max(leaseUntil, this.grantedUntil);
-    if (this.gap) return;
-    this.grantedUntil = Math.max(this.grantedUntil, askedAt + this.settings.leaseGrantMs);
+  private allGranted(extension: RunningExtension, requestedAt: number): void {
+    const heldUntil = Math.max(extension.request.leaseHeldUntil(), extension.grantedUntil);
+    // Between then and now another controller may have acted as leader.
+    const hasLapsed = this.eventLoop.now() >= heldUntil;
+    if (hasLapsed) this.state = { kind: 'lapsed' };
+    else
+      extension.grantedUntil = Math.max(
+        extension.grantedUntil,
+        requestedAt + this.settings.leaseGrantMs,
+      );
   }
 }
--- a/src/controller/leadership/lease-grant-exchange.ts
+++ b/src/controller/leadership/lease-grant-exchange.ts
@@ -1,21 +1,22 @@
-/** The requests for promises and their answers, as they travel between controllers. */
+/** Lease grants as they are asked for and given between controllers. */
 import type { Peers } from '../peers/peers.js';
 import type { RequestLeaseGrant } from './lease-extension.js';
 import {
-  DENIED_STATUS,
-  LEASE_GRANT_PATH,
-  GRANTED_STATUS,
   decodeLeaseGrantRequest,
+  DENIED_STATUS,
   encodeLeaseGrantRequest,
+  GRANTED_STATUS,
+  LEASE_GRANT_PATH,
+  LeaseGrantRequestError,
 } from './lease-grant-request.js';
 
-/** Gives promises of this controller. */
+/** Gives this controller's lease grants. */
 export interface LeaseGrantor {
-  /** False if no promise is given. */
+  /** Gives the leader of a term a grant; false: denied. */
   grantLease(term: number): boolean;
 }
 
-/** Asks the other controllers for promises. */
+/** Asks the other controllers for lease grants, by forwarded requests. */
 export function requestLeaseGrantsOver(peers: () => Pick<Peers, 'forward'>): RequestLeaseGrant {
   return (host, term, timeoutMs, done) => {
     const body = encodeLeaseGrantRequest(term);
@@ -25,8 +26,13 @@
   };
 }
 
-/** Status of the answer to a leader that asks for a promise. */
+/** Status of the reply to a leader that asks for a lease grant; a malformed request is denied. */
 export function answerLeaseGrantRequest(grantor: LeaseGrantor, body: Buffer): number {
-  const term = decodeLeaseGrantRequest(body);
-  return term !== null && grantor.grantLease(term) ? GRANTED_STATUS : DENIED_STATUS;
+  try {
+    const term = decodeLeaseGrantRequest(body);
+    return grantor.grantLease(term) ? GRANTED_STATUS : DENIED_STATUS;
+  } catch (err) {
+    if (err instanceof LeaseGrantRequestError) return DENIED_STATUS;
+    throw err;
+  }
 }
