--- /dev/null
+++ b/src/controller/placement/capacity/free-capacity.test.ts
@@ -0,0 +1,41 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { capacityOf, gpuArraySpec } from '../../../../test/placement-fixtures.js';
+import type { JobSpec } from '../../wire/jobs.js';
+import { resourceRequestOf } from '../../model/resource-request.js';
+import type { FreeCapacity } from './free-capacity.js';
+
+describe('FreeCapacity', () => {
+  const gang = gpuArraySpec({ kind: 'gang', tasks: 1 });
+  const fits = (capacity: FreeCapacity, spec: JobSpec, level: number, endsAt: number): number =>
+    capacity.countFitting({ spec, level, endsAt, backfillRatio: 0.9, now: 0 });
+
+  it('counts whole tasks by the scarcest resource', () => {
+    assert.equal(capacityOf().countFittingIgnoringClaims(resourceRequestOf(gang)), 4);
+    assert.equal(
+      capacityOf().countFittingIgnoringClaims({ cpus: 16.0000001, gpus: 0, memoryGb: 0 }),
+      1,
+    );
+    assert.equal(capacityOf().countFittingIgnoringClaims({ cpus: 1, gpus: 0, memoryGb: 33 }), 1);
+  });
+
+  it('lets lower ranks use claimed capacity only for work that ends before the reservation is filled', () => {
+    const capacity = capacityOf();
+    capacity.claimForTask({ cpus: 8, gpus: 3, memoryGb: 8 }, 100_000);
+    assert.equal(fits(capacity, gang, 1, 95_000), 1);
+    assert.equal(fits(capacity, gang, 1, 80_000), 4);
+    assert.equal(fits(capacity, gang, 1, Infinity), 1, 'a service never ends');
+  });
+
+  it('keeps headroom from small arrays, not from gangs or higher priorities', () => {
+    const capacity = capacityOf();
+    const whole = gpuArraySpec({ kind: 'gang', class: 'whole', gpus: 4, cpus: 14 });
+    capacity.claimHeadroom(1, 0, { spec: whole, level: 1, minSizeRatio: 1.5 });
+    const small = gpuArraySpec({ kind: 'array', class: 'small' });
+    assert.equal(fits(capacity, small, 1, 1000), 0);
+    assert.equal(fits(capacity, small, 2, 1000), 4);
+    assert.equal(fits(capacity, gang, 1, 1000), 4);
+    assert.equal(fits(capacity, whole, 1, 1000), 1);
+    assert.ok(capacity.intrudesOnHeadroom(small));
+  });
+});
--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -1,11 +1,11 @@
 /** Emptying of machines that will be taken or returned. */
-import type { Job, Assignment, Machine } from '../../model/entities.js';
+import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import { Migrations } from './migrations.js';
 import { isAllowed } from '../capacity/machine-kind.js';
-import { resourceRequestOf, countFittingTasks } from '../../model/resource-request.js';
+import { countFittingTasks, resourceRequestOf } from '../../model/resource-request.js';
 import { spreadAllowance } from '../capacity/zones.js';
 
 /** A replica leaves a machine that goes at least this long before, in report intervals. */
--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -1,5 +1,5 @@
 /** Replicas of services that are moved from machines that go. */
-import type { Job, Assignment, Machine } from '../../model/entities.js';
+import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { ResourceRequest } from '../../model/resource-request.js';
 
 /** A replica that was stopped because another machine has a place ready for it. */
--- /dev/null
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -0,0 +1,59 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { bigMachine, gpuArraySpec, gpuJob } from '../../../../test/placement-fixtures.js';
+import type { JobSpec } from '../../wire/jobs.js';
+import type { Assignment } from '../../model/entities.js';
+import { DurationEstimator } from './duration-estimator.js';
+
+describe('estimated image fetch', () => {
+  // Rough day, caroni: two gangs with different images on one machine fetched for 50 s instead of 25.
+  it('counts what is fetched at the same time, and nothing where the image is there', () => {
+    const machine = bigMachine();
+    const estimator = new DurationEstimator();
+    const first = gpuArraySpec({ image: 'x', imageGb: 10 });
+    assert.equal(estimator.fetchMs(first, machine, 0), 10_000);
+    machine.assignments.set('req-x/0', {
+      job: gpuJob({ image: 'y', imageGb: 4 }),
+      state: 'fetching',
+      phase: 'seen',
+    } as Assignment);
+    assert.equal(estimator.fetchMs(first, machine, 0), 14_000);
+    assert.ok(estimator.needsFetch(first, machine));
+    machine.recordImageUse('x', 10);
+    assert.equal(estimator.fetchMs(first, machine, 0), 0);
+    assert.ok(!estimator.needsFetch(first, machine));
+  });
+});
+
+describe('estimated rest of a run', () => {
+  const machine = bigMachine();
+  const run = (estimator: DurationEstimator, spec: JobSpec, elapsed: number): number => {
+    const a = { job: gpuJob(spec), machine, stop: null, state: 'running', assignedAt: 0 };
+    return estimator.remainingMs(
+      { ...a, runningAt: 0, phase: 'seen' } as unknown as Assignment,
+      elapsed,
+    );
+  };
+
+  // Fleet day busy: gangs of owners who err much seemed nearly done for minutes, and reservations
+  // waited for them instead of preempting.
+  it('is longer for a class whose estimates are less reliable, and never zero', () => {
+    const reliable = new DurationEstimator();
+    const unreliable = new DurationEstimator();
+    const spec = gpuArraySpec({ estimatedRunS: 100 });
+    for (let i = 0; i < 60; i++) {
+      reliable.observe(spec, 100_000 * (i % 2 === 0 ? 1.05 : 0.95));
+      unreliable.observe(spec, 100_000 * (i % 2 === 0 ? 2 : 0.5));
+    }
+    for (const elapsed of [50_000, 90_000, 100_000, 150_000, 1e9]) {
+      assert.ok(run(reliable, spec, elapsed) > 0);
+      assert.ok(run(unreliable, spec, elapsed) > run(reliable, spec, elapsed));
+    }
+    assert.ok(Math.abs(run(reliable, spec, 0) - 100_000) < 5000);
+    assert.ok(run(reliable, spec, 90_000) < 20_000);
+    assert.ok(run(unreliable, spec, 100_000) > 40_000);
+    const successor = new DurationEstimator();
+    successor.importStatistics(unreliable.exportStatistics());
+    assert.equal(run(successor, spec, 50_000), run(unreliable, spec, 50_000));
+  });
+});
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -1,5 +1,5 @@
 /** How long runs and image fetches take. */
-import type { Job, Assignment, Machine } from '../../model/entities.js';
+import type { Assignment, Job, Machine } from '../../model/entities.js';
 import { isMap } from '../../wire/cbor.js';
 import type { JobSpec } from '../../wire/jobs.js';
 
--- /dev/null
+++ b/src/controller/placement/guarantees.test.ts
@@ -0,0 +1,53 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import fc from 'fast-check';
+import { gpuJob } from '../../../test/placement-fixtures.js';
+import { batchCluster } from '../../../test/placement-cluster.js';
+import { Guarantees } from '../workers/team-usage.js';
+
+describe('work inside a guarantee', () => {
+  it('does not wait for capacity that other teams borrow', () => {
+    const owned = fc.record({
+      kind: fc.constantFrom('array', 'gang'),
+      tasks: fc.integer({ min: 1, max: 4 }),
+      priority: fc.constantFrom('low', 'normal', 'high'),
+    });
+    const borrowed = fc.record({
+      kind: fc.constantFrom('array', 'gang'),
+      tasks: fc.integer({ min: 1, max: 8 }),
+      gpus: fc.constantFrom(1, 2),
+      priority: fc.constantFrom('normal', 'high', 'critical'),
+    });
+    fc.assert(
+      fc.property(fc.array(borrowed, { minLength: 1, maxLength: 4 }), owned, (guests, owner) => {
+        const cluster = batchCluster();
+        cluster.run(3);
+        for (const g of guests)
+          cluster.add({
+            ...g,
+            priority: g.priority === 'critical' ? 'production' : g.priority,
+          });
+        cluster.run(20);
+        const id = `req-${cluster.table.jobs.size}`;
+        cluster.add({ ...owner, id, team: 'owner' });
+        cluster.run(30);
+        assert.equal(cluster.taskCount(id), owner.tasks);
+      }),
+      { seed: 6, numRuns: 60 },
+    );
+  });
+});
+
+describe('Guarantees', () => {
+  const team = { name: 'red', guaranteedCpus: 0, guaranteedGpus: 4, maxCpus: 0, maxGpus: 6 };
+
+  it('marks the jobs inside the guarantee of their team, earlier ones first', () => {
+    const first = gpuJob({ gpus: 3, tasks: 1 }, 0);
+    const second = gpuJob({ gpus: 2, tasks: 1 }, 1);
+    const third = gpuJob({ gpus: 1, tasks: 1 }, 2);
+    new Guarantees([team]).mark([third, second, first]);
+    assert.ok(first.guaranteed);
+    assert.ok(!second.guaranteed);
+    assert.ok(!third.guaranteed, 'the guarantee is used up by the one before');
+  });
+});
--- /dev/null
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -0,0 +1,86 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { gpuJob } from '../../../../test/placement-fixtures.js';
+import type { Job } from '../../model/entities.js';
+import { isList, isMap } from '../../wire/cbor.js';
+import type { JobSpec } from '../../wire/jobs.js';
+import { DurationEstimator } from '../estimates/duration-estimator.js';
+import { ClassHeadroom } from './class-headroom.js';
+
+const WALL_CLOCK_MS = 1_700_000_000_000;
+
+function trainingGang(part: Partial<JobSpec>, at: number): Job {
+  const gang: Partial<JobSpec> = { kind: 'gang', priority: 'high', tasks: 4, image: 'i-1' };
+  return gpuJob({ id: `req-${at}`, class: 'train', ...gang, ...part }, at);
+}
+
+function newHeadroom(): ClassHeadroom {
+  const settings = { memoryMs: 300_000, share: 0.6, spare: 1 };
+  return new ClassHeadroom(settings, new DurationEstimator(), 0, () => null);
+}
+
+/** What a leader records of a class. */
+function recorded(
+  headroom: ClassHeadroom,
+  className: string,
+  now: number,
+): Record<string, unknown> {
+  const value = headroom.exportStatistics(now, WALL_CLOCK_MS + now).get(className);
+  const classes = isMap(value) ? value['classes'] : [];
+  const [stats] = isList(classes) ? classes : [];
+  assert.ok(isMap(stats), `nothing of ${className}`);
+  return stats;
+}
+
+describe('headroom after a failover', () => {
+  /** The headroom of a leader that has seen jobs of one class with two images, and their occupancy. */
+  function observedHeadroom(): ClassHeadroom {
+    const headroom = newHeadroom();
+    for (let at = 1000; at <= 10_000; at += 1000)
+      headroom.recordSubmission(trainingGang({ image: at % 2000 === 0 ? 'i-1' : 'i-2' }, at), at);
+    headroom.recordOccupancy(trainingGang({}, 0).spec, 50_000);
+    return headroom;
+  }
+
+  it('follows the record of a class that has active jobs', () => {
+    const before = observedHeadroom();
+    const now = 12_000;
+    const expected = recorded(before, 'train', now);
+    const next = newHeadroom();
+    const records = [...before.exportStatistics(now, WALL_CLOCK_MS + now).values()];
+    next.restore(
+      records,
+      [trainingGang({}, 9000), trainingGang({ image: 'i-2' }, 10_000)],
+      now,
+      WALL_CLOCK_MS + now,
+    );
+    assert.deepEqual(recorded(next, 'train', now), expected);
+  });
+
+  it('starts from the first active job of a class without a record', () => {
+    const next = newHeadroom();
+    next.restore(
+      [],
+      [trainingGang({ tasks: 3 }, 1000), trainingGang({ tasks: 2 }, 2000)],
+      5000,
+      WALL_CLOCK_MS,
+    );
+    assert.equal(recorded(next, 'train', 5000)['weight'], 3);
+  });
+
+  it('follows the newest of several records of a class, in whatever order they come', () => {
+    const old = observedHeadroom();
+    const oldRecords = [...old.exportStatistics(12_000, WALL_CLOCK_MS + 12_000).values()];
+    old.recordSubmission(trainingGang({ tasks: 7 }, 20_000), 20_000);
+    const newRecords = [...old.exportStatistics(21_000, WALL_CLOCK_MS + 21_000).values()];
+    const expected = recorded(old, 'train', 25_000);
+    for (const records of [
+      [...oldRecords, ...newRecords],
+      [...newRecords, ...oldRecords],
+    ]) {
+      const next = newHeadroom();
+      next.restore(records, [trainingGang({}, 20_000)], 25_000, WALL_CLOCK_MS + 25_000);
+      assert.deepEqual(recorded(next, 'train', 25_000), expected);
+    }
+  });
+});
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -1,6 +1,6 @@
 /** Room kept ahead for classes of large tasks. */
 import { priorityLevels } from '../../model/job.js';
-import type { Job } from '../../model/entities.js';
+import { type Job } from '../../model/entities.js';
 import { isMap } from '../../wire/cbor.js';
 import { readJobSpec, writeJobSpec, type JobSpec } from '../../wire/jobs.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
--- /dev/null
+++ b/src/controller/placement/negative-searches.test.ts
@@ -0,0 +1,60 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import fc from 'fast-check';
+import { batchCluster } from '../../../test/placement-cluster.js';
+import { NegativeSearchCache } from './pass/negative-search-cache.js';
+import type { Placement } from './placement.js';
+
+/** Remembers no search: each is made anew. */
+class ForgetfulSearchCache extends NegativeSearchCache {
+  override addNoCapacity(): void {
+    // Nothing is remembered.
+  }
+
+  override addNoVictims(): void {
+    // Nothing is remembered.
+  }
+}
+
+/** A pass that looks at every machine for every job. */
+function forgetfulPass(placement: Placement): void {
+  placement.begin();
+  const { current } = placement as unknown as { current: Record<string, unknown> };
+  assert.ok(current['failedSearches'] instanceof NegativeSearchCache);
+  Object.assign(current, { failedSearches: new ForgetfulSearchCache() });
+  placement.advance(Infinity);
+}
+
+describe('a placement pass', () => {
+  it('decides like one that does not remember its failed searches', () => {
+    const anyJob = fc.record({
+      kind: fc.constantFrom<'array' | 'gang'>('array', 'gang'),
+      team: fc.constantFrom('owner', 'guest'),
+      tasks: fc.integer({ min: 1, max: 6 }),
+      gpus: fc.constantFrom(0, 1, 2, 4),
+      cpus: fc.constantFrom(1, 2, 5),
+      priority: fc.constantFrom<'low' | 'normal' | 'high'>('low', 'normal', 'high'),
+      image: fc.constantFrom('x', 'y', 'z'),
+      deadlineS: fc.constantFrom(null, 600, 5000),
+    });
+    const steps = fc.array(
+      fc.record({ jobs: fc.array(anyJob, { maxLength: 4 }), ends: fc.nat(20) }),
+      { minLength: 4, maxLength: 12 },
+    );
+    fc.assert(
+      fc.property(steps, (played) => {
+        const both = [batchCluster(), batchCluster(forgetfulPass)];
+        for (const { jobs, ends } of played) {
+          for (const cluster of both) {
+            for (const job of jobs) cluster.add(job);
+            cluster.run(2);
+            cluster.complete(`req-${ends}`);
+            cluster.step();
+          }
+          assert.deepEqual(both[0]?.describe(), both[1]?.describe());
+        }
+      }),
+      { seed: 8, numRuns: 80 },
+    );
+  });
+});
--- /dev/null
+++ b/src/controller/placement/pass/rank.test.ts
@@ -0,0 +1,95 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import fc from 'fast-check';
+import { gpuJob } from '../../../../test/placement-fixtures.js';
+import type { Job } from '../../model/entities.js';
+import type { JobSpec, Priority } from '../../wire/jobs.js';
+import { compareRank, compareQueued, rankTime, queuedJob, type RankSettings } from './rank.js';
+
+const settings: RankSettings = {
+  agingMs: 400_000,
+  preemptionBonus: 0.25,
+  missedDeadlinePenalty: 0.5,
+  startDeadlines: () => [],
+};
+
+let jobCount = 0;
+
+/** A job whose id comes after those of all jobs before. */
+function submitted(part: Partial<JobSpec>, at: number): Job {
+  return gpuJob({ id: `req-${jobCount++}`, ...part }, at);
+}
+
+/** Compares two jobs by rank. */
+function rank(a: Job, b: Job, by: RankSettings, now: number): number {
+  return compareRank(queuedJob(a, by, now), queuedJob(b, by, now));
+}
+
+/** Compares two jobs by their turn in a pass. */
+function turn(a: Job, b: Job, now: number): number {
+  return compareQueued(queuedJob(a, settings, now), queuedJob(b, settings, now));
+}
+
+describe('rank', () => {
+  it('orders by priority, then submission, then id', () => {
+    const low = submitted({ priority: 'low' }, 0);
+    const high = submitted({ priority: 'high' }, 5000);
+    const later = submitted({ priority: 'high' }, 6000);
+    const twin = submitted({ priority: 'high' }, 6000);
+    const sorted = [twin, later, low, high].sort((a, b) => rank(a, b, settings, 0));
+    assert.deepEqual(sorted, [high, later, twin, low]);
+  });
+
+  it('is a total order, and lets a job that has waited long go before higher priorities', () => {
+    const anyJob = fc.record({
+      priority: fc.constantFrom<Priority>('low', 'normal', 'high', 'production'),
+      at: fc.nat(1_000_000),
+      preemptions: fc.nat(3),
+    });
+    fc.assert(
+      fc.property(fc.array(anyJob, { minLength: 3, maxLength: 3 }), (list) => {
+        const [a, b, c] = list.map(({ priority, at, preemptions }) => {
+          const job = submitted({ priority }, at);
+          job.preemptionCount = preemptions;
+          return job;
+        });
+        if (a === undefined || b === undefined || c === undefined) return;
+        assert.notEqual(rank(a, b, settings, 0), 0);
+        assert.equal(Math.sign(rank(a, b, settings, 0)), -Math.sign(rank(b, a, settings, 0)));
+        if (rank(a, b, settings, 0) < 0 && rank(b, c, settings, 0) < 0)
+          assert.ok(rank(a, c, settings, 0) < 0);
+      }),
+      { seed: 4 },
+    );
+    const old = submitted({ priority: 'low' }, 0);
+    assert.ok(
+      rankTime(old, settings, 0) <
+        rankTime(submitted({ priority: 'production' }, 1_200_001), settings, 0),
+    );
+  });
+});
+
+describe('rank with start deadlines', () => {
+  const withDeadlines: RankSettings = { ...settings, startDeadlines: () => [10_000, 60_000] };
+  it('follows the next deadline that the job can meet, and puts a late job behind the others', () => {
+    const old = submitted({}, 0);
+    const young = submitted({}, 5000);
+    assert.ok(rank(old, young, withDeadlines, 0) < 0);
+    assert.ok(rank(old, young, withDeadlines, 10_001) > 0);
+    assert.ok(rank(old, young, withDeadlines, 100_000) < 0, 'both late: submission decides');
+    const muchLater = submitted({}, 400_000);
+    assert.ok(rank(old, muchLater, withDeadlines, 400_000) < 0, 'late work does not starve');
+  });
+});
+
+describe('turns in a pass', () => {
+  // Rough day, caroni: gangs of two teams stopped each other in turn, the victim always first again.
+  it('come to a gang before its victim, for as long as its preemption is recent', () => {
+    const victim = submitted({}, 0);
+    victim.preemptionCount = 1;
+    const gang = submitted({}, 5000);
+    gang.preemptionClaimUntil = 30_000;
+    assert.ok(turn(gang, victim, 20_000) < 0);
+    assert.ok(turn(gang, victim, 40_000) > 0);
+  });
+});
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -1,6 +1,6 @@
 /** The order in which what waits is placed. */
 import { priorityLevels } from '../../model/job.js';
-import type { Job } from '../../model/entities.js';
+import { type Job } from '../../model/entities.js';
 
 /** What the order depends on. */
 export interface RankSettings {
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -1,10 +1,10 @@
 /** Placement of what waits: the parts of a pass put together, and its beginning and end. */
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { JobTable } from '../jobs/job-table.js';
 import type { Job, Machine } from '../model/entities.js';
-import { recordCapacityBytes } from '../model/machine-record-size.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
+import { recordCapacityBytes } from '../model/machine-record-size.js';
 import type { Workers } from '../workers/workers.js';
 import { IndependentTaskPlacer } from './placers/independent-task-placer.js';
 import { CandidateFinder } from './search/candidate-finder.js';
@@ -15,7 +15,7 @@
 import { StartDeadlines } from './estimates/start-deadlines.js';
 import { PlacementPass, type Shortage } from './pass/placement-pass.js';
 import { Preemptor } from './preemption/preemptor.js';
-import { queuedJob, type QueuedJob, type RankSettings } from './pass/rank.js';
+import { type QueuedJob, queuedJob, type RankSettings } from './pass/rank.js';
 import type { ClassHeadroom } from './headroom/class-headroom.js';
 import { ClusterCapacity } from './capacity/cluster-capacity.js';
 import { ReservationCandidateFinder } from './search/reservation-candidate-finder.js';
--- /dev/null
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -0,0 +1,59 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import {
+  bigMachine,
+  candidate,
+  capacityIn,
+  defaultSettings,
+  gpuJob,
+  passOver,
+} from '../../../../test/placement-fixtures.js';
+import type { Job } from '../../model/entities.js';
+import type { Candidate } from '../search/candidate-finder.js';
+import { GangPlacer, pickForGang } from './gang-placer.js';
+import type { PlacementPass } from '../pass/placement-pass.js';
+
+describe('GangPlacer', () => {
+  const place = (gang: Job, allowance: number, found: (pass: PlacementPass) => Candidate[]) => {
+    const pass = passOver([bigMachine()]);
+    const calls: string[] = [];
+    new GangPlacer({
+      settings: defaultSettings,
+      teams: { allowance: () => allowance },
+      estimates: { fetchMs: () => 0 },
+      candidates: { find: () => found(pass) },
+      starter: {
+        nextAttempt: () => 8,
+        start: (_job, _capacity, n, at) => calls.push(`${n}@${at}`),
+      },
+      reservations: {
+        drop: () => calls.push('drop'),
+        reserve: () => calls.push('reserve'),
+        find: () => assert.fail(),
+      },
+    }).place(pass, gang);
+    return calls;
+  };
+
+  it('starts a gang that fits whole, reserves machines for one that does not, and blocks one beyond its limit', () => {
+    const gang = gpuJob({ kind: 'gang', tasks: 3 });
+    const fits = (count: number) => (pass: PlacementPass) => [
+      candidate(capacityIn(pass, 'n-1'), count),
+    ];
+    assert.deepEqual(place(gang, 3, fits(4)), ['3@8', 'drop']);
+    assert.deepEqual(place(gang, 3, fits(2)), ['reserve']);
+    assert.deepEqual(place(gang, 2, fits(4)), ['drop']);
+    assert.equal(gang.blockedReason, "its team's limit is used up");
+  });
+
+  it('picks half of a spread gang in each zone, and nothing where one zone has too few places', () => {
+    const pass = passOver([bigMachine('n-1', 'a'), bigMachine('n-2', 'b')]);
+    const found = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 4));
+    const picked = pickForGang(gpuJob({ tasks: 4, spread: true }), found, null);
+    assert.deepEqual(
+      picked?.map(({ count }) => count),
+      [2, 2],
+    );
+    assert.equal(pickForGang(gpuJob({ tasks: 5 }), found, 'a'), null);
+  });
+});
--- /dev/null
+++ b/src/controller/placement/placers/gang-reservations.test.ts
@@ -0,0 +1,103 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import {
+  bigMachine,
+  capacityIn,
+  defaultSettings,
+  gpuJob,
+  passOver,
+  runningAssignment,
+} from '../../../../test/placement-fixtures.js';
+import { silentLogger } from '../../../../test/manual-runtime.js';
+import { GangReservations, reservationKey } from './gang-reservations.js';
+
+describe('GangReservations', () => {
+  const written = new Map<string, unknown>();
+  let searches = 0;
+  const reservations = new GangReservations({
+    eventLoop: { log: silentLogger, now: () => 5 },
+    settings: defaultSettings,
+    records: {
+      *list() {
+        yield { key: reservationKey('req-1'), value: ['n-1'] };
+        yield { key: reservationKey('req-gone'), value: ['n-1'] };
+      },
+      set: (key, value) => written.set(key, value),
+    },
+    estimates: { fetchMs: () => 100 },
+    targets: {
+      find: ({ capacities }) => {
+        searches++;
+        return capacities.map((capacity) => ({
+          capacity,
+          fillAt: 50,
+          victims: [],
+          lostWorkMs: 0,
+          hasStopping: false,
+        }));
+      },
+    },
+    preemption: { preemptAll: () => true },
+  });
+
+  it('are restored after a failover, and deleted for jobs that are gone', () => {
+    const gang = gpuJob({ kind: 'gang' });
+    reservations.load({ jobs: new Map([['req-1', gang]]) });
+    assert.deepEqual(gang.reservation?.machines, ['n-1']);
+    assert.deepEqual([...written], [['h/req-gone', undefined]]);
+  });
+
+  it('claim capacity, last for a while without another search, and can be dropped', () => {
+    const gang = gpuJob({ kind: 'gang', tasks: 2 });
+    const pass = passOver([bigMachine(), bigMachine('n-2')]);
+    reservations.reserve(pass, gang);
+    assert.deepEqual(written.get('h/req-1'), ['n-1', 'n-2']);
+    assert.equal(capacityIn(pass, 'n-2').claims[0]?.fillAt, 50);
+    assert.equal(reservations.find(pass, gang).readyAt, 150);
+    assert.equal(searches, 1);
+    reservations.drop(gang);
+    assert.deepEqual([gang.reservation, written.get('h/req-1')], [null, undefined]);
+  });
+});
+
+describe('preemption for a reservation', () => {
+  const { heartbeatIntervalMs } = defaultSettings;
+  const SAVE_S = 20;
+
+  /** How many tasks are preempted where the gang's reservation should be filled after the time given. */
+  function preemptedFor(fillMs: number): number {
+    let preempted = 0;
+    const victim = { ...runningAssignment(gpuJob(), bigMachine()), checkpointSaveS: SAVE_S };
+    const reservations = new GangReservations({
+      eventLoop: { log: silentLogger, now: () => 0 },
+      settings: defaultSettings,
+      records: { list: () => [][Symbol.iterator](), set: () => undefined },
+      estimates: { fetchMs: () => 0 },
+      targets: {
+        find: ({ capacities }) =>
+          capacities.map((capacity) => ({
+            ...{ capacity, fillAt: fillMs, victims: [victim], lostWorkMs: 0, hasStopping: false },
+          })),
+      },
+      preemption: {
+        preemptAll: (victims) => {
+          preempted += victims.length;
+          return true;
+        },
+      },
+    });
+    reservations.reserve(passOver([bigMachine()]), gpuJob({ kind: 'gang', tasks: 1 }));
+    return preempted;
+  }
+
+  // Where heartbeats come every second, a save takes many heartbeat intervals: gangs then waited for
+  // capacity that nobody was told to free.
+  it('does not wait for checkpoint saves that begin only with the preemption', () => {
+    assert.ok(SAVE_S * 1000 > 3 * heartbeatIntervalMs);
+    assert.equal(preemptedFor(heartbeatIntervalMs + SAVE_S * 1000), 1);
+  });
+
+  it('waits while other work keeps the gang from starting soon', () => {
+    assert.equal(preemptedFor(heartbeatIntervalMs + 2 * SAVE_S * 1000), 0);
+  });
+});
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -1,8 +1,8 @@
 /** Reservations of gangs that cannot start yet: kept on record until the gang starts or ends. */
 import type { EventLoop } from '../../runtime/event-loop.js';
-import type { JobTable } from '../../jobs/job-table.js';
 import type { GangReservation } from '../../model/job.js';
-import type { Job, Assignment } from '../../model/entities.js';
+import type { Assignment, Job } from '../../model/entities.js';
+import type { JobTable } from '../../jobs/job-table.js';
 import type { Settings } from '../../settings/settings.js';
 import type { RecordStore } from '../../store/record-store.js';
 import { setBlockedReason } from './blocked-reason.js';
--- /dev/null
+++ b/src/controller/placement/placers/task-starter.test.ts
@@ -0,0 +1,21 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { capacityOf, gpuJob } from '../../../../test/placement-fixtures.js';
+import { TaskStarter } from './task-starter.js';
+
+describe('TaskStarter', () => {
+  it('starts the lowest pending tasks of a gang under one attempt that no other term has', () => {
+    const started: number[][] = [];
+    const starter = new TaskStarter(
+      { term: 3, assign: (_, task, attempt) => started.push([task, attempt]) },
+      () => undefined,
+    );
+    const attempt = starter.nextAttempt();
+    assert.equal(attempt, 3 * 2 ** 22 + 1);
+    starter.start(gpuJob({ kind: 'gang' }), capacityOf(), 5, attempt);
+    assert.deepEqual(started, [
+      [0, attempt],
+      [1, attempt],
+    ]);
+  });
+});
--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -1,7 +1,7 @@
 /** When a machine should have room for a task, by itself or by stopping others. */
-import type { Job, Assignment } from '../../model/entities.js';
-import type { ResourceRequest } from '../../model/resource-request.js';
+import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
+import type { ResourceRequest } from '../../model/resource-request.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import { HypotheticalCapacity } from '../capacity/hypothetical-capacity.js';
 import type { ExpectedEnd, MachineForecast } from '../capacity/machine-forecast.js';
--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -1,5 +1,5 @@
 /** Which tasks may be stopped for a job, in which order, and what that loses. */
-import type { Job, Assignment } from '../../model/entities.js';
+import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import type { ExpectedEnd, MachineForecast } from '../capacity/machine-forecast.js';
--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -1,6 +1,6 @@
 /** Stopping of tasks for work that goes before them, and its limit. */
 import type { EventLoop } from '../../runtime/event-loop.js';
-import type { Job, Assignment } from '../../model/entities.js';
+import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
 
--- /dev/null
+++ b/src/controller/placement/replica-placement.test.ts
@@ -0,0 +1,82 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { serviceCluster, workersAlike } from '../../../test/placement-cluster.js';
+
+const most = (counts: Map<string, number>): number => Math.max(...counts.values());
+
+describe('placement of replicas', () => {
+  it('uses as many machines as there are', () => {
+    const cluster = serviceCluster(workersAlike(5));
+    const job = cluster.add({ tasks: 4 });
+    cluster.run(6);
+    assert.equal(job.runningCount, 4);
+    assert.equal(cluster.tasksByMachine(job).size, 4);
+  });
+
+  it('uses all zones alike, though one has more machines', () => {
+    const cluster = serviceCluster([
+      ...workersAlike(6, { zone: 'a' }),
+      ...workersAlike(2, { zone: 'b' }),
+    ]);
+    const job = cluster.add({ tasks: 4 });
+    cluster.run(6);
+    const inB = [...cluster.tasksByMachine(job)].filter(
+      ([id]) => cluster.worker(id).zone === 'b',
+    ).length;
+    assert.equal(inB, 2);
+    assert.equal(cluster.tasksByMachine(job).size, 4);
+  });
+
+  it('replaces a lost replica where fewest of the service are, by machine and zone', () => {
+    const cluster = serviceCluster([
+      ...workersAlike(3, { zone: 'a', images: ['i'] }),
+      ...workersAlike(2, { zone: 'b', images: ['i'] }),
+    ]);
+    const job = cluster.add({ tasks: 4 });
+    cluster.run(4);
+    const [lost = assert.fail()] = [...cluster.tasksByMachine(job).keys()].filter(
+      (id) => cluster.worker(id).zone === 'b',
+    );
+    cluster.exit(job, 'error', lost);
+    cluster.run(4);
+    assert.equal(job.runningCount, 4);
+    assert.ok(most(cluster.tasksByMachine(job)) <= 2);
+    assert.ok(!cluster.tasksByMachine(job).has(lost), 'not where it has just failed');
+  });
+
+  it('puts at most half of the replicas on the only machine that has the image', () => {
+    const cluster = serviceCluster([{ images: ['i'] }, ...workersAlike(4)]);
+    const job = cluster.add({ tasks: 4 });
+    cluster.run(6);
+    assert.equal(job.runningCount, 4);
+    assert.ok(most(cluster.tasksByMachine(job)) <= 2);
+  });
+
+  it('puts all replicas on one machine where no other has capacity', () => {
+    const cluster = serviceCluster(workersAlike(1));
+    const job = cluster.add({ tasks: 4 });
+    cluster.run(6);
+    assert.equal(job.runningCount, 4);
+  });
+
+  it('keeps to one zone where the job asks for it', () => {
+    const cluster = serviceCluster([
+      ...workersAlike(3, { zone: 'a' }),
+      ...workersAlike(3, { zone: 'b' }),
+    ]);
+    const job = cluster.add({ tasks: 3, singleZone: true });
+    cluster.run(6);
+    const zones = new Set(
+      [...cluster.tasksByMachine(job).keys()].map((id) => cluster.worker(id).zone),
+    );
+    assert.equal(job.runningCount, 3);
+    assert.equal(zones.size, 1);
+  });
+
+  it('prefers on-demand machines for a service that may use spot machines', () => {
+    const cluster = serviceCluster([...workersAlike(2, { spot: true }), ...workersAlike(2)]);
+    const job = cluster.add({ tasks: 2 });
+    cluster.run(6);
+    for (const id of cluster.tasksByMachine(job).keys()) assert.ok(!cluster.worker(id).spot);
+  });
+});
--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -1,8 +1,8 @@
 /** Machines where tasks of a job can start now. */
 import type { Job } from '../../model/entities.js';
-import { resourceRequestOf, type ResourceRequest } from '../../model/resource-request.js';
-import { recordSpaceOf, type RecordSpace } from '../../model/machine-record-size.js';
 import type { Settings } from '../../settings/settings.js';
+import { type ResourceRequest, resourceRequestOf } from '../../model/resource-request.js';
+import { type RecordSpace, recordSpaceOf } from '../../model/machine-record-size.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import { machineKindsKey } from '../pass/negative-search-cache.js';
 import { machinePenalty } from './machine-penalty.js';
--- /dev/null
+++ b/src/controller/placement/search/replica-spread.test.ts
@@ -0,0 +1,27 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import {
+  bigMachine,
+  candidate,
+  capacityIn,
+  gpuJob,
+  passOver,
+  runningAssignment,
+} from '../../../../test/placement-fixtures.js';
+import { spreadReplicas } from './replica-spread.js';
+
+describe('spreadReplicas', () => {
+  it('offers a machine without a replica before one that has some', () => {
+    const service = gpuJob({ kind: 'service', tasks: 4 });
+    const pass = passOver([bigMachine(), bigMachine('n-2')]);
+    runningAssignment(service, capacityIn(pass, 'n-1').machine);
+    const found = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 2));
+    const order: string[] = [];
+    for (const { capacity } of spreadReplicas(service, found)) {
+      order.push(capacity.machine.id);
+      // The place is used: what is offered next depends on it.
+      service.pending.pop();
+    }
+    assert.deepEqual(order, ['n-2', 'n-1', 'n-2', 'n-1']);
+  });
+});
--- /dev/null
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -0,0 +1,55 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import {
+  bigMachine,
+  capacityOf,
+  defaultSettings,
+  gpuJob,
+} from '../../../../test/placement-fixtures.js';
+import type { Assignment, Machine } from '../../model/entities.js';
+import { DurationEstimator } from '../estimates/duration-estimator.js';
+import { resourceRequestOf } from '../../model/resource-request.js';
+import { ReservationCandidateFinder } from './reservation-candidate-finder.js';
+import { TeamUsage } from '../../workers/team-usage.js';
+
+/** A task of the team that has been running on the machine since time 0. */
+function runOn(
+  machine: Machine,
+  team: string,
+  estimatedRunS: number,
+  guaranteed = false,
+): Assignment {
+  const id = `req-${machine.assignments.size}`;
+  const job = gpuJob({ id, team, estimatedRunS });
+  job.guaranteed = guaranteed;
+  const assignment = {
+    ...{ name: id, job, team, task: 0, attempt: 1, machine, agentEpoch: 1 },
+    ...{ request: resourceRequestOf(job.spec), checkpointSaveS: 0, assignedAt: 0 },
+    ...{ phase: 'seen', state: 'running', runningAt: 0, stop: null },
+  } as unknown as Assignment;
+  machine.assignments.set(id, assignment);
+  machine.allocate(assignment);
+  return assignment;
+}
+
+describe('ReservationCandidateFinder', () => {
+  // Fleet day restart: most machines ran one task within its team's guarantee beside borrowed ones;
+  // reservations took them for machines that had to be waited for whole.
+  it('waits for work that may not be preempted, and preempts what would run longer', () => {
+    const estimator = new DurationEstimator();
+    const finder = new ReservationCandidateFinder(defaultSettings, estimator, new TeamUsage([]));
+    const machine = bigMachine();
+    const kept = runOn(machine, 'other', 80, true);
+    const borrowed = [runOn(machine, 'red', 900), runOn(machine, 'red', 900)];
+    const brief = runOn(machine, 'red', 70);
+    const now = 60_000;
+    const gang = gpuJob({ id: 'req-gang', kind: 'gang', priority: 'high', gpus: 4, tasks: 1 }, now);
+    const [candidate] = finder.find({
+      ...{ now, job: gang, capacities: [capacityOf(machine)], count: 1 },
+      ...{ onlyByPreemption: false, penalty: () => 0 },
+    });
+    assert.deepEqual(new Set(candidate?.victims), new Set(borrowed));
+    assert.ok(!candidate?.victims.includes(brief) && !candidate?.victims.includes(kept));
+    assert.equal(candidate?.fillAt, now + estimator.remainingMs(kept, now));
+  });
+});
--- /dev/null
+++ b/src/controller/placement/service-preemption.test.ts
@@ -0,0 +1,72 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { STEP_MS, serviceCluster, workersAlike } from '../../../test/placement-cluster.js';
+
+describe('preemption and services', () => {
+  it('never preempts a replica, whatever its priority', () => {
+    const cluster = serviceCluster(workersAlike(2));
+    const service = cluster.add({ tasks: 2, cpus: 6, priority: 'low', team: 'guest' });
+    cluster.run(20);
+    assert.equal(service.runningCount, 2);
+    const gang = cluster.add({
+      kind: 'gang',
+      tasks: 2,
+      cpus: 6,
+      estimatedRunS: 10,
+      team: 'owner',
+      gpus: 1,
+    });
+    const array = cluster.add({ kind: 'array', tasks: 2, cpus: 6, estimatedRunS: 10 });
+    cluster.run(40);
+    assert.equal(service.runningCount, 2);
+    assert.equal(gang.runningCount + array.runningCount, 0);
+  });
+
+  it('preempts lower-ranked work for a replica that fits nowhere', () => {
+    const cluster = serviceCluster(workersAlike(1));
+    const array = cluster.add({
+      kind: 'array',
+      tasks: 1,
+      cpus: 8,
+      estimatedRunS: 900,
+      priority: 'low',
+    });
+    cluster.run(20);
+    assert.equal(array.runningCount, 1);
+    const service = cluster.add({ tasks: 1 });
+    cluster.run(8);
+    assert.equal(service.runningCount, 1);
+  });
+
+  it('preempts nothing on a machine on which the service has just failed', () => {
+    const cluster = serviceCluster([{ images: ['i'] }]);
+    const service = cluster.add({ tasks: 1 });
+    cluster.run(3);
+    const array = cluster.add({
+      kind: 'array',
+      tasks: 1,
+      cpus: 7,
+      estimatedRunS: 900,
+      priority: 'low',
+    });
+    cluster.run(20);
+    assert.equal(array.runningCount, 1);
+    cluster.exit(service, 'error', 'n-0');
+    const filler = cluster.add({
+      kind: 'array',
+      tasks: 1,
+      cpus: 1,
+      estimatedRunS: 900,
+      priority: 'low',
+    });
+    cluster.step();
+    cluster.step();
+    assert.equal(filler.runningCount + filler.currentAssignments.size > 0, true);
+    while ((service.avoidedMachines.get('n-0')?.until ?? 0) > cluster.now + STEP_MS) {
+      assert.equal(array.preemptionCount + filler.preemptionCount, 0);
+      cluster.step();
+    }
+    cluster.run(20);
+    assert.equal(service.runningCount, 1, 'in the end it runs there all the same');
+  });
+});
--- /dev/null
+++ b/src/controller/placement/service-restarts.test.ts
@@ -0,0 +1,81 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import {
+  OWNER_GPUS,
+  STEP_MS,
+  serviceCluster,
+  serviceSettings,
+  workersAlike,
+} from '../../../test/placement-cluster.js';
+
+describe('restarts of replicas', () => {
+  it('never complete a service, though all its replicas end as done again and again', () => {
+    const cluster = serviceCluster(workersAlike(6));
+    const job = cluster.add({ tasks: 2 });
+    cluster.run(5);
+    for (let round = 0; round < 3; round++) {
+      for (const id of cluster.tasksByMachine(job).keys()) cluster.exit(job, 'done', id);
+      cluster.run(5);
+      const answer = job.status();
+      assert.equal(answer.state, 'running');
+      assert.equal(answer.done, 0);
+      assert.equal(job.runningCount, 2);
+    }
+    assert.ok(!job.isComplete);
+  });
+
+  it('try every machine before one on which a replica has ended is tried again', () => {
+    const cluster = serviceCluster(workersAlike(3, { images: ['i'] }));
+    const job = cluster.add({ tasks: 1 });
+    const other = cluster.add({ tasks: 3 });
+    cluster.run(3);
+    const seen = new Set<string>();
+    for (let i = 0; i < 3; i++) {
+      const [id = ''] = cluster.tasksByMachine(job).keys();
+      seen.add(id);
+      cluster.exit(job, 'error', id);
+      cluster.run(2);
+    }
+    assert.equal(seen.size, 3);
+    assert.equal(other.runningCount, 3, 'other services stay');
+  });
+
+  it('on the only machine come after pauses that grow to a bound', () => {
+    const cluster = serviceCluster(workersAlike(1, { images: ['i'] }));
+    const job = cluster.add({ tasks: 1 });
+    const longest = 2 * serviceSettings.workerLeaseMs;
+    let last = 0;
+    for (let i = 0; i < 6; i++) {
+      for (let s = 0; s <= longest / STEP_MS && cluster.tasksByMachine(job).size === 0; s++)
+        cluster.step();
+      cluster.exit(job, 'other', 'n-0');
+      cluster.step();
+      const pause = (job.avoidedMachines.get('n-0')?.until ?? 0) - cluster.now;
+      assert.ok(pause > last || pause === longest, `pause ${pause} ms after ${last} ms`);
+      assert.ok(pause <= longest);
+      last = pause;
+    }
+    assert.equal(last, longest);
+  });
+
+  it('of a team at its limit wait until the lost replica is proven gone', () => {
+    const cluster = serviceCluster(workersAlike(3));
+    const job = cluster.add({ team: 'owner', tasks: OWNER_GPUS, gpus: 1 });
+    cluster.run(6);
+    assert.equal(job.runningCount, OWNER_GPUS);
+    const later = cluster.add({ team: 'owner', tasks: 1, gpus: 1 });
+    const [lost = ''] = cluster.tasksByMachine(job).keys();
+    const there = cluster.tasksByMachine(job).get(lost) ?? 0;
+    cluster.worker(lost).unresponsive = true;
+    for (let i = 0; i < serviceSettings.workerLeaseExpiryMs / STEP_MS + 10; i++) {
+      cluster.step();
+      assert.ok(cluster.workers.assignedCount <= OWNER_GPUS);
+    }
+    assert.ok(there > 0);
+    assert.equal(job.runningCount, OWNER_GPUS);
+    assert.equal(later.runningCount, 0);
+    cluster.table.markCancelled(job.spec.id);
+    cluster.run(8);
+    assert.equal(later.runningCount, 1);
+  });
+});
--- a/src/controller/workers/team-usage.ts
+++ b/src/controller/workers/team-usage.ts
@@ -1,9 +1,9 @@
 /** What teams take of their limits, and which jobs are inside their guarantees. */
 import type { Team } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
-import type { Job, Assignment } from '../model/entities.js';
-import { AMOUNT_TOLERANCE, countFitting, type ResourceRequest } from '../model/resource-request.js';
+import type { Assignment, Job } from '../model/entities.js';
 import type { JobSpec } from '../wire/jobs.js';
+import { AMOUNT_TOLERANCE, countFitting, type ResourceRequest } from '../model/resource-request.js';
 
 /** What the tasks of one team take. */
 interface Usage {
--- /dev/null
+++ b/test/placement-cluster.ts
@@ -0,0 +1,309 @@
+/** A small cluster for the tests of placement: the leader's modules, with simulated workers. */
+import assert from 'node:assert/strict';
+import { JobTable } from '../src/controller/jobs/job-table.js';
+import { type Job } from '../src/controller/model/entities.js';
+import { DurationEstimator } from '../src/controller/placement/estimates/duration-estimator.js';
+import { ClassHeadroom } from '../src/controller/placement/headroom/class-headroom.js';
+import { Placement } from '../src/controller/placement/placement.js';
+import { EventLoop } from '../src/controller/runtime/event-loop.js';
+import { defaultProperties } from '../src/controller/settings/properties.js';
+import { Settings } from '../src/controller/settings/settings.js';
+import type { StateStoreClient } from '../src/controller/store/client.js';
+import type { MachineType } from '../src/controller/wire/cloud.js';
+import { writeJobSpec, type JobSpec } from '../src/controller/wire/jobs.js';
+import type { ExitCause, TaskStatus } from '../src/controller/wire/workers.js';
+import { makeFencingToken } from '../src/controller/workers/fencing-token.js';
+import { Workers } from '../src/controller/workers/workers.js';
+import { arraySpec, FakeClock, idleRuntime } from './fakes.js';
+import { immediateRecords } from './fake-records.js';
+import { standalonePlatform } from './platform.js';
+
+const TERM = 3;
+
+/** Time between two heartbeats of each worker, and between two passes. */
+export const STEP_MS = 1000;
+
+/** GPUs of the team `owner`: its guarantee and, with `serviceSettings`, its limit. */
+export const OWNER_GPUS = 4;
+
+const machineType: MachineType = {
+  ...{ name: 'g', cpus: 8, gpus: 4, memoryGb: 64, cacheGb: 50, fetchGbPerS: 0.5 },
+  ...{ price: 1, spotPrice: 1, bootS: 10, zones: ['a', 'b'] },
+};
+
+const ignore = (): void => undefined;
+
+/** What the workers of a test differ in. */
+export interface WorkerOptions {
+  zone?: string;
+  spot?: boolean;
+  images?: string[];
+}
+
+/** A worker that does as it is told, unless it is unresponsive. */
+interface SimulatedWorker {
+  id: string;
+  zone: string;
+  spot: boolean;
+  unresponsive: boolean;
+  agentEpoch: number;
+  fencingToken: number;
+  spotNoticeS: number | null;
+  tasks: TaskStatus[];
+  images: Set<string>;
+  /** When the image fetches of its tasks end. */
+  fetchedAt: Map<string, number>;
+}
+
+/** A command in the words of the workers' protocol. */
+interface SentCommand {
+  verb: string;
+  duty: string;
+  try: number;
+}
+
+/** What the clusters of the tests differ in. */
+export interface ClusterOptions {
+  settings: Settings;
+  /** Fields of jobs that a test does not give. */
+  jobDefaults: Partial<JobSpec>;
+  /** What a worker takes to fetch an image. */
+  fetchMs: number;
+  runPass?: (placement: Placement) => void;
+}
+
+function newWorker({ zone = 'a', spot = false, images = [] }: WorkerOptions, id: string) {
+  return {
+    ...{ id, zone, spot, unresponsive: false, agentEpoch: 1, spotNoticeS: null, tasks: [] },
+    ...{ fencingToken: makeFencingToken(TERM, 0), images: new Set(images) },
+    fetchedAt: new Map<string, number>(),
+  };
+}
+
+/** Jobs, workers and placement, with records that are stored at once. */
+export class PlacementCluster {
+  readonly table: JobTable;
+  readonly workers: Workers;
+  readonly placement: Placement;
+  readonly simulated: SimulatedWorker[];
+  private readonly clock = new FakeClock(0);
+  private sequence = 0;
+
+  constructor(
+    workers: WorkerOptions[],
+    private readonly options: ClusterOptions,
+  ) {
+    const { settings } = options;
+    this.simulated = workers.map((worker, i) => newWorker(worker, `n-${i}`));
+    const runtime = { ...idleRuntime(this.clock), hasSpareConnection: () => false };
+    const eventLoop = new EventLoop(runtime, this.clock.log);
+    const records = immediateRecords();
+    const noClient = {} as unknown as StateStoreClient;
+    this.table = new JobTable(eventLoop, settings, noClient, records, {
+      ...{ onIncompleteGang: ignore, onJobAdded: ignore, onTasksPending: ignore },
+      ...{ onCompletionRecorded: ignore, onTerminalState: ignore },
+      onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
+      onJobTerminated: (job) => this.workers.jobTerminated(job),
+    });
+    this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
+      findMachineType: () => machineType,
+      ...{ higherTermSeen: ignore, placementInputChanged: ignore, taskCompleted: ignore },
+    });
+    const estimator = new DurationEstimator();
+    const noHeadroom = { memoryMs: 1000, share: 0, spare: 0 };
+    const headroom = new ClassHeadroom(noHeadroom, estimator, 0, () => null);
+    this.placement = new Placement(
+      ...([eventLoop, settings, this.table, this.workers, records, estimator, headroom] as const),
+      { attemptsExhausted: ignore },
+    );
+    for (const { id, images } of this.simulated) this.noteImages(id, images);
+    this.run(2);
+  }
+
+  get now(): number {
+    return this.clock.time;
+  }
+
+  private noteImages(machineId: string, images: Iterable<string>): void {
+    const machine = this.workers.getOrCreateMachine(machineId);
+    for (const image of images) machine.images.set(image, 1);
+  }
+
+  /** A job of one small task, but for the cluster's defaults and what is given. */
+  add(part: Partial<JobSpec> = {}): Job {
+    const spec = arraySpec({
+      ...{ id: `req-${this.table.jobs.size}`, team: 'guest', tasks: 1 },
+      ...this.options.jobDefaults,
+      ...part,
+    });
+    this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
+    return this.table.jobs.get(spec.id) ?? assert.fail(`${spec.id} was not added`);
+  }
+
+  /** A further machine like the first, on which nothing runs, with the image at hand. */
+  addMachineLike(machineId: string, id: string, image: string): void {
+    const worker = this.worker(machineId);
+    this.simulated.push({ ...worker, id, tasks: [], images: new Set([image]) });
+    this.noteImages(id, [image]);
+  }
+
+  worker(id: string): SimulatedWorker {
+    return this.simulated.find((worker) => worker.id === id) ?? assert.fail(`no worker ${id}`);
+  }
+
+  /** Tasks of the job that are on machines, by machine. */
+  tasksByMachine(job: Job): Map<string, number> {
+    const found = new Map<string, number>();
+    for (const { id, tasks } of this.simulated) {
+      const count = tasks.filter((task) => belongsTo(task, job.spec.id)).length;
+      if (count > 0) found.set(id, count);
+    }
+    return found;
+  }
+
+  /** Tasks of the job that are on machines. */
+  taskCount(jobId: string): number {
+    const tasks = this.simulated.flatMap((worker) => worker.tasks);
+    return tasks.filter((task) => belongsTo(task, jobId)).length;
+  }
+
+  /** A task of the job ends by itself. */
+  exit(job: Job, cause: ExitCause, machineId: string): void {
+    const { tasks } = this.worker(machineId);
+    const index = tasks.findIndex((task) => belongsTo(task, job.spec.id));
+    tasks.splice(index, 1, { ...(tasks[index] ?? assert.fail()), state: 'exited', cause });
+  }
+
+  /** One running task of the job completes; false if none runs. */
+  complete(jobId: string): boolean {
+    for (const { tasks } of this.simulated) {
+      const running = (task: TaskStatus): boolean => task.state === 'running';
+      const index = tasks.findIndex((task) => belongsTo(task, jobId) && running(task));
+      const task = tasks[index];
+      if (task === undefined) continue;
+      tasks.splice(index, 1, { ...task, state: 'exited', cause: 'done' });
+      return true;
+    }
+    return false;
+  }
+
+  /** What every machine has, in words. */
+  describe(): string[] {
+    return this.simulated.map(({ id, tasks }) => {
+      const words = tasks.map(({ name, attempt, state }) => `${name}@${attempt} ${state}`);
+      return [id, ...words.sort()].join(' ');
+    });
+  }
+
+  run(seconds: number): void {
+    for (let i = 0; i < seconds; i++) this.step();
+  }
+
+  /** A second: every responsive worker sends a heartbeat and does as it is told, then a pass. */
+  step(): void {
+    this.clock.time += STEP_MS;
+    for (const worker of this.simulated) if (!worker.unresponsive) this.sendHeartbeat(worker);
+    this.workers.setAnswering(true, STEP_MS);
+    this.workers.expireLeases();
+    if (this.options.runPass === undefined) this.placement.runPass();
+    else this.options.runPass(this.placement);
+    this.workers.flush();
+  }
+
+  private sendHeartbeat(worker: SimulatedWorker): void {
+    if (worker.spotNoticeS !== null) worker.spotNoticeS -= STEP_MS / 1000;
+    this.endFetches(worker);
+    const { id, zone, spot, agentEpoch, fencingToken, spotNoticeS, tasks } = worker;
+    const answer = this.workers.handleHeartbeat({
+      ...{ machine: id, addr: 'x:1', type: machineType.name, zone, spot, agentEpoch },
+      ...{ sequence: ++this.sequence, fencingToken, spotNoticeS },
+      tasks: tasks.map((task) => ({ ...task })),
+    });
+    if (answer.status !== 200) {
+      worker.agentEpoch++;
+      worker.tasks = [];
+      return;
+    }
+    const { baton, orders } = answer.body as { baton: number; orders: SentCommand[] };
+    worker.fencingToken = baton;
+    for (const command of orders) this.execute(worker, command);
+  }
+
+  private endFetches({ tasks, images, fetchedAt }: SimulatedWorker): void {
+    for (const task of tasks)
+      if (task.state === 'fetching' && (fetchedAt.get(task.name) ?? 0) <= this.now) {
+        task.state = 'running';
+        images.add(this.imageOf(task.name));
+      }
+  }
+
+  private imageOf(taskName: string): string {
+    const [jobId = ''] = taskName.split('/');
+    return this.table.jobs.get(jobId)?.spec.image ?? '';
+  }
+
+  private execute(worker: SimulatedWorker, { verb, duty, try: attempt }: SentCommand): void {
+    const { tasks, images, fetchedAt } = worker;
+    const index = tasks.findIndex((task) => task.name === duty);
+    const task = tasks[index];
+    if (verb === 'run') {
+      const fetchMs = images.has(this.imageOf(duty)) ? 0 : this.options.fetchMs;
+      fetchedAt.set(duty, this.now + fetchMs);
+      const state = fetchMs === 0 ? 'running' : 'fetching';
+      tasks.push({ name: duty, attempt, state, cause: null, checkpointSaved: false });
+    } else if (task !== undefined && verb === 'stop')
+      tasks.splice(index, 1, { ...task, state: 'exited', cause: 'stopped' });
+    else if (task !== undefined) tasks.splice(index, 1);
+  }
+}
+
+function belongsTo({ name, state }: TaskStatus, jobId: string): boolean {
+  return state !== 'exited' && name.startsWith(`${jobId}/`);
+}
+
+/** So many workers that are alike. */
+export function workersAlike(count: number, options: WorkerOptions = {}): WorkerOptions[] {
+  return Array.from({ length: count }, () => options);
+}
+
+function settingsWith(teams: string): Settings {
+  const properties = { ...defaultProperties(), 'placement.preempt.share': 1 };
+  return new Settings(standalonePlatform(teams), properties);
+}
+
+/** Settings of the clusters of services: a team with a limit, and one without a guarantee. */
+export const serviceSettings = settingsWith(`
+[[params.teams]]
+name = "owner"
+gpus = ${OWNER_GPUS}.0
+gpus_max = ${OWNER_GPUS}.0
+[[params.teams]]
+name = "guest"
+`);
+
+const batchSettings = settingsWith(`
+[[params.teams]]
+name = "owner"
+gpus = ${OWNER_GPUS}.0
+[[params.teams]]
+name = "guest"
+gpus = 1.0
+`);
+
+/** A cluster whose jobs are services of the highest priority unless a test says otherwise. */
+export function serviceCluster(workers: WorkerOptions[]): PlacementCluster {
+  const jobDefaults: Partial<JobSpec> = {
+    ...{ kind: 'service', priority: 'production', estimatedRunS: 0 },
+  };
+  return new PlacementCluster(workers, { settings: serviceSettings, jobDefaults, fetchMs: 2000 });
+}
+
+/** Two machines and job arrays of tasks with a GPU each, whose images take no time to fetch. */
+export function batchCluster(runPass?: (placement: Placement) => void): PlacementCluster {
+  return new PlacementCluster(workersAlike(2), {
+    settings: batchSettings,
+    jobDefaults: { gpus: 1, imageGb: 0, estimatedRunS: 500 },
+    fetchMs: 0,
+    ...(runPass === undefined ? {} : { runPass }),
+  });
+}
