--- a/src/controller/placement/capacity/free-capacity.ts
+++ b/src/controller/placement/capacity/free-capacity.ts
@@ -73,15 +73,15 @@
   }
 
   /** Whether at least one task fits if nothing were reserved. Cheap: it is asked of every machine. */
-  fitsIgnoringClaims(need: ResourceRequest): boolean {
+  fitsIgnoringClaims(request: ResourceRequest): boolean {
     const { machine } = this;
     const { type } = machine;
     return (
       type !== null &&
       !this.unschedulable &&
-      need.gpus <= type.gpus - machine.gpus + AMOUNT_TOLERANCE &&
-      need.cpus <= type.cpus - machine.cpus + AMOUNT_TOLERANCE &&
-      need.memoryGb <= type.memoryGb - machine.memoryGb + AMOUNT_TOLERANCE
+      request.gpus <= type.gpus - machine.gpus + AMOUNT_TOLERANCE &&
+      request.cpus <= type.cpus - machine.cpus + AMOUNT_TOLERANCE &&
+      request.memoryGb <= type.memoryGb - machine.memoryGb + AMOUNT_TOLERANCE
     );
   }
 
@@ -115,8 +115,8 @@
   }
 
   /** Tasks that fit now if nothing were reserved. */
-  countFittingIgnoringClaims(need: ResourceRequest): number {
-    return countFittingTasks(need, this.cpus, this.gpus, this.memoryGb);
+  countFittingIgnoringClaims(request: ResourceRequest): number {
+    return countFittingTasks(request, this.cpus, this.gpus, this.memoryGb);
   }
 
   private isBoundBy(headroom: HeadroomClaim, spec: JobSpec, level: number): boolean {
--- a/src/controller/placement/capacity/hypothetical-capacity.ts
+++ b/src/controller/placement/capacity/hypothetical-capacity.ts
@@ -9,33 +9,33 @@
   private memoryGb = 0;
 
   /** Beside the claims of higher ranks and what the job itself has taken already. */
-  reset(capacity: FreeCapacity, need: ResourceRequest, taken: number): void {
-    this.cpus = capacity.cpus - need.cpus * taken;
-    this.gpus = capacity.gpus - need.gpus * taken;
-    this.memoryGb = capacity.memoryGb - need.memoryGb * taken;
+  reset(capacity: FreeCapacity, request: ResourceRequest, taken: number): void {
+    this.cpus = capacity.cpus - request.cpus * taken;
+    this.gpus = capacity.gpus - request.gpus * taken;
+    this.memoryGb = capacity.memoryGb - request.memoryGb * taken;
     for (const claim of capacity.claims) if (claim.headroom === null) this.allocate(claim);
   }
 
   /** A task would be gone. */
-  release(need: ResourceRequest): void {
-    this.cpus += need.cpus;
-    this.gpus += need.gpus;
-    this.memoryGb += need.memoryGb;
+  release(request: ResourceRequest): void {
+    this.cpus += request.cpus;
+    this.gpus += request.gpus;
+    this.memoryGb += request.memoryGb;
   }
 
   /** A task would be there. */
-  allocate(need: ResourceRequest): void {
-    this.cpus -= need.cpus;
-    this.gpus -= need.gpus;
-    this.memoryGb -= need.memoryGb;
+  allocate(request: ResourceRequest): void {
+    this.cpus -= request.cpus;
+    this.gpus -= request.gpus;
+    this.memoryGb -= request.memoryGb;
   }
 
   /** Whether one more such task would fit. */
-  fits(need: ResourceRequest): boolean {
+  fits(request: ResourceRequest): boolean {
     return (
-      need.gpus <= this.gpus + AMOUNT_TOLERANCE &&
-      need.cpus <= this.cpus + AMOUNT_TOLERANCE &&
-      need.memoryGb <= this.memoryGb + AMOUNT_TOLERANCE
+      request.gpus <= this.gpus + AMOUNT_TOLERANCE &&
+      request.cpus <= this.cpus + AMOUNT_TOLERANCE &&
+      request.memoryGb <= this.memoryGb + AMOUNT_TOLERANCE
     );
   }
 }
--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -18,9 +18,9 @@
   constructor(
     private readonly settings: Settings,
     private readonly workers: Workers,
-    private readonly estimates: DurationEstimator,
+    private readonly estimator: DurationEstimator,
     /** Whether tasks may be placed on the machine now. */
-    private readonly usable: (machine: Machine, now: number) => boolean,
+    private readonly isSchedulable: (machine: Machine, now: number) => boolean,
   ) {}
 
   /** Stops the tasks that have to leave their machines now. */
@@ -38,7 +38,7 @@
   private drainTask(assignment: Assignment, leftMs: number, now: number): void {
     const { job } = assignment;
     if (assignment.stop !== null || assignment.phase === 'ended' || job === null) return;
-    if (this.estimates.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
+    if (this.estimator.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
       return;
     if (job.isService && !this.migratesNow(assignment, job, leftMs, now)) return;
     const { spec } = job;
@@ -60,18 +60,18 @@
   /** A machine that has the image, and room that no other replica is about to move to. */
   private destination(assignment: Assignment, job: Job, now: number): Machine | null {
     const { spec } = job;
-    const need = resourceRequestOf(spec);
+    const request = resourceRequestOf(spec);
     for (const machine of this.workers.machines.values()) {
       const { type, zone, spot } = machine;
       if (machine === assignment.machine || type === null || !machine.images.has(spec.image))
         continue;
-      if (!isAllowed(spec, { type, zone, spot }) || !this.usable(machine, now)) continue;
+      if (!isAllowed(spec, { type, zone, spot }) || !this.isSchedulable(machine, now)) continue;
       if (job.avoids(machine.id, now) || !zoneAllows(job, assignment, zone)) continue;
       const taken = this.moves.reservedOn(machine);
       const cpus = type.cpus - machine.cpus - taken.cpus;
       const gpus = type.gpus - machine.gpus - taken.gpus;
       const memoryGb = type.memoryGb - machine.memoryGb - taken.memoryGb;
-      if (countFittingTasks(need, cpus, gpus, memoryGb) > 0) return machine;
+      if (countFittingTasks(request, cpus, gpus, memoryGb) > 0) return machine;
     }
     return null;
   }
--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -16,7 +16,7 @@
 export class StartDeadlines {
   constructor(
     private readonly settings: StartDeadlineSettings,
-    private readonly estimates: Pick<DurationEstimator, 'runMs'>,
+    private readonly estimator: Pick<DurationEstimator, 'runMs'>,
   ) {}
 
   /**
@@ -26,7 +26,7 @@
   of(job: Job): number[] {
     const { spec } = job;
     // Estimates err; a start at the last moment would as likely as not be late.
-    const run = this.estimates.runMs(spec) * RUN_MARGIN + this.settings.heartbeatIntervalMs;
+    const run = this.estimator.runMs(spec) * RUN_MARGIN + this.settings.heartbeatIntervalMs;
     const { starts, ends } = this.settings.objectivesFor(spec.class, spec.deadlineS);
     const latest = starts.slice();
     const within = job.guaranteed ? this.settings.guaranteeObjectiveMs : null;
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -9,14 +9,14 @@
 import type { ClusterCapacity } from '../capacity/cluster-capacity.js';
 
 /** What has been seen of a class of jobs. */
-interface ClassStats {
+interface ClassStatistics {
   spec: JobSpec;
   level: number;
   /** Decaying count of tasks submitted, and when it was last brought up to date. */
   weight: number;
-  at: number;
+  updatedAt: number;
   /** Tasks of the largest job seen lately, up to a bound. */
-  together: number;
+  largestJobTasks: number;
   images: Map<string, number>;
   /** Mean time from assignment to end; 0 until one has ended. */
   occupancyMs: number;
@@ -36,19 +36,19 @@
 const JOB_DECAY = 0.95;
 
 /** Weight of the newest stay in the mean. */
-const NEWEST_STAY_WEIGHT = 0.15;
+const NEWEST_OCCUPANCY_WEIGHT = 0.15;
 
 /** Places kept for the tasks of one job that may come next. */
-const MAX_TOGETHER = 4;
+const MAX_LARGEST_JOB_TASKS = 4;
 
 /** Weight at which a class is forgotten: several times the memory after its last job. */
-const LEAST_WEIGHT = 0.005;
+const MIN_WEIGHT = 0.005;
 
 /** Classes that are passed on; they have to fit one value. */
 const MAX_EXPORTED = 12;
 
 /** A class whose tasks are this much larger on a machine than another's is kept room against it. */
-const LARGER_FACTOR = 1.5;
+const MIN_SIZE_RATIO = 1.5;
 
 /**
  * Segregation by shape (m03 §6, §9): classes of large tasks, and those that need GPUs, keep room
@@ -56,12 +56,12 @@
  * class comes and how long it stays; it is a hold in advance, for the gang that comes next.
  */
 export class ClassHeadroom {
-  private readonly classes = new Map<string, ClassStats>();
+  private readonly classes = new Map<string, ClassStatistics>();
   private startedAt: number;
 
   constructor(
     private readonly settings: HeadroomSettings,
-    private readonly estimates: DurationEstimator,
+    private readonly estimator: DurationEstimator,
     now: number,
     /** Wait within which a class should start, by the platform's objectives. */
     private readonly waitMs: (className: string) => number | null,
@@ -80,8 +80,11 @@
       spec,
       level: job.level,
       weight: (stats === undefined ? 0 : this.decayed(stats, now)) + spec.tasks,
-      at: now,
-      together: Math.min(MAX_TOGETHER, Math.max(spec.tasks, (stats?.together ?? 1) * JOB_DECAY)),
+      updatedAt: now,
+      largestJobTasks: Math.min(
+        MAX_LARGEST_JOB_TASKS,
+        Math.max(spec.tasks, (stats?.largestJobTasks ?? 1) * JOB_DECAY),
+      ),
       images,
       occupancyMs: stats?.occupancyMs ?? 0,
     });
@@ -94,12 +97,14 @@
     stats.occupancyMs =
       stats.occupancyMs === 0
         ? occupancyMs
-        : stats.occupancyMs + NEWEST_STAY_WEIGHT * (occupancyMs - stats.occupancyMs);
+        : stats.occupancyMs + NEWEST_OCCUPANCY_WEIGHT * (occupancyMs - stats.occupancyMs);
   }
 
   /** What has been seen of the classes that came last, by class, for the leader after this one. */
   exportStatistics(now: number, wall: number): Map<string, unknown> {
-    const recent = [...this.classes.values()].sort((a, b) => b.at - a.at).slice(0, MAX_EXPORTED);
+    const recent = [...this.classes.values()]
+      .sort((a, b) => b.updatedAt - a.updatedAt)
+      .slice(0, MAX_EXPORTED);
     const since = wall - (now - this.startedAt);
     return new Map(
       recent.map((stats) => [
@@ -110,8 +115,8 @@
             {
               job: writeJobSpec(stats.spec),
               weight: stats.weight,
-              at: wall - (now - stats.at),
-              together: stats.together,
+              at: wall - (now - stats.updatedAt),
+              together: stats.largestJobTasks,
               images: Object.fromEntries(stats.images),
               stay: stats.occupancyMs,
             },
@@ -140,14 +145,14 @@
       try {
         const spec = readJobSpec(record['job']);
         // Versions have written this in different places: the newest counts.
-        const at = onClock(record['at']);
-        if (at < (this.classes.get(spec.class)?.at ?? -Infinity)) continue;
+        const updatedAt = onClock(record['at']);
+        if (updatedAt < (this.classes.get(spec.class)?.updatedAt ?? -Infinity)) continue;
         this.classes.set(spec.class, {
           spec,
           level: priorityLevels[spec.priority],
           weight: Number(record['weight']),
-          at,
-          together: Number(record['together']),
+          updatedAt,
+          largestJobTasks: Number(record['together']),
           images: new Map(
             Object.entries(record['images']).map(([image, weight]) => [image, Number(weight)]),
           ),
@@ -159,16 +164,16 @@
     }
   }
 
-  private decayed(stats: ClassStats, now: number): number {
-    return stats.weight * Math.exp((stats.at - now) / this.settings.memoryMs);
+  private decayed(stats: ClassStatistics, now: number): number {
+    return stats.weight * Math.exp((stats.updatedAt - now) / this.settings.memoryMs);
   }
 
   /** Tasks of the class expected at one time. */
-  private expected(stats: ClassStats, now: number): number {
+  private expected(stats: ClassStatistics, now: number): number {
     const { memoryMs } = this.settings;
     const seenMs =
       memoryMs * (1 - Math.exp(-Math.max(now - this.startedAt, memoryMs / 4) / memoryMs));
-    const stay = stats.occupancyMs > 0 ? stats.occupancyMs : this.estimates.runMs(stats.spec);
+    const stay = stats.occupancyMs > 0 ? stats.occupancyMs : this.estimator.runMs(stats.spec);
     return (this.decayed(stats, now) / seenMs) * stay;
   }
 
@@ -176,7 +181,7 @@
   claimHeadroom(rooms: ClusterCapacity, waiting: Set<string>, now: number): void {
     // Classes are named by users: those long unseen are forgotten.
     for (const [name, stats] of this.classes)
-      if (this.decayed(stats, now) < LEAST_WEIGHT) this.classes.delete(name);
+      if (this.decayed(stats, now) < MIN_WEIGHT) this.classes.delete(name);
     const classes = [...this.classes.values()]
       .filter(
         (stats) =>
@@ -190,12 +195,12 @@
   }
 
   private planClass(
-    stats: ClassStats,
+    stats: ClassStatistics,
     rooms: FreeCapacity[],
     waiting: Set<string>,
     now: number,
   ): void {
-    const need = resourceRequestOf(stats.spec);
+    const request = resourceRequestOf(stats.spec);
     const expected = this.expected(stats, now);
     let total = 0;
     let running = 0;
@@ -203,14 +208,15 @@
     for (const capacity of rooms) {
       const { type } = capacity.machine;
       if (type === null || capacity.unschedulable) continue;
-      const all = countFittingTasks(need, type.cpus, type.gpus, type.memoryGb);
+      const all = countFittingTasks(request, type.cpus, type.gpus, type.memoryGb);
       const own = capacity.machine.taskCountByClass.get(stats.spec.class) ?? 0;
       total += all;
       running += own;
       if (all > own)
         choices.push({ capacity, places: all - own, score: this.score(stats, capacity) });
     }
-    const wanted = expected + this.settings.spare * Math.sqrt(expected) + Math.ceil(stats.together);
+    const wanted =
+      expected + this.settings.spare * Math.sqrt(expected) + Math.ceil(stats.largestJobTasks);
     let left = Math.ceil(Math.min(wanted, total * this.settings.share) - running);
     if (left <= 0) return;
     choices.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
@@ -221,16 +227,16 @@
       const count = Math.min(left, places - taken);
       if (count <= 0) continue;
       left -= count;
-      const fetch = this.estimates.fetchMs(stats.spec, capacity.machine, now);
+      const fetch = this.estimator.fetchMs(stats.spec, capacity.machine, now);
       const patience =
         waiting.has(stats.spec.class) || wait === null ? 0 : Math.max(0, wait - fetch);
       const { spec, level } = stats;
-      capacity.claimHeadroom(count, now + patience, { spec, level, minSizeRatio: LARGER_FACTOR });
+      capacity.claimHeadroom(count, now + patience, { spec, level, minSizeRatio: MIN_SIZE_RATIO });
     }
   }
 
   /** Machines that suit the class best: its images there, free, and of little use to others. */
-  private score(stats: ClassStats, capacity: FreeCapacity): number {
+  private score(stats: ClassStatistics, capacity: FreeCapacity): number {
     let known = 0;
     let all = 0;
     for (const [image, weight] of stats.images) {
--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -20,8 +20,8 @@
 function forgetfulPass(placement: Placement): void {
   placement.begin();
   const { current } = placement as unknown as { current: Record<string, unknown> };
-  assert.ok(current['failedSearches'] instanceof NegativeSearchCache);
-  Object.assign(current, { failedSearches: new ForgetfulSearchCache() });
+  assert.ok(current['negativeSearches'] instanceof NegativeSearchCache);
+  Object.assign(current, { negativeSearches: new ForgetfulSearchCache() });
   placement.advance(Infinity);
 }
 
--- a/src/controller/placement/pass/negative-search-cache.test.ts
+++ b/src/controller/placement/pass/negative-search-cache.test.ts
@@ -7,17 +7,17 @@
 
   it('knows that no larger request fits on the same kinds of machines, until cleared', () => {
     const cache = new NegativeSearchCache();
-    cache.addNoCapacity({ need: request, kinds: '0' });
-    assert.ok(cache.hasNoCapacity({ need: { ...request, cpus: 3 }, kinds: '0' }));
-    assert.ok(!cache.hasNoCapacity({ need: { ...request, cpus: 1 }, kinds: '0' }));
-    assert.ok(!cache.hasNoCapacity({ need: request, kinds: '0,4' }));
+    cache.addNoCapacity({ request: request, kinds: '0' });
+    assert.ok(cache.hasNoCapacity({ request: { ...request, cpus: 3 }, kinds: '0' }));
+    assert.ok(!cache.hasNoCapacity({ request: { ...request, cpus: 1 }, kinds: '0' }));
+    assert.ok(!cache.hasNoCapacity({ request: request, kinds: '0,4' }));
     cache.clear();
-    assert.ok(!cache.hasNoCapacity({ need: request, kinds: '0' }));
+    assert.ok(!cache.hasNoCapacity({ request: request, kinds: '0' }));
   });
 
   it('knows that there are no victims only for jobs that may preempt no more', () => {
     const cache = new NegativeSearchCache();
-    const search = { need: request, kinds: '0', team: 'red', guaranteed: false, level: 1 };
+    const search = { request: request, kinds: '0', team: 'red', guaranteed: false, level: 1 };
     cache.addNoVictims(search);
     assert.ok(cache.hasNoVictims({ ...search, level: 0 }));
     assert.ok(!cache.hasNoVictims({ ...search, level: 2 }));
--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -4,7 +4,7 @@
 
 /** A search for machines where a task can start now. */
 export interface CapacityQuery {
-  need: ResourceRequest;
+  request: ResourceRequest;
   /** The kinds of machines searched, see `nameOfKinds`. */
   kinds: string;
 }
@@ -17,8 +17,10 @@
 }
 
 /** Whether all that is needed is at least as much: where the less was too much, so is this. */
-function atLeast(need: ResourceRequest, less: ResourceRequest): boolean {
-  return need.cpus >= less.cpus && need.gpus >= less.gpus && need.memoryGb >= less.memoryGb;
+function atLeast(request: ResourceRequest, less: ResourceRequest): boolean {
+  return (
+    request.cpus >= less.cpus && request.gpus >= less.gpus && request.memoryGb >= less.memoryGb
+  );
 }
 
 /** Names a choice of kinds of machines within a pass. */
@@ -34,8 +36,8 @@
   private readonly victims: VictimQuery[] = [];
 
   /** No machine of these kinds has place for so much. */
-  hasNoCapacity({ need, kinds }: CapacityQuery): boolean {
-    return this.places.some((failed) => failed.kinds === kinds && atLeast(need, failed.need));
+  hasNoCapacity({ request, kinds }: CapacityQuery): boolean {
+    return this.places.some((failed) => failed.kinds === kinds && atLeast(request, failed.request));
   }
 
   /** Remembers that no machine had place. */
@@ -44,14 +46,14 @@
   }
 
   /** No work on machines of these kinds can be stopped for it. */
-  hasNoVictims({ need, kinds, team, guaranteed, level }: VictimQuery): boolean {
+  hasNoVictims({ request, kinds, team, guaranteed, level }: VictimQuery): boolean {
     return this.victims.some(
       (failed) =>
         failed.kinds === kinds &&
         failed.team === team &&
         failed.guaranteed === guaranteed &&
         failed.level >= level &&
-        atLeast(need, failed.need),
+        atLeast(request, failed.request),
     );
   }
 
--- a/src/controller/placement/pass/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -14,7 +14,7 @@
 export class PlacementPass {
   /** Work that found no room so far. */
   readonly shortages: Shortage[] = [];
-  readonly failedSearches = new NegativeSearchCache();
+  readonly negativeSearches = new NegativeSearchCache();
   private nextIndex = 0;
 
   constructor(
@@ -53,7 +53,7 @@
   /** Goes on after an interruption, in which machines may have reported. */
   resume(now: number, isSchedulable: (machine: Machine) => boolean): void {
     this.now = now;
-    this.failedSearches.clear();
+    this.negativeSearches.clear();
     for (const capacity of this.cluster.all) {
       capacity.unschedulable = !isSchedulable(capacity.machine);
       capacity.forecast = null;
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -45,7 +45,7 @@
 export interface QueuedJob {
   job: Job;
   rank: number;
-  granted: boolean;
+  hasPreempted: boolean;
   /** An array's second turn in the pass, on machines that have to fetch its image. */
   acceptsFetch: boolean;
 }
@@ -55,7 +55,7 @@
   return {
     job,
     rank: rankTime(job, settings, now),
-    granted: job.preemptionClaimUntil > now,
+    hasPreempted: job.preemptionClaimUntil > now,
     acceptsFetch: false,
   };
 }
@@ -88,7 +88,7 @@
 export function compareQueued(a: QueuedJob, b: QueuedJob): number {
   return (
     Number(isProductionService(b)) - Number(isProductionService(a)) ||
-    Number(b.granted) - Number(a.granted) ||
+    Number(b.hasPreempted) - Number(a.hasPreempted) ||
     Number(b.job.guaranteed) - Number(a.job.guaranteed) ||
     compareRank(a, b)
   );
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -45,13 +45,13 @@
   /** Work that found no room in the last pass. */
   shortages: Shortage[] = [];
   private current: PlacementPass | null = null;
-  private readonly rank: RankSettings;
+  private readonly rankSettings: RankSettings;
   private readonly guarantees: Guarantees;
-  private readonly drain: MachineDrainer;
-  private readonly preemption: Preemptor;
+  private readonly drainer: MachineDrainer;
+  private readonly preemptor: Preemptor;
   private readonly reservations: GangReservations;
-  private readonly gangs: GangPlacer;
-  private readonly arrays: IndependentTaskPlacer;
+  private readonly gangPlacer: GangPlacer;
+  private readonly independentTaskPlacer: IndependentTaskPlacer;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -59,37 +59,48 @@
     private readonly table: JobTable,
     private readonly workers: Workers,
     records: RecordStore,
-    readonly estimates: DurationEstimator,
-    private readonly reserve: ClassHeadroom,
+    readonly estimator: DurationEstimator,
+    private readonly headroom: ClassHeadroom,
     hooks: PlacementHooks,
   ) {
-    const { teams } = workers;
-    const targets = new ReservationCandidateFinder(settings, estimates, teams);
-    const latestStarts = new StartDeadlines(settings, estimates);
-    const candidates = new CandidateFinder(settings, estimates);
-    const starter = new TaskStarter(workers, () => hooks.attemptsExhausted());
-    const preemption = new Preemptor(eventLoop, settings, workers, targets);
-    const shared = { eventLoop, settings, teams, records, estimates, targets };
-    const reservations = new GangReservations({ ...shared, preemption });
+    const { teams: teamUsage } = workers;
+    const reservationCandidateFinder = new ReservationCandidateFinder(
+      settings,
+      estimator,
+      teamUsage,
+    );
+    const startDeadlines = new StartDeadlines(settings, estimator);
+    const candidateFinder = new CandidateFinder(settings, estimator);
+    const taskStarter = new TaskStarter(workers, () => hooks.attemptsExhausted());
+    const preemptor = new Preemptor(eventLoop, settings, workers, reservationCandidateFinder);
+    const shared = {
+      eventLoop,
+      settings,
+      teamUsage,
+      records,
+      estimator,
+      reservationCandidateFinder,
+    };
+    const reservations = new GangReservations({ ...shared, preemptor });
     this.guarantees = new Guarantees(settings.platform.teams);
-    this.drain = new MachineDrainer(settings, workers, estimates, (machine, now) =>
+    this.drainer = new MachineDrainer(settings, workers, estimator, (machine, now) =>
       isSchedulable(machine, now, workers),
     );
-    this.rank = {
+    this.rankSettings = {
       agingMs: settings.workerLeaseMs * settings.get('placement.aging.ratio'),
       preemptionBonus: settings.get('placement.preempted.bonus.ratio'),
       missedDeadlinePenalty: settings.get('placement.late.ratio'),
-      startDeadlines: (job) => latestStarts.of(job),
+      startDeadlines: (job) => startDeadlines.of(job),
     };
-    this.preemption = preemption;
+    this.preemptor = preemptor;
     this.reservations = reservations;
-    this.gangs = new GangPlacer({ ...shared, candidates, starter, reservations });
-    this.arrays = new IndependentTaskPlacer({
+    this.gangPlacer = new GangPlacer({ ...shared, candidateFinder, taskStarter, reservations });
+    this.independentTaskPlacer = new IndependentTaskPlacer({
       ...shared,
-      latestStarts,
-      candidates,
-      starter,
-      preemption,
+      startDeadlines,
+      candidateFinder,
+      taskStarter,
+      preemptor,
     });
   }
 
@@ -100,7 +111,7 @@
 
   /** Tasks stopped to make room, in this term. */
   get preemptionCount(): number {
-    return this.preemption.count;
+    return this.preemptor.count;
   }
 
   /** A pass has begun and not come to its end. */
@@ -123,16 +134,16 @@
       recordCapacityBytes(this.settings),
     );
     for (const capacity of cluster.all)
-      capacity.unschedulable = !this.usable(capacity.machine, now);
-    this.drain.run(now);
+      capacity.unschedulable = !this.isSchedulable(capacity.machine, now);
+    this.drainer.run(now);
     const queue: QueuedJob[] = [];
     let lowestLevel = Infinity;
     for (const job of this.table.jobs.values()) {
       if (job.allAssignments.size > 0 && job.level < lowestLevel) lowestLevel = job.level;
-      if (isWaiting(job, now)) queue.push(queuedJob(job, this.rank, now));
+      if (isWaiting(job, now)) queue.push(queuedJob(job, this.rankSettings, now));
     }
     const waitingClasses = new Set(this.shortages.map(({ job }) => job.spec.class));
-    this.reserve.claimHeadroom(cluster, waitingClasses, now);
+    this.headroom.claimHeadroom(cluster, waitingClasses, now);
     this.current = new PlacementPass(now, cluster, queue, lowestLevel);
   }
 
@@ -142,12 +153,12 @@
     if (pass === null) return true;
     const now = this.eventLoop.now();
     // Reports have come since: what is free is read anew, what must not be used is left out.
-    if (pass.isStarted()) pass.resume(now, (machine) => this.usable(machine, now));
+    if (pass.isStarted()) pass.resume(now, (machine) => this.isSchedulable(machine, now));
     while (!pass.isFinished()) {
       const queued = pass.take();
       if (queued?.job.terminalState !== null || !isWaiting(queued.job, pass.now)) continue;
-      if (queued.job.spec.kind === 'gang') this.gangs.place(pass, queued.job);
-      else this.arrays.place(pass, queued);
+      if (queued.job.spec.kind === 'gang') this.gangPlacer.place(pass, queued.job);
+      else this.independentTaskPlacer.place(pass, queued);
       if (this.eventLoop.now() >= deadline && !pass.isFinished()) return false;
     }
     this.shortages = pass.shortages;
@@ -155,7 +166,7 @@
     return true;
   }
 
-  private usable(machine: Machine, now: number): boolean {
+  private isSchedulable(machine: Machine, now: number): boolean {
     return isSchedulable(machine, now, this.workers);
   }
 }
--- a/src/controller/placement/placers/gang-placer.test.ts
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -19,10 +19,10 @@
     const calls: string[] = [];
     new GangPlacer({
       settings: defaultSettings,
-      teams: { allowance: () => allowance },
-      estimates: { fetchMs: () => 0 },
-      candidates: { find: () => found(pass) },
-      starter: {
+      teamUsage: { allowance: () => allowance },
+      estimator: { fetchMs: () => 0 },
+      candidateFinder: { find: () => found(pass) },
+      taskStarter: {
         nextAttempt: () => 8,
         start: (_job, _capacity, n, at) => calls.push(`${n}@${at}`),
       },
--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -19,10 +19,10 @@
 /** What the placement of gangs relies on. */
 export interface GangPlacerParts {
   settings: Pick<Settings, 'heartbeatIntervalMs' | 'startObjectiveMs'>;
-  teams: Pick<TeamUsage, 'allowance'>;
-  estimates: Pick<DurationEstimator, 'fetchMs'>;
-  candidates: Pick<CandidateFinder, 'find'>;
-  starter: Pick<TaskStarter, 'nextAttempt' | 'start'>;
+  teamUsage: Pick<TeamUsage, 'allowance'>;
+  estimator: Pick<DurationEstimator, 'fetchMs'>;
+  candidateFinder: Pick<CandidateFinder, 'find'>;
+  taskStarter: Pick<TaskStarter, 'nextAttempt' | 'start'>;
   reservations: Pick<GangReservations, 'drop' | 'find' | 'reserve'>;
 }
 
@@ -32,9 +32,9 @@
 
   /** Starts the gang or, where it does not fit or better machines come free soon, reserves room. */
   place(pass: PlacementPass, job: Job): void {
-    const { reservations, teams } = this.parts;
+    const { reservations, teamUsage } = this.parts;
     const { tasks } = job.spec;
-    if (teams.allowance(job.spec) < tasks) {
+    if (teamUsage.allowance(job.spec) < tasks) {
       setBlockedReason(job, "its team's limit is used up");
       reservations.drop(job);
       return;
@@ -49,16 +49,16 @@
   }
 
   private start(job: Job, picked: readonly Candidate[]): void {
-    const { reservations, starter } = this.parts;
-    const attempt = starter.nextAttempt();
-    for (const { capacity, count } of picked) starter.start(job, capacity, count, attempt);
+    const { reservations, taskStarter } = this.parts;
+    const attempt = taskStarter.nextAttempt();
+    for (const { capacity, count } of picked) taskStarter.start(job, capacity, count, attempt);
     setBlockedReason(job, '');
     job.preemptionClaimUntil = -Infinity;
     reservations.drop(job);
   }
 
   private pickAny(pass: PlacementPass, job: Job): Candidate[] | null {
-    const found = this.parts.candidates.find(pass, job);
+    const found = this.parts.candidateFinder.find(pass, job);
     if (found.length === 0) return null;
     for (const zone of zoneChoices(pass.cluster, job.spec)) {
       const picked = pickForGang(job, found, zone);
@@ -72,9 +72,9 @@
    * end.
    */
   private worthWaiting(pass: PlacementPass, job: Job, picked: readonly Candidate[]): boolean {
-    const { estimates, reservations, settings } = this.parts;
+    const { estimator, reservations, settings } = this.parts;
     const fetch = Math.max(
-      ...picked.map(({ capacity }) => estimates.fetchMs(job.spec, capacity.machine, pass.now)),
+      ...picked.map(({ capacity }) => estimator.fetchMs(job.spec, capacity.machine, pass.now)),
     );
     if (fetch <= settings.heartbeatIntervalMs * SHORT_FETCH) return false;
     const { capacities, readyAt } = reservations.find(pass, job);
--- a/src/controller/placement/placers/gang-reservations.test.ts
+++ b/src/controller/placement/placers/gang-reservations.test.ts
@@ -24,8 +24,8 @@
       },
       set: (key, value) => written.set(key, value),
     },
-    estimates: { fetchMs: () => 100 },
-    targets: {
+    estimator: { fetchMs: () => 100 },
+    reservationCandidateFinder: {
       find: ({ capacities }) => {
         searches++;
         return capacities.map((capacity) => ({
@@ -37,7 +37,7 @@
         }));
       },
     },
-    preemption: { preemptAll: () => true },
+    preemptor: { preemptAll: () => true },
   });
 
   it('are restored after a failover, and deleted for jobs that are gone', () => {
@@ -72,14 +72,14 @@
       eventLoop: { log: silentLogger, now: () => 0 },
       settings: defaultSettings,
       records: { list: () => [][Symbol.iterator](), set: () => undefined },
-      estimates: { fetchMs: () => 0 },
-      targets: {
+      estimator: { fetchMs: () => 0 },
+      reservationCandidateFinder: {
         find: ({ capacities }) =>
           capacities.map((capacity) => ({
             ...{ capacity, fillAt: fillMs, victims: [victim], lostWorkMs: 0, hasStopping: false },
           })),
       },
-      preemption: {
+      preemptor: {
         preemptAll: (victims) => {
           preempted += victims.length;
           return true;
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -42,7 +42,7 @@
 
 /** One machine for each task, as far as there are, and when all should have room. */
 interface GangCandidates {
-  targets: ReservationCandidate[];
+  candidates: ReservationCandidate[];
   fillAt: number;
 }
 
@@ -51,9 +51,9 @@
   eventLoop: Pick<EventLoop, 'log' | 'now'>;
   settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
   records: Pick<RecordStore, 'list' | 'set'>;
-  estimates: Pick<DurationEstimator, 'fetchMs'>;
-  targets: Pick<ReservationCandidateFinder, 'find'>;
-  preemption: Pick<Preemptor, 'preemptAll'>;
+  estimator: Pick<DurationEstimator, 'fetchMs'>;
+  reservationCandidateFinder: Pick<ReservationCandidateFinder, 'find'>;
+  preemptor: Pick<Preemptor, 'preemptAll'>;
 }
 
 /** Finds and keeps the machines that waiting gangs fill up. */
@@ -87,7 +87,7 @@
 
   /** Claims room for the gang against all lower ranks, and stops work once the gang is about to fit. */
   reserve(pass: PlacementPass, job: Job): void {
-    const { preemption, settings } = this.parts;
+    const { preemptor, settings } = this.parts;
     const { tasks } = job.spec;
     const { capacities, fillAt, victims } = this.find(pass, job);
     for (const capacity of capacities) capacity.claimForTask(resourceRequestOf(job.spec), fillAt);
@@ -99,7 +99,7 @@
     // Stopping work pays only if the whole gang can start then, and soon: what else its rooms wait
     // for takes its time, and until then the work may go on.
     const soon = fillAt - pass.now <= this.stopAheadMs(victims);
-    if (capacities.length === tasks && soon) preemption.preemptAll(victims, job);
+    if (capacities.length === tasks && soon) preemptor.preemptAll(victims, job);
   }
 
   /**
@@ -143,25 +143,25 @@
   }
 
   private search(pass: PlacementPass, job: Job): GangCapacity {
-    const { estimates } = this.parts;
-    const { targets, fillAt } = this.bestTargets(pass, job);
-    const ready = targets.map(
-      ({ capacity }) => fillAt + estimates.fetchMs(job.spec, capacity.machine, pass.now),
+    const { estimator } = this.parts;
+    const { candidates, fillAt } = this.bestCandidates(pass, job);
+    const ready = candidates.map(
+      ({ capacity }) => fillAt + estimator.fetchMs(job.spec, capacity.machine, pass.now),
     );
     return {
-      capacities: targets.map((target) => target.capacity),
+      capacities: candidates.map((candidate) => candidate.capacity),
       fillAt,
       readyAt: Math.max(...ready),
-      victims: targets.flatMap((target) => target.victims),
+      victims: candidates.flatMap((candidate) => candidate.victims),
     };
   }
 
   /** Of the zones that the gang may be in, the one that has the most places, then the soonest. */
-  private bestTargets(pass: PlacementPass, job: Job): GangCandidates {
+  private bestCandidates(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
-    let best: GangCandidates = { targets: [], fillAt: Infinity };
+    let best: GangCandidates = { candidates: [], fillAt: Infinity };
     for (const zone of zoneChoices(pass.cluster, spec)) {
-      const targets = this.parts.targets.find({
+      const candidates = this.parts.reservationCandidateFinder.find({
         now: pass.now,
         job,
         capacities: pass.cluster.ofKindsAllowedFor(spec, zone).flat(),
@@ -172,10 +172,12 @@
           : {}),
         penalty: (capacity) => machinePenalty(job, capacity),
       });
-      const whole = targets.length === spec.tasks;
-      const fillAt = whole ? Math.max(...targets.map((target) => target.fillAt)) : Infinity;
-      const more = targets.length - best.targets.length;
-      if (more > 0 || (more === 0 && fillAt < best.fillAt)) best = { targets, fillAt };
+      const whole = candidates.length === spec.tasks;
+      const fillAt = whole
+        ? Math.max(...candidates.map((candidate) => candidate.fillAt))
+        : Infinity;
+      const more = candidates.length - best.candidates.length;
+      if (more > 0 || (more === 0 && fillAt < best.fillAt)) best = { candidates, fillAt };
     }
     return best;
   }
--- a/src/controller/placement/placers/independent-task-placer.test.ts
+++ b/src/controller/placement/placers/independent-task-placer.test.ts
@@ -19,14 +19,14 @@
     const started: number[] = [];
     const placer = new IndependentTaskPlacer({
       settings: defaultSettings,
-      teams: { allowance: () => 5 },
-      latestStarts: { next: () => Infinity },
-      candidates: { find: () => [candidate(capacity, 2)] },
-      starter: { start: (_job, _capacity, count) => started.push(count) },
-      targets: {
+      teamUsage: { allowance: () => 5 },
+      startDeadlines: { next: () => Infinity },
+      candidateFinder: { find: () => [candidate(capacity, 2)] },
+      taskStarter: { start: (_job, _capacity, count) => started.push(count) },
+      reservationCandidateFinder: {
         find: () => [{ capacity, fillAt: 9, victims: [], lostWorkMs: 0, hasStopping: false }],
       },
-      preemption: { preemptAll: () => true },
+      preemptor: { preemptAll: () => true },
     });
     const array = gpuJob({ tasks: 6 });
     placer.place(pass, queued(array));
--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -16,17 +16,17 @@
 import { addTasks, tasksByZone, zoneAllowance, type TasksByZone } from '../capacity/zones.js';
 
 /** Tasks of one array that room is made for in one pass. */
-const ROOM_PER_PASS = 8;
+const MAX_PREEMPTING_TASKS = 8;
 
 /** What the placement of arrays relies on. */
 export interface IndependentTaskPlacerParts {
   settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
-  teams: Pick<TeamUsage, 'allowance'>;
-  latestStarts: Pick<StartDeadlines, 'next'>;
-  candidates: Pick<CandidateFinder, 'find'>;
-  starter: Pick<TaskStarter, 'start'>;
-  targets: Pick<ReservationCandidateFinder, 'find'>;
-  preemption: Pick<Preemptor, 'preemptAll'>;
+  teamUsage: Pick<TeamUsage, 'allowance'>;
+  startDeadlines: Pick<StartDeadlines, 'next'>;
+  candidateFinder: Pick<CandidateFinder, 'find'>;
+  taskStarter: Pick<TaskStarter, 'start'>;
+  reservationCandidateFinder: Pick<ReservationCandidateFinder, 'find'>;
+  preemptor: Pick<Preemptor, 'preemptAll'>;
 }
 
 /** Places tasks that start one by one, and makes room for them where work may be stopped. */
@@ -37,7 +37,7 @@
   place(pass: PlacementPass, queued: QueuedJob): void {
     const { job } = queued;
     const warmOnly = !queued.acceptsFetch && this.isPatient(job, pass.now);
-    const wanted = Math.min(job.pending.length, this.parts.teams.allowance(job.spec));
+    const wanted = Math.min(job.pending.length, this.parts.teamUsage.allowance(job.spec));
     if (wanted === 0) return;
     const left = this.start(pass, job, wanted, warmOnly);
     if (left === 0) job.preemptionClaimUntil = -Infinity;
@@ -58,7 +58,7 @@
    */
   private isPatient(job: Job, now: number): boolean {
     const waited = now - job.submittedAt;
-    const next = this.parts.latestStarts.next(job, waited);
+    const next = this.parts.startDeadlines.next(job, waited);
     return (
       Number.isFinite(next) && waited <= next * this.parts.settings.get('placement.warm.share')
     );
@@ -69,14 +69,14 @@
     const { spec } = job;
     const limited = spec.singleZone || spec.spread;
     const zones: TasksByZone = limited ? tasksByZone(job) : new Map<string, number>();
-    const found = this.parts.candidates.find(pass, job, warmOnly);
+    const found = this.parts.candidateFinder.find(pass, job, warmOnly);
     let left = wanted;
     for (const { capacity, count } of job.isService ? spreadReplicas(job, found) : found) {
       const { zone } = capacity.machine;
       const allowance = limited ? zoneAllowance(spec, zone, zones) : Infinity;
       const tasks = Math.min(left, count, allowance);
       if (tasks <= 0) continue;
-      this.parts.starter.start(job, capacity, tasks);
+      this.parts.taskStarter.start(job, capacity, tasks);
       addTasks(zones, zone, tasks);
       left -= tasks;
       if (left === 0) break;
@@ -98,25 +98,25 @@
    */
   private preemptForTasks(pass: PlacementPass, job: Job, tasks: number): void {
     const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
-    const need = resourceRequestOf(job.spec);
+    const request = resourceRequestOf(job.spec);
     const { team } = job.spec;
     const { guaranteed, level } = job;
-    const search = { need, kinds: machineKindsKey(kinds), team, guaranteed, level };
-    if (pass.failedSearches.hasNoVictims(search)) return;
+    const search = { request, kinds: machineKindsKey(kinds), team, guaranteed, level };
+    if (pass.negativeSearches.hasNoVictims(search)) return;
     const usable = kinds.flat().filter((capacity) => !job.avoids(capacity.machine.id, pass.now));
-    const found = this.parts.targets.find({
+    const found = this.parts.reservationCandidateFinder.find({
       now: pass.now,
       job,
       capacities: usable,
-      count: Math.min(tasks, ROOM_PER_PASS),
+      count: Math.min(tasks, MAX_PREEMPTING_TASKS),
       onlyByPreemption: true,
       penalty: (capacity) => machinePenalty(job, capacity),
     });
     if (found.length === 0 && job.avoidedMachines.size === 0)
-      pass.failedSearches.addNoVictims(search);
-    for (const target of found) {
-      if (!this.parts.preemption.preemptAll(target.victims, job)) return;
-      target.capacity.claimForTask(need, target.fillAt);
+      pass.negativeSearches.addNoVictims(search);
+    for (const candidate of found) {
+      if (!this.parts.preemptor.preemptAll(candidate.victims, job)) return;
+      candidate.capacity.claimForTask(request, candidate.fillAt);
     }
   }
 }
--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -32,27 +32,27 @@
 /** Tasks that may not be stopped and are waited for in a room, while others are stopped. */
 const MAX_WAITS = 4;
 
-const NOBODY: readonly Assignment[] = [];
+const NO_VICTIMS: readonly Assignment[] = [];
 
 /** Room for which nothing more has to be stopped. */
-function fillWithoutVictims(fillAt: number, hasStopping = false): CapacityPlan {
-  return { fillAt, victims: NOBODY, lostWorkMs: 0, hasStopping };
+function planWithoutVictims(fillAt: number, hasStopping = false): CapacityPlan {
+  return { fillAt, victims: NO_VICTIMS, lostWorkMs: 0, hasStopping };
 }
 
 /** Finds out when machines should have room, and what to stop for it. */
 export class CapacityPlanner {
-  private readonly free = new HypotheticalCapacity();
+  private readonly hypothetical = new HypotheticalCapacity();
 
   constructor(
     private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
-    private readonly estimates: Pick<DurationEstimator, 'remainingMs'>,
-    private readonly rules: PreemptionPolicy,
+    private readonly estimator: Pick<DurationEstimator, 'remainingMs'>,
+    private readonly policy: PreemptionPolicy,
   ) {}
 
   /** Whether anything is being stopped there, or might be for the job. A cheap question, asked first. */
   mayFreeCapacity(search: CapacitySearch, capacity: FreeCapacity): boolean {
-    const outlook = this.forecast(capacity, search.now);
-    return outlook.hasStopping || this.rules.mightPreempt(search.job, outlook);
+    const forecast = this.forecast(capacity, search.now);
+    return forecast.hasStopping || this.policy.mightPreempt(search.job, forecast);
   }
 
   /**
@@ -63,37 +63,38 @@
   plan(
     search: CapacitySearch,
     capacity: FreeCapacity,
-    taken: number,
-    used: Set<Assignment>,
+    plannedTasks: number,
+    plannedVictims: Set<Assignment>,
   ): CapacityPlan | null {
     if (capacity.unschedulable) return null;
     const { now, job } = search;
     const { heartbeatIntervalMs } = this.settings;
-    const { free } = this;
-    free.reset(capacity, job.spec, taken);
-    if (free.fits(job.spec)) return fillWithoutVictims(now);
-    const outlook = this.forecast(capacity, now);
-    const byItself = this.fillByItself(outlook, job.spec);
+    const { hypothetical } = this;
+    hypothetical.reset(capacity, job.spec, plannedTasks);
+    if (hypothetical.fits(job.spec)) return planWithoutVictims(now);
+    const forecast = this.forecast(capacity, now);
+    const byItself = this.planByWaiting(forecast, job.spec);
     // Soon free, by itself or because it was stopped: nothing more needs stopping.
     if (byItself === null || byItself.fillAt - now < heartbeatIntervalMs) return byItself;
     const natural = byItself.fillAt;
-    const mightStop = this.rules.mightPreempt(job, outlook);
-    if (!outlook.hasStopping && used.size === 0 && !mightStop) return fillWithoutVictims(natural);
-    free.reset(capacity, job.spec, taken);
-    const coming = this.addStopped(outlook, used, now);
-    if (free.fits(job.spec)) return fillWithoutVictims(coming, true);
-    if (!mightStop) return fillWithoutVictims(natural);
-    return this.fillByStopping(search, outlook, used, coming, natural);
+    const mightStop = this.policy.mightPreempt(job, forecast);
+    if (!forecast.hasStopping && plannedVictims.size === 0 && !mightStop)
+      return planWithoutVictims(natural);
+    hypothetical.reset(capacity, job.spec, plannedTasks);
+    const coming = this.releaseStopping(forecast, plannedVictims, now);
+    if (hypothetical.fits(job.spec)) return planWithoutVictims(coming, true);
+    if (!mightStop) return planWithoutVictims(natural);
+    return this.planByPreemption(search, forecast, plannedVictims, coming, natural);
   }
 
   /** Room once enough tasks have ended, with nothing more stopped; `null`: there is never enough. */
-  private fillByItself(outlook: MachineForecast, need: ResourceRequest): CapacityPlan | null {
+  private planByWaiting(forecast: MachineForecast, request: ResourceRequest): CapacityPlan | null {
     let hasStopping = false;
-    for (const { assignment, endsAt } of outlook.expectedEnds) {
-      this.free.release(assignment.request);
+    for (const { assignment, endsAt } of forecast.expectedEnds) {
+      this.hypothetical.release(assignment.request);
       if (assignment.stop !== null) hasStopping = true;
-      if (!this.free.fits(need)) continue;
-      return endsAt === Infinity ? null : fillWithoutVictims(endsAt, hasStopping);
+      if (!this.hypothetical.fits(request)) continue;
+      return endsAt === Infinity ? null : planWithoutVictims(endsAt, hasStopping);
     }
     return null;
   }
@@ -101,45 +102,49 @@
   /** A room's tasks in the order in which they should end by themselves, and what may be stopped. */
   forecast(capacity: FreeCapacity, now: number): MachineForecast {
     if (capacity.forecast !== null) return capacity.forecast;
-    const outlook: MachineForecast = {
+    const forecast: MachineForecast = {
       expectedEnds: [],
       hasStopping: false,
       longestSaveMs: 0,
       lowestLevel: Infinity,
       hasUnguaranteed: false,
     };
-    const youngAfter = this.rules.latestEligibleStart(now);
+    const youngAfter = this.policy.latestEligibleStart(now);
     for (const assignment of capacity.machine.assignments.values()) {
       if (assignment.phase === 'ended') continue;
       const { job, assignedAt, checkpointSaveS, stop } = assignment;
-      outlook.expectedEnds.push({
+      forecast.expectedEnds.push({
         assignment,
-        endsAt: now + this.estimates.remainingMs(assignment, now),
+        endsAt: now + this.estimator.remainingMs(assignment, now),
       });
-      outlook.longestSaveMs = Math.max(outlook.longestSaveMs, checkpointSaveS * 1000);
-      if (stop !== null) outlook.hasStopping = true;
+      forecast.longestSaveMs = Math.max(forecast.longestSaveMs, checkpointSaveS * 1000);
+      if (stop !== null) forecast.hasStopping = true;
       else if (job !== null && assignedAt <= youngAfter) {
-        if (job.level < outlook.lowestLevel) outlook.lowestLevel = job.level;
-        if (!job.guaranteed) outlook.hasUnguaranteed = true;
+        if (job.level < forecast.lowestLevel) forecast.lowestLevel = job.level;
+        if (!job.guaranteed) forecast.hasUnguaranteed = true;
       }
     }
-    if (outlook.expectedEnds.length > 1)
-      outlook.expectedEnds.sort((first, second) => first.endsAt - second.endsAt);
-    capacity.forecast = outlook;
-    return outlook;
+    if (forecast.expectedEnds.length > 1)
+      forecast.expectedEnds.sort((first, second) => first.endsAt - second.endsAt);
+    capacity.forecast = forecast;
+    return forecast;
   }
 
   /** Adds what is being stopped, or will be for the job; returns when all of that has ended. */
-  private addStopped(outlook: MachineForecast, used: Set<Assignment>, now: number): number {
+  private releaseStopping(
+    forecast: MachineForecast,
+    plannedVictims: Set<Assignment>,
+    now: number,
+  ): number {
     const { heartbeatIntervalMs } = this.settings;
     let coming = now + heartbeatIntervalMs;
-    for (const { assignment, endsAt } of outlook.expectedEnds) {
+    for (const { assignment, endsAt } of forecast.expectedEnds) {
       const { stop, checkpointSaveS, request } = assignment;
       if (stop !== null) coming = Math.max(coming, endsAt);
-      else if (used.has(assignment))
+      else if (plannedVictims.has(assignment))
         coming = Math.max(coming, now + heartbeatIntervalMs + checkpointSaveS * 1000);
       else continue;
-      this.free.release(request);
+      this.hypothetical.release(request);
     }
     return coming;
   }
@@ -148,93 +153,100 @@
    * Room by stopping work, unless waiting until `natural` costs less. What may not be stopped is waited
    * for, and the rest stopped: as few waits as will do.
    */
-  private fillByStopping(
+  private planByPreemption(
     search: CapacitySearch,
-    outlook: MachineForecast,
-    used: Set<Assignment>,
+    forecast: MachineForecast,
+    plannedVictims: Set<Assignment>,
     stoppedAt: number,
     natural: number,
   ): CapacityPlan {
     const { now, job } = search;
-    const { choice, others } = this.stoppable(search, outlook, used);
-    if (choice.length === 0) return fillWithoutVictims(natural);
-    this.rules.sortVictims(choice);
+    const { choice, others } = this.splitByPolicy(search, forecast, plannedVictims);
+    if (choice.length === 0) return planWithoutVictims(natural);
+    this.policy.sortVictims(choice);
     let coming = stoppedAt;
     for (let waits = 0; waits <= others.length && waits <= MAX_WAITS; waits++) {
       const last = others[waits - 1];
       if (last !== undefined) {
         coming = Math.max(coming, last.endsAt);
-        this.free.release(last.assignment.request);
+        this.hypothetical.release(last.assignment.request);
       }
       if (coming >= natural || (search.onlyByPreemption && waits > 0)) break;
-      const made = this.stop(job.spec, choice, coming, now);
+      const made = this.selectVictims(job.spec, choice, coming, now);
       if (made === null) continue;
       const cheaper = natural < made.fillAt + LOST_WORK_WEIGHT * made.lostWorkMs;
-      return cheaper ? fillWithoutVictims(natural) : made;
+      return cheaper ? planWithoutVictims(natural) : made;
     }
-    return fillWithoutVictims(natural);
+    return planWithoutVictims(natural);
   }
 
   /** What goes on in the room: what may be stopped for the job, and the rest. */
-  private stoppable(
+  private splitByPolicy(
     { now, job }: CapacitySearch,
-    outlook: MachineForecast,
-    used: Set<Assignment>,
+    forecast: MachineForecast,
+    plannedVictims: Set<Assignment>,
   ): { choice: ExpectedEnd[]; others: ExpectedEnd[] } {
     const choice: ExpectedEnd[] = [];
     const others: ExpectedEnd[] = [];
-    for (const end of outlook.expectedEnds) {
+    for (const end of forecast.expectedEnds) {
       const { assignment } = end;
-      if (assignment.stop !== null || used.has(assignment)) continue;
-      (this.rules.mayPreempt(job, now, assignment) ? choice : others).push(end);
+      if (assignment.stop !== null || plannedVictims.has(assignment)) continue;
+      (this.policy.mayPreempt(job, now, assignment) ? choice : others).push(end);
     }
     return { choice, others };
   }
 
   /** What is to be stopped, of what has not ended by itself by then, for room that lacks only that. */
-  private stop(
-    need: ResourceRequest,
+  private selectVictims(
+    request: ResourceRequest,
     choice: readonly ExpectedEnd[],
     coming: number,
     now: number,
   ): CapacityPlan | null {
-    const { free } = this;
+    const { hypothetical } = this;
     const added: ResourceRequest[] = [];
     for (const { assignment, endsAt } of choice) {
       if (endsAt > coming) continue;
-      free.release(assignment.request);
+      hypothetical.release(assignment.request);
       added.push(assignment.request);
     }
     let fillAt = coming;
     const victims: Assignment[] = [];
     for (const { assignment, endsAt } of choice) {
-      if (free.fits(need)) break;
+      if (hypothetical.fits(request)) break;
       if (endsAt <= coming) continue;
       victims.push(assignment);
-      free.release(assignment.request);
+      hypothetical.release(assignment.request);
       added.push(assignment.request);
       fillAt = Math.max(
         fillAt,
         now + this.settings.heartbeatIntervalMs + assignment.checkpointSaveS * 1000,
       );
     }
-    const enough = free.fits(need);
-    if (enough) this.spare(need, victims, added);
-    for (const back of added) free.allocate(back);
+    const enough = hypothetical.fits(request);
+    if (enough) this.spareNeedless(request, victims, added);
+    for (const back of added) hypothetical.allocate(back);
     if (!enough) return null;
-    const lostWorkMs = victims.reduce((sum, victim) => sum + this.rules.lostWorkMs(victim, now), 0);
+    const lostWorkMs = victims.reduce(
+      (sum, victim) => sum + this.policy.lostWorkMs(victim, now),
+      0,
+    );
     return { fillAt, victims, lostWorkMs, hasStopping: false };
   }
 
   /** Victims that the rest made needless are spared. */
-  private spare(need: ResourceRequest, victims: Assignment[], added: ResourceRequest[]): void {
-    const { free } = this;
+  private spareNeedless(
+    request: ResourceRequest,
+    victims: Assignment[],
+    added: ResourceRequest[],
+  ): void {
+    const { hypothetical } = this;
     for (const victim of [...victims]) {
-      free.allocate(victim.request);
-      if (free.fits(need)) {
+      hypothetical.allocate(victim.request);
+      if (hypothetical.fits(request)) {
         victims.splice(victims.indexOf(victim), 1);
         added.splice(added.indexOf(victim.request), 1);
-      } else free.release(victim.request);
+      } else hypothetical.release(victim.request);
     }
   }
 }
--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -12,8 +12,8 @@
 export class PreemptionPolicy {
   constructor(
     private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
-    private readonly estimates: Pick<DurationEstimator, 'fetchMs' | 'runMs'>,
-    private readonly teams: Pick<TeamUsage, 'borrows'>,
+    private readonly estimator: Pick<DurationEstimator, 'fetchMs' | 'runMs'>,
+    private readonly teamUsage: Pick<TeamUsage, 'borrows'>,
   ) {}
 
   /** Tasks assigned later than this are too young to be stopped. */
@@ -22,8 +22,8 @@
   }
 
   /** Whether any of a machine's tasks might be stopped for the job. A cheap question, asked first. */
-  mightPreempt(job: Job, outlook: MachineForecast): boolean {
-    return outlook.lowestLevel < job.level || (job.guaranteed && outlook.hasUnguaranteed);
+  mightPreempt(job: Job, forecast: MachineForecast): boolean {
+    return forecast.lowestLevel < job.level || (job.guaranteed && forecast.hasUnguaranteed);
   }
 
   /** For higher priority, or for a guarantee against borrowed room. */
@@ -37,14 +37,14 @@
     // Work inside its team's guarantee never yields to another team (m03 §7).
     if (owner.guaranteed && otherTeam) return false;
     if (owner.level < job.level) return true;
-    return job.guaranteed && otherTeam && !owner.guaranteed && this.teams.borrows(task);
+    return job.guaranteed && otherTeam && !owner.guaranteed && this.teamUsage.borrows(task);
   }
 
   /** m03 §7: borrowed room first, the newest first. */
   sortVictims(ends: ExpectedEnd[]): void {
     ends.sort(
       ({ assignment: first }, { assignment: second }) =>
-        Number(this.teams.borrows(second)) - Number(this.teams.borrows(first)) ||
+        Number(this.teamUsage.borrows(second)) - Number(this.teamUsage.borrows(first)) ||
         second.assignedAt - first.assignedAt,
     );
   }
@@ -55,10 +55,10 @@
     const { spec } = task.job;
     const ran = now - (task.runningAt ?? task.assignedAt);
     const again =
-      this.settings.heartbeatIntervalMs + this.estimates.fetchMs(spec, task.machine, now);
+      this.settings.heartbeatIntervalMs + this.estimator.fetchMs(spec, task.machine, now);
     const lost =
       spec.checkpointIntervalS > 0 ? Math.min(ran, spec.checkpointSaveS * LOST_SAVES * 1000) : ran;
     // A gang has to find its places once more.
-    return lost + again + (spec.kind === 'gang' ? this.estimates.runMs(spec) : 0);
+    return lost + again + (spec.kind === 'gang' ? this.estimator.runMs(spec) : 0);
   }
 }
--- a/src/controller/placement/search/candidate-finder.test.ts
+++ b/src/controller/placement/search/candidate-finder.test.ts
@@ -28,7 +28,10 @@
     capacityIn(pass, 'n-1').unschedulable = true;
     assert.deepEqual(finder.find(pass, gpuJob()), []);
     assert.ok(
-      pass.failedSearches.hasNoCapacity({ need: resourceRequestOf(gpuJob().spec), kinds: '0' }),
+      pass.negativeSearches.hasNoCapacity({
+        request: resourceRequestOf(gpuJob().spec),
+        kinds: '0',
+      }),
     );
   });
 });
--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -22,7 +22,7 @@
 interface CandidateSearch {
   job: Job;
   now: number;
-  need: ResourceRequest;
+  request: ResourceRequest;
   /** Only machines that have the job's image, or fetch it already. */
   warmOnly: boolean;
   /** Share of the time to a reservation's fill that short work beneath it may take. */
@@ -36,7 +36,7 @@
 export class CandidateFinder {
   constructor(
     private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
-    private readonly estimates: Pick<DurationEstimator, 'needsFetch' | 'fetchMs' | 'runMs'>,
+    private readonly estimator: Pick<DurationEstimator, 'needsFetch' | 'fetchMs' | 'runMs'>,
   ) {}
 
   /**
@@ -45,43 +45,43 @@
    */
   find(pass: PlacementPass, job: Job, warmOnly = false): Candidate[] {
     const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
-    const need = resourceRequestOf(job.spec);
-    const search = { need, kinds: machineKindsKey(kinds) };
-    if (pass.failedSearches.hasNoCapacity(search)) return [];
-    const candidateSearch = this.searchFor(pass, job, need, warmOnly);
+    const request = resourceRequestOf(job.spec);
+    const search = { request, kinds: machineKindsKey(kinds) };
+    if (pass.negativeSearches.hasNoCapacity(search)) return [];
+    const candidateSearch = this.searchFor(pass, job, request, warmOnly);
     const found: Candidate[] = [];
     let anyPlace = false;
     for (const rooms of kinds)
       for (const capacity of rooms) {
-        if (!capacity.fitsIgnoringClaims(need)) continue;
+        if (!capacity.fitsIgnoringClaims(request)) continue;
         anyPlace = true;
         const candidate = this.examine(candidateSearch, capacity);
         if (candidate !== null) found.push(candidate);
       }
-    if (!anyPlace) pass.failedSearches.addNoCapacity(search);
+    if (!anyPlace) pass.negativeSearches.addNoCapacity(search);
     return found.sort((a, b) => a.score - b.score || a.capacity.index - b.capacity.index);
   }
 
   private searchFor(
     pass: PlacementPass,
     job: Job,
-    need: ResourceRequest,
+    request: ResourceRequest,
     warmOnly: boolean,
   ): CandidateSearch {
     const { spec } = job;
     return {
       job,
       now: pass.now,
-      need,
+      request,
       warmOnly,
       backfillRatio: this.settings.get('placement.backfill.ratio'),
       record: recordSpaceOf({
         jobId: spec.id,
         team: spec.team,
-        request: need,
+        request: request,
         checkpointSaveS: spec.checkpointSaveS,
       }),
-      endsAt: pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimates.runMs(spec),
+      endsAt: pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimator.runMs(spec),
     };
   }
 
@@ -90,8 +90,8 @@
     const { job, now, record, backfillRatio } = search;
     const { machine } = capacity;
     if (job.avoids(machine.id, now)) return null;
-    if (search.warmOnly && this.estimates.needsFetch(job.spec, machine)) return null;
-    const fetchMs = this.estimates.fetchMs(job.spec, machine, now);
+    if (search.warmOnly && this.estimator.needsFetch(job.spec, machine)) return null;
+    const fetchMs = this.estimator.fetchMs(job.spec, machine, now);
     const { spec, level } = job;
     const endsAt = search.endsAt + fetchMs;
     const count = capacity.countFitting({ spec, level, endsAt, backfillRatio, now, record });
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -30,11 +30,11 @@
 }
 
 /** What a search has found so far. */
-interface Progress {
+interface SearchProgress {
   /** Tasks that are to go to each machine. */
-  taken: Map<FreeCapacity, number>;
+  plannedTasks: Map<FreeCapacity, number>;
   /** Tasks that are to be stopped. */
-  used: Set<Assignment>;
+  plannedVictims: Set<Assignment>;
   zones: TasksByZone;
   /** Machines that the job has reserved already. */
   reserved: Set<string>;
@@ -45,25 +45,25 @@
  * when the task could start there, images included, and by what stopping would lose.
  */
 export class ReservationCandidateFinder {
-  private readonly rules: PreemptionPolicy;
-  private readonly filling: CapacityPlanner;
+  private readonly policy: PreemptionPolicy;
+  private readonly planner: CapacityPlanner;
 
   constructor(
     private readonly settings: Settings,
-    private readonly estimates: DurationEstimator,
-    teams: TeamUsage,
+    private readonly estimator: DurationEstimator,
+    teamUsage: TeamUsage,
   ) {
-    this.rules = new PreemptionPolicy(settings, estimates, teams);
-    this.filling = new CapacityPlanner(settings, estimates, this.rules);
+    this.policy = new PreemptionPolicy(settings, estimator, teamUsage);
+    this.planner = new CapacityPlanner(settings, estimator, this.policy);
   }
 
   /** One machine for each task, best first; fewer where no more can have room at all. */
   find(search: ReservationSearch): ReservationCandidate[] {
     const { capacities } = search;
     const found: ReservationCandidate[] = [];
-    const progress: Progress = {
-      taken: new Map(),
-      used: new Set(),
+    const progress: SearchProgress = {
+      plannedTasks: new Map(),
+      plannedVictims: new Set(),
       zones: new Map(),
       reserved: new Set(search.job.reservation?.machines),
     };
@@ -73,12 +73,12 @@
       const best = this.cheapest(search, costs, progress.zones);
       const capacity = capacities[best];
       if (capacity === undefined) break;
-      const there = progress.taken.get(capacity) ?? 0;
-      const fill = this.filling.plan(search, capacity, there, progress.used);
-      if (fill === null) break;
-      found.push({ ...fill, capacity });
-      for (const victim of fill.victims) progress.used.add(victim);
-      progress.taken.set(capacity, there + 1);
+      const there = progress.plannedTasks.get(capacity) ?? 0;
+      const plan = this.planner.plan(search, capacity, there, progress.plannedVictims);
+      if (plan === null) break;
+      found.push({ ...plan, capacity });
+      for (const victim of plan.victims) progress.plannedVictims.add(victim);
+      progress.plannedTasks.set(capacity, there + 1);
       addTasks(progress.zones, capacity.machine.zone, 1);
       costs[best] = this.cost(search, capacity, there + 1, progress);
     }
@@ -87,7 +87,7 @@
 
   /** What stopping a task costs. */
   lostWorkMs(task: Assignment, now: number): number {
-    return this.rules.lostWorkMs(task, now);
+    return this.policy.lostWorkMs(task, now);
   }
 
   /** Place of the best machine whose zone may take one more task; -1: there is none. */
@@ -109,30 +109,30 @@
     return best;
   }
 
-  private get keptMs(): number {
+  private get stickinessMs(): number {
     return this.settings.heartbeatIntervalMs * this.settings.get('placement.hold.kept.ratio');
   }
 
   private cost(
     search: ReservationSearch,
     capacity: FreeCapacity | undefined,
-    taken: number,
-    { used, reserved }: Progress,
+    plannedTasks: number,
+    { plannedVictims, reserved }: SearchProgress,
   ): number {
     if (capacity === undefined) return Infinity;
-    if (search.onlyByPreemption && !this.filling.mayFreeCapacity(search, capacity)) return Infinity;
-    const fill = this.filling.plan(search, capacity, taken, used);
-    if (fill === null) return Infinity;
-    if (search.onlyByPreemption && fill.victims.length === 0 && !fill.hasStopping) return Infinity;
+    if (search.onlyByPreemption && !this.planner.mayFreeCapacity(search, capacity)) return Infinity;
+    const plan = this.planner.plan(search, capacity, plannedTasks, plannedVictims);
+    if (plan === null) return Infinity;
+    if (search.onlyByPreemption && plan.victims.length === 0 && !plan.hasStopping) return Infinity;
     const { machine } = capacity;
     // Reservations last: a machine already reserved is left only for one clearly better; where work
     // is stopped for it, its save would be in vain.
     const kept = reserved.has(machine.id)
-      ? this.keptMs + this.filling.forecast(capacity, search.now).longestSaveMs
+      ? this.stickinessMs + this.planner.forecast(capacity, search.now).longestSaveMs
       : 0;
-    const fetch = this.estimates.fetchMs(search.job.spec, machine, search.now);
+    const fetch = this.estimator.fetchMs(search.job.spec, machine, search.now);
     return (
-      fill.fillAt + fetch - kept + LOST_WORK_WEIGHT * fill.lostWorkMs + search.penalty(capacity)
+      plan.fillAt + fetch - kept + LOST_WORK_WEIGHT * plan.lostWorkMs + search.penalty(capacity)
     );
   }
 }
--- a/test/placement-fixtures.ts
+++ b/test/placement-fixtures.ts
@@ -71,7 +71,7 @@
 
 /** The job in the queue of a pass. */
 export function queued(job: Job, rank = 0): QueuedJob {
-  return { job, rank, granted: false, acceptsFetch: false };
+  return { job, rank, hasPreempted: false, acceptsFetch: false };
 }
 
 /** What a pass has of the free capacity of a machine. */
