--- a/src/controller/placement/capacity/cluster-capacity.ts
+++ b/src/controller/placement/capacity/cluster-capacity.ts
@@ -1,4 +1,4 @@
-/** All machines as one placement pass sees them. */
+/** The free capacity of all machines, as one placement pass sees it. */
 import type { JobSpec } from '../../wire/jobs.js';
 import type { Machine } from '../../model/entities.js';
 import { isAllowed, type MachineKind } from './machine-kind.js';
@@ -9,34 +9,37 @@
   capacities: FreeCapacity[];
 }
 
-/** The rooms of one pass, those of a kind together. */
+/** The free capacity of the machines of one pass, those of a kind together. */
 export class ClusterCapacity {
-  /** In the order in which the machines were given. */
+  /** One entry for each machine whose type is known, in the order in which they were given. */
   readonly all: FreeCapacity[] = [];
-  /** By the names of the machines. */
   readonly byMachineId = new Map<string, FreeCapacity>();
   private readonly kinds: CapacityOfKind[] = [];
 
-  constructor(machines: Iterable<Machine>, recordLimit: number) {
-    const byName = new Map<string, FreeCapacity[]>();
+  constructor(
+    machines: Iterable<Machine>,
+    /** Bytes that the tasks of a machine may take in its record. */
+    recordLimitBytes: number,
+  ) {
+    const byKindName = new Map<string, FreeCapacity[]>();
     for (const machine of machines) {
       const { type, zone, spot } = machine;
       if (type === null) continue;
-      const name = `${type.name} ${zone} ${spot ? 1 : 0}`;
-      let capacities = byName.get(name);
+      const kindName = `${type.name} ${zone} ${spot ? 1 : 0}`;
+      let capacities = byKindName.get(kindName);
       if (capacities === undefined) {
         capacities = [];
-        byName.set(name, capacities);
+        byKindName.set(kindName, capacities);
         this.kinds.push({ kind: { type, zone, spot }, capacities });
       }
-      const capacity = new FreeCapacity(machine, recordLimit, this.all.length);
+      const capacity = new FreeCapacity(machine, recordLimitBytes, this.all.length);
       capacities.push(capacity);
       this.all.push(capacity);
       this.byMachineId.set(machine.id, capacity);
     }
   }
 
-  /** Rooms that the job's tasks may be in, by kind of machine; in one zone where one is named. */
+  /** Machines that the job's tasks may be on, by kind of machine; in one zone where one is named. */
   ofKindsAllowedFor(spec: JobSpec, zone: string | null = null): FreeCapacity[][] {
     const found: FreeCapacity[][] = [];
     for (const { kind, capacities } of this.kinds)
--- a/src/controller/placement/capacity/free-capacity.ts
+++ b/src/controller/placement/capacity/free-capacity.ts
@@ -1,59 +1,44 @@
-/** A machine as a placement pass sees it: what is free, and who has claimed it. */
+/** The free capacity of one machine, as a placement pass sees it. */
 import type { JobSpec } from '../../wire/jobs.js';
 import {
   AMOUNT_TOLERANCE,
   countFittingTasks,
   type ResourceRequest,
 } from '../../model/resource-request.js';
-import type { Machine } from '../../model/entities.js';
 import type { RecordSpace } from '../../model/machine-record-size.js';
+import type { Machine } from '../../model/entities.js';
+import {
+  type CapacityClaim,
+  claimBinds,
+  type ClaimQuery,
+  type HeadroomClaim,
+  wouldIntrude,
+} from './capacity-claim.js';
 import type { MachineForecast } from './machine-forecast.js';
 
 /** Where the size of the machine's record is of no interest. */
-const NO_RECORD_COST: RecordSpace = { bytesPerJob: 0, bytesPerTask: 1 };
-
-/** A reservation in advance, for a class: it binds only work that is smaller and ranks no higher. */
-export interface HeadroomClaim {
-  spec: JobSpec;
-  level: number;
-  /** How many times as large as other work the class's tasks have to be. */
-  minSizeRatio: number;
-}
-
-/** Room of one machine that a reservation has claimed, and when it is expected to be full. */
-export interface CapacityClaim extends ResourceRequest {
-  fillAt: number;
-  /** `null`: of a gang that waits. */
-  headroom: HeadroomClaim | null;
-}
+const NO_RECORD_SPACE: RecordSpace = { bytesPerJob: 0, bytesPerTask: 1 };
 
-/** What decides how many tasks of a job fit in a room. */
-export interface FitQuery {
-  spec: JobSpec;
-  level: number;
-  /** When the tasks should have ended; Infinity: never. */
-  endsAt: number;
-  /** Share of the time to a reservation's fill that short work beneath it may take. */
-  backfillRatio: number;
-  now: number;
-  /** Bytes of a task in the machine's record. */
+/** What decides how many tasks of a job fit on a machine. */
+export interface FitQuery extends ClaimQuery {
+  /** What the tasks take in the machine's record. */
   record?: RecordSpace;
 }
 
-/** A machine as one placement pass sees it. What is free is always what the machine now has free. */
+/** The free capacity of one machine. Amounts are always those that the machine now has free. */
 export class FreeCapacity {
-  /** Nothing may be placed on it, for now. */
+  /** Nothing may be placed on the machine, for now. */
   unschedulable = false;
-  /** What reservations of higher rank have claimed in this pass. */
+  /** Claims of jobs that had their turn earlier in this pass, and of headroom. */
   readonly claims: CapacityClaim[] = [];
-  /** Made when first asked for in a pass. */
+  /** Made when it is first asked for, and dropped when a task is started on the machine. */
   forecast: MachineForecast | null = null;
 
   constructor(
     readonly machine: Machine,
     /** Bytes that the tasks of a machine may take in its record. */
-    private readonly recordLimit: number,
-    /** Place among the rooms of the pass: decides between equals. */
+    private readonly recordLimitBytes: number,
+    /** Place among the machines of the pass: decides between equals. */
     readonly index = 0,
   ) {}
 
@@ -72,7 +57,7 @@
     return (this.machine.type?.memoryGb ?? 0) - this.machine.memoryGb;
   }
 
-  /** Whether at least one task fits if nothing were reserved. Cheap: it is asked of every machine. */
+  /** Whether at least one task would fit without the claims. Cheap: it is asked of every machine. */
   fitsIgnoringClaims(request: ResourceRequest): boolean {
     const { machine } = this;
     const { type } = machine;
@@ -85,89 +70,37 @@
     );
   }
 
-  /**
-   * Tasks that fit now beside what higher ranks have reserved. Reserved room counts as free for a task
-   * that should be gone before the reservation fills.
-   */
+  /** Tasks that fit now beside the claims that bind them. */
   countFitting(query: FitQuery): number {
     if (this.unschedulable) return 0;
+    const { type } = this.machine;
     let { cpus, gpus, memoryGb } = this;
     for (const claim of this.claims) {
-      if (!this.blocks(claim, query)) continue;
+      if (!claimBinds(claim, query, type)) continue;
       cpus -= claim.cpus;
       gpus -= claim.gpus;
       memoryGb -= claim.memoryGb;
     }
-    const { spec, record = NO_RECORD_COST } = query;
-    const freeBytes = this.recordLimit - this.machine.recordSize.bytes - record.bytesPerJob;
-    const slots = Math.floor(freeBytes / record.bytesPerTask);
-    return Math.max(0, Math.min(slots, countFittingTasks(spec, cpus, gpus, memoryGb)));
-  }
-
-  private blocks(
-    claim: CapacityClaim,
-    { spec, level, endsAt, backfillRatio, now }: FitQuery,
-  ): boolean {
-    const backfills =
-      Number.isFinite(endsAt) && endsAt - now <= backfillRatio * (claim.fillAt - now);
-    if (backfills) return false;
-    return claim.headroom === null || this.isBoundBy(claim.headroom, spec, level);
+    const { spec, record = NO_RECORD_SPACE } = query;
+    const freeBytes = this.recordLimitBytes - this.machine.recordSize.bytes - record.bytesPerJob;
+    const recordSlots = Math.floor(freeBytes / record.bytesPerTask);
+    return Math.max(0, Math.min(recordSlots, countFittingTasks(spec, cpus, gpus, memoryGb)));
   }
 
-  /** Tasks that fit now if nothing were reserved. */
+  /** Tasks that would fit now without the claims. */
   countFittingIgnoringClaims(request: ResourceRequest): number {
     return countFittingTasks(request, this.cpus, this.gpus, this.memoryGb);
   }
 
-  private isBoundBy(headroom: HeadroomClaim, spec: JobSpec, level: number): boolean {
-    if (spec.kind === 'gang' || level > headroom.level) return false;
-    return this.wouldIntrude(headroom, spec);
-  }
-
-  /** Whether room kept for other classes would go to this smaller task, if it were let. */
+  /** Whether headroom of other classes is kept against tasks like this one. */
   intrudesOnHeadroom(spec: JobSpec): boolean {
+    const { type } = this.machine;
     for (const { headroom } of this.claims)
-      if (headroom !== null && this.wouldIntrude(headroom, spec)) return true;
+      if (headroom !== null && wouldIntrude(headroom, spec, type)) return true;
     return false;
   }
 
-  /** Whether the task is one of those that the class is kept room against. */
-  private wouldIntrude(headroom: HeadroomClaim, spec: JobSpec): boolean {
-    if (headroom.spec.class === spec.class) return false;
-    if (headroom.spec.kind !== 'gang' && spec.gpus > 0) return false;
-    return this.dominantShare(headroom.spec) >= headroom.minSizeRatio * this.dominantShare(spec);
-  }
-
-  /** Share of the machine that a task takes, by the kind of room that it takes most of. */
-  dominantShare(spec: JobSpec): number {
-    const { type } = this.machine;
-    if (type === null) return 1;
-    return Math.max(
-      spec.cpus / type.cpus,
-      type.gpus > 0 ? spec.gpus / type.gpus : 0,
-      spec.memoryGb / type.memoryGb,
-    );
-  }
-
-  /** Places of this machine that claims have taken from the class. */
-  countClaimedSlots(spec: JobSpec): number {
-    if (this.claims.length === 0) return 0;
-    let cpus = 0;
-    let gpus = 0;
-    let memoryGb = 0;
-    for (const claim of this.claims) {
-      cpus += claim.cpus;
-      gpus += claim.gpus;
-      memoryGb += claim.memoryGb;
-    }
-    return Math.max(
-      countTouchedSlots(cpus, spec.cpus),
-      countTouchedSlots(gpus, spec.gpus),
-      countTouchedSlots(memoryGb, spec.memoryGb),
-    );
-  }
-
-  /** Claims room ahead for tasks of a class. */
+  /** Claims headroom for so many tasks of a class. */
   claimHeadroom(count: number, fillAt: number, headroom: HeadroomClaim): void {
     const { cpus, gpus, memoryGb } = headroom.spec;
     this.claims.push({
@@ -179,13 +112,8 @@
     });
   }
 
-  /** Claims room for one task of a gang that waits. */
+  /** Claims capacity for one task of a job that waits. */
   claimForTask({ cpus, gpus, memoryGb }: ResourceRequest, fillAt: number): void {
     this.claims.push({ cpus, gpus, memoryGb, fillAt, headroom: null });
   }
 }
-
-/** Places of a size that an amount takes at least a part of. */
-function countTouchedSlots(amount: number, slotSize: number): number {
-  return slotSize > 0 ? Math.ceil(amount / slotSize - AMOUNT_TOLERANCE) : 0;
-}
--- a/src/controller/placement/capacity/hypothetical-capacity.ts
+++ b/src/controller/placement/capacity/hypothetical-capacity.ts
@@ -2,17 +2,23 @@
 import { AMOUNT_TOLERANCE, type ResourceRequest } from '../../model/resource-request.js';
 import type { FreeCapacity } from './free-capacity.js';
 
-/** What is free in a room as one thinks tasks away. One is used for all: nothing is allocated. */
+/**
+ * What would be free on a machine if some of its tasks were gone. One object serves all machines in
+ * turn, so that a search over them allocates nothing.
+ */
 export class HypotheticalCapacity {
   private cpus = 0;
   private gpus = 0;
   private memoryGb = 0;
 
-  /** Beside the claims of higher ranks and what the job itself has taken already. */
-  reset(capacity: FreeCapacity, request: ResourceRequest, taken: number): void {
-    this.cpus = capacity.cpus - request.cpus * taken;
-    this.gpus = capacity.gpus - request.gpus * taken;
-    this.memoryGb = capacity.memoryGb - request.memoryGb * taken;
+  /**
+   * Starts with what the machine has free beside the claims of jobs that wait, and `plannedTasks` tasks
+   * of the job itself. Headroom is left out: a reservation may use it.
+   */
+  reset(capacity: FreeCapacity, request: ResourceRequest, plannedTasks: number): void {
+    this.cpus = capacity.cpus - request.cpus * plannedTasks;
+    this.gpus = capacity.gpus - request.gpus * plannedTasks;
+    this.memoryGb = capacity.memoryGb - request.memoryGb * plannedTasks;
     for (const claim of capacity.claims) if (claim.headroom === null) this.allocate(claim);
   }
 
--- a/src/controller/placement/capacity/machine-kind.ts
+++ b/src/controller/placement/capacity/machine-kind.ts
@@ -1,8 +1,8 @@
-/** Kinds of machines: what machines that a job can't tell apart have in common. */
+/** Kinds of machines: machines of one kind differ for a job only in what is on them. */
 import type { MachineType } from '../../wire/cloud.js';
 import type { JobSpec } from '../../wire/jobs.js';
 
-/** Type, zone and market of machines. */
+/** Type, zone and market (spot or on-demand) of machines. */
 export interface MachineKind {
   type: MachineType;
   zone: string;
--- a/src/controller/placement/capacity/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -6,7 +6,7 @@
 /** Tasks of one job by zone. */
 export type TasksByZone = Map<string, number>;
 
-/** Tasks of the job by zone, wherever any may still be. */
+/** Counts the job's tasks by zone, those included that are not proven gone (docs/design.md, 5). */
 export function tasksByZone(job: Job): TasksByZone {
   const counts: TasksByZone = new Map();
   for (const assignment of job.allAssignments) {
@@ -21,12 +21,12 @@
   counts.set(zone, (counts.get(zone) ?? 0) + tasks);
 }
 
-/** Most tasks that one zone may have of a job that is to be spread. */
+/** Most tasks of a spread job that one zone may have. */
 function spreadLimit(spec: JobSpec): number {
   return Math.ceil(spec.tasks / 2);
 }
 
-/** How many more tasks of a job that is to be spread a zone with `tasks` of them may take. */
+/** How many more tasks of a spread job a zone may take that has `tasks` of them. */
 export function spreadAllowance(spec: JobSpec, tasks: number): number {
   return spreadLimit(spec) - tasks;
 }
@@ -38,7 +38,7 @@
   return spec.spread ? spreadAllowance(spec, counts.get(zone) ?? 0) : Infinity;
 }
 
-/** Zones to try one by one for a gang that wants one; otherwise `null`, for all at once. */
+/** Zones to search one by one for a gang that asks for a single zone; otherwise `null`, for all at once. */
 export function zoneChoices(cluster: ClusterCapacity, spec: JobSpec): (string | null)[] {
   return spec.singleZone ? cluster.zonesAllowedFor(spec) : [null];
 }
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -1,251 +1,195 @@
-/** Room kept ahead for classes of large tasks. */
-import { priorityLevels } from '../../model/job.js';
-import { type Job } from '../../model/entities.js';
-import { isMap } from '../../wire/cbor.js';
-import { readJobSpec, writeJobSpec, type JobSpec } from '../../wire/jobs.js';
-import type { DurationEstimator } from '../estimates/duration-estimator.js';
-import { resourceRequestOf, countFittingTasks } from '../../model/resource-request.js';
-import type { FreeCapacity } from '../capacity/free-capacity.js';
+/** Headroom: free capacity that is kept for classes of large tasks. */
+import type { Job } from '../../model/entities.js';
+import type { JobSpec } from '../../wire/jobs.js';
+import { countClaimedSlots, dominantShare } from '../capacity/capacity-claim.js';
 import type { ClusterCapacity } from '../capacity/cluster-capacity.js';
+import type { FreeCapacity } from '../capacity/free-capacity.js';
+import type { DurationEstimator } from '../estimates/duration-estimator.js';
+import { countFittingTasks, resourceRequestOf } from '../../model/resource-request.js';
+import { mergeRecordedStatistics, writeStatistics } from './class-statistics-record.js';
+import { ClassStatisticsTable, type ClassStatistics } from './class-statistics.js';
 
-/** What has been seen of a class of jobs. */
-interface ClassStatistics {
-  spec: JobSpec;
-  level: number;
-  /** Decaying count of tasks submitted, and when it was last brought up to date. */
-  weight: number;
-  updatedAt: number;
-  /** Tasks of the largest job seen lately, up to a bound. */
-  largestJobTasks: number;
-  images: Map<string, number>;
-  /** Mean time from assignment to end; 0 until one has ended. */
-  occupancyMs: number;
-}
-
-/** How much room is kept ahead. */
+/** How much headroom is kept. */
 export interface HeadroomSettings {
   /** Time over which arrivals are remembered. */
   memoryMs: number;
-  /** Largest share of the places a class could use that may be kept for it. */
+  /** Largest share of the slots that a class could use that may be kept for it. */
   share: number;
-  /** Places kept beyond the expected number, in standard deviations. */
+  /** Slots kept beyond the expected number, in standard deviations. */
   spare: number;
 }
 
-/** What counts of images and of sizes of jobs is less by this factor with each job. */
-const JOB_DECAY = 0.95;
+/** Headroom of a class binds tasks than which its own are this much larger on the machine. */
+const MIN_SIZE_RATIO = 1.5;
 
-/** Weight of the newest stay in the mean. */
-const NEWEST_OCCUPANCY_WEIGHT = 0.15;
+/** What speaks for a machine beside its images and its free capacity: spot, for a class that may use it. */
+const SPOT_SCORE = 0.7;
 
-/** Places kept for the tasks of one job that may come next. */
-const MAX_LARGEST_JOB_TASKS = 4;
+/** Weight of the share of the machine that a task takes. */
+const DOMINANT_SHARE_WEIGHT = 0.5;
 
-/** Weight at which a class is forgotten: several times the memory after its last job. */
-const MIN_WEIGHT = 0.005;
+/** A class, and the machines that its tasks may be on. */
+interface ClassChoice {
+  statistics: ClassStatistics;
+  capacities: FreeCapacity[];
+}
 
-/** Classes that are passed on; they have to fit one value. */
-const MAX_EXPORTED = 12;
+/** A machine that has slots for the class beside its tasks there. */
+interface ScoredMachine {
+  capacity: FreeCapacity;
+  slots: number;
+  /** Higher is better. */
+  score: number;
+}
 
-/** A class whose tasks are this much larger on a machine than another's is kept room against it. */
-const MIN_SIZE_RATIO = 1.5;
+/** The slots of a class. */
+interface ClassSlots {
+  machines: ScoredMachine[];
+  /** Of all machines together. */
+  total: number;
+  /** Those in use by the class itself. */
+  inUse: number;
+}
 
 /**
- * Segregation by shape (m03 §6, §9): classes of large tasks, and those that need GPUs, keep room
- * that small work would otherwise eat piece by piece. How much is kept follows from how often the
- * class comes and how long it stays; it is a hold in advance, for the gang that comes next.
+ * Segregation by shape (m03 §6, §9): classes of large tasks, and those that need GPUs, keep capacity
+ * free that small work would otherwise eat piece by piece. How much is kept follows from how often the
+ * class comes and how long its tasks stay; it is a reservation in advance for the gang that comes next.
  */
 export class ClassHeadroom {
-  private readonly classes = new Map<string, ClassStatistics>();
-  private startedAt: number;
+  private readonly statistics: ClassStatisticsTable;
 
   constructor(
     private readonly settings: HeadroomSettings,
-    private readonly estimator: DurationEstimator,
+    private readonly estimator: Pick<DurationEstimator, 'fetchMs' | 'runMs'>,
     now: number,
-    /** Wait within which a class should start, by the platform's objectives. */
-    private readonly waitMs: (className: string) => number | null,
+    /** Time within which a job of the class should start, by the platform's objectives. */
+    private readonly startObjectiveMs: (className: string) => number | null,
   ) {
-    this.startedAt = now;
+    this.statistics = new ClassStatisticsTable(settings.memoryMs, estimator, now);
   }
 
-  /** A job has been accepted. */
+  /** Counts an accepted job. */
   recordSubmission(job: Job, now: number): void {
-    const { spec } = job;
-    const stats = this.classes.get(spec.class);
-    const images = stats?.images ?? new Map<string, number>();
-    for (const [image, weight] of images) images.set(image, weight * JOB_DECAY);
-    images.set(spec.image, (images.get(spec.image) ?? 0) + 1);
-    this.classes.set(spec.class, {
-      spec,
-      level: job.level,
-      weight: (stats === undefined ? 0 : this.decayed(stats, now)) + spec.tasks,
-      updatedAt: now,
-      largestJobTasks: Math.min(
-        MAX_LARGEST_JOB_TASKS,
-        Math.max(spec.tasks, (stats?.largestJobTasks ?? 1) * JOB_DECAY),
-      ),
-      images,
-      occupancyMs: stats?.occupancyMs ?? 0,
-    });
+    this.statistics.recordSubmission(job, now);
   }
 
-  /** A task of the class has left its machine after this time. */
+  /** Counts a task that has left its machine after `occupancyMs`. */
   recordOccupancy(spec: JobSpec, occupancyMs: number): void {
-    const stats = this.classes.get(spec.class);
-    if (stats === undefined) return;
-    stats.occupancyMs =
-      stats.occupancyMs === 0
-        ? occupancyMs
-        : stats.occupancyMs + NEWEST_OCCUPANCY_WEIGHT * (occupancyMs - stats.occupancyMs);
+    this.statistics.recordOccupancy(spec, occupancyMs);
   }
 
-  /** What has been seen of the classes that came last, by class, for the leader after this one. */
-  exportStatistics(now: number, wall: number): Map<string, unknown> {
-    const recent = [...this.classes.values()]
-      .sort((a, b) => b.updatedAt - a.updatedAt)
-      .slice(0, MAX_EXPORTED);
-    const since = wall - (now - this.startedAt);
-    return new Map(
-      recent.map((stats) => [
-        stats.spec.class,
-        {
-          since,
-          classes: [
-            {
-              job: writeJobSpec(stats.spec),
-              weight: stats.weight,
-              at: wall - (now - stats.updatedAt),
-              together: stats.largestJobTasks,
-              images: Object.fromEntries(stats.images),
-              stay: stats.occupancyMs,
-            },
-          ],
-        },
-      ]),
-    );
+  /** What has been observed of the classes that came last, by class, for the next leader. */
+  exportStatistics(now: number, wallClockMs: number): Map<string, unknown> {
+    return writeStatistics(this.statistics, { now, wallClockMs });
   }
 
   /**
-   * What the leaders before have left, and then the live jobs: of a class without a record the first
-   * stands for what came before. A leader that comes without this would let small work flood the
-   * room of large classes.
+   * Takes over what earlier leaders have recorded, and then the active jobs: of a class without a record
+   * the first stands for what came before. A leader that began without this would let small work flood
+   * the machines that large classes need.
    */
-  restore(recorded: Iterable<unknown>, live: Iterable<Job>, now: number, wall: number): void {
-    for (const value of recorded) this.import(value, now, wall);
-    for (const job of live) if (!this.classes.has(job.spec.class)) this.recordSubmission(job, now);
-  }
-
-  private import(value: unknown, now: number, wall: number): void {
-    if (!isMap(value) || !Array.isArray(value['classes'])) return;
-    const onClock = (at: unknown): number => now - Math.max(0, wall - Number(at));
-    this.startedAt = Math.min(this.startedAt, onClock(value['since']));
-    for (const record of value['classes'] as unknown[]) {
-      if (!isMap(record) || !isMap(record['images'])) continue;
-      try {
-        const spec = readJobSpec(record['job']);
-        // Versions have written this in different places: the newest counts.
-        const updatedAt = onClock(record['at']);
-        if (updatedAt < (this.classes.get(spec.class)?.updatedAt ?? -Infinity)) continue;
-        this.classes.set(spec.class, {
-          spec,
-          level: priorityLevels[spec.priority],
-          weight: Number(record['weight']),
-          updatedAt,
-          largestJobTasks: Number(record['together']),
-          images: new Map(
-            Object.entries(record['images']).map(([image, weight]) => [image, Number(weight)]),
-          ),
-          occupancyMs: Number(record['stay']),
-        });
-      } catch {
-        // Of another version: it will be learned again.
-      }
-    }
-  }
-
-  private decayed(stats: ClassStatistics, now: number): number {
-    return stats.weight * Math.exp((stats.updatedAt - now) / this.settings.memoryMs);
-  }
-
-  /** Tasks of the class expected at one time. */
-  private expected(stats: ClassStatistics, now: number): number {
-    const { memoryMs } = this.settings;
-    const seenMs =
-      memoryMs * (1 - Math.exp(-Math.max(now - this.startedAt, memoryMs / 4) / memoryMs));
-    const stay = stats.occupancyMs > 0 ? stats.occupancyMs : this.estimator.runMs(stats.spec);
-    return (this.decayed(stats, now) / seenMs) * stay;
+  restore(
+    recorded: Iterable<unknown>,
+    activeJobs: Iterable<Job>,
+    now: number,
+    wallClockMs: number,
+  ): void {
+    const { statistics } = this;
+    for (const value of recorded) mergeRecordedStatistics(statistics, value, { now, wallClockMs });
+    for (const job of activeJobs)
+      if (!statistics.has(job.spec.class)) statistics.recordSubmission(job, now);
   }
 
-  /** Adds the claims of all classes to the rooms. */
-  claimHeadroom(rooms: ClusterCapacity, waiting: Set<string>, now: number): void {
-    // Classes are named by users: those long unseen are forgotten.
-    for (const [name, stats] of this.classes)
-      if (this.decayed(stats, now) < MIN_WEIGHT) this.classes.delete(name);
-    const classes = [...this.classes.values()]
-      .filter(
-        (stats) =>
-          stats.spec.kind === 'gang' || (stats.spec.kind === 'array' && stats.spec.gpus > 0),
-      )
-      .map((stats) => ({ stats, rooms: rooms.ofKindsAllowedFor(stats.spec).flat() }))
-      .filter((choice) => choice.rooms.length > 0)
-      // Who has the least choice chooses first.
-      .sort((a, b) => a.rooms.length - b.rooms.length || b.stats.level - a.stats.level);
-    for (const choice of classes) this.planClass(choice.stats, choice.rooms, waiting, now);
+  /** Claims the headroom of all classes. `waitingClasses`: those with jobs that found no capacity. */
+  claimHeadroom(cluster: ClusterCapacity, waitingClasses: Set<string>, now: number): void {
+    this.statistics.forgetUnseen(now);
+    const choices = this.statistics
+      .values()
+      .filter(({ spec }) => hasHeadroom(spec))
+      .map((statistics) => ({
+        statistics,
+        capacities: cluster.ofKindsAllowedFor(statistics.spec).flat(),
+      }))
+      .filter(({ capacities }) => capacities.length > 0)
+      .sort(compareChoices);
+    for (const { statistics, capacities } of choices)
+      this.claimForClass(statistics, capacities, waitingClasses, now);
   }
 
-  private planClass(
-    stats: ClassStatistics,
-    rooms: FreeCapacity[],
-    waiting: Set<string>,
+  private claimForClass(
+    statistics: ClassStatistics,
+    capacities: FreeCapacity[],
+    waitingClasses: Set<string>,
     now: number,
   ): void {
-    const request = resourceRequestOf(stats.spec);
-    const expected = this.expected(stats, now);
-    let total = 0;
-    let running = 0;
-    const choices: { capacity: FreeCapacity; places: number; score: number }[] = [];
-    for (const capacity of rooms) {
-      const { type } = capacity.machine;
-      if (type === null || capacity.unschedulable) continue;
-      const all = countFittingTasks(request, type.cpus, type.gpus, type.memoryGb);
-      const own = capacity.machine.taskCountByClass.get(stats.spec.class) ?? 0;
-      total += all;
-      running += own;
-      if (all > own)
-        choices.push({ capacity, places: all - own, score: this.score(stats, capacity) });
-    }
-    const wanted =
-      expected + this.settings.spare * Math.sqrt(expected) + Math.ceil(stats.largestJobTasks);
-    let left = Math.ceil(Math.min(wanted, total * this.settings.share) - running);
+    const { spec, level } = statistics;
+    const slots = findSlots(statistics, capacities);
+    let left = this.slotsToKeep(statistics, slots, now);
     if (left <= 0) return;
-    choices.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
-    const wait = this.waitMs(stats.spec.class);
-    for (const { capacity, places } of choices) {
+    slots.machines.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
+    const objectiveMs = waitingClasses.has(spec.class) ? null : this.startObjectiveMs(spec.class);
+    for (const { capacity, slots: available } of slots.machines) {
       if (left <= 0) break;
-      const taken = capacity.countClaimedSlots(stats.spec);
-      const count = Math.min(left, places - taken);
+      const count = Math.min(left, available - countClaimedSlots(capacity.claims, spec));
       if (count <= 0) continue;
       left -= count;
-      const fetch = this.estimator.fetchMs(stats.spec, capacity.machine, now);
-      const patience =
-        waiting.has(stats.spec.class) || wait === null ? 0 : Math.max(0, wait - fetch);
-      const { spec, level } = stats;
-      capacity.claimHeadroom(count, now + patience, { spec, level, minSizeRatio: MIN_SIZE_RATIO });
+      const fetchMs = this.estimator.fetchMs(spec, capacity.machine, now);
+      const patienceMs = objectiveMs === null ? 0 : Math.max(0, objectiveMs - fetchMs);
+      capacity.claimHeadroom(count, now + patienceMs, {
+        spec,
+        level,
+        minSizeRatio: MIN_SIZE_RATIO,
+      });
     }
   }
 
-  /** Machines that suit the class best: its images there, free, and of little use to others. */
-  private score(stats: ClassStatistics, capacity: FreeCapacity): number {
-    let known = 0;
-    let all = 0;
-    for (const [image, weight] of stats.images) {
-      all += weight;
-      if (capacity.machine.images.has(image)) known += weight;
-    }
-    const warm = all > 0 ? known / all : 0;
-    const free = capacity.countFittingIgnoringClaims(resourceRequestOf(stats.spec)) > 0 ? 1 : 0;
-    const spot = stats.spec.spot && capacity.machine.spot ? 0.7 : 0;
-    return warm + free + spot + capacity.dominantShare(stats.spec) * 0.5;
+  /** How many slots to keep beside those in use: for the expected tasks, some spare, and a further job. */
+  private slotsToKeep(statistics: ClassStatistics, slots: ClassSlots, now: number): number {
+    const { share, spare } = this.settings;
+    const expected = this.statistics.expectedTasks(statistics, now);
+    const wanted = expected + spare * Math.sqrt(expected) + Math.ceil(statistics.largestJobTasks);
+    return Math.ceil(Math.min(wanted, slots.total * share) - slots.inUse);
+  }
+}
+
+/** Headroom is kept for gangs, and for job arrays that need GPUs. */
+function hasHeadroom({ kind, gpus }: JobSpec): boolean {
+  return kind === 'gang' || (kind === 'array' && gpus > 0);
+}
+
+/** Classes with the fewest machines to choose from choose first, then those of higher priority. */
+function compareChoices(a: ClassChoice, b: ClassChoice): number {
+  return a.capacities.length - b.capacities.length || b.statistics.level - a.statistics.level;
+}
+
+function findSlots(statistics: ClassStatistics, capacities: FreeCapacity[]): ClassSlots {
+  const request = resourceRequestOf(statistics.spec);
+  const slots: ClassSlots = { machines: [], total: 0, inUse: 0 };
+  for (const capacity of capacities) {
+    const { type, taskCountByClass } = capacity.machine;
+    if (type === null || capacity.unschedulable) continue;
+    const total = countFittingTasks(request, type.cpus, type.gpus, type.memoryGb);
+    const inUse = taskCountByClass.get(statistics.spec.class) ?? 0;
+    slots.total += total;
+    slots.inUse += inUse;
+    if (total > inUse)
+      slots.machines.push({ capacity, slots: total - inUse, score: score(statistics, capacity) });
+  }
+  return slots;
+}
+
+/** Machines that suit the class best: its images there, free, and of little use to others. */
+function score({ spec, images }: ClassStatistics, capacity: FreeCapacity): number {
+  const { machine } = capacity;
+  let known = 0;
+  let all = 0;
+  for (const [image, weight] of images) {
+    all += weight;
+    if (machine.images.has(image)) known += weight;
   }
+  const warm = all > 0 ? known / all : 0;
+  const free = capacity.countFittingIgnoringClaims(resourceRequestOf(spec)) > 0 ? 1 : 0;
+  const spot = spec.spot && machine.spot ? SPOT_SCORE : 0;
+  return warm + free + spot + dominantShare(spec, machine.type) * DOMINANT_SHARE_WEIGHT;
 }
