--- a/src/controller/placement/guarantees.test.ts
+++ b/src/controller/placement/guarantees.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { gpuJob } from '../../../test/placement-fixtures.js';
 import { batchCluster } from '../../../test/placement-cluster.js';
-import { Guarantees } from '../workers/team-usage.js';
+import { Guarantees } from './guarantees.js';
 
 describe('work inside a guarantee', () => {
   it('does not wait for capacity that other teams borrow', () => {
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -1,48 +1,57 @@
-/** Placement of what waits: the parts of a pass put together, and its beginning and end. */
-import type { EventLoop } from '../runtime/event-loop.js';
+/** Placement of waiting jobs: the parts of a pass put together, and its beginning and end. */
 import type { Job, Machine } from '../model/entities.js';
 import type { JobTable } from '../jobs/job-table.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
 import { recordCapacityBytes } from '../model/machine-record-size.js';
 import type { Workers } from '../workers/workers.js';
-import { IndependentTaskPlacer } from './placers/independent-task-placer.js';
-import { CandidateFinder } from './search/candidate-finder.js';
+import { ClusterCapacity } from './capacity/cluster-capacity.js';
+import { isSchedulable } from './capacity/schedulable-machines.js';
 import { MachineDrainer } from './draining/machine-drainer.js';
 import type { DurationEstimator } from './estimates/duration-estimator.js';
-import { GangPlacer } from './placers/gang-placer.js';
-import { GangReservations } from './placers/gang-reservations.js';
 import { StartDeadlines } from './estimates/start-deadlines.js';
+import { Guarantees } from './guarantees.js';
+import type { ClassHeadroom } from './headroom/class-headroom.js';
 import { PlacementPass, type Shortage } from './pass/placement-pass.js';
-import { Preemptor } from './preemption/preemptor.js';
 import { type QueuedJob, queuedJob, type RankSettings } from './pass/rank.js';
-import type { ClassHeadroom } from './headroom/class-headroom.js';
-import { ClusterCapacity } from './capacity/cluster-capacity.js';
-import { ReservationCandidateFinder } from './search/reservation-candidate-finder.js';
+import { GangPlacer } from './placers/gang-placer.js';
+import { GangReservations } from './placers/gang-reservations.js';
+import { IndependentTaskPlacer } from './placers/independent-task-placer.js';
 import { TaskStarter } from './placers/task-starter.js';
-import { Guarantees } from '../workers/team-usage.js';
-import { isSchedulable } from './capacity/schedulable-machines.js';
+import { PreemptionPolicy } from './preemption/preemption-policy.js';
+import { Preemptor } from './preemption/preemptor.js';
+import { CandidateFinder } from './search/candidate-finder.js';
+import { ReservationCandidateFinder } from './search/reservation-candidate-finder.js';
 
 /** What placement asks of the controller around it. */
 export interface PlacementHooks {
-  /** This term has used up its attempts: a new one must begin. */
+  /** This term has used up its attempt numbers: a new one must begin. */
   attemptsExhausted(): void;
 }
 
-/** The job has tasks that may be placed now. */
+/** Whether the job has tasks that may be placed now. */
 function isWaiting(job: Job, now: number): boolean {
   return (
     job.pending.length > 0 && !job.gangRestarting && job.ending === null && job.backoffUntil <= now
   );
 }
 
+function rankSettingsFrom(settings: Settings, startDeadlines: StartDeadlines): RankSettings {
+  return {
+    agingMs: settings.workerLeaseMs * settings.get('placement.aging.ratio'),
+    preemptionBonus: settings.get('placement.preempted.bonus.ratio'),
+    missedDeadlinePenalty: settings.get('placement.late.ratio'),
+    startDeadlines: (job) => startDeadlines.of(job),
+  };
+}
+
 /**
- * Places what waits, by rank. A gang that does not fit reserves the room that it has found and the
- * machines it fills up; lower ranks get only what is left, or short work that ends before the
- * reservation fills (m03 R2).
+ * Places waiting jobs, by rank. A gang that does not fit reserves the machines that it is to start on;
+ * lower ranks get only what is left, or short work that ends before the reservation is filled (m03 R2).
  */
 export class Placement {
-  /** Work that found no room in the last pass. */
+  /** What found no free capacity in the last pass. */
   shortages: Shortage[] = [];
   private current: PlacementPass | null = null;
   private readonly rankSettings: RankSettings;
@@ -64,68 +73,48 @@
     hooks: PlacementHooks,
   ) {
     const { teams: teamUsage } = workers;
-    const reservationCandidateFinder = new ReservationCandidateFinder(
-      settings,
-      estimator,
-      teamUsage,
-    );
+    const policy = new PreemptionPolicy(settings, estimator, teamUsage);
     const startDeadlines = new StartDeadlines(settings, estimator);
-    const candidateFinder = new CandidateFinder(settings, estimator);
-    const taskStarter = new TaskStarter(workers, () => hooks.attemptsExhausted());
-    const preemptor = new Preemptor(eventLoop, settings, workers, reservationCandidateFinder);
-    const shared = {
-      eventLoop,
-      settings,
-      teamUsage,
-      records,
-      estimator,
-      reservationCandidateFinder,
-    };
-    const reservations = new GangReservations({ ...shared, preemptor });
+    this.rankSettings = rankSettingsFrom(settings, startDeadlines);
     this.guarantees = new Guarantees(settings.platform.teams);
     this.drainer = new MachineDrainer(settings, workers, estimator, (machine, now) =>
       isSchedulable(machine, now, workers),
     );
-    this.rankSettings = {
-      agingMs: settings.workerLeaseMs * settings.get('placement.aging.ratio'),
-      preemptionBonus: settings.get('placement.preempted.bonus.ratio'),
-      missedDeadlinePenalty: settings.get('placement.late.ratio'),
-      startDeadlines: (job) => startDeadlines.of(job),
+    this.preemptor = new Preemptor(eventLoop, settings, workers, policy);
+    const parts = {
+      ...{ eventLoop, settings, records, teamUsage, estimator, startDeadlines },
+      preemptor: this.preemptor,
+      candidateFinder: new CandidateFinder(settings, estimator),
+      reservationCandidateFinder: new ReservationCandidateFinder(settings, estimator, policy),
+      taskStarter: new TaskStarter(workers, () => hooks.attemptsExhausted()),
     };
-    this.preemptor = preemptor;
-    this.reservations = reservations;
-    this.gangPlacer = new GangPlacer({ ...shared, candidateFinder, taskStarter, reservations });
-    this.independentTaskPlacer = new IndependentTaskPlacer({
-      ...shared,
-      startDeadlines,
-      candidateFinder,
-      taskStarter,
-      preemptor,
-    });
+    this.reservations = new GangReservations(parts);
+    this.gangPlacer = new GangPlacer({ ...parts, reservations: this.reservations });
+    this.independentTaskPlacer = new IndependentTaskPlacer(parts);
   }
 
-  /** The reservations of the leaders before, read at takeover. */
+  /** Restores the reservations of earlier leaders, after a failover. */
   loadReservations(): void {
     this.reservations.load(this.table);
   }
 
-  /** Tasks stopped to make room, in this term. */
+  /** Tasks preempted in this term. */
   get preemptionCount(): number {
     return this.preemptor.count;
   }
 
-  /** A pass has begun and not come to its end. */
+  /** Whether a pass has begun and not come to its end. */
   get passInProgress(): boolean {
     return this.current !== null;
   }
 
-  /** A whole pass. */
+  /** Runs a whole pass. */
   runPass(): void {
     this.begin();
     this.advance(Infinity);
   }
 
-  /** Begins a pass over all that waits now. */
+  /** Begins a pass over the jobs that wait now. */
   begin(): void {
     const now = this.eventLoop.now();
     this.guarantees.mark(this.table.jobs.values());
@@ -147,12 +136,12 @@
     this.current = new PlacementPass(now, cluster, queue, lowestLevel);
   }
 
-  /** Goes on with the pass until `deadline`; true once it is over. */
+  /** Goes on with the pass until `deadline`, on the controller's clock; true once it is over. */
   advance(deadline: number): boolean {
     const pass = this.current;
     if (pass === null) return true;
     const now = this.eventLoop.now();
-    // Reports have come since: what is free is read anew, what must not be used is left out.
+    // Heartbeats may have come since: machines that must not be used any more are left out.
     if (pass.isStarted()) pass.resume(now, (machine) => this.isSchedulable(machine, now));
     while (!pass.isFinished()) {
       const queued = pass.take();
--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -1,12 +1,12 @@
-/** Which tasks may be stopped for a job, in which order, and what that loses. */
+/** Which tasks may be preempted for a job, in which order, and what that loses. */
 import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import type { ExpectedEnd, MachineForecast } from '../capacity/machine-forecast.js';
 import type { TeamUsage } from '../../workers/team-usage.js';
 
-/** Most that a task with checkpoints loses, in times of its save. */
-const LOST_SAVES = 2;
+/** Most that a task with checkpoints loses, as a multiple of the time of a save. */
+const MAX_LOST_SAVES = 2;
 
 /** The rules of preemption (PROTOCOL, "Preemption"; m03 §7). */
 export class PreemptionPolicy {
@@ -16,17 +16,17 @@
     private readonly teamUsage: Pick<TeamUsage, 'borrows'>,
   ) {}
 
-  /** Tasks assigned later than this are too young to be stopped. */
+  /** Tasks assigned later than this are too young to be preempted. */
   latestEligibleStart(now: number): number {
     return now - this.settings.get('placement.victim.age.s') * 1000;
   }
 
-  /** Whether any of a machine's tasks might be stopped for the job. A cheap question, asked first. */
+  /** Whether any task of a machine might be preempted for the job. Cheap: it is asked first. */
   mightPreempt(job: Job, forecast: MachineForecast): boolean {
     return forecast.lowestLevel < job.level || (job.guaranteed && forecast.hasUnguaranteed);
   }
 
-  /** For higher priority, or for a guarantee against borrowed room. */
+  /** Whether the job may preempt the task: by its priority, or by its guarantee against borrowed capacity. */
   mayPreempt(job: Job, now: number, task: Assignment): boolean {
     const owner = task.job;
     if (owner === null || owner.gangRestarting || owner.terminalState !== null) return false;
@@ -40,7 +40,7 @@
     return job.guaranteed && otherTeam && !owner.guaranteed && this.teamUsage.borrows(task);
   }
 
-  /** m03 §7: borrowed room first, the newest first. */
+  /** Puts those to preempt first first: on borrowed capacity before others, then the newest (m03 §7). */
   sortVictims(ends: ExpectedEnd[]): void {
     ends.sort(
       ({ assignment: first }, { assignment: second }) =>
@@ -49,16 +49,18 @@
     );
   }
 
-  /** What stopping a task costs: its run so far, or its save, and starting it again. */
+  /** What preempting a task costs: its run since the last checkpoint, and starting it again. */
   lostWorkMs(task: Assignment, now: number): number {
     if (task.job === null || task.state === 'fetching' || task.state === null) return 0;
     const { spec } = task.job;
-    const ran = now - (task.runningAt ?? task.assignedAt);
-    const again =
+    const ranMs = now - (task.runningAt ?? task.assignedAt);
+    const restartMs =
       this.settings.heartbeatIntervalMs + this.estimator.fetchMs(spec, task.machine, now);
-    const lost =
-      spec.checkpointIntervalS > 0 ? Math.min(ran, spec.checkpointSaveS * LOST_SAVES * 1000) : ran;
+    const lostMs =
+      spec.checkpointIntervalS > 0
+        ? Math.min(ranMs, spec.checkpointSaveS * MAX_LOST_SAVES * 1000)
+        : ranMs;
     // A gang has to find its places once more.
-    return lost + again + (spec.kind === 'gang' ? this.estimator.runMs(spec) : 0);
+    return lostMs + restartMs + (spec.kind === 'gang' ? this.estimator.runMs(spec) : 0);
   }
 }
--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -1,26 +1,26 @@
-/** Stopping of tasks for work that goes before them, and its limit. */
+/** Preemption of tasks, and its limit. */
 import type { EventLoop } from '../../runtime/event-loop.js';
 import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
 
-/** Tasks that may be stopped within a lease whatever the share of all tasks is. */
+/** Tasks that may be preempted within a worker lease, however few there are in all. */
 const MIN_LIMIT = 4;
 
-/** What stops tasks. */
+/** What stops tasks on their workers. */
 export type TaskStopper = Pick<Workers, 'assignedCount' | 'stop' | 'stopJob'>;
 
-/** Tells what stopping a task loses. */
+/** Tells what preempting a task loses. */
 export interface PreemptionCost {
   lostWorkMs(assignment: Assignment, now: number): number;
 }
 
-/** Stops tasks to make room for others, at most a share of all tasks within a lease. */
+/** Preempts tasks for jobs that go before them, at most a share of all tasks within a worker lease. */
 export class Preemptor {
-  /** Tasks stopped to make room, in this term. */
+  /** Tasks preempted in this term. */
   count = 0;
-  /** When tasks were stopped to make room, over the last lease. */
-  private recent: number[] = [];
+  /** When tasks were preempted within the last worker lease. */
+  private recentTimes: number[] = [];
   private throttledAt = -Infinity;
 
   constructor(
@@ -30,53 +30,53 @@
     private readonly cost: PreemptionCost,
   ) {}
 
-  /** Stops all of the victims or, where that is too much at a time, none. */
-  preemptAll(victims: readonly Assignment[], preemptor: Job): boolean {
+  /** Preempts all of the victims or, where the limit does not allow that, none; returns whether it has. */
+  preemptAll(victims: readonly Assignment[], preempting: Job): boolean {
     if (victims.length === 0) return true;
     const now = this.eventLoop.now();
     const { workerLeaseMs } = this.settings;
-    this.recent = this.recent.filter((at) => now - at < workerLeaseMs);
+    this.recentTimes = this.recentTimes.filter((at) => now - at < workerLeaseMs);
     const share = this.settings.get('placement.preempt.share');
     const limit = Math.max(MIN_LIMIT, share * this.workers.assignedCount);
-    if (this.recent.length + victims.length > limit) {
-      if (now - this.throttledAt > workerLeaseMs) this.logThrottled(victims, preemptor, limit);
+    if (this.recentTimes.length + victims.length > limit) {
+      if (now - this.throttledAt > workerLeaseMs) this.logThrottled(victims, preempting, limit);
       return false;
     }
-    for (const victim of victims) this.preempt(victim, preemptor);
+    for (const victim of victims) this.preempt(victim, preempting);
     return true;
   }
 
-  private logThrottled(victims: readonly Assignment[], preemptor: Job, limit: number): void {
+  private logThrottled(victims: readonly Assignment[], preempting: Job, limit: number): void {
     const now = this.eventLoop.now();
     this.throttledAt = now;
     const lostWorkMs = victims.reduce((sum, victim) => sum + this.cost.lostWorkMs(victim, now), 0);
     this.eventLoop.log.warn(
       {
-        job: preemptor.spec.id,
-        team: preemptor.spec.team,
-        stopped: this.recent.length,
-        most: Math.floor(limit),
-        wouldStop: victims.map((victim) => victim.jobId),
-        wouldLoseTaskSeconds: Math.round(lostWorkMs / 1000),
+        job: preempting.spec.id,
+        team: preempting.spec.team,
+        preemptedInLease: this.recentTimes.length,
+        limit: Math.floor(limit),
+        victims: victims.map((victim) => victim.jobId),
+        lostTaskSeconds: Math.round(lostWorkMs / 1000),
       },
       'preemption throttled: the job waits; raise placement.preempt.share to let it through',
     );
   }
 
-  private preempt(victim: Assignment, preemptor: Job): void {
+  private preempt(victim: Assignment, preempting: Job): void {
     if (victim.stop !== null || victim.phase === 'ended') return;
     const { job } = victim;
     if (job === null) return;
     job.preemptionCount++;
-    preemptor.preemptionClaimUntil = this.eventLoop.now() + this.settings.workerLeaseMs;
+    preempting.preemptionClaimUntil = this.eventLoop.now() + this.settings.workerLeaseMs;
     this.count++;
-    this.recent.push(this.eventLoop.now());
+    this.recentTimes.push(this.eventLoop.now());
     this.eventLoop.log.info(
       {
         job: victim.jobId,
         task: victim.task,
         machine: victim.machine.id,
-        by: preemptor.spec.id,
+        preemptingJob: preempting.spec.id,
       },
       'preempted',
     );
--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -9,6 +9,7 @@
 import type { Assignment, Machine } from '../../model/entities.js';
 import { DurationEstimator } from '../estimates/duration-estimator.js';
 import { resourceRequestOf } from '../../model/resource-request.js';
+import { PreemptionPolicy } from '../preemption/preemption-policy.js';
 import { ReservationCandidateFinder } from './reservation-candidate-finder.js';
 import { TeamUsage } from '../../workers/team-usage.js';
 
@@ -37,7 +38,8 @@
   // reservations took them for machines that had to be waited for whole.
   it('waits for work that may not be preempted, and preempts what would run longer', () => {
     const estimator = new DurationEstimator();
-    const finder = new ReservationCandidateFinder(defaultSettings, estimator, new TeamUsage([]));
+    const policy = new PreemptionPolicy(defaultSettings, estimator, new TeamUsage([]));
+    const finder = new ReservationCandidateFinder(defaultSettings, estimator, policy);
     const machine = bigMachine();
     const kept = runOn(machine, 'other', 80, true);
     const borrowed = [runOn(machine, 'red', 900), runOn(machine, 'red', 900)];
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -1,27 +1,27 @@
-/** Search for the machines that a job fills up, and for the work to stop for it. */
+/** Search for the machines that a waiting job reserves, and for the work to preempt for it. */
 import type { Settings } from '../../settings/settings.js';
 import type { Assignment } from '../../model/entities.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 import {
   LOST_WORK_WEIGHT,
-  CapacityPlanner,
   type CapacityPlan,
   type CapacitySearch,
-} from '../preemption/capacity-planner.js';
-import type { TeamUsage } from '../../workers/team-usage.js';
-import { PreemptionPolicy } from '../preemption/preemption-policy.js';
+} from '../preemption/capacity-plan.js';
+import { CapacityPlanner } from '../preemption/capacity-planner.js';
+import { MachineForecaster } from '../preemption/machine-forecaster.js';
+import type { PreemptionPolicy } from '../preemption/preemption-policy.js';
 import { addTasks, type TasksByZone } from '../capacity/zones.js';
 
-/** A machine for one task. */
+/** A machine for one task, and how it gets capacity for it. */
 export interface ReservationCandidate extends CapacityPlan {
   capacity: FreeCapacity;
 }
 
-/** What machines are searched for. */
+/** For what machines are searched. */
 export interface ReservationSearch extends CapacitySearch {
   capacities: FreeCapacity[];
-  /** Tasks to find room for. */
+  /** Tasks to find a machine for. */
   count: number;
   /** How many more tasks of the job a zone may take; absent where zones don't matter. */
   zoneAllowance?: (zone: string, there: number) => number;
@@ -33,31 +33,31 @@
 interface SearchProgress {
   /** Tasks that are to go to each machine. */
   plannedTasks: Map<FreeCapacity, number>;
-  /** Tasks that are to be stopped. */
+  /** Tasks that are to be preempted. */
   plannedVictims: Set<Assignment>;
   zones: TasksByZone;
-  /** Machines that the job has reserved already. */
+  /** Machines that the job has reserved already, by name. */
   reserved: Set<string>;
 }
 
 /**
- * Finds the machines that a reservation fills up, and the work to stop for it. Machines are weighed by
- * when the task could start there, images included, and by what stopping would lose.
+ * Finds the machines to reserve for a job, and the work to preempt for it. Machines are weighed by when
+ * the task could start there, its image fetch included, and by the work that would be lost.
  */
 export class ReservationCandidateFinder {
-  private readonly policy: PreemptionPolicy;
+  private readonly forecaster: MachineForecaster;
   private readonly planner: CapacityPlanner;
 
   constructor(
-    private readonly settings: Settings,
+    private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
     private readonly estimator: DurationEstimator,
-    teamUsage: TeamUsage,
+    policy: PreemptionPolicy,
   ) {
-    this.policy = new PreemptionPolicy(settings, estimator, teamUsage);
-    this.planner = new CapacityPlanner(settings, estimator, this.policy);
+    this.forecaster = new MachineForecaster(estimator, policy);
+    this.planner = new CapacityPlanner(settings, this.forecaster, policy);
   }
 
-  /** One machine for each task, best first; fewer where no more can have room at all. */
+  /** One machine for each task, best first; fewer where no more can have capacity at all. */
   find(search: ReservationSearch): ReservationCandidate[] {
     const { capacities } = search;
     const found: ReservationCandidate[] = [];
@@ -73,24 +73,19 @@
       const best = this.cheapest(search, costs, progress.zones);
       const capacity = capacities[best];
       if (capacity === undefined) break;
-      const there = progress.plannedTasks.get(capacity) ?? 0;
-      const plan = this.planner.plan(search, capacity, there, progress.plannedVictims);
+      const plannedTasks = progress.plannedTasks.get(capacity) ?? 0;
+      const plan = this.planner.plan(search, capacity, plannedTasks, progress.plannedVictims);
       if (plan === null) break;
       found.push({ ...plan, capacity });
       for (const victim of plan.victims) progress.plannedVictims.add(victim);
-      progress.plannedTasks.set(capacity, there + 1);
+      progress.plannedTasks.set(capacity, plannedTasks + 1);
       addTasks(progress.zones, capacity.machine.zone, 1);
-      costs[best] = this.cost(search, capacity, there + 1, progress);
+      costs[best] = this.cost(search, capacity, plannedTasks + 1, progress);
     }
     return found;
   }
 
-  /** What stopping a task costs. */
-  lostWorkMs(task: Assignment, now: number): number {
-    return this.policy.lostWorkMs(task, now);
-  }
-
-  /** Place of the best machine whose zone may take one more task; -1: there is none. */
+  /** Index of the cheapest machine whose zone may take one more task; -1: there is none. */
   private cheapest(search: ReservationSearch, costs: Float64Array, zones: TasksByZone): number {
     let best = -1;
     let bestCost = Infinity;
@@ -109,10 +104,12 @@
     return best;
   }
 
+  /** How much later a machine that the job has reserved may be than another, and still be kept. */
   private get stickinessMs(): number {
     return this.settings.heartbeatIntervalMs * this.settings.get('placement.hold.kept.ratio');
   }
 
+  /** When the task could start there, plus what that loses, in milliseconds; `Infinity`: never. */
   private cost(
     search: ReservationSearch,
     capacity: FreeCapacity | undefined,
@@ -125,14 +122,14 @@
     if (plan === null) return Infinity;
     if (search.onlyByPreemption && plan.victims.length === 0 && !plan.hasStopping) return Infinity;
     const { machine } = capacity;
-    // Reservations last: a machine already reserved is left only for one clearly better; where work
-    // is stopped for it, its save would be in vain.
-    const kept = reserved.has(machine.id)
-      ? this.stickinessMs + this.planner.forecast(capacity, search.now).longestSaveMs
+    // Reservations last: a reserved machine is left only for a clearly better one; where work is being
+    // preempted for it, its save would be in vain.
+    const keptMs = reserved.has(machine.id)
+      ? this.stickinessMs + this.forecaster.forecast(capacity, search.now).longestSaveMs
       : 0;
-    const fetch = this.estimator.fetchMs(search.job.spec, machine, search.now);
+    const fetchMs = this.estimator.fetchMs(search.job.spec, machine, search.now);
     return (
-      plan.fillAt + fetch - kept + LOST_WORK_WEIGHT * plan.lostWorkMs + search.penalty(capacity)
+      plan.fillAt + fetchMs - keptMs + LOST_WORK_WEIGHT * plan.lostWorkMs + search.penalty(capacity)
     );
   }
 }
