--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -1,4 +1,4 @@
-/** Emptying of machines that will be taken or returned. */
+/** Draining of machines that will be interrupted or released. */
 import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
@@ -8,34 +8,34 @@
 import { countFittingTasks, resourceRequestOf } from '../../model/resource-request.js';
 import { spreadAllowance } from '../capacity/zones.js';
 
-/** A replica leaves a machine that goes at least this long before, in report intervals. */
-const MOVE_AHEAD = 1.5;
+/** A replica leaves its machine at least this long before the interruption, in heartbeat intervals. */
+const MIGRATION_LEAD = 1.5;
 
-/** Empties machines that will be taken or returned, where that saves something. */
+/** Evicts tasks from machines that will be interrupted or released, where that saves work. */
 export class MachineDrainer {
-  private readonly moves = new Migrations();
+  private readonly migrations = new Migrations();
 
   constructor(
-    private readonly settings: Settings,
-    private readonly workers: Workers,
-    private readonly estimator: DurationEstimator,
+    private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
+    private readonly workers: Pick<Workers, 'machines' | 'stop' | 'stopJob'>,
+    private readonly estimator: Pick<DurationEstimator, 'remainingMs'>,
     /** Whether tasks may be placed on the machine now. */
     private readonly isSchedulable: (machine: Machine, now: number) => boolean,
   ) {}
 
-  /** Stops the tasks that have to leave their machines now. */
+  /** Evicts the tasks that have to leave their machines now. */
   run(now: number): void {
-    this.moves.removeFinished();
+    this.migrations.removeFinished();
     for (const machine of this.workers.machines.values()) {
       if (machine.interruptionAt === null && !machine.releasing) continue;
       const leftMs = machine.interruptionAt === null ? Infinity : machine.interruptionAt - now;
       for (const assignment of [...machine.assignments.values()])
-        this.drainTask(assignment, leftMs, now);
+        this.evictIfLate(assignment, leftMs, now);
     }
   }
 
-  /** Stops a task that would not end in time by itself. */
-  private drainTask(assignment: Assignment, leftMs: number, now: number): void {
+  /** Evicts a task that would not end in time by itself. */
+  private evictIfLate(assignment: Assignment, leftMs: number, now: number): void {
     const { job } = assignment;
     if (assignment.stop !== null || assignment.phase === 'ended' || job === null) return;
     if (this.estimator.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
@@ -44,20 +44,20 @@
     const { spec } = job;
     const saves = spec.checkpointIntervalS > 0 && assignment.state === 'running';
     const graceS = saves ? spec.checkpointSaveS : 0;
-    if (spec.kind === 'gang') this.workers.stopJob(job, graceS, 'machine goes');
-    else this.workers.stop(assignment, graceS, 'machine goes');
+    if (spec.kind === 'gang') this.workers.stopJob(job, graceS, 'machine drained');
+    else this.workers.stop(assignment, graceS, 'machine drained');
   }
 
-  /** A replica moves as soon as it can start elsewhere at once, and else as late as is safe. */
+  /** A replica migrates as soon as it can start elsewhere at once, and otherwise as late as is safe. */
   private migratesNow(assignment: Assignment, job: Job, leftMs: number, now: number): boolean {
-    if (leftMs < this.settings.heartbeatIntervalMs * MOVE_AHEAD) return true;
+    if (leftMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD) return true;
     const destination = this.destination(assignment, job, now);
     if (destination === null) return false;
-    this.moves.begin(assignment, job, destination);
+    this.migrations.begin(assignment, job, destination);
     return true;
   }
 
-  /** A machine that has the image, and room that no other replica is about to move to. */
+  /** A machine with the image and capacity that no other replica migrates to; `null`: there is none. */
   private destination(assignment: Assignment, job: Job, now: number): Machine | null {
     const { spec } = job;
     const request = resourceRequestOf(spec);
@@ -67,10 +67,10 @@
         continue;
       if (!isAllowed(spec, { type, zone, spot }) || !this.isSchedulable(machine, now)) continue;
       if (job.avoids(machine.id, now) || !zoneAllows(job, assignment, zone)) continue;
-      const taken = this.moves.reservedOn(machine);
-      const cpus = type.cpus - machine.cpus - taken.cpus;
-      const gpus = type.gpus - machine.gpus - taken.gpus;
-      const memoryGb = type.memoryGb - machine.memoryGb - taken.memoryGb;
+      const reserved = this.migrations.reservedOn(machine);
+      const cpus = type.cpus - machine.cpus - reserved.cpus;
+      const gpus = type.gpus - machine.gpus - reserved.gpus;
+      const memoryGb = type.memoryGb - machine.memoryGb - reserved.memoryGb;
       if (countFittingTasks(request, cpus, gpus, memoryGb) > 0) return machine;
     }
     return null;
@@ -79,11 +79,11 @@
 
 /** Whether a replica that leaves its machine may start in the zone, beside the others of its service. */
 function zoneAllows({ allAssignments, spec }: Job, leaving: Assignment, zone: string): boolean {
-  let there = 0;
+  let inZone = 0;
   for (const assignment of allAssignments) {
     if (assignment === leaving || assignment.phase === 'ended') continue;
-    if (assignment.machine.zone === zone) there++;
+    if (assignment.machine.zone === zone) inZone++;
     else if (spec.singleZone) return false;
   }
-  return !spec.spread || spreadAllowance(spec, there) > 0;
+  return !spec.spread || spreadAllowance(spec, inZone) > 0;
 }
--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -1,24 +1,24 @@
-/** Replicas of services that are moved from machines that go. */
+/** Migrations of replicas from machines that are drained. */
 import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { ResourceRequest } from '../../model/resource-request.js';
 
-/** A replica that was stopped because another machine has a place ready for it. */
+/** A replica that was stopped because it can start at once on another machine. */
 interface Migration {
   from: Assignment;
   job: Job;
   to: Machine;
 }
 
-/** Replicas on the move: none of their places is ready for a second one. */
+/** The migrations that are not over: what they take on their destinations is not there for others. */
 export class Migrations {
   private migrations: Migration[] = [];
 
-  /** The replica leaves its machine, and is to start again on the other. */
+  /** The replica leaves its machine and is to start again on the other. */
   begin(from: Assignment, job: Job, to: Machine): void {
     this.migrations.push({ from, job, to });
   }
 
-  /** Forgets the moves that are over: the replica has a place again, or none is wanted any more. */
+  /** Forgets the migrations that are over: the replica is assigned again, or its job has ended. */
   removeFinished(): void {
     this.migrations = this.migrations.filter(({ from, job }) => {
       const current = job.currentAssignments.get(from.task);
@@ -26,15 +26,15 @@
     });
   }
 
-  /** What the replicas that move to the machine will take there. */
+  /** What the replicas that migrate to the machine will take there. */
   reservedOn(machine: Machine): ResourceRequest {
-    const taken = { cpus: 0, gpus: 0, memoryGb: 0 };
+    const reserved = { cpus: 0, gpus: 0, memoryGb: 0 };
     for (const { from, to } of this.migrations) {
       if (to !== machine) continue;
-      taken.cpus += from.request.cpus;
-      taken.gpus += from.request.gpus;
-      taken.memoryGb += from.request.memoryGb;
+      reserved.cpus += from.request.cpus;
+      reserved.gpus += from.request.gpus;
+      reserved.memoryGb += from.request.memoryGb;
     }
-    return taken;
+    return reserved;
   }
 }
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -1,28 +1,41 @@
-/** How long runs and image fetches take. */
+/** Estimates of how long runs and image fetches take. */
 import type { Assignment, Job, Machine } from '../../model/entities.js';
 import { isMap } from '../../wire/cbor.js';
 import type { JobSpec } from '../../wire/jobs.js';
 
-/** Weight of the newest run in what is known of a class. */
+/** Weight of the newest run in the statistics of its class. */
 const NEWEST_RUN_WEIGHT = 0.15;
+
 /** A run counts as this many times its estimate at most, and as the inverse at least. */
-const LARGEST_RATIO = 4;
-/** Classes remembered; users name them, so they could be many. */
+const MAX_RATIO = 4;
+
+/** Classes remembered; users name them, so there could be any number. */
 const MAX_CLASSES = 40;
+
 /** Classes with longer names are not recorded. */
 const MAX_NAME_LENGTH = 64;
-/** How far owners are off, as the standard deviation of a logarithm, before anything is known: by half. */
-const USUAL_ERROR = 0.5;
-const LEAST_ERROR = 0.1;
 
-/** How a class's runs compare with its owners' estimates, in logarithms. */
+/** Standard deviation of the logarithm of a run's ratio to its estimate, before anything is known. */
+const PRIOR_DEVIATION = 0.5;
+
+/** The least standard deviation that is counted with. */
+const MIN_DEVIATION = 0.1;
+
+/** The least time in which a task that is being stopped is taken to be gone. */
+const MIN_STOP_MS = 500;
+
+/** The least rest of a run that has no estimate, and its rest as a share of what it has taken. */
+const MIN_REST_MS = 1000;
+const REST_SHARE = 1 / 4;
+
+/** Ratios of a class's runs to the estimates that came with the jobs, as logarithms. */
 interface RunTimeStatistics {
   mean: number;
   variance: number;
 }
 
-/** The task may still be waiting for its image. */
-function fetches(assignment: Assignment): assignment is Assignment & { job: Job } {
+/** Whether the task may still be waiting for its image. */
+function mayBeFetching(assignment: Assignment): assignment is Assignment & { job: Job } {
   return (
     assignment.job !== null &&
     assignment.phase !== 'ended' &&
@@ -31,17 +44,17 @@
 }
 
 /**
- * How long things take. Owners err by half, and on some days all one way, so their estimates are
- * corrected by what each class was seen to take, and trusted as far as it was seen to agree.
+ * Estimates durations. The run times that users give err by half, and at times all one way: so they are
+ * corrected by what each class was observed to take, and trusted as far as its runs agreed with them.
  */
 export class DurationEstimator {
   private readonly statistics = new Map<string, RunTimeStatistics>();
 
-  /** A task of the class has run for so long. */
-  observe(spec: JobSpec, tookMs: number): void {
-    if (spec.estimatedRunS <= 0 || tookMs <= 0) return;
-    const ratio = tookMs / (spec.estimatedRunS * 1000);
-    const bounded = Math.min(LARGEST_RATIO, Math.max(1 / LARGEST_RATIO, ratio));
+  /** Learns from a task that has run for `ranMs`. */
+  observe(spec: JobSpec, ranMs: number): void {
+    if (spec.estimatedRunS <= 0 || ranMs <= 0) return;
+    const ratio = ranMs / (spec.estimatedRunS * 1000);
+    const bounded = Math.min(MAX_RATIO, Math.max(1 / MAX_RATIO, ratio));
     const { mean, variance } = this.statisticsOf(spec.class);
     const deviation = Math.log(bounded) - mean;
     this.statistics.delete(spec.class);
@@ -56,10 +69,10 @@
   }
 
   private statisticsOf(className: string): RunTimeStatistics {
-    return this.statistics.get(className) ?? { mean: 0, variance: USUAL_ERROR ** 2 };
+    return this.statistics.get(className) ?? { mean: 0, variance: PRIOR_DEVIATION ** 2 };
   }
 
-  /** What has been learned, for the leader after this one. */
+  /** What has been learned, for the next leader: mean and variance by class. */
   exportStatistics(): Record<string, [number, number]> {
     const recorded = [...this.statistics].filter(
       ([className]) => className.length <= MAX_NAME_LENGTH,
@@ -69,7 +82,7 @@
     );
   }
 
-  /** Takes over what an earlier leader has learned. */
+  /** Takes over what an earlier leader has learned; what is not of this form is skipped. */
   importStatistics(learned: unknown): void {
     if (!isMap(learned)) return;
     for (const [className, recorded] of Object.entries(learned)) {
@@ -79,73 +92,73 @@
     }
   }
 
-  /** How long runs of the class take, as a ratio to their owners' estimates. */
+  /** Expected ratio of the class's runs to the estimates that came with the jobs. */
   runTimeRatio(className: string): number {
     return Math.exp(this.statisticsOf(className).mean);
   }
 
-  /** How long a task of the job should run; Infinity for a service. */
+  /** How long a task of the job should run; `Infinity` for a service. */
   runMs(spec: JobSpec): number {
     if (spec.kind === 'service') return Infinity;
     return spec.estimatedRunS * 1000 * this.runTimeRatio(spec.class);
   }
 
-  /** How long a task that is put there now waits for its image. */
+  /** How long a task that is assigned to the machine now waits for its image. */
   fetchMs(spec: JobSpec, machine: Machine, now: number): number {
     if (machine.images.has(spec.image)) return 0;
-    const rate = machine.type?.fetchGbPerS ?? 0;
-    if (rate <= 0) return 0;
+    const gbPerS = machine.type?.fetchGbPerS ?? 0;
+    if (gbPerS <= 0) return 0;
     // Images that are fetched at the same time share the rate; each delays by at most its own size.
     // A machine fetches an image once, so a task joins a fetch that is under way.
-    let gb = spec.imageGb;
-    let since = now;
-    let others: Set<string> | null = null;
+    let fetchGb = spec.imageGb;
+    let startedAt = now;
+    let otherImages: Set<string> | null = null;
     for (const assignment of machine.assignments.values()) {
-      if (!fetches(assignment)) continue;
+      if (!mayBeFetching(assignment)) continue;
       const other = assignment.job.spec;
-      if (other.image === spec.image) since = Math.min(since, assignment.assignedAt);
+      if (other.image === spec.image) startedAt = Math.min(startedAt, assignment.assignedAt);
       if (other.image === spec.image || machine.images.has(other.image)) continue;
-      others ??= new Set();
-      if (others.has(other.image)) continue;
-      others.add(other.image);
-      gb += Math.min(other.imageGb, spec.imageGb);
+      otherImages ??= new Set();
+      if (otherImages.has(other.image)) continue;
+      otherImages.add(other.image);
+      fetchGb += Math.min(other.imageGb, spec.imageGb);
     }
-    return Math.max(0, (gb / rate) * 1000 - (now - since));
+    return Math.max(0, (fetchGb / gbPerS) * 1000 - (now - startedAt));
   }
 
-  /** Whether a task there would need a fetch of its own. */
+  /** Whether a task on the machine would need an image fetch of its own. */
   needsFetch(spec: JobSpec, machine: Machine): boolean {
     if (machine.images.has(spec.image)) return false;
     for (const assignment of machine.assignments.values())
-      if (fetches(assignment) && assignment.job.spec.image === spec.image) return false;
+      if (mayBeFetching(assignment) && assignment.job.spec.image === spec.image) return false;
     return true;
   }
 
-  /** Until the task has left its machine by itself. */
+  /** Time until the task should have left its machine by itself. */
   remainingMs(assignment: Assignment, now: number): number {
     if (assignment.stop !== null || assignment.job === null)
       return Math.max(
-        500,
+        MIN_STOP_MS,
         assignment.checkpointSaveS * 1000 * Math.sign(assignment.stop?.graceS ?? 0),
       );
     const { spec } = assignment.job;
     if (assignment.runningAt === null && assignment.state !== 'running')
       return this.fetchMs(spec, assignment.machine, now) + this.runMs(spec);
-    return this.leftMs(spec, now - (assignment.runningAt ?? assignment.assignedAt));
+    return this.restOfRunMs(spec, now - (assignment.runningAt ?? assignment.assignedAt));
   }
 
   /**
-   * What a run that has taken so long should take yet: the median of the rest where runs spread about
-   * the estimate as a log-logistic distribution does. So a class whose owners err much is not taken to
-   * be nearly done because its estimate says so, nor because it is over.
+   * How much longer a run should take after `elapsedMs`: the median of the rest, where run times have a
+   * log-logistic distribution about the estimate. So a task of a class with unreliable estimates is not
+   * taken to be nearly done because its estimate says so, nor because the estimate is over.
    */
-  private leftMs(spec: JobSpec, elapsedMs: number): number {
+  private restOfRunMs(spec: JobSpec, elapsedMs: number): number {
     const runMs = this.runMs(spec);
     if (!Number.isFinite(runMs)) return runMs;
-    if (runMs <= 0) return Math.max(1000, elapsedMs / 4);
-    const error = Math.max(LEAST_ERROR, Math.sqrt(this.statisticsOf(spec.class).variance));
-    const shape = Math.PI / (Math.sqrt(3) * error);
-    const longest = (1 + 2 * (elapsedMs / runMs) ** shape) ** (1 / shape);
-    return Number.isFinite(longest) ? runMs * longest - elapsedMs : elapsedMs / 4;
+    if (runMs <= 0) return Math.max(MIN_REST_MS, elapsedMs * REST_SHARE);
+    const deviation = Math.max(MIN_DEVIATION, Math.sqrt(this.statisticsOf(spec.class).variance));
+    const shape = Math.PI / (Math.sqrt(3) * deviation);
+    const medianRatio = (1 + 2 * (elapsedMs / runMs) ** shape) ** (1 / shape);
+    return Number.isFinite(medianRatio) ? runMs * medianRatio - elapsedMs : elapsedMs * REST_SHARE;
   }
 }
--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -1,18 +1,18 @@
-/** When a job has to start at the latest to meet what is expected of it. */
+/** Start deadlines: when a job has to start at the latest to meet its objectives. */
 import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { DurationEstimator } from './duration-estimator.js';
 
-/** Share of its estimate by which a run is allowed to take longer when its latest start is set. */
+/** A run is allowed to take this many times its estimate when its start deadline is set. */
 const RUN_MARGIN = 1.3;
 
-/** The settings that latest starts follow from. */
+/** The settings that start deadlines follow from. */
 export type StartDeadlineSettings = Pick<
   Settings,
   'objectivesFor' | 'guaranteeObjectiveMs' | 'heartbeatIntervalMs'
 >;
 
-/** Derives latest starts from the objectives of the platform and a job's due time. */
+/** Derives start deadlines from the platform's objectives and a job's own deadline. */
 export class StartDeadlines {
   constructor(
     private readonly settings: StartDeadlineSettings,
@@ -20,23 +20,23 @@
   ) {}
 
   /**
-   * Latest starts, as times since the job's submission and in no order: for its class's wait, its
-   * team's guarantee, and each of its ends.
+   * The job's start deadlines, as times since its submission and in no order: for the start objective of
+   * its class, its team's guarantee, and each time by which it should have ended.
    */
   of(job: Job): number[] {
     const { spec } = job;
     // Estimates err; a start at the last moment would as likely as not be late.
-    const run = this.estimator.runMs(spec) * RUN_MARGIN + this.settings.heartbeatIntervalMs;
+    const runMs = this.estimator.runMs(spec) * RUN_MARGIN + this.settings.heartbeatIntervalMs;
     const { starts, ends } = this.settings.objectivesFor(spec.class, spec.deadlineS);
-    const latest = starts.slice();
-    const within = job.guaranteed ? this.settings.guaranteeObjectiveMs : null;
-    if (within !== null) latest.push(within);
-    for (const end of ends) latest.push(Math.max(0, end - run));
-    return latest;
+    const deadlines = starts.slice();
+    const guaranteeMs = job.guaranteed ? this.settings.guaranteeObjectiveMs : null;
+    if (guaranteeMs !== null) deadlines.push(guaranteeMs);
+    for (const end of ends) deadlines.push(Math.max(0, end - runMs));
+    return deadlines;
   }
 
-  /** The next latest start that the job can still meet; `Infinity` if there is none. */
+  /** The next start deadline that the job can still meet; `Infinity` if there is none. */
   next(job: Job, waitedMs: number): number {
-    return Math.min(...this.of(job).filter((latest) => latest >= waitedMs));
+    return Math.min(...this.of(job).filter((deadline) => deadline >= waitedMs));
   }
 }
--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -1,70 +1,72 @@
-/** What a placement pass remembers of searches without a result, so that none is made twice. */
+/** Negative cache of a placement pass: searches without a result, so that none is made twice. */
 import type { ResourceRequest } from '../../model/resource-request.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** A search for machines where a task can start now. */
 export interface CapacityQuery {
   request: ResourceRequest;
-  /** The kinds of machines searched, see `nameOfKinds`. */
+  /** The kinds of machines searched, see `machineKindsKey`. */
   kinds: string;
 }
 
-/** A search for tasks to stop. */
+/** A search for tasks to preempt. */
 export interface VictimQuery extends CapacityQuery {
   team: string;
   guaranteed: boolean;
   level: number;
 }
 
-/** Whether all that is needed is at least as much: where the less was too much, so is this. */
-function atLeast(request: ResourceRequest, less: ResourceRequest): boolean {
+/** Whether the request takes at least as much of each resource: it fails wherever the other did. */
+function isAtLeast(request: ResourceRequest, other: ResourceRequest): boolean {
   return (
-    request.cpus >= less.cpus && request.gpus >= less.gpus && request.memoryGb >= less.memoryGb
+    request.cpus >= other.cpus && request.gpus >= other.gpus && request.memoryGb >= other.memoryGb
   );
 }
 
-/** Names a choice of kinds of machines within a pass. */
+/** Key of a selection of kinds of machines, within one pass. */
 export function machineKindsKey(kinds: readonly (readonly FreeCapacity[])[]): string {
-  return kinds.map((rooms) => rooms[0]?.index ?? -1).join();
+  return kinds.map(([first]) => first?.index ?? -1).join();
 }
 
-/** Searches of one pass that have failed, and whether another is bound to fail as well. */
+/** The failed searches of one pass, and whether another is bound to fail as well. */
 export class NegativeSearchCache {
-  /** Needs that no machine had place for, even if nothing were reserved. */
-  private readonly places: CapacityQuery[] = [];
-  /** Needs that no work could be stopped for. */
-  private readonly victims: VictimQuery[] = [];
+  /** Requests that fit on no machine, even without claims. */
+  private readonly withoutCapacity: CapacityQuery[] = [];
+  /** Requests for which nothing could be preempted. */
+  private readonly withoutVictims: VictimQuery[] = [];
 
-  /** No machine of these kinds has place for so much. */
+  /** Whether so much is known to fit on no machine of these kinds. */
   hasNoCapacity({ request, kinds }: CapacityQuery): boolean {
-    return this.places.some((failed) => failed.kinds === kinds && atLeast(request, failed.request));
+    return this.withoutCapacity.some(
+      (failed) => failed.kinds === kinds && isAtLeast(request, failed.request),
+    );
   }
 
-  /** Remembers that no machine had place. */
+  /** Remembers that it fits on no machine, even without claims. */
   addNoCapacity(search: CapacityQuery): void {
-    this.places.push(search);
+    this.withoutCapacity.push(search);
   }
 
-  /** No work on machines of these kinds can be stopped for it. */
+  /** Whether nothing on machines of these kinds is known to be preemptible for such a job. */
   hasNoVictims({ request, kinds, team, guaranteed, level }: VictimQuery): boolean {
-    return this.victims.some(
+    return this.withoutVictims.some(
       (failed) =>
         failed.kinds === kinds &&
         failed.team === team &&
         failed.guaranteed === guaranteed &&
         failed.level >= level &&
-        atLeast(request, failed.request),
+        isAtLeast(request, failed.request),
     );
   }
 
-  /** Remembers that no work could be stopped. */
+  /** Remembers that nothing could be preempted. */
   addNoVictims(search: VictimQuery): void {
-    this.victims.push(search);
+    this.withoutVictims.push(search);
   }
 
-  /** Forgets everything: machines have changed. */
+  /** Forgets everything, where machines may have changed. */
   clear(): void {
-    this.places.length = 0;
-    this.victims.length = 0;
+    this.withoutCapacity.length = 0;
+    this.withoutVictims.length = 0;
   }
 }
--- a/src/controller/placement/pass/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -1,39 +1,39 @@
-/** The state of one placement pass: its queue, its view of the machines, what it has found. */
+/** The state of one placement pass: its queue, the free capacity, and what it has found. */
 import type { Job, Machine } from '../../model/entities.js';
 import { NegativeSearchCache } from './negative-search-cache.js';
 import { compareQueued, type QueuedJob } from './rank.js';
 import type { ClusterCapacity } from '../capacity/cluster-capacity.js';
 
-/** Work that found no room in a pass. */
+/** Tasks of a job that found no free capacity in a pass. */
 export interface Shortage {
   job: Job;
   tasks: number;
 }
 
-/** One walk over all that waits, by rank. It may take several turns of the command queue. */
+/** One walk over the waiting jobs, by turn. It may take several turns of the event loop. */
 export class PlacementPass {
-  /** Work that found no room so far. */
+  /** What found no free capacity so far. */
   readonly shortages: Shortage[] = [];
   readonly negativeSearches = new NegativeSearchCache();
   private nextIndex = 0;
 
   constructor(
-    /** Time of the present slice of the pass. */
+    /** When the present slice of the pass began. */
     public now: number,
     readonly cluster: ClusterCapacity,
     private readonly queue: QueuedJob[],
-    /** Of the jobs that have tasks on machines: nobody can be stopped for a level that is no higher. */
+    /** Lowest priority level of the jobs with tasks on machines: lower or equal ones can't outrank any. */
     readonly lowestLevel: number,
   ) {
     queue.sort(compareQueued);
   }
 
-  /** Some of the queue has been placed. */
+  /** Some jobs have had their turn. */
   isStarted(): boolean {
     return this.nextIndex > 0;
   }
 
-  /** The whole queue has been placed. */
+  /** All jobs have had their turn. */
   isFinished(): boolean {
     return this.nextIndex >= this.queue.length;
   }
@@ -50,7 +50,7 @@
     this.queue.push(queued);
   }
 
-  /** Goes on after an interruption, in which machines may have reported. */
+  /** Goes on after an interruption in which heartbeats may have come. */
   resume(now: number, isSchedulable: (machine: Machine) => boolean): void {
     this.now = now;
     this.negativeSearches.clear();
--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -10,11 +10,14 @@
 import type { TeamUsage } from '../../workers/team-usage.js';
 import { addTasks, zoneAllowance, zoneChoices, type TasksByZone } from '../capacity/zones.js';
 
-/** A fetch shorter than this is not worth waiting for other machines, in report intervals. */
+/** An image fetch that is no longer than this is made at once, in heartbeat intervals. */
 const SHORT_FETCH = 2;
 
-/** Waiting has to take clearly less than the fetch: fetches take their nominal time give or take a third. */
-const CLEARLY_SOONER = 0.7;
+/**
+ * Waiting has to take less than this share of a fetch: fetches take their nominal time give or take a
+ * third.
+ */
+const MAX_WAIT_SHARE = 0.7;
 
 /** What the placement of gangs relies on. */
 export interface GangPlacerParts {
@@ -26,11 +29,11 @@
   reservations: Pick<GangReservations, 'drop' | 'find' | 'reserve'>;
 }
 
-/** Starts gangs that fit and reserves room for those that don't. */
+/** Starts gangs that fit, and reserves machines for those that don't. */
 export class GangPlacer {
   constructor(private readonly parts: GangPlacerParts) {}
 
-  /** Starts the gang or, where it does not fit or better machines come free soon, reserves room. */
+  /** Starts the gang or, where it does not fit or better machines come free soon, reserves machines. */
   place(pass: PlacementPass, job: Job): void {
     const { reservations, teamUsage } = this.parts;
     const { tasks } = job.spec;
@@ -68,42 +71,42 @@
   }
 
   /**
-   * Room is there, but without the image: machines that have it may be free before a fetch would
-   * end.
+   * Whether to wait though the gang fits, for machines that have its image and are free before a fetch
+   * on the picked ones would end.
    */
   private worthWaiting(pass: PlacementPass, job: Job, picked: readonly Candidate[]): boolean {
     const { estimator, reservations, settings } = this.parts;
-    const fetch = Math.max(
+    const fetchMs = Math.max(
       ...picked.map(({ capacity }) => estimator.fetchMs(job.spec, capacity.machine, pass.now)),
     );
-    if (fetch <= settings.heartbeatIntervalMs * SHORT_FETCH) return false;
+    if (fetchMs <= settings.heartbeatIntervalMs * SHORT_FETCH) return false;
     const { capacities, readyAt } = reservations.find(pass, job);
     if (capacities.length < job.spec.tasks) return false;
-    const ready = readyAt - pass.now;
-    const within = settings.startObjectiveMs(job.spec.class);
-    const left = within === null ? 0 : within - (pass.now - job.submittedAt);
-    // The one would be in time and the other would not; or it is clearly sooner.
-    if (fetch > left && ready < left) return true;
-    return ready < fetch * CLEARLY_SOONER;
+    const waitMs = readyAt - pass.now;
+    const objectiveMs = settings.startObjectiveMs(job.spec.class);
+    const leftMs = objectiveMs === null ? 0 : objectiveMs - (pass.now - job.submittedAt);
+    // Waiting meets the objective and fetching does not, or waiting is clearly shorter.
+    if (fetchMs > leftMs && waitMs < leftMs) return true;
+    return waitMs < fetchMs * MAX_WAIT_SHARE;
   }
 }
 
-/** The best places for all of the gang's tasks, in one zone where one is named; `null`: too few. */
+/** The best machines for all of the gang's tasks, in one zone where one is named; `null`: too few. */
 export function pickForGang(
   { spec }: Job,
-  found: readonly Candidate[],
+  candidates: readonly Candidate[],
   zone: string | null,
 ): Candidate[] | null {
   let left = spec.tasks;
   const zones: TasksByZone = new Map();
   const picked: Candidate[] = [];
-  for (const candidate of found) {
-    const { zone: itsZone } = candidate.capacity.machine;
-    if (zone !== null && itsZone !== zone) continue;
-    const count = Math.min(left, candidate.count, zoneAllowance(spec, itsZone, zones));
+  for (const candidate of candidates) {
+    const { zone: machineZone } = candidate.capacity.machine;
+    if (zone !== null && machineZone !== zone) continue;
+    const count = Math.min(left, candidate.count, zoneAllowance(spec, machineZone, zones));
     if (count <= 0) continue;
     picked.push({ ...candidate, count });
-    addTasks(zones, itsZone, count);
+    addTasks(zones, machineZone, count);
     left -= count;
     if (left === 0) return picked;
   }
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -1,4 +1,4 @@
-/** Reservations of gangs that cannot start yet: kept on record until the gang starts or ends. */
+/** Reservations of gangs that cannot start yet: recorded until the gang starts or ends (m03 R2). */
 import type { EventLoop } from '../../runtime/event-loop.js';
 import type { GangReservation } from '../../model/job.js';
 import type { Assignment, Job } from '../../model/entities.js';
@@ -20,27 +20,29 @@
 
 const KEY_PREFIX = 'h/';
 
-/** Work is stopped for a gang this long before its reservation should be full, in report intervals. */
-const STOP_AHEAD = 3;
+/** Work is preempted this long before a gang's reservation should be filled, in heartbeat intervals. */
+const PREEMPTION_LEAD = 3;
 
-/** Time allowed for the victims' saves when work is stopped for a gang, as a ratio to the longest. */
+/** Time allowed for the victims to save their checkpoints, as a ratio to the longest save. */
 const SAVE_MARGIN = 1.5;
 
-/** The key of the record that has the machines which a gang has reserved. */
+/** The key of the record of the machines that a gang has reserved. */
 export function reservationKey(jobId: string): string {
   return `${KEY_PREFIX}${jobId}`;
 }
 
-/** The rooms that a gang fills up, and what is to be stopped for it. */
+/** The machines that a gang reserves, and what is to be preempted for it. */
 export interface GangCapacity {
+  /** One for each task, as far as there are. */
   capacities: FreeCapacity[];
+  /** When all of them should have free capacity; `Infinity`: never. */
   fillAt: number;
-  /** When it could run there, images included. */
+  /** When the gang could run there, image fetches included. */
   readyAt: number;
   victims: readonly Assignment[];
 }
 
-/** One machine for each task, as far as there are, and when all should have room. */
+/** One candidate for each task, as far as there are, and when all should have free capacity. */
 interface GangCandidates {
   candidates: ReservationCandidate[];
   fillAt: number;
@@ -56,11 +58,11 @@
   preemptor: Pick<Preemptor, 'preemptAll'>;
 }
 
-/** Finds and keeps the machines that waiting gangs fill up. */
+/** Finds and keeps the machines that waiting gangs reserve. */
 export class GangReservations {
   constructor(private readonly parts: GangReservationParts) {}
 
-  /** The reservations of the leaders before, read at takeover. */
+  /** Restores the recorded reservations after a failover, and deletes those of jobs that are gone. */
   load({ jobs }: Pick<JobTable, 'jobs'>): void {
     const { eventLoop, records } = this.parts;
     for (const { key, value } of records.list(KEY_PREFIX)) {
@@ -85,7 +87,7 @@
     this.parts.records.set(reservationKey(job.spec.id), undefined, 'deferrable');
   }
 
-  /** Claims room for the gang against all lower ranks, and stops work once the gang is about to fit. */
+  /** Claims capacity for the gang against lower ranks, and preempts work once the gang is about to fit. */
   reserve(pass: PlacementPass, job: Job): void {
     const { preemptor, settings } = this.parts;
     const { tasks } = job.spec;
@@ -93,31 +95,31 @@
     for (const capacity of capacities) capacity.claimForTask(resourceRequestOf(job.spec), fillAt);
     const patienceMs = settings.get('placement.cannot.fill.s') * 1000;
     const machines = new Set(capacities).size;
-    const there = `${capacities.length} of ${tasks} places on ${machines} machines`;
-    const waited = pass.now - job.waitingSince > patienceMs;
-    setBlockedReason(job, waited ? `cannot fill yet: holds ${there}` : '');
-    // Stopping work pays only if the whole gang can start then, and soon: what else its rooms wait
-    // for takes its time, and until then the work may go on.
-    const soon = fillAt - pass.now <= this.stopAheadMs(victims);
+    const places = `${capacities.length} of ${tasks} places on ${machines} machines`;
+    const isLate = pass.now - job.waitingSince > patienceMs;
+    setBlockedReason(job, isLate ? `cannot fill yet: holds ${places}` : '');
+    // Preemption pays only if the whole gang can start then, and soon: until what else it waits for has
+    // ended, the work may go on.
+    const soon = fillAt - pass.now <= this.preemptionLeadMs(victims);
     if (capacities.length === tasks && soon) preemptor.preemptAll(victims, job);
   }
 
   /**
-   * How long before a gang's reservation should be full work is stopped for it. The victims' own
-   * saves are no reason to put it off: where reports come often, a save takes many report intervals.
+   * How long before a gang's reservation should be filled work is preempted for it. The victims' saves
+   * are no reason to put it off: where heartbeats come often, a save takes many heartbeat intervals.
    */
-  private stopAheadMs(victims: readonly Assignment[]): number {
+  private preemptionLeadMs(victims: readonly Assignment[]): number {
     const { heartbeatIntervalMs } = this.parts.settings;
     const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.checkpointSaveS)) * 1000;
     return Math.max(
-      heartbeatIntervalMs * STOP_AHEAD,
+      heartbeatIntervalMs * PREEMPTION_LEAD,
       heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN,
     );
   }
 
   /**
-   * The rooms that the gang fills up: those it has reserved already, or after a while the best that
-   * there are by now. Searching for them is what costs most in a pass.
+   * The machines for the gang: those it has reserved already, or after a while the best that there are by
+   * now. Searching for them is what costs most in a pass.
    */
   find(pass: PlacementPass, job: Job): GangCapacity {
     const reserved = this.reserved(pass, job.reservation);
@@ -127,11 +129,11 @@
     return found;
   }
 
-  /** `null`: nothing is reserved, not all of it can be used, or it is time for another search. */
+  /** `null`: nothing is reserved, some of it cannot be used, or it is time for another search. */
   private reserved(pass: PlacementPass, reservation: GangReservation | null): GangCapacity | null {
     const { settings } = this.parts;
-    const every = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
-    if (reservation === null || pass.now - reservation.searchedAt >= every) return null;
+    const refreshMs = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
+    if (reservation === null || pass.now - reservation.searchedAt >= refreshMs) return null;
     const capacities: FreeCapacity[] = [];
     for (const id of reservation.machines) {
       const capacity = pass.cluster.byMachineId.get(id);
@@ -145,18 +147,18 @@
   private search(pass: PlacementPass, job: Job): GangCapacity {
     const { estimator } = this.parts;
     const { candidates, fillAt } = this.bestCandidates(pass, job);
-    const ready = candidates.map(
+    const readyTimes = candidates.map(
       ({ capacity }) => fillAt + estimator.fetchMs(job.spec, capacity.machine, pass.now),
     );
     return {
       capacities: candidates.map((candidate) => candidate.capacity),
       fillAt,
-      readyAt: Math.max(...ready),
+      readyAt: Math.max(...readyTimes),
       victims: candidates.flatMap((candidate) => candidate.victims),
     };
   }
 
-  /** Of the zones that the gang may be in, the one that has the most places, then the soonest. */
+  /** Of the zones that the gang may be in, the one with the most candidates, then the soonest. */
   private bestCandidates(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
     let best: GangCandidates = { candidates: [], fillAt: Infinity };
@@ -172,8 +174,8 @@
           : {}),
         penalty: (capacity) => machinePenalty(job, capacity),
       });
-      const whole = candidates.length === spec.tasks;
-      const fillAt = whole
+      const isComplete = candidates.length === spec.tasks;
+      const fillAt = isComplete
         ? Math.max(...candidates.map((candidate) => candidate.fillAt))
         : Infinity;
       const more = candidates.length - best.candidates.length;
@@ -196,9 +198,9 @@
         guaranteed: job.guaranteed,
         machines,
         fillMs: fillAt - pass.now,
-        stops: victims.length,
+        victims: victims.length,
       },
-      'hold',
+      'reservation updated',
     );
   }
 }
--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -1,4 +1,4 @@
-/** Placement of tasks that start one by one: those of arrays, and replicas of services. */
+/** Placement of tasks that start one by one: those of job arrays, and replicas of services. */
 import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { CandidateFinder } from '../search/candidate-finder.js';
@@ -15,10 +15,10 @@
 import type { TeamUsage } from '../../workers/team-usage.js';
 import { addTasks, tasksByZone, zoneAllowance, type TasksByZone } from '../capacity/zones.js';
 
-/** Tasks of one array that room is made for in one pass. */
+/** Tasks of one job for which work is preempted in one pass. */
 const MAX_PREEMPTING_TASKS = 8;
 
-/** What the placement of arrays relies on. */
+/** What the placement of independent tasks relies on. */
 export interface IndependentTaskPlacerParts {
   settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
   teamUsage: Pick<TeamUsage, 'allowance'>;
@@ -29,11 +29,11 @@
   preemptor: Pick<Preemptor, 'preemptAll'>;
 }
 
-/** Places tasks that start one by one, and makes room for them where work may be stopped. */
+/** Places tasks that start one by one, and preempts work for them where it may. */
 export class IndependentTaskPlacer {
   constructor(private readonly parts: IndependentTaskPlacerParts) {}
 
-  /** Places as many of the job's tasks as fit and its team may have. */
+  /** Places as many of the job's tasks as fit and as its team's limit allows. */
   place(pass: PlacementPass, queued: QueuedJob): void {
     const { job } = queued;
     const warmOnly = !queued.acceptsFetch && this.isPatient(job, pass.now);
@@ -52,28 +52,31 @@
   }
 
   /**
-   * An array that has time yields places where it would fetch its image to arrays that need not: it
-   * has its turn there after all others in the same pass. So nothing stands idle for it; and its
-   * patience ends well before its latest start.
+   * Whether the job has time. It yields machines where it would fetch its image to jobs that need not:
+   * it has its turn there after all others in the same pass. So nothing stands idle for it; and its
+   * patience ends well before its start deadline.
    */
   private isPatient(job: Job, now: number): boolean {
-    const waited = now - job.submittedAt;
-    const next = this.parts.startDeadlines.next(job, waited);
+    const waitedMs = now - job.submittedAt;
+    const deadlineMs = this.parts.startDeadlines.next(job, waitedMs);
     return (
-      Number.isFinite(next) && waited <= next * this.parts.settings.get('placement.warm.share')
+      Number.isFinite(deadlineMs) &&
+      waitedMs <= deadlineMs * this.parts.settings.get('placement.warm.share')
     );
   }
 
-  /** Starts tasks where they fit; returns how many of those wanted have found no place. */
+  /** Starts tasks where they fit; returns how many of those wanted fit nowhere. */
   private start(pass: PlacementPass, job: Job, wanted: number, warmOnly: boolean): number {
     const { spec } = job;
-    const limited = spec.singleZone || spec.spread;
-    const zones: TasksByZone = limited ? tasksByZone(job) : new Map<string, number>();
-    const found = this.parts.candidateFinder.find(pass, job, warmOnly);
+    const isZoneLimited = spec.singleZone || spec.spread;
+    const zones: TasksByZone = isZoneLimited ? tasksByZone(job) : new Map<string, number>();
+    const candidates = this.parts.candidateFinder.find(pass, job, warmOnly);
     let left = wanted;
-    for (const { capacity, count } of job.isService ? spreadReplicas(job, found) : found) {
+    for (const { capacity, count } of job.isService
+      ? spreadReplicas(job, candidates)
+      : candidates) {
       const { zone } = capacity.machine;
-      const allowance = limited ? zoneAllowance(spec, zone, zones) : Infinity;
+      const allowance = isZoneLimited ? zoneAllowance(spec, zone, zones) : Infinity;
       const tasks = Math.min(left, count, allowance);
       if (tasks <= 0) continue;
       this.parts.taskStarter.start(job, capacity, tasks);
@@ -84,37 +87,39 @@
     return left;
   }
 
-  /** Whether work may be stopped for the job, and the last search for it is long enough ago. */
+  /** Whether work may be preempted for the job, and the last search for it is long enough ago. */
   private mayPreempt(pass: PlacementPass, job: Job): boolean {
     const { settings } = this.parts;
-    const every = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
+    const refreshMs = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
     const outranks = job.guaranteed || job.level > pass.lowestLevel;
-    return outranks && pass.now - job.preemptionSearchedAt >= every;
+    return outranks && pass.now - job.preemptionSearchedAt >= refreshMs;
   }
 
   /**
-   * Room for an array's tasks one by one, where work may be stopped for them: so that work inside a
-   * guarantee need not wait for what others run on borrowed room.
+   * Preempts work for the job's tasks one by one, so that work inside a guarantee need not wait for what
+   * others run on borrowed capacity.
    */
   private preemptForTasks(pass: PlacementPass, job: Job, tasks: number): void {
     const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
     const request = resourceRequestOf(job.spec);
     const { team } = job.spec;
     const { guaranteed, level } = job;
-    const search = { request, kinds: machineKindsKey(kinds), team, guaranteed, level };
-    if (pass.negativeSearches.hasNoVictims(search)) return;
-    const usable = kinds.flat().filter((capacity) => !job.avoids(capacity.machine.id, pass.now));
-    const found = this.parts.reservationCandidateFinder.find({
+    const query = { request, kinds: machineKindsKey(kinds), team, guaranteed, level };
+    if (pass.negativeSearches.hasNoVictims(query)) return;
+    const capacities = kinds
+      .flat()
+      .filter((capacity) => !job.avoids(capacity.machine.id, pass.now));
+    const candidates = this.parts.reservationCandidateFinder.find({
       now: pass.now,
       job,
-      capacities: usable,
+      capacities,
       count: Math.min(tasks, MAX_PREEMPTING_TASKS),
       onlyByPreemption: true,
       penalty: (capacity) => machinePenalty(job, capacity),
     });
-    if (found.length === 0 && job.avoidedMachines.size === 0)
-      pass.negativeSearches.addNoVictims(search);
-    for (const candidate of found) {
+    if (candidates.length === 0 && job.avoidedMachines.size === 0)
+      pass.negativeSearches.addNoVictims(query);
+    for (const candidate of candidates) {
       if (!this.parts.preemptor.preemptAll(candidate.victims, job)) return;
       candidate.capacity.claimForTask(request, candidate.fillAt);
     }
--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -1,4 +1,4 @@
-/** Machines where tasks of a job can start now. */
+/** Search for machines where tasks of a job can start now. */
 import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import { type ResourceRequest, resourceRequestOf } from '../../model/resource-request.js';
@@ -12,23 +12,24 @@
 /** A machine where tasks of a job can start now. */
 export interface Candidate {
   capacity: FreeCapacity;
-  /** How many of its tasks. */
+  /** How many tasks can start there. */
   count: number;
   /** Lower is better. */
   score: number;
 }
 
-/** What is the same for all machines while candidates for one job are found. */
+/** What is the same for all machines in a search for one job. */
 interface CandidateSearch {
   job: Job;
   now: number;
   request: ResourceRequest;
   /** Only machines that have the job's image, or fetch it already. */
   warmOnly: boolean;
-  /** Share of the time to a reservation's fill that short work beneath it may take. */
+  /** Share of the time until a reservation is filled that work beneath it may take. */
   backfillRatio: number;
+  /** What the tasks take in the machine's record. */
   record: RecordSpace;
-  /** When a task should end that needs no fetch. */
+  /** When a task should end that needs no image fetch. */
   endsAt: number;
 }
 
@@ -40,25 +41,25 @@
   ) {}
 
   /**
-   * Machines where tasks of the job can start now, the best first: the image at hand, room that
-   * others can't use, the tightest fit (m03 §6, R1).
+   * Machines where tasks of the job can start now, the best first: those with its image, of little use
+   * to others, and with the tightest fit (bin packing; m03 §6, R1).
    */
   find(pass: PlacementPass, job: Job, warmOnly = false): Candidate[] {
     const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
     const request = resourceRequestOf(job.spec);
-    const search = { request, kinds: machineKindsKey(kinds) };
-    if (pass.negativeSearches.hasNoCapacity(search)) return [];
-    const candidateSearch = this.searchFor(pass, job, request, warmOnly);
+    const query = { request, kinds: machineKindsKey(kinds) };
+    if (pass.negativeSearches.hasNoCapacity(query)) return [];
+    const search = this.searchFor(pass, job, request, warmOnly);
     const found: Candidate[] = [];
-    let anyPlace = false;
-    for (const rooms of kinds)
-      for (const capacity of rooms) {
+    let fitsAnywhere = false;
+    for (const capacities of kinds)
+      for (const capacity of capacities) {
         if (!capacity.fitsIgnoringClaims(request)) continue;
-        anyPlace = true;
-        const candidate = this.examine(candidateSearch, capacity);
+        fitsAnywhere = true;
+        const candidate = this.examine(search, capacity);
         if (candidate !== null) found.push(candidate);
       }
-    if (!anyPlace) pass.negativeSearches.addNoCapacity(search);
+    if (!fitsAnywhere) pass.negativeSearches.addNoCapacity(query);
     return found.sort((a, b) => a.score - b.score || a.capacity.index - b.capacity.index);
   }
 
@@ -78,14 +79,14 @@
       record: recordSpaceOf({
         jobId: spec.id,
         team: spec.team,
-        request: request,
+        request,
         checkpointSaveS: spec.checkpointSaveS,
       }),
       endsAt: pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimator.runMs(spec),
     };
   }
 
-  /** `null`: nothing of the job can start there beside what higher ranks have reserved. */
+  /** `null`: no task of the job can start there beside the claims of others. */
   private examine(search: CandidateSearch, capacity: FreeCapacity): Candidate | null {
     const { job, now, record, backfillRatio } = search;
     const { machine } = capacity;
--- a/src/controller/placement/search/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -2,48 +2,49 @@
 import type { Job } from '../../model/entities.js';
 import type { Candidate } from './candidate-finder.js';
 
-/** A machine with room for replicas, and what decides between it and others. */
-interface Choice extends Candidate {
-  /** Whether the image has to be fetched there. */
-  cold: boolean;
+/** A machine that can take replicas, and what decides between it and others. */
+interface SpreadCandidate extends Candidate {
+  /** The image has to be fetched there. */
+  needsFetch: boolean;
   /** Replicas of the service that are on the machine already. */
-  there: number;
+  replicas: number;
 }
 
 /**
- * A service's places one replica at a time, the best first, so that the loss of a machine or of a zone
- * takes few replicas. Spreading costs no fetch, except that no machine gets more than half of the
- * replicas while another has room. A place that is not used when it is offered is not offered again.
+ * Offers places for a service's replicas one at a time, the best first, so that the loss of a machine or
+ * of a zone takes few replicas. Spreading costs no image fetch, except that no machine gets more than
+ * half of the replicas while another has capacity. A machine whose place is not taken when it is offered
+ * is not offered again.
  */
-export function* spreadReplicas(job: Job, places: readonly Candidate[]): Generator<Candidate> {
+export function* spreadReplicas(job: Job, candidates: readonly Candidate[]): Generator<Candidate> {
   const { machines, zones } = countReplicas(job);
-  let choices: Choice[] = places.map((place) => ({
-    ...place,
-    cold: !place.capacity.machine.images.has(job.spec.image),
-    there: machines.get(place.capacity.machine.id) ?? 0,
+  let choices: SpreadCandidate[] = candidates.map((candidate) => ({
+    ...candidate,
+    needsFetch: !candidate.capacity.machine.images.has(job.spec.image),
+    replicas: machines.get(candidate.capacity.machine.id) ?? 0,
   }));
   const half = Math.ceil(job.spec.tasks / 2);
-  const before = (a: Choice, b: Choice): number =>
-    Number(a.there >= half) - Number(b.there >= half) ||
-    Number(a.cold) - Number(b.cold) ||
-    a.there - b.there ||
+  const compare = (a: SpreadCandidate, b: SpreadCandidate): number =>
+    Number(a.replicas >= half) - Number(b.replicas >= half) ||
+    Number(a.needsFetch) - Number(b.needsFetch) ||
+    a.replicas - b.replicas ||
     (zones.get(a.capacity.machine.zone) ?? 0) - (zones.get(b.capacity.machine.zone) ?? 0) ||
     a.score - b.score;
   while (choices.length > 0) {
-    const best = choices.reduce((a, b) => (before(b, a) < 0 ? b : a));
-    const pending = job.pending.length;
+    const best = choices.reduce((a, b) => (compare(b, a) < 0 ? b : a));
+    const pendingBefore = job.pending.length;
     yield { capacity: best.capacity, count: 1, score: best.score };
-    if (job.pending.length < pending) {
+    if (job.pending.length < pendingBefore) {
       const { zone } = best.capacity.machine;
       zones.set(zone, (zones.get(zone) ?? 0) + 1);
-      best.there++;
+      best.replicas++;
       best.count--;
     } else best.count = 0;
     if (best.count <= 0) choices = choices.filter((choice) => choice !== best);
   }
 }
 
-/** Replicas of the service by machine and by zone, wherever any may still be. */
+/** Counts the service's replicas by machine and by zone, those included that are not proven gone. */
 function countReplicas(job: Job): { machines: Map<string, number>; zones: Map<string, number> } {
   const machines = new Map<string, number>();
   const zones = new Map<string, number>();
