--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, describe, it } from 'node:test';
-import { defaultOptions, platformToml } from '../../test/platform.js';
+import { defaultPlatformOptions, platformToml } from '../../test/platform.js';
 import { checkConfig } from './check-config.js';
 import { CommandError } from './command-error.js';
 import { loadSettings, readJsonFile } from './input-files.js';
@@ -18,7 +18,7 @@
   return path;
 }
 
-const toml = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultOptions);
+const toml = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultPlatformOptions);
 const config = file('settings.toml', toml);
 
 describe('loadSettings', () => {
--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
-import { platformToml, defaultOptions, type PlatformOptions } from '../../../test/platform.js';
+import {
+  platformToml,
+  defaultPlatformOptions,
+  type PlatformOptions,
+} from '../../../test/platform.js';
 
 import { memoryWarning } from '../runtime/heap-budget.js';
 import { readPlatform } from './platform.js';
@@ -35,7 +39,7 @@
 describe('platform settings', () => {
   const hosts = ['kiln-0', 'kiln-1'];
   const text = (parts: Partial<PlatformOptions>): string =>
-    platformToml(hosts, 'kiln-0', { ...defaultOptions, ...parts });
+    platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...parts });
   const read = (source: string): Settings =>
     new Settings(readPlatform(source), defaultProperties());
   const team = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
@@ -43,17 +47,21 @@
   const contradictions: [string, string, RegExp][] = [
     ['a lease below the heartbeat interval', text({ leaseS: 2 }), /^params\.workers\.lease_s: /],
     ['a lease of one heartbeat interval', text({ leaseS: 3 }), /^params\.workers\.lease_s: /],
-    ['too short a time to cancel tasks', text({ cancelS: 26 }), /^params\.workers\.cancel_s: /],
+    [
+      'too short a time to cancel tasks',
+      text({ cancelDeadlineS: 26 }),
+      /^params\.workers\.cancel_s: /,
+    ],
     ['a value size that fits no record', text({ valueKb: 0.5 }), /^params\.state\.value_kb: /],
     ['a transaction size of one write', text({ txnOps: 1 }), /^params\.state\.txn_ops: /],
     [
       'a cap of GPUs below the guarantee',
-      text({ teams: team('gpus = 9\ngpus_max = 8') }),
+      text({ teamsToml: team('gpus = 9\ngpus_max = 8') }),
       /^params\.teams\.0\.gpus_max: /,
     ],
     [
       'a cap of processors below the guarantee',
-      text({ teams: team('cpus = 9.0\ncpus_max = 8.0') }),
+      text({ teamsToml: team('cpus = 9.0\ncpus_max = 8.0') }),
       /^params\.teams\.0\.cpus_max: /,
     ],
     [
@@ -74,15 +82,21 @@
 
   it('accept a team without caps, caps equal to the guarantee, and unknown fields', () => {
     const teams = team('gpus = 9') + team('gpus = 8\ngpus_max = 8\nspare = "x"');
-    const source = text({ teams }).replace('[params.quota]', '[params.quota]\nmagic = [1]');
+    const source = text({ teamsToml: teams }).replace(
+      '[params.quota]',
+      '[params.quota]\nmagic = [1]',
+    );
     assert.equal(read(`novelty = 1\n${source}`).platform.teams.length, 2);
   });
 
   // A deployment whose cancel_s leaves little time beside lease_s was refused, though a shorter lease fits it.
   it('shorten the leader lease where cancel_s leaves little time', () => {
     const usualLeaseMs = read(text({})).leaderLeaseMs;
-    const short = read(text({ leaseS: 6, cancelS: 12, reportS: 1 }));
-    assert.equal(usualLeaseMs, defaultOptions.leaseS * 1000 * short.get('leadership.lease.ratio'));
+    const short = read(text({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }));
+    assert.equal(
+      usualLeaseMs,
+      defaultPlatformOptions.leaseS * 1000 * short.get('leadership.lease.ratio'),
+    );
     assert.ok(short.leaderLeaseMs < 6000 * short.get('leadership.lease.ratio'));
     assert.ok(short.leaderLeaseMs * 2 <= short.maxWatchStalenessMs + 1);
     assert.ok(
--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
-import { platformOf, defaultOptions } from '../../../test/platform.js';
+import { platformOf, defaultPlatformOptions } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -13,14 +13,18 @@
   let client: StateStoreClient;
 
   function createClient(leaseS: number, cancelS: number): StateStoreClient {
-    const platform = platformOf(['kiln-0'], 'kiln-0', { ...defaultOptions, leaseS, cancelS });
+    const platform = platformOf(['kiln-0'], 'kiln-0', {
+      ...defaultPlatformOptions,
+      leaseS,
+      cancelDeadlineS: cancelS,
+    });
     const settings = new Settings(platform, defaultProperties());
     return new StateStoreClient(new EventLoop(runtime, silentLogger), settings);
   }
 
   beforeEach(() => {
     runtime = new ManualRuntime();
-    client = createClient(defaultOptions.leaseS, defaultOptions.cancelS);
+    client = createClient(defaultPlatformOptions.leaseS, defaultPlatformOptions.cancelDeadlineS);
   });
 
   describe('watch', () => {
--- a/src/controller/store/group-commit.test.ts
+++ b/src/controller/store/group-commit.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
-import { platformOf, defaultOptions } from '../../../test/platform.js';
+import { platformOf, defaultPlatformOptions } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
@@ -10,8 +10,8 @@
 import { GroupCommit } from './group-commit.js';
 
 describe('GroupCommit', () => {
-  const platform = platformOf(['kiln-0'], 'kiln-0', defaultOptions);
-  const conditionsPerTransaction = defaultOptions.txnOps * MAX_CONDITIONS_PER_WRITE;
+  const platform = platformOf(['kiln-0'], 'kiln-0', defaultPlatformOptions);
+  const conditionsPerTransaction = defaultPlatformOptions.txnOps * MAX_CONDITIONS_PER_WRITE;
   const minIntervalMs = 200;
   let runtime: ManualRuntime;
   let eventLoop: EventLoop;
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -9,7 +9,7 @@
 import { buildSync } from 'esbuild';
 import { parse } from 'smol-toml';
 import { growthPercent, oldGenerationMb } from '../src/controller/runtime/heap-budget.js';
-import { platformToml, defaultOptions } from './platform.js';
+import { platformToml, defaultPlatformOptions } from './platform.js';
 
 const root = fileURLToPath(new URL('../', import.meta.url));
 const { run } = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
@@ -65,7 +65,7 @@
   /** Checks the settings of a place with so much memory, with the deployed options. */
   function checkConfig(ramMb: number) {
     const config = join(directory, `${ramMb}.toml`);
-    writeFileSync(config, platformToml(['kiln-0'], 'kiln-0', { ...defaultOptions, ramMb }));
+    writeFileSync(config, platformToml(['kiln-0'], 'kiln-0', { ...defaultPlatformOptions, ramMb }));
     const program = ['--import', 'tsx', 'src/main.ts', 'check-config', '--config', config];
     return spawnSync(process.execPath, [...options, ...program], { cwd: root, encoding: 'utf8' });
   }
--- a/test/platform.ts
+++ b/test/platform.ts
@@ -1,102 +1,110 @@
+/** The platform's settings for tests: as TOML, and as a controller reads them. */
 import { readPlatform, type Platform } from '../src/controller/settings/platform.js';
 
-/** What the tests' platforms differ in. */
+const API_PORT = 8080;
+const PEER_PORT = 8081;
+
+/** The settings in which the tests' platforms differ. */
 export interface PlatformOptions {
   zones: string[];
   /** Zones of the hosts, in their order. */
-  sites: string[];
+  hostZones: string[];
   /** TOML of teams and objectives. */
-  teams: string;
-  reportS: number;
+  teamsToml: string;
+  heartbeatIntervalS: number;
   leaseS: number;
-  cancelS: number;
+  cancelDeadlineS: number;
   rps: number;
   writeRps: number;
   txnOps: number;
   valueKb: number;
   ramMb: number;
-  /** TOML of the limits that the state service will have. */
-  next: string;
+  /** TOML of the limits that the state store will have. */
+  upcomingLimitsToml: string;
 }
 
-export const defaultOptions: PlatformOptions = {
+/** The settings where a test gives no others. */
+export const defaultPlatformOptions: PlatformOptions = {
   zones: ['a', 'b'],
-  sites: [],
-  teams: '',
-  reportS: 3,
+  hostZones: [],
+  teamsToml: '',
+  heartbeatIntervalS: 3,
   leaseS: 20,
-  cancelS: 45,
+  cancelDeadlineS: 45,
   rps: 100,
   writeRps: 60,
   txnOps: 16,
   valueKb: 16,
   ramMb: 256,
-  next: '',
+  upcomingLimitsToml: '',
 };
 
-function toml(head: string, count: number, p: PlatformOptions): string {
+function toToml(hostToml: string, hostCount: number, options: PlatformOptions): string {
   return `
-${head}
+${hostToml}
 [services]
 cloud = "10.2.0.2:8443"
 state = "10.2.0.1:2379"
 [params]
-count = ${count}
-zones = ${JSON.stringify(p.zones)}
+count = ${hostCount}
+zones = ${JSON.stringify(options.zones)}
 time_bound_ms = 100.0
-${p.teams}
+${options.teamsToml}
 [params.workers]
-report_s = ${p.reportS.toFixed(1)}
-lease_s = ${p.leaseS.toFixed(1)}
+report_s = ${options.heartbeatIntervalS.toFixed(1)}
+lease_s = ${options.leaseS.toFixed(1)}
 gang_wait_s = 30.0
 gang_peer_s = 6.0
-cancel_s = ${p.cancelS.toFixed(1)}
+cancel_s = ${options.cancelDeadlineS.toFixed(1)}
 [params.state]
-rps = ${p.rps.toFixed(1)}
-write_rps = ${p.writeRps.toFixed(1)}
-value_kb = ${p.valueKb.toFixed(1)}
-txn_ops = ${p.txnOps}
-${p.next}
+rps = ${options.rps.toFixed(1)}
+write_rps = ${options.writeRps.toFixed(1)}
+value_kb = ${options.valueKb.toFixed(1)}
+txn_ops = ${options.txnOps}
+${options.upcomingLimitsToml}
 [params.cloud]
 rps = 5.0
 list_lag_s = 4.0
 [params.quota]
 cores = 0.2
-ram_mb = ${p.ramMb.toFixed(1)}
+ram_mb = ${options.ramMb.toFixed(1)}
 fd_limit = 1000
 `;
 }
 
-/** Settings of a controller that stands alone. */
-export function standalonePlatform(teams = ''): Platform {
-  const head =
+/** Settings of a controller without peers. */
+export function standalonePlatform(teamsToml = ''): Platform {
+  const hostToml =
     'host_name = "k"\nsite = "a"\napi_addr = "10.0.0.1:1"\ninternal_addr = "10.0.0.1:2"\n';
-  return readPlatform(toml(head, 1, { ...defaultOptions, teams }));
+  return readPlatform(toToml(hostToml, 1, { ...defaultPlatformOptions, teamsToml }));
 }
 
 /** TOML of the settings of one of several controllers. */
-export function platformToml(hosts: string[], host: string, parts: PlatformOptions): string {
-  const addr = (h: string, port: number): string => `10.0.0.${hosts.indexOf(h) + 1}:${port}`;
-  const site = (h: string): string => parts.sites[hosts.indexOf(h)] ?? 'a';
+export function platformToml(hosts: string[], host: string, options: PlatformOptions): string {
+  const addr = (name: string, port: number): string => `10.0.0.${hosts.indexOf(name) + 1}:${port}`;
+  const zoneOf = (name: string): string => options.hostZones[hosts.indexOf(name)] ?? 'a';
   const peers = hosts
-    .filter((h) => h !== host)
-    .map((h) => `[[peers]]\nhost_name = "${h}"\nsite = "${site(h)}"\naddr = "${addr(h, 8081)}"\n`);
-  const head = [
+    .filter((name) => name !== host)
+    .map(
+      (name) =>
+        `[[peers]]\nhost_name = "${name}"\nsite = "${zoneOf(name)}"\naddr = "${addr(name, PEER_PORT)}"\n`,
+    );
+  const hostLines = [
     `host_name = "${host}"`,
-    `site = "${site(host)}"`,
-    `api_addr = "${addr(host, 8080)}"`,
-    `internal_addr = "${addr(host, 8081)}"`,
+    `site = "${zoneOf(host)}"`,
+    `api_addr = "${addr(host, API_PORT)}"`,
+    `internal_addr = "${addr(host, PEER_PORT)}"`,
     ...peers,
   ];
-  return toml(head.join('\n'), hosts.length, parts);
+  return toToml(hostLines.join('\n'), hosts.length, options);
 }
 
 /** Settings of one of several controllers. */
 export function platformOf(
   hosts: string[],
   host: string,
-  parts: PlatformOptions,
-  read = readPlatform,
+  options: PlatformOptions,
+  readToml = readPlatform,
 ): Platform {
-  return read(platformToml(hosts, host, parts));
+  return readToml(platformToml(hosts, host, options));
 }
--- a/test/simulation/deployments/deployment.ts
+++ b/test/simulation/deployments/deployment.ts
@@ -1,7 +1,7 @@
 /** The deployments that are simulated: hosts, machine types, limits, and kinds of jobs. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
-import { defaultOptions, type PlatformOptions } from '../../platform.js';
+import { defaultPlatformOptions, type PlatformOptions } from '../../platform.js';
 import type { SeededRandom } from '../seeded-random.js';
 
 /** A deployment that the simulation plays. */
@@ -64,8 +64,8 @@
   ]),
   capacity: 16,
   platform: {
-    ...defaultOptions,
-    teams: teamToml('red', 0, 0, 8, 12) + teamToml('blue', 8, 40, 4, 16),
+    ...defaultPlatformOptions,
+    teamsToml: teamToml('red', 0, 0, 8, 12) + teamToml('blue', 8, 40, 4, 16),
   },
   // Small pages, so that paging is used.
   pageSize: 7,
@@ -104,7 +104,7 @@
   ...smallDeployment,
   platform: {
     ...smallDeployment.platform,
-    next: '[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 6\nwrite_rps = 25.0\n',
+    upcomingLimitsToml: '[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 6\nwrite_rps = 25.0\n',
   },
 };
 
@@ -122,9 +122,9 @@
     ],
     capacity: machines,
     platform: {
-      ...defaultOptions,
-      ...{ zones: ['a'], reportS: 4, leaseS: 20, rps: 80, writeRps: 30, txnOps: 24 },
-      teams:
+      ...defaultPlatformOptions,
+      ...{ zones: ['a'], heartbeatIntervalS: 4, leaseS: 20, rps: 80, writeRps: 30, txnOps: 24 },
+      teamsToml:
         teamToml('red', 0, 0, gpus * 0.25, gpus) +
         teamToml('blue', 0, 0, gpus * 0.2, gpus) +
         objectiveToml('wait', 'train', 60, 0.9) +
--- a/test/simulation/deployments/large-fleet.ts
+++ b/test/simulation/deployments/large-fleet.ts
@@ -1,5 +1,5 @@
 /** A deployment of thousands of machines in three zones, and a day on which whole parts of it fail. */
-import { defaultOptions } from '../../platform.js';
+import { defaultPlatformOptions } from '../../platform.js';
 import { mediumFleet, objectiveToml, teamToml, type Deployment } from './deployment.js';
 import { Simulation } from '../simulation.js';
 
@@ -27,10 +27,10 @@
       })),
     ),
     platform: {
-      ...defaultOptions,
-      ...{ zones: ZONES, sites: ['a', 'b', 'c', 'a', 'b'], reportS: 4, leaseS: 20 },
+      ...defaultPlatformOptions,
+      ...{ zones: ZONES, hostZones: ['a', 'b', 'c', 'a', 'b'], heartbeatIntervalS: 4, leaseS: 20 },
       ...{ rps: machines / 8, writeRps: machines / 20, txnOps: 24, ramMb: 1500 },
-      teams:
+      teamsToml:
         teamToml('red', 0, 0, gpus * 0.2, gpus * 0.45) +
         teamToml('blue', 0, 0, gpus * 0.2, gpus * 0.3) +
         objectiveToml('wait', 'train', 60, 0.9) +
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -1,6 +1,6 @@
 /** A deployment with short leases, and the fault scenarios as days of it. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
-import { defaultOptions } from '../../platform.js';
+import { defaultPlatformOptions } from '../../platform.js';
 import {
   cancelledWhileRunning,
   failovers,
@@ -65,10 +65,15 @@
   machines: [],
   capacity: 30,
   platform: {
-    ...defaultOptions,
-    ...{ sites: ['a', 'a', 'b'], reportS: 1, leaseS: LEASE_S, cancelS: CANCEL_S },
+    ...defaultPlatformOptions,
+    ...{
+      hostZones: ['a', 'a', 'b'],
+      heartbeatIntervalS: 1,
+      leaseS: LEASE_S,
+      cancelDeadlineS: CANCEL_S,
+    },
     ...{ rps: 80, writeRps: 30, valueKb: 8 },
-    teams: teamToml('red', 0, 0, 16, 16) + teamToml('blue', 0, 0, 16, 24),
+    teamsToml: teamToml('red', 0, 0, 16, 16) + teamToml('blue', 0, 0, 16, 24),
   },
   pageSize: 20,
   startMs: 65_000,
@@ -86,12 +91,12 @@
   ...shortLeases,
   platform: {
     ...shortLeases.platform,
-    next: '[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 6\nwrite_rps = 20.0\n',
+    upcomingLimitsToml: '[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 6\nwrite_rps = 20.0\n',
   },
 };
 
-const LEASE_RATIO = LEASE_S / defaultOptions.leaseS;
-const CANCEL_RATIO = CANCEL_S / defaultOptions.cancelS;
+const LEASE_RATIO = LEASE_S / defaultPlatformOptions.leaseS;
+const CANCEL_RATIO = CANCEL_S / defaultPlatformOptions.cancelDeadlineS;
 /** Until then a day goes by at the rate of the leases; later times only shift. */
 const SCALED_UNTIL_S = 10;
 
@@ -103,7 +108,7 @@
 
 /** A span of time: one longer than `cancel_s` stays so, others keep their ratio to the lease. */
 function span(seconds: number): number {
-  return seconds * (seconds > defaultOptions.cancelS ? CANCEL_RATIO : LEASE_RATIO);
+  return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
 }
 
 function scaled(fault: Fault): Fault {
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -216,7 +216,7 @@
   /** The zone of a controller where the deployment spreads them over zones. */
   zoneOf(host: string): string | undefined {
     const { hosts, platform } = this.deployment;
-    return platform.sites[hosts.indexOf(host)];
+    return platform.hostZones[hosts.indexOf(host)];
   }
 
   /** The versions of the leaders, in the order of their elections. */
