--- a/eslint.config.js
+++ b/eslint.config.js
@@ -17,6 +17,23 @@
       '@typescript-eslint/prefer-promise-reject-errors': 'off',
     },
   },
+  {
+    files: ['src/**/*.ts', 'test/**/*.ts'],
+    rules: {
+      '@typescript-eslint/naming-convention': [
+        'error',
+        { selector: 'default', format: ['camelCase'], leadingUnderscore: 'allow' },
+        { selector: 'import', format: ['camelCase', 'PascalCase'] },
+        { selector: 'typeLike', format: ['PascalCase'] },
+        { selector: 'variable', modifiers: ['const'], format: ['camelCase', 'UPPER_CASE'] },
+        // Classes that are passed as values.
+        { selector: ['parameter', 'variable'], modifiers: ['destructured'], format: null },
+        { selector: 'parameter', format: ['camelCase', 'PascalCase'], leadingUnderscore: 'allow' },
+        // Names of protocols, records, metrics and settings.
+        { selector: ['objectLiteralProperty', 'typeProperty'], format: null },
+      ],
+    },
+  },
   {
     files: ['src/**/*.ts'],
     // The lowest that all of src passes.
@@ -58,5 +75,8 @@
       '@typescript-eslint/no-floating-promises': 'off',
     },
   },
-  { files: ['eslint.config.js', '.dependency-cruiser.mjs'], ...tseslint.configs.disableTypeChecked },
+  {
+    files: ['eslint.config.js', '.dependency-cruiser.mjs'],
+    ...tseslint.configs.disableTypeChecked,
+  },
 );
--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -42,7 +42,7 @@
     const client = {
       watch: (_: string, from: number, holdMs: number, done: Followed) =>
         this.follows.push({ from, holdMs, done }),
-      readPrefix: (_: string, __: number, done: Followed) => this.ranges.push(done),
+      readPrefix: (_: string, _timeoutMs: number, done: Followed) => this.ranges.push(done),
     } as unknown as StateStoreClient;
     this.feed = new JobWatch(new EventLoop(runtime, silent), settings, client, {
       onSnapshot: (items) => this.seen.push(`all ${items.length}`),
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -51,11 +51,11 @@
 }
 
 function peakMb(ramMb: number, liveMb: number): number {
-  const process_ = spawnSync(process.execPath, [...options, '-e', churn(ramMb, liveMb)], {
+  const controllerProcess = spawnSync(process.execPath, [...options, '-e', churn(ramMb, liveMb)], {
     encoding: 'utf8',
   });
-  assert.equal(process_.status, 0, process_.stderr);
-  return Number(process_.stdout);
+  assert.equal(controllerProcess.status, 0, controllerProcess.stderr);
+  return Number(controllerProcess.stdout);
 }
 
 describe('memory of a controller', () => {
