--- a/src/controller/model/entities.ts
+++ b/src/controller/model/entities.ts
@@ -1,7 +1,7 @@
 /**
- * Jobs, machines, and the assignments that connect them: the records that the leader keeps in memory.
- * The three refer to each other. So that their modules don't, those of jobs and machines leave the type
- * of assignments open, and it is filled in here.
+ * Jobs, machines, and the assignments that connect them: the state that the leader keeps in memory. The
+ * three refer to each other. So that their modules don't, those of jobs and machines leave the type of
+ * assignments open, and it is filled in here.
  */
 import { taskName, type ExitCause, type TaskState } from '../wire/workers.js';
 import { JobBase } from './job.js';
@@ -15,45 +15,63 @@
 /** A machine, its agent's epoch and what is assigned to it. */
 export class Machine extends MachineState<Assignment> {}
 
-/** Why an assignment ended. `lost`: the machine or its session is gone, or the start never arrived. */
+/**
+ * Why an assignment ended: the cause with which the task exited; `lost` if the machine or its agent epoch
+ * is gone, or the task disappeared; `unsent` if the start is proven not to have arrived.
+ */
 export type AssignmentOutcome = ExitCause | 'lost' | 'unsent';
 
-/** A stop that the worker has been or is yet to be told of. */
+/** A stop that has been or has to be sent to the worker. */
 export interface StopRequest {
+  /** Seconds that the task has to save a checkpoint. */
   readonly graceS: number;
+  /** Time on the steady clock in ms. */
   readonly requestedAt: number;
+  /** For the log. */
   readonly reason: string;
-  /** It has gone out as a direct command as well. */
+  /** It has been sent as a direct command, besides the responses to heartbeats. */
   sentAsDirectCommand: boolean;
 }
 
 /**
- * A task given to a machine's session. It counts as being there from the moment its record is on
- * its way to the state service until it is known to be gone.
+ * How far an assignment has come.
+ * - `planned`: its record is not stored yet, so it must not be started (invariant 4).
+ * - `recorded`: it may be started.
+ * - `sent`: its start has been sent, or may have been by an earlier leader.
+ * - `seen`: a heartbeat has listed it.
+ * - `ended`: it is proven to be no longer on the machine (invariant 5).
+ */
+export type AssignmentPhase = 'planned' | 'recorded' | 'sent' | 'seen' | 'ended';
+
+/**
+ * A task assigned to a machine in one of its agent epochs. It counts as being there from the moment its
+ * record is on its way to the state store until it is proven gone.
  */
 export interface Assignment extends RecordedAssignment {
   /** The task's name at the worker. */
   readonly name: string;
-  /** null: the job had ended before this leader took over. */
+  /** null if the job had ended before this leader's term. */
   readonly job: Job | null;
   readonly task: number;
   readonly machine: Machine;
   readonly agentEpoch: number;
-  /** `planned`: not on record yet. `recorded`: may be sent. `sent`: out. `seen`: in a report. */
-  phase: 'planned' | 'recorded' | 'sent' | 'seen' | 'ended';
+  phase: AssignmentPhase;
+  /** State of the task in the last heartbeat that listed it. */
   state: TaskState | null;
   /**
-   * Only messages of the worker later than this one can show that the task is missing: the report
-   * that the start was the answer to, or the answer to a start sent directly.
+   * Only messages of the worker later than this one can prove that the task is missing: the heartbeat
+   * whose response carried the start, or the response to a direct start. null if an earlier leader
+   * sent the start.
    */
   startSentSequence: number | bigint | null;
+  /** When this leader first saw the task running, on the steady clock in ms. */
   runningAt: number | null;
-  /** Number of the last report that listed it. */
+  /** Number of the last heartbeat that listed it; see `HeartbeatInProgress.heartbeatNumber`. */
   lastHeartbeatNumber: number;
   stop: StopRequest | null;
 }
 
-/** The state of an assignment of which no report has told yet. */
+/** The state of an assignment that no heartbeat has listed yet. */
 const UNOBSERVED = {
   state: null,
   startSentSequence: null,
@@ -62,7 +80,7 @@
   stop: null,
 } as const;
 
-/** An assignment that is not on record yet. */
+/** Creates an assignment whose record is not stored yet. */
 export function planAssignment(
   job: Job,
   task: number,
@@ -88,15 +106,15 @@
   };
 }
 
-/** A task on record, as the leader before has left it. */
+/** A task in a machine's record, as an earlier leader has left it. */
 export interface RecordedTask extends RecordedJob {
   attempt: number;
   task: number;
-  /** Time of day at which it was assigned. */
+  /** Time of the assignment on the wall clock, in ms. */
   assignedAtWallClock: number;
 }
 
-/** An assignment that an earlier leader has left on record: its start may have been sent. */
+/** Restores an assignment that an earlier leader has recorded: its start may have been sent. */
 export function restoreAssignment(
   recorded: RecordedTask,
   job: Job | null,
@@ -121,7 +139,7 @@
   };
 }
 
-/** Tells the attempts of tasks on one machine apart. */
+/** Key of an attempt among all attempts of tasks on one machine. */
 export function attemptKey(name: string, attempt: number | bigint): string {
   return `${name}@${attempt}`;
 }
--- a/src/controller/model/keyed-counts.test.ts
+++ b/src/controller/model/keyed-counts.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test';
 import { adjustCount } from './keyed-counts.js';
 
-describe('counts', () => {
-  it('keep no key without a count', () => {
+describe('adjustCount', () => {
+  it('removes a key whose count falls to zero', () => {
     const counts = new Map<string, number>();
     assert.equal(adjustCount(counts, 'a', 2), 2);
     assert.equal(adjustCount(counts, 'a', -1), 1);
--- a/src/controller/model/machine.ts
+++ b/src/controller/model/machine.ts
@@ -10,70 +10,97 @@
   readonly job: { readonly spec: Pick<JobSpec, 'class'> } | null;
 }
 
-/** A machine, its agent's epoch and what is assigned to it, as assignments of the type `TAssignment`. */
+/** State of a machine in the cloud's list; `absent` if it was listed once and no longer is. */
+export type CloudState = 'booting' | 'running' | 'failed' | 'absent';
+
+/**
+ * A machine, its worker's agent epoch and what is assigned to it, as assignments of the type
+ * `TAssignment`. All times are on the steady clock, in ms.
+ */
 export class MachineState<TAssignment extends MachineAssignment> {
+  // What heartbeats and the cloud's list say of the machine.
+
+  /** `host:port` of the worker; empty while it is not known. */
   addr = '';
   typeName = '';
+  /** null while the catalogue has no type of that name. */
   type: MachineType | null = null;
   zone = '';
   spot = false;
+  /** State in the cloud's list; null if it was never listed. */
+  cloudState: CloudState | null = null;
+  /** When the cloud's list last contained the machine. */
+  cloudStateAt = -Infinity;
+  /** When the cloud takes the machine back, by its spot interruption notice. */
+  interruptionAt: number | null = null;
+  /** It is being returned to the cloud. */
+  releasing = false;
+
+  // The worker's agent epoch and lease.
+
+  /** Raised by the worker each time its lease has ended; 0 before its first heartbeat. */
   agentEpoch = 0;
-  /** Sessions below this are over, whether or not the worker has said so. */
+  /** Agent epochs below this are over, even if the worker has not begun a new one. */
   lowestValidAgentEpoch = 0;
-  /** Number of the session's last report. */
+  /** Sequence number of the last heartbeat in the agent epoch. */
   lastHeartbeatSequence: number | bigint = 0;
+  readonly firstSeenAt: number;
+  /** Last heartbeat in this term; -Infinity before the first. */
+  lastHeartbeatAt = -Infinity;
+  /** The worker's lease has expired for certain one lease after this time; see `AgentEpochs`. */
+  leaseRenewedAt: number;
+
+  // Fencing, and whether responses reach the worker; see `FencingTokenSync`.
+
+  /** Part of the fencing token below the term; raised to invalidate direct commands sent before. */
+  fencingEpoch = 0;
+  /** The fencing token that the worker has to show before anything is placed on the machine. */
+  expectedToken = 0;
   /**
-   * A report of this session has come that shows the token last asked for: answers get through, and
-   * the report is no late copy from before this term.
+   * A heartbeat of this agent epoch has shown the expected token: responses reach the worker, and the
+   * heartbeat is no late copy from before this term.
    */
   tokenAcknowledged = false;
-  /** Since when it has not been. */
+  /** Since when the expected token has not been acknowledged. */
   tokenUnacknowledgedSince: number;
-  /** The token that it has to show. */
-  expectedToken = 0;
-  /** The highest token that it has shown. */
+  /** The highest token that the worker has shown. */
   highestAcknowledgedToken: number | bigint = 0;
-  /** Reports in a row that lack what the answer before had started. */
+  /** Heartbeats in a row that lacked a task whose start the response before had carried. */
   lostStartHeartbeats = 0;
-  /** Number of the last of these reports. */
+  /** Number of the last of these heartbeats. */
   lastLostStartHeartbeat = 0;
-  lastHeartbeatAt = -Infinity;
-  /** The worker's lease counts at most from here. */
-  leaseRenewedAt: number;
-  /** When the cloud takes the machine, by its notice. */
-  interruptionAt: number | null = null;
-  readonly assignments = new Map<string, TAssignment>();
-  /** Raised to void old direct commands; see token.ts. */
-  fencingEpoch = 0;
   /**
-   * Attempts of this session started by a direct command, with its token. Until the worker shows a
-   * higher one, a copy of the command may still be carried out: then absence from a report proves
-   * nothing, and `clear` has to come with a higher token.
+   * Attempts started by direct commands in this agent epoch, with the token of the command. Until the
+   * worker shows a higher token a copy of the command may be carried out: until then absence from a
+   * heartbeat proves nothing, and `clear` needs a higher token (invariant 6).
    */
   readonly directStartTokens = new Map<string, number>();
-  /** Direct commands that have not been answered. */
+  /** Calls with direct commands that wait for their response. */
   pendingDirectCalls = 0;
+
+  // Assignments, and what they use until they are proven gone.
+
+  /** Assignments by task name, including those that have ended but are still on record. */
+  readonly assignments = new Map<string, TAssignment>();
   cpus = 0;
   gpus = 0;
   memoryGb = 0;
-  /** How large its record is. */
-  readonly recordSize: MachineRecordSize;
-  /** Tasks that take room, and how many of each class. */
   taskCount = 0;
   readonly taskCountByClass = new Map<string, number>();
-  /** Images on the machine, as far as seen; least recently used first. */
+  /** Size of the machine's record. */
+  readonly recordSize: MachineRecordSize;
+  idleSince: number;
+
+  // What is known for placement.
+
+  /** Images known to be cached on the machine with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
-  /** Jobs that failed here since the last success. */
+  /** Jobs that failed on the machine since a task was last completed on it. */
   readonly failedJobs = new Set<string>();
-  /** Quarantines in a row. */
+  /** Quarantines since a task was last completed on the machine. */
   consecutiveQuarantines = 0;
+  /** Nothing is placed on the machine before this time, after failures. */
   unschedulableUntil = 0;
-  /** Being returned to the cloud. */
-  releasing = false;
-  readonly firstSeenAt: number;
-  idleSince: number;
-  cloudState: 'booting' | 'running' | 'failed' | 'absent' | null = null;
-  cloudStateAt = -Infinity;
 
   constructor(
     readonly id: string,
@@ -87,12 +114,12 @@
     this.idleSince = now;
   }
 
-  /** Takes the assignment's room. */
+  /** Allocates the resources that the assignment requests. */
   allocate(assignment: TAssignment): void {
     this.adjustUsage(assignment, 1);
   }
 
-  /** Gives the assignment's room back. */
+  /** Frees the resources that the assignment requests. */
   deallocate(assignment: TAssignment): void {
     this.adjustUsage(assignment, -1);
   }
@@ -111,21 +138,21 @@
     if (job !== null) adjustCount(this.taskCountByClass, job.spec.class, sign);
   }
 
-  /** Some task takes room. */
+  /** Whether some task uses the machine. */
   get isBusy(): boolean {
     return this.taskCount > 0;
   }
 
-  /** Notes the image as the latest used; true if it was not known to be there. */
+  /** Notes the image as the most recently used. Returns true if it was not known to be cached. */
   recordImageUse(image: string, sizeGb: number): boolean {
-    const known = this.images.delete(image);
+    const wasKnown = this.images.delete(image);
     this.images.set(image, sizeGb);
-    if (known) return false;
+    if (wasKnown) return false;
     this.evictImages(this.type?.cacheGb ?? Infinity);
     return true;
   }
 
-  /** Forgets the least recently used images beyond the machine's cache, but never the last one. */
+  /** Forgets the least recently used images beyond the size of the cache, but never the last one. */
   private evictImages(cacheGb: number): void {
     let totalGb = 0;
     for (const sizeGb of this.images.values()) totalGb += sizeGb;
--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -51,7 +51,7 @@
   return machine;
 }
 
-function encode(machine: Machine): unknown {
+function encode(machine: Machine): unknown[] {
   return encodeMachineRecord(machine, settings, NOW, WALL_CLOCK_NOW);
 }
 
@@ -60,9 +60,9 @@
     fc.assert(
       fc.property(assignedTasks, (tasks) => {
         const machine = machineWith(tasks);
-        const stored: unknown = JSON.parse(JSON.stringify(encode(machine)));
+        const stored = JSON.parse(JSON.stringify(encode(machine))) as unknown[];
         const decoded = decodeMachineRecord(stored, WALL_CLOCK_NOW);
-        assert.equal(decoded?.tasks.length, tasks.length);
+        assert.equal(decoded.tasks.length, tasks.length);
         for (const recorded of decoded.tasks) {
           const name = `${recorded.jobId}/${recorded.task}`;
           const assignment = machine.assignments.get(name);
@@ -96,9 +96,9 @@
     const tasks = Array.from({ length: 40 }, (_, task) => {
       return { job: 1, task, attempt: 1, assignedAt: task < 30 ? 1000 : 1000 + SHARED_START_MS };
     });
-    const value = encode(machineWith(tasks)) as unknown[][];
+    const value = encode(machineWith(tasks));
     const [, , , , , job] = value;
     assert.equal(value.length, 6, 'one job');
-    assert.equal(job?.slice(6).length, 2, 'two spans of time');
+    assert.equal((job as unknown[]).slice(6).length, 2, 'two spans of time');
   });
 });
--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -1,35 +1,41 @@
-/** Records of machines: who is on them, in the form that the state service keeps. */
+/**
+ * The stored forms of a machine's two records: one of the machine and its assignments, one of its
+ * cached images. Both are lists whose form is fixed, since leaders of other versions read them.
+ */
 import type { Settings } from '../settings/settings.js';
 import { isList } from '../wire/cbor.js';
 import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
 import { encodeJob, sharedStartMs } from '../model/machine-record-size.js';
 import type { ResourceRequest } from '../model/resource-request.js';
+import type { MachineDescription } from './machine-registry.js';
 
-/** Tasks of one attempt that started close to each other, as they are written. */
+/** The encoded tasks of one attempt that were assigned within one span of time. */
 interface EncodedAttempt {
-  attempt: number;
-  /** Number of the span of time in which they started. */
-  span: number;
+  readonly attempt: number;
+  /** Number of the span of time in which they were assigned. */
+  readonly span: number;
   /** The attempt, the time of its first task, and the numbers of its tasks. */
-  encoded: number[];
+  readonly encoded: number[];
 }
 
-/** Tasks of one job, as they are written. */
+/** The encoded tasks of one job. */
 interface EncodedJob {
-  encoded: unknown[];
-  attempts: EncodedAttempt[];
+  /** The job's part of the record; the encoded attempts follow in the same list. */
+  readonly encoded: unknown[];
+  readonly attempts: EncodedAttempt[];
 }
 
 /**
- * The record: session, type, zone, kind, address, and by job its tasks by attempt and time. It is
- * written whenever a task comes or goes, so it makes no string for a task.
+ * Encodes the machine's record: agent epoch, type, zone, 1 for a spot machine, address, and for each job
+ * its tasks by attempt and time of assignment. Times are milliseconds of the wall clock, which other
+ * controllers share. Encoded whenever a task comes or goes, so it builds no string per task.
  */
 export function encodeMachineRecord(
   machine: Machine,
   settings: Settings,
   now: number,
   wallClockNow: number,
-): unknown {
+): unknown[] {
   const spanMs = sharedStartMs(settings);
   const jobs = new Map<string, EncodedJob>();
   for (const assignment of machine.assignments.values()) {
@@ -45,7 +51,7 @@
   return [agentEpoch, typeName, zone, spot ? 1 : 0, addr, ...tasks];
 }
 
-/** The part of the job's record that the task belongs to. */
+/** The encoded attempt that the task belongs to; it is added if it is not there. */
 function encodedAttemptOf(
   job: EncodedJob,
   { attempt, assignedAt }: Assignment,
@@ -54,33 +60,29 @@
   wallClockNow: number,
 ): EncodedAttempt {
   const span = Math.floor(assignedAt / spanMs);
-  const known = job.attempts.find(
-    (attemptEntry) => attemptEntry.attempt === attempt && attemptEntry.span === span,
-  );
+  const known = job.attempts.find((entry) => entry.attempt === attempt && entry.span === span);
   if (known !== undefined) return known;
-  const startedAt = Math.round(wallClockNow - (now - assignedAt));
-  const attemptEntry = { attempt, span, encoded: [attempt, startedAt] };
-  job.attempts.push(attemptEntry);
-  job.encoded.push(attemptEntry.encoded);
-  return attemptEntry;
+  const assignedAtWallClock = Math.round(wallClockNow - (now - assignedAt));
+  const entry = { attempt, span, encoded: [attempt, assignedAtWallClock] };
+  job.attempts.push(entry);
+  job.encoded.push(entry.encoded);
+  return entry;
 }
 
-/** A machine's record as it was read. */
-export interface MachineRecord {
+/** A decoded machine record. */
+export interface MachineRecord extends MachineDescription {
   agentEpoch: number;
-  type: string;
-  zone: string;
-  spot: boolean;
-  addr: string;
   tasks: RecordedTask[];
 }
 
-/** null: not a machine's record. */
-export function decodeMachineRecord(value: unknown, wallClockNow: number): MachineRecord | null {
-  if (!isList(value)) return null;
-  const [session, type, zone, spot, addr, ...jobs] = value;
+/** Decodes a machine's record; tasks without a time count as assigned now. */
+export function decodeMachineRecord(
+  record: readonly unknown[],
+  wallClockNow: number,
+): MachineRecord {
+  const [agentEpoch, type, zone, spot, addr, ...jobs] = record;
   return {
-    agentEpoch: Number(session),
+    agentEpoch: Number(agentEpoch),
     type: String(type),
     zone: String(zone),
     spot: spot === 1,
@@ -89,9 +91,9 @@
   };
 }
 
-/** The tasks of one job; those without a time of start count as started now. */
-function decodeJob(part: readonly unknown[], wallClockNow: number): RecordedTask[] {
-  const [jobId, team, cpus, gpus, memoryGb, checkpointSaveS, ...attempts] = part;
+/** Decodes the tasks of one job. */
+function decodeJob(encoded: readonly unknown[], wallClockNow: number): RecordedTask[] {
+  const [jobId, team, cpus, gpus, memoryGb, checkpointSaveS, ...attempts] = encoded;
   const request: ResourceRequest = {
     cpus: Number(cpus),
     gpus: Number(gpus),
@@ -104,14 +106,27 @@
     checkpointSaveS: Number(checkpointSaveS),
   };
   const tasks: RecordedTask[] = [];
-  for (const [attempt = 0, at = wallClockNow, ...numbers] of attempts.filter(isList)) {
+  for (const [attempt = 0, assignedAt = wallClockNow, ...numbers] of attempts.filter(isList)) {
     for (const task of numbers)
       tasks.push({
         ...job,
         attempt: Number(attempt),
-        assignedAtWallClock: Number(at),
+        assignedAtWallClock: Number(assignedAt),
         task: Number(task),
       });
   }
   return tasks;
 }
+
+/** Encodes the images cached on a machine: each name followed by its size in GB. */
+export function encodeImages(images: ReadonlyMap<string, number>): unknown[] {
+  return [...images].flat();
+}
+
+/** Decodes the images cached on a machine, as names and sizes in GB. */
+export function decodeImages(record: readonly unknown[]): [image: string, sizeGb: number][] {
+  const images: [string, number][] = [];
+  for (let i = 0; i + 1 < record.length; i += 2)
+    images.push([String(record[i]), Number(record[i + 1])]);
+  return images;
+}
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -2,8 +2,14 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore, WritePriority } from '../store/record-store.js';
+import { isList } from '../wire/cbor.js';
 import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
-import { decodeMachineRecord, encodeMachineRecord } from './machine-record.js';
+import {
+  decodeImages,
+  decodeMachineRecord,
+  encodeImages,
+  encodeMachineRecord,
+} from './machine-record.js';
 import type { MachineRegistry } from './machine-registry.js';
 
 const MACHINE_PREFIX = 'm/';
@@ -50,9 +56,10 @@
   }
 
   private restoreMachine(id: string, value: unknown): void {
+    // Anything else is not the record of a machine.
+    if (!isList(value)) return;
     const wallClockNow = this.eventLoop.runtime.wallClock();
     const record = decodeMachineRecord(value, wallClockNow);
-    if (record === null) return;
     const machine = this.registry.getOrCreate(id);
     machine.agentEpoch = record.agentEpoch;
     this.registry.setDescription(machine, record);
@@ -64,9 +71,8 @@
 
   private restoreImages(id: string, value: unknown): void {
     const { images } = this.registry.getOrCreate(id);
-    if (!Array.isArray(value)) return;
-    for (let i = 0; i + 1 < value.length; i += 2)
-      images.set(String(value[i]), Number(value[i + 1]));
+    if (!isList(value)) return;
+    for (const [image, sizeGb] of decodeImages(value)) images.set(image, sizeGb);
   }
 
   /** Notes that the machine's agent epoch or assignments differ from its record. */
@@ -92,7 +98,7 @@
     for (const machine of this.changed) this.write(machine);
     this.changed.clear();
     for (const machine of this.imagesChanged)
-      this.records.set(imagesKey(machine.id), [...machine.images].flat(), 'deferrable');
+      this.records.set(imagesKey(machine.id), encodeImages(machine.images), 'deferrable');
     this.imagesChanged.clear();
   }
 
