--- a/src/controller/node/logger.ts
+++ b/src/controller/node/logger.ts
@@ -2,7 +2,10 @@
 import pino from 'pino';
 import type { Logger } from '../runtime/runtime.js';
 
-/** Structured lines on standard error, written at once. */
+/**
+ * Logs JSON lines on standard error. They are written synchronously, so none is lost when the process is
+ * killed. `level` is one of `LOG_LEVELS`; `host` is a field of every line.
+ */
 export function createLogger(level: string, host: string): Logger {
   return pino(
     { level, base: { host }, timestamp: pino.stdTimeFunctions.isoTime },
@@ -10,5 +13,5 @@
   );
 }
 
-/** Values of the environment variable LOG_LEVEL. */
+/** The values of the environment variable LOG_LEVEL. */
 export const LOG_LEVELS = ['error', 'info', 'debug'];
--- a/src/controller/node/node-runtime.ts
+++ b/src/controller/node/node-runtime.ts
@@ -1,34 +1,38 @@
-/** The environment of a controller in production: Node's clocks, timers and sockets. */
+/** The runtime of a controller in production: Node's clocks, timers and sockets. */
 import { HttpClient } from '../http/client.js';
 import type { HttpMessage } from '../http/parser.js';
 import type { SocketBudget } from '../http/socket-budget.js';
 import { encodeFrame } from '../peers/framing.js';
-import { decodeBody, encodeBody } from '../wire/cbor.js';
-import type { Call, Runtime, Reply, Timer } from '../runtime/runtime.js';
 import { PeerLink } from '../peers/peer-link.js';
+import { decodeBody, encodeBody } from '../wire/cbor.js';
+import type { Call, Reply, Runtime, Timer } from '../runtime/runtime.js';
 
-/** Connections to one address at most, and how long one is kept without use. */
+/** Most connections to one address. */
 const MAX_CONNECTIONS_PER_HOST = 12;
+/** An unused connection is closed after this time. */
 const CONNECTION_IDLE_MS = 30_000;
-/** The largest answer that is read. */
+/** Largest response body that is read. */
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-/** What the environment is given at start. */
+/** What a `NodeRuntime` is made of. */
 export interface NodeRuntimeOptions {
+  /** Shared with the servers of the process. */
   sockets: SocketBudget;
+  /** Uniform in [0, 1). */
   random: () => number;
+  /** The other controllers, with the addresses that they listen on for peers. */
   peers: { host: string; addr: string }[];
-  /** A connection to a peer is tried again after this time. */
+  /** Least time between two attempts to connect to a peer. */
   peerRetryMs: number;
 }
 
-/** The world as Node gives it: clocks, timers, sockets. */
+/** Implements the runtime with Node's event loop; it lives as long as the process. */
 export class NodeRuntime implements Runtime {
   private readonly client: HttpClient;
   private readonly sockets: SocketBudget;
   private readonly links = new Map<string, PeerLink>();
   readonly random: () => number;
-  /** The steady clock counts from the start of the process. */
+  /** The monotonic clock counts from the start of the process. */
   readonly startedAt = 0;
 
   constructor(options: NodeRuntimeOptions) {
@@ -44,41 +48,41 @@
       this.links.set(host, new PeerLink(addr, options.peerRetryMs));
   }
 
-  /** Steady clock in milliseconds. */
+  /** Monotonic clock in milliseconds. */
   now(): number {
     return performance.now();
   }
 
-  /** Time of day in milliseconds. */
+  /** Milliseconds since the Unix epoch. */
   wallClock(): number {
     return Date.now();
   }
 
-  /** Runs `fn` once the present events have been handled. */
+  /** Runs `fn` once the present I/O events have been handled. */
   defer(fn: () => void): void {
     setImmediate(fn);
   }
 
-  /** Runs `fn` once after `ms`. */
-  startTimer(ms: number, fn: () => void): Timer {
-    const timeout = setTimeout(fn, ms);
+  /** Runs `fn` once after `delayMs`. */
+  startTimer(delayMs: number, fn: () => void): Timer {
+    const timeout = setTimeout(fn, delayMs);
     return { cancel: () => clearTimeout(timeout) };
   }
 
-  /** Sends a request; a broken answer counts as none. */
+  /** Sends a request. A response that is no CBOR counts as none: status 0. */
   call(call: Call, done: (reply: Reply) => void): void {
     const body = call.body === undefined ? null : encodeBody(call.body);
     this.client.request(call.to, call.method, call.path, body, call.timeoutMs, (response) =>
-      done(response === null ? NO_REPLY : readReply(response)),
+      done(response === null ? NO_REPLY : decodeReply(response)),
     );
   }
 
-  /** Sockets are not short, or a connection to the address is open. */
+  /** Sockets are not scarce, or a connection to the address is idle. */
   hasSpareConnection(to: string): boolean {
     return !this.sockets.exhausted || this.client.hasIdleConnection(to);
   }
 
-  /** Sends a message to a peer, or drops it while the peer is slow or away. */
+  /** Sends a message to a peer; it is dropped while the peer is slow or unreachable. */
   sendPeer(host: string, bytes: Buffer): void {
     this.links.get(host)?.send(encodeFrame(bytes));
   }
@@ -86,11 +90,11 @@
 
 const NO_REPLY: Reply = { status: 0, body: null };
 
-function readReply({ status, body }: HttpMessage): Reply {
+function decodeReply({ status, body }: HttpMessage): Reply {
   try {
     return { status, body: body.length > 0 ? decodeBody(body) : null };
   } catch {
-    // A broken answer is none.
+    // Whether the request was carried out is as unknown as without response.
     return NO_REPLY;
   }
 }
--- /dev/null
+++ b/src/controller/runtime/event-loop.test.ts
@@ -0,0 +1,56 @@
+import assert from 'node:assert/strict';
+import { beforeEach, describe, it } from 'node:test';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
+import { EventLoop } from './event-loop.js';
+
+describe('EventLoop', () => {
+  let runtime: ManualRuntime;
+  let handled: string[];
+
+  beforeEach(() => {
+    runtime = new ManualRuntime();
+    handled = [];
+  });
+
+  it('handles events in their order, and runs the hooks after each batch', () => {
+    const eventLoop = new EventLoop(runtime, silentLogger, 2);
+    eventLoop.onBatchEnd(() => handled.push('first hook'));
+    eventLoop.onBatchEnd(() => handled.push('second hook'));
+    for (const name of ['a', 'b', 'c']) eventLoop.post(name, () => handled.push(name));
+    assert.deepEqual(handled, [], 'nothing is handled within post');
+    runtime.advance(0);
+    const hooks = ['first hook', 'second hook'];
+    assert.deepEqual(handled, ['a', 'b', ...hooks, 'c', ...hooks]);
+  });
+
+  it('logs a handler that throws, and goes on with the next event', () => {
+    const errors: object[] = [];
+    const log = { ...silentLogger, error: (fields: object) => errors.push(fields) };
+    const eventLoop = new EventLoop(runtime, log);
+    const err = new Error('broken');
+    eventLoop.post('faulty', () => {
+      throw err;
+    });
+    eventLoop.post('next', () => handled.push('next'));
+    runtime.advance(0);
+    assert.deepEqual(errors, [{ event: 'faulty', err }]);
+    assert.deepEqual(handled, ['next']);
+  });
+
+  it('posts an event after its delay, unless the timer was cancelled', () => {
+    const eventLoop = new EventLoop(runtime, silentLogger);
+    eventLoop.after(10, 'kept', () => handled.push('kept'));
+    eventLoop.after(10, 'cancelled', () => handled.push('cancelled')).cancel();
+    runtime.advance(9);
+    assert.deepEqual(handled, []);
+    runtime.advance(1);
+    assert.deepEqual(handled, ['kept']);
+  });
+
+  it('posts a repeated event once in each interval', () => {
+    const eventLoop = new EventLoop(runtime, silentLogger);
+    eventLoop.every(10, 'tick', () => handled.push(`tick at ${eventLoop.now()}`));
+    for (let i = 0; i < 6; i++) runtime.advance(5);
+    assert.deepEqual(handled, ['tick at 10', 'tick at 20', 'tick at 30']);
+  });
+});
--- a/src/controller/runtime/heap-budget.ts
+++ b/src/controller/runtime/heap-budget.ts
@@ -1,63 +1,63 @@
 /**
- * Keeps V8's heap within the memory that the platform's settings give the process. V8 takes the bound
- * of its heap when a process starts, before any settings are read, and plans its next collection by a
- * growth factor that it chooses freely below that bound. The factor can be set while the process runs;
- * so the bound follows the settings, in a place of 146 MB as in one of some gigabytes.
+ * Keeps V8's heap within the memory that the platform's settings grant the process. V8 fixes the upper
+ * limit of its heap when a process starts, before any settings are read, and below that limit plans its
+ * next collection by a growth factor of its own choice. That factor can be set while the process runs;
+ * setting it makes the heap follow the settings, with 146 MB as with some gigabytes.
  */
 import { getHeapStatistics, setFlagsFromString } from 'node:v8';
 
 const MIB = 1024 * 1024;
 
 /**
- * What the process holds beside the heap and beside the files that it maps: stacks, compiled code,
- * buffers of sockets. An idle controller holds 58 MB, of which 41 MB are mapped files.
+ * Memory of the process outside the heap, without the files that it maps: stacks, compiled code,
+ * socket buffers. An idle controller uses 58 MB, of which 41 MB are mapped files.
  */
 const OUTSIDE_HEAP_MB = 17;
 
-/** The young generation: three semi-spaces of 16 MB, V8's default. */
+/** Size of the young generation: three semi-spaces of 16 MB, V8's default. */
 const YOUNG_GENERATION_MB = 48;
 
-/** Share of the room that is planned with: while a collection marks, the heap grows on. */
-const PLANNED_SHARE = 0.65;
+/** Ratio of the remaining memory that is planned for: the heap goes on growing while a collection marks. */
+const PLANNED_RATIO = 0.65;
 
-/** Least room for the old generation with which a start makes sense. */
-const LEAST_OLD_GENERATION_MB = 32;
+/** Size of the old generation below which a leader cannot be expected to run. */
+const MIN_OLD_GENERATION_MB = 32;
 
-/** The heap may grow by this share until the next collection: bounds of what is set. */
-const LEAST_GROWTH_PERCENT = 10;
-const LARGEST_GROWTH_PERCENT = 100;
+/** Bounds of the growth, in percent of what a collection has left, until the next collection. */
+const MIN_GROWTH_PERCENT = 10;
+const MAX_GROWTH_PERCENT = 100;
 
-/** What the platform grants the process. */
+/** The memory that the platform grants the process. */
 export interface MemoryQuota {
   ramMb: number;
 }
 
-/** Room for the old generation, which what lives long has to fit. */
+/** Size of the old generation, where all long-lived objects are, in MB. */
 export function oldGenerationMb({ ramMb }: MemoryQuota): number {
-  const roomMb = ramMb - OUTSIDE_HEAP_MB - YOUNG_GENERATION_MB;
-  return Math.max(0, Math.floor(roomMb * PLANNED_SHARE));
+  const remainingMb = ramMb - OUTSIDE_HEAP_MB - YOUNG_GENERATION_MB;
+  return Math.max(0, Math.floor(remainingMb * PLANNED_RATIO));
 }
 
 /**
- * By how much the heap may grow beyond what a collection leaves, in percent. What is left is no more
- * than what is in use now, so the heap stays within `budgetMb` as long as a tenth of it is free.
+ * By how much the heap may grow beyond what a collection leaves, in percent. A collection leaves no
+ * more than what is in use now, so the heap stays within `budgetMb` as long as a tenth of it is free.
  */
 export function growthPercent(usedMb: number, budgetMb: number): number {
-  const fitting = Math.floor((budgetMb / Math.max(1, usedMb) - 1) * 100);
-  return Math.min(LARGEST_GROWTH_PERCENT, Math.max(LEAST_GROWTH_PERCENT, fitting));
+  const percent = Math.floor((budgetMb / Math.max(1, usedMb) - 1) * 100);
+  return Math.min(MAX_GROWTH_PERCENT, Math.max(MIN_GROWTH_PERCENT, percent));
 }
 
-/** What to say at the start where the memory is less than a controller needs; it may go well for a while. */
+/** The warning to log at start where the memory is less than a leader needs; null: it suffices. */
 export function memoryWarning(quota: MemoryQuota): string | null {
   const budgetMb = oldGenerationMb(quota);
-  if (budgetMb >= LEAST_OLD_GENERATION_MB) return null;
+  if (budgetMb >= MIN_OLD_GENERATION_MB) return null;
   return (
     `params.quota.ram_mb: ${quota.ramMb} leaves ${budgetMb} MB for what the heap keeps; ` +
-    `less than ${LEAST_OLD_GENERATION_MB} MB do not suffice for a leader`
+    `less than ${MIN_OLD_GENERATION_MB} MB do not suffice for a leader`
   );
 }
 
-/** Sets the growth of the heap by what is in use. */
+/** Sets V8's growth factor by what the heap uses. The factor is global to the process. */
 export class HeapBudget {
   private readonly budgetMb: number;
   private percent = 0;
@@ -66,7 +66,7 @@
     this.budgetMb = oldGenerationMb(quota);
   }
 
-  /** Call this at the start and about once a second. */
+  /** Adapts the factor; to be called at start and about once a second. */
   adjust(): void {
     const percent = growthPercent(getHeapStatistics().used_heap_size / MIB, this.budgetMb);
     if (percent === this.percent) return;
--- a/src/controller/runtime/random.ts
+++ b/src/controller/runtime/random.ts
@@ -1,8 +1,10 @@
-/** Random numbers that a seed determines. */
+/** Deterministic random numbers. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Numbers in [0, 1) from a seed. */
+const UINT32_RANGE = 2 ** 32;
+
+/** A generator of numbers uniform in [0, 1); equal seeds give equal sequences. */
 export function seededRandom(seed: number): () => number {
-  const rng = xoroshiro128plus(seed);
-  return () => (rng.next() >>> 0) / 2 ** 32;
+  const generator = xoroshiro128plus(seed);
+  return () => (generator.next() >>> 0) / UINT32_RANGE;
 }
--- a/src/controller/runtime/token-bucket.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -1,13 +1,19 @@
+/** Token bucket: limits the rate of calls to another service, with priorities among callers. */
+
+const MS_PER_S = 1000;
+
 /**
- * Token bucket for calls to an outside service. A caller of low priority leaves `reserve` tokens
- * for those above it, so that under load polls go without before submissions, and submissions
- * before the leader's records and its lease.
+ * Limits calls to `ratePerS` on average and `burst` at once. A caller of low priority leaves `reserve`
+ * tokens (a ratio of the burst) to those above it, so that under load status polls go without
+ * before submissions, and submissions before the leader's records and its lease.
  */
 export class TokenBucket {
+  /** Tokens at `refilledAt`; negative after `forceTake`. */
   private available: number;
   private refilledAt: number;
-  private blockedUntil = 0;
+  private pausedUntil = 0;
 
+  /** `now`: monotonic clock in milliseconds. The bucket starts full. */
   constructor(
     private readonly now: () => number,
     private ratePerS: number,
@@ -17,7 +23,7 @@
     this.refilledAt = now();
   }
 
-  /** Changes rate and burst; what the bucket holds stays, up to the burst. */
+  /** Changes rate and burst; the tokens that are there stay, up to the new burst. */
   setRate(ratePerS: number, burst: number): void {
     this.refill();
     this.ratePerS = ratePerS;
@@ -25,47 +31,45 @@
     this.available = Math.min(this.available, burst);
   }
 
-  /** The rate at which tokens come. */
+  /** The rate at which tokens are added. */
   get perSecond(): number {
     return this.ratePerS;
   }
 
-  /** Takes `count` tokens if that leaves `reserve` (a share of the burst) behind. */
+  /** Takes `count` tokens if that leaves `reserve` (a ratio of the burst); false: none were taken. */
   tryTake(count = 1, reserve = 0): boolean {
     this.refill();
-    if (this.now() < this.blockedUntil) return false;
+    if (this.now() < this.pausedUntil) return false;
     if (this.available - count < reserve * this.burst) return false;
     this.available -= count;
     return true;
   }
 
-  /** For calls that must go out whatever the level (lease renewals): later callers pay. */
+  /** Takes tokens for a call that must go out in any case (a lease renewal): later callers pay. */
   forceTake(count = 1): void {
     this.refill();
     this.available -= count;
   }
 
-  /** The service itself said "too many": it counts more than we do. */
+  /** The service has refused for its rate, so it counts more than this bucket does. */
   pauseFor(pauseMs: number): void {
     this.refill();
     this.available = Math.min(this.available, 0);
-    this.blockedUntil = this.now() + pauseMs;
+    this.pausedUntil = this.now() + pauseMs;
   }
 
-  /** Milliseconds until `count` tokens are there, keeping `reserve`. */
+  /** Milliseconds until `tryTake` with the same arguments can succeed; 0: now. */
   waitMs(count = 1, reserve = 0): number {
     this.refill();
-    const lack = count + reserve * this.burst - this.available;
-    const refill = lack <= 0 ? 0 : (lack / this.ratePerS) * 1000;
-    return Math.max(refill, this.blockedUntil - this.now(), 0);
+    const missing = count + reserve * this.burst - this.available;
+    const refillMs = missing <= 0 ? 0 : (missing / this.ratePerS) * MS_PER_S;
+    return Math.max(refillMs, this.pausedUntil - this.now(), 0);
   }
 
   private refill(): void {
     const now = this.now();
-    this.available = Math.min(
-      this.burst,
-      this.available + ((now - this.refilledAt) / 1000) * this.ratePerS,
-    );
+    const added = ((now - this.refilledAt) / MS_PER_S) * this.ratePerS;
+    this.available = Math.min(this.burst, this.available + added);
     this.refilledAt = now;
   }
 }
--- a/test/manual-runtime.ts
+++ b/test/manual-runtime.ts
@@ -1,4 +1,5 @@
-import type { Call, Runtime, Logger, Reply, Timer } from '../src/controller/runtime/runtime.js';
+/** A runtime and a log for the tests of single modules. */
+import type { Call, Logger, Reply, Runtime, Timer } from '../src/controller/runtime/runtime.js';
 
 interface PendingTimer {
   at: number;
@@ -6,13 +7,14 @@
   cancelled: boolean;
 }
 
-/** An environment for the tests of single modules: the test moves the clock and answers the calls. */
+/** A runtime without time or network of its own: the test moves the clock and answers the calls. */
 export class ManualRuntime implements Runtime {
+  /** Calls without response, the oldest first. */
   readonly calls: { call: Call; done: (reply: Reply) => void }[] = [];
-  /** Long ago. */
+  /** Long ago: nothing that depends on the age of the process waits. */
   readonly startedAt = -Infinity;
   private time = 0;
-  private readonly queue: (() => void)[] = [];
+  private readonly deferred: (() => void)[] = [];
   private timers: PendingTimer[] = [];
 
   now(): number {
@@ -28,7 +30,7 @@
   }
 
   defer(fn: () => void): void {
-    this.queue.push(fn);
+    this.deferred.push(fn);
   }
 
   startTimer(ms: number, fn: () => void): Timer {
@@ -53,35 +55,37 @@
     // No peers.
   }
 
-  /** Answers the oldest open call and runs what follows. */
+  /** Answers the oldest open call and runs what was deferred. Returns the call. */
   answer(status: number, body: unknown = null): Call {
     const open = this.calls.shift();
     if (open === undefined) throw new Error('no open call');
     open.done({ status, body });
-    this.settle();
+    this.runDeferred();
     return open.call;
   }
 
-  /** Moves the clock and runs the timers that are due by then. */
+  /** Moves the clock and runs the timers that are due by then, and what was deferred. */
   advance(ms: number): void {
     this.time += ms;
     const due = this.timers.filter((timer) => timer.at <= this.time && !timer.cancelled);
     this.timers = this.timers.filter((timer) => timer.at > this.time && !timer.cancelled);
     for (const timer of due.sort((a, b) => a.at - b.at)) timer.run();
-    this.settle();
+    this.runDeferred();
   }
 
-  private settle(): void {
-    for (let next = this.queue.shift(); next !== undefined; next = this.queue.shift()) next();
+  private runDeferred(): void {
+    for (let next = this.deferred.shift(); next !== undefined; next = this.deferred.shift()) next();
   }
 }
 
-const nothing = (): void => undefined;
+function ignore(): void {
+  // Nothing is recorded.
+}
 
-/** A log that nobody reads. */
+/** A log that keeps nothing. */
 export const silentLogger: Logger = {
-  info: nothing,
-  debug: nothing,
-  warn: nothing,
-  error: nothing,
+  info: ignore,
+  debug: ignore,
+  warn: ignore,
+  error: ignore,
 };
