--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -23,7 +23,7 @@
       );
       simulation.stopFaults(30_000);
       simulation.play(REST_MS);
-      assert.deepEqual(checker.unfinishedJobs(), []);
-      assert.deepEqual(checker.neglectedJobs(), []);
+      assert.deepEqual(checker.jobs.unfinished(), []);
+      assert.deepEqual(checker.jobs.neglected(), []);
     });
 });
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -201,9 +201,9 @@
     simulation.stopFaults(0);
     const until = simulation.clock.now + 400_000;
     do simulation.play(60_000);
-    while (simulation.clock.now < until && simulation.checker.unfinishedJobs().length > 0);
+    while (simulation.clock.now < until && simulation.checker.jobs.unfinished().length > 0);
     const { checker } = simulation;
-    assert.deepEqual(checker.unfinishedJobs(), [], 'never finished');
+    assert.deepEqual(checker.jobs.unfinished(), [], 'never finished');
     assert.ok(checker.cancelledWhileRunning.length > 0, 'no running job was cancelled');
   }
 
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -92,7 +92,7 @@
 
 function assertCancelled(scenario: MixedVersionScenario, services: readonly string[]): void {
   const { checker } = scenario.simulation;
-  for (const id of services) assert.ok(checker.toldCancelled(id), `${id} not cancelled`);
+  for (const id of services) assert.ok(checker.visibleState(id).cancelled, `${id} not cancelled`);
   const replicas = scenario.replicaCounts(services);
   assert.ok(
     replicas.every((count) => count === 0),
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -75,6 +75,6 @@
       const simulation = playOutage(seed, disturbControllers);
       simulation.stopFaults(10_000);
       simulation.play(400_000);
-      assert.deepEqual(simulation.checker.unfinishedJobs(), []);
+      assert.deepEqual(simulation.checker.jobs.unfinished(), []);
     });
 });
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -48,8 +48,8 @@
   simulation.play(faultsMs);
   simulation.stopFaults(LONGEST_FAULT_MS);
   simulation.play(RECOVERY_MS);
-  assert.deepEqual(checker.unfinishedJobs(), [], 'accepted jobs that never finished');
-  assert.deepEqual(checker.neglectedJobs(), []);
+  assert.deepEqual(checker.jobs.unfinished(), [], 'accepted jobs that never finished');
+  assert.deepEqual(checker.jobs.neglected(), []);
   assert.ok(checker.startedTasks > JOBS / 2, 'hardly anything ran');
 }
 
--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -79,7 +79,7 @@
 ): void {
   const { clock, random, connectionFaults } = simulation;
   const others = hostsOf(simulation, 'others');
-  for (const id of simulation.checker.runningJobs().slice(0, count)) {
+  for (const id of simulation.checker.jobs.running().slice(0, count)) {
     const host = elsewhere ? random.pick(others) : undefined;
     clock.after(random.between(0, CANCEL_WITHIN_MS), () => {
       for (const worker of simulation.workersOf(id)) {
@@ -114,7 +114,7 @@
   const until = clock.now + durationMs;
   simulation.onLog.push((text) => {
     if (text !== 'no longer leader' || clock.now > until) return;
-    for (const id of checker.runningJobs().slice(0, count))
+    for (const id of checker.jobs.running().slice(0, count))
       clock.after(random.between(0, CANCEL_AFTER_HANDOVER_MS), () =>
         simulation.cancel(id, random.pick(simulation.hosts)),
       );
--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -14,11 +14,11 @@
   const again = (): void => {
     if (clock.now > until) return;
     clock.after(random.between(BETWEEN_MS.least, BETWEEN_MS.most), again);
-    const known = checker.acceptedJobs();
+    const known = checker.jobs.accepted();
     const id = known.length > 0 ? random.pick(known) : '';
     const spec = users.specOf(id);
     if (spec === undefined) return;
-    if (checker.toldDone(id)) users.cancel(id);
+    if (checker.visibleState(id).done) users.cancel(id);
     else if (random.next() < 0.5) users.repeat(id);
     else submitOdd(simulation, spec);
   };
--- /dev/null
+++ b/test/simulation/rules/response-rules.ts
@@ -0,0 +1,112 @@
+/** Rules about what users are told: nothing is invented, forgotten or taken back. */
+import {
+  visibleStateOf,
+  type ObservedJob,
+  type VisibleChange,
+  type VisibleState,
+} from './observed-job.js';
+import type { RuleContext } from './rule-context.js';
+
+/** Faults over, a job counts as forgotten after this time without any answer. */
+const UNANSWERED_MS = 75_000;
+
+const CHANGES: readonly VisibleChange[] = ['accepted', 'done', 'cancelled'];
+
+/** Judges the responses that users get. */
+export class ResponseRules {
+  /** Called when a user is first told that a job is accepted, done or cancelled. */
+  readonly onVisibleChange: ((id: string, change: VisibleChange) => void)[] = [];
+
+  constructor(
+    private readonly context: RuleContext,
+    /** Called with each job that a user is told is cancelled, every time. */
+    private readonly onCancelled: (job: ObservedJob) => void,
+  ) {}
+
+  /** A response arrived, or none within the user's time-out; see `RuleChecker.responseReceived`. */
+  responseReceived(
+    id: string,
+    status: number,
+    state: string,
+    submission: boolean,
+    before: VisibleState,
+  ): void {
+    const job = this.context.jobs.get(id);
+    if (job === undefined) {
+      if (status === 200) this.context.violated('invented', id);
+      return;
+    }
+    const known = visibleStateOf(job);
+    this.judge(job, status, state, submission, before);
+    const now = visibleStateOf(job);
+    for (const change of CHANGES)
+      if (now[change] && !known[change])
+        for (const listener of this.onVisibleChange) listener(id, change);
+  }
+
+  private judge(
+    job: ObservedJob,
+    status: number,
+    state: string,
+    submission: boolean,
+    before: VisibleState,
+  ): void {
+    if (before.accepted) this.judgeAccepted(job.spec.id, status, submission);
+    if (status === 200 || status === 201) return this.judgeState(job, state, before);
+    if (job.accepted) job.unansweredSince ??= this.context.now();
+    this.checkAnswered(job);
+  }
+
+  /** What was accepted is not unknown, and its submission is not refused when it is repeated. */
+  private judgeAccepted(id: string, status: number, submission: boolean): void {
+    if (status === 404) this.context.violated('forgotten', `${id} 404`);
+    if (submission && (status === 400 || status === 422))
+      this.context.violated('forgotten', `${id} ${status}`);
+  }
+
+  private judgeState(job: ObservedJob, state: string, before: VisibleState): void {
+    job.unansweredSince = null;
+    job.accepted = true;
+    if (state === 'done') this.judgeDone(job);
+    else this.judgeNotDone(job, state, before);
+    if (state === 'aborted') this.judgeCancelled(job);
+    else if (before.cancelled && state !== 'done') this.wentBack(job, `cancelled, then ${state}`);
+  }
+
+  private judgeDone(job: ObservedJob): void {
+    const { id, tasks } = job.spec;
+    if (job.completedTasks.size < tasks) this.context.violated('not_done', id);
+    if (job.cancelledAt !== null) this.wentBack(job, 'cancelled, then done');
+    job.reportedDone = true;
+  }
+
+  private judgeNotDone(job: ObservedJob, state: string, before: VisibleState): void {
+    if (before.done || (job.reportedDone && state === 'aborted'))
+      this.wentBack(job, `done, then ${state}`);
+  }
+
+  private judgeCancelled(job: ObservedJob): void {
+    if (!job.cancelRequested) this.wentBack(job, 'cancelled by nobody');
+    this.onCancelled(job);
+    job.cancelledAt ??= this.context.now();
+  }
+
+  private wentBack(job: ObservedJob, how: string): void {
+    this.context.violated('went_back', `${job.spec.id} ${how}`);
+  }
+
+  /** To be called as time passes. */
+  tick(): void {
+    if (this.context.faultsEndedAt === null) return;
+    for (const job of this.context.jobs.all()) this.checkAnswered(job);
+  }
+
+  /** The operators' rule: faults over, no job goes unanswered for long, however others fare. */
+  private checkAnswered(job: ObservedJob): void {
+    const { faultsEndedAt } = this.context;
+    if (faultsEndedAt === null || job.unansweredSince === null) return;
+    const from = Math.max(faultsEndedAt, job.unansweredSince);
+    if (this.context.now() - from > UNANSWERED_MS)
+      this.context.violated('forgotten', `${job.spec.id} unanswered`);
+  }
+}
--- a/test/simulation/scenarios/fault-scenarios.ts
+++ b/test/simulation/scenarios/fault-scenarios.ts
@@ -326,8 +326,8 @@
       { kind: 'unusual requests', at: 0, for: 90 },
     ],
     expectedEvents: (simulation) => ({
-      done: simulation.checker.countEnded('done'),
-      cancelled: simulation.checker.countEnded('cancelled'),
+      done: simulation.checker.jobs.countEnded('done'),
+      cancelled: simulation.checker.jobs.countEnded('cancelled'),
     }),
   },
   {
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -45,7 +45,7 @@
 
 function playSeed(scenario: FaultScenario, seed: number): void {
   const simulation = playScenario(scenario, seed);
-  assert.deepEqual(simulation.checker.unfinishedJobs(), [], 'never finished');
+  assert.deepEqual(simulation.checker.jobs.unfinished(), [], 'never finished');
   for (const [what, times] of Object.entries(scenario.expectedEvents(simulation)))
     assert.ok(times > 0, `${what} did not happen`);
 }
--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -28,8 +28,8 @@
     ],
     expectedEvents: (simulation) => ({
       looks: simulation.observedEvents.count('poll after a change'),
-      done: simulation.checker.countEnded('done'),
-      cancelled: simulation.checker.countEnded('cancelled'),
+      done: simulation.checker.jobs.countEnded('done'),
+      cancelled: simulation.checker.jobs.countEnded('cancelled'),
     }),
   },
   {
@@ -47,8 +47,8 @@
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
-      done: simulation.checker.countEnded('done') - 250,
-      cancelled: simulation.checker.countEnded('cancelled') - 40,
+      done: simulation.checker.jobs.countEnded('done') - 250,
+      cancelled: simulation.checker.jobs.countEnded('cancelled') - 40,
     }),
   },
   {
@@ -71,7 +71,7 @@
     expectedEvents: (simulation) => ({
       read: simulation.stateStore.readsOfUnansweredWrites,
       looks: simulation.observedEvents.count('poll after a change'),
-      cancelled: simulation.checker.countEnded('cancelled'),
+      cancelled: simulation.checker.jobs.countEnded('cancelled'),
     }),
   },
   {
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -50,8 +50,8 @@
 function assertCompletes(simulation: Simulation): void {
   simulation.stopFaults(60_000);
   simulation.play(400_000);
-  assert.deepEqual(simulation.checker.unfinishedJobs(), []);
-  assert.deepEqual(simulation.checker.neglectedJobs(), []);
+  assert.deepEqual(simulation.checker.jobs.unfinished(), []);
+  assert.deepEqual(simulation.checker.jobs.neglected(), []);
 }
 
 /** What was done so far, and what it cost at the state service. */
