--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -1,8 +1,8 @@
-/** Which tasks are done, on record: a bit for each task, in records of a fixed number of tasks. */
+/** Stored records of completed tasks: a bit for each, in records of a fixed number of tasks. */
 import type { RecordStore } from '../store/record-store.js';
 import type { Job } from '../model/entities.js';
 
-/** Tasks whose completion one record holds. */
+/** Tasks whose bits one record holds. */
 const TASKS_PER_RECORD = 8192;
 const BITS_PER_BYTE = 8;
 const KEY_PREFIX = 'p/';
@@ -15,7 +15,7 @@
   return Math.floor(task / TASKS_PER_RECORD);
 }
 
-/** The record's value: the job's done tasks of the chunk. */
+/** The value of a chunk's record: its bits, lowest task first, in base64. */
 function encodeChunk(job: Job, chunk: number): string {
   const from = chunk * TASKS_PER_RECORD;
   const size = Math.min(TASKS_PER_RECORD, job.spec.tasks - from);
@@ -28,7 +28,7 @@
   return bits.toString('base64');
 }
 
-/** Marks the tasks done that the record's value shows. */
+/** Marks the tasks as done whose bits are set in the value of a chunk's record. */
 function decodeChunk(job: Job, chunk: number, value: string): void {
   const bits = Buffer.from(value, 'base64');
   const from = chunk * TASKS_PER_RECORD;
@@ -44,18 +44,21 @@
   }
 }
 
-/** Records of done tasks of the leader's jobs. */
+/**
+ * Records of completed tasks of the leader's jobs. A worker is told to clear a completed task only
+ * once that is on record (invariant 4).
+ */
 export class CompletionRecords {
-  /** Tasks done since the last write, by job. */
+  /** Tasks completed since the last flush, by job. */
   private readonly unwritten = new Map<Job, Set<number>>();
 
+  /** @param onRecorded - the completion of this task is on record; called once for each */
   constructor(
     private readonly records: Pick<RecordStore, 'list' | 'has' | 'set'>,
-    /** The completion of this task is on record. */
     private readonly onRecorded: (job: Job, task: number) => void,
   ) {}
 
-  /** Takes in what the leaders before have recorded; records of ended jobs go. */
+  /** Marks what the leaders before have recorded, and removes records of jobs that have ended. */
   load(jobs: ReadonlyMap<string, Job>): void {
     for (const { key, value } of this.records.list(KEY_PREFIX)) {
       const [id = '', chunk] = key.slice(KEY_PREFIX.length).split('/');
@@ -65,7 +68,7 @@
     }
   }
 
-  /** The task is done; written with the next flush. */
+  /** Notes a completed task, to be written with the next flush. */
   add(job: Job, task: number): void {
     let tasks = this.unwritten.get(job);
     if (tasks === undefined) {
@@ -75,12 +78,12 @@
     tasks.add(task);
   }
 
-  /** The job is complete: its end is written, and no more completions. */
+  /** Drops what is not written of the job: its terminal record is being written, which tells all. */
   discard(job: Job): void {
     this.unwritten.delete(job);
   }
 
-  /** The job has ended: its records go. */
+  /** Removes the records of a job that has ended. */
   remove(job: Job): void {
     this.discard(job);
     const chunks = Math.ceil(job.spec.tasks / TASKS_PER_RECORD);
@@ -90,7 +93,7 @@
     }
   }
 
-  /** Once a batch: the completions of the batch, one write for each record. */
+  /** Writes what was noted since the last flush, one write for each record. */
   flush(): void {
     for (const [job, tasks] of this.unwritten) this.write(job, [...tasks]);
     this.unwritten.clear();
--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -1,118 +1,140 @@
-/** The leader's watch on the jobs that have not ended. */
+/** The leader's watch on the active jobs, with a bound on its staleness. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
-import type { WatchEvent, KeyValue } from '../wire/state.js';
+import type { KeyValue, WatchEvent } from '../wire/state.js';
 import { ACTIVE_PREFIX } from './job-records.js';
 
-/** What the feed tells the leader. */
+/** Receives what the watch reads. */
 export interface JobWatchHandler {
-  /** Every job that has not ended, and nothing else is live: read anew. */
+  /** The active records of all jobs, read anew: any other job has ended. */
   onSnapshot(items: KeyValue[]): void;
-  /** Changes of live records, in their order. */
+  /** Changes of active records, in their order. */
   onEvents(events: WatchEvent[]): void;
 }
 
-/** A watch that has been open for this many times its hold has been lost. */
-const LOST_WATCH_HOLDS = 2;
+/** A watch request without a response for this many times its hold is taken for lost. */
+const LOST_AFTER_HOLDS = 2;
+/** Watch requests in a heartbeat interval, at most: changes that come together are taken together. */
+const WATCHES_PER_HEARTBEAT = 20;
+/** Attempts to read all active records in a heartbeat interval, at most. */
+const SNAPSHOTS_PER_HEARTBEAT = 10;
 
 /**
- * The leader's view of which jobs are live, as the state service tells it, and how old that view is.
+ * Which jobs are active, as the state store tells, and how old that knowledge is (invariant 8).
  *
- * A worker that is answered goes on with what it runs for a whole lease. So whoever answers vouches
- * that every cancellation confirmed to a user is known here, or is younger than a bound from the
- * settings (`Settings.viewMs`). The leader's own lease doesn't prove that: it may be renewed while
- * watches are refused, held up or slow. What proves it is a read of the state service that has been
- * answered: it shows all that was confirmed before the read was sent.
+ * A worker that gets a response goes on with what it runs for a whole lease. So whoever responds
+ * guarantees that every cancellation confirmed to a user is known here, or is younger than a bound
+ * from the settings (`Settings.maxWatchStalenessMs`). The leader's own lease doesn't prove that: it
+ * may be renewed while watches are refused, delayed or slow. What proves it is a read of the state
+ * store that has been answered: it shows all that was confirmed before the read was sent.
  */
 export class JobWatch {
-  /** All that was confirmed by then is known, on this node's clock. */
+  /** Everything that was confirmed by then is known; on this node's steady clock. */
   private freshAsOf = -Infinity;
-  /** Nothing may be done on a view from before then: there was a gap. */
+  /** Knowledge from before then doesn't count: there was a gap. */
   private requiredReadAt = -Infinity;
+  /** Of the last read; -1: none yet. */
   private revision = -1;
-  /** Guards against answers to reads that later ones have replaced. */
+  /** Responses and timers of earlier requests are ignored. */
   private requestNumber = 0;
   private closed = false;
 
   constructor(
-    private readonly eventLoop: EventLoop,
-    private readonly settings: Settings,
-    private readonly client: StateStoreClient,
+    private readonly eventLoop: Pick<EventLoop, 'now' | 'after'>,
+    private readonly settings: Pick<
+      Settings,
+      'leaderLeaseMs' | 'heartbeatIntervalMs' | 'maxWatchStalenessMs'
+    >,
+    private readonly client: Pick<StateStoreClient, 'watch' | 'readPrefix'>,
     private readonly handler: JobWatchHandler,
   ) {}
 
-  /** Nothing is told any more. */
-  close(): void {
-    this.closed = true;
-  }
-
-  /** Takes up from what was read of all jobs by a read sent at `sentAt`. */
+  /** Starts to watch, after all active records were read with this revision by a read sent then. */
   start(revision: number, sentAt: number): void {
     this.revision = revision;
     this.freshAsOf = Math.max(this.freshAsOf, sentAt);
     this.watch(this.holdMs);
   }
 
-  /** Whether a worker may be answered, or anything ordered or placed, on this view. */
+  /** Ends the watch: the handler is not called any more. */
+  close(): void {
+    this.closed = true;
+  }
+
+  /** Whether workers may be answered, and anything commanded or placed, on what is known. */
   get isFresh(): boolean {
     return (
       this.freshAsOf >= this.requiredReadAt && this.stalenessMs <= this.settings.maxWatchStalenessMs
     );
   }
 
-  /** Time since the last moment of which everything is known. */
+  /** Milliseconds since the last time of which everything is known. */
   get stalenessMs(): number {
     return this.eventLoop.now() - this.freshAsOf;
   }
 
-  /** There was a gap: the view counts again once a read that is sent from now on has come back. */
+  /**
+   * There was a gap, in the leader's lease for instance: what is known is fresh again only once a
+   * read that is sent from now on has been answered.
+   */
   requireFreshRead(): void {
     this.requiredReadAt = this.eventLoop.now();
     if (this.revision >= 0) this.watch(0);
   }
 
+  /** How long the state store is asked to hold a watch request that has no changes to tell. */
   private get holdMs(): number {
     return this.settings.leaderLeaseMs;
   }
 
-  private schedule(round: number, ms: number, next: () => void): void {
-    this.eventLoop.after(ms, 'follow-jobs', () => {
-      if (!this.closed && round === this.requestNumber) next();
-    });
-  }
-
-  /** A watch that asks to be held for `holdMs` at most. */
   private watch(holdMs: number): void {
     if (this.closed) return;
-    const round = ++this.requestNumber;
+    const request = ++this.requestNumber;
     const sentAt = this.eventLoop.now();
-    // One that gets lost must not keep the next from being asked for as long as its time-out lasts.
-    if (holdMs > 0) this.schedule(round, holdMs * LOST_WATCH_HOLDS, () => this.watch(0));
-    this.client.watch(ACTIVE_PREFIX, this.revision, holdMs, (got) => {
-      if (this.closed || round !== this.requestNumber) return;
-      if (got.kind === 'too-old') return this.readSnapshot();
-      if (got.kind === 'failed')
-        return this.schedule(round, this.settings.heartbeatIntervalMs / 20, () => this.watch(0));
-      this.revision = Math.max(this.revision, got.value.revision);
+    // A lost request must not keep the next one waiting for as long as its time-out lasts.
+    if (holdMs > 0) this.schedule(request, holdMs * LOST_AFTER_HOLDS, () => this.watch(0));
+    this.client.watch(ACTIVE_PREFIX, this.revision, holdMs, (changes) => {
+      if (!this.isCurrent(request)) return;
+      if (changes.kind === 'too-old') return this.readSnapshot();
+      if (changes.kind === 'failed')
+        return this.schedule(request, this.watchIntervalMs, () => this.watch(0));
+      this.revision = Math.max(this.revision, changes.value.revision);
       this.freshAsOf = Math.max(this.freshAsOf, sentAt);
-      this.handler.onEvents(got.value.events);
-      // Changes that come together are taken together.
-      this.schedule(round, this.settings.heartbeatIntervalMs / 20, () => this.watch(this.holdMs));
+      this.handler.onEvents(changes.value.events);
+      this.schedule(request, this.watchIntervalMs, () => this.watch(this.holdMs));
     });
   }
 
+  /** Reads all active records: the state store has forgotten the changes since the last read. */
   private readSnapshot(): void {
-    const round = ++this.requestNumber;
+    const request = ++this.requestNumber;
     const sentAt = this.eventLoop.now();
-    this.client.readPrefix(ACTIVE_PREFIX, this.holdMs, (got) => {
-      if (this.closed || round !== this.requestNumber) return;
-      if (got.kind === 'failed')
-        return this.schedule(round, this.settings.heartbeatIntervalMs / 10, () =>
-          this.readSnapshot(),
-        );
-      this.handler.onSnapshot(got.value.items);
-      this.start(got.value.revision, sentAt);
+    this.client.readPrefix(ACTIVE_PREFIX, this.holdMs, (snapshot) => {
+      if (!this.isCurrent(request)) return;
+      if (snapshot.kind === 'failed')
+        return this.schedule(request, this.snapshotIntervalMs, () => this.readSnapshot());
+      this.handler.onSnapshot(snapshot.value.items);
+      this.start(snapshot.value.revision, sentAt);
+    });
+  }
+
+  private get watchIntervalMs(): number {
+    return this.settings.heartbeatIntervalMs / WATCHES_PER_HEARTBEAT;
+  }
+
+  private get snapshotIntervalMs(): number {
+    return this.settings.heartbeatIntervalMs / SNAPSHOTS_PER_HEARTBEAT;
+  }
+
+  /** Runs the step after the delay, unless another request is sent before. */
+  private schedule(request: number, delayMs: number, step: () => void): void {
+    this.eventLoop.after(delayMs, 'follow-jobs', () => {
+      if (this.isCurrent(request)) step();
     });
   }
+
+  private isCurrent(request: number): boolean {
+    return !this.closed && request === this.requestNumber;
+  }
 }
