--- a/eslint.config.js
+++ b/eslint.config.js
@@ -30,7 +30,15 @@
         { selector: ['parameter', 'variable'], modifiers: ['destructured'], format: null },
         { selector: 'parameter', format: ['camelCase', 'PascalCase'], leadingUnderscore: 'allow' },
         // Names of protocols, records, metrics and settings.
-        { selector: ['objectLiteralProperty', 'typeProperty'], format: null },
+        {
+          selector: ['objectLiteralProperty', 'objectLiteralMethod', 'typeProperty'],
+          modifiers: ['requiresQuotes'],
+          format: null,
+        },
+        {
+          selector: ['objectLiteralProperty', 'typeProperty'],
+          format: null,
+        },
       ],
     },
   },
