--- /dev/null
+++ b/src/controller/api/hedged-request.test.ts
@@ -0,0 +1,123 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
+import type { ApiResponse, Respond } from '../jobs/api-response.js';
+import type { ForwardedReply } from '../peers/message.js';
+import { EventLoop } from '../runtime/event-loop.js';
+import { encodeBody } from '../wire/cbor.js';
+import { HedgedRequest } from './hedged-request.js';
+
+const HEARTBEAT_INTERVAL_MS = 1000;
+/** A twenty-fifth of the interval. */
+const LATE_MS = 40;
+
+const OK: ApiResponse = { status: 200, body: { state: 'queued' } };
+const UNAVAILABLE: ApiResponse = { status: 503, body: { error: 'not now' } };
+
+function peerReply(status: number, body: unknown = {}): ForwardedReply {
+  return { id: 1, status, body: encodeBody(body) };
+}
+
+interface Situation {
+  /** Failures of the state store since its last success. */
+  consecutiveFailures?: number;
+  /** How long the oldest call to the state store has been waiting. */
+  stalledMs?: number;
+  /** The peer that the state store serves. */
+  servedHost?: string | null;
+}
+
+/** A request that has been started and not been answered. */
+function start({ consecutiveFailures = 0, stalledMs = 0, servedHost = 'kiln-1' }: Situation = {}) {
+  const runtime = new ManualRuntime();
+  const responses: ApiResponse[] = [];
+  const forwarded: { host: string; reply: (reply: ForwardedReply | null) => void }[] = [];
+  let answerLocally: Respond = () => assert.fail('not started');
+  const context = {
+    eventLoop: new EventLoop(runtime, silentLogger),
+    settings: { heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS },
+    client: { health: { consecutiveFailures, stalledMs } },
+    peers: {
+      hostServedByStateStore: () => servedHost,
+      forward: (
+        host: string,
+        _method: string,
+        _target: string,
+        _body: Buffer,
+        _timeoutMs: number,
+        reply: (reply: ForwardedReply | null) => void,
+      ) => void forwarded.push({ host, reply }),
+    },
+  };
+  const request = { method: 'GET', target: '/submissions/req-1', body: Buffer.alloc(0) };
+  new HedgedRequest(context, request, (response) => responses.push(response)).start(
+    (_request, respond) => {
+      answerLocally = respond;
+    },
+  );
+  return {
+    ...{ runtime, responses, forwarded },
+    answerLocally: (response: ApiResponse) => answerLocally(response),
+  };
+}
+
+describe('HedgedRequest', () => {
+  it('answers with the response of this node, without asking a peer, where it comes in time', () => {
+    const { runtime, responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
+    answerLocally(OK);
+    runtime.advance(LATE_MS);
+    assert.deepEqual(responses, [OK]);
+    assert.equal(forwarded.length, 0);
+  });
+
+  it('answers with the reply of the peer that is served, where the state store fails this node', () => {
+    const { responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
+    answerLocally(UNAVAILABLE);
+    assert.deepEqual(responses, []);
+    assert.deepEqual(
+      forwarded.map(({ host }) => host),
+      ['kiln-1'],
+    );
+    forwarded[0]?.reply(peerReply(200, { state: 'queued' }));
+    assert.deepEqual(responses, [OK]);
+  });
+
+  const noHelp: [string, ForwardedReply | null][] = [
+    ['does not reply', null],
+    ['is unavailable too', peerReply(503)],
+  ];
+  for (const [title, reply] of noHelp)
+    it(`answers with its own failure where the peer ${title}`, () => {
+      const { responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
+      answerLocally(UNAVAILABLE);
+      forwarded[0]?.reply(reply);
+      assert.deepEqual(responses, [UNAVAILABLE]);
+    });
+
+  const notAsked: [string, Situation][] = [
+    ['the state store serves this node, whose rate share is used up', { consecutiveFailures: 0 }],
+    ['the state store serves no peer', { consecutiveFailures: 1, servedHost: null }],
+  ];
+  for (const [title, situation] of notAsked)
+    it(`answers with its own failure at once where ${title}`, () => {
+      const { responses, forwarded, answerLocally } = start(situation);
+      answerLocally(UNAVAILABLE);
+      assert.deepEqual(responses, [UNAVAILABLE]);
+      assert.equal(forwarded.length, 0);
+    });
+
+  it('asks a peer where this node is late and its calls stall, and answers with what comes first', () => {
+    const { runtime, responses, forwarded, answerLocally } = start({ stalledMs: LATE_MS });
+    runtime.advance(LATE_MS);
+    assert.equal(forwarded.length, 1);
+    answerLocally(OK);
+    forwarded[0]?.reply(peerReply(200, { state: 'running' }));
+    assert.deepEqual(responses, [OK]);
+  });
+
+  it('asks no peer where this node is late but its calls do not stall', () => {
+    const { runtime, forwarded } = start({ stalledMs: LATE_MS - 1 });
+    runtime.advance(LATE_MS);
+    assert.equal(forwarded.length, 0);
+  });
+});
--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -4,8 +4,11 @@
  */
 import type { ApiResponse, Respond } from '../jobs/api-response.js';
 import type { ForwardedReply } from '../peers/message.js';
+import type { Peers } from '../peers/peers.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Timer } from '../runtime/runtime.js';
-import type { ApiContext } from './api-context.js';
+import type { Settings } from '../settings/settings.js';
+import type { StateStoreClient } from '../store/client.js';
 import type { ApiRequest } from './api-request.js';
 import { toApiResponse } from './peer-response.js';
 
@@ -21,6 +24,16 @@
 /** Answers a request on this node. */
 export type AnswerLocally = (request: ApiRequest, respond: Respond) => void;
 
+/** What the request needs of the rest of the controller. */
+export interface HedgeContext {
+  readonly eventLoop: Pick<EventLoop, 'after'>;
+  readonly settings: Pick<Settings, 'heartbeatIntervalMs'>;
+  readonly client: {
+    readonly health: Pick<StateStoreClient['health'], 'consecutiveFailures' | 'stalledMs'>;
+  };
+  readonly peers: Pick<Peers, 'forward' | 'hostServedByStateStore'>;
+}
+
 /** One request, answered once: by this node or by a peer. */
 export class HedgedRequest {
   private isAnswered = false;
@@ -30,7 +43,7 @@
   private lateTimer: Timer | null = null;
 
   constructor(
-    private readonly context: ApiContext,
+    private readonly context: HedgeContext,
     private readonly request: ApiRequest,
     private readonly respond: Respond,
   ) {}
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,5 @@
 /** One controller: its start, its ticks and what arrives from outside. */
+import { encodeResponseBody } from './api/response-body.js';
 import { Router } from './api/router.js';
 import { ControllerComponents } from './controller-components.js';
 import type { Respond } from './jobs/api-response.js';
@@ -8,9 +9,7 @@
 import { EventLoop } from './runtime/event-loop.js';
 import type { Logger, Runtime } from './runtime/runtime.js';
 import type { Settings } from './settings/settings.js';
-import { encodeBody } from './wire/cbor.js';
 
-const EMPTY_BODY = Buffer.alloc(0);
 /** Ticks in a heartbeat interval. */
 const TICKS_PER_HEARTBEAT = 3;
 
@@ -105,10 +104,12 @@
     body: Buffer,
     done: (status: number, body: Buffer) => void,
   ): void {
-    if (path === LEASE_GRANT_PATH)
-      return done(answerLeaseGrantRequest(this.components.leadership, body), EMPTY_BODY);
+    if (path === LEASE_GRANT_PATH) {
+      const status = answerLeaseGrantRequest(this.components.leadership, body);
+      return done(status, encodeResponseBody(undefined));
+    }
     this.router.handle({ method, target: path, body }, (response) =>
-      done(response.status, response.body === undefined ? EMPTY_BODY : encodeBody(response.body)),
+      done(response.status, encodeResponseBody(response.body)),
     );
   }
 }
--- /dev/null
+++ b/src/controller/node/api-server.ts
@@ -0,0 +1,55 @@
+/** Serves the API of a controller over HTTP. */
+import { HEARTBEAT_PATH } from '../api/heartbeat-endpoint.js';
+import { encodeResponseBody } from '../api/response-body.js';
+import type { Controller } from '../controller.js';
+import type { HttpResponse } from '../http/parser.js';
+import { HttpServer, type RequestHandler } from '../http/server.js';
+import type { SocketBudget } from '../http/socket-budget.js';
+import type { ApiResponse } from '../jobs/api-response.js';
+import { splitAddress } from '../runtime/address.js';
+import type { Settings } from '../settings/settings.js';
+
+const MAX_HEAD_BYTES = 16 * 1024;
+const MAX_BODY_BYTES = 64 * 1024;
+/** A request has to arrive whole within this time. */
+const READ_TIMEOUT_MS = 10_000;
+/** A user's connection without requests is closed after this time. */
+const USER_IDLE_TIMEOUT_MS = 60_000;
+/** A worker's connection without heartbeats is closed after so many intervals of them. */
+const WORKER_IDLE_HEARTBEATS = 2.5;
+
+/** The server of the API; it does not listen yet. */
+export function createApiServer(
+  settings: Settings,
+  sockets: SocketBudget,
+  controller: Controller,
+): HttpServer {
+  const { platform, heartbeatIntervalMs } = settings;
+  const workerIdleTimeoutMs = heartbeatIntervalMs * WORKER_IDLE_HEARTBEATS;
+  const options = {
+    ...splitAddress(platform.apiAddr),
+    limits: { headBytes: MAX_HEAD_BYTES, bodyBytes: MAX_BODY_BYTES },
+    sockets,
+    maxSockets: platform.quota.maxSockets,
+    readTimeoutMs: READ_TIMEOUT_MS,
+    idleTimeoutMs: (path: string) =>
+      path === HEARTBEAT_PATH ? workerIdleTimeoutMs : USER_IDLE_TIMEOUT_MS,
+  };
+  return new HttpServer(options, requestHandler(controller));
+}
+
+function requestHandler(controller: Controller): RequestHandler {
+  return ({ method, path, body }, respond) =>
+    controller.request(method, path, body, (response) => respond(toHttpResponse(response)));
+}
+
+function toHttpResponse(response: ApiResponse): HttpResponse {
+  const { status, body, encodedBody, retryAfterS, allow } = response;
+  return {
+    status,
+    body: encodedBody?.bytes ?? encodeResponseBody(body),
+    ...(encodedBody === undefined ? {} : { contentType: encodedBody.contentType }),
+    ...(retryAfterS === undefined ? {} : { retryAfterS }),
+    ...(allow === undefined ? {} : { allow }),
+  };
+}
--- /dev/null
+++ b/src/controller/node/peer-server.ts
@@ -0,0 +1,25 @@
+/** Takes the connections from other controllers. */
+import net from 'node:net';
+import type { Controller } from '../controller.js';
+import { readPeerConnection } from '../peers/peer-connection.js';
+import { splitAddress } from '../runtime/address.js';
+import type { Settings } from '../settings/settings.js';
+
+/** Share of the sockets that peers may open. */
+const SOCKETS_SHARE = 0.02;
+/** Sockets that peers may open at least. */
+const MIN_SOCKETS = 8;
+
+/** Listens for the other controllers; `onError` is told where that fails. */
+export function listenToPeers(
+  { platform }: Settings,
+  controller: Controller,
+  onError: (err: Error) => void,
+): void {
+  const server = net.createServer((socket) => readPeerConnection(socket, controller));
+  const share = Math.floor(platform.quota.maxSockets * SOCKETS_SHARE);
+  server.maxConnections = Math.max(MIN_SOCKETS, share);
+  server.on('error', onError);
+  const { host, port } = splitAddress(platform.internalAddr);
+  server.listen(port, host);
+}
