--- a/src/controller/api/cluster-endpoint.ts
+++ b/src/controller/api/cluster-endpoint.ts
@@ -24,7 +24,7 @@
       ...{ settings, table, workers, placement, fleet, types },
       term: leaderTerm.term,
       after: afterMachine,
-      holdsLease: role.mayActAsLeader,
+      mayActAsLeader: role.mayActAsLeader,
       now: eventLoop.now(),
     });
     respond({ status: 200, body: view });
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -23,6 +23,17 @@
 /** Shortest quiet period that counts, in worker leases: users retry a failed submission within it. */
 const MIN_QUIET_LEASES = 2;
 
+/** Parts of the leader that the fleet depends on. */
+export interface FleetContext {
+  table: Pick<JobTable, 'jobs'>;
+  workers: Workers;
+  placement: Pick<Placement, 'shortages'>;
+  /** The machine types, `null` until they have been read. */
+  types(): MachineType[] | null;
+  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  mayActAsLeader(): boolean;
+}
+
 /** Scales the fleet during one leader's term. */
 export class Fleet {
   private readonly bootingMachines: BootingMachines = new Map();
@@ -39,18 +50,15 @@
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
-    private readonly types: () => MachineType[] | null,
-    private readonly table: JobTable,
-    workers: Workers,
-    placement: Placement,
-    private readonly holdsLease: () => boolean,
+    private readonly context: FleetContext,
   ) {
+    const { workers } = context;
     this.lastWorkAt = eventLoop.now();
     const memoryMs = settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio');
     const minQuietMs = settings.workerLeaseMs * MIN_QUIET_LEASES;
     this.arrivals = new ArrivalMonitor(memoryMs, minQuietMs, eventLoop.now());
     const cloud = new CloudClient(eventLoop, settings);
-    const shared = { workers, placement, cloud, booting: this.bootingMachines, types, holdsLease };
+    const shared = { ...context, cloud, booting: this.bootingMachines };
     this.scaleIn = new ScaleIn(eventLoop, settings, shared);
     this.inventory = new MachineInventory(eventLoop, settings, {
       ...shared,
@@ -66,14 +74,14 @@
     );
   }
 
-  /** Runs one round of scaling; called about once a second. Does nothing without the leader's lease. */
+  /** Runs one round of scaling, about once a second, unless this node may not act as leader. */
   step(): void {
-    if (!this.holdsLease()) return;
+    if (!this.context.mayActAsLeader()) return;
     const now = this.eventLoop.now();
     this.inventory.step(now);
     this.observeJobs(now);
     this.observeArrivals(now);
-    const types = this.types();
+    const types = this.context.types();
     if (types === null) return;
     this.unresponsiveReplicaHosts.step(now);
     const noWork = this.noWork(now);
@@ -85,8 +93,8 @@
   }
 
   private observeJobs(now: number): void {
-    if (this.table.jobs.size > 0) this.lastWorkAt = now;
-    for (const job of this.table.jobs.values()) this.scaleOut.observeJob(job.spec, now);
+    if (this.context.table.jobs.size > 0) this.lastWorkAt = now;
+    for (const job of this.context.table.jobs.values()) this.scaleOut.observeJob(job.spec, now);
   }
 
   private observeArrivals(now: number): void {
@@ -97,7 +105,7 @@
   }
 
   private *submissionTimes(): Generator<number> {
-    for (const job of this.table.jobs.values()) yield job.submittedAt;
+    for (const job of this.context.table.jobs.values()) yield job.submittedAt;
   }
 
   /** There has been no unfinished job for so long that idle machines only cost money. */
@@ -115,7 +123,7 @@
   /** Releases unresponsive machines so that their service replicas can start elsewhere (invariant 5). */
   private releaseUnresponsive(machines: readonly Machine[]): void {
     const ids = machines.map((machine) => machine.id).filter((id) => !this.scaleIn.isReleasing(id));
-    if (ids.length === 0 || !this.holdsLease()) return;
+    if (ids.length === 0 || !this.context.mayActAsLeader()) return;
     this.eventLoop.log.info(
       { machines: ids },
       'unresponsive machines with replicas selected for release',
--- a/src/controller/fleet/machine-inventory.test.ts
+++ b/src/controller/fleet/machine-inventory.test.ts
@@ -14,7 +14,7 @@
       ...{ state: 'running', ...entry },
     }));
     const inventory = new MachineInventory(eventLoop, settings, {
-      ...{ workers, booting, types: () => [plainType], holdsLease: () => true },
+      ...{ workers, booting, types: () => [plainType], mayActAsLeader: () => true },
       cloud: {
         listMachines: (done) => done({ kind: 'listed', machines }),
         listIntervalMs: () => 0,
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -22,8 +22,8 @@
   scaleIn: Pick<ScaleIn, 'isReleasing' | 'release'>;
   booting: BootingMachines;
   types(): MachineType[] | null;
-  /** Whether this node still holds the leader's lease (invariant 1). */
-  holdsLease(): boolean;
+  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  mayActAsLeader(): boolean;
 }
 
 /** Keeps the known machines in step with the cloud's list. */
@@ -67,7 +67,7 @@
         return;
       }
       this.readAt = this.eventLoop.now();
-      if (this.context.holdsLease()) this.apply(result.machines);
+      if (this.context.mayActAsLeader()) this.apply(result.machines);
     });
   }
 
--- a/src/controller/fleet/scale-in.test.ts
+++ b/src/controller/fleet/scale-in.test.ts
@@ -9,7 +9,11 @@
     const { runtime, eventLoop, workers } = fleetFixture();
     const machine = workers.add('n-1');
     const cloud = new CloudClient(eventLoop, settings);
-    const scaleIn = new ScaleIn(eventLoop, settings, { workers, cloud, holdsLease: () => true });
+    const scaleIn = new ScaleIn(eventLoop, settings, {
+      workers,
+      cloud,
+      mayActAsLeader: () => true,
+    });
     scaleIn.release(['n-1'], 'test');
     assert.ok(machine.releasing);
     runtime.answer(500);
@@ -23,20 +27,20 @@
     assert.ok(!scaleIn.isReleasing('n-1'));
   });
 
-  it('releases in batches of a hundred, and only while the leader holds its lease', () => {
+  it('releases in batches of a hundred, and only while the node may act as leader', () => {
     const { runtime, eventLoop, workers } = fleetFixture();
-    let leaseHeld = false;
+    let mayAct = false;
     const scaleIn = new ScaleIn(eventLoop, settings, {
       workers,
       cloud: new CloudClient(eventLoop, settings),
-      holdsLease: () => leaseHeld,
+      mayActAsLeader: () => mayAct,
     });
     scaleIn.release(
       Array.from({ length: 150 }, (_, index) => `n-${index}`),
       'test',
     );
     assert.equal(runtime.calls.length, 0);
-    leaseHeld = true;
+    mayAct = true;
     runtime.advance(1000);
     assert.deepEqual(
       runtime.calls.map(({ call }) => (call.body as { kilns: string[] }).kilns.length),
--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -16,8 +16,8 @@
 export interface ScaleInContext {
   workers: Pick<Workers, 'machines' | 'removeMachine'>;
   cloud: Pick<CloudClient, 'acquireReleaseToken' | 'release'>;
-  /** Whether this node still holds the leader's lease (invariant 1). */
-  holdsLease(): boolean;
+  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  mayActAsLeader(): boolean;
 }
 
 /** The machines that are being released. */
@@ -53,7 +53,7 @@
   }
 
   private send(batch: string[], reason: string): void {
-    if (!this.context.holdsLease()) return this.sendLater(RETRY_MS, batch, reason);
+    if (!this.context.mayActAsLeader()) return this.sendLater(RETRY_MS, batch, reason);
     if (!this.context.cloud.acquireReleaseToken())
       return this.sendLater(TOKEN_WAIT_MS, batch, reason);
     this.context.cloud.release(batch, (confirmed) => {
--- a/src/controller/fleet/scale-out.test.ts
+++ b/src/controller/fleet/scale-out.test.ts
@@ -9,7 +9,7 @@
   it('retries an unconfirmed launch under the same name and backs off after a refusal', () => {
     const { runtime, eventLoop, workers, booting } = fleetFixture();
     const scaleOut = new ScaleOut(eventLoop, settings, {
-      ...{ workers, booting, holdsLease: () => true },
+      ...{ workers, booting, mayActAsLeader: () => true },
       cloud: new CloudClient(eventLoop, settings),
       placement: { shortages: [] },
     });
--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -26,8 +26,8 @@
   placement: Pick<Placement, 'shortages'>;
   cloud: Pick<CloudClient, 'acquireLaunchToken' | 'launch'>;
   booting: BootingMachines;
-  /** Whether this node still holds the leader's lease (invariant 1). */
-  holdsLease(): boolean;
+  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  mayActAsLeader(): boolean;
 }
 
 /** Launches machines for waiting tasks, and pre-provisions some for tasks that are expected. */
@@ -130,7 +130,7 @@
 
   private send(request: LaunchRequest, requestedAt: number, retries: number): void {
     this.context.cloud.launch(request, (result) => {
-      if (result.kind === 'unconfirmed' && retries > 0 && this.context.holdsLease()) {
+      if (result.kind === 'unconfirmed' && retries > 0 && this.context.mayActAsLeader()) {
         // A repeated name launches nothing twice.
         this.send(request, requestedAt, retries - 1);
         return;
--- a/src/controller/leader/leader-components.ts
+++ b/src/controller/leader/leader-components.ts
@@ -84,15 +84,12 @@
 
   private createFleet(): Fleet {
     const { eventLoop, settings, catalogue } = this.environment;
-    return new Fleet(
-      eventLoop,
-      settings,
-      () => catalogue.types,
-      this.table,
-      this.workers,
-      this.placement,
-      () => this.role.mayActAsLeader,
-    );
+    const { table, workers, placement, role } = this;
+    return new Fleet(eventLoop, settings, {
+      ...{ table, workers, placement },
+      types: () => catalogue.types,
+      mayActAsLeader: () => role.mayActAsLeader,
+    });
   }
 
   private jobAdded(job: Job): void {
--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -41,7 +41,7 @@
       jobs.set(id, job);
     }
     return {
-      ...{ settings, after, term: 1, holdsLease: true, now: 0, types: [] },
+      ...{ settings, after, term: 1, mayActAsLeader: true, now: 0, types: [] },
       table: { jobs },
       workers: {
         ...{ machines, assignedCount: 0, isAlive: () => true },
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -25,8 +25,8 @@
 export interface ClusterViewSource {
   settings: Settings;
   term: number;
-  /** Whether the leader holds its lease and has fresh state. */
-  holdsLease: boolean;
+  /** Whether the leader holds its lease with fresh state (invariants 1 and 8). */
+  mayActAsLeader: boolean;
   /** Steady clock, milliseconds. */
   now: number;
   types: MachineType[];
@@ -54,7 +54,7 @@
   return {
     leader: source.settings.platform.host,
     term: source.term,
-    acting: source.holdsLease,
+    acting: source.mayActAsLeader,
     jobs: jobs.length,
     pending_tasks: jobs.reduce((sum, job) => sum + job.pending.length, 0),
     assigned_tasks: source.workers.assignedCount,
