--- a/src/controller/model/entities.ts
+++ b/src/controller/model/entities.ts
@@ -3,7 +3,7 @@
  * three refer to each other. So that their modules don't, those of jobs and machines leave the type of
  * assignments open, and it is filled in here.
  */
-import { taskName, type ExitCause, type TaskState } from '../wire/workers.js';
+import { type ExitCause, taskName, type TaskState } from '../wire/workers.js';
 import { JobBase } from './job.js';
 import type { RecordedAssignment, RecordedJob } from './machine-record-size.js';
 import { MachineState } from './machine.js';
--- a/src/controller/model/machine.ts
+++ b/src/controller/model/machine.ts
@@ -1,7 +1,7 @@
 /** Machines as the leader knows them. */
+import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { JobSpec } from '../wire/jobs.js';
-import type { Settings } from '../settings/settings.js';
 import { adjustCount } from './keyed-counts.js';
 import { MachineRecordSize, type RecordedAssignment } from './machine-record-size.js';
 
--- a/src/controller/model/resource-request.ts
+++ b/src/controller/model/resource-request.ts
@@ -1,37 +1,37 @@
-/** Arithmetic of what tasks need and machines have: processors, GPUs and memory. */
+/** Amounts of CPUs, GPUs and memory that tasks request, and how often they fit. */
 import type { JobSpec } from '../wire/jobs.js';
 
-/** What one task takes of a machine. */
+/** The resources of a machine that one task uses. */
 export interface ResourceRequest {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Amounts are decimals: sums of them may be off by this much. */
+/** Amounts are decimals, so sums of them may be off by this much. */
 export const AMOUNT_TOLERANCE = 1e-6;
 
-/** How often `need` goes into `room`. */
+/** How many times the requested amount fits in the available one; Infinity if none is requested. */
 export function countFitting(available: number, requested: number): number {
   return requested <= 0 ? Infinity : Math.floor((available + AMOUNT_TOLERANCE) / requested);
 }
 
-/** Whole tasks that go into room of all three kinds. */
+/** How many tasks with this request fit in the given amounts. */
 export function countFittingTasks(
   request: ResourceRequest,
   cpus: number,
   gpus: number,
   memoryGb: number,
 ): number {
-  const fit = Math.min(
+  const count = Math.min(
     countFitting(cpus, request.cpus),
     countFitting(gpus, request.gpus),
     countFitting(memoryGb, request.memoryGb),
   );
-  return Math.max(0, fit);
+  return Math.max(0, count);
 }
 
-/** What one task of the job needs. */
+/** The request of one task of the job. */
 export function resourceRequestOf({ cpus, gpus, memoryGb }: JobSpec): ResourceRequest {
   return { cpus, gpus, memoryGb };
 }
--- a/src/controller/workers/agent-epochs.test.ts
+++ b/src/controller/workers/agent-epochs.test.ts
@@ -2,8 +2,8 @@
 import { beforeEach, describe, it } from 'node:test';
 import { FakeClock } from '../../../test/fakes.js';
 import { newMachine, settings } from '../../../test/workers-fixture.js';
-import { AgentEpochs } from './agent-epochs.js';
 import type { Machine } from '../model/entities.js';
+import { AgentEpochs } from './agent-epochs.js';
 
 describe('AgentEpochs', () => {
   let clock: FakeClock;
--- a/src/controller/workers/agent-epochs.ts
+++ b/src/controller/workers/agent-epochs.ts
@@ -1,8 +1,8 @@
 /** Agent epochs of workers: when one begins, and when its lease has certainly expired. */
+import type { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignments } from './assignments.js';
-import type { Machine } from '../model/entities.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /** What follows from the begin or end of an agent epoch. */
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -1,18 +1,18 @@
 /** The life cycle of assignments: assigned, stopped, ended; and what follows for their jobs. */
-import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/job-table.js';
 import {
-  type Job,
-  planAssignment,
-  restoreAssignment,
   type Assignment,
   type AssignmentOutcome,
+  type Job,
   type Machine,
+  planAssignment,
   type RecordedTask,
+  restoreAssignment,
 } from '../model/entities.js';
-import type { TeamUsage } from './team-usage.js';
 import { adjustCount } from '../model/keyed-counts.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { FailureTracker } from './failure-tracker.js';
+import type { TeamUsage } from './team-usage.js';
 
 /** What follows from changes of assignments. */
 export interface AssignmentEvents {
@@ -88,7 +88,7 @@
     );
   }
 
-  /** Stops all tasks of a job; the members of a gang have to be told within `gang_peer_s` of each other. */
+  /** Stops all tasks of a job; the stops of a gang have to arrive within `gang_peer_s` of each other. */
   stopJob(job: Job, graceS: number, reason: string): void {
     if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) job.gangRestarting = true;
     for (const assignment of [...job.currentAssignments.values()])
@@ -96,7 +96,7 @@
     this.restartGang(job);
   }
 
-  /** Stops all attempts of a job that has ended, those included that only records tell of. */
+  /** Stops all attempts of a job that has ended, including those that are known only from records. */
   stopAll(job: Job, reason: string): void {
     this.stopJob(job, 0, reason);
     for (const assignment of [...job.allAssignments]) this.stop(assignment, 0, reason);
--- a/src/controller/workers/commands.test.ts
+++ b/src/controller/workers/commands.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test';
 import { acceptedJob } from '../../../test/fakes.js';
 import { ATTEMPT, newMachine, settings } from '../../../test/workers-fixture.js';
+import { type Assignment, planAssignment } from '../model/entities.js';
 import type { WorkerCommand } from '../wire/workers.js';
-import { planAssignment, type Assignment } from '../model/entities.js';
 import { addCommand } from './commands.js';
 
 const STOP = { graceS: 5, requestedAt: 0, reason: 'preempted', sentAsDirectCommand: false };
--- a/src/controller/workers/commands.ts
+++ b/src/controller/workers/commands.ts
@@ -1,7 +1,7 @@
 /** Commands to workers, derived from the state of assignments. */
-import type { Settings } from '../settings/settings.js';
-import type { WorkerCommand, Heartbeat } from '../wire/workers.js';
 import type { Assignment, StopRequest } from '../model/entities.js';
+import type { Settings } from '../settings/settings.js';
+import type { Heartbeat, WorkerCommand } from '../wire/workers.js';
 
 /** A save that takes longer than this many times its announced time is cut short. */
 const SAVE_TIME_TOLERANCE = 2;
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -10,11 +10,11 @@
   TERM,
   TOKEN,
 } from '../../../test/workers-fixture.js';
+import { type Assignment, attemptKey, planAssignment } from '../model/entities.js';
 import { EventLoop } from '../runtime/event-loop.js';
-import { attemptKey, planAssignment, type Assignment } from '../model/entities.js';
 import { DirectCommands } from './direct-commands.js';
-import { makeFencingToken } from './fencing-token.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
+import { makeFencingToken } from './fencing-token.js';
 
 const KEY = attemptKey('req-1/0', ATTEMPT);
 
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -1,18 +1,18 @@
 /** Starts and stops sent directly to workers, ahead of the responses to their heartbeats. */
+import { type Assignment, attemptKey, type Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Reply } from '../runtime/runtime.js';
 import type { Settings } from '../settings/settings.js';
 import {
+  type Heartbeat,
   readHeartbeat,
-  writeDirectCommands,
   type WorkerCommand,
-  type Heartbeat,
+  writeDirectCommands,
 } from '../wire/workers.js';
-import { attemptKey, type Assignment, type Machine } from '../model/entities.js';
-import type { Liveness } from './liveness.js';
 import { startCommand, stopCommand } from './commands.js';
-import { termOfToken } from './fencing-token.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
+import { termOfToken } from './fencing-token.js';
+import type { Liveness } from './liveness.js';
 
 /** Direct calls to one machine that may wait for a response, so that an unreachable machine takes no more sockets. */
 const OPEN_CALLS_LIMIT = 2;
--- a/src/controller/workers/failure-tracker.test.ts
+++ b/src/controller/workers/failure-tracker.test.ts
@@ -2,8 +2,8 @@
 import { beforeEach, describe, it } from 'node:test';
 import { acceptedJob, FakeClock } from '../../../test/fakes.js';
 import { newMachine, settings } from '../../../test/workers-fixture.js';
-import { FailureTracker } from './failure-tracker.js';
 import type { Machine } from '../model/entities.js';
+import { FailureTracker } from './failure-tracker.js';
 
 const NOW = 1000;
 
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -1,6 +1,6 @@
 /** Failures of tasks: machines are quarantined for them, and jobs back off. */
+import type { AssignmentOutcome, Job, Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
-import type { Job, AssignmentOutcome, Machine } from '../model/entities.js';
 import type { Settings } from '../settings/settings.js';
 
 /**
--- a/src/controller/workers/fencing-token-sync.test.ts
+++ b/src/controller/workers/fencing-token-sync.test.ts
@@ -3,8 +3,8 @@
 import { FakeClock } from '../../../test/fakes.js';
 import { newMachine, TERM, TOKEN } from '../../../test/workers-fixture.js';
 import { attemptKey, type Machine } from '../model/entities.js';
-import { FENCING_EPOCH_LIMIT, makeFencingToken } from './fencing-token.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
+import { FENCING_EPOCH_LIMIT, makeFencingToken } from './fencing-token.js';
 
 describe('FencingTokenSync', () => {
   let fencingTokens: FencingTokenSync;
--- a/src/controller/workers/fencing-token-sync.ts
+++ b/src/controller/workers/fencing-token-sync.ts
@@ -1,6 +1,6 @@
 /** Raises fencing tokens and tracks, by the tokens in heartbeats, which workers receive their leader. */
-import type { EventLoop } from '../runtime/event-loop.js';
 import { attemptKey, type Machine } from '../model/entities.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import { FENCING_EPOCH_LIMIT, makeFencingToken, termOfToken } from './fencing-token.js';
 
 /** After so many heartbeats in a row that lack a start the machine is taken to receive nothing. */
--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -1,14 +1,14 @@
 /** Handles the heartbeats of workers: what they prove, and the commands in their responses. */
+import type { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import { writeHeartbeatResponse, type Heartbeat } from '../wire/workers.js';
-import type { Machine } from '../model/entities.js';
-import { addCommand } from './commands.js';
-import type { Reconciliation, HeartbeatInProgress } from './reconciliation.js';
-import type { MachineRegistry } from './machine-registry.js';
+import { type Heartbeat, writeHeartbeatResponse } from '../wire/workers.js';
 import type { AgentEpochs } from './agent-epochs.js';
-import { termOfToken } from './fencing-token.js';
+import { addCommand } from './commands.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
+import { termOfToken } from './fencing-token.js';
+import type { MachineRegistry } from './machine-registry.js';
+import type { HeartbeatInProgress, Reconciliation } from './reconciliation.js';
 
 /**
  * The response to a heartbeat. Only 200 renews the worker's lease; a heartbeat that is late, or of an
--- a/src/controller/workers/liveness.test.ts
+++ b/src/controller/workers/liveness.test.ts
@@ -2,8 +2,8 @@
 import { beforeEach, describe, it } from 'node:test';
 import { FakeClock } from '../../../test/fakes.js';
 import { newMachine, settings } from '../../../test/workers-fixture.js';
-import { Liveness } from './liveness.js';
 import type { Machine } from '../model/entities.js';
+import { Liveness } from './liveness.js';
 
 const TICK_MS = 100;
 
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -1,7 +1,7 @@
 /** Which machines send heartbeats, and for how long the others have been unresponsive. */
+import type { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
-import type { Machine } from '../model/entities.js';
 
 /** The longest time between two heartbeats (PROTOCOL, with a small margin), in heartbeat intervals. */
 const MAX_HEARTBEAT_INTERVAL_RATIO = 1.35;
--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -2,11 +2,11 @@
  * The stored forms of a machine's two records: one of the machine and its assignments, one of its
  * cached images. Both are lists whose form is fixed, since leaders of other versions read them.
  */
-import type { Settings } from '../settings/settings.js';
-import { isList } from '../wire/cbor.js';
 import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
 import { encodeJob, sharedStartMs } from '../model/machine-record-size.js';
 import type { ResourceRequest } from '../model/resource-request.js';
+import type { Settings } from '../settings/settings.js';
+import { isList } from '../wire/cbor.js';
 import type { MachineDescription } from './machine-registry.js';
 
 /** The encoded tasks of one attempt that were assigned within one span of time. */
--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -1,8 +1,8 @@
 /** The machines that a leader knows, and the names of those that are gone. */
+import { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
-import { Machine } from '../model/entities.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /**
--- a/src/controller/workers/machine-store.test.ts
+++ b/src/controller/workers/machine-store.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { acceptedJob, FakeClock, idleRuntime } from '../../../test/fakes.js';
 import { immediateRecords } from '../../../test/fake-records.js';
+import { acceptedJob, FakeClock, idleRuntime } from '../../../test/fakes.js';
 import { ATTEMPT, settings, TERM } from '../../../test/workers-fixture.js';
+import { type Assignment, type Machine, planAssignment } from '../model/entities.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import type { RecordStore } from '../store/record-store.js';
-import { type Assignment, type Machine, planAssignment } from '../model/entities.js';
-import { imagesKey, machineKey, MachineStore } from './machine-store.js';
-import { MachineRegistry } from './machine-registry.js';
 import { FencingTokenSync } from './fencing-token-sync.js';
+import { MachineRegistry } from './machine-registry.js';
+import { imagesKey, machineKey, MachineStore } from './machine-store.js';
 
 const NOW = 1000;
 
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -1,9 +1,9 @@
 /** Writes the records of machines that have changed, and restores what earlier leaders have recorded. */
+import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore, WritePriority } from '../store/record-store.js';
 import { isList } from '../wire/cbor.js';
-import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
 import {
   decodeImages,
   decodeMachineRecord,
--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -4,7 +4,7 @@
 import { ATTEMPT, heartbeat, newMachine, taskStatus } from '../../../test/workers-fixture.js';
 import { type Assignment, type Job, planAssignment } from '../model/entities.js';
 import type { TaskStatus } from '../wire/workers.js';
-import { Reconciliation, type HeartbeatInProgress } from './reconciliation.js';
+import { type HeartbeatInProgress, Reconciliation } from './reconciliation.js';
 
 /** A machine with one task whose start was sent with the response to heartbeat 4. */
 class Fixture {
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -1,12 +1,12 @@
 /** Reconciles the tasks that a heartbeat lists with those that are assigned to the machine. */
-import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Assignment, Machine } from '../model/entities.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import {
-  parseTaskName,
-  type WorkerCommand,
   type Heartbeat,
+  parseTaskName,
   type TaskStatus,
+  type WorkerCommand,
 } from '../wire/workers.js';
 import type { Assignments } from './assignments.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
--- a/src/controller/workers/team-usage.ts
+++ b/src/controller/workers/team-usage.ts
@@ -1,9 +1,9 @@
 /** What the tasks of each team take, for limits and guarantees. */
+import type { Assignment } from '../model/entities.js';
 import { AMOUNT_TOLERANCE, countFitting, type ResourceRequest } from '../model/resource-request.js';
 import type { Team } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
 import type { JobSpec } from '../wire/jobs.js';
-import type { Assignment } from '../model/entities.js';
 
 /** What the tasks of one team take. */
 interface Usage {
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -1,26 +1,26 @@
 /** The leader's state of the machines, and of every task that may be on one of them. */
-import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/job-table.js';
-import type { Job, Assignment, Machine } from '../model/entities.js';
-import { TeamUsage } from './team-usage.js';
+import type { Assignment, Job, Machine } from '../model/entities.js';
+import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { Heartbeat } from '../wire/workers.js';
-import { Assignments, type AssignmentEvents } from './assignments.js';
-import { DirectCommands, type DirectCommandEvents } from './direct-commands.js';
+import { type AgentEpochEvents, AgentEpochs } from './agent-epochs.js';
+import { type AssignmentEvents, Assignments } from './assignments.js';
+import { type DirectCommandEvents, DirectCommands } from './direct-commands.js';
 import { FailureTracker } from './failure-tracker.js';
-import { Liveness } from './liveness.js';
-import { MachineStore, type MachineStoreEvents } from './machine-store.js';
-import { Reconciliation, type ReconciliationEvents } from './reconciliation.js';
-import { MachineRegistry } from './machine-registry.js';
+import { FencingTokenSync } from './fencing-token-sync.js';
 import {
-  HeartbeatHandler,
   type HeartbeatEvents,
+  HeartbeatHandler,
   type HeartbeatResponse,
 } from './heartbeat-handler.js';
-import { AgentEpochs, type AgentEpochEvents } from './agent-epochs.js';
-import { FencingTokenSync } from './fencing-token-sync.js';
+import { Liveness } from './liveness.js';
+import { MachineRegistry } from './machine-registry.js';
+import { MachineStore, type MachineStoreEvents } from './machine-store.js';
+import { Reconciliation, type ReconciliationEvents } from './reconciliation.js';
+import { TeamUsage } from './team-usage.js';
 
 /** What the workers module needs of the other modules of a leader. */
 export interface WorkersEvents {
@@ -145,12 +145,12 @@
     this.assignments.stop(assignment, graceS, reason);
   }
 
-  /** Stops all tasks of a job; the members of a gang have to be told within `gang_peer_s` of each other. */
+  /** Stops all tasks of a job; the stops of a gang have to arrive within `gang_peer_s` of each other. */
   stopJob(job: Job, graceS: number, reason: string): void {
     this.assignments.stopJob(job, graceS, reason);
   }
 
-  /** Stops all attempts of a job that has ended, those included that only records tell of. */
+  /** Stops all attempts of a job that has ended, including those that are known only from records. */
   stopAll(job: Job, reason: string): void {
     this.assignments.stopAll(job, reason);
   }
--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -6,7 +6,7 @@
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
 import type { StateStoreClient } from '../src/controller/store/client.js';
-import { writeJobSpec, type JobSpec } from '../src/controller/wire/jobs.js';
+import { type JobSpec, writeJobSpec } from '../src/controller/wire/jobs.js';
 import type { Heartbeat, TaskStatus } from '../src/controller/wire/workers.js';
 import { makeFencingToken } from '../src/controller/workers/fencing-token.js';
 import { Workers } from '../src/controller/workers/workers.js';
