--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -7,7 +7,7 @@
 import type { Logger } from '../runtime/runtime.js';
 import type { Settings } from '../settings/settings.js';
 import { createApiServer } from './api-server.js';
-import { createLogger, LOG_LEVELS } from './logger.js';
+import { createLogger, readLogLevel } from './logger.js';
 import { NodeRuntime } from './node-runtime.js';
 import { listenToPeers } from './peer-server.js';
 
@@ -22,7 +22,7 @@
 /** Starts a controller; it runs until the process is killed. */
 export function run(settings: Settings): void {
   const { platform } = settings;
-  const log = openLog(platform.host);
+  const log = createLogger(readLogLevel(process.env['LOG_LEVEL']), platform.host);
   boundHeap(platform.quota, log);
   const seed = randomBytes(SEED_BYTES);
   const identity = `${platform.host}-${seed.toString('hex')}`;
@@ -44,11 +44,6 @@
   loadMetrics(settings, controller);
 }
 
-function openLog(host: string): Logger {
-  const level = process.env['LOG_LEVEL'] ?? 'info';
-  return createLogger(LOG_LEVELS.includes(level) ? level : 'info', host);
-}
-
 /** Keeps the heap within the process's memory, or warns that it will not fit. */
 function boundHeap(quota: MemoryQuota, log: Logger): void {
   const warning = memoryWarning(quota);
