--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -1,83 +1,67 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { immediateRecords } from '../../../test/fake-records.js';
-import type { JobSpec } from '../wire/jobs.js';
+import { acceptedJob } from '../../../test/fakes.js';
 import { CompletionRecords } from './completion-records.js';
-import { Job } from '../model/entities.js';
-import { PendingTasks } from '../model/pending-tasks.js';
 
-function job(id: string, tasks: number): Job {
-  const spec: JobSpec = {
-    ...{ id, class: 'c', team: 't', kind: 'array', priority: 'normal', tasks },
-    ...{ cpus: 1, gpus: 0, memoryGb: 1, image: 'i', imageGb: 1, types: null, zone: null },
-    ...{
-      singleZone: false,
-      spread: false,
-      spot: true,
-      estimatedRunS: 10,
-      checkpointIntervalS: 0,
-      checkpointSaveS: 0,
-    },
-    deadlineS: null,
-  };
-  return new Job(spec, 0, 1, 0);
-}
+const ID = 'req-1';
+/** More than one record has room for. */
+const TASKS = 10_000;
+/** The first and last of records, and of bytes in them. */
+const DONE = [0, 7, 8, 8191, 8192, 9999];
 
-describe('completions', () => {
-  const done = [0, 7, 8, 8191, 8192, 9999];
+function ignore(): void {
+  // Nobody is told.
+}
 
-  it('come back from the records, across their borders', () => {
+describe('CompletionRecords', () => {
+  it('marks the tasks as done that were recorded before, across the borders of records', () => {
     const records = immediateRecords();
-    const told: number[] = [];
-    const before = job('req-1', 10_000);
-    const completions = new CompletionRecords(records, (_job, task) => told.push(task));
-    for (const task of done) {
+    const recorded: number[] = [];
+    const before = acceptedJob({ id: ID, tasks: TASKS });
+    const completions = new CompletionRecords(records, (_job, task) => recorded.push(task));
+    for (const task of DONE) {
       before.done[task] = 1;
       completions.add(before, task);
     }
     completions.flush();
-    assert.deepEqual(told, done);
+    assert.deepEqual(recorded, DONE);
     assert.deepEqual(
       [...records.list('p/')].map(({ key }) => key),
       ['p/req-1/0', 'p/req-1/1'],
     );
-    const after = job('req-1', 10_000);
-    new CompletionRecords(records, () => undefined).load(new Map([['req-1', after]]));
+    const after = acceptedJob({ id: ID, tasks: TASKS });
+    new CompletionRecords(records, ignore).load(new Map([[ID, after]]));
     assert.deepEqual(
       [...after.done.entries()].filter(([, flag]) => flag === 1).map(([task]) => task),
-      done,
+      DONE,
     );
-    assert.equal(after.doneRecordedCount, done.length);
+    assert.equal(after.doneRecordedCount, DONE.length);
   });
 
-  it('go with their job', () => {
+  it('removes the records of a job that has ended', () => {
     const records = immediateRecords();
-    const completions = new CompletionRecords(records, () => undefined);
-    const ended = job('req-1', 10_000);
-    for (const task of done) completions.add(ended, task);
+    const completions = new CompletionRecords(records, ignore);
+    const ended = acceptedJob({ id: ID, tasks: TASKS });
+    for (const task of DONE) completions.add(ended, task);
     completions.flush();
     completions.remove(ended);
     assert.deepEqual([...records.list('p/')], []);
   });
 
-  it('of jobs that are not known any more are removed', () => {
+  it('removes records of jobs that are not known when they are loaded', () => {
     const records = immediateRecords({ 'p/req-0/0': 'AQ==' });
-    new CompletionRecords(records, () => undefined).load(new Map());
+    new CompletionRecords(records, ignore).load(new Map());
     assert.ok(!records.has('p/req-0/0'));
   });
-});
 
-describe('pending tasks', () => {
-  it('wait once each, lowest first', () => {
-    const pending = new PendingTasks(4);
-    assert.equal(pending.pop(), 0);
-    pending.push(0);
-    pending.push(0);
-    pending.remove(1);
-    pending.retain((task) => task !== 3);
-    assert.deepEqual(
-      [pending.length, pending.pop(), pending.pop(), pending.pop()],
-      [...[2, 0, 2, undefined]],
-    );
+  it('writes nothing of a job whose completions were discarded', () => {
+    const records = immediateRecords();
+    const completions = new CompletionRecords(records, ignore);
+    const job = acceptedJob({ id: ID });
+    completions.add(job, 0);
+    completions.discard(job);
+    completions.flush();
+    assert.deepEqual([...records.list('p/')], []);
   });
 });
--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -1,38 +1,257 @@
 import assert from 'node:assert/strict';
-import { describe, it } from 'node:test';
+import { beforeEach, describe, it } from 'node:test';
 import { immediateRecords } from '../../../test/fake-records.js';
-import { arraySpec, FakeClock, idleRuntime } from '../../../test/fakes.js';
+import { arraySpec } from '../../../test/fakes.js';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
 import { standalonePlatform } from '../../../test/platform.js';
+import { planAssignment, Machine, type Job } from '../model/entities.js';
 import { EventLoop } from '../runtime/event-loop.js';
 import { defaultProperties } from '../settings/properties.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
-import { writeJobSpec } from '../wire/jobs.js';
+import type { RecordStore } from '../store/record-store.js';
+import type { ReadResult } from '../store/results.js';
+import type { JobSpec, TerminalState } from '../wire/jobs.js';
+import type { KeyValue } from '../wire/state.js';
+import { activeRecord, terminalRecord } from './job-records.js';
 import { JobTable } from './job-table.js';
 
+const ID = 'req-1';
+/** Version of the job's active record. */
+const VERSION = 7;
+/** Longer than any wait before an end is read again. */
+const READ_RETRY_MS = 1000;
+
 const settings = new Settings(standalonePlatform(), defaultProperties());
-const nothing = (): void => undefined;
 
-// World seed 5: a leader replaced without knowing it saw its successor's end of a job.
-describe('JobTable', () => {
-  it('tells the terminal state of a job whose record was removed only once it has been read', () => {
-    const clock = new FakeClock(1000);
-    const answers: ((result: unknown) => void)[] = [];
-    const ended: string[] = [];
+type Transaction = Parameters<RecordStore['transact']>;
+type Read = (result: ReadResult<KeyValue | null>) => void;
+
+/** A table whose transactions and reads the test answers. */
+class TableFixture {
+  readonly runtime = new ManualRuntime();
+  /** Hooks called, with the job or its id. */
+  readonly events: string[] = [];
+  readonly transactions: Transaction[] = [];
+  readonly reads: Read[] = [];
+  readonly table: JobTable;
+
+  constructor(stored: Record<string, unknown> = {}) {
+    const records = Object.assign(immediateRecords(stored), {
+      transact: (...transaction: Transaction) => void this.transactions.push(transaction),
+    });
     const client = {
       budget: { requestTokens: { forceTake: () => undefined } },
-      read: (_key: string, _ms: number, done: (result: unknown) => void) => answers.push(done),
+      health: { isUnavailable: false },
+      read: (_key: string, _timeoutMs: number, done: Read) => this.reads.push(done),
     } as unknown as StateStoreClient;
-    const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
-    const table = new JobTable(eventLoop, settings, client, immediateRecords(), {
-      ...{ onIncompleteGang: nothing, onJobAdded: nothing, onTasksPending: nothing },
-      ...{ onRecordRemoved: nothing, onJobTerminated: nothing, onCompletionRecorded: nothing },
-      onTerminalState: (id, state) => ended.push(`${id} ${state}`),
-    });
-    table.add('req-1', { job: writeJobSpec(arraySpec()), at: 0 }, 1);
-    table.handleRecordRemoved('req-1');
-    assert.deepEqual(ended, []);
-    answers[0]?.({ kind: 'ok', value: { key: '', version: 1, value: { state: 'done' } } });
-    assert.deepEqual(ended, ['req-1 done']);
+    const eventLoop = new EventLoop(this.runtime, silentLogger);
+    this.table = new JobTable(eventLoop, settings, client, records, {
+      onJobAdded: ({ spec }) => this.events.push(`added ${spec.id}`),
+      onTasksPending: () => this.events.push('tasks pending'),
+      onIncompleteGang: ({ spec }) => this.events.push(`incomplete gang ${spec.id}`),
+      onCompletionRecorded: (_job, task) => this.events.push(`recorded ${task}`),
+      onRecordRemoved: ({ spec }) => this.events.push(`record removed ${spec.id}`),
+      onTerminalState: (id, state) => this.events.push(`${state} ${id}`),
+      onJobTerminated: ({ spec }) => this.events.push(`terminated ${spec.id}`),
+    });
+  }
+
+  /** Adds a job of two tasks, and forgets the events of that. */
+  add(part: Partial<JobSpec> = {}): Job {
+    this.table.add(ID, activeRecord(arraySpec({ id: ID, ...part }), 0), VERSION);
+    this.events.length = 0;
+    return this.table.jobs.get(ID) ?? assert.fail('not added');
+  }
+
+  /** Answers the oldest open read of a terminal record. */
+  answerRead(state: TerminalState | null): void {
+    const value = state === null ? null : { key: '', version: 1, value: terminalRecord(state, 0) };
+    (this.reads.shift() ?? assert.fail('no read'))({ kind: 'ok', value });
+  }
+
+  /** Answers the oldest open transaction. */
+  answerTransaction(result: 'ok' | 'conflict'): void {
+    const [, , done] = this.transactions.shift() ?? assert.fail('no transaction');
+    done(result);
+  }
+}
+
+describe('JobTable', () => {
+  let fixture: TableFixture;
+
+  beforeEach(() => {
+    fixture = new TableFixture();
+  });
+
+  describe('when a job becomes known', () => {
+    it('adds it once, and says that its tasks are pending', () => {
+      const record = activeRecord(arraySpec({ id: ID }), 0);
+      fixture.table.add(ID, record, VERSION);
+      fixture.table.add(ID, record, VERSION + 1);
+      assert.deepEqual(fixture.events, [`added ${ID}`, 'tasks pending']);
+      assert.equal(fixture.table.jobs.get(ID)?.recordVersion, VERSION);
+    });
+
+    for (const value of [null, {}, { job: { id: ID } }])
+      it(`leaves out the malformed record ${JSON.stringify(value)}`, () => {
+        fixture.table.add(ID, value, VERSION);
+        assert.equal(fixture.table.jobs.size, 0);
+        assert.deepEqual(fixture.events, []);
+      });
+
+    it('counts its age from the recorded time of acceptance, which is never in the future', () => {
+      const { runtime, table } = fixture;
+      runtime.advance(5000);
+      const ages = [2000, 9000].map((acceptedAt) => {
+        const id = `req-${acceptedAt}`;
+        table.add(id, activeRecord(arraySpec({ id }), acceptedAt), VERSION);
+        return runtime.now() - (table.jobs.get(id)?.submittedAt ?? NaN);
+      });
+      assert.deepEqual(ages, [3000, 0]);
+    });
+  });
+
+  describe('when tasks are done', () => {
+    it('records each with the next flush, and the end of the job after the last', () => {
+      const job = fixture.add();
+      fixture.table.markDone(job, 0);
+      fixture.table.markDone(job, 0);
+      assert.equal(job.doneCount, 1);
+      fixture.table.flushCompletions();
+      assert.deepEqual(fixture.events, ['recorded 0']);
+      fixture.table.markDone(job, 1);
+      fixture.table.flushCompletions();
+      const [conditions, writes] = fixture.transactions[0] ?? assert.fail('no transaction');
+      assert.deepEqual(conditions, [
+        { key: 'live/req-1', version: VERSION },
+        { key: 'final/req-1', version: 0 },
+      ]);
+      assert.deepEqual(writes, [
+        { delete: 'live/req-1' },
+        { put: 'final/req-1', value: { state: 'done', at: 0 } },
+      ]);
+      fixture.answerTransaction('ok');
+      assert.deepEqual(fixture.events.slice(1), [`done ${ID}`, `terminated ${ID}`]);
+      assert.equal(fixture.table.jobs.size, 0);
+    });
+
+    it('reads how the job ended when a cancellation came before its end', () => {
+      const job = fixture.add({ tasks: 1 });
+      fixture.table.markDone(job, 0);
+      fixture.answerTransaction('conflict');
+      fixture.answerRead('cancelled');
+      assert.deepEqual(fixture.events, [`cancelled ${ID}`, `terminated ${ID}`]);
+    });
+
+    it('records the end again when there was neither a conflict nor an end', () => {
+      const job = fixture.add({ tasks: 1 });
+      fixture.table.markDone(job, 0);
+      fixture.answerTransaction('conflict');
+      fixture.answerRead(null);
+      fixture.runtime.advance(READ_RETRY_MS);
+      fixture.answerTransaction('ok');
+      assert.deepEqual(fixture.events, [`done ${ID}`, `terminated ${ID}`]);
+    });
+
+    it('takes no replica of a service for done', () => {
+      const job = fixture.add({ kind: 'service', estimatedRunS: 0 });
+      fixture.table.markDone(job, 0);
+      assert.equal(job.doneCount, 0);
+    });
+  });
+
+  describe('when a task is requeued', () => {
+    it('has it wait once, unless it is done or assigned', () => {
+      const job = fixture.add({ tasks: 3 });
+      while (job.pending.pop() !== undefined);
+      fixture.table.markDone(job, 1);
+      job.currentAssignments.set(2, planAssignment(job, 2, 1, new Machine('n-1', 0, settings), 0));
+      fixture.runtime.advance(100);
+      for (const task of [0, 0, 1, 2]) fixture.table.requeue(job, task);
+      assert.deepEqual([job.pending.length, job.pending.has(0)], [1, true]);
+      assert.equal(job.waitingSince, 100);
+      assert.deepEqual(fixture.events, ['tasks pending']);
+    });
+  });
+
+  describe('when a job is cancelled', () => {
+    it('ends it at once, and once', () => {
+      const job = fixture.add();
+      fixture.table.markCancelled(ID);
+      fixture.table.markCancelled(ID);
+      assert.deepEqual(fixture.events, [`cancelled ${ID}`, `terminated ${ID}`]);
+      assert.deepEqual([job.terminalState, job.pending.length], ['cancelled', 0]);
+    });
+
+    it('takes no task of it for done, and requeues none', () => {
+      const job = fixture.add();
+      fixture.table.markCancelled(ID);
+      fixture.table.markDone(job, 0);
+      fixture.table.requeue(job, 1);
+      assert.deepEqual([job.doneCount, job.pending.length], [0, 0]);
+    });
+  });
+
+  // World seed 5: a leader replaced without knowing it saw its successor's end of a job.
+  describe('when the active record of a job is removed', () => {
+    it('tells the terminal state only once it has been read', () => {
+      fixture.add();
+      fixture.table.handleRecordRemoved(ID);
+      fixture.table.handleRecordRemoved(ID);
+      assert.deepEqual(fixture.events, [`record removed ${ID}`]);
+      fixture.answerRead('done');
+      assert.deepEqual(fixture.events.slice(1), [`done ${ID}`, `terminated ${ID}`]);
+    });
+
+    it('reads the end until it is found', () => {
+      fixture.add();
+      fixture.table.handleRecordRemoved(ID);
+      for (const failed of [true, false]) {
+        if (failed) fixture.reads.shift()?.({ kind: 'failed' });
+        else fixture.answerRead(null);
+        assert.equal(fixture.reads.length, 0);
+        fixture.runtime.advance(READ_RETRY_MS);
+      }
+      fixture.answerRead('cancelled');
+      assert.deepEqual(fixture.events.slice(1), [`cancelled ${ID}`, `terminated ${ID}`]);
+      assert.equal(fixture.transactions.length, 0);
+    });
+  });
+
+  describe('when recovery is finished', () => {
+    it('ends a job of which all tasks were recorded as done', () => {
+      fixture = new TableFixture({ 'p/req-1/0': Buffer.from([0b11]).toString('base64') });
+      fixture.add();
+      fixture.table.loadCompletions();
+      fixture.table.finishRecovery();
+      fixture.answerTransaction('ok');
+      assert.deepEqual(fixture.events, [`done ${ID}`, `terminated ${ID}`]);
+    });
+
+    it('leaves tasks pending that are neither done nor assigned', () => {
+      fixture = new TableFixture({ 'p/req-1/0': Buffer.from([0b1]).toString('base64') });
+      const job = fixture.add({ tasks: 3 });
+      job.currentAssignments.set(1, planAssignment(job, 1, 1, new Machine('n-1', 0, settings), 0));
+      fixture.table.loadCompletions();
+      fixture.table.finishRecovery();
+      assert.deepEqual([job.pending.length, job.pending.has(2)], [1, true]);
+    });
+
+    const gangs: [condition: string, attempts: number[], events: string[]][] = [
+      ['all members were assigned together', [4, 4], []],
+      ['a member has no assignment', [4], [`incomplete gang ${ID}`]],
+      ['members are of different attempts', [4, 5], [`incomplete gang ${ID}`]],
+    ];
+    for (const [condition, attempts, events] of gangs)
+      it(`has ${events.length === 0 ? 'no gang' : 'the gang'} stopped of which ${condition}`, () => {
+        const job = fixture.add({ kind: 'gang' });
+        const machine = new Machine('n-1', 0, settings);
+        for (const [task, attempt] of attempts.entries())
+          job.currentAssignments.set(task, planAssignment(job, task, attempt, machine, 0));
+        fixture.table.finishRecovery();
+        assert.deepEqual(fixture.events, events);
+        assert.equal(job.pending.length, 0);
+      });
   });
 });
--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -1,139 +1,137 @@
 import assert from 'node:assert/strict';
-import { describe, it } from 'node:test';
+import { beforeEach, describe, it } from 'node:test';
+import { ManualRuntime, silentLogger } from '../../../test/manual-runtime.js';
 import { standalonePlatform } from '../../../test/platform.js';
 import { EventLoop } from '../runtime/event-loop.js';
-import type { Runtime, Logger } from '../runtime/runtime.js';
 import { defaultProperties } from '../settings/properties.js';
 import { SettingsError } from '../settings/settings-error.js';
 import { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
+import type { WatchEvent } from '../wire/state.js';
 import { JobWatch } from './job-watch.js';
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
-const nothing = (): void => undefined;
-const silent: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
 
-type Followed = (got: unknown) => void;
+/** Revision of the read that the watch starts from. */
+const REVISION = 7;
 
-/** A feed with a hand-driven clock and state service. */
-class Bench {
-  now = 1000;
-  readonly follows: { from: number; holdMs: number; done: Followed }[] = [];
-  readonly ranges: Followed[] = [];
-  private timers: { at: number; fn: () => void }[] = [];
-  readonly seen: string[] = [];
-  readonly feed: JobWatch;
+interface WatchRequest {
+  revision: number;
+  holdMs: number;
+  done: Parameters<StateStoreClient['watch']>[3];
+}
+
+/** A watch whose clock and requests the test drives. */
+class WatchFixture {
+  readonly runtime = new ManualRuntime();
+  readonly watchRequests: WatchRequest[] = [];
+  readonly snapshotRequests: Parameters<StateStoreClient['readPrefix']>[2][] = [];
+  /** What the handler was told. */
+  readonly told: string[] = [];
+  readonly watch: JobWatch;
 
   constructor() {
-    const runtime: Runtime = {
-      startedAt: -Infinity,
-      now: () => this.now,
-      wallClock: () => this.now,
-      random: () => 0.5,
-      defer: (fn) => fn(),
-      startTimer: (ms, fn) => {
-        this.timers.push({ at: this.now + ms, fn });
-        return { cancel: nothing };
-      },
-      call: nothing,
-      hasSpareConnection: () => true,
-      sendPeer: nothing,
+    const client: Pick<StateStoreClient, 'watch' | 'readPrefix'> = {
+      watch: (_prefix, revision, holdMs, done) =>
+        void this.watchRequests.push({ revision, holdMs, done }),
+      readPrefix: (_prefix, _timeoutMs, done) => void this.snapshotRequests.push(done),
     };
-    const client = {
-      watch: (_: string, from: number, holdMs: number, done: Followed) =>
-        this.follows.push({ from, holdMs, done }),
-      readPrefix: (_: string, _timeoutMs: number, done: Followed) => this.ranges.push(done),
-    } as unknown as StateStoreClient;
-    this.feed = new JobWatch(new EventLoop(runtime, silent), settings, client, {
-      onSnapshot: (items) => this.seen.push(`all ${items.length}`),
-      onEvents: (events) => this.seen.push(...events.map((e) => `${e.kind} ${e.key}`)),
+    this.watch = new JobWatch(new EventLoop(this.runtime, silentLogger), settings, client, {
+      onSnapshot: (items) => this.told.push(`all ${items.length}`),
+      onEvents: (events) => this.told.push(...events.map(({ kind, key }) => `${kind} ${key}`)),
     });
+    this.watch.start(REVISION, this.runtime.now());
   }
 
-  pass(ms: number): void {
-    const until = this.now + ms;
-    for (;;) {
-      const next = this.timers.filter((t) => t.at <= until).sort((a, b) => a.at - b.at)[0];
-      if (next === undefined) break;
-      this.timers = this.timers.filter((t) => t !== next);
-      this.now = Math.max(this.now, next.at);
-      next.fn();
-    }
-    this.now = until;
+  get lastRequest(): WatchRequest {
+    return this.watchRequests.at(-1) ?? assert.fail('no request');
   }
 
-  get last(): { from: number; holdMs: number; done: Followed } {
-    const f = this.follows.at(-1);
-    assert.ok(f);
-    return f;
+  /** Answers the last watch request. */
+  answer(revision: number, events: WatchEvent[] = []): void {
+    this.lastRequest.done({ kind: 'ok', value: { revision, events } });
   }
 }
 
-const events = (revision: number, list: unknown[] = []): unknown => ({
-  kind: 'ok',
-  value: { revision, events: list },
-});
+describe('JobWatch', () => {
+  let fixture: WatchFixture;
+
+  beforeEach(() => {
+    fixture = new WatchFixture();
+  });
 
-describe('the view of live jobs', () => {
-  it('is as old as the read that it is from, not as the answer to it', () => {
-    const b = new Bench();
-    b.feed.start(7, b.now);
-    assert.ok(b.feed.isFresh);
-    b.pass(2000);
-    b.last.done(events(8, [{ kind: 'delete', key: 'live/req-1' }]));
-    assert.deepEqual(b.seen, ['delete live/req-1']);
-    assert.equal(b.feed.stalenessMs, 2000);
+  it('is as stale as the time since the last answered read was sent, not answered', () => {
+    const { runtime, watch, told } = fixture;
+    assert.ok(watch.isFresh);
+    runtime.advance(2000);
+    fixture.answer(8, [{ kind: 'delete', key: 'live/req-1' }]);
+    assert.deepEqual(told, ['delete live/req-1']);
+    assert.equal(watch.stalenessMs, 2000);
   });
 
-  it('counts no more once older than the settings allow, whatever else is answered', () => {
-    const b = new Bench();
-    b.feed.start(7, b.now);
+  it('is not fresh once it is staler than the settings allow, until a read is answered', () => {
+    const { runtime, watch } = fixture;
     for (let ms = 0; ms < settings.maxWatchStalenessMs + 1000; ms += 100) {
-      b.pass(100);
-      b.last.done({ kind: 'failed' });
+      runtime.advance(100);
+      fixture.lastRequest.done({ kind: 'failed' });
     }
-    assert.ok(!b.feed.isFresh);
-    b.pass(1000);
-    b.last.done(events(9));
-    assert.ok(b.feed.isFresh);
+    assert.ok(!watch.isFresh);
+    runtime.advance(1000);
+    fixture.answer(9);
+    assert.ok(watch.isFresh);
   });
 
-  it('has to catch up after a gap, by a read sent after it', () => {
-    const b = new Bench();
-    b.feed.start(7, b.now);
-    const before = b.last;
-    b.pass(100);
-    b.feed.requireFreshRead();
-    assert.ok(!b.feed.isFresh);
-    assert.equal(b.last.holdMs, 0);
-    assert.equal(b.last.from, 7);
-    before.done(events(8));
-    assert.ok(!b.feed.isFresh, 'a read from before the gap proves nothing');
-    b.last.done(events(8));
-    assert.ok(b.feed.isFresh);
+  it('is fresh after a gap only once a read sent after it is answered', () => {
+    const { runtime, watch } = fixture;
+    const before = fixture.lastRequest;
+    runtime.advance(100);
+    watch.requireFreshRead();
+    assert.ok(!watch.isFresh);
+    assert.equal(fixture.lastRequest.holdMs, 0);
+    assert.equal(fixture.lastRequest.revision, REVISION);
+    before.done({ kind: 'ok', value: { revision: 8, events: [] } });
+    assert.ok(!watch.isFresh, 'a read from before the gap proves nothing');
+    fixture.answer(8);
+    assert.ok(watch.isFresh);
   });
 
-  it('asks anew when a watch is lost', () => {
-    const b = new Bench();
-    b.feed.start(7, b.now);
-    b.pass(settings.leaderLeaseMs * 2 + 1);
-    assert.equal(b.follows.length, 2);
-    assert.equal(b.last.holdMs, 0);
+  it('sends another request when one is lost', () => {
+    fixture.runtime.advance(settings.leaderLeaseMs * 2 + 1);
+    assert.equal(fixture.watchRequests.length, 2);
+    assert.equal(fixture.lastRequest.holdMs, 0);
   });
 
-  it('reads all jobs when the service has forgotten the changes since', () => {
-    const b = new Bench();
-    b.feed.start(7, b.now);
-    b.pass(500);
-    b.last.done({ kind: 'too-old' });
-    b.pass(500);
-    b.ranges[0]?.({ kind: 'ok', value: { items: [], revision: 30_000 } });
-    assert.deepEqual(b.seen, ['all 0']);
-    assert.equal(b.feed.stalenessMs, 500);
-    assert.equal(b.last.from, 30_000);
+  it('reads all active records when the state store has forgotten the changes since', () => {
+    const { runtime, watch, snapshotRequests, told } = fixture;
+    runtime.advance(500);
+    fixture.lastRequest.done({ kind: 'too-old' });
+    runtime.advance(500);
+    snapshotRequests[0]?.({ kind: 'ok', value: { items: [], revision: 30_000 } });
+    assert.deepEqual(told, ['all 0']);
+    assert.equal(watch.stalenessMs, 500);
+    assert.equal(fixture.lastRequest.revision, 30_000);
   });
 
-  it('is bound by settings that let cancelled tasks end in time, or the start is refused', () => {
+  it('reads all active records again when that has failed', () => {
+    const { runtime, snapshotRequests, told } = fixture;
+    fixture.lastRequest.done({ kind: 'too-old' });
+    snapshotRequests[0]?.({ kind: 'failed' });
+    runtime.advance(settings.heartbeatIntervalMs);
+    assert.equal(snapshotRequests.length, 2);
+    assert.deepEqual(told, []);
+  });
+
+  it('tells nothing once closed', () => {
+    fixture.watch.close();
+    fixture.answer(8, [{ kind: 'delete', key: 'live/req-1' }]);
+    fixture.runtime.advance(settings.leaderLeaseMs * 3);
+    assert.deepEqual(fixture.told, []);
+    assert.equal(fixture.watchRequests.length, 1);
+  });
+});
+
+describe('the bound on the staleness of the watch', () => {
+  it('lets cancelled tasks end in time, or the settings are refused', () => {
     const { workers } = standalonePlatform();
     assert.ok(
       (settings.maxWatchStalenessMs + settings.workerLeaseMs) / 1000 + 4 < workers.cancelDeadlineS,
