--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -1,6 +1,7 @@
 /** HTTP/1.1 client for calls to the state store, the cloud and the workers. */
 import net from 'node:net';
-import { formatRequest, HttpParser, type HttpMessage } from './parser.js';
+import { formatRequest } from './formatting.js';
+import { HttpParser, type HttpMessage } from './parser.js';
 import type { SocketBudget } from './socket-budget.js';
 
 /** Limits of the client. */
--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -1,6 +1,6 @@
 /**
- * Incremental HTTP/1.1 parser for requests and responses, and the formatting of both. The parser takes bytes
- * as they arrive, however they are split, and returns complete messages.
+ * Incremental HTTP/1.1 parser for requests and responses. It takes bytes as they arrive, however they are
+ * split, and returns complete messages.
  */
 
 /** A request or a response. */
@@ -245,55 +245,3 @@
     this.stage = 'sized';
   }
 }
-
-const reasonPhrases: Record<number, string> = {
-  200: 'OK',
-  201: 'Created',
-  400: 'Bad Request',
-  404: 'Not Found',
-  405: 'Method Not Allowed',
-  413: 'Content Too Large',
-  421: 'Misdirected Request',
-  422: 'Unprocessable Content',
-  429: 'Too Many Requests',
-  431: 'Request Header Fields Too Large',
-  500: 'Internal Server Error',
-  501: 'Not Implemented',
-  503: 'Service Unavailable',
-  504: 'Gateway Timeout',
-};
-
-/** A response to be sent. */
-export interface HttpResponse {
-  status: number;
-  body: Buffer;
-  /** Content type of the body; CBOR where it is absent. */
-  contentType?: string;
-  /** Sent as whole seconds of at least 1. */
-  retryAfterS?: number;
-  /** The allowed method, with status 405. */
-  allow?: string;
-}
-
-/** The bytes of a response. With `close` the connection ends after it. */
-export function formatResponse(response: HttpResponse, close: boolean): Buffer {
-  const { status, body, contentType, retryAfterS, allow } = response;
-  let head = `HTTP/1.1 ${status} ${reasonPhrases[status] ?? 'Status'}\r\nContent-Length: ${body.length}\r\n`;
-  if (body.length > 0) head += `Content-Type: ${contentType ?? 'application/cbor'}\r\n`;
-  if (retryAfterS !== undefined) head += `Retry-After: ${Math.max(1, Math.ceil(retryAfterS))}\r\n`;
-  if (allow !== undefined) head += `Allow: ${allow}\r\n`;
-  if (close) head += 'Connection: close\r\n';
-  return Buffer.concat([Buffer.from(`${head}\r\n`, 'latin1'), body]);
-}
-
-/** The bytes of a request. The body, if there is one, is CBOR. */
-export function formatRequest(
-  method: string,
-  host: string,
-  path: string,
-  body: Buffer | null,
-): Buffer {
-  let head = `${method} ${path} HTTP/1.1\r\nHost: ${host}\r\n`;
-  if (body !== null) head += `Content-Type: application/cbor\r\nContent-Length: ${body.length}\r\n`;
-  return Buffer.concat([Buffer.from(`${head}\r\n`, 'latin1'), body ?? EMPTY]);
-}
--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -1,13 +1,7 @@
 /** One connection of the HTTP server: its requests, one at a time, and its deadlines. */
 import type net from 'node:net';
-import {
-  formatResponse,
-  HttpError,
-  HttpParser,
-  type MessageLimits,
-  type HttpMessage,
-  type HttpResponse,
-} from './parser.js';
+import { formatResponse, type HttpResponse } from './formatting.js';
+import { HttpError, HttpParser, type HttpMessage, type MessageLimits } from './parser.js';
 
 /** Handles a request. `respond` may be called later; only its first call counts. */
 export type RequestHandler = (
--- a/src/controller/node/api-server.ts
+++ b/src/controller/node/api-server.ts
@@ -2,7 +2,7 @@
 import { HEARTBEAT_PATH } from '../api/heartbeat-endpoint.js';
 import { encodeResponseBody } from '../api/response-body.js';
 import type { Controller } from '../controller.js';
-import type { HttpResponse } from '../http/parser.js';
+import type { HttpResponse } from '../http/formatting.js';
 import { HttpServer, type RequestHandler } from '../http/server.js';
 import type { SocketBudget } from '../http/socket-budget.js';
 import type { ApiResponse } from '../jobs/api-response.js';
