--- a/test/mixed-versions/alternating-leaders.test.ts
+++ b/test/mixed-versions/alternating-leaders.test.ts
@@ -13,7 +13,7 @@
   present: ProgramVersion,
 ): void {
   const scenario = new MixedVersionScenario(seed, [older, present, older]);
-  const { random, electedVersions } = scenario.simulation;
+  const { random, processes } = scenario.simulation;
   scenario.alternateLeaders(VERSION_CHANGES);
   scenario.finish([
     { kind: 'jobs cancelled', count: 2, at: random.between(2, 10) },
@@ -24,7 +24,7 @@
   const { versionChanges } = scenario;
   assert.ok(versionChanges >= VERSION_CHANGES, `only ${versionChanges} failovers`);
   for (const version of [older, present])
-    assert.ok(electedVersions.includes(version), `${version.name} never led`);
+    assert.ok(processes.electedVersions.includes(version), `${version.name} never led`);
 }
 
 await describeOlderVersions('alternating leaders', ({ name, version: older }) => {
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -75,9 +75,9 @@
       this.versions.set(host, version);
     }
     const rates = { ...noFaults, duplicated: 0.01 };
-    this.simulation = new Simulation(deployment, seed, rates, undefined, (host) =>
-      this.versionToStart(host),
-    );
+    this.simulation = new Simulation(deployment, seed, rates, {
+      versionOf: (host) => this.versionToStart(host),
+    });
     this.submitJobs(14, START_MS / 2);
     this.simulation.play(START_MS);
   }
@@ -139,7 +139,7 @@
 
   /** How often a leader of one version has followed a leader of the other. */
   get versionChanges(): number {
-    const { electedVersions } = this.simulation;
+    const { electedVersions } = this.simulation.processes;
     return electedVersions.filter(
       (version, index) => index > 0 && version !== electedVersions[index - 1],
     ).length;
--- a/test/mixed-versions/rollout.ts
+++ b/test/mixed-versions/rollout.ts
@@ -32,7 +32,7 @@
   event: RolloutEvent,
 ): void {
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
-  const { random, electedVersions } = scenario.simulation;
+  const { random, processes } = scenario.simulation;
   const { faults, occurred } = event.plan(scenario, scenario.rollingUpdate(to, event.pauseMs));
   scenario.finish([
     { kind: 'jobs cancelled', count: 3, at: random.between(1, 5), hang: random.between(0, 10) },
@@ -41,6 +41,6 @@
   ]);
   assert.ok(occurred(), `${event.name} did not happen`);
   for (const version of [from, to])
-    assert.ok(electedVersions.includes(version), `${version.name} never led`);
+    assert.ok(processes.electedVersions.includes(version), `${version.name} never led`);
   scenario.assertAllRun(to);
 }
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -42,11 +42,11 @@
   survived: () => void,
 ): void {
   const { simulation } = scenario;
-  const electionsBefore = simulation.electedVersions.length;
+  const electionsBefore = simulation.processes.electedVersions.length;
   const endedBefore = simulation.replicasEnded;
   assert.ok(simulation.leader !== null);
   simulation.kill(simulation.leader, LONGEST_RESTART_MS);
-  const elected = (): boolean => simulation.electedVersions.length > electionsBefore;
+  const elected = (): boolean => simulation.processes.electedVersions.length > electionsBefore;
   scenario.when(0, elected, () => {
     const running = scenario.replicaCounts(services).reduce((sum, count) => sum + count, 0);
     const ended = simulation.replicasEnded - endedBefore;
@@ -64,11 +64,11 @@
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
   const { simulation } = scenario;
   const services = scenario.submitServices(SERVICES);
-  const electionsBefore = simulation.electedVersions.length;
+  const electionsBefore = simulation.processes.electedVersions.length;
   let fewestReplicas = Infinity;
   let survived = false;
   const rollOut = (): void => {
-    assert.equal(simulation.electedVersions.at(-1), from);
+    assert.equal(simulation.processes.electedVersions.at(-1), from);
     let complete = false;
     simulation.clock.after(scenario.rollingUpdate(to).completeMs, () => (complete = true));
     const finished = (): boolean => {
@@ -84,7 +84,7 @@
   scenario.finish([{ kind: 'jobs cancelled', count: 3, at: simulation.random.between(1, 5) }]);
   assert.ok(survived, 'services did not run through the rollout');
   assert.ok(fewestReplicas > 0, 'a service had no replica for a while');
-  const elected = simulation.electedVersions.slice(electionsBefore);
+  const elected = simulation.processes.electedVersions.slice(electionsBefore);
   assert.ok(elected.includes(to), `${to.name} never led with services`);
   scenario.assertAllRun(to);
   assertCancelled(scenario, services);
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -58,7 +58,7 @@
     it(`expires no worker's lease while all controllers run, seed ${seed}`, () => {
       const simulation = playOutage(seed);
       assert.ok(simulation.checker.startedTasks > 0);
-      assert.equal(simulation.logCounts.get('lease renewed after a gap'), 1);
+      assert.equal(simulation.processes.logCounts.get('lease renewed after a gap'), 1);
       assert.equal(simulation.expiredLeases, 0);
     });
 
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { smallDeployment } from './simulation/deployments/deployment.js';
-import { frequentFaults, noFaults } from './simulation/faults/fault-rates.js';
-import { Simulation, type FaultRates } from './simulation/simulation.js';
+import { frequentFaults, noFaults, type FaultRates } from './simulation/faults/fault-rates.js';
+import { Simulation } from './simulation/simulation.js';
 
 /** No fault lasts longer than this. */
 const LONGEST_FAULT_MS = 60_000;
--- a/test/simulation/digest-scenarios.ts
+++ b/test/simulation/digest-scenarios.ts
@@ -2,11 +2,11 @@
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
 import { shrinkingLimits, smallDeployment, type Deployment } from './deployments/deployment.js';
 import { longJobs } from './scenarios/fault-scenario.js';
-import { frequentFaults, noFaults } from './faults/fault-rates.js';
+import { frequentFaults, noFaults, type FaultRates } from './faults/fault-rates.js';
 import type { Fault } from './faults/scripted/fault.js';
 import { injectFaults } from './faults/scripted/inject-faults.js';
 import { shortLeases } from './deployments/short-leases.js';
-import { Simulation, type FaultRates } from './simulation.js';
+import { Simulation } from './simulation.js';
 import { TrafficDigest } from './traffic-digest.js';
 
 /** Of the jobs at random times this share is cancelled, within so long. */
@@ -217,7 +217,7 @@
 ): Promise<void> {
   const { deployment, seed, rates, playMs, noticeEveryMs } = scenario;
   const version = digest.recordedVersion();
-  const simulation = new Simulation(deployment, seed, rates, undefined, () => version);
+  const simulation = new Simulation(deployment, seed, rates, { versionOf: () => version });
   submitRandomJobs(simulation, scenario.randomJobs, playMs * 0.8);
   observeControllers(simulation);
   injectFaults(simulation, scenario.faults);
--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -60,7 +60,7 @@
     if (leads && checker.everyTeamAtLimit)
       observedEvents.record('leader killed with every team at its limit');
   });
-  simulation.onLog.push((text, fields) => {
+  simulation.processes.onLog.push((text, fields) => {
     const { reason } = fields as { reason?: string };
     if (text !== 'no longer leader' || !HAND_OVER_REASONS.includes(reason ?? '')) return;
     handedOverAt = clock.now;
--- a/test/simulation/faults/scripted/message-faults.ts
+++ b/test/simulation/faults/scripted/message-faults.ts
@@ -57,7 +57,7 @@
   clock.after(durationMs, () => {
     network.retainedHeartbeats = 0;
   });
-  simulation.onLog.push((text) => {
+  simulation.processes.onLog.push((text) => {
     if (text !== 'elected leader' || clock.now > until) return;
     const addresses = simulation.hosts.map((host) => simulation.apiOf(host));
     network.deliverRetained(addresses, after * 1000);
--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -112,7 +112,7 @@
 ): void {
   const { clock, random, checker } = simulation;
   const until = clock.now + durationMs;
-  simulation.onLog.push((text) => {
+  simulation.processes.onLog.push((text) => {
     if (text !== 'no longer leader' || clock.now > until) return;
     for (const id of checker.jobs.running().slice(0, count))
       clock.after(random.between(0, CANCEL_AFTER_HANDOVER_MS), () =>
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -12,6 +12,19 @@
 /** How long a process is away in a rolling restart. */
 const ROLL_RESTART_MS = 6000;
 
+/** What the processes of a simulation share. */
+export interface ProcessContext {
+  clock: VirtualClock;
+  random: SeededRandom;
+  network: Network;
+  deployment: Deployment;
+  log: Logger;
+  /** Address of a host's API. */
+  apiOf(host: string): string;
+  /** What a host's process runs; asked whenever one starts. */
+  versionOf(host: string): ProgramVersion;
+}
+
 interface Process {
   controller: Controller;
   runtime: ProcessRuntime;
@@ -33,23 +46,25 @@
   private readonly peers = new Map<string, (bytes: Buffer) => void>();
   private starts = 0;
 
-  constructor(
-    private readonly clock: VirtualClock,
-    private readonly random: SeededRandom,
-    private readonly network: Network,
-    private readonly deployment: Deployment,
-    private readonly apiOf: (host: string) => string,
-    private readonly log: Logger,
-    /** What a host's process runs; asked whenever one starts. */
-    private readonly versionOf: (host: string) => ProgramVersion,
-  ) {}
+  constructor(private readonly context: ProcessContext) {}
+
+  /** Starts the process of every host. */
+  startAll(): void {
+    for (const host of this.context.deployment.hosts) this.start(host);
+  }
 
   /** Starts the host's process, unless it runs. */
   start(host: string): void {
     if (this.processes.has(host)) return;
-    const runtime = new ProcessRuntime(this.clock, this.random, this.network, host, this.peers);
-    const version = this.versionOf(host);
-    const { hosts, platform } = this.deployment;
+    const runtime = new ProcessRuntime(
+      this.context.clock,
+      this.context.random,
+      this.context.network,
+      host,
+      this.peers,
+    );
+    const version = this.context.versionOf(host);
+    const { hosts, platform } = this.context.deployment;
     const settings = new version.Settings(
       platformOf(hosts, host, platform, version.readPlatform),
       version.properties,
@@ -63,7 +78,7 @@
 
   private connect(host: string, { controller, runtime }: Process): void {
     this.peers.set(host, (bytes) => runtime.whenAwake(() => controller.peerFrame(bytes)));
-    this.network.listen(this.apiOf(host), host, (_, request, respond) => {
+    this.context.network.listen(this.context.apiOf(host), host, (_, request, respond) => {
       runtime.whenAwake(() => {
         controller.request(request.method, request.path, request.bytes, (answer) => {
           if (runtime.alive) respond({ status: answer.status, body: answer.body ?? null });
@@ -74,12 +89,12 @@
 
   private observedLog(version: ProgramVersion): Logger {
     return {
-      ...this.log,
+      ...this.context.log,
       info: (fields, text) => {
         this.logCounts.set(text, (this.logCounts.get(text) ?? 0) + 1);
         if (text === 'elected leader') this.electedVersions.push(version);
         for (const logged of this.onLog) logged(text, fields);
-        this.log.info(fields, text);
+        this.context.log.info(fields, text);
       },
       error: (fields, text) => {
         const { err } = fields as { err?: Error };
@@ -115,13 +130,13 @@
     process.runtime.alive = false;
     this.processes.delete(host);
     this.peers.delete(host);
-    this.network.remove(this.apiOf(host));
-    this.clock.after(restartMs, () => this.start(host));
+    this.context.network.remove(this.context.apiOf(host));
+    this.context.clock.after(restartMs, () => this.start(host));
   }
 
   /** The leader ends, and so do those who follow, each in the midst of its election; all are soon back. */
   killElected(times = 4, overMs = 6000): void {
-    const { clock, random } = this;
+    const { clock, random } = this.context;
     let left = times;
     const again = (): void => {
       for (const host of this.leaders()) this.kill(host, random.between(50, 400));
@@ -132,8 +147,8 @@
 
   /** The processes are restarted one after the other. */
   rollingRestart(everyMs: number): void {
-    for (const [index, host] of this.deployment.hosts.entries())
-      this.clock.after(index * everyMs, () => this.kill(host, ROLL_RESTART_MS));
+    for (const [index, host] of this.context.deployment.hosts.entries())
+      this.context.clock.after(index * everyMs, () => this.kill(host, ROLL_RESTART_MS));
   }
 
   /** The host's process stands still. */
--- a/test/simulation/scenarios/fault-scenario.ts
+++ b/test/simulation/scenarios/fault-scenario.ts
@@ -26,10 +26,10 @@
 
 /** How often a leader was elected after the first. */
 export const failovers = (simulation: Simulation): number =>
-  (simulation.logCounts.get('elected leader') ?? 0) - 1;
+  (simulation.processes.logCounts.get('elected leader') ?? 0) - 1;
 /** How often a leader went on after a gap in its lease. */
 export const leaseGaps = (simulation: Simulation): number =>
-  simulation.logCounts.get('lease renewed after a gap') ?? 0;
+  simulation.processes.logCounts.get('lease renewed after a gap') ?? 0;
 /** How many jobs had tasks on machines when their users were told of the cancellation. */
 export const cancelledWhileRunning = (simulation: Simulation): number =>
   simulation.checker.cancelledWhileRunning.length;
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -1,6 +1,7 @@
 /** Plays fault scenarios, and makes a test of each. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import { noFaults } from '../faults/fault-rates.js';
 import type { FaultScenario } from './fault-scenario.js';
 import { smallDeployment } from '../deployments/deployment.js';
 import { injectFaults } from '../faults/scripted/inject-faults.js';
@@ -21,8 +22,8 @@
 ): Simulation {
   const deployment = scenario.deployment ?? smallDeployment;
   const { startMs = START_MS, bootFailures = 0, warmUpJob } = deployment;
-  const quiet = { meanIntervalMs: Infinity, duplicated: 0.01, taskFailures: 0, bootFailures };
-  const simulation = new Simulation(deployment, seed, quiet, undefined, () => version);
+  const rates = { ...noFaults, duplicated: 0.01, bootFailures };
+  const simulation = new Simulation(deployment, seed, rates, { versionOf: () => version });
   const { clock, random } = simulation;
   if (warmUpJob !== undefined) simulation.submit(simulation.jobWith(warmUpJob), null);
   const submittedMs = startMs - START_MS;
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -3,53 +3,44 @@
 import type { Platform, StateLimits } from '../../src/controller/settings/platform.js';
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
 import { platformOf } from '../platform.js';
-import { Cloud } from './machines/cloud.js';
+import type { Cloud } from './machines/cloud.js';
 import { ConnectionFaults } from './faults/connection-faults.js';
 import { Gangs } from './machines/gangs.js';
 import { ObservedEvents, observeFaultCombinations } from './faults/observed-events.js';
 import type { MachineContext } from './machines/machine-context.js';
 import { MachineFaults } from './faults/machine-faults.js';
-import { Network } from './network.js';
+import type { Network } from './network.js';
 import { ControllerProcesses } from './processes.js';
+import type { FaultRates } from './faults/fault-rates.js';
 import { injectRandomFaults } from './faults/random-faults.js';
 import { RuleChecker } from './rules/rule-checker.js';
 import type { Deployment } from './deployments/deployment.js';
 import { SeededRandom } from './seeded-random.js';
+import {
+  createCloud,
+  createNetwork,
+  createStateStore,
+  silentLog,
+  workerSettings,
+} from './simulation-parts.js';
 import { VirtualClock } from './virtual-clock.js';
-import { StateStoreServer } from './state-store/state-store-server.js';
+import type { StateStoreServer } from './state-store/state-store-server.js';
 import { UserPopulation } from './users/user-population.js';
 import type { RequestSender } from './users/user.js';
 import { presentVersion, type ProgramVersion } from './program-version.js';
 import type { Worker } from './machines/worker.js';
 
-const noLog: Logger = {
-  info: () => undefined,
-  debug: () => undefined,
-  warn: () => undefined,
-  error: () => undefined,
-};
-
-/** A transaction that gets no answer is carried out within so many leases of a worker. */
-const LATEST_WRITE_LEASES = 0.6;
-/** Copies of old messages come up to so many leases late. */
-const LATEST_COPY_LEASES = 3;
-/** Machines that are there at the start are up after this time. */
-const FIRST_BOOT_MS = 100;
 /** True run time of jobs that nobody submitted. */
 const UNKNOWN_RUN_MS = 1000;
 /** How often the rules that depend on time are checked. */
 const TICK_MS = 1000;
 
-/** How often faults occur. */
-export interface FaultRates {
-  /** Mean time between faults in milliseconds; Infinity for a quiet day. */
-  meanIntervalMs: number;
-  /** Chance that a request arrives a second time. */
-  duplicated: number;
-  /** Chance that a task fails. */
-  taskFailures: number;
-  /** Chance that a rented machine never comes up. */
-  bootFailures: number;
+/** What a simulation may be given beside its deployment, seed and fault rates. */
+export interface SimulationOptions {
+  /** Receives what the controllers log. */
+  log?: Logger;
+  /** The program that a host's process runs; asked whenever one starts. */
+  versionOf?: (host: string) => ProgramVersion;
 }
 
 /** The controllers of a deployment with all that is around them, in virtual time. */
@@ -60,7 +51,7 @@
   readonly stateStore: StateStoreServer;
   readonly cloud: Cloud;
   readonly checker: RuleChecker;
-  private readonly context: MachineContext;
+  private readonly machines: MachineContext;
   readonly observedEvents = new ObservedEvents();
   readonly processes: ControllerProcesses;
   readonly users: UserPopulation;
@@ -75,111 +66,55 @@
     private readonly deployment: Deployment,
     seed: number,
     rates: FaultRates,
-    log: Logger = noLog,
-    /** What a host's process runs; asked whenever one starts. */
-    versionOf: (host: string) => ProgramVersion = () => presentVersion(),
+    { log = silentLog, versionOf = () => presentVersion() }: SimulationOptions = {},
   ) {
-    const { hosts } = deployment;
+    const { hosts, pageSize } = deployment;
     const platform = platformOf(hosts, hosts[0] ?? '', deployment.platform);
-    const { stateStoreAddr, stateLimits, workers } = platform;
+    const { clock } = this;
+    const random = new SeededRandom(seed);
+    const apiOf = (host: string): string => this.apiOf(host);
+    this.random = random;
     this.upcomingStateLimits = platform.upcomingStateLimits;
-    this.random = new SeededRandom(seed);
-    this.network = new Network(this.clock, this.random);
-    this.network.duplicated = rates.duplicated;
-    this.network.maxDuplicateDelayMs = workers.leaseS * 1000 * LATEST_COPY_LEASES;
+    const network = createNetwork(clock, random, platform, rates);
+    this.network = network;
     this.checker = new RuleChecker(
       platform.teams,
-      workers.cancelDeadlineS * 1000,
-      () => this.clock.now,
-    );
-    this.stateStore = new StateStoreServer(
-      this.clock,
-      this.random,
-      this.network,
-      stateStoreAddr,
-      stateLimits,
-      deployment.pageSize,
+      platform.workers.cancelDeadlineS * 1000,
+      () => clock.now,
     );
-    this.stateStore.maxWriteDelayMs = workers.leaseS * 1000 * LATEST_WRITE_LEASES;
-    this.context = this.machineContext(platform, rates);
+    this.stateStore = createStateStore(clock, random, network, platform, pageSize);
+    this.machines = this.machineContext(platform, rates);
     this.users = this.userPopulation();
-    this.cloud = this.startCloud(platform, rates);
-    this.connectionFaults = new ConnectionFaults(
-      this.clock,
-      this.random,
-      this.network,
-      hosts,
-      () => this.workers,
-    );
-    this.machineFaults = new MachineFaults(
-      this.clock,
-      this.random,
-      this.cloud,
-      this.connectionFaults,
-    );
-    this.processes = new ControllerProcesses(
-      this.clock,
-      this.random,
-      this.network,
-      deployment,
-      (host) => this.apiOf(host),
-      log,
-      versionOf,
-    );
+    this.cloud = createCloud(this.machines, deployment, platform, rates);
+    this.connectionFaults = new ConnectionFaults(clock, random, network, hosts, () => this.workers);
+    this.machineFaults = new MachineFaults(clock, random, this.cloud, this.connectionFaults);
+    const host = { clock, random, network, deployment, apiOf, log, versionOf };
+    this.processes = new ControllerProcesses(host);
     observeFaultCombinations(this);
-    for (const host of hosts) this.processes.start(host);
+    this.processes.startAll();
     if (Number.isFinite(rates.meanIntervalMs)) injectRandomFaults(this, rates.meanIntervalMs);
   }
 
-  private machineContext({ workers }: Platform, rates: FaultRates): MachineContext {
+  private machineContext(platform: Platform, rates: FaultRates): MachineContext {
+    const { clock, random, network, checker, observedEvents } = this;
     return {
-      clock: this.clock,
-      random: this.random,
-      network: this.network,
-      checker: this.checker,
-      settings: {
-        heartbeatIntervalMs: workers.heartbeatIntervalS * 1000,
-        leaseMs: workers.leaseS * 1000,
-        gangWaitMs: workers.gangFetchWaitS * 1000,
-        gangPeerMs: workers.gangPeerExitS * 1000,
-      },
+      ...{ clock, random, network, checker, observedEvents },
+      settings: workerSettings(platform),
       controllers: this.deployment.hosts,
       apiOf: (host) => this.apiOf(host),
       specOf: (id) => this.users.specOf(id),
       runMs: (id) => this.users.runMsOf(id) ?? UNKNOWN_RUN_MS,
-      gangs: new Gangs(this.clock),
+      gangs: new Gangs(clock),
       taskFailures: rates.taskFailures,
-      observedEvents: this.observedEvents,
-      expiredLeases: 0,
-      replicasEnded: 0,
+      ...{ expiredLeases: 0, replicasEnded: 0 },
     };
   }
 
   private userPopulation(): UserPopulation {
     const { clock, random, network, stateStore, checker, observedEvents, deployment } = this;
     const apiOf = (host: string): string => this.apiOf(host);
-    return new UserPopulation({
-      clock,
-      random,
-      network,
-      stateStore,
-      checker,
-      observedEvents,
-      deployment,
-      apiOf,
-    });
-  }
-
-  private startCloud({ cloudAddr: address, cloudLimits }: Platform, rates: FaultRates): Cloud {
-    const { types, capacity, machines } = this.deployment;
-    const lagMs = cloudLimits.listLagS * 1000;
-    const cloud = new Cloud(this.context, address, types, capacity, lagMs, rates.bootFailures);
-    for (const { type: name, zone, spot, count } of machines) {
-      const type = types.find((candidate) => candidate.name === name);
-      if (type === undefined) throw new Error(name);
-      for (let i = 0; i < count; i++) cloud.addMachine(type, zone, spot, FIRST_BOOT_MS);
-    }
-    return cloud;
+    const shared = { clock, random, network, stateStore, checker, observedEvents };
+    return new UserPopulation({ ...shared, deployment, apiOf });
   }
 
   /** Address of the host's API. */
@@ -208,45 +143,20 @@
     return this.processes.leader;
   }
 
-  /** The hosts that lead, each as it believes itself. */
-  get leaders(): readonly string[] {
-    return this.processes.leaders();
-  }
-
   /** The zone of a controller where the deployment spreads them over zones. */
   zoneOf(host: string): string | undefined {
     const { hosts, platform } = this.deployment;
     return platform.hostZones[hosts.indexOf(host)];
   }
 
-  /** The versions of the leaders, in the order of their elections. */
-  get electedVersions(): readonly ProgramVersion[] {
-    return this.processes.electedVersions;
-  }
-
-  /** How often the controllers have logged each text. */
-  get logCounts(): ReadonlyMap<string, number> {
-    return this.processes.logCounts;
-  }
-
-  /** Errors that controllers have logged. */
-  get errors(): readonly string[] {
-    return this.processes.errors;
-  }
-
-  /** Called with each line that a controller logs as information. */
-  get onLog(): ControllerProcesses['onLog'] {
-    return this.processes.onLog;
-  }
-
   /** Replicas of services that ended by themselves. */
   get replicasEnded(): number {
-    return this.context.replicasEnded;
+    return this.machines.replicasEnded;
   }
 
   /** How often a worker's lease has run out. */
   get expiredLeases(): number {
-    return this.context.expiredLeases;
+    return this.machines.expiredLeases;
   }
 
   /** The host's process ends, and starts again after so long. */
@@ -301,8 +211,8 @@
         if (this.checker.faultsEndedAt !== null)
           this.checker.checkWaitingJobs(this.workers.map((w) => w.freeCapacity));
       }
-      if (this.checker.violations.length > 0 || this.errors.length > 0)
-        throw new Error([...this.checker.violations, ...this.errors].join('\n'));
+      if (this.checker.violations.length > 0 || this.processes.errors.length > 0)
+        throw new Error([...this.checker.violations, ...this.processes.errors].join('\n'));
     });
   }
 }
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { mediumFleet } from './simulation/deployments/deployment.js';
-import { Simulation, type FaultRates } from './simulation/simulation.js';
+import { rareFaults } from './simulation/faults/fault-rates.js';
+import { Simulation } from './simulation/simulation.js';
 
 /** Machines at most; more would only make the test slow. */
 const MACHINES = 200;
@@ -15,13 +16,6 @@
 /** At the state service, by the platform's settings. */
 const REQUESTS_PER_SECOND = 80;
 
-const rareFaults: FaultRates = {
-  meanIntervalMs: Infinity,
-  duplicated: 0.002,
-  taskFailures: 0.005,
-  bootFailures: 0.02,
-};
-
 /** A time in milliseconds, and what happens then. */
 type TimedAction = [number, (simulation: Simulation) => void];
 
