--- a/test/mixed-versions/alternating-leaders.test.ts
+++ b/test/mixed-versions/alternating-leaders.test.ts
@@ -16,10 +16,10 @@
   const { random, processes } = scenario.simulation;
   scenario.alternateLeaders(VERSION_CHANGES);
   scenario.finish([
-    { kind: 'jobs cancelled', count: 2, at: random.between(2, 10) },
-    { kind: 'jobs cancelled', count: 2, at: random.between(15, 30), elsewhere: true },
-    { kind: 'jobs cancelled', count: 2, at: random.between(35, 50) },
-    { kind: 'jobs cancelled', count: 2, at: random.between(55, 70), elsewhere: true },
+    { kind: 'jobsCancelled', count: 2, at: random.between(2, 10) },
+    { kind: 'jobsCancelled', count: 2, at: random.between(15, 30), elsewhere: true },
+    { kind: 'jobsCancelled', count: 2, at: random.between(35, 50) },
+    { kind: 'jobsCancelled', count: 2, at: random.between(55, 70), elsewhere: true },
   ]);
   const { versionChanges } = scenario;
   assert.ok(versionChanges >= VERSION_CHANGES, `only ${versionChanges} failovers`);
--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -32,7 +32,7 @@
       const { clock, random } = scenario.simulation;
       clock.after(fromMs + random.between(1000, 4000), () => scenario.lowerLimits());
       return {
-        faults: [{ kind: 'state store outage', at: fromMs / 1000, for: random.between(5, 20) }],
+        faults: [{ kind: 'stateStoreOutage', at: fromMs / 1000, for: random.between(5, 20) }],
         occurred: () => scenario.limitsDecrease?.inOutage === true,
       };
     },
@@ -73,7 +73,7 @@
     plan: (scenario, update) => {
       const { faults, occurred } = moment.plan(scenario, fromMs(update));
       const moreJobs: Fault = {
-        kind: 'jobs submitted',
+        kind: 'jobsSubmitted',
         count: 10,
         at: update.completeMs / 1000 + 5,
       };
@@ -93,9 +93,9 @@
   name: 'lower limits near a failover',
   plan: ({ simulation: { random, stateStore } }) => ({
     faults: [
-      { kind: 'state store limits lowered', at: random.between(50, 60) },
-      { kind: 'controllers killed', target: 'leader', restartAfter: 1, at: random.between(48, 62) },
-      { kind: 'jobs submitted', count: 10, at: 62 },
+      { kind: 'stateStoreLimitsLowered', at: random.between(50, 60) },
+      { kind: 'controllersKilled', target: 'leader', restartAfter: 1, at: random.between(48, 62) },
+      { kind: 'jobsSubmitted', count: 10, at: 62 },
     ],
     occurred: () => stateStore.tooLarge === 0,
   }),
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -22,7 +22,7 @@
       const restartAfter = random.between(0.1, 2);
       const at = random.between(0.5, 2.5);
       return {
-        faults: [{ kind: 'controllers killed', target: 'leader', restartAfter, at }],
+        faults: [{ kind: 'controllersKilled', target: 'leader', restartAfter, at }],
         occurred: () => {
           const oldVersion = starts[0]?.version;
           const oldStarts = starts.filter(({ version }) => version === oldVersion);
@@ -34,23 +34,21 @@
   {
     name: 'an outage of the state service',
     plan: ({ simulation: { random, stateStore } }) => ({
-      faults: [
-        { kind: 'state store outage', at: random.between(3, 12), for: random.between(5, 30) },
-      ],
+      faults: [{ kind: 'stateStoreOutage', at: random.between(3, 12), for: random.between(5, 30) }],
       occurred: () => stateStore.requestsInOutage > 0,
     }),
   },
   {
     name: 'late writes',
     plan: ({ simulation: { stateStore } }) => ({
-      faults: [{ kind: 'late writes', share: 0.4, at: 0, for: 60 }],
+      faults: [{ kind: 'lateWrites', share: 0.4, at: 0, for: 60 }],
       occurred: () => stateStore.lateCommits.applied + stateStore.lateCommits.refused > 0,
     }),
   },
   {
     name: 'late heartbeats',
     plan: ({ simulation: { network } }) => ({
-      faults: [{ kind: 'duplicated heartbeats', share: 0.4, at: 0, for: 60 }],
+      faults: [{ kind: 'duplicatedHeartbeats', share: 0.4, at: 0, for: 60 }],
       occurred: () => network.duplicatesDelivered > 0,
     }),
   },
--- a/test/mixed-versions/rollout.ts
+++ b/test/mixed-versions/rollout.ts
@@ -35,8 +35,8 @@
   const { random, processes } = scenario.simulation;
   const { faults, occurred } = event.plan(scenario, scenario.rollingUpdate(to, event.pauseMs));
   scenario.finish([
-    { kind: 'jobs cancelled', count: 3, at: random.between(1, 5), hang: random.between(0, 10) },
-    { kind: 'jobs cancelled', count: 3, at: random.between(10, 30), elsewhere: true },
+    { kind: 'jobsCancelled', count: 3, at: random.between(1, 5), hang: random.between(0, 10) },
+    { kind: 'jobsCancelled', count: 3, at: random.between(10, 30), elsewhere: true },
     ...faults,
   ]);
   assert.ok(occurred(), `${event.name} did not happen`);
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -30,7 +30,7 @@
       () => failOver(scenario, services, () => (survived = true)),
     );
   });
-  scenario.finish([{ kind: 'jobs cancelled', count: 3, at: random.between(1, 5) }]);
+  scenario.finish([{ kind: 'jobsCancelled', count: 3, at: random.between(1, 5) }]);
   assert.ok(survived, 'services did not run through a failover');
   assertCancelled(scenario, services);
 }
@@ -81,7 +81,7 @@
     });
   };
   scenario.when(0, () => isServing(scenario, services), rollOut);
-  scenario.finish([{ kind: 'jobs cancelled', count: 3, at: simulation.random.between(1, 5) }]);
+  scenario.finish([{ kind: 'jobsCancelled', count: 3, at: simulation.random.between(1, 5) }]);
   assert.ok(survived, 'services did not run through the rollout');
   assert.ok(fewestReplicas > 0, 'a service had no replica for a while');
   const elected = simulation.processes.electedVersions.slice(electionsBefore);
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -122,15 +122,15 @@
 /** Faults whose length matters beside the leases; others say for how longJobs something goes on. */
 const PASSING: ReadonlySet<Fault['kind']> = new Set([
   ...([
-    'state store refuses',
-    'state store outage',
-    'controllers isolated',
-    'controllers frozen',
-    'cut off from workers',
-    'zone cut off',
+    'stateStoreRefuses',
+    'stateStoreOutage',
+    'controllersIsolated',
+    'controllersFrozen',
+    'cutOffFromWorkers',
+    'zoneCutOff',
   ] as const),
-  ...(['machines cut off', 'inbound blocked', 'heartbeats blocked', 'machines hang'] as const),
-  ...(['commands held back', 'responses held back'] as const),
+  ...(['machinesCutOff', 'inboundBlocked', 'heartbeatsBlocked', 'machinesHang'] as const),
+  ...(['commandsHeldBack', 'responsesHeldBack'] as const),
 ]);
 
 /** The scenario as a day of the deployment with short leases. */
@@ -150,10 +150,10 @@
     jobCount: 16,
     deployment: shortLeases,
     faults: (between) => [
-      { kind: 'leader moved', host: 'kiln-2', restartAfter: 4, at: 0 },
-      { kind: 'zone cut off', zone: 'b', inside: 'leader', at: 12, for: between(15, 45) },
-      { kind: 'jobs cancelled', count: 5, elsewhere: true, at: between(14, 18) },
-      { kind: 'jobs submitted', count: 6, template: longJobs, at: 16 },
+      { kind: 'leaderMoved', host: 'kiln-2', restartAfter: 4, at: 0 },
+      { kind: 'zoneCutOff', zone: 'b', inside: 'leader', at: 12, for: between(15, 45) },
+      { kind: 'jobsCancelled', count: 5, elsewhere: true, at: between(14, 18) },
+      { kind: 'jobsSubmitted', count: 6, template: longJobs, at: 16 },
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
@@ -170,16 +170,16 @@
     jobCount: 16,
     deployment: shortLeases,
     faults: (between) => [
-      { kind: 'leader moved', host: 'kiln-0', restartAfter: 4, at: 0 },
-      { kind: 'zone cut off', zone: 'b', inside: 'single', at: 12, for: between(15, 45) },
-      { kind: 'jobs cancelled', count: 5, at: between(14, 18) },
+      { kind: 'leaderMoved', host: 'kiln-0', restartAfter: 4, at: 0 },
+      { kind: 'zoneCutOff', zone: 'b', inside: 'single', at: 12, for: between(15, 45) },
+      { kind: 'jobsCancelled', count: 5, at: between(14, 18) },
       {
-        kind: 'controllers killed',
+        kind: 'controllersKilled',
         target: 'leader',
         restartAfter: between(0.2, 6),
         at: between(15, 20),
       },
-      { kind: 'jobs submitted', count: 6, template: longJobs, at: 16 },
+      { kind: 'jobsSubmitted', count: 6, template: longJobs, at: 16 },
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -20,19 +20,19 @@
 
 /** Parameters of the faults of controllers. */
 export interface ControllerFaults {
-  'controllers killed': OnControllers & Restart;
+  controllersKilled: OnControllers & Restart;
   /** The leader ends as machines that were just rented start work. */
-  'leader killed beside new machines': Restart;
+  leaderKilledBesideNewMachines: Restart;
   /** Leaders end again and again, each in the midst of its election. */
-  'repeated elections': object;
-  'controllers frozen': OnControllers;
+  repeatedElections: object;
+  controllersFrozen: OnControllers;
   /** Cut off from the state store and from each other, but not from workers and users. */
-  'controllers isolated': OnControllers;
-  'cut off from workers': OnControllers;
-  'peer connections refused': object;
+  controllersIsolated: OnControllers;
+  cutOffFromWorkers: OnControllers;
+  peerConnectionsRefused: object;
   /** This controller becomes the leader: all others end, and are back after a time. */
-  'leader moved': Restart & { host: string };
-  'zone cut off': ZoneCut;
+  leaderMoved: Restart & { host: string };
+  zoneCutOff: ZoneCut;
 }
 
 const ELECTIONS = 10;
@@ -42,28 +42,28 @@
 
 /** Begins faults of controllers. */
 export const controllerFaults: Injectors<ControllerFaults> = {
-  'controllers killed': (simulation, { target, restartAfter }) => {
+  controllersKilled: (simulation, { target, restartAfter }) => {
     for (const host of hostsOf(simulation, target)) simulation.kill(host, restartAfter * 1000);
   },
-  'leader killed beside new machines': (simulation, { restartAfter }, ms) =>
+  leaderKilledBesideNewMachines: (simulation, { restartAfter }, ms) =>
     killLeaderBesideNewMachines(simulation, restartAfter * 1000, ms),
-  'repeated elections': ({ processes }, _, ms) => processes.killElected(ELECTIONS, ms),
-  'controllers frozen': (simulation, { target }, ms) => {
+  repeatedElections: ({ processes }, _, ms) => processes.killElected(ELECTIONS, ms),
+  controllersFrozen: (simulation, { target }, ms) => {
     for (const host of hostsOf(simulation, target)) simulation.processes.freeze(host, ms);
   },
-  'controllers isolated': (simulation, { target }, ms) => {
+  controllersIsolated: (simulation, { target }, ms) => {
     for (const host of hostsOf(simulation, target)) simulation.connectionFaults.isolate(host, ms);
   },
-  'cut off from workers': (simulation, { target }, ms) => {
+  cutOffFromWorkers: (simulation, { target }, ms) => {
     for (const host of hostsOf(simulation, target))
       simulation.connectionFaults.cutFromWorkers(host, ms);
   },
-  'peer connections refused': ({ connectionFaults }, _, ms) => connectionFaults.refusePeers(ms),
-  'leader moved': (simulation, { host, restartAfter }) => {
+  peerConnectionsRefused: ({ connectionFaults }, _, ms) => connectionFaults.refusePeers(ms),
+  leaderMoved: (simulation, { host, restartAfter }) => {
     for (const other of simulation.hosts)
       if (other !== host) simulation.kill(other, restartAfter * 1000);
   },
-  'zone cut off': cutZone,
+  zoneCutOff: cutZone,
 };
 
 /** Ends the leader a moment after a new machine is up, or has started its first task. */
--- a/test/simulation/faults/scripted/machine-outages.ts
+++ b/test/simulation/faults/scripted/machine-outages.ts
@@ -5,49 +5,49 @@
 /** Parameters of the faults of machines. */
 export interface MachineOutages {
   /** No message passes; what is sent is delivered when the connection is back. */
-  'machines cut off': OnMachines;
+  machinesCutOff: OnMachines;
   /** Heartbeats arrive, but neither responses nor commands reach the machines. */
-  'inbound blocked': OnMachines;
+  inboundBlocked: OnMachines;
   /** No heartbeat leaves the machines, while commands reach them and are answered. */
-  'heartbeats blocked': OnMachines;
-  'machines lost': OnMachines;
+  heartbeatsBlocked: OnMachines;
+  machinesLost: OnMachines;
   /** The machines come back with their names and nothing else. */
-  'machines restart': OnMachines & { restartAfter: number };
-  'machines hang': OnMachines;
+  machinesRestart: OnMachines & { restartAfter: number };
+  machinesHang: OnMachines;
   /** What is sent to the machines is delivered later. */
-  'commands held back': OnMachines;
+  commandsHeldBack: OnMachines;
   /** What the machines send is delivered later. */
-  'responses held back': OnMachines;
+  responsesHeldBack: OnMachines;
   /** Rented machines are up within two seconds. */
-  'fast boots': object;
+  fastBoots: object;
 }
 
 /** Begins faults of machines. */
 export const machineOutages: Injectors<MachineOutages> = {
-  'machines cut off': ({ machineFaults }, { share }, ms) => machineFaults.cut(share, ms),
-  'inbound blocked': (simulation, { share }, ms) => {
+  machinesCutOff: ({ machineFaults }, { share }, ms) => machineFaults.cut(share, ms),
+  inboundBlocked: (simulation, { share }, ms) => {
     for (const worker of drawWorkers(simulation, share))
       simulation.connectionFaults.blockInbound(worker, ms, 'reset');
   },
-  'heartbeats blocked': (simulation, { share }, ms) => {
+  heartbeatsBlocked: (simulation, { share }, ms) => {
     for (const worker of drawWorkers(simulation, share)) worker.blockHeartbeats(ms);
   },
-  'machines lost': (simulation, { share }) => {
+  machinesLost: (simulation, { share }) => {
     for (const worker of drawWorkers(simulation, share)) worker.die();
   },
-  'machines restart': (simulation, { share, restartAfter }) => {
+  machinesRestart: (simulation, { share, restartAfter }) => {
     for (const worker of drawWorkers(simulation, share)) worker.restart(restartAfter * 1000);
   },
-  'machines hang': (simulation, { share }, ms) => {
+  machinesHang: (simulation, { share }, ms) => {
     for (const worker of drawWorkers(simulation, share)) worker.hang(ms);
   },
-  'commands held back': (simulation, { share }, ms) => {
+  commandsHeldBack: (simulation, { share }, ms) => {
     for (const worker of drawWorkers(simulation, share))
       simulation.connectionFaults.blockInbound(worker, ms, 'hold');
   },
-  'responses held back': (simulation, { share }, ms) => {
+  responsesHeldBack: (simulation, { share }, ms) => {
     for (const worker of drawWorkers(simulation, share))
       simulation.connectionFaults.holdOutbound(worker, ms);
   },
-  'fast boots': ({ cloud }, _, ms) => cloud.bootQuickly(ms),
+  fastBoots: ({ cloud }, _, ms) => cloud.bootQuickly(ms),
 };
--- a/test/simulation/faults/scripted/message-faults.ts
+++ b/test/simulation/faults/scripted/message-faults.ts
@@ -12,37 +12,37 @@
 
 /** Parameters of the faults of messages. */
 export interface MessageFaults {
-  'slow network': object;
+  slowNetwork: object;
   /** Copies of heartbeats arrive again, seconds later. */
-  'duplicated heartbeats': { share: number };
+  duplicatedHeartbeats: { share: number };
   /** Direct commands that arrive seconds late, and whose responses are lost. */
-  'delayed commands': { share: number };
-  'heartbeats replayed to the next leader': HeartbeatReplay;
+  delayedCommands: { share: number };
+  heartbeatsReplayedToTheNextLeader: HeartbeatReplay;
 }
 
 const SLOW_MAX_LATENCY_MS = 400;
 
 /** Begins faults of messages. */
 export const messageFaults: Injectors<MessageFaults> = {
-  'slow network': ({ clock, network }, _, ms) => {
+  slowNetwork: ({ clock, network }, _, ms) => {
     network.maxLatencyMs = SLOW_MAX_LATENCY_MS;
     clock.after(ms, () => {
       network.maxLatencyMs = USUAL_MAX_LATENCY_MS;
     });
   },
-  'duplicated heartbeats': ({ clock, network }, { share }, ms) => {
+  duplicatedHeartbeats: ({ clock, network }, { share }, ms) => {
     network.duplicatedHeartbeats = share;
     clock.after(ms, () => {
       network.duplicatedHeartbeats = 0;
     });
   },
-  'delayed commands': ({ clock, network }, { share }, ms) => {
+  delayedCommands: ({ clock, network }, { share }, ms) => {
     network.delayedCommands = share;
     clock.after(ms, () => {
       network.delayedCommands = 0;
     });
   },
-  'heartbeats replayed to the next leader': replayHeartbeats,
+  heartbeatsReplayedToTheNextLeader: replayHeartbeats,
 };
 
 /** Keeps copies of heartbeats; they arrive at every controller after the next election. */
--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -25,15 +25,15 @@
 
 /** Parameters of the actions of users. */
 export interface UserActions {
-  'jobs submitted': { count: number; template?: Partial<JobSpec> };
-  'job stream': JobStream;
-  'jobs cancelled': Cancellations;
-  'jobs cancelled as they end': { share: number };
+  jobsSubmitted: { count: number; template?: Partial<JobSpec> };
+  jobStream: JobStream;
+  jobsCancelled: Cancellations;
+  jobsCancelledAsTheyEnd: { share: number };
   /** Jobs are cancelled a moment after a leader has stepped down. */
-  'jobs cancelled at handovers': { count: number };
-  'polls after changes': { cancelShare: number };
-  'everyone polls': object;
-  'unusual requests': object;
+  jobsCancelledAtHandovers: { count: number };
+  pollsAfterChanges: { cancelShare: number };
+  everyonePolls: object;
+  unusualRequests: object;
 }
 
 /** Cancellations are spread over this time. */
@@ -45,17 +45,17 @@
 
 /** Begins actions of users. */
 export const userActions: Injectors<UserActions> = {
-  'jobs submitted': (simulation, { count, template = {} }) => {
+  jobsSubmitted: (simulation, { count, template = {} }) => {
     for (let i = 0; i < count; i++) simulation.submit(simulation.jobWith(template), null);
   },
-  'job stream': submitSteadily,
-  'jobs cancelled': cancelRunningJobs,
-  'jobs cancelled as they end': cancelAsTheyEnd,
-  'jobs cancelled at handovers': cancelAtHandovers,
-  'polls after changes': (simulation, { cancelShare }, ms) =>
+  jobStream: submitSteadily,
+  jobsCancelled: cancelRunningJobs,
+  jobsCancelledAsTheyEnd: cancelAsTheyEnd,
+  jobsCancelledAtHandovers: cancelAtHandovers,
+  pollsAfterChanges: (simulation, { cancelShare }, ms) =>
     pollAfterChanges(simulation, cancelShare, ms),
-  'everyone polls': ({ users }, _, ms) => users.everyonePolls(POLL_EVERY_MS, ms),
-  'unusual requests': (simulation, _, ms) => sendUnusualRequests(simulation, ms),
+  everyonePolls: ({ users }, _, ms) => users.everyonePolls(POLL_EVERY_MS, ms),
+  unusualRequests: (simulation, _, ms) => sendUnusualRequests(simulation, ms),
 };
 
 function submitSteadily(
