--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -23,8 +23,8 @@
   ) {
     const headroomSettings = {
       memoryMs: settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio'),
-      share: settings.get('placement.reserve.share'),
-      spare: settings.get('placement.reserve.spare'),
+      maxShare: settings.get('placement.reserve.share'),
+      spareDeviations: settings.get('placement.reserve.spare'),
     };
     this.headroom = new ClassHeadroom(
       headroomSettings,
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -92,15 +92,10 @@
     }
   }
 
-  /** Expected ratio of the class's runs to the estimates that came with the jobs. */
-  runTimeRatio(className: string): number {
-    return Math.exp(this.statisticsOf(className).mean);
-  }
-
   /** How long a task of the job should run; `Infinity` for a service. */
   runMs(spec: JobSpec): number {
     if (spec.kind === 'service') return Infinity;
-    return spec.estimatedRunS * 1000 * this.runTimeRatio(spec.class);
+    return spec.estimatedRunS * 1000 * Math.exp(this.statisticsOf(spec.class).mean);
   }
 
   /** How long a task that is assigned to the machine now waits for its image. */
--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -15,7 +15,7 @@
 }
 
 function newHeadroom(): ClassHeadroom {
-  const settings = { memoryMs: 300_000, share: 0.6, spare: 1 };
+  const settings = { memoryMs: 300_000, maxShare: 0.6, spareDeviations: 1 };
   return new ClassHeadroom(settings, new DurationEstimator(), 0, () => null);
 }
 
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -14,9 +14,9 @@
   /** Time over which arrivals are remembered. */
   memoryMs: number;
   /** Largest share of the slots that a class could use that may be kept for it. */
-  share: number;
+  maxShare: number;
   /** Slots kept beyond the expected number, in standard deviations. */
-  spare: number;
+  spareDeviations: number;
 }
 
 /** Headroom of a class binds tasks than which its own are this much larger on the machine. */
@@ -146,10 +146,11 @@
 
   /** How many slots to keep beside those in use: for the expected tasks, some spare, and a further job. */
   private slotsToKeep(statistics: ClassStatistics, slots: ClassSlots, now: number): number {
-    const { share, spare } = this.settings;
+    const { maxShare, spareDeviations } = this.settings;
     const expected = this.statistics.expectedTasks(statistics, now);
-    const wanted = expected + spare * Math.sqrt(expected) + Math.ceil(statistics.largestJobTasks);
-    return Math.ceil(Math.min(wanted, slots.total * share) - slots.inUse);
+    const wanted =
+      expected + spareDeviations * Math.sqrt(expected) + Math.ceil(statistics.largestJobTasks);
+    return Math.ceil(Math.min(wanted, slots.total * maxShare) - slots.inUse);
   }
 }
 
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -68,7 +68,7 @@
     private readonly table: JobTable,
     private readonly workers: Workers,
     records: RecordStore,
-    readonly estimator: DurationEstimator,
+    estimator: DurationEstimator,
     private readonly headroom: ClassHeadroom,
     hooks: PlacementHooks,
   ) {
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -110,7 +110,7 @@
       ...{ higherTermSeen: ignore, placementInputChanged: ignore, taskCompleted: ignore },
     });
     const estimator = new DurationEstimator();
-    const noHeadroom = { memoryMs: 1000, share: 0, spare: 0 };
+    const noHeadroom = { memoryMs: 1000, maxShare: 0, spareDeviations: 0 };
     const headroom = new ClassHeadroom(noHeadroom, estimator, 0, () => null);
     this.placement = new Placement(
       ...([eventLoop, settings, this.table, this.workers, records, estimator, headroom] as const),
