--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -15,7 +15,7 @@
 import type { Liveness } from './liveness.js';
 
 /** Direct calls to one machine that may wait for a response, so that an unreachable machine takes no more sockets. */
-const OPEN_CALLS_LIMIT = 2;
+const PENDING_CALLS_LIMIT = 2;
 
 /** Path of direct commands at a worker. */
 const COMMAND_PATH = '/do';
@@ -28,7 +28,7 @@
 interface CommandBatch {
   readonly agentEpoch: number;
   readonly commands: WorkerCommand[];
-  readonly starts: Assignment[];
+  readonly startedAssignments: Assignment[];
 }
 
 /** What follows from the responses to direct commands. */
@@ -44,7 +44,7 @@
  * longer (invariant 6).
  */
 export class DirectCommands {
-  private readonly due = new Set<Machine>();
+  private readonly dueMachines = new Set<Machine>();
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -56,33 +56,33 @@
 
   /** Marks the machine as one that may need commands at the end of the batch. */
   request(machine: Machine): void {
-    this.due.add(machine);
+    this.dueMachines.add(machine);
   }
 
   /** Forgets a machine that is gone. */
   cancel(machine: Machine): void {
-    this.due.delete(machine);
+    this.dueMachines.delete(machine);
   }
 
   /** Sends the commands that are due. */
   flush(): void {
-    for (const machine of this.due) this.send(machine);
-    this.due.clear();
+    for (const machine of this.dueMachines) this.send(machine);
+    this.dueMachines.clear();
   }
 
   private send(machine: Machine): void {
     // Responses to heartbeats carry the same commands a little later.
-    if (machine.addr === '' || machine.pendingDirectCalls >= OPEN_CALLS_LIMIT) return;
+    if (machine.addr === '' || machine.pendingDirectCalls >= PENDING_CALLS_LIMIT) return;
     if (!this.eventLoop.runtime.hasSpareConnection(machine.addr)) return;
     const batch = this.batchFor(machine);
     if (batch.commands.length === 0) return;
-    this.markSent(machine, batch.starts);
+    this.markSent(machine, batch.startedAssignments);
     this.call(machine, batch);
   }
 
   private batchFor(machine: Machine): CommandBatch {
     const { agentEpoch } = machine;
-    const batch: CommandBatch = { agentEpoch, commands: [], starts: [] };
+    const batch: CommandBatch = { agentEpoch, commands: [], startedAssignments: [] };
     const mayStart =
       machine.interruptionAt === null &&
       this.fencingTokens.mayStartDirectly(machine) &&
@@ -124,26 +124,21 @@
     );
   }
 
+  /** A worker responds with its state, in the form of a heartbeat. */
   private handleResponse(machine: Machine, batch: CommandBatch, { status, body }: Reply): void {
     if (status !== OK && status !== CONFLICT) return;
-    const heartbeat = this.readResponse(machine, body);
-    if (heartbeat === null) return;
-    if (status === CONFLICT) this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
-    if (machine.agentEpoch !== batch.agentEpoch) return;
-    for (const assignment of batch.starts) {
-      if (status === CONFLICT) revertStart(machine, assignment);
-      // Heartbeats sent before the command was carried out cannot show the task.
-      else if (assignment.phase === 'sent') assignment.startSentSequence = heartbeat.sequence;
-    }
-  }
-
-  /** The state that a worker responds with; null, after a warning, if the response is malformed. */
-  private readResponse(machine: Machine, body: unknown): Heartbeat | null {
+    let heartbeat: Heartbeat;
     try {
-      return readHeartbeat(body);
+      heartbeat = readHeartbeat(body);
     } catch (err) {
       this.eventLoop.log.warn({ machine: machine.id, err }, 'malformed response of a worker');
-      return null;
+      return;
+    }
+    if (status === CONFLICT) this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
+    if (machine.agentEpoch !== batch.agentEpoch) return;
+    for (const assignment of batch.startedAssignments) {
+      if (status === CONFLICT) revertStart(machine, assignment);
+      else confirmStart(assignment, heartbeat);
     }
   }
 }
@@ -153,7 +148,7 @@
   const { phase, stop } = assignment;
   if (phase === 'recorded' && stop === null && mayStart) {
     batch.commands.push(startCommand(assignment));
-    batch.starts.push(assignment);
+    batch.startedAssignments.push(assignment);
     return;
   }
   if (stop === null || stop.sentAsDirectCommand || phase === 'ended') return;
@@ -161,6 +156,11 @@
   batch.commands.push(stopCommand(assignment, stop.graceS));
 }
 
+/** The worker has carried out the start: heartbeats that it sent before cannot show the task. */
+function confirmStart(assignment: Assignment, { sequence }: Heartbeat): void {
+  if (assignment.phase === 'sent') assignment.startSentSequence = sequence;
+}
+
 /** The worker has not carried out the start and never will: it has to be sent again. */
 function revertStart(machine: Machine, assignment: Assignment): void {
   machine.directStartTokens.delete(attemptKey(assignment.name, assignment.attempt));
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -77,6 +77,7 @@
     });
   }
 
+  /** Backoff in ms after so many failures: it doubles with each, up to a number of leases. */
   private backoffMs(failures: number): number {
     const doubled =
       this.settings.heartbeatIntervalMs * 2 ** Math.min(failures, BACKOFF_MAX_DOUBLINGS);
@@ -88,6 +89,7 @@
     return job.failedMachines.size > this.settings.get('fleet.strikes');
   }
 
+  /** Counts a failed job against the machine, and quarantines it once enough jobs have failed there. */
   private recordMachineFailure(machine: Machine, job: Job, now: number): void {
     if (!this.isFaulty(job)) machine.failedJobs.add(job.spec.id);
     // A machine that fails again after a quarantine goes back at once.
--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -24,7 +24,7 @@
 export class MachineRegistry {
   readonly machines = new Map<string, Machine>();
   /** Names of machines that are gone, with the time of removal, oldest first; a name is never reused. */
-  private readonly removedMachines = new Map<string, number>();
+  private readonly removedAtByName = new Map<string, number>();
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now'>,
@@ -66,20 +66,20 @@
   /** Removes a machine that is gone for good; its name is remembered for a while. */
   remove(machine: Machine): void {
     this.machines.delete(machine.id);
-    this.removedMachines.set(machine.id, this.eventLoop.now());
+    this.removedAtByName.set(machine.id, this.eventLoop.now());
     this.forgetRemoved();
   }
 
   private forgetRemoved(): void {
     const rememberedMs = this.settings.workerLeaseMs * REMOVED_MACHINE_LEASES;
-    for (const [id, removedAt] of this.removedMachines) {
+    for (const [id, removedAt] of this.removedAtByName) {
       if (this.eventLoop.now() - removedAt <= rememberedMs) return;
-      this.removedMachines.delete(id);
+      this.removedAtByName.delete(id);
     }
   }
 
   /** Whether a machine of this name is gone for good, as far as that is remembered. */
   wasRemoved(id: string): boolean {
-    return this.removedMachines.has(id);
+    return this.removedAtByName.has(id);
   }
 }
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -35,9 +35,9 @@
 
 /** Writes the machines that have changed once per batch of the event loop. */
 export class MachineStore {
-  private readonly changed = new Set<Machine>();
+  private readonly changedMachines = new Set<Machine>();
   /** Machines whose images changed; their records are never urgent. */
-  private readonly imagesChanged = new Set<Machine>();
+  private readonly machinesWithChangedImages = new Set<Machine>();
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -77,29 +77,29 @@
 
   /** Notes that the machine's agent epoch or assignments differ from its record. */
   markChanged(machine: Machine): void {
-    this.changed.add(machine);
+    this.changedMachines.add(machine);
   }
 
   /** Notes that the machine's images differ from their record. */
   markImagesChanged(machine: Machine): void {
-    this.imagesChanged.add(machine);
+    this.machinesWithChangedImages.add(machine);
   }
 
   /** Removes the records of a machine that is gone for good. */
   remove(machine: Machine): void {
-    this.changed.delete(machine);
-    this.imagesChanged.delete(machine);
+    this.changedMachines.delete(machine);
+    this.machinesWithChangedImages.delete(machine);
     for (const key of [machineKey(machine.id), imagesKey(machine.id)])
       if (this.records.has(key)) this.records.set(key, undefined, 'deferrable');
   }
 
   /** Writes the records of all machines that have changed. */
   flush(): void {
-    for (const machine of this.changed) this.write(machine);
-    this.changed.clear();
-    for (const machine of this.imagesChanged)
+    for (const machine of this.changedMachines) this.write(machine);
+    this.changedMachines.clear();
+    for (const machine of this.machinesWithChangedImages)
       this.records.set(imagesKey(machine.id), encodeImages(machine.images), 'deferrable');
-    this.imagesChanged.clear();
+    this.machinesWithChangedImages.clear();
   }
 
   private write(machine: Machine): void {
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -53,11 +53,11 @@
   /** Number of tasks that are not proven gone, by class. */
   readonly assignedCountByClass: ReadonlyMap<string, number>;
   private readonly registry: MachineRegistry;
-  private readonly store: MachineStore;
+  private readonly machineStore: MachineStore;
   private readonly assignments: Assignments;
   private readonly agentEpochs: AgentEpochs;
   private readonly liveness: Liveness;
-  private readonly heartbeats: HeartbeatHandler;
+  private readonly heartbeatHandler: HeartbeatHandler;
   private readonly commands: DirectCommands;
 
   constructor(
@@ -76,7 +76,7 @@
     );
     this.machines = this.registry.machines;
     this.liveness = new Liveness(eventLoop, settings, this.machines);
-    this.store = new MachineStore(eventLoop, settings, records, this.registry, events);
+    this.machineStore = new MachineStore(eventLoop, settings, records, this.registry, events);
     const failures = new FailureTracker(eventLoop, settings);
     this.assignments = new Assignments(eventLoop, table, this.teams, failures, events);
     this.assignedCountByClass = this.assignments.countByClass;
@@ -88,7 +88,7 @@
       events,
     );
     this.commands = new DirectCommands(eventLoop, settings, fencingTokens, this.liveness, events);
-    this.heartbeats = new HeartbeatHandler(
+    this.heartbeatHandler = new HeartbeatHandler(
       eventLoop,
       settings,
       this.registry,
@@ -106,12 +106,12 @@
       placementInputChanged: () => listener.placementInputChanged(),
       higherTermSeen: (term) => listener.higherTermSeen(term),
       taskCompleted: (assignment, tookMs) => listener.taskCompleted(assignment, tookMs),
-      recordDue: (machine) => this.store.markChanged(machine),
+      recordDue: (machine) => this.machineStore.markChanged(machine),
       commandDue: (machine) => this.commands.request(machine),
       taskRestored: (machine, task, assignedAt) =>
         this.assignments.restore(machine, task, assignedAt),
       assignmentsRecorded: (machine) => this.commands.request(machine),
-      imagesChanged: (machine) => this.store.markImagesChanged(machine),
+      imagesChanged: (machine) => this.machineStore.markImagesChanged(machine),
     };
   }
 
@@ -132,7 +132,7 @@
 
   /** Restores the machines and tasks that earlier leaders have recorded; called once, at failover. */
   restore(): void {
-    this.store.restore();
+    this.machineStore.restore();
   }
 
   /** Assigns the task to the machine; it is started once the assignment is recorded (invariant 4). */
@@ -167,7 +167,7 @@
 
   /** Takes over the state that a worker's heartbeat shows; a response of 200 renews its lease. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
-    return this.heartbeats.handle(heartbeat);
+    return this.heartbeatHandler.handle(heartbeat);
   }
 
   /** Ends the agent epochs, with all their tasks, whose worker lease has certainly expired (invariant 5). */
@@ -180,7 +180,7 @@
     this.assignments.endAll(machine);
     this.registry.remove(machine);
     this.commands.cancel(machine);
-    this.store.remove(machine);
+    this.machineStore.remove(machine);
     this.listener.placementInputChanged();
   }
 
@@ -211,7 +211,7 @@
 
   /** Writes the records of changed machines and sends direct commands; called after each batch. */
   flush(): void {
-    this.store.flush();
+    this.machineStore.flush();
     this.commands.flush();
   }
 }
