--- /dev/null
+++ b/src/controller/placement/capacity/capacity-claim.test.ts
@@ -0,0 +1,69 @@
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { bigMachineType, gpuArraySpec } from '../../../../test/placement-fixtures.js';
+import type { JobSpec } from '../../wire/jobs.js';
+import {
+  claimBinds,
+  countClaimedSlots,
+  dominantShare,
+  type CapacityClaim,
+  type ClaimQuery,
+} from './capacity-claim.js';
+
+const amounts = { cpus: 4, gpus: 1, memoryGb: 4 };
+const large: JobSpec = gpuArraySpec({ kind: 'gang', class: 'large', gpus: 4, cpus: 16 });
+const query: ClaimQuery = {
+  ...{ spec: gpuArraySpec(), level: 1, endsAt: Infinity, backfillRatio: 0.5, now: 1000 },
+};
+
+describe('a claim for a waiting job', () => {
+  const claim: CapacityClaim = { ...amounts, fillAt: 3000, headroom: null };
+  const cases = [
+    { condition: 'that ends within the backfill ratio', endsAt: 2000, binds: false },
+    { condition: 'that ends later', endsAt: 2001, binds: true },
+    { condition: 'that never ends', endsAt: Infinity, binds: true },
+  ];
+  for (const { condition, endsAt, binds } of cases)
+    it(`${binds ? 'binds' : 'does not bind'} a task ${condition}`, () => {
+      assert.equal(claimBinds(claim, { ...query, endsAt }, bigMachineType), binds);
+    });
+});
+
+describe('a claim of headroom for a class of large gangs', () => {
+  const headroom = { spec: large, level: 1, minSizeRatio: 1.5 };
+  const claim: CapacityClaim = { ...amounts, fillAt: 3000, headroom };
+  const cases: { condition: string; part: Partial<JobSpec>; level?: number; binds: boolean }[] = [
+    { condition: 'a smaller task', part: {}, binds: true },
+    { condition: 'a task of higher priority', part: {}, level: 2, binds: false },
+    { condition: 'a gang', part: { kind: 'gang' }, binds: false },
+    { condition: 'a task of the class itself', part: { class: 'large' }, binds: false },
+    { condition: 'a task that is nearly as large', part: { gpus: 3 }, binds: false },
+  ];
+  for (const { condition, part, level = 1, binds } of cases)
+    it(`${binds ? 'binds' : 'does not bind'} ${condition}`, () => {
+      const spec = gpuArraySpec(part);
+      assert.equal(claimBinds(claim, { ...query, spec, level }, bigMachineType), binds);
+    });
+});
+
+describe('dominantShare', () => {
+  it('is the share of the resource of which a task takes most', () => {
+    assert.equal(dominantShare({ cpus: 4, gpus: 1, memoryGb: 48 }, bigMachineType), 0.75);
+    assert.equal(dominantShare({ cpus: 4, gpus: 2, memoryGb: 4 }, bigMachineType), 0.5);
+  });
+
+  it('is the whole machine where its type is not known', () => {
+    assert.equal(dominantShare(amounts, null), 1);
+  });
+});
+
+describe('countClaimedSlots', () => {
+  it('counts slots of which claims take a part, by the resource that takes most', () => {
+    const claim = (cpus: number, gpus: number): CapacityClaim => ({
+      ...{ cpus, gpus, memoryGb: 0, fillAt: 0, headroom: null },
+    });
+    assert.equal(countClaimedSlots([], amounts), 0);
+    assert.equal(countClaimedSlots([claim(1, 1)], amounts), 1);
+    assert.equal(countClaimedSlots([claim(5, 0), claim(4, 2)], amounts), 3);
+  });
+});
