--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -18,6 +18,7 @@
 } from '../search/reservation-candidate-finder.js';
 import { spreadAllowance, zoneChoices } from '../capacity/zones.js';
 
+/** Prefix of the keys of recorded reservations; the job's id follows. */
 const KEY_PREFIX = 'h/';
 
 /** Work is preempted this long before a gang's reservation should be filled, in heartbeat intervals. */
@@ -190,8 +191,8 @@
     const machines = found.capacities.map((capacity) => capacity.machine.id);
     if (job.reservation?.machines.join() !== machines.join())
       records.set(reservationKey(job.spec.id), machines, 'deferrable');
-    const since = job.reservation?.reservedAt ?? pass.now;
-    job.reservation = { machines, reservedAt: since, fillAt, readyAt, searchedAt: pass.now };
+    const reservedAt = job.reservation?.reservedAt ?? pass.now;
+    job.reservation = { machines, reservedAt, fillAt, readyAt, searchedAt: pass.now };
     eventLoop.log.debug(
       {
         job: job.spec.id,
