--- a/src/controller/store/group-commit.test.ts
+++ b/src/controller/store/group-commit.test.ts
@@ -13,17 +13,19 @@
   const platform = platformOf(['kiln-0'], 'kiln-0', defaultPlatformOptions);
   const conditionsPerTransaction = defaultPlatformOptions.txnOps * MAX_CONDITIONS_PER_WRITE;
   const minIntervalMs = 200;
+  const maxQueueMs = 1000;
   let runtime: ManualRuntime;
   let eventLoop: EventLoop;
+  let client: StateStoreClient;
   let groupCommit: GroupCommit;
 
   beforeEach(() => {
     runtime = new ManualRuntime();
     eventLoop = new EventLoop(runtime, silentLogger);
-    const client = new StateStoreClient(eventLoop, new Settings(platform, defaultProperties()));
+    client = new StateStoreClient(eventLoop, new Settings(platform, defaultProperties()));
     client.budget.setRole(true);
     runtime.advance(1000);
-    const options = { tokenReserve: 0, timeoutMs: 1000, maxQueueMs: 1000, minIntervalMs };
+    const options = { tokenReserve: 0, timeoutMs: 1000, maxQueueMs, minIntervalMs };
     groupCommit = new GroupCommit(eventLoop, client, options);
   });
 
@@ -57,4 +59,72 @@
     addComparisons(1, conditionsPerTransaction);
     assert.equal(runtime.calls.length, 1);
   });
+
+  /** Adds one write for each key in one batch of events, and records the outcomes by key. */
+  function addWrites(keys: string[]): Map<string, string> {
+    const outcomes = new Map<string, string>();
+    for (const key of keys)
+      groupCommit.add({
+        conditions: [{ key, version: 0 }],
+        writes: [{ put: key, value: 1 }],
+        done: ({ kind }) => outcomes.set(key, kind),
+      });
+    runtime.advance(0);
+    eventLoop.post('end of the batch', () => undefined);
+    runtime.advance(0);
+    return outcomes;
+  }
+
+  /** Answers the open transaction, and returns the keys that it writes. */
+  function answer(status: number, body: unknown): string[] {
+    const { writes } = runtime.answer(status, body).body as { writes: { set: string }[] };
+    return writes.map(({ set }) => set);
+  }
+
+  it('tells an entry of its failed condition, and sends the others again', () => {
+    const outcomes = addWrites(['a', 'b', 'c']);
+    assert.deepEqual(answer(409, { failed: ['b'] }), ['a', 'b', 'c']);
+    assert.deepEqual([...outcomes], [['b', 'conflict']]);
+    assert.deepEqual(answer(200, { ledger: 1 }), ['a', 'c']);
+    assert.deepEqual(outcomes.get('a'), 'ok');
+    assert.deepEqual(outcomes.get('c'), 'ok');
+  });
+
+  it('sends entries one by one after a transaction was rejected, and fails only the faulty one', () => {
+    const outcomes = addWrites(['a', 'b', 'c']);
+    assert.deepEqual(answer(400, { error: 'malformed' }), ['a', 'b', 'c']);
+    assert.equal(outcomes.size, 0);
+    assert.deepEqual(answer(400, { error: 'malformed' }), ['a']);
+    assert.deepEqual([...outcomes], [['a', 'too-large']]);
+    runtime.advance(minIntervalMs);
+    assert.deepEqual(answer(200, { ledger: 1 }), ['b', 'c']);
+    assert.deepEqual(outcomes.get('b'), 'ok');
+    assert.deepEqual(outcomes.get('c'), 'ok');
+  });
+
+  it('puts two entries on one key into transactions of their own', () => {
+    addWrites(['a', 'a']);
+    assert.deepEqual(answer(200, { ledger: 1 }), ['a']);
+    runtime.advance(minIntervalMs);
+    assert.deepEqual(answer(409, { failed: ['a'] }), ['a']);
+  });
+
+  it('refuses an entry that could not be sent in time', () => {
+    client.budget.requestTokens.pauseFor(maxQueueMs + 1);
+    const isQueued = groupCommit.add({ conditions: [], writes: [], done: () => undefined });
+    assert.equal(isQueued, false);
+    assert.equal(client.budget.queuedWrites, 0);
+  });
+
+  it('gives an entry up once its caller no longer waits for it', () => {
+    addWrites(['a']);
+    const outcomes = addWrites(['b']);
+    assert.equal(client.budget.queuedWrites, 1);
+    runtime.advance(maxQueueMs + 1);
+    answer(200, { ledger: 1 });
+    runtime.advance(minIntervalMs);
+    assert.deepEqual([...outcomes], [['b', 'refused']]);
+    assert.equal(client.budget.queuedWrites, 0);
+    assert.equal(runtime.calls.length, 0);
+  });
 });
