--- a/test/digest.test.ts
+++ b/test/digest.test.ts
@@ -1,13 +1,13 @@
-/** What the program does in fixed scenarios, to the byte: a refactoring leaves the digests as they are. */
+/** The behaviour of the program in fixed scenarios, to the byte: a refactoring leaves the digests as they are. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { expectedDigests } from './simulation/digest-check.js';
-import { digestOf, digestScenarios } from './simulation/digest-scenarios.js';
+import { expectedDigests } from './simulation/digest/expected-digests.js';
+import { digestOf, digestScenarios } from './simulation/digest/digest-scenarios.js';
 
 describe('the behaviour digest (npm run digest)', () => {
   const expected = expectedDigests();
 
-  it('has an expected value for each scenario and no other', () => {
+  it('has an expected value for each scenario, and for no other', () => {
     const names = digestScenarios.map((scenario) => scenario.name);
     assert.deepEqual(Object.keys(expected), names);
   });
--- a/test/digest.ts
+++ b/test/digest.ts
@@ -1,8 +1,13 @@
 /**
  * `npm run digest`: hashes of what enters and leaves the controllers in fixed scenarios, compared with
- * `test/digests.json`. `npm run digest -- --write` makes the present ones the expected.
+ * `test/digests.json`. `-- --write` makes the present ones the expected, `-- --counts` prints the events by kind.
  */
-import { expectedDigests, playDigests, totalOf, writeDigests } from './simulation/digest-check.js';
+import {
+  expectedDigests,
+  playDigests,
+  totalDigest,
+  writeDigests,
+} from './simulation/digest/expected-digests.js';
 
 const write = process.argv.includes('--write');
 const expected = write ? {} : expectedDigests();
@@ -14,6 +19,6 @@
   console.log(`${digest}  ${name} (${events} events)${same ? '' : ' DIFFERS'}`);
   if (process.argv.includes('--counts')) console.log(Object.fromEntries(counts));
 });
-console.log(`total ${totalOf(digests)}`);
+console.log(`total ${totalDigest(digests)}`);
 if (write) writeDigests(digests);
 process.exitCode = differences > 0 ? 1 : 0;
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -22,7 +22,7 @@
   images: string[];
 }
 
-/** The newest text of the class's learned statistics in the pages at the state service. */
+/** The newest text of the class's learned statistics in the pages at the state store. */
 function recordedStatistics(simulation: Simulation): string {
   let newestSequence = -1;
   let text: unknown = null;
--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -1,4 +1,4 @@
-/** Rollouts and rollbacks during or before which the state service lowers its limits. */
+/** Rollouts and rollbacks during or before which the state store lowers its limits. */
 import { it } from 'node:test';
 import type { Fault } from '../simulation/faults/scripted/fault.js';
 import { presentVersion } from '../simulation/program-version.js';
@@ -10,7 +10,7 @@
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
 import { BOTH_VERSIONS_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
 
-/** A moment at which the limits of the state service are lowered. */
+/** A moment at which the limits of the state store are lowered. */
 interface LimitsDecreaseMoment {
   name: string;
   /** Plans the decrease for such a moment from the time given on. */
@@ -69,7 +69,7 @@
   fromMs: (update: RollingUpdate) => number,
 ): RolloutEvent {
   return {
-    name: `limits of the state service that are lowered ${moment.name}`,
+    name: `limits of the state store that are lowered ${moment.name}`,
     plan: (scenario, update) => {
       const { faults, occurred } = moment.plan(scenario, fromMs(update));
       const moreJobs: Fault = {
@@ -101,7 +101,7 @@
   }),
 };
 
-await describeOlderVersions('lower limits of the state service', (olderVersion) => {
+await describeOlderVersions('lower limits of the state store', (olderVersion) => {
   const { name, version: older, knowsServicesAndLimits } = olderVersion;
   const present = presentVersion();
   const { frequent, rare } = seedCountsFor(name);
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -40,7 +40,7 @@
   version: ProgramVersion;
 }
 
-/** The moment at which the limits of the state service were lowered. */
+/** The moment at which the limits of the state store were lowered. */
 export interface LimitsDecrease {
   /** The leader at that moment. */
   leader: string | null;
@@ -167,7 +167,7 @@
     clock.after(afterMs, evaluate);
   }
 
-  /** Lowers the limits of the state service now. */
+  /** Lowers the limits of the state store now. */
   lowerLimits(transaction: LimitsDecrease['transaction'] = null): void {
     const { simulation } = this;
     assert.equal(this.limitsDecrease, null, 'the limits are lowered once');
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -32,7 +32,7 @@
     },
   },
   {
-    name: 'an outage of the state service',
+    name: 'an outage of the state store',
     plan: ({ simulation: { random, stateStore } }) => ({
       faults: [{ kind: 'stateStoreOutage', at: random.between(3, 12), for: random.between(5, 30) }],
       occurred: () => stateStore.requestsInOutage > 0,
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -1,4 +1,4 @@
-/** An outage of the state service that is longer than the workers' leases. */
+/** An outage of the state store that is longer than the workers' leases. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { shortLeases } from './simulation/deployments/short-leases.js';
@@ -51,7 +51,7 @@
     });
 }
 
-describe('an outage of the state service longer than the leases of workers', () => {
+describe('an outage of the state store longer than the leases of workers', () => {
   // Recorded days of the third deployment lost all running tasks in each outage of 20 s: the leader
   // stopped answering with the end of its own lease.
   for (const seed of [1, 2, 3])
--- a/test/simulation/digest-scenarios.ts
+++ b/test/simulation/digest/digest-scenarios.ts
@@ -1,12 +1,12 @@
 /** The scenarios of the behaviour digest: fixed seeds that between them reach most of the program. */
-import type { JobSpec } from '../../src/controller/wire/jobs.js';
-import { shrinkingLimits, smallDeployment, type Deployment } from './deployments/deployment.js';
-import { longJobs } from './scenarios/fault-scenario.js';
-import { frequentFaults, noFaults, type FaultRates } from './faults/fault-rates.js';
-import type { Fault } from './faults/scripted/fault.js';
-import { injectFaults } from './faults/scripted/inject-faults.js';
-import { shortLeases } from './deployments/short-leases.js';
-import { Simulation } from './simulation.js';
+import type { JobSpec } from '../../../src/controller/wire/jobs.js';
+import { shrinkingLimits, smallDeployment, type Deployment } from '../deployments/deployment.js';
+import { longJobs } from '../scenarios/fault-scenario.js';
+import { frequentFaults, noFaults, type FaultRates } from '../faults/fault-rates.js';
+import type { Fault } from '../faults/scripted/fault.js';
+import { injectFaults } from '../faults/scripted/inject-faults.js';
+import { shortLeases } from '../deployments/short-leases.js';
+import { Simulation } from '../simulation.js';
 import { TrafficDigest } from './traffic-digest.js';
 
 /** Of the jobs at random times this share is cancelled, within so long. */
@@ -216,7 +216,7 @@
   digest: TrafficDigest,
 ): Promise<void> {
   const { deployment, seed, rates, playMs, noticeEveryMs } = scenario;
-  const version = digest.recordedVersion();
+  const version = digest.recordingVersion();
   const simulation = new Simulation(deployment, seed, rates, { versionOf: () => version });
   submitRandomJobs(simulation, scenario.randomJobs, playMs * 0.8);
   observeControllers(simulation);
--- a/test/simulation/digest-check.ts
+++ b/test/simulation/digest/expected-digests.ts
@@ -1,9 +1,9 @@
-/** The expected digests of the scenarios, and how a play differs from them. */
+/** The expected digests of the scenarios, and those of the present sources. */
 import { createHash } from 'node:crypto';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { digestOf, digestScenarios, type ScenarioDigest } from './digest-scenarios.js';
 
-const EXPECTED = new URL('../digests.json', import.meta.url);
+const EXPECTED = new URL('../../digests.json', import.meta.url);
 const SHORT_DIGITS = 12;
 
 /** Digests by name of the scenario. */
@@ -14,12 +14,12 @@
   return JSON.parse(readFileSync(EXPECTED, 'utf8')) as Digests;
 }
 
-/** Makes these digests the expected ones. */
+/** Replaces the expected digests. */
 export function writeDigests(digests: Digests): void {
   writeFileSync(EXPECTED, `${JSON.stringify(digests, null, 2)}\n`);
 }
 
-/** Plays every scenario; `played` is told of each. */
+/** Plays all scenarios; `played` is called after each. */
 export async function playDigests(
   played: (name: string, result: ScenarioDigest) => void = () => undefined,
 ): Promise<Digests> {
@@ -32,8 +32,8 @@
   return digests;
 }
 
-/** One short hash over all digests, for the body of a commit. */
-export function totalOf(digests: Digests): string {
+/** A short hash over all digests, for the bodies of commits. */
+export function totalDigest(digests: Digests): string {
   const sorted = Object.entries(digests).sort(([a], [b]) => (a < b ? -1 : 1));
   return createHash('sha256').update(JSON.stringify(sorted)).digest('hex').slice(0, SHORT_DIGITS);
 }
--- a/test/simulation/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -1,39 +1,39 @@
-/** Collects one of each form that controllers store or send each other, with its bytes. */
-import { decodePeerMessage } from '../../src/controller/peers/message-codec.js';
-import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
+/** Collects an example of each form in which controllers store records or send messages to each other. */
+import { decodePeerMessage } from '../../../src/controller/peers/message-codec.js';
+import { decodeBody, encodeBody } from '../../../src/controller/wire/cbor.js';
 import { playDigestScenario, type DigestScenario } from './digest-scenarios.js';
-import type { Transaction } from './state-store/key-value-store.js';
+import type { Transaction } from '../state-store/key-value-store.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-/** A stored value, as the state service gets it: its key, and the CBOR bytes in hex. */
+/** A value of the state store. `bytes`: its CBOR in hex. */
 export interface StoredExample {
   key: string;
   bytes: string;
 }
 
-/** A record in a page: its key and its JSON text. */
+/** A record in a page. `text`: its JSON. */
 export interface RecordExample {
   key: string;
   text: string;
 }
 
-/** One example of each form; a longer one shows more than a shorter one. */
+/** The longest example of each form. */
 export interface StoredForms {
-  /** Values at the state service, by prefix of the key. */
+  /** Values at the state store, by prefix of the key. */
   values: Record<string, StoredExample>;
   /** Records within pages, by prefix of the key. */
   records: Record<string, RecordExample>;
-  /** Messages between controllers in hex, by the fields that they fill. */
+  /** Messages between controllers in hex, by the fields that are not empty. */
   messages: Record<string, string>;
 }
 
-/** The kind of a key: all up to its first slash. */
+/** The prefix of a key: all up to its first slash. */
 function kindOf(key: string): string {
   const slash = key.indexOf('/');
   return slash < 0 ? key : key.slice(0, slash + 1);
 }
 
-/** Jobs end in two ways, which are two kinds of values. */
+/** The prefix of the key; for the end of a job its state, too. */
 function kindOfValue(key: string, value: unknown): string {
   const kind = kindOf(key);
   return kind === 'final/' ? `${kind} ${(value as { state: string }).state}` : kind;
@@ -47,7 +47,7 @@
   return filled.map(([name]) => name).join('+');
 }
 
-/** The longest example of each form in what leaves the controllers. */
+/** Keeps the longest example of each form that leaves a controller. */
 class StoredFormsCollector extends TrafficDigest {
   readonly forms: StoredForms = { values: {}, records: {}, messages: {} };
 
@@ -86,7 +86,7 @@
   }
 }
 
-/** The forms that the present version writes in these scenarios. */
+/** Plays the scenarios and returns the forms that the present version writes. */
 export async function storedFormsOf(scenarios: readonly DigestScenario[]): Promise<StoredForms> {
   const collector = new StoredFormsCollector();
   for (const scenario of scenarios) await playDigestScenario(scenario, collector);
--- a/test/simulation/traffic-digest.ts
+++ b/test/simulation/digest/traffic-digest.ts
@@ -1,53 +1,53 @@
 /** A hash over all that enters and leaves the controllers of a simulation, in order. */
 import { createHash } from 'node:crypto';
-import { Controller } from '../../src/controller/controller.js';
-import type { Call, Runtime, Logger, Reply } from '../../src/controller/runtime/runtime.js';
-import { Metrics } from '../../src/controller/operators/metrics.js';
-import type { Settings } from '../../src/controller/settings/settings.js';
-import { encodeBody } from '../../src/controller/wire/cbor.js';
-import { presentVersion, type ProgramVersion } from './program-version.js';
+import { Controller } from '../../../src/controller/controller.js';
+import type { Call, Runtime, Logger, Reply } from '../../../src/controller/runtime/runtime.js';
+import { Metrics } from '../../../src/controller/operators/metrics.js';
+import type { Settings } from '../../../src/controller/settings/settings.js';
+import { encodeBody } from '../../../src/controller/wire/cbor.js';
+import { presentVersion, type ProgramVersion } from '../program-version.js';
 
-type Answered = Parameters<Controller['request']>[3];
+type Respond = Parameters<Controller['request']>[3];
 
 const NO_BYTES = Buffer.alloc(0);
-/** In the text of the metrics: the one figure that is the machine's and not the scenario's. */
-const MEMORY_FIGURE = /^(bitternvale_memory_bytes) .*$/m;
+/** The one metric that depends on the machine and not on the scenario. */
+const MEMORY_METRIC = /^(bitternvale_memory_bytes) .*$/m;
 
 /** The bytes of a body; none where there is no body. */
 function bytesOf(body: unknown): Buffer {
   return body === undefined || body === null ? NO_BYTES : encodeBody(body);
 }
 
-function withoutMemory(metrics: Buffer): Buffer {
-  return Buffer.from(metrics.toString().replace(MEMORY_FIGURE, '$1 -'));
+function withoutMemoryMetric(metrics: Buffer): Buffer {
+  return Buffer.from(metrics.toString().replace(MEMORY_METRIC, '$1 -'));
 }
 
-/** Collects what crosses the edges of controllers, with their clocks; log lines are left out. */
+/** Hashes what enters and leaves controllers, with their clocks; log lines are left out. */
 export class TrafficDigest {
   private readonly hash = createHash('sha256');
-  /** Events by kind: a digest of a day on which hardly anything happened shows little. */
+  /** Number of events by kind: a digest over few events shows little. */
   readonly counts = new Map<string, number>();
 
-  /** Adds one event: what it is, its details, and its bytes. */
+  /** Adds an event with its bytes. */
   add(kind: string, details: readonly (string | number)[], bytes: Uint8Array): void {
     this.counts.set(kind, (this.counts.get(kind) ?? 0) + 1);
     this.hash.update(`${JSON.stringify([kind, ...details, bytes.length])}\n`);
     this.hash.update(bytes);
   }
 
-  /** The present version, each of whose processes is recorded. */
-  recordedVersion(): ProgramVersion {
-    return { ...presentVersion(), Controller: recordedController(this) };
+  /** The present version with processes that are recorded. */
+  recordingVersion(): ProgramVersion {
+    return { ...presentVersion(), Controller: recordingController(this) };
   }
 
-  /** The digest of all that was added; nothing can be added afterwards. */
+  /** The digest in hex of all events. Nothing can be added afterwards. */
   finish(): string {
     return this.hash.digest('hex');
   }
 }
 
-/** The runtime of a process; what it sends, and the replies to it, are recorded. */
-function recordedEnv(runtime: Runtime, name: string, digest: TrafficDigest): Runtime {
+/** A process's runtime that records what is sent, and the replies. */
+function recordedRuntime(runtime: Runtime, name: string, digest: TrafficDigest): Runtime {
   const add = (kind: string, details: readonly (string | number)[], bytes: Uint8Array): void =>
     digest.add(kind, [name, runtime.now(), runtime.wallClock(), ...details], bytes);
   return {
@@ -73,8 +73,8 @@
   };
 }
 
-/** The controller's class; requests and frames that reach its processes, and their answers, are recorded. */
-function recordedController(digest: TrafficDigest): typeof Controller {
+/** A controller class that records requests and frames that arrive, and the responses. */
+function recordingController(digest: TrafficDigest): typeof Controller {
   return class RecordedController extends Controller {
     private readonly add: (
       kind: string,
@@ -83,7 +83,7 @@
     ) => void;
 
     constructor(runtime: Runtime, log: Logger, settings: Settings, identity: string) {
-      super(recordedEnv(runtime, identity, digest), log, settings, identity);
+      super(recordedRuntime(runtime, identity, digest), log, settings, identity);
       this.add = (kind, details, bytes) =>
         digest.add(kind, [identity, runtime.now(), runtime.wallClock(), ...details], bytes);
       this.metrics = new Metrics();
@@ -95,13 +95,13 @@
       super.peerFrame(bytes);
     }
 
-    override request(method: string, path: string, body: Buffer, respond: Answered): void {
+    override request(method: string, path: string, body: Buffer, respond: Respond): void {
       this.add('request', [method, path], body);
       super.request(method, path, body, (answer) => {
         const { status, retryAfterS = '', allow = '', encodedBody } = answer;
         const details = [method, path, status, retryAfterS, allow, encodedBody?.contentType ?? ''];
         const bytes =
-          encodedBody === undefined ? bytesOf(answer.body) : withoutMemory(encodedBody.bytes);
+          encodedBody === undefined ? bytesOf(answer.body) : withoutMemoryMetric(encodedBody.bytes);
         this.add('answer', details, bytes);
         respond(answer);
       });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -13,7 +13,7 @@
 /** This share of the jobs is cancelled after so long. */
 const CANCELLED_SHARE = 0.04;
 const CANCELLED_AFTER_MS = 20_000;
-/** At the state service, by the platform's settings. */
+/** At the state store, by the platform's settings. */
 const REQUESTS_PER_SECOND = 80;
 
 /** A time in milliseconds, and what happens then. */
@@ -48,7 +48,7 @@
   assert.deepEqual(simulation.checker.jobs.neglected(), []);
 }
 
-/** What was done so far, and what it cost at the state service. */
+/** What was done so far, and what it cost at the state store. */
 interface Usage {
   puts: number;
   requests: number;
@@ -82,7 +82,7 @@
 ];
 
 describe('a fleet of hundreds of machines', () => {
-  it('takes few requests and writes of the state service, within its limits', () => {
+  it('takes few requests and writes of the state store, within its limits', () => {
     let before: Usage = { puts: 0, requests: 0, startedTasks: 0 };
     const measureMs = 60_000;
     const measure: TimedAction = [measureMs, (playing) => (before = usageOf(playing))];
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -29,8 +29,8 @@
 import { FencingTokenSync } from '../src/controller/workers/fencing-token-sync.js';
 import { restoreAssignment } from '../src/controller/model/entities.js';
 import { standalonePlatform } from './platform.js';
-import { digestScenarios } from './simulation/digest-scenarios.js';
-import { storedFormsOf, type StoredForms } from './simulation/stored-forms.js';
+import { digestScenarios } from './simulation/digest/digest-scenarios.js';
+import { storedFormsOf, type StoredForms } from './simulation/digest/stored-forms.js';
 import { acceptedJob, FakeClock, idleRuntime } from './fakes.js';
 import { immediateRecords } from './fake-records.js';
 
@@ -71,12 +71,12 @@
   return { registry, store };
 }
 
-describe('stored records and messages, as the present version writes them', () => {
-  it('are in their kinds and to the byte as they were recorded', async () => {
+describe('the forms that the present version writes', () => {
+  it('are to the byte as in the fixture', async () => {
     assert.deepEqual(await storedFormsOf(digestScenarios.slice(3, 5)), forms);
   });
 
-  it('are here of every kind', () => {
+  it('are all in the fixture', () => {
     const values = ['catalogue', 'final/ cancelled', 'final/ done', 'lead', 'live/', 'page/'];
     assert.deepEqual(Object.keys(forms.values).sort(), values);
     const records = ['h/', 'i/', 'learned/', 'm/', 'p/'];
@@ -87,8 +87,8 @@
   });
 });
 
-describe('a value of the state service', () => {
-  it('tells who leads', () => {
+describe('a value of the state store in the fixture', () => {
+  it('names the leader, and is written alike', () => {
     const leader = readLeaderRecord(valueOf('lead'), 7);
     assert.ok(leader !== null);
     assert.equal(leader.term, 7);
@@ -96,13 +96,13 @@
   });
 
   for (const state of ['done', 'cancelled'] as const)
-    it(`tells that a job has ended as ${state}`, () => {
+    it(`has the end of a job that is ${state}, and is written alike`, () => {
       const value = valueOf(`final/ ${state}`);
       assert.equal(readTerminalState(value), state);
       assertSameBytes(`final/ ${state}`, terminalRecord(state, (value as { at: number }).at));
     });
 
-  it('has an accepted job, which is written alike', () => {
+  it('has an accepted job, and is written alike', () => {
     const { job, at } = valueOf('live/') as { job: unknown; at: number };
     const spec = readJobSpec(job);
     assert.equal(`live/${spec.id}`, forms.values['live/']?.key);
@@ -110,7 +110,7 @@
     assertSameBytes('live/', { job: writeJobSpec(spec), at });
   });
 
-  it('has the catalogue of machine types, which is written alike', () => {
+  it('has the machine types, and is written alike', () => {
     const types = readCatalogue(valueOf('catalogue'));
     assert.deepEqual(
       types.map(({ name }) => name),
@@ -119,7 +119,7 @@
     assertSameBytes('catalogue', writeCatalogue(types));
   });
 
-  it('has a page of records, which is written alike', () => {
+  it('has a page of records, and is written alike but for deleted records', () => {
     const { key = '' } = forms.values['page/'] ?? {};
     const value = valueOf('page/') as { seq: number; entries: (string | null)[] };
     const pages = new PageTable(() => VALUE_BYTES);
@@ -129,13 +129,13 @@
     const live = value.entries.flatMap((entry, i) =>
       i % 2 === 0 && value.entries[i + 1] !== null ? [entry, value.entries[i + 1]] : [],
     );
-    // Nothing else has an older value of what was deleted: it goes as the page is read.
+    // No other page has an older value of a deleted record, so the deletion is dropped as the page is read.
     assert.deepEqual(encodePage(page, value.seq), { seq: value.seq, entries: live });
   });
 });
 
-describe('a record in a page', () => {
-  it('has the tasks on a machine, which are written alike', () => {
+describe('a record of a page in the fixture', () => {
+  it('has the tasks on a machine, and is written alike', () => {
     const { key, value, text } = recordOf('m/');
     const records = immediateRecords({ [key]: value });
     const { registry, store } = machineStore(records);
@@ -148,7 +148,7 @@
     assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
   });
 
-  it('has the done tasks of a job, which are written alike', () => {
+  it('has the done tasks of a job, and is written alike', () => {
     const { key, value, text } = recordOf('p/');
     const id = key.split('/')[1] ?? '';
     const tasks = Buffer.from(value as string, 'base64').length * 8;
@@ -164,7 +164,7 @@
     assert.deepEqual([...records.list('')], [{ key, value: JSON.parse(text) as unknown }]);
   });
 
-  it('has the images on a machine, which are written alike', () => {
+  it('has the images on a machine, and is written alike', () => {
     const { key, value } = recordOf('i/');
     const records = immediateRecords({ [key]: value });
     const { registry, store } = machineStore(records);
@@ -191,7 +191,7 @@
     assert.deepEqual(job.reservation?.machines, value);
   });
 
-  it('has what was learned of a class, which is written alike', () => {
+  it('has the learned statistics of a class, and is written alike', () => {
     const { key, value, text } = recordOf('learned/');
     const { since } = (value as { arrivals: { since: number } }).arrivals;
     // The process starts as the record does, and its clock is the time of day.
@@ -205,7 +205,7 @@
   });
 });
 
-describe('a message between controllers', () => {
+describe('a message between controllers in the fixture', () => {
   for (const [fields, hex] of Object.entries(forms.messages))
     it(`of ${fields === '' ? 'nothing' : fields} is read, and written alike`, () => {
       const message = decodePeerMessage(Buffer.from(hex, 'hex'));
@@ -216,7 +216,7 @@
       assert.equal(encodePeerMessage(message).toString('hex'), hex);
     });
 
-  it('asks for a promise with the term in CBOR', () => {
+  it('that requests a lease grant has the term in CBOR', () => {
     const body = Buffer.from('a1647465726d1a0001e240', 'hex');
     assert.equal(decodeLeaseGrantRequest(body), 123_456);
     assert.deepEqual(encodeLeaseGrantRequest(123_456), body);
