--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -5,17 +5,14 @@
 import type { Runtime } from '../src/controller/runtime/runtime.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { decodeBody, encodeBody } from '../src/controller/wire/cbor.js';
-import { responseScenarios } from './simulation/scenarios/response-scenarios.js';
 import type { FaultScenario } from './simulation/scenarios/fault-scenario.js';
-import { faultScenarios } from './simulation/scenarios/fault-scenarios.js';
+import { allScenarios } from './simulation/scenarios/fault-scenarios.js';
 import { playScenario } from './simulation/scenarios/play-scenario.js';
-import { failoverScenarios } from './simulation/scenarios/failover-scenarios.js';
 import { presentVersion, type ProgramVersion } from './simulation/program-version.js';
 
 /** The scenario whose name contains the text. */
 function scenarioNamed(part: string): FaultScenario {
-  const scenarios = [...faultScenarios, ...failoverScenarios, ...responseScenarios];
-  const scenario = scenarios.find(({ name }) => name.includes(part));
+  const scenario = allScenarios.find(({ name }) => name.includes(part));
   assert.ok(scenario, part);
   return scenario;
 }
@@ -87,7 +84,7 @@
     assert.throws(() => playScenario(scenario, 1, version), /ran_cancelled/);
   });
 
-  for (const part of ['right after each answer', 'whose answers alone are lost'])
+  for (const part of ['right after each response', 'whose responses alone are lost'])
     it(`violates went_back if a controller caches its responses, in "${part}"`, () => {
       const version = versionWith(CachingController);
       assert.throws(() => playScenario(scenarioNamed(part), 1, version), /went_back/);
--- /dev/null
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -0,0 +1,126 @@
+/** Fault scenarios about controllers that end, freeze or are cut off. */
+import {
+  cancelledWhileRunning,
+  expiredLeases,
+  failovers,
+  longJobs,
+  type FaultScenario,
+} from './fault-scenario.js';
+
+/** Controllers that end, freeze, hand over, or are cut off from the state store, peers or a zone. */
+export const controllerScenarios: FaultScenario[] = [
+  {
+    name: 'a leader that freezes while jobs are cancelled at other controllers, and goes on',
+    jobs: longJobs,
+    jobCount: 14,
+    faults: (between) => [
+      { kind: 'controllersFrozen', target: 'leader', at: 0, for: between(1, 2.5) },
+      { kind: 'jobsCancelled', count: 4, elsewhere: true, at: 0.2, hang: 15 },
+      { kind: 'controllersFrozen', target: 'leader', at: 20, for: between(5, 40) },
+      { kind: 'jobsCancelled', count: 4, elsewhere: true, at: 21, hang: between(1, 20) },
+      { kind: 'slowStateStore', at: 0, for: 60 },
+    ],
+    expectedEvents: (simulation) => ({
+      cancelled: cancelledWhileRunning(simulation),
+      leaders: failovers(simulation),
+    }),
+  },
+  {
+    name: 'all controllers away for longer than lease_s',
+    jobs: longJobs,
+    jobCount: 14,
+    faults: (between) => [
+      { kind: 'jobsCancelled', count: 3, at: 0 },
+      {
+        kind: 'controllersKilled',
+        target: 'all',
+        restartAfter: between(21, 50),
+        at: between(0.05, 1),
+      },
+      { kind: 'machinesHang', share: 0.3, at: 0, for: between(15, 60) },
+    ],
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      leasesLost: expiredLeases(simulation),
+    }),
+  },
+  {
+    name: 'a leader with its workers and users, without state store and peers',
+    jobs: longJobs,
+    jobCount: 14,
+    faults: (between) => [
+      { kind: 'controllersIsolated', target: 'leader', at: 0, for: between(10, 60) },
+      { kind: 'jobsCancelled', count: 3, elsewhere: true, at: 1 },
+      { kind: 'jobsCancelled', count: 4, elsewhere: true, at: between(4, 8) },
+      { kind: 'duplicatedHeartbeats', share: 0.3, at: 0, for: 30 },
+    ],
+    expectedEvents: (simulation) => ({
+      cancelled: cancelledWhileRunning(simulation),
+      leaders: failovers(simulation),
+      copies: simulation.network.duplicatesDelivered,
+    }),
+  },
+  {
+    name: 'controllers hand over and back, all end, one returns',
+    jobs: { estimatedRunS: 40 },
+    jobCount: 16,
+    faults: (between) => [
+      { kind: 'cutOffFromWorkers', target: 'leader', at: 0, for: 20 },
+      { kind: 'cutOffFromWorkers', target: 'leader', at: 25, for: 15 },
+      { kind: 'controllersKilled', target: 'others', restartAfter: 30, at: 45 },
+      {
+        kind: 'controllersKilled',
+        target: 'leader',
+        restartAfter: between(0.1, 1),
+        at: between(45, 50),
+      },
+      { kind: 'jobsCancelled', count: 3, at: 46 },
+    ],
+    expectedEvents: (simulation) => ({ leaders: failovers(simulation) - 1 }),
+  },
+  {
+    name: 'a leader ends while machines are cut off or receive nothing from the next one',
+    jobs: longJobs,
+    jobCount: 12,
+    faults: (between) => [
+      { kind: 'machinesCutOff', share: 0.4, at: 0, for: between(25, 50) },
+      { kind: 'inboundBlocked', share: 0.5, at: 1, for: between(30, 50) },
+      { kind: 'controllersKilled', target: 'leader', restartAfter: between(0.2, 6), at: 2 },
+      { kind: 'jobsSubmitted', count: 6, at: 10 },
+    ],
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      leasesLost: expiredLeases(simulation),
+    }),
+  },
+  {
+    name: 'a zone with workers and the leader is cut off for longer than lease_s',
+    jobs: longJobs,
+    jobCount: 16,
+    faults: (between) => [
+      { kind: 'zoneCutOff', zone: 'a', inside: 'leader', at: 0, for: between(21, 70) },
+      { kind: 'jobsCancelled', count: 5, elsewhere: true, at: between(4, 12) },
+      { kind: 'jobsSubmitted', count: 6, at: 8 },
+    ],
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      cancelled: cancelledWhileRunning(simulation),
+      lost: expiredLeases(simulation),
+    }),
+  },
+  {
+    name: 'ten leaders in two minutes, also inside an outage',
+    jobs: longJobs,
+    jobCount: 16,
+    faults: (between) => [
+      { kind: 'repeatedElections', at: 0, for: 110 },
+      { kind: 'stateStoreOutage', at: between(20, 60), for: between(5, 40) },
+      { kind: 'jobsCancelled', count: 4, at: between(3, 15) },
+      { kind: 'jobsSubmitted', count: 6, at: 60 },
+    ],
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation) - 4,
+      cancelled: cancelledWhileRunning(simulation),
+    }),
+  },
+];
--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -1,4 +1,4 @@
-/** Fault scenarios about what is under way when the lead passes on. */
+/** Fault scenarios about what is under way at a failover. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import {
   cancelledWhileRunning,
@@ -14,7 +14,7 @@
   ...{ zone: null, spot: true },
 };
 
-/** What is under way when the lead passes on: new machines, limits, commands, reports, restarts. */
+/** What is under way at a failover: new machines, limits, commands, heartbeats, restarts. */
 export const failoverScenarios: FaultScenario[] = [
   {
     name: 'a zone with workers and a follower is cut off for longer than lease_s',
@@ -58,7 +58,7 @@
     }),
   },
   {
-    name: 'every team at its limit, cancellations whose machines are cut or hang, a new leader',
+    name: 'every team at its limit, cancellations whose machines are cut off or hang, a new leader',
     jobs: { ...atLimit, team: 'red' },
     jobCount: 3,
     faults: (between) => [
@@ -87,7 +87,7 @@
     }),
   },
   {
-    name: "cancellations while one controller's work changes hands",
+    name: 'cancellations while a leader steps down',
     jobs: longJobs,
     jobCount: 16,
     faults: () => [
@@ -129,7 +129,7 @@
     }),
   },
   ...[0, 4].map((after): FaultScenario => ({
-    name: `reports kept for the next leader, which arrive ${after} s after its election`,
+    name: `heartbeats replayed to the next leader, which arrive ${after} s after its election`,
     jobs: { estimatedRunS: 12 },
     jobCount: 16,
     faults: (between) => [
--- /dev/null
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -0,0 +1,75 @@
+/** Fault scenarios about machines, and about messages between them and controllers. */
+import type { Fault } from '../faults/scripted/fault.js';
+import {
+  cancelledWhileRunning,
+  expiredLeases,
+  failovers,
+  type FaultScenario,
+} from './fault-scenario.js';
+
+/** Machines that are lost, cut off or hang, and commands, responses and heartbeats that come late. */
+export const machineScenarios: FaultScenario[] = [
+  {
+    name: 'commands and responses held back for seconds',
+    jobs: { estimatedRunS: 15 },
+    jobCount: 20,
+    faults: (between) =>
+      [0, 15, 30, 45].flatMap((at): Fault[] => [
+        { kind: 'commandsHeldBack', share: 0.4, at, for: between(2, 30) },
+        { kind: 'responsesHeldBack', share: 0.4, at: at + 3, for: between(2, 30) },
+        { kind: 'jobsCancelled', count: 2, at: at + 4, hang: between(1, 20) },
+        { kind: 'jobsSubmitted', count: 4, at: at + 5 },
+      ]),
+    expectedEvents: (simulation) => ({ cancelled: cancelledWhileRunning(simulation) }),
+  },
+  {
+    name: 'machines that reach no controller while commands reach them, and the reverse',
+    jobs: { estimatedRunS: 30 },
+    jobCount: 20,
+    faults: (between) => [
+      { kind: 'heartbeatsBlocked', share: 0.6, at: 0, for: between(10, 40) },
+      { kind: 'jobsCancelled', count: 3, at: between(1, 10) },
+      { kind: 'jobsSubmitted', count: 6, at: 5 },
+      { kind: 'inboundBlocked', share: 0.6, at: 30, for: between(10, 60) },
+      { kind: 'jobsSubmitted', count: 6, at: 35 },
+      { kind: 'jobsCancelled', count: 3, at: 36 },
+    ],
+    expectedEvents: (simulation) => ({
+      cancelled: cancelledWhileRunning(simulation),
+      leasesLost: expiredLeases(simulation),
+      commands: simulation.observedEvents.count(
+        'direct command to a machine with blocked heartbeats',
+      ),
+    }),
+  },
+  {
+    name: 'old heartbeats after newer ones, of earlier agent epochs and attempts, at new leaders',
+    jobs: { estimatedRunS: 15 },
+    jobCount: 25,
+    faults: (between) => [
+      { kind: 'duplicatedHeartbeats', share: 0.5, at: 0, for: 90 },
+      { kind: 'machinesCutOff', share: 0.4, at: 5, for: between(21, 40) },
+      { kind: 'controllersKilled', target: 'leader', restartAfter: 6, at: between(10, 20) },
+      { kind: 'controllersKilled', target: 'leader', restartAfter: 0.4, at: between(40, 50) },
+      { kind: 'controllersKilled', target: 'leader', restartAfter: 6, at: between(70, 80) },
+      { kind: 'jobsSubmitted', count: 10, at: 40 },
+      { kind: 'jobsSubmitted', count: 10, at: 75 },
+    ],
+    expectedEvents: (simulation) => ({
+      copies: simulation.network.duplicatesDelivered,
+      leaders: failovers(simulation),
+      leasesLost: expiredLeases(simulation),
+    }),
+  },
+  {
+    name: 'jobs bound to one zone lose machines',
+    jobs: { estimatedRunS: 40, singleZone: true, spread: false, zone: null, types: null, tasks: 3 },
+    jobCount: 14,
+    faults: (between) => [
+      { kind: 'machinesCutOff', share: 0.5, at: 3, for: between(20, 60) },
+      { kind: 'machinesLost', share: 0.2, at: between(5, 20) },
+      { kind: 'controllersKilled', target: 'leader', restartAfter: 6, at: between(10, 25) },
+    ],
+    expectedEvents: (simulation) => ({ leaders: failovers(simulation) }),
+  },
+];
--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -1,4 +1,4 @@
-/** Fault scenarios about what users are told. */
+/** Fault scenarios about the responses that users get. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import {
   cancelledWhileRunning,
@@ -10,10 +10,10 @@
 /** One-task jobs that are soon done. */
 const brief: Partial<JobSpec> = { ...longJobs, tasks: 1, estimatedRunS: 5 };
 
-/** What users are told: many questions at once, lost answers, many short jobs, slow links. */
+/** What users are told: many polls at once, lost responses, many short jobs, a slow network. */
 export const responseScenarios: FaultScenario[] = [
   {
-    name: 'users ask at all nodes and repeat right after each answer, some cancel at once',
+    name: 'users poll all controllers and retry right after each response, some cancel at once',
     jobs: { estimatedRunS: 10 },
     jobCount: 8,
     faults: () => [
@@ -52,7 +52,7 @@
     }),
   },
   {
-    name: 'transactions whose answers alone are lost, while other nodes read what they wrote',
+    name: 'transactions whose responses alone are lost, while other controllers read what they wrote',
     jobs: { estimatedRunS: 10 },
     jobCount: 10,
     faults: (between) => [
@@ -75,7 +75,7 @@
     }),
   },
   {
-    name: 'all users ask during an outage',
+    name: 'all users poll during an outage',
     jobs: { estimatedRunS: 25 },
     jobCount: 20,
     faults: (between) => [
@@ -91,7 +91,7 @@
     }),
   },
   {
-    name: 'urgent and other work beyond the room over slow links',
+    name: 'urgent and other work beyond the capacity over a slow network',
     jobs: { estimatedRunS: 25 },
     jobCount: 30,
     faults: () => [
--- /dev/null
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -0,0 +1,126 @@
+/** Fault scenarios about the state store: refusals, outages, late transactions, lower limits. */
+import { shrinkingLimits } from '../deployments/deployment.js';
+import {
+  cancelledWhileRunning,
+  expiredLeases,
+  failovers,
+  leaseGaps,
+  longJobs,
+  type FaultScenario,
+} from './fault-scenario.js';
+
+/** Refusals, outages, slow and late transactions, and lower limits, around cancellations and failovers. */
+export const stateStoreScenarios: FaultScenario[] = [
+  {
+    name: 'cancelled while the state store refuses the leader alone, then an outage longer than cancel_s',
+    jobs: longJobs,
+    jobCount: 14,
+    faults: (between) => [
+      { kind: 'stateStoreRefuses', target: 'leader', at: 0, for: between(3, 25) },
+      { kind: 'jobsCancelled', count: 6, elsewhere: true, at: between(0.2, 1.8) },
+      { kind: 'stateStoreOutage', at: between(2, 4), for: between(46, 130) },
+    ],
+    expectedEvents: (simulation) => ({
+      cancelled: simulation.observedEvents.count('cancelled while the leader alone is refused'),
+      leasesLost: expiredLeases(simulation),
+    }),
+  },
+  {
+    name: 'cancelled while the leader is refused and cut off from its peers, then a shorter outage',
+    jobs: longJobs,
+    jobCount: 14,
+    faults: (between) => [
+      { kind: 'stateStoreRefuses', target: 'leader', at: 0, for: 2.5 },
+      { kind: 'peerConnectionsRefused', at: 0, for: 60 },
+      { kind: 'jobsCancelled', count: 6, elsewhere: true, at: between(0.1, 0.8), hang: 8 },
+      { kind: 'stateStoreOutage', at: 1.5, for: between(4, 18) },
+      { kind: 'watchesRefused', target: 'leader', at: 0, for: 60 },
+    ],
+    expectedEvents: (simulation) => ({
+      cancelled: cancelledWhileRunning(simulation),
+      gaps: leaseGaps(simulation) + failovers(simulation),
+    }),
+  },
+  {
+    name: 'a leader whose renewals go through and whose watches do not',
+    jobs: longJobs,
+    jobCount: 14,
+    faults: () => [
+      { kind: 'watchesRefused', target: 'leader', at: 0, for: 100 },
+      { kind: 'peerConnectionsRefused', at: 0, for: 100 },
+      { kind: 'jobsCancelled', count: 6, elsewhere: true, at: 1 },
+    ],
+    expectedEvents: (simulation) => ({ cancelled: cancelledWhileRunning(simulation) }),
+  },
+  {
+    name: 'a slow state store, refusal and outage while users cancel and poll',
+    jobs: longJobs,
+    jobCount: 14,
+    faults: (between) => [
+      { kind: 'slowStateStore', at: 0, for: 60 },
+      { kind: 'lateWrites', share: 0.5, at: 0, for: 20 },
+      { kind: 'jobsCancelled', count: 3, at: 1 },
+      { kind: 'stateStoreRefuses', target: 'leader', at: 5, for: between(3, 10) },
+      { kind: 'jobsCancelled', count: 3, at: 6, hang: 15 },
+      { kind: 'stateStoreOutage', at: between(8, 12), for: between(46, 60) },
+      { kind: 'jobsCancelled', count: 3, at: 60 },
+    ],
+    expectedEvents: (simulation) => ({
+      cancelled: cancelledWhileRunning(simulation),
+      late: simulation.stateStore.lateCommits.applied + simulation.stateStore.lateCommits.refused,
+    }),
+  },
+  {
+    name: 'transactions committed late, after newer ones',
+    jobs: { estimatedRunS: 15 },
+    jobCount: 20,
+    faults: (between) => [
+      { kind: 'lateWrites', share: 0.4, at: 0, for: 60 },
+      { kind: 'jobsCancelled', count: 3, at: 2 },
+      { kind: 'controllersKilled', target: 'leader', restartAfter: 0.3, at: between(10, 15) },
+      { kind: 'jobsSubmitted', count: 8, at: 12 },
+      { kind: 'stateStoreRefuses', target: 'leader', at: 25, for: between(2, 6) },
+      { kind: 'jobsCancelled', count: 3, at: 26 },
+      { kind: 'controllersKilled', target: 'leader', restartAfter: 6, at: 40 },
+      { kind: 'jobsSubmitted', count: 8, at: 45 },
+    ],
+    expectedEvents: (simulation) => ({
+      applied: simulation.stateStore.lateCommits.applied,
+      refused: simulation.stateStore.lateCommits.refused,
+      leaders: failovers(simulation),
+    }),
+  },
+  {
+    name: 'the limits of the state store are lowered amid commits, failovers and an outage',
+    deployment: shrinkingLimits,
+    jobs: { estimatedRunS: 15, gpus: 0, cpus: 1, memoryGb: 1 },
+    jobCount: 40,
+    faults: (between) => [
+      { kind: 'jobsSubmitted', count: 30, at: between(0, 2) },
+      {
+        kind: 'controllersKilled',
+        target: 'leader',
+        restartAfter: between(0.2, 3),
+        at: between(1, 3),
+      },
+      { kind: 'stateStoreLimitsLowered', at: between(2, 5) },
+      { kind: 'lateWrites', share: 0.3, at: 0, for: 20 },
+      { kind: 'jobsCancelled', count: 4, at: 6 },
+      { kind: 'jobsCancelled', count: 4, at: 33 },
+      {
+        kind: 'controllersKilled',
+        target: 'leader',
+        restartAfter: between(0.2, 6),
+        at: between(8, 12),
+      },
+      { kind: 'stateStoreOutage', at: 15, for: between(3, 12) },
+      { kind: 'jobsSubmitted', count: 30, at: 30 },
+      { kind: 'controllersKilled', target: 'all', restartAfter: 1, at: 35 },
+    ],
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation) - 1,
+      cancelled: cancelledWhileRunning(simulation),
+      withinLimits: simulation.stateStore.tooLarge === 0 ? 1 : 0,
+    }),
+  },
+];
