--- a/test/digest.test.ts
+++ b/test/digest.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { expectedDigests } from './simulation/digest/expected-digests.js';
-import { digestOf, digestScenarios } from './simulation/digest/digest-scenarios.js';
+import { digestScenarios } from './simulation/digest/digest-scenarios.js';
+import { digestOf } from './simulation/digest/play-digest-scenario.js';
 
 describe('the behaviour digest (npm run digest)', () => {
   const expected = expectedDigests();
--- a/test/simulation/digest/digest-scenarios.ts
+++ b/test/simulation/digest/digest-scenarios.ts
@@ -4,21 +4,7 @@
 import { longJobs } from '../scenarios/fault-scenario.js';
 import { frequentFaults, noFaults, type FaultRates } from '../faults/fault-rates.js';
 import type { Fault } from '../faults/scripted/fault.js';
-import { injectFaults } from '../faults/scripted/inject-faults.js';
 import { shortLeases } from '../deployments/short-leases.js';
-import { Simulation } from '../simulation.js';
-import { TrafficDigest } from './traffic-digest.js';
-
-/** Of the jobs at random times this share is cancelled, within so long. */
-const CANCELLED_SHARE = 0.2;
-const CANCELLED_WITHIN_MS = 40_000;
-
-/** Operators look at every controller so often. */
-const LOOK_EVERY_MS = 11_000;
-/** Spot machines are taken so long after the notice. */
-const NOTICE_MS = 15_000;
-/** The metrics are asked for within this time, at the end. */
-const SCRAPE_MS = 100;
 
 /** A scenario of which a digest is kept. */
 export interface DigestScenario {
@@ -26,74 +12,89 @@
   deployment: Deployment;
   seed: number;
   rates: FaultRates;
-  /** Jobs of the deployment's kinds, at random times of the first four fifths. */
+  /** Number of jobs of random kinds, at random times of the first four fifths. */
   randomJobs: number;
-  /** What happens besides, from the start. */
+  /** Faults and jobs at given times. */
   faults: Fault[];
-  /** So often a spot machine is taken back, after a notice; where it is left out, none is. */
-  noticeEveryMs?: number;
+  /** Time between two interruptions of spot instances; undefined: there are none. */
+  interruptionIntervalMs?: number;
   playMs: number;
 }
 
-const services: Partial<JobSpec> = {
-  ...{ kind: 'service', tasks: 3, cpus: 2, gpus: 0, memoryGb: 2, types: null, zone: null },
-  ...{
-    singleZone: false,
-    spread: true,
-    checkpointIntervalS: 0,
-    checkpointSaveS: 0,
-    deadlineS: null,
-  },
+const serviceTemplate: Partial<JobSpec> = {
+  kind: 'service',
+  tasks: 3,
+  cpus: 2,
+  gpus: 0,
+  memoryGb: 2,
+  types: null,
+  zone: null,
+  singleZone: false,
+  spread: true,
+  checkpointIntervalS: 0,
+  checkpointSaveS: 0,
+  deadlineS: null,
 };
-const gangs: Partial<JobSpec> = {
-  ...{ kind: 'gang', class: 'train', tasks: 3, cpus: 4, gpus: 2, memoryGb: 8, types: null },
-  ...{
-    zone: null,
-    singleZone: true,
-    spread: false,
-    estimatedRunS: 40,
-    checkpointIntervalS: 10,
-    checkpointSaveS: 2,
-  },
+const gangTemplate: Partial<JobSpec> = {
+  kind: 'gang',
+  class: 'train',
+  tasks: 3,
+  cpus: 4,
+  gpus: 2,
+  memoryGb: 8,
+  types: null,
+  zone: null,
+  singleZone: true,
+  spread: false,
+  estimatedRunS: 40,
+  checkpointIntervalS: 10,
+  checkpointSaveS: 2,
 };
 
 /** The scenarios, each of which takes a few seconds at most. */
 export const digestScenarios: DigestScenario[] = [
   {
-    ...{ name: 'quiet', deployment: smallDeployment, seed: 1, rates: noFaults, randomJobs: 30 },
-    ...{ faults: [], playMs: 200_000 },
+    name: 'quiet',
+    deployment: smallDeployment,
+    seed: 1,
+    rates: noFaults,
+    randomJobs: 30,
+    faults: [],
+    playMs: 200_000,
   },
   {
-    ...{
-      name: 'random faults',
-      deployment: smallDeployment,
-      seed: 4,
-      rates: frequentFaults,
-      randomJobs: 30,
-    },
-    ...{ faults: [], playMs: 240_000 },
+    name: 'random faults',
+    deployment: smallDeployment,
+    seed: 4,
+    rates: frequentFaults,
+    randomJobs: 30,
+    faults: [],
+    playMs: 240_000,
   },
   {
-    ...{
-      name: 'short leases',
-      deployment: shortLeases,
-      seed: 2,
-      rates: frequentFaults,
-      randomJobs: 24,
-    },
-    ...{ faults: [], playMs: 240_000 },
+    name: 'short leases',
+    deployment: shortLeases,
+    seed: 2,
+    rates: frequentFaults,
+    randomJobs: 24,
+    faults: [],
+    playMs: 240_000,
   },
   {
-    ...{ name: 'services, gangs and cancellations', deployment: smallDeployment, seed: 5 },
-    ...{ rates: { ...noFaults, taskFailures: 0.03 }, randomJobs: 12, playMs: 180_000 },
+    name: 'services, gangs and cancellations',
+    deployment: smallDeployment,
+    seed: 5,
+    rates: { ...noFaults, taskFailures: 0.03 },
+    randomJobs: 12,
+    playMs: 180_000,
     faults: [
-      { kind: 'jobsSubmitted', count: 4, template: services, at: 1 },
-      { kind: 'jobsSubmitted', count: 6, template: { ...gangs, priority: 'low' }, at: 2 },
+      { kind: 'jobsSubmitted', count: 4, template: serviceTemplate, at: 1 },
+      { kind: 'jobsSubmitted', count: 6, template: { ...gangTemplate, priority: 'low' }, at: 2 },
       { kind: 'unusualRequests', at: 5, for: 20 },
       {
         kind: 'jobsSubmitted',
         count: 3,
-        template: { ...gangs, priority: 'high', deadlineS: 90 },
+        template: { ...gangTemplate, priority: 'high', deadlineS: 90 },
         at: 20,
       },
       { kind: 'jobsCancelled', count: 3, at: 30 },
@@ -118,11 +119,15 @@
     ],
   },
   {
-    ...{ name: 'failovers and an outage', deployment: smallDeployment, seed: 6, rates: noFaults },
-    ...{ randomJobs: 12, playMs: 230_000 },
+    name: 'failovers and an outage',
+    deployment: smallDeployment,
+    seed: 6,
+    rates: noFaults,
+    randomJobs: 12,
+    playMs: 230_000,
     faults: [
       { kind: 'jobsSubmitted', count: 12, template: longJobs, at: 0 },
-      { kind: 'jobsSubmitted', count: 2, template: services, at: 1 },
+      { kind: 'jobsSubmitted', count: 2, template: serviceTemplate, at: 1 },
       { kind: 'controllersKilled', target: 'leader', restartAfter: 4, at: 20 },
       { kind: 'controllersIsolated', target: 'leader', at: 40, for: 25 },
       { kind: 'jobsCancelled', count: 3, elsewhere: true, at: 45 },
@@ -136,18 +141,18 @@
     ],
   },
   {
-    ...{
-      name: 'spot notices and falling limits',
-      deployment: shrinkingLimits,
-      seed: 7,
-      rates: noFaults,
-    },
-    ...{ randomJobs: 10, noticeEveryMs: 9000, playMs: 200_000 },
+    name: 'spot notices and falling limits',
+    deployment: shrinkingLimits,
+    seed: 7,
+    rates: noFaults,
+    randomJobs: 10,
+    interruptionIntervalMs: 9000,
+    playMs: 200_000,
     faults: [
       {
         kind: 'jobsSubmitted',
         count: 8,
-        template: { ...services, spot: true, spread: false },
+        template: { ...serviceTemplate, spot: true, spread: false },
         at: 0,
       },
       { kind: 'jobsSubmitted', count: 6, template: { ...longJobs, spot: true }, at: 2 },
@@ -161,78 +166,3 @@
     ],
   },
 ];
-
-/** Spot machines are taken back one after the other, each after a notice. */
-function takeSpotMachines({ clock, cloud }: Simulation, everyMs: number): void {
-  const again = (): void => {
-    clock.after(everyMs, again);
-    const worker = cloud.workers.find(({ spot }) => spot);
-    if (worker === undefined) return;
-    worker.noticeInterruption(NOTICE_MS);
-    clock.after(NOTICE_MS, () => cloud.reclaim(worker.id));
-  };
-  clock.after(everyMs, again);
-}
-
-function submitRandomJobs(simulation: Simulation, count: number, withinMs: number): void {
-  const { clock, random } = simulation;
-  for (let i = 0; i < count; i++)
-    clock.after(random.between(0, withinMs), () => {
-      const cancelled = random.next() < CANCELLED_SHARE;
-      const cancelAfterMs = cancelled ? random.between(0, CANCELLED_WITHIN_MS) : null;
-      simulation.submit(simulation.randomJob(), cancelAfterMs);
-    });
-}
-
-/** Operators look at every controller now and then, and some requests are for nothing that is there. */
-function observeControllers(simulation: Simulation): void {
-  const look = (): void => {
-    for (const host of simulation.hosts)
-      for (const path of [
-        '/ready',
-        '/cluster',
-        '/cluster?after=cloud-2',
-        '/submissions',
-        '/nowhere',
-      ])
-        simulation.sendRequest('GET', path, undefined, () => undefined, host);
-    simulation.sendRequest('POST', '/submissions', 'not a job', () => undefined);
-    simulation.clock.after(LOOK_EVERY_MS, look);
-  };
-  look();
-}
-
-/** What a scenario's play has given. */
-export interface ScenarioDigest {
-  /** sha256 in hex. */
-  digest: string;
-  /** Events that it is made of, by kind. */
-  counts: ReadonlyMap<string, number>;
-}
-
-/** Plays a scenario; `digest` gets all that enters and leaves its controllers. */
-export async function playDigestScenario(
-  scenario: DigestScenario,
-  digest: TrafficDigest,
-): Promise<void> {
-  const { deployment, seed, rates, playMs, noticeEveryMs } = scenario;
-  const version = digest.recordingVersion();
-  const simulation = new Simulation(deployment, seed, rates, { versionOf: () => version });
-  submitRandomJobs(simulation, scenario.randomJobs, playMs * 0.8);
-  observeControllers(simulation);
-  injectFaults(simulation, scenario.faults);
-  if (noticeEveryMs !== undefined) takeSpotMachines(simulation, noticeEveryMs);
-  simulation.play(playMs);
-  for (const host of simulation.hosts)
-    simulation.sendRequest('GET', '/metrics', undefined, () => undefined, host);
-  simulation.play(SCRAPE_MS);
-  // The texts of the metrics come by promises, after all that virtual time brings.
-  await new Promise(setImmediate);
-}
-
-/** Plays a scenario and hashes what enters and leaves its controllers. */
-export async function digestOf(scenario: DigestScenario): Promise<ScenarioDigest> {
-  const digest = new TrafficDigest();
-  await playDigestScenario(scenario, digest);
-  return { digest: digest.finish(), counts: digest.counts };
-}
--- a/test/simulation/digest/expected-digests.ts
+++ b/test/simulation/digest/expected-digests.ts
@@ -1,7 +1,8 @@
 /** The expected digests of the scenarios, and those of the present sources. */
 import { createHash } from 'node:crypto';
 import { readFileSync, writeFileSync } from 'node:fs';
-import { digestOf, digestScenarios, type ScenarioDigest } from './digest-scenarios.js';
+import { digestScenarios } from './digest-scenarios.js';
+import { digestOf, type ScenarioDigest } from './play-digest-scenario.js';
 
 const EXPECTED = new URL('../../digests.json', import.meta.url);
 const SHORT_DIGITS = 12;
--- /dev/null
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -0,0 +1,89 @@
+/** Plays the scenarios of the behaviour digest. */
+import { injectFaults } from '../faults/scripted/inject-faults.js';
+import { Simulation } from '../simulation.js';
+import type { DigestScenario } from './digest-scenarios.js';
+import { TrafficDigest } from './traffic-digest.js';
+
+/** Random jobs are submitted in this share of the time. */
+const SUBMISSION_SHARE = 0.8;
+/** This share of the random jobs is cancelled, within so long. */
+const CANCELLED_SHARE = 0.2;
+const CANCELLED_WITHIN_MS = 40_000;
+
+const QUERY_INTERVAL_MS = 11_000;
+/** What operators query: pages that exist, one for another method, and one that does not exist. */
+const QUERIED_PATHS = ['/ready', '/cluster', '/cluster?after=cloud-2', '/submissions', '/nowhere'];
+/** Spot instances are interrupted so long after the notice. */
+const NOTICE_MS = 15_000;
+/** The metrics are scraped within this time, at the end. */
+const SCRAPE_MS = 100;
+
+/** Interrupts spot instances one after the other, each after a notice. */
+function interruptSpotInstances({ clock, cloud }: Simulation, everyMs: number): void {
+  const interruptNext = (): void => {
+    clock.after(everyMs, interruptNext);
+    const worker = cloud.workers.find(({ spot }) => spot);
+    if (worker === undefined) return;
+    worker.noticeInterruption(NOTICE_MS);
+    clock.after(NOTICE_MS, () => cloud.reclaim(worker.id));
+  };
+  clock.after(everyMs, interruptNext);
+}
+
+function submitRandomJobs(simulation: Simulation, count: number, withinMs: number): void {
+  const { clock, random } = simulation;
+  for (let i = 0; i < count; i++)
+    clock.after(random.between(0, withinMs), () => {
+      const cancelled = random.next() < CANCELLED_SHARE;
+      const cancelAfterMs = cancelled ? random.between(0, CANCELLED_WITHIN_MS) : null;
+      simulation.submit(simulation.randomJob(), cancelAfterMs);
+    });
+}
+
+/** Operators query every controller again and again; some requests are not valid. */
+function queryControllers(simulation: Simulation): void {
+  const query = (): void => {
+    for (const host of simulation.hosts)
+      for (const path of QUERIED_PATHS)
+        simulation.sendRequest('GET', path, undefined, () => undefined, host);
+    simulation.sendRequest('POST', '/submissions', 'not a job', () => undefined);
+    simulation.clock.after(QUERY_INTERVAL_MS, query);
+  };
+  query();
+}
+
+/** The result of playing a scenario. */
+export interface ScenarioDigest {
+  /** sha256 in hex. */
+  digest: string;
+  /** Number of hashed events, by kind. */
+  counts: ReadonlyMap<string, number>;
+}
+
+/** Plays a scenario; `digest` records what enters and leaves its controllers. */
+export async function playDigestScenario(
+  scenario: DigestScenario,
+  digest: TrafficDigest,
+): Promise<void> {
+  const { deployment, seed, rates, playMs, interruptionIntervalMs } = scenario;
+  const version = digest.recordingVersion();
+  const simulation = new Simulation(deployment, seed, rates, { versionOf: () => version });
+  submitRandomJobs(simulation, scenario.randomJobs, playMs * SUBMISSION_SHARE);
+  queryControllers(simulation);
+  injectFaults(simulation, scenario.faults);
+  if (interruptionIntervalMs !== undefined)
+    interruptSpotInstances(simulation, interruptionIntervalMs);
+  simulation.play(playMs);
+  for (const host of simulation.hosts)
+    simulation.sendRequest('GET', '/metrics', undefined, () => undefined, host);
+  simulation.play(SCRAPE_MS);
+  // The texts of the metrics come by promises, after all that virtual time brings.
+  await new Promise(setImmediate);
+}
+
+/** Plays a scenario and hashes what enters and leaves its controllers. */
+export async function digestOf(scenario: DigestScenario): Promise<ScenarioDigest> {
+  const digest = new TrafficDigest();
+  await playDigestScenario(scenario, digest);
+  return { digest: digest.finish(), counts: digest.counts };
+}
--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -1,7 +1,8 @@
 /** Collects an example of each form in which controllers store records or send messages to each other. */
 import { decodePeerMessage } from '../../../src/controller/peers/message-codec.js';
 import { decodeBody, encodeBody } from '../../../src/controller/wire/cbor.js';
-import { playDigestScenario, type DigestScenario } from './digest-scenarios.js';
+import type { DigestScenario } from './digest-scenarios.js';
+import { playDigestScenario } from './play-digest-scenario.js';
 import type { Transaction } from '../state-store/key-value-store.js';
 import { TrafficDigest } from './traffic-digest.js';
 
