--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -1,13 +1,13 @@
 /** Clock, timers and network as one controller process sees them. */
-import type { Call, Runtime, Reply, Timer } from '../../src/controller/runtime/runtime.js';
+import type { Call, Reply, Runtime, Timer } from '../../src/controller/runtime/runtime.js';
 import type { Network } from './network.js';
 import type { SeededRandom } from './seeded-random.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** What a controller process runs on; everything stops when the process is killed. */
+/** The runtime of one simulated controller process; nothing runs any more once it was killed. */
 export class ProcessRuntime implements Runtime {
   alive = true;
-  /** Stands still until then, while its clocks run on; what comes meanwhile is taken afterwards. */
+  /** The process is frozen until then: its clocks run on, and what arrives is handled afterwards. */
   private frozenUntil = 0;
   private readonly drift: number;
   private readonly offset: number;
@@ -41,16 +41,16 @@
     this.startTimer(0, fn);
   }
 
-  startTimer(ms: number, fn: () => void): Timer {
-    return this.clock.after(ms / this.drift, () => this.whenAwake(fn));
+  startTimer(delayMs: number, fn: () => void): Timer {
+    return this.clock.after(delayMs / this.drift, () => this.whenAwake(fn));
   }
 
-  /** The process stands still for a time. */
+  /** Freezes the process for a time, as a stalled machine does. */
   freeze(ms: number): void {
     this.frozenUntil = Math.max(this.frozenUntil, this.clock.now + ms);
   }
 
-  /** Runs the function now, or once the process no longer stands still; never after its end. */
+  /** Runs the function now, or once the process is no longer frozen; never after its end. */
   whenAwake(fn: () => void): void {
     if (!this.alive) return;
     if (this.clock.now >= this.frozenUntil) fn();
@@ -63,7 +63,7 @@
     this.network.call(this.host, call, () => this.alive, later);
   }
 
-  /** Now and then sockets are short. */
+  /** Now and then sockets are scarce. */
   hasSpareConnection(): boolean {
     return this.seededRandom.next() < 0.95;
   }
