--- a/src/controller/peers/message-schema.ts
+++ b/src/controller/peers/message-schema.ts
@@ -4,80 +4,64 @@
  */
 import type { RecordSchema, Schema } from './avro-validation.js';
 
-const STATUS: RecordSchema = {
-  type: 'record',
-  name: 'Status',
-  fields: [
-    { name: 'host', type: 'string' },
-    { name: 'identity', type: 'string' },
-    { name: 'stateOkAgeMs', type: 'double' },
-    { name: 'leaderHost', type: 'string' },
-    { name: 'term', type: 'long' },
-    { name: 'wantedWrites', type: 'double' },
-    { name: 'strayReports', type: 'double' },
-  ],
-};
+/** A record with the given fields, encoded in their order. */
+function record(name: string, fields: Record<string, Schema>): RecordSchema {
+  const inOrder = Object.entries(fields);
+  return { type: 'record', name, fields: inOrder.map(([field, type]) => ({ name: field, type })) };
+}
 
-const JOB_END: RecordSchema = {
-  type: 'record',
-  name: 'Final',
-  fields: [
-    { name: 'id', type: 'string' },
-    { name: 'state', type: { type: 'enum', name: 'FinalState', symbols: ['done', 'cancelled'] } },
-  ],
-};
+function arrayOf(items: Schema): Schema {
+  return { type: 'array', items };
+}
 
-const JOB_STATE: Schema = {
-  type: 'enum',
-  name: 'JobState',
-  symbols: ['queued', 'running', 'done', 'cancelled'],
-};
+function optional(schema: RecordSchema): Schema {
+  return ['null', schema];
+}
 
-const JOB_PROGRESS: RecordSchema = {
-  type: 'record',
-  name: 'Progress',
-  fields: [
-    { name: 'id', type: 'string' },
-    { name: 'state', type: JOB_STATE },
-    { name: 'done', type: 'int' },
-    { name: 'running', type: 'int' },
-    { name: 'exits', type: { type: 'map', values: 'int' } },
-    { name: 'blocked', type: 'string' },
-  ],
-};
+const STATUS = record('Status', {
+  host: 'string',
+  identity: 'string',
+  stateOkAgeMs: 'double',
+  leaderHost: 'string',
+  term: 'long',
+  wantedWrites: 'double',
+  strayReports: 'double',
+});
 
-const FORWARDED_REQUEST: RecordSchema = {
-  type: 'record',
-  name: 'Request',
-  fields: [
-    { name: 'from', type: 'string' },
-    { name: 'id', type: 'long' },
-    { name: 'method', type: 'string' },
-    { name: 'path', type: 'string' },
-    { name: 'body', type: 'bytes' },
-  ],
-};
+const JOB_END = record('Final', {
+  id: 'string',
+  state: { type: 'enum', name: 'FinalState', symbols: ['done', 'cancelled'] },
+});
 
-const FORWARDED_REPLY: RecordSchema = {
-  type: 'record',
-  name: 'Reply',
-  fields: [
-    { name: 'id', type: 'long' },
-    { name: 'status', type: 'int' },
-    { name: 'body', type: 'bytes' },
-  ],
-};
+const JOB_PROGRESS = record('Progress', {
+  id: 'string',
+  state: { type: 'enum', name: 'JobState', symbols: ['queued', 'running', 'done', 'cancelled'] },
+  done: 'int',
+  running: 'int',
+  exits: { type: 'map', values: 'int' },
+  blocked: 'string',
+});
+
+const FORWARDED_REQUEST = record('Request', {
+  from: 'string',
+  id: 'long',
+  method: 'string',
+  path: 'string',
+  body: 'bytes',
+});
+
+const FORWARDED_REPLY = record('Reply', {
+  id: 'long',
+  status: 'int',
+  body: 'bytes',
+});
 
 /** The schema of a `PeerMessage`. */
-export const PEER_MESSAGE_SCHEMA: RecordSchema = {
-  type: 'record',
-  name: 'PeerMessage',
-  fields: [
-    { name: 'status', type: ['null', STATUS] },
-    { name: 'finals', type: { type: 'array', items: JOB_END } },
-    { name: 'accepted', type: { type: 'array', items: 'string' } },
-    { name: 'progress', type: { type: 'array', items: JOB_PROGRESS } },
-    { name: 'request', type: ['null', FORWARDED_REQUEST] },
-    { name: 'reply', type: ['null', FORWARDED_REPLY] },
-  ],
-};
+export const PEER_MESSAGE_SCHEMA: RecordSchema = record('PeerMessage', {
+  status: optional(STATUS),
+  finals: arrayOf(JOB_END),
+  accepted: arrayOf('string'),
+  progress: arrayOf(JOB_PROGRESS),
+  request: optional(FORWARDED_REQUEST),
+  reply: optional(FORWARDED_REPLY),
+});
