--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -1,6 +1,7 @@
 /** One term of this node as leader: recovery of the state, the work of each batch and tick, its end. */
 import { takeChangedProgress } from '../jobs/job-progress.js';
 import { JobWatch } from '../jobs/job-watch.js';
+import type { HandOverReason } from '../leadership/leadership.js';
 import type { PeerStatus } from '../peers/message.js';
 import type { RecordStore } from '../store/record-store.js';
 import type { KeyValue } from '../wire/state.js';
@@ -18,9 +19,6 @@
 /** Share of a worker's lease for which a new leader is not taken to be isolated. */
 const SETTLING_LEASE_SHARE = 0.5;
 
-/** Why a leader whose lease runs hands over, as its log says. */
-type HandOverReason = 'no view of the jobs' | 'workers do not reach this node';
-
 /** Created when the node is elected, and closed when it steps down. */
 export class LeaderTerm implements RecoveryTarget {
   readonly components: LeaderComponents;
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -13,6 +13,21 @@
 /** Name of the timer's command in the log. */
 const BEGIN_TERM_COMMAND = 'begin-term';
 
+/** Why a leader gives the lead to a node that may be better placed, as the log says. */
+export type HandOverReason = 'no view of the jobs' | 'workers do not reach this node';
+
+/** Why a leader gives the lead up, as the log says. */
+export type StepDownReason =
+  | HandOverReason
+  /** A write was refused: the leader key has another version. */
+  | 'another leader'
+  /** The term has no number left for a further attempt to run a task. */
+  | 'attempts used up'
+  /** Another node has shown a higher term. */
+  | 'higher term'
+  /** The state store no longer has the lease. */
+  | 'lease ended';
+
 /** What is told of this node's own terms. */
 export interface LeadershipEvents {
   /** This node leads from now on. */
@@ -132,7 +147,7 @@
   // ---- end of this node's term
 
   /** Gives the lead up; any node may take it. */
-  stepDown(reason: string): void {
+  stepDown(reason: StepDownReason): void {
     const { lease } = this;
     if (lease === null) return;
     this.eventLoop.log.info({ term: lease.term, reason }, 'no longer leader');
@@ -148,7 +163,7 @@
   }
 
   /** Gives the lead to a node that may be better placed. */
-  handOver(reason: string): void {
+  handOver(reason: HandOverReason): void {
     this.watch.backOff();
     this.stepDown(reason);
   }
