--- a/src/controller/jobs/job-progress.test.ts
+++ b/src/controller/jobs/job-progress.test.ts
@@ -1,29 +1,57 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
+import { acceptedJob } from '../../../test/fakes.js';
 import type { JobProgress } from '../peers/message.js';
-import { ProgressCache } from './job-progress.js';
+import { ProgressCache, takeChangedProgress } from './job-progress.js';
 
-const progress = (id: string, blocked = ''): JobProgress => ({
-  ...{ id, state: 'running', done: 1, running: 2, exits: {}, blocked },
-});
+function progressOf(id: string, blocked = ''): JobProgress {
+  return { id, state: 'running', done: 1, running: 2, exits: {}, blocked };
+}
 
-describe('progress of jobs', () => {
-  it('answers with the last counts, and why the job is blocked', () => {
+describe('ProgressCache', () => {
+  it('has the last progress, and why the job is blocked only if it is', () => {
     const cache = new ProgressCache();
-    cache.set(progress('req-1'));
-    const { blocked, ...counts } = progress('req-1');
+    cache.set(progressOf('req-1'));
+    const { blocked, ...counts } = progressOf('req-1');
     assert.equal(blocked, '');
     assert.deepEqual(cache.status('req-1'), counts);
-    cache.set(progress('req-1', 'no room'));
+    cache.set(progressOf('req-1', 'no room'));
     assert.equal(cache.status('req-1')?.blocked, 'no room');
     cache.delete('req-1');
     assert.equal(cache.status('req-1'), null);
   });
 
-  it('drops the job that was not heard of for longest', () => {
+  it('drops the job that was not heard of for longest beyond its limit', () => {
     const cache = new ProgressCache(2);
-    for (const id of ['req-1', 'req-2', 'req-1', 'req-3']) cache.set(progress(id));
+    for (const id of ['req-1', 'req-2', 'req-1', 'req-3']) cache.set(progressOf(id));
     assert.equal(cache.status('req-2'), null);
     assert.notEqual(cache.status('req-1'), null);
   });
 });
+
+describe('takeChangedProgress', () => {
+  it('takes the progress of each job once after it has changed', () => {
+    const jobs = [acceptedJob({ id: 'req-1' }), acceptedJob({ id: 'req-2' })];
+    const taken = takeChangedProgress(jobs);
+    assert.deepEqual(
+      taken.map(({ id }) => id),
+      ['req-1', 'req-2'],
+    );
+    assert.deepEqual(takeChangedProgress(jobs), []);
+    const [first] = jobs;
+    assert.ok(first);
+    first.exitCounts = { error: 1 };
+    first.blockedReason = 'no room';
+    first.progressChanged = true;
+    assert.deepEqual(takeChangedProgress(jobs), [
+      {
+        id: 'req-1',
+        state: 'queued',
+        done: 0,
+        running: 0,
+        exits: { error: 1 },
+        blocked: 'no room',
+      },
+    ]);
+  });
+});
