--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from 'node:test';
 import { isList, isMap } from '../src/controller/wire/cbor.js';
 import type { JobSpec } from '../src/controller/wire/jobs.js';
-import { smallDeployment } from './simulation/deployments/deployment.js';
+import { smallDeployment } from './simulation/deployments/small.js';
 import { noFaults } from './simulation/faults/fault-rates.js';
 import { longJobs } from './simulation/scenarios/fault-scenario.js';
 import { Simulation } from './simulation/simulation.js';
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,7 +1,7 @@
 /** Thousands of machines: the rules, the service and its cost, while whole parts of the deployment fail. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { playLargeFleet } from './simulation/deployments/large-fleet.js';
+import { playLargeFleet } from './simulation/scenarios/large-fleet-scenario.js';
 
 const MACHINES = 4500;
 const SEEDS = Number(process.env['LARGE_FLEET_SEEDS'] ?? 1);
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
 import { longJobs } from '../simulation/scenarios/fault-scenario.js';
-import { shrinkingLimits as deployment } from '../simulation/deployments/deployment.js';
+import { smallWithLowerLimits as deployment } from '../simulation/deployments/small.js';
 import { noFaults } from '../simulation/faults/fault-rates.js';
 import type { Fault } from '../simulation/faults/scripted/fault.js';
 import { injectFaults } from '../simulation/faults/scripted/inject-faults.js';
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -1,7 +1,7 @@
 /** Rollouts and rollbacks between an older version and the present one, with faults in their midst. */
 import assert from 'node:assert/strict';
 import { it } from 'node:test';
-import { shrinkingLimits as deployment } from '../simulation/deployments/deployment.js';
+import { smallWithLowerLimits as deployment } from '../simulation/deployments/small.js';
 import { presentVersion } from '../simulation/program-version.js';
 import {
   LONGEST_RESTART_MS,
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -10,7 +10,7 @@
 import { Settings } from '../src/controller/settings/settings.js';
 import { silentLogger } from './manual-runtime.js';
 import { platformOf } from './platform.js';
-import { smallDeployment } from './simulation/deployments/deployment.js';
+import { smallDeployment } from './simulation/deployments/small.js';
 import { Network } from './simulation/network.js';
 import { ProcessRuntime } from './simulation/process-runtime.js';
 import { SeededRandom } from './simulation/seeded-random.js';
--- a/test/short-leases.test.ts
+++ b/test/short-leases.test.ts
@@ -1,5 +1,8 @@
 /** All fault scenarios in a deployment with short leases, two zones and no machine at the start. */
-import { singleControllerZone, withShortLeases } from './simulation/deployments/short-leases.js';
+import {
+  singleControllerZone,
+  withShortLeases,
+} from './simulation/scenarios/short-lease-scenarios.js';
 import { allScenarios } from './simulation/scenarios/fault-scenarios.js';
 import { testScenarios } from './simulation/scenarios/play-scenario.js';
 
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -1,7 +1,7 @@
 /** The whole service in the simulation: quiet, under random faults, and with a leader that no worker reaches. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { smallDeployment } from './simulation/deployments/deployment.js';
+import { smallDeployment } from './simulation/deployments/small.js';
 import { frequentFaults, noFaults, type FaultRates } from './simulation/faults/fault-rates.js';
 import { Simulation } from './simulation/simulation.js';
 
--- a/test/simulation/digest/digest-scenarios.ts
+++ b/test/simulation/digest/digest-scenarios.ts
@@ -1,6 +1,7 @@
 /** The scenarios of the behaviour digest: fixed seeds that between them reach most of the program. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
-import { shrinkingLimits, smallDeployment, type Deployment } from '../deployments/deployment.js';
+import { smallWithLowerLimits, smallDeployment } from '../deployments/small.js';
+import type { Deployment } from '../deployments/deployment.js';
 import { longJobs } from '../scenarios/fault-scenario.js';
 import { frequentFaults, noFaults, type FaultRates } from '../faults/fault-rates.js';
 import type { Fault } from '../faults/scripted/fault.js';
@@ -142,7 +143,7 @@
   },
   {
     name: 'spot notices and falling limits',
-    deployment: shrinkingLimits,
+    deployment: smallWithLowerLimits,
     seed: 7,
     rates: noFaults,
     randomJobs: 10,
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -3,7 +3,7 @@
 import { describe, it } from 'node:test';
 import { noFaults } from '../faults/fault-rates.js';
 import type { FaultScenario } from './fault-scenario.js';
-import { smallDeployment } from '../deployments/deployment.js';
+import { smallDeployment } from '../deployments/small.js';
 import { injectFaults } from '../faults/scripted/inject-faults.js';
 import { presentVersion, type ProgramVersion } from '../program-version.js';
 import { Simulation } from '../simulation.js';
--- /dev/null
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -0,0 +1,106 @@
+/** The fault scenarios in the deployment with short leases. */
+import { defaultPlatformOptions } from '../../platform.js';
+import { shortLeases, shortLeasesWithLowerLimits } from '../deployments/short-leases.js';
+import type { Fault } from '../faults/scripted/fault.js';
+import {
+  cancelledWhileRunning,
+  expiredLeases,
+  failovers,
+  longJobs,
+  type FaultScenario,
+} from './fault-scenario.js';
+
+const LEASE_RATIO = shortLeases.platform.leaseS / defaultPlatformOptions.leaseS;
+const CANCEL_RATIO = shortLeases.platform.cancelDeadlineS / defaultPlatformOptions.cancelDeadlineS;
+/** Until then a scenario runs at the rate of the leases; later times only shift. */
+const SCALED_UNTIL_S = 10;
+
+/** A time of a scenario's table, as a time of the deployment with short leases. */
+function moment(seconds: number): number {
+  const early = Math.min(seconds, SCALED_UNTIL_S);
+  return early * LEASE_RATIO + (seconds - early);
+}
+
+/** A span of time: one longer than `cancel_s` stays so, others keep their ratio to the lease. */
+function span(seconds: number): number {
+  return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
+}
+
+function scaled(fault: Fault): Fault {
+  const t = { ...fault, at: moment(fault.at) };
+  if (t.for !== undefined && LEASE_RELATED.has(t.kind)) t.for = span(t.for);
+  if ('hang' in t) t.hang = span(t.hang);
+  if ('cut' in t) t.cut = span(t.cut);
+  return t;
+}
+
+/** Faults whose length matters beside the leases; others say for how long something goes on. */
+const LEASE_RELATED: ReadonlySet<Fault['kind']> = new Set([
+  ...([
+    'stateStoreRefuses',
+    'stateStoreOutage',
+    'controllersIsolated',
+    'controllersFrozen',
+    'cutOffFromWorkers',
+    'zoneCutOff',
+  ] as const),
+  ...(['machinesCutOff', 'inboundBlocked', 'heartbeatsBlocked', 'machinesHang'] as const),
+  ...(['commandsHeldBack', 'responsesHeldBack'] as const),
+]);
+
+/** The scenario in the deployment with short leases. */
+export function withShortLeases(scenario: FaultScenario): FaultScenario {
+  return {
+    ...scenario,
+    deployment: scenario.deployment === undefined ? shortLeases : shortLeasesWithLowerLimits,
+    faults: (between) => scenario.faults(between).map(scaled),
+  };
+}
+
+/** The zone with a single controller alone, with the leader or with a follower in it. */
+export const singleControllerZone: FaultScenario[] = [
+  {
+    name: 'the zone with one controller, which leads, is cut off for longer than lease_s',
+    jobs: longJobs,
+    jobCount: 16,
+    deployment: shortLeases,
+    faults: (between) => [
+      { kind: 'leaderMoved', host: 'kiln-2', restartAfter: 4, at: 0 },
+      { kind: 'zoneCutOff', zone: 'b', inside: 'leader', at: 12, for: between(15, 45) },
+      { kind: 'jobsCancelled', count: 5, elsewhere: true, at: between(14, 18) },
+      { kind: 'jobsSubmitted', count: 6, template: longJobs, at: 16 },
+    ],
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      alone: simulation.observedEvents.count('leader alone in its zone'),
+      elected: simulation.observedEvents.count('leader elected outside a zone that is cut off'),
+      work: simulation.observedEvents.count('task started while a zone is cut off'),
+      cancelled: cancelledWhileRunning(simulation),
+      lost: expiredLeases(simulation),
+    }),
+  },
+  {
+    name: 'the zone with one controller, a follower, is cut off and the leader ends',
+    jobs: longJobs,
+    jobCount: 16,
+    deployment: shortLeases,
+    faults: (between) => [
+      { kind: 'leaderMoved', host: 'kiln-0', restartAfter: 4, at: 0 },
+      { kind: 'zoneCutOff', zone: 'b', inside: 'single', at: 12, for: between(15, 45) },
+      { kind: 'jobsCancelled', count: 5, at: between(14, 18) },
+      {
+        kind: 'controllersKilled',
+        target: 'leader',
+        restartAfter: between(0.2, 6),
+        at: between(15, 20),
+      },
+      { kind: 'jobsSubmitted', count: 6, template: longJobs, at: 16 },
+    ],
+    expectedEvents: (simulation) => ({
+      leaders: failovers(simulation),
+      work: simulation.observedEvents.count('task started while a zone is cut off'),
+      cancelled: cancelledWhileRunning(simulation),
+      lost: expiredLeases(simulation),
+    }),
+  },
+];
--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -1,5 +1,5 @@
 /** Fault scenarios about the state store: refusals, outages, late transactions, lower limits. */
-import { shrinkingLimits } from '../deployments/deployment.js';
+import { smallWithLowerLimits } from '../deployments/small.js';
 import {
   cancelledWhileRunning,
   expiredLeases,
@@ -92,7 +92,7 @@
   },
   {
     name: 'the limits of the state store are lowered amid commits, failovers and an outage',
-    deployment: shrinkingLimits,
+    deployment: smallWithLowerLimits,
     jobs: { estimatedRunS: 15, gpus: 0, cpus: 1, memoryGb: 1 },
     jobCount: 40,
     faults: (between) => [
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,8 +1,9 @@
 /** Hundreds of machines: what the service costs, and that it survives one fault after the other. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { mediumFleet } from './simulation/deployments/deployment.js';
+import { mediumFleet } from './simulation/deployments/fleets.js';
 import { rareFaults } from './simulation/faults/fault-rates.js';
+import { submitSteadily } from './simulation/scenarios/steady-work.js';
 import { Simulation } from './simulation/simulation.js';
 
 /** Machines at most; more would only make the test slow. */
@@ -10,31 +11,20 @@
 const FIRST_JOBS = 30;
 /** Mean time between two jobs: as many as keep most of the machines busy. */
 const MEAN_ARRIVAL_MS = 1100;
-/** This share of the jobs is cancelled after so long. */
-const CANCELLED_SHARE = 0.04;
-const CANCELLED_AFTER_MS = 20_000;
 /** At the state store, by the platform's settings. */
 const REQUESTS_PER_SECOND = 80;
 
 /** A time in milliseconds, and what happens then. */
 type TimedAction = [number, (simulation: Simulation) => void];
 
-function submitJobs(simulation: Simulation, untilMs: number): void {
-  const { clock, random } = simulation;
-  const submitNext = (): void => {
-    if (clock.now > untilMs) return;
-    const job = simulation.randomJob();
-    simulation.submit(job, random.next() < CANCELLED_SHARE ? CANCELLED_AFTER_MS : null);
-    clock.after(random.between(0.3, 1.7) * MEAN_ARRIVAL_MS, submitNext);
-  };
-  for (let i = 0; i < FIRST_JOBS; i++) simulation.submit(simulation.randomJob(), null);
-  submitNext();
-}
-
 /** Plays a fleet to which jobs come all the time, with the actions given. */
 function playFleet(seed: number, ms: number, actions: readonly TimedAction[]): Simulation {
   const simulation = new Simulation(mediumFleet(MACHINES), seed, rareFaults);
-  submitJobs(simulation, ms);
+  submitSteadily(simulation, {
+    jobsAtStart: FIRST_JOBS,
+    meanIntervalMs: MEAN_ARRIVAL_MS,
+    untilMs: ms,
+  });
   for (const [at, act] of actions) simulation.clock.after(at, () => act(simulation));
   simulation.play(ms);
   return simulation;
