--- a/src/controller/workers/fencing-token.ts
+++ b/src/controller/workers/fencing-token.ts
@@ -9,7 +9,7 @@
  */
 
 /** Number of fencing epochs within one term. */
-export const FENCING_EPOCHS_PER_TERM = 2 ** 20;
+const FENCING_EPOCHS_PER_TERM = 2 ** 20;
 
 /**
  * From this epoch on the worker gets no direct starts, and the epoch is no longer raised only to
