--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -9,16 +9,21 @@
 import { defaultProperties } from '../src/controller/settings/properties.js';
 import { Settings } from '../src/controller/settings/settings.js';
 import type { StateStoreClient } from '../src/controller/store/client.js';
-import type { MachineType } from '../src/controller/wire/cloud.js';
 import { writeJobSpec, type JobSpec } from '../src/controller/wire/jobs.js';
 import type { ExitCause, TaskStatus } from '../src/controller/wire/workers.js';
-import { makeFencingToken } from '../src/controller/workers/fencing-token.js';
 import { Workers } from '../src/controller/workers/workers.js';
 import { arraySpec, FakeClock, idleRuntime } from './fakes.js';
 import { immediateRecords } from './fake-records.js';
 import { standalonePlatform } from './platform.js';
-
-const TERM = 3;
+import {
+  belongsTo,
+  machineType,
+  newWorker,
+  TERM,
+  type SentCommand,
+  type SimulatedWorker,
+  type WorkerOptions,
+} from './placement-worker.js';
 
 /** Time between two heartbeats of each worker, and between two passes. */
 export const STEP_MS = 1000;
@@ -26,42 +31,8 @@
 /** GPUs of the team `owner`: its guarantee and, with `serviceSettings`, its limit. */
 export const OWNER_GPUS = 4;
 
-const machineType: MachineType = {
-  ...{ name: 'g', cpus: 8, gpus: 4, memoryGb: 64, cacheGb: 50, fetchGbPerS: 0.5 },
-  ...{ price: 1, spotPrice: 1, bootS: 10, zones: ['a', 'b'] },
-};
-
 const ignore = (): void => undefined;
 
-/** What the workers of a test differ in. */
-export interface WorkerOptions {
-  zone?: string;
-  spot?: boolean;
-  images?: string[];
-}
-
-/** A worker that does as it is told, unless it is unresponsive. */
-interface SimulatedWorker {
-  id: string;
-  zone: string;
-  spot: boolean;
-  unresponsive: boolean;
-  agentEpoch: number;
-  fencingToken: number;
-  spotNoticeS: number | null;
-  tasks: TaskStatus[];
-  images: Set<string>;
-  /** When the image fetches of its tasks end. */
-  fetchedAt: Map<string, number>;
-}
-
-/** A command in the words of the workers' protocol. */
-interface SentCommand {
-  verb: string;
-  duty: string;
-  try: number;
-}
-
 /** What the clusters of the tests differ in. */
 export interface ClusterOptions {
   settings: Settings;
@@ -72,14 +43,6 @@
   runPass?: (placement: Placement) => void;
 }
 
-function newWorker({ zone = 'a', spot = false, images = [] }: WorkerOptions, id: string) {
-  return {
-    ...{ id, zone, spot, unresponsive: false, agentEpoch: 1, spotNoticeS: null, tasks: [] },
-    ...{ fencingToken: makeFencingToken(TERM, 0), images: new Set(images) },
-    fetchedAt: new Map<string, number>(),
-  };
-}
-
 /** Jobs, workers and placement, with records that are stored at once. */
 export class PlacementCluster {
   readonly table: JobTable;
@@ -257,10 +220,6 @@
   }
 }
 
-function belongsTo({ name, state }: TaskStatus, jobId: string): boolean {
-  return state !== 'exited' && name.startsWith(`${jobId}/`);
-}
-
 /** So many workers that are alike. */
 export function workersAlike(count: number, options: WorkerOptions = {}): WorkerOptions[] {
   return Array.from({ length: count }, () => options);
