--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -19,7 +19,7 @@
     const spec = users.specOf(id);
     if (spec === undefined) return;
     if (checker.visibleState(id).done) users.cancel(id);
-    else if (random.next() < 0.5) users.repeat(id);
+    else if (random.next() < 0.5) users.resubmit(id);
     else submitOdd(simulation, spec);
   };
   again();
--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -1,4 +1,4 @@
-/** What the simulated state service stores: entries, leases, the log of changes, watches. */
+/** What the simulated state store holds: versioned entries, leases, a log of changes, watches. */
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../../src/controller/settings/platform.js';
 import type { Respond } from '../network.js';
@@ -27,7 +27,7 @@
   endsAt: number;
 }
 
-/** A node that waits for changes of keys with a prefix. */
+/** A controller that waits for changes of keys with a prefix. */
 export interface Watch {
   watcher: string;
   prefix: string;
@@ -37,13 +37,27 @@
   open: boolean;
 }
 
-/** A transaction, as on the wire. */
+/** The version that a key must have; 0: it must not exist. */
+interface Condition {
+  k: string;
+  stamp: number;
+}
+
+/** A put or a deletion of one key; a put may be bound to a lease. */
+interface Write {
+  set?: string;
+  delete?: string;
+  value?: unknown;
+  permit?: number;
+}
+
+/** A compare-and-swap transaction, as on the wire. */
 export interface Transaction {
-  if?: { k: string; stamp: number }[];
-  writes?: { set?: string; delete?: string; value?: unknown; permit?: number }[];
+  if?: Condition[];
+  writes?: Write[];
 }
 
-/** Whether the service takes a transaction of this size. */
+/** Whether the state store takes a transaction of this size. */
 export function withinLimits(transaction: Transaction, limits: StateLimits): boolean {
   const { writes = [], if: conditions = [] } = transaction;
   const { txnOps, valueKb } = limits;
@@ -51,7 +65,7 @@
   return writes.every(({ value }) => JSON.stringify(value ?? null).length <= valueKb * 1024);
 }
 
-/** Entries under versions, leases that end them, and watches on them. */
+/** Versioned entries, leases that delete them when they expire, and watches on them. */
 export class KeyValueStore {
   readonly entries = new Map<string, Entry>();
   private readonly leases = new Map<number, Lease>();
@@ -60,7 +74,7 @@
   private ledger = 0;
   private lastPermit = 0;
 
-  /** `onRead` is told of each key that a watch shows to a node. */
+  /** `onRead` is told of each key that a watch shows to a controller. */
   constructor(
     private readonly now: () => number,
     private readonly onRead: (by: string, key: string) => void,
@@ -122,24 +136,31 @@
     return { status: 200, body };
   }
 
-  /** Carries out a transaction as a whole or not at all; returns the answer to it. */
+  /** Commits a transaction as a whole or not at all; returns the response to it. */
   commit(transaction: Transaction): Reply {
     const { writes = [], if: conditions = [] } = transaction;
-    for (const { permit } of writes)
-      if (permit !== undefined && !this.leases.has(permit))
-        return { status: 400, body: { error: 'no such lease' } };
-    const failed = conditions
+    if (writes.some(({ permit }) => permit !== undefined && !this.leases.has(permit)))
+      return { status: 400, body: { error: 'no such lease' } };
+    const failed = this.failedKeys(conditions);
+    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.ledger } };
+    if (writes.length > 0) this.apply(writes);
+    return { status: 200, body: { ledger: this.ledger } };
+  }
+
+  private failedKeys(conditions: readonly Condition[]): string[] {
+    return conditions
       .filter(({ k, stamp }) => (this.entries.get(k)?.stamp ?? 0) !== stamp)
       .map(({ k }) => k);
-    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.ledger } };
-    if (writes.length > 0) this.ledger++;
+  }
+
+  private apply(writes: readonly Write[]): void {
+    this.ledger++;
     for (const write of writes) {
       if (write.set !== undefined) this.change(write.set, write.value, write.permit ?? null, false);
       else if (write.delete !== undefined && this.entries.has(write.delete))
         this.change(write.delete, undefined, null, true);
     }
-    if (writes.length > 0) this.notify();
-    return { status: 200, body: { ledger: this.ledger } };
+    this.notify();
   }
 
   /** Answers the watch as soon as there are changes; false: the log no longer reaches back so far. */
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -1,4 +1,4 @@
-/** The simulated state service: its paths, its limits and its faults. */
+/** The simulated state store as controllers reach it: its paths, its limits and its faults. */
 import { TokenBucket } from '../../../src/controller/runtime/token-bucket.js';
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../../src/controller/settings/platform.js';
@@ -9,43 +9,48 @@
 import { UnansweredWrites } from './unanswered-writes.js';
 
 const EXPIRE_EVERY_MS = 50;
-/** Share of the answers that are late while the service is slow, and by how much. */
+/** Share of the responses that are late while the state store is slow, and by how much. */
 const SLOW_SHARE = 0.3;
 const SLOW_MS = { least: 50, most: 2000 };
-/** A transaction that gets no answer is carried out within this, and not before a sixth of it. */
-const LATEST_WRITE_MS = 12_000;
+/** A late transaction is committed within this time, and not before a sixth of it. */
+const MAX_WRITE_DELAY_MS = 12_000;
 
 const UNAVAILABLE: Reply = { status: 503, body: null };
 const NOT_FOUND: Reply = { status: 404, body: null };
 const GONE: Reply = { status: 410, body: null };
 const TOO_MANY: Reply = { status: 429, body: null };
 
-/** Stand-in for the state service, after PROTOCOL. */
+/** Stand-in for the state store (the state service of the protocol). */
 export class StateStoreServer {
   private readonly store: KeyValueStore;
   private down = false;
   private slowUntil = 0;
+  /** Hosts of which all requests are refused. */
   private readonly refused = new Set<string>();
   private readonly requestTokens: TokenBucket;
   private readonly putTokens: TokenBucket;
   /** Transactions refused for their size; copies that the network made of older ones aside. */
   tooLarge = 0;
-  /** Requests, puts and deletes served, and requests refused for being too many. */
+  /** Requests served. */
   requests = 0;
+  /** Puts and deletions in them. */
   puts = 0;
+  /** Requests refused for being too many. */
   rateLimited = 0;
   /** Requests that came in an outage. */
   requestsInOutage = 0;
-  /** Share of the transactions that get no answer and are carried out later, and how many were. */
+  /** Share of the transactions that get no response and are committed later. */
   private lateWrites = 0;
-  maxWriteDelayMs = LATEST_WRITE_MS;
+  /** How late they are at most. */
+  maxWriteDelayMs = MAX_WRITE_DELAY_MS;
+  /** How many of them were committed late, and refused late for their conditions. */
   readonly lateCommits = { applied: 0, refused: 0 };
-  /** Share of the transactions that are carried out at once and whose answer alone is lost. */
-  private lostAnswers = 0;
+  /** Share of the transactions that are committed at once and whose response alone is lost. */
+  private lostResponses = 0;
   private readonly unanswered = new UnansweredWrites();
-  /** Nodes whose watches are refused, and nothing else of theirs. */
-  private readonly unwatched = new Set<string>();
-  /** Told of each transaction as it arrives, before it is looked at: its writes' keys. */
+  /** Hosts whose watches are refused, and nothing else of theirs. */
+  private readonly watchesRefused = new Set<string>();
+  /** Called with the keys of each transaction's writes as it arrives, before it is looked at. */
   onTransaction: (keys: readonly string[]) => void = () => undefined;
 
   constructor(
@@ -57,7 +62,7 @@
     private readonly pageSize: number,
   ) {
     const now = (): number => clock.now;
-    this.store = new KeyValueStore(now, (by, key) => this.unanswered.wasRead(by, key));
+    this.store = new KeyValueStore(now, (host, key) => this.unanswered.wasRead(host, key));
     this.requestTokens = new TokenBucket(now, limits.rps, limits.rps);
     this.putTokens = new TokenBucket(now, limits.writeRps, limits.writeRps);
     network.listen(address, 'state', (from, request, respond) =>
@@ -71,17 +76,17 @@
     return this.store.entries;
   }
 
-  /** How often another node has read what a node without an answer wrote. */
+  /** How often a controller has read what another wrote without getting a response. */
   get readsOfUnansweredWrites(): number {
     return this.unanswered.readByOthers;
   }
 
-  /** Whether it answers nobody just now. */
+  /** Whether it refuses all requests just now. */
   get inOutage(): boolean {
     return this.down;
   }
 
-  /** Answers nobody for a time; afterwards all leases run anew. */
+  /** Refuses all requests for a time; afterwards all leases run anew. */
   outage(ms: number): void {
     this.down = true;
     this.clock.after(ms, () => {
@@ -90,12 +95,12 @@
     });
   }
 
-  /** Answers come late for a time, now and then by seconds. */
+  /** For a time some responses are late, by up to seconds. */
   slowDown(ms: number): void {
     this.slowUntil = Math.max(this.slowUntil, this.clock.now + ms);
   }
 
-  /** One node alone gets 503, and its leases run out. */
+  /** Refuses all requests of one host for a time; its leases expire. */
   refuse(host: string, ms: number): void {
     this.refused.add(host);
     this.clock.after(ms, () => this.refused.delete(host));
@@ -108,13 +113,13 @@
     this.putTokens.setRate(limits.writeRps, limits.writeRps);
   }
 
-  /** One node's watches alone get 503. */
+  /** Refuses the watches of one host for a time, and nothing else of it. */
   refuseWatches(host: string, ms: number): void {
-    this.unwatched.add(host);
-    this.clock.after(ms, () => this.unwatched.delete(host));
+    this.watchesRefused.add(host);
+    this.clock.after(ms, () => this.watchesRefused.delete(host));
   }
 
-  /** Some transactions get no answer and are carried out 2 to 12 s later, after newer ones. */
+  /** For a time a share of the transactions gets no response and is committed later, after newer ones. */
   delayWrites(share: number, ms: number): void {
     this.lateWrites = share;
     this.clock.after(ms, () => {
@@ -122,15 +127,15 @@
     });
   }
 
-  /** Some transactions are carried out at once, and only their answers are lost. */
+  /** For a time a share of the transactions is committed at once and gets no response. */
   loseResponses(share: number, ms: number): void {
-    this.lostAnswers = share;
+    this.lostResponses = share;
     this.clock.after(ms, () => {
-      this.lostAnswers = 0;
+      this.lostResponses = 0;
     });
   }
 
-  /** Whether this node alone is refused. */
+  /** Whether this host alone is refused. */
   isRefusing(host: string): boolean {
     return !this.down && this.refused.has(host);
   }
@@ -140,8 +145,8 @@
     if (!this.down) this.store.expire();
   }
 
-  private serve(from: string, request: IncomingRequest, answer: Respond): void {
-    const respond = this.delayed(answer);
+  private serve(from: string, request: IncomingRequest, respondAtOnce: Respond): void {
+    const respond = this.delayed(respondAtOnce);
     if (this.down) this.requestsInOutage++;
     if (this.down || this.refused.has(from)) return respond(UNAVAILABLE);
     const transaction = request.path === '/multi' ? (request.body() as Transaction) : null;
@@ -153,12 +158,12 @@
     else this.serveOther(from, request, respond);
   }
 
-  /** While the service is slow some answers are late. */
-  private delayed(answer: Respond): Respond {
+  /** While the state store is slow some responses are late. */
+  private delayed(respond: Respond): Respond {
     const slow = this.clock.now < this.slowUntil && this.random.next() < SLOW_SHARE;
-    if (!slow) return answer;
+    if (!slow) return respond;
     const lateMs = this.random.between(SLOW_MS.least, SLOW_MS.most);
-    return (reply) => this.clock.after(lateMs, () => answer(reply));
+    return (reply) => this.clock.after(lateMs, () => respond(reply));
   }
 
   private takeTokens(puts: number): boolean {
@@ -174,7 +179,7 @@
   private serveTransaction(
     from: string,
     transaction: Transaction,
-    copy: boolean,
+    duplicate: boolean,
     respond: Respond,
   ): void {
     const { clock, random } = this;
@@ -183,12 +188,12 @@
       clock.after(lateMs, () => this.commitLate(transaction));
       return;
     }
-    if (this.lostAnswers > 0 && random.next() < this.lostAnswers) {
+    if (this.lostResponses > 0 && random.next() < this.lostResponses) {
       if (this.commit(transaction).status === 200) this.unanswered.record(from, transaction);
       return;
     }
     for (const { k } of transaction.if ?? []) this.unanswered.wasRead(from, k);
-    respond(this.commit(transaction, copy));
+    respond(this.commit(transaction, duplicate));
   }
 
   private commitLate(transaction: Transaction): void {
@@ -197,9 +202,9 @@
     else this.lateCommits.refused++;
   }
 
-  private commit(transaction: Transaction, copy = false): Reply {
+  private commit(transaction: Transaction, duplicate = false): Reply {
     if (withinLimits(transaction, this.limits)) return this.store.commit(transaction);
-    if (!copy) this.tooLarge++;
+    if (!duplicate) this.tooLarge++;
     return { status: 400, body: { error: 'limits' } };
   }
 
@@ -234,7 +239,7 @@
   }
 
   private serveWatch(from: string, query: URLSearchParams, respond: Respond): void {
-    if (this.unwatched.has(from)) return respond(UNAVAILABLE);
+    if (this.watchesRefused.has(from)) return respond(UNAVAILABLE);
     const watch: Watch = {
       watcher: from,
       prefix: query.get('starts') ?? '',
--- a/test/simulation/state-store/unanswered-writes.ts
+++ b/test/simulation/state-store/unanswered-writes.ts
@@ -1,22 +1,22 @@
-/** Writes of transactions whose answers were lost, and who has read them. */
+/** Writes of transactions whose responses were lost, and who has read them. */
 import type { Transaction } from './key-value-store.js';
 
-/** Counts how often a node reads what another wrote without getting an answer. */
+/** Counts how often a controller reads what another wrote without getting a response. */
 export class UnansweredWrites {
-  /** By key: the node that wrote it and got no answer. */
+  /** The hosts that wrote and got no response, by key. */
   private readonly writers = new Map<string, string>();
-  /** How often another node has read such a key. */
+  /** How often another host has read such a key. */
   readByOthers = 0;
 
-  /** The transaction was carried out, and its sender is not told. */
+  /** The transaction was committed, and its sender is not told. */
   record(writer: string, transaction: Transaction): void {
     for (const { set } of transaction.writes ?? [])
       if (set !== undefined) this.writers.set(set, writer);
   }
 
-  /** The node is shown the key, or names it in a condition. */
-  wasRead(by: string, key: string): void {
+  /** The host is shown the key, or names it in a condition. */
+  wasRead(reader: string, key: string): void {
     const writer = this.writers.get(key);
-    if (writer !== undefined && writer !== by) this.readByOthers++;
+    if (writer !== undefined && writer !== reader) this.readByOthers++;
   }
 }
--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -73,17 +73,17 @@
     return this.jobs.get(id)?.runMs;
   }
 
-  /** The job's user calls it off, at `host` where one is named. */
+  /** The job's user cancels it, at `host` where one is named. */
   cancel(id: string, host?: string): void {
     this.users.get(id)?.cancel(host);
   }
 
   /** The job's user submits it once more. */
-  repeat(id: string): void {
-    this.users.get(id)?.repeat();
+  resubmit(id: string): void {
+    this.users.get(id)?.resubmit();
   }
 
-  /** For a time every user asks again as soon as there is an answer, or none, to the question before. */
+  /** For a time every user polls again and again, one request at a time. */
   everyonePolls(everyMs: number, ms: number): void {
     const { clock } = this.context;
     const until = clock.now + ms;
--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -5,7 +5,7 @@
 import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 
-/** How a user asks a controller; `host`: a certain one. */
+/** Sends a request to a controller, `host` or any; `done` gets status 0 where no response comes. */
 export type RequestSender = (
   method: 'GET' | 'POST',
   path: string,
@@ -14,13 +14,25 @@
   host?: string,
 ) => void;
 
-/** A user who submits, polls and perhaps calls off one job, one request at a time. */
+type Action = 'submit' | 'poll' | 'cancel';
+
+/** Chance that a user submits an accepted job once more instead of polling. */
+const RETRY_CHANCE = 0.1;
+/** Time from a response to the next request. */
+const PENDING_ACTION_PAUSE_MS = 1000;
+const UNACCEPTED_PAUSE_MS = 1200;
+const POLL_PAUSE_MS = 4000;
+const ENDED_PAUSE_MS = { least: 10_000, most: 40_000 };
+
+/** A user who submits, polls and perhaps cancels one job, one request at a time. */
 export class User {
   private accepted = false;
-  private asking = false;
-  private next: Timer | null = null;
-  private wish: 'none' | 'cancel' | 'repeat' = 'none';
-  private host: string | undefined;
+  private requestInFlight = false;
+  private nextRequest: Timer | null = null;
+  /** What the user wants to do once the job is accepted. */
+  private wanted: 'cancel' | 'submit' | null = null;
+  /** Where cancellations go; undefined: to any controller. */
+  private cancelHost: string | undefined;
   private readonly body: unknown;
 
   constructor(
@@ -37,60 +49,76 @@
     this.step();
   }
 
-  /** Calls the job off, at `host` where one is named, until told that it has ended. */
+  /** Cancels the job, at `host` where one is named, until told that it has ended. */
   cancel(host?: string): void {
-    this.host = host;
+    this.cancelHost = host;
     this.want('cancel');
   }
 
-  /** Asks about the job now, unless a question is on its way. */
+  /** Polls now, unless a request is on its way. */
   pollNow(): void {
-    if (this.accepted) this.hurry();
+    if (this.accepted) this.stepNow();
   }
 
   /** Submits the job once more. */
-  repeat(): void {
-    this.want('repeat');
+  resubmit(): void {
+    this.want('submit');
   }
 
-  private want(wish: 'cancel' | 'repeat'): void {
-    if (this.wish !== 'cancel') this.wish = wish;
-    if (this.accepted) this.hurry();
+  private want(action: 'cancel' | 'submit'): void {
+    if (this.wanted !== 'cancel') this.wanted = action;
+    if (this.accepted) this.stepNow();
   }
 
-  private hurry(): void {
-    if (this.asking) return;
-    this.next?.cancel();
+  private stepNow(): void {
+    if (this.requestInFlight) return;
+    this.nextRequest?.cancel();
     this.step();
   }
 
   private step(): void {
     const { id } = this.spec;
-    const cancel = this.accepted && this.wish === 'cancel';
-    // Now and then the submission is repeated long after it was accepted.
-    const submit =
-      !this.accepted || (!cancel && (this.wish === 'repeat' || this.random.next() < 0.1));
-    if (cancel) this.checker.cancelRequested(id);
-    if (submit && this.wish === 'repeat') this.wish = 'none';
+    const action = this.nextAction();
+    if (action === 'cancel') this.checker.cancelRequested(id);
+    if (action === 'submit' && this.wanted === 'submit') this.wanted = null;
     const before = this.checker.visibleState(id);
-    this.asking = true;
-    this.sendRequest(
-      submit || cancel ? 'POST' : 'GET',
-      submit ? '/submissions' : `/submissions/${id}${cancel ? '/abort' : ''}`,
-      submit ? this.body : undefined,
-      (status, state) => {
-        this.asking = false;
-        this.checker.responseReceived(id, status, state, submit, before);
-        const answered = status === 200 || status === 201;
-        if (answered) this.accepted = true;
-        if (cancel && answered) this.wish = 'none';
-        const end = state === 'done' || state === 'aborted';
-        const { clock, random } = this;
-        const pause = end ? random.between(10_000, 40_000) : this.accepted ? 4000 : 1200;
-        const soon = this.accepted && this.wish !== 'none';
-        this.next = clock.after(soon ? 1000 : pause, () => this.step());
-      },
-      cancel ? this.host : undefined,
-    );
+    this.requestInFlight = true;
+    this.send(action, (status, state) => {
+      this.requestInFlight = false;
+      this.checker.responseReceived(id, status, state, action === 'submit', before);
+      this.noteResponse(action, status);
+      this.nextRequest = this.clock.after(this.pauseMs(state), () => this.step());
+    });
+  }
+
+  private nextAction(): Action {
+    if (!this.accepted) return 'submit';
+    if (this.wanted !== null) return this.wanted;
+    // Now and then the submission is repeated long after it was accepted.
+    return this.random.next() < RETRY_CHANCE ? 'submit' : 'poll';
+  }
+
+  private send(action: Action, done: (status: number, state: string) => void): void {
+    const path = `/submissions/${this.spec.id}`;
+    if (action === 'submit') this.sendRequest('POST', '/submissions', this.body, done);
+    else if (action === 'poll') this.sendRequest('GET', path, undefined, done);
+    else this.sendRequest('POST', `${path}/abort`, undefined, done, this.cancelHost);
+  }
+
+  private noteResponse(action: Action, status: number): void {
+    if (status !== 200 && status !== 201) return;
+    this.accepted = true;
+    if (action === 'cancel') this.wanted = null;
+  }
+
+  private pauseMs(state: string): number {
+    const pauseMs = this.usualPauseMs(state);
+    return this.accepted && this.wanted !== null ? PENDING_ACTION_PAUSE_MS : pauseMs;
+  }
+
+  private usualPauseMs(state: string): number {
+    if (state === 'done' || state === 'aborted')
+      return this.random.between(ENDED_PAUSE_MS.least, ENDED_PAUSE_MS.most);
+    return this.accepted ? POLL_PAUSE_MS : UNACCEPTED_PAUSE_MS;
   }
 }
