--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -1,5 +1,6 @@
 /** HTTP/1.1 client for calls to the state store, the cloud and the workers. */
 import net from 'node:net';
+import { splitAddress } from '../runtime/address.js';
 import { formatRequest } from './formatting.js';
 import { HttpParser, type HttpMessage } from './parser.js';
 import type { SocketBudget } from './socket-budget.js';
@@ -130,10 +131,8 @@
 
   private open(to: string, host: Host): Connection | null {
     if (host.connections.size >= this.options.maxConnectionsPerHost) return null;
-    const colon = to.lastIndexOf(':');
     const socket = net.connect({
-      host: to.slice(0, colon),
-      port: Number(to.slice(colon + 1)),
+      ...splitAddress(to),
       noDelay: true,
     });
     const connection: Connection = {
