--- a/test/simulation/faults/connection-faults.ts
+++ b/test/simulation/faults/connection-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the network between controllers, machines, users, cloud and state service. */
+/** Faults of the network between controllers, machines, users, cloud and state store. */
 import type { CutMode, Network } from '../network.js';
 import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
@@ -30,13 +30,13 @@
     for (const peer of this.hosts) if (peer !== host) this.cutFor(host, peer, ms);
   }
 
-  /** A controller loses the state service and its peers, but not its workers. */
+  /** A controller loses the state store and its peers, but not its workers. */
   isolate(host: string, ms: number): void {
     this.cutFor(host, 'state', ms);
     this.cutFromPeers(host, ms);
   }
 
-  /** A controller loses every worker, but neither the state service nor its peers. */
+  /** A controller loses every worker, but neither the state store nor its peers. */
   cutFromWorkers(host: string, ms: number): void {
     for (const worker of this.workers()) this.cutFor(host, worker.id, ms);
   }
@@ -67,13 +67,13 @@
         if ((worker.zone === zone) !== inside.includes(host)) cut(worker.id, host);
   }
 
-  /** The machine's reports arrive, but neither answers nor commands get to it. */
+  /** The machine's heartbeats arrive, but neither responses nor commands reach it. */
   blockInbound(worker: Worker, ms: number, mode?: CutMode): void {
     for (const host of this.hosts) this.network.cutOneWay(host, worker.id, mode ?? this.drawCut());
     this.healWorker(worker, ms);
   }
 
-  /** What the machine says is held back, reports and answers; what it is told arrives. */
+  /** What the machine sends is held back, heartbeats and responses; what is sent to it arrives. */
   holdOutbound(worker: Worker, ms: number): void {
     for (const host of this.hosts) this.network.cutOneWay(worker.id, host, 'hold');
     this.healWorker(worker, ms);
--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -1,7 +1,7 @@
 /** Combinations of faults and actions that tests assert to have come about. */
 import type { Simulation } from '../simulation.js';
 
-/** What a scripted day may come to; tests assert that it did. */
+/** What a scenario may bring about; tests assert that it did. */
 export type ObservedEvent =
   | 'request in an outage'
   | 'cancelled at a handover'
@@ -17,7 +17,7 @@
   | 'task started on a new machine'
   | 'task started while a zone is cut off';
 
-/** Counts of what happened on a day. */
+/** Counts of the events that were observed. */
 export class ObservedEvents {
   private readonly counts = new Map<ObservedEvent, number>();
 
--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -1,37 +1,37 @@
-/** The reports of one simulated worker: when they go out, and to which controller. */
+/** The heartbeats of one simulated worker: when they go out, and to which controller. */
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { MachineContext } from './machine-context.js';
 import type { Command } from './task.js';
 
-/** A report with news follows the last one no sooner than this. */
+/** A heartbeat with news follows the last one no sooner than this. */
 const NEWS_AFTER_MS = 500;
-const REPORT_TIMEOUT_MS = 4000;
+const HEARTBEAT_TIMEOUT_MS = 4000;
 const RETRY_MS = 1000;
-/** A worker that is told who leads asks there within this time. */
+/** A worker that is redirected to the leader sends its next heartbeat within this time. */
 const REDIRECT_WITHIN_MS = 500;
-/** Shares of the period between which the next report falls. */
+/** Shares of the period between which the next heartbeat falls. */
 const JITTER = { least: 0.75, most: 1.25 };
 
-/** What a controller answers to a report that it takes. */
+/** The response of a controller that takes a heartbeat. */
 export interface HeartbeatResponse {
   baton?: number;
   orders: Command[];
 }
 
-/** The worker whose reports are sent. */
+/** The worker whose heartbeats are sent. */
 export interface HeartbeatSource {
   readonly id: string;
   readonly dead: boolean;
   readonly hungUntil: number;
   readonly agentEpoch: number;
-  /** The next report; each has a number of its own. */
+  /** The next heartbeat; each has a number of its own. */
   heartbeat(): unknown;
   whenAwake(run: () => void): void;
-  /** An answer to the report that was sent then, in that session. */
+  /** A response to the heartbeat that was sent then, in that agent epoch. */
   acceptResponse(answer: HeartbeatResponse, session: number, sentAt: number): void;
 }
 
-/** Sends a worker's reports, one at a time, to the controller that takes them. */
+/** Sends a worker's heartbeats, one at a time, to the controller that takes them. */
 export class HeartbeatLoop {
   /** Index of the controller that is asked next. */
   private node: number;
@@ -62,13 +62,13 @@
     this.blockedUntil = Math.max(this.blockedUntil, this.context.clock.now + ms);
   }
 
-  /** There is something new to report. */
+  /** The next heartbeat will have news. */
   changed(): void {
     this.dirty = true;
     this.plan();
   }
 
-  /** Sees to it that the next report goes out when it is due. */
+  /** Plans the next heartbeat for when it is due. */
   plan(): void {
     const { source } = this;
     if (source.dead || this.inFlight) return;
@@ -118,7 +118,7 @@
         method: 'POST',
         path: '/v1/report',
         body: source.heartbeat(),
-        timeoutMs: REPORT_TIMEOUT_MS,
+        timeoutMs: HEARTBEAT_TIMEOUT_MS,
       },
       () => !source.dead,
       (reply) =>
--- a/test/simulation/machines/machine-context.ts
+++ b/test/simulation/machines/machine-context.ts
@@ -32,7 +32,7 @@
   /** Chance that a task fails. */
   taskFailures: number;
   observedEvents: ObservedEvents;
-  /** How often a worker's lease has run out. */
+  /** How often a worker's lease has expired. */
   expiredLeases: number;
   /** Replicas of services that ended by themselves. */
   replicasEnded: number;
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -1,4 +1,4 @@
-/** The tasks of one simulated machine: images, room, run times, saving and ends. */
+/** The tasks of one simulated machine: images, capacity, run times, checkpoints and ends. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { GangMemberRunner } from './gangs.js';
@@ -6,7 +6,7 @@
 import type { Placement } from '../rules/placement.js';
 import { newTask, toHeartbeatTask, type Command, type Task } from './task.js';
 
-/** Room that rounding may hide. */
+/** Capacity that rounding may hide. */
 const ROUNDING = 1e-6;
 /** Share of its run time after which a task that fails ends. */
 const FAILURE_SHARE = 0.3;
@@ -19,7 +19,7 @@
   readonly type: MachineType;
   /** Runs the function once the machine does not hang; never after its end. */
   whenAwake(run: () => void): void;
-  /** There is something new to report. */
+  /** The next heartbeat will have news. */
   stateChanged(): void;
 }
 
@@ -30,7 +30,7 @@
   memoryGb: number;
 }
 
-/** Runs the tasks of one machine as its controllers order. */
+/** Runs the tasks of one machine as its controllers command. */
 export class TaskRunner implements GangMemberRunner {
   private readonly tasks = new Map<string, Task>();
   private readonly images = new Set<string>();
@@ -40,14 +40,14 @@
     private readonly context: MachineContext,
   ) {}
 
-  /** All tasks end at once, without a report of it. */
+  /** All tasks end at once, and no heartbeat says so. */
   killAll(): void {
     for (const task of this.tasks.values()) {
       if (task.status === 'exited') continue;
       task.timer?.cancel();
       task.status = 'exited';
       task.cause = 'killed';
-      this.off(task);
+      this.leaveMachine(task);
     }
   }
 
@@ -56,7 +56,7 @@
     this.tasks.clear();
   }
 
-  /** What the machine reports of its tasks. */
+  /** The tasks as the next heartbeat lists them. */
   heartbeatTasks(): Record<string, unknown>[] {
     return [...this.tasks.values()].map(toHeartbeatTask);
   }
@@ -64,36 +64,36 @@
   /** What no task takes, `except` the one given. */
   freeCapacity(except?: Task): Capacity {
     const { cpus, gpus, memoryGb } = this.host.type;
-    const room = { cpus, gpus, memoryGb };
+    const free = { cpus, gpus, memoryGb };
     for (const task of this.tasks.values()) {
       const spec = this.context.specOf(task.jobId);
       if (task === except || task.status === 'exited' || spec === undefined) continue;
-      room.cpus -= spec.cpus;
-      room.gpus -= spec.gpus;
-      room.memoryGb -= spec.memoryGb;
+      free.cpus -= spec.cpus;
+      free.gpus -= spec.gpus;
+      free.memoryGb -= spec.memoryGb;
     }
-    return room;
+    return free;
   }
 
-  /** Carries out an order. */
-  execute(order: Command): void {
-    const existing = this.tasks.get(order.duty);
+  /** Carries out a command. */
+  execute(command: Command): void {
+    const existing = this.tasks.get(command.duty);
     this.host.stateChanged();
-    if (order.verb === 'run') this.start(order, existing);
-    else if (existing?.attempt !== order.try) return;
-    else if (order.verb === 'clear') {
-      if (existing.status === 'exited') this.tasks.delete(order.duty);
-    } else if (order.verb === 'stop') this.stop(existing, order.leeway_s ?? 0);
+    if (command.verb === 'run') this.start(command, existing);
+    else if (existing?.attempt !== command.try) return;
+    else if (command.verb === 'clear') {
+      if (existing.status === 'exited') this.tasks.delete(command.duty);
+    } else if (command.verb === 'stop') this.stop(existing, command.leeway_s ?? 0);
   }
 
-  private start(order: Command, existing: Task | undefined): void {
-    if (existing?.attempt === order.try) return;
+  private start(command: Command, existing: Task | undefined): void {
+    if (existing?.attempt === command.try) return;
     if (existing !== undefined && existing.status !== 'exited') return;
-    const task = newTask(order);
-    this.tasks.set(order.duty, task);
+    const task = newTask(command);
+    this.tasks.set(command.duty, task);
     const spec = this.context.specOf(task.jobId);
     if (spec === undefined) return reject(task, 'unknown');
-    if (!this.hasRoom(spec, task)) return reject(task, 'no_room');
+    if (!this.hasCapacity(spec, task)) return reject(task, 'no_room');
     const { fetchGbPerS } = this.host.type;
     const fetchMs = this.images.has(spec.image) ? 0 : (spec.imageGb / fetchGbPerS) * 1000;
     task.timer = this.context.clock.after(fetchMs, () =>
@@ -101,7 +101,7 @@
     );
   }
 
-  private hasRoom(spec: JobSpec, task: Task): boolean {
+  private hasCapacity(spec: JobSpec, task: Task): boolean {
     const { cpus, gpus, memoryGb } = this.freeCapacity(task);
     return (
       spec.cpus <= cpus + ROUNDING &&
@@ -170,11 +170,11 @@
     task.status = 'exited';
     task.cause = cause;
     if (cause === 'done') this.context.checker.taskCompleted(task.jobId, task.index);
-    this.off(task);
+    this.leaveMachine(task);
     this.host.stateChanged();
   }
 
-  private off(task: Task): void {
+  private leaveMachine(task: Task): void {
     const { checker, gangs, settings } = this.context;
     if (task.onMachine) checker.taskStopped(task.jobId, task.index, this.host.placement.machine);
     task.onMachine = false;
--- a/test/simulation/machines/task.ts
+++ b/test/simulation/machines/task.ts
@@ -1,7 +1,7 @@
-/** Tasks on a simulated machine, and the orders that concern them. */
+/** Tasks on a simulated machine, and the commands that concern them. */
 import type { Timer } from '../../../src/controller/runtime/runtime.js';
 
-/** An order of a controller to a worker, as on the wire. */
+/** A command of a controller to a worker, as on the wire. */
 export interface Command {
   verb: string;
   duty: string;
@@ -17,18 +17,18 @@
   status: string;
   cause: string | null;
   checkpointed: boolean;
-  /** Whether it has its image and takes room on the machine. */
+  /** Whether it has its image and takes capacity of the machine. */
   onMachine: boolean;
   timer: Timer | null;
 }
 
-/** The attempt that a `run` order asks for, before it has its image. */
-export function newTask(order: Command): Task {
-  const slash = order.duty.lastIndexOf('/');
+/** The attempt that a `run` command asks for, before it has its image. */
+export function newTask(command: Command): Task {
+  const slash = command.duty.lastIndexOf('/');
   return {
-    jobId: order.duty.slice(0, slash),
-    index: Number(order.duty.slice(slash + 1)),
-    attempt: order.try,
+    jobId: command.duty.slice(0, slash),
+    index: Number(command.duty.slice(slash + 1)),
+    attempt: command.try,
     status: 'pulling',
     cause: null,
     checkpointed: false,
@@ -37,7 +37,7 @@
   };
 }
 
-/** The task as workers report it. */
+/** The task as heartbeats list it. */
 export function toHeartbeatTask(task: Task): Record<string, unknown> {
   return {
     duty: `${task.jobId}/${task.index}`,
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -1,4 +1,4 @@
-/** One simulated machine and its worker: sessions, lease, commands, and faults of the machine. */
+/** One simulated machine and its worker: agent epochs, lease, commands, and faults of the machine. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { MachineContext } from './machine-context.js';
 import type { IncomingRequest, Respond } from '../network.js';
@@ -7,8 +7,8 @@
 import type { Command } from './task.js';
 import { TaskRunner, type TaskHost } from './task-runner.js';
 
-/** An answer to a report counts for so long. */
-const ANSWER_VALID_MS = 4000;
+/** A response to a heartbeat counts for so long. */
+const RESPONSE_VALID_MS = 4000;
 
 /** A direct command as it arrives. */
 interface DirectCommand {
@@ -24,7 +24,7 @@
   hungUntil = 0;
   dead = false;
   readonly placement: Placement;
-  private reportNumber = 0;
+  private heartbeatNumber = 0;
   private fencingToken = 0;
   private leaseFrom: number;
   /** When the cloud takes the machine back, where it has said so. */
@@ -60,10 +60,10 @@
     this.context.network.remove(this.address);
   }
 
-  /** The machine ends and is back soon, with its name and nothing else: a new session. */
+  /** The machine ends and is back soon, with its name and nothing else: a new agent epoch. */
   restart(ms: number): void {
     if (this.dead) return;
-    this.nextSession();
+    this.startEpoch();
     this.hang(ms);
   }
 
@@ -86,7 +86,7 @@
     });
   }
 
-  /** Reaches no controller for a time, while direct commands reach it and are answered. */
+  /** Sends no heartbeat for a time, while direct commands reach it and are answered. */
   blockHeartbeats(ms: number): void {
     this.heartbeats.block(ms);
   }
@@ -109,7 +109,7 @@
     else run();
   }
 
-  /** There is something new to report. */
+  /** The next heartbeat will have news. */
   stateChanged(): void {
     this.heartbeats.changed();
   }
@@ -119,14 +119,14 @@
     const { clock, settings } = this.context;
     if (this.leaseFrom + settings.leaseMs <= clock.now) {
       this.context.expiredLeases++;
-      this.nextSession();
+      this.startEpoch();
     }
     clock.after(Math.max(1, this.leaseFrom + settings.leaseMs - clock.now), () =>
       this.watchLease(),
     );
   }
 
-  private nextSession(): void {
+  private startEpoch(): void {
     this.tasks.killAll();
     this.tasks.clear();
     this.agentEpoch++;
@@ -134,9 +134,9 @@
     this.stateChanged();
   }
 
-  /** The next report; each has a number of its own. */
+  /** The next heartbeat; each has a number of its own. */
   heartbeat(): unknown {
-    this.reportNumber++;
+    this.heartbeatNumber++;
     const { recalledAt } = this;
     return {
       kiln: this.id,
@@ -145,7 +145,7 @@
       hall: this.zone,
       loaners: this.spot,
       tenure: this.agentEpoch,
-      tally: this.reportNumber,
+      tally: this.heartbeatNumber,
       baton: this.fencingToken,
       recall_s:
         recalledAt === null ? null : Math.max(0, (recalledAt - this.context.clock.now) / 1000),
@@ -153,13 +153,13 @@
     };
   }
 
-  /** Takes the answer to a report: the token, the lease, orders. */
+  /** Takes the response to a heartbeat: the fencing token, the lease, commands. */
   acceptResponse(answer: HeartbeatResponse, session: number, sentAt: number): void {
     if (session !== this.agentEpoch) return;
     if (answer.baton === undefined || answer.baton < this.fencingToken) return;
     // A later response is dropped by the time-out of the call; a hanging machine may find one that
     // it had received before.
-    if (this.context.clock.now - sentAt > ANSWER_VALID_MS) return;
+    if (this.context.clock.now - sentAt > RESPONSE_VALID_MS) return;
     if (answer.baton > this.fencingToken) this.stateChanged();
     this.fencingToken = answer.baton;
     this.leaseFrom = Math.max(this.leaseFrom, sentAt);
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -4,7 +4,7 @@
 import type { SeededRandom } from './seeded-random.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** Sends the answer to a request. */
+/** Sends the response to a request. */
 export type Respond = (reply: Reply) => void;
 
 /** A request as it arrives. */
@@ -49,13 +49,15 @@
   duplicated = 0;
   /** How late such a copy may be. */
   maxDuplicateDelayMs = 40_000;
-  /** Share of the workers' reports of which a copy arrives again, and how many have. */
+  /** Share of the heartbeats of which a copy arrives again. */
   duplicatedHeartbeats = 0;
+  /** How many copies of messages have arrived. */
   duplicatesDelivered = 0;
-  /** Share of the direct commands that are held up on their way, and how many arrived late. */
+  /** Share of the direct commands that are delayed on their way. */
   delayedCommands = 0;
+  /** How many of them have arrived late. */
   delayedCommandsDelivered = 0;
-  /** Share of the workers' reports of which a copy is kept for the next leader. */
+  /** Share of the heartbeats of which a copy is kept for the next leader. */
   retainedHeartbeats = 0;
   private kept: { from: string; arrival: IncomingRequest }[] = [];
   /** Messages take up to this long. */
@@ -131,8 +133,8 @@
         });
   }
 
-  /** Whether the command is held up; it then arrives once, 2 to 16 s late, and is not answered. */
-  private holdsUp(call: Call, deliver: (respond: Respond) => void): boolean {
+  /** Whether the command is delayed; it then arrives once, 2 to 16 s late, and gets no response. */
+  private delays(call: Call, deliver: (respond: Respond) => void): boolean {
     if (call.path !== '/do' || this.delayedCommands === 0) return false;
     if (this.random.next() >= this.delayedCommands) return false;
     this.clock.after(this.random.between(2000, 16_000), () => {
@@ -153,7 +155,7 @@
     const arrival = toIncomingRequest(call);
     const deliver = (request: IncomingRequest, respond: Respond): void =>
       this.deliver(from, call.to, request, respond);
-    if (this.holdsUp(call, (respond) => deliver(arrival, respond))) return;
+    if (this.delays(call, (respond) => deliver(arrival, respond))) return;
     const respond = (reply: Reply): void => this.sendReply(target.host, from, reply, finish);
     this.send(
       from,
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -1,4 +1,4 @@
-/** The controller processes of a simulation: starts, ends, standstills, and what they log. */
+/** The controller processes of a simulation: starts, ends, freezes, and what they log. */
 import type { Controller } from '../../src/controller/controller.js';
 import type { Logger } from '../../src/controller/runtime/runtime.js';
 import { platformOf } from '../platform.js';
@@ -115,7 +115,7 @@
       .map(([host]) => host);
   }
 
-  /** The hosts that answer workers, each as it believes itself entitled to. */
+  /** The hosts that answer workers, each as it believes that it holds the lease. */
   answeringWorkers(): string[] {
     return [...this.processes]
       .filter(([, { controller }]) => controller.mayAnswerWorkers)
@@ -151,7 +151,7 @@
       this.context.clock.after(index * everyMs, () => this.kill(host, ROLL_RESTART_MS));
   }
 
-  /** The host's process stands still. */
+  /** The host's process freezes for a time. */
   freeze(host: string, ms: number): void {
     this.processes.get(host)?.runtime.freeze(ms);
   }
--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -1,11 +1,11 @@
-/** Whether machines have room for a job. */
+/** Whether machines have free capacity for a job. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { FreeCapacity } from './placement.js';
 
-/** Room that rounding may hide. */
+/** Capacity that rounding may hide. */
 const ROUNDING = 1e-6;
 
-/** Tasks of which a job needs room for at one time: a gang for all, others for one. */
+/** Tasks that a job needs capacity for at one time: a gang for all, others for one. */
 export function tasksStartedTogether(spec: JobSpec): number {
   return spec.kind === 'gang' ? spec.tasks : 1;
 }
--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -1,4 +1,4 @@
-/** Which groups of jobs were served too little on a day as a whole. */
+/** Which groups of jobs were served too little in a scenario as a whole. */
 import type { ObservedJob } from './observed-job.js';
 
 /** The largest jobs of a class have to begin within this time. */
@@ -7,7 +7,7 @@
 const LARGEST_SHARE = 0.1;
 
 /**
- * The operators' rule on a day as a whole: at least half of every class, of every team and of
+ * The operators' rule on a scenario as a whole: at least half of every class, of every team and of
  * every class's largest jobs is served, and the largest begin within four minutes. Returns where
  * that is not so.
  */
--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -21,14 +21,14 @@
   cancelledAt: number | null;
   reportedDone: boolean;
   completedTasks: Set<number>;
-  /** When its user was last given an answer that says something, and first asked without one since. */
+  /** When its user's first request without a useful response was, since the last that had one. */
   unansweredSince: number | null;
   /** Tasks on machines by zone, and how many in all. */
   tasksByZone: Map<string, number>;
   tasksOnMachines: number;
   /** When as many of its tasks were on machines at one time as a gang has, or the first of an array. */
   startedAt: number | null;
-  /** Since when none of its tasks has been on a machine though there was room for them. */
+  /** Since when none of its tasks has been on a machine though there was capacity for them. */
   runnableSince: number | null;
 }
 
--- a/test/simulation/rules/observed-jobs.ts
+++ b/test/simulation/rules/observed-jobs.ts
@@ -3,7 +3,7 @@
 import { findNeglectedJobs } from './neglected-jobs.js';
 import { newObservedJob, visibleStateOf, type ObservedJob } from './observed-job.js';
 
-/** The jobs by id, and questions about them. */
+/** The jobs by id, and queries over them. */
 export class ObservedJobs {
   private readonly byId = new Map<string, ObservedJob>();
 
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -7,7 +7,7 @@
 } from './observed-job.js';
 import type { RuleContext } from './rule-context.js';
 
-/** Faults over, a job counts as forgotten after this time without any answer. */
+/** Faults over, a job counts as forgotten after this time without any response. */
 const UNANSWERED_MS = 75_000;
 
 const CHANGES: readonly VisibleChange[] = ['accepted', 'done', 'cancelled'];
--- a/test/simulation/scenarios/fault-scenario.ts
+++ b/test/simulation/scenarios/fault-scenario.ts
@@ -7,7 +7,7 @@
 /** Faults that coincide, and what shows that they did. */
 export interface FaultScenario {
   name: string;
-  /** What the jobs of the day have in common; the rest is drawn. */
+  /** What the jobs of the scenario have in common; the rest is drawn. */
   jobs: Partial<JobSpec>;
   jobCount: number;
   /** Where it is played, if not in the small deployment. */
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -14,7 +14,7 @@
 /** Quiet time in which the work has to be finished, and no rule may break. */
 const QUIET_MS = 400_000;
 
-/** Plays the day of a scenario in quiet surroundings; throws where a rule is broken. */
+/** Plays a scenario without other faults; throws where a rule is violated. */
 export function playScenario(
   scenario: FaultScenario,
   seed: number,
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -1,4 +1,4 @@
-/** A deployment put together: controllers, state service, cloud, machines, users, faults. */
+/** A deployment put together: controllers, state store, cloud, machines, users, faults. */
 import type { Logger } from '../../src/controller/runtime/runtime.js';
 import type { Platform, StateLimits } from '../../src/controller/settings/platform.js';
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
@@ -57,7 +57,7 @@
   readonly users: UserPopulation;
   readonly connectionFaults: ConnectionFaults;
   readonly machineFaults: MachineFaults;
-  /** Limits that the state service will have, by the controllers' settings. */
+  /** Limits that the state store will have, by the controllers' settings. */
   readonly upcomingStateLimits: StateLimits;
   /** No new faults from then on. */
   faultsStopped = false;
@@ -154,7 +154,7 @@
     return this.machines.replicasEnded;
   }
 
-  /** How often a worker's lease has run out. */
+  /** How often a worker's lease has expired. */
   get expiredLeases(): number {
     return this.machines.expiredLeases;
   }
@@ -201,7 +201,7 @@
     });
   }
 
-  /** Plays a day; the rules are checked after every step. */
+  /** Plays on for a time; throws as soon as a rule is violated or a controller logs an error. */
   play(ms: number): void {
     let nextTick = 0;
     this.clock.run(this.clock.now + ms, () => {
--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -116,14 +116,14 @@
     return true;
   }
 
-  /** The answer to a read of one key. */
+  /** The response to a read of one key. */
   read(key: string): Reply {
     const entry = this.entries.get(key);
     if (entry === undefined) return { status: 404, body: { ledger: this.ledger } };
     return { status: 200, body: { k: key, value: entry.value, stamp: entry.stamp } };
   }
 
-  /** The answer to a read of a page of the keys with a prefix, those after `after`. */
+  /** The response to a read of a page of the keys with a prefix, those after `after`. */
   readPage(prefix: string, after: string, limit: number): Reply {
     const keys = [...this.entries.keys()]
       .filter((key) => key.startsWith(prefix) && key > after)
