--- a/eslint.config.js
+++ b/eslint.config.js
@@ -43,18 +43,19 @@
     },
   },
   {
-    files: ['src/**/*.ts'],
-    // The lowest that all of src passes.
-    rules: { complexity: ['error', 12] },
-  },
-  {
-    files: ['src/**/*.ts'],
-    ignores: ['**/*.test.ts'],
+    files: ['src/**/*.ts', 'test/**/*.ts'],
     rules: {
+      // The lowest that all of the code passes.
+      complexity: ['error', 12],
       'max-lines': ['error', { max: 300 }],
-      'max-lines-per-function': ['error', { max: 40 }],
     },
   },
+  {
+    files: ['src/**/*.ts', 'test/**/*.ts'],
+    // In tests the callbacks of `describe` are functions that hold a whole suite.
+    ignores: ['**/*.test.ts'],
+    rules: { 'max-lines-per-function': ['error', { max: 40 }] },
+  },
   {
     files: ['src/**/*.ts'],
     ignores: ['**/*.test.ts'],
