--- a/test/mixed-versions/older-versions.ts
+++ b/test/mixed-versions/older-versions.ts
@@ -1,6 +1,6 @@
 /** Runs a suite against each older version that serves beside the present one, with several seeds. */
 import { describe, it } from 'node:test';
-import { olderVersions, type OlderVersion } from '../simulation/production.js';
+import { olderVersions, type OlderVersion } from '../simulation/program-history.js';
 
 const FIRST_SEED = Number(process.env['MIXED_FIRST'] ?? 1);
 
--- a/test/simulation/production.ts
+++ b/test/simulation/program-history.ts
@@ -4,12 +4,9 @@
 import { join } from 'node:path';
 import { fileURLToPath, pathToFileURL } from 'node:url';
 import { parse } from 'smol-toml';
-import type { Runtime, Timer } from '../../src/controller/runtime/runtime.js';
+import { onOlderRuntime } from './older-runtime.js';
 import type { ProgramVersion } from './program-version.js';
 
-type ControllerClass = typeof import('../../src/controller/controller.js').Controller;
-type ControllerArgumentsAfterRuntime =
-  ConstructorParameters<ControllerClass> extends [Runtime, ...infer Rest] ? Rest : never;
 type ControllerModule = typeof import('../../src/controller/controller.js');
 type PlatformModule = typeof import('../../src/controller/settings/platform.js');
 type PropertiesModule = typeof import('../../src/controller/settings/properties.js');
@@ -19,7 +16,7 @@
 export interface OlderVersion {
   /** How tests name it. */
   name: string;
-  /** Whether it knows jobs of the kind `service`, and writes within limits that the state service will have. */
+  /** Whether it knows jobs of the kind `service`, and writes within limits that the state store will have. */
   knowsServicesAndLimits: boolean;
   version: ProgramVersion;
 }
@@ -30,7 +27,7 @@
 /** The previous landing on the main branch. */
 const PREVIOUS_LANDING = '41e660f42774fdcc4b541cb925a56407228d98fd';
 
-/** The commit with which services and the state service's limits to come became known. */
+/** The commit with which services and the upcoming limits of the state store became known. */
 const SERVICES_AND_LIMITS_SINCE = 'f1ae35564a838d29cfab08cf281fba7d5f513b43';
 
 const root = fileURLToPath(new URL('../../', import.meta.url));
@@ -75,38 +72,6 @@
   return place;
 }
 
-/** The runtime interface as the older versions know it, where its names differ. */
-interface OlderRuntime extends Pick<Runtime, 'startedAt' | 'now' | 'random' | 'call' | 'sendPeer'> {
-  wall(): number;
-  soon(task: () => void): void;
-  timer(ms: number, task: () => void): Timer;
-  mayCall(to: string): boolean;
-}
-
-/** Today's runtime by the older names. */
-function olderRuntime(runtime: Runtime): OlderRuntime {
-  return {
-    startedAt: runtime.startedAt,
-    now: () => runtime.now(),
-    random: () => runtime.random(),
-    call: (call, done) => runtime.call(call, done),
-    sendPeer: (host, bytes) => runtime.sendPeer(host, bytes),
-    wall: () => runtime.wallClock(),
-    soon: (task) => runtime.defer(task),
-    timer: (ms, task) => runtime.startTimer(ms, task),
-    mayCall: (to) => runtime.hasSpareConnection(to),
-  };
-}
-
-/** An older version's controller that runs on today's runtime. */
-function onOlderRuntime(OlderController: ControllerClass): ControllerClass {
-  return class extends OlderController {
-    constructor(runtime: Runtime, ...rest: ControllerArgumentsAfterRuntime) {
-      super(olderRuntime(runtime) as unknown as Runtime, ...rest);
-    }
-  };
-}
-
 /** Loads the sources of a commit beside the present ones. */
 async function load(name: string, commit: string): Promise<ProgramVersion> {
   const base = pathToFileURL(join(extracted(commit), 'src', 'controller')).href;
