--- /dev/null
+++ b/test/simulation/faults/fault-combinations.ts
@@ -0,0 +1,41 @@
+/** Observes combinations of faults as they come about in a simulation. */
+import type { SimulatedDeployment } from '../simulated-deployment.js';
+import { NEW_MACHINE_MS } from './observed-events.js';
+
+/** A cancellation this long before or after the lead is given up falls into the hand-over. */
+const HAND_OVER_MS = 3000;
+const HAND_OVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
+
+/** Notes combinations of faults as they come about. */
+export function observeFaultCombinations(simulation: SimulatedDeployment): void {
+  const { checker, clock, stateStore, observedEvents } = simulation;
+  let cancelledAt = -Infinity;
+  let handedOverAt = -Infinity;
+  const handOver = (): void => {
+    if (Math.abs(cancelledAt - handedOverAt) <= HAND_OVER_MS)
+      observedEvents.record('cancelled at a handover');
+  };
+  checker.onVisibleChange.push((_, news) => {
+    if (news !== 'cancelled') return;
+    cancelledAt = clock.now;
+    handOver();
+    const { leader } = simulation;
+    if (leader !== null && stateStore.isRefusing(leader))
+      observedEvents.record('cancelled while the leader alone is refused');
+    if (checker.everyTeamAtLimit) observedEvents.record('cancelled with every team at its limit');
+  });
+  simulation.processes.onKill.push((_, leads) => {
+    if (leads && checker.everyTeamAtLimit)
+      observedEvents.record('leader killed with every team at its limit');
+  });
+  simulation.processes.onLog.push((text, fields) => {
+    const { reason } = fields as { reason?: string };
+    if (text !== 'no longer leader' || !HAND_OVER_REASONS.includes(reason ?? '')) return;
+    handedOverAt = clock.now;
+    handOver();
+  });
+  checker.onTaskStart.push(({ machine }) => {
+    if (simulation.cloud.ageMs(machine) < NEW_MACHINE_MS)
+      observedEvents.record('task started on a new machine');
+  });
+}
--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -1,6 +1,6 @@
 /** Faults of every kind at random times. */
 import type { Worker } from '../machines/worker.js';
-import type { Simulation } from '../simulation.js';
+import type { SimulatedDeployment } from '../simulated-deployment.js';
 
 /** Spot machines are taken so long after the notice. */
 const RECALL_MS = 10_000;
@@ -14,7 +14,7 @@
   restartMs: number;
 }
 
-type RandomFault = (simulation: Simulation, draw: Draw) => void;
+type RandomFault = (simulation: SimulatedDeployment, draw: Draw) => void;
 
 /** Kinds of faults, each as likely as the others. */
 const RANDOM_FAULTS: readonly RandomFault[] = [
@@ -42,7 +42,7 @@
 ];
 
 /** Injects a fault every now and then, until the simulation is calm. */
-export function injectRandomFaults(simulation: Simulation, everyMs: number): void {
+export function injectRandomFaults(simulation: SimulatedDeployment, everyMs: number): void {
   const { clock, random } = simulation;
   clock.after(everyMs * random.between(0.3, 1.7), () => {
     if (simulation.faultsStopped) return;
@@ -51,7 +51,7 @@
   });
 }
 
-function injectRandomFault(simulation: Simulation): void {
+function injectRandomFault(simulation: SimulatedDeployment): void {
   const { random, hosts, workers } = simulation;
   const draw: Draw = {
     host: random.pick(hosts),
@@ -62,16 +62,22 @@
   random.pick(RANDOM_FAULTS)(simulation, draw);
 }
 
-function cutWorker({ connectionFaults, hosts }: Simulation, { worker, durationMs }: Draw): void {
+function cutWorker(
+  { connectionFaults, hosts }: SimulatedDeployment,
+  { worker, durationMs }: Draw,
+): void {
   if (worker === undefined) return;
   for (const host of hosts) connectionFaults.cutFor(host, worker.id, durationMs);
 }
 
-function deafenWorker({ connectionFaults }: Simulation, { worker, durationMs }: Draw): void {
+function deafenWorker(
+  { connectionFaults }: SimulatedDeployment,
+  { worker, durationMs }: Draw,
+): void {
   if (worker !== undefined) connectionFaults.blockInbound(worker, durationMs);
 }
 
-function recallSpotMachine({ cloud, clock }: Simulation, { worker }: Draw): void {
+function recallSpotMachine({ cloud, clock }: SimulatedDeployment, { worker }: Draw): void {
   if (worker?.spot !== true) return;
   worker.noticeInterruption(RECALL_MS);
   clock.after(RECALL_MS, () => cloud.reclaim(worker.id));
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -1,7 +1,7 @@
 /** Scripted faults of controllers, and of their connections to everything else. */
 import type { Simulation } from '../../simulation.js';
 import { NEW_MACHINE_MS } from '../observed-events.js';
-import type { Injectors } from './fault.js';
+import type { Injectors } from './injectors.js';
 import { hostsOf, type OnControllers } from './targets.js';
 
 interface Restart {
--- a/test/simulation/faults/scripted/inject-faults.ts
+++ b/test/simulation/faults/scripted/inject-faults.ts
@@ -1,7 +1,8 @@
 /** Injects the faults of a scenario. */
 import type { Simulation } from '../../simulation.js';
 import { controllerFaults } from './controller-faults.js';
-import type { Fault, FaultKind, FaultParameters, Injectors } from './fault.js';
+import type { Fault, FaultKind, FaultParameters } from './fault.js';
+import type { Injectors } from './injectors.js';
 import { machineOutages } from './machine-outages.js';
 import { messageFaults } from './message-faults.js';
 import { stateStoreFaults } from './state-store-faults.js';
--- a/test/simulation/faults/scripted/machine-outages.ts
+++ b/test/simulation/faults/scripted/machine-outages.ts
@@ -1,5 +1,5 @@
 /** Scripted faults of machines, and of their connections to controllers. */
-import type { Injectors } from './fault.js';
+import type { Injectors } from './injectors.js';
 import { drawWorkers, type OnMachines } from './targets.js';
 
 /** Parameters of the faults of machines. */
--- a/test/simulation/faults/scripted/message-faults.ts
+++ b/test/simulation/faults/scripted/message-faults.ts
@@ -1,7 +1,7 @@
 /** Scripted faults of single messages between machines and controllers, and of the network's delay. */
 import { USUAL_MAX_LATENCY_MS } from '../../network.js';
 import type { Simulation } from '../../simulation.js';
-import type { Injectors } from './fault.js';
+import type { Injectors } from './injectors.js';
 
 interface HeartbeatReplay {
   /** Share of the heartbeats of which copies are kept. */
--- a/test/simulation/faults/scripted/state-store-faults.ts
+++ b/test/simulation/faults/scripted/state-store-faults.ts
@@ -1,5 +1,5 @@
 /** Scripted faults of the state store. */
-import type { Injectors } from './fault.js';
+import type { Injectors } from './injectors.js';
 import { hostsOf, type OnControllers } from './targets.js';
 
 /** Parameters of the faults of the state store. */
--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -3,7 +3,7 @@
 import type { Simulation } from '../../simulation.js';
 import { pollAfterChanges } from '../poll-after-changes.js';
 import { sendUnusualRequests } from '../unusual-requests.js';
-import type { FaultTiming, Injectors } from './fault.js';
+import type { FaultTiming, Injectors } from './injectors.js';
 import { hostsOf } from './targets.js';
 
 interface Cancellations {
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -6,7 +6,8 @@
 import type { Cloud } from './machines/cloud.js';
 import { ConnectionFaults } from './faults/connection-faults.js';
 import { Gangs } from './machines/gangs.js';
-import { ObservedEvents, observeFaultCombinations } from './faults/observed-events.js';
+import { observeFaultCombinations } from './faults/fault-combinations.js';
+import { ObservedEvents } from './faults/observed-events.js';
 import type { MachineContext } from './machines/machine-context.js';
 import { MachineFaults } from './faults/machine-faults.js';
 import type { Network } from './network.js';
@@ -16,6 +17,7 @@
 import { RuleChecker } from './rules/rule-checker.js';
 import type { Deployment } from './deployments/deployment.js';
 import { SeededRandom } from './seeded-random.js';
+import type { SimulatedDeployment } from './simulated-deployment.js';
 import {
   createCloud,
   createNetwork,
@@ -44,7 +46,7 @@
 }
 
 /** The controllers of a deployment with all that is around them, in virtual time. */
-export class Simulation {
+export class Simulation implements SimulatedDeployment {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
   readonly network: Network;
