--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -31,7 +31,7 @@
  */
 export class JobWatch {
   /** Everything that was confirmed by then is known; on this node's steady clock. */
-  private freshAsOf = -Infinity;
+  private lastReadSentAt = -Infinity;
   /** Knowledge from before then doesn't count: there was a gap. */
   private requiredReadAt = -Infinity;
   /** Of the last read; -1: none yet. */
@@ -53,7 +53,7 @@
   /** Starts to watch, after all active records were read with this revision by a read sent then. */
   start(revision: number, sentAt: number): void {
     this.revision = revision;
-    this.freshAsOf = Math.max(this.freshAsOf, sentAt);
+    this.lastReadSentAt = Math.max(this.lastReadSentAt, sentAt);
     this.watch(this.holdMs);
   }
 
@@ -65,13 +65,14 @@
   /** Whether workers may be answered, and anything commanded or placed, on what is known. */
   get isFresh(): boolean {
     return (
-      this.freshAsOf >= this.requiredReadAt && this.stalenessMs <= this.settings.maxWatchStalenessMs
+      this.lastReadSentAt >= this.requiredReadAt &&
+      this.stalenessMs <= this.settings.maxWatchStalenessMs
     );
   }
 
   /** Milliseconds since the last time of which everything is known. */
   get stalenessMs(): number {
-    return this.eventLoop.now() - this.freshAsOf;
+    return this.eventLoop.now() - this.lastReadSentAt;
   }
 
   /**
@@ -100,7 +101,7 @@
       if (changes.kind === 'failed')
         return this.schedule(request, this.watchIntervalMs, () => this.watch(0));
       this.revision = Math.max(this.revision, changes.value.revision);
-      this.freshAsOf = Math.max(this.freshAsOf, sentAt);
+      this.lastReadSentAt = Math.max(this.lastReadSentAt, sentAt);
       this.handler.onEvents(changes.value.events);
       this.schedule(request, this.watchIntervalMs, () => this.watch(this.holdMs));
     });
