--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -33,7 +33,7 @@
   /** Everything that was confirmed by then is known; on this node's steady clock. */
   private lastReadSentAt = -Infinity;
   /** Knowledge from before then doesn't count: there was a gap. */
-  private requiredReadAt = -Infinity;
+  private minReadSentAt = -Infinity;
   /** Of the last read; -1: none yet. */
   private revision = -1;
   /** Responses and timers of earlier requests are ignored. */
@@ -65,7 +65,7 @@
   /** Whether workers may be answered, and anything commanded or placed, on what is known. */
   get isFresh(): boolean {
     return (
-      this.lastReadSentAt >= this.requiredReadAt &&
+      this.lastReadSentAt >= this.minReadSentAt &&
       this.stalenessMs <= this.settings.maxWatchStalenessMs
     );
   }
@@ -80,7 +80,7 @@
    * read that is sent from now on has been answered.
    */
   requireFreshRead(): void {
-    this.requiredReadAt = this.eventLoop.now();
+    this.minReadSentAt = this.eventLoop.now();
     if (this.revision >= 0) this.watch(0);
   }
 
