--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -37,7 +37,7 @@
   /** Of the last read; -1: none yet. */
   private revision = -1;
   /** Responses and timers of earlier requests are ignored. */
-  private requestNumber = 0;
+  private lastRequestNumber = 0;
   private closed = false;
 
   constructor(
@@ -91,7 +91,7 @@
 
   private watch(holdMs: number): void {
     if (this.closed) return;
-    const request = ++this.requestNumber;
+    const request = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
     // A lost request must not keep the next one waiting for as long as its time-out lasts.
     if (holdMs > 0) this.schedule(request, holdMs * LOST_AFTER_HOLDS, () => this.watch(0));
@@ -109,7 +109,7 @@
 
   /** Reads all active records: the state store has forgotten the changes since the last read. */
   private readSnapshot(): void {
-    const request = ++this.requestNumber;
+    const request = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
     this.client.readPrefix(ACTIVE_PREFIX, this.holdMs, (snapshot) => {
       if (!this.isCurrent(request)) return;
@@ -136,6 +136,6 @@
   }
 
   private isCurrent(request: number): boolean {
-    return !this.closed && request === this.requestNumber;
+    return !this.closed && request === this.lastRequestNumber;
   }
 }
