--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -135,7 +135,7 @@
     });
   }
 
-  private isCurrent(request: number): boolean {
-    return !this.closed && request === this.lastRequestNumber;
+  private isCurrent(requestNumber: number): boolean {
+    return !this.closed && requestNumber === this.lastRequestNumber;
   }
 }
