--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -129,9 +129,9 @@
   }
 
   /** Runs the step after the delay, unless another request is sent before. */
-  private schedule(request: number, delayMs: number, step: () => void): void {
+  private schedule(requestNumber: number, delayMs: number, step: () => void): void {
     this.eventLoop.after(delayMs, 'follow-jobs', () => {
-      if (this.isCurrent(request)) step();
+      if (this.isCurrent(requestNumber)) step();
     });
   }
 
