--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -109,12 +109,12 @@
 
   /** Reads all active records: the state store has forgotten the changes since the last read. */
   private readSnapshot(): void {
-    const request = ++this.lastRequestNumber;
+    const requestNumber = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
     this.client.readPrefix(ACTIVE_PREFIX, this.holdMs, (snapshot) => {
-      if (!this.isCurrent(request)) return;
+      if (!this.isCurrent(requestNumber)) return;
       if (snapshot.kind === 'failed')
-        return this.schedule(request, this.snapshotIntervalMs, () => this.readSnapshot());
+        return this.schedule(requestNumber, this.snapshotIntervalMs, () => this.readSnapshot());
       this.handler.onSnapshot(snapshot.value.items);
       this.start(snapshot.value.revision, sentAt);
     });
