--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -91,19 +91,19 @@
 
   private watch(holdMs: number): void {
     if (this.closed) return;
-    const request = ++this.lastRequestNumber;
+    const requestNumber = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
     // A lost request must not keep the next one waiting for as long as its time-out lasts.
-    if (holdMs > 0) this.schedule(request, holdMs * LOST_AFTER_HOLDS, () => this.watch(0));
+    if (holdMs > 0) this.schedule(requestNumber, holdMs * LOST_AFTER_HOLDS, () => this.watch(0));
     this.client.watch(ACTIVE_PREFIX, this.revision, holdMs, (changes) => {
-      if (!this.isCurrent(request)) return;
+      if (!this.isCurrent(requestNumber)) return;
       if (changes.kind === 'too-old') return this.readSnapshot();
       if (changes.kind === 'failed')
-        return this.schedule(request, this.watchIntervalMs, () => this.watch(0));
+        return this.schedule(requestNumber, this.watchIntervalMs, () => this.watch(0));
       this.revision = Math.max(this.revision, changes.value.revision);
       this.lastReadSentAt = Math.max(this.lastReadSentAt, sentAt);
       this.handler.onEvents(changes.value.events);
-      this.schedule(request, this.watchIntervalMs, () => this.watch(this.holdMs));
+      this.schedule(requestNumber, this.watchIntervalMs, () => this.watch(this.holdMs));
     });
   }
 
