--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -95,14 +95,14 @@
     const sentAt = this.eventLoop.now();
     // A lost request must not keep the next one waiting for as long as its time-out lasts.
     if (holdMs > 0) this.schedule(requestNumber, holdMs * LOST_AFTER_HOLDS, () => this.watch(0));
-    this.client.watch(ACTIVE_PREFIX, this.revision, holdMs, (changes) => {
+    this.client.watch(ACTIVE_PREFIX, this.revision, holdMs, (result) => {
       if (!this.isCurrent(requestNumber)) return;
-      if (changes.kind === 'too-old') return this.readSnapshot();
-      if (changes.kind === 'failed')
+      if (result.kind === 'too-old') return this.readSnapshot();
+      if (result.kind === 'failed')
         return this.schedule(requestNumber, this.watchIntervalMs, () => this.watch(0));
-      this.revision = Math.max(this.revision, changes.value.revision);
+      this.revision = Math.max(this.revision, result.value.revision);
       this.lastReadSentAt = Math.max(this.lastReadSentAt, sentAt);
-      this.handler.onEvents(changes.value.events);
+      this.handler.onEvents(result.value.events);
       this.schedule(requestNumber, this.watchIntervalMs, () => this.watch(this.holdMs));
     });
   }
