--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -111,12 +111,12 @@
   private readSnapshot(): void {
     const requestNumber = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
-    this.client.readPrefix(ACTIVE_PREFIX, this.holdMs, (snapshot) => {
+    this.client.readPrefix(ACTIVE_PREFIX, this.holdMs, (result) => {
       if (!this.isCurrent(requestNumber)) return;
-      if (snapshot.kind === 'failed')
+      if (result.kind === 'failed')
         return this.schedule(requestNumber, this.snapshotIntervalMs, () => this.readSnapshot());
-      this.handler.onSnapshot(snapshot.value.items);
-      this.start(snapshot.value.revision, sentAt);
+      this.handler.onSnapshot(result.value.items);
+      this.start(result.value.revision, sentAt);
     });
   }
 
