--- a/src/controller/jobs/job-end-recorder.ts
+++ b/src/controller/jobs/job-end-recorder.ts
@@ -46,13 +46,13 @@
       [{ delete: activeKey(id) }, { put: terminalKey(id), value: terminalRecord('done', endedAt) }],
       (result) => {
         if (result === 'ok') this.onTerminal(job, 'done');
-        else this.readEnd(job);
+        else this.readTerminalState(job);
       },
     );
   }
 
   /** Reads the end of a job whose active record is gone, until it is found. */
-  readEnd(job: Job): void {
+  readTerminalState(job: Job): void {
     const timeoutMs = this.settings.leaderLeaseMs * READ_TIMEOUT_RATIO;
     this.client.budget.requestTokens.forceTake();
     this.client.read(terminalKey(job.spec.id), timeoutMs, (read) => {
@@ -67,7 +67,7 @@
     const delayMs = this.client.health.isUnavailable ? READ_RETRY_UNAVAILABLE_MS : READ_RETRY_MS;
     this.eventLoop.after(delayMs, 'find-end', () => {
       if (job.terminalState !== null) return;
-      if (job.ending === 'record-removed') return this.readEnd(job);
+      if (job.ending === 'record-removed') return this.readTerminalState(job);
       job.ending = null;
       this.recordDone(job);
     });
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -161,7 +161,7 @@
     if (job?.ending !== null) return;
     job.ending = 'record-removed';
     this.hooks.onRecordRemoved(job);
-    this.ends.readEnd(job);
+    this.ends.readTerminalState(job);
   }
 
   /** A node has confirmed that the job was cancelled. */
