--- a/src/controller/jobs/job-end-recorder.ts
+++ b/src/controller/jobs/job-end-recorder.ts
@@ -55,9 +55,9 @@
   readTerminalState(job: Job): void {
     const timeoutMs = this.settings.leaderLeaseMs * READ_TIMEOUT_RATIO;
     this.client.budget.requestTokens.forceTake();
-    this.client.read(terminalKey(job.spec.id), timeoutMs, (read) => {
+    this.client.read(terminalKey(job.spec.id), timeoutMs, (result) => {
       if (job.terminalState !== null) return;
-      const state = terminalStateIn(read);
+      const state = terminalStateIn(result);
       if (state !== null) this.onTerminal(job, state);
       else this.retryLater(job);
     });
