--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -33,7 +33,7 @@
   /** By id. */
   readonly jobs = new Map<string, Job>();
   private readonly completions: CompletionRecords;
-  private readonly ends: JobEndRecorder;
+  private readonly endRecorder: JobEndRecorder;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -45,7 +45,7 @@
     this.completions = new CompletionRecords(records, (job, task) =>
       hooks.onCompletionRecorded(job, task),
     );
-    this.ends = new JobEndRecorder(eventLoop, settings, client, records, (job, state) =>
+    this.endRecorder = new JobEndRecorder(eventLoop, settings, client, records, (job, state) =>
       this.terminate(job, state),
     );
   }
@@ -97,7 +97,7 @@
     for (const job of this.jobs.values()) {
       job.pending.retain((task) => job.done[task] !== 1 && !job.currentAssignments.has(task));
       if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) this.recoverGang(job);
-      if (job.isComplete) this.ends.recordDone(job);
+      if (job.isComplete) this.endRecorder.recordDone(job);
     }
   }
 
@@ -129,7 +129,7 @@
     if (job.isComplete) {
       // The terminal record tells all.
       this.completions.discard(job);
-      this.ends.recordDone(job);
+      this.endRecorder.recordDone(job);
     } else {
       this.completions.add(job, task);
     }
@@ -161,7 +161,7 @@
     if (job?.ending !== null) return;
     job.ending = 'record-removed';
     this.hooks.onRecordRemoved(job);
-    this.ends.readTerminalState(job);
+    this.endRecorder.readTerminalState(job);
   }
 
   /** A node has confirmed that the job was cancelled. */
