--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -32,7 +32,7 @@
 export class JobTable {
   /** By id. */
   readonly jobs = new Map<string, Job>();
-  private readonly completions: CompletionRecords;
+  private readonly completionRecords: CompletionRecords;
   private readonly endRecorder: JobEndRecorder;
 
   constructor(
@@ -42,7 +42,7 @@
     records: RecordStore,
     private readonly hooks: JobTableHooks,
   ) {
-    this.completions = new CompletionRecords(records, (job, task) =>
+    this.completionRecords = new CompletionRecords(records, (job, task) =>
       hooks.onCompletionRecorded(job, task),
     );
     this.endRecorder = new JobEndRecorder(eventLoop, settings, client, records, (job, state) =>
@@ -86,7 +86,7 @@
 
   /** Takes in the completions that the leaders before have recorded. */
   loadCompletions(): void {
-    this.completions.load(this.jobs);
+    this.completionRecords.load(this.jobs);
   }
 
   /**
@@ -128,10 +128,10 @@
     job.pending.remove(task);
     if (job.isComplete) {
       // The terminal record tells all.
-      this.completions.discard(job);
+      this.completionRecords.discard(job);
       this.endRecorder.recordDone(job);
     } else {
-      this.completions.add(job, task);
+      this.completionRecords.add(job, task);
     }
   }
 
@@ -147,7 +147,7 @@
 
   /** Writes the completions noted since the last call; called once a batch of events. */
   flushCompletions(): void {
-    this.completions.flush();
+    this.completionRecords.flush();
   }
 
   // ---- end
@@ -176,7 +176,7 @@
     job.pending.retain(() => false);
     job.reservation = null;
     this.jobs.delete(job.spec.id);
-    this.completions.remove(job);
+    this.completionRecords.remove(job);
     this.eventLoop.log.info({ job: job.spec.id, state, exits: job.exitCounts }, 'job ended');
     this.hooks.onTerminalState(job.spec.id, state);
     this.hooks.onJobTerminated(job);
