--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -26,7 +26,7 @@
  * have transactions of their own.
  */
 export class RecordedStates {
-  private readonly queriesOfActive: GroupCommit;
+  private readonly activeJobQueries: GroupCommit;
   private readonly queriesOfUnknown: GroupCommit;
   private readonly shared = new SharedRequests<RecordedStateCallback>();
 
@@ -38,7 +38,7 @@
       tokenReserve: tokenReserve.polls,
       minIntervalMs: settings.heartbeatIntervalMs / QUERIES_PER_HEARTBEAT,
     };
-    this.queriesOfActive = new GroupCommit(eventLoop, client, options);
+    this.activeJobQueries = new GroupCommit(eventLoop, client, options);
     this.queriesOfUnknown = new GroupCommit(eventLoop, client, options);
   }
 
@@ -60,7 +60,7 @@
     const active = this.context.jobStates.isActive(id);
     const conditions: Condition[] = [{ key: terminalKey(id), version: 0 }];
     if (!active) conditions.push({ key: activeKey(id), version: 0 });
-    const queued = (active ? this.queriesOfActive : this.queriesOfUnknown).add({
+    const queued = (active ? this.activeJobQueries : this.queriesOfUnknown).add({
       conditions,
       writes: [],
       onSent: () => request.seal(),
