--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -27,7 +27,7 @@
  */
 export class RecordedStates {
   private readonly activeJobQueries: GroupCommit;
-  private readonly queriesOfUnknown: GroupCommit;
+  private readonly otherJobQueries: GroupCommit;
   private readonly shared = new SharedRequests<RecordedStateCallback>();
 
   constructor(private readonly context: FrontendContext) {
@@ -39,7 +39,7 @@
       minIntervalMs: settings.heartbeatIntervalMs / QUERIES_PER_HEARTBEAT,
     };
     this.activeJobQueries = new GroupCommit(eventLoop, client, options);
-    this.queriesOfUnknown = new GroupCommit(eventLoop, client, options);
+    this.otherJobQueries = new GroupCommit(eventLoop, client, options);
   }
 
   /** Finds out the job's state: a terminal one from memory, any other from the state store. */
@@ -60,7 +60,7 @@
     const active = this.context.jobStates.isActive(id);
     const conditions: Condition[] = [{ key: terminalKey(id), version: 0 }];
     if (!active) conditions.push({ key: activeKey(id), version: 0 });
-    const queued = (active ? this.activeJobQueries : this.queriesOfUnknown).add({
+    const queued = (active ? this.activeJobQueries : this.otherJobQueries).add({
       conditions,
       writes: [],
       onSent: () => request.seal(),
