--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -28,7 +28,7 @@
 export class RecordedStates {
   private readonly activeJobQueries: GroupCommit;
   private readonly otherJobQueries: GroupCommit;
-  private readonly shared = new SharedRequests<RecordedStateCallback>();
+  private readonly sharedRequests = new SharedRequests<RecordedStateCallback>();
 
   constructor(private readonly context: FrontendContext) {
     const { eventLoop, client, settings } = context;
@@ -48,11 +48,11 @@
     const terminal = jobStates.terminalState(id);
     if (terminal !== undefined) return done(terminal);
     if (client.health.isUnavailable) return done('unknown');
-    if (!this.shared.join(id, done)) this.enqueue(id, done);
+    if (!this.sharedRequests.join(id, done)) this.enqueue(id, done);
   }
 
   private enqueue(id: string, done: RecordedStateCallback): void {
-    const request = this.shared.create(id, done);
+    const request = this.sharedRequests.create(id, done);
     const settle = (state: RecordedState): void => {
       request.seal();
       for (const waiter of request.waiters) waiter(state);
