--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -45,8 +45,8 @@
   /** Finds out the job's state: a terminal one from memory, any other from the state store. */
   query(id: string, done: RecordedStateCallback): void {
     const { jobStates, client } = this.context;
-    const terminal = jobStates.terminalState(id);
-    if (terminal !== undefined) return done(terminal);
+    const terminalState = jobStates.terminalState(id);
+    if (terminalState !== undefined) return done(terminalState);
     if (client.health.isUnavailable) return done('unknown');
     if (!this.sharedRequests.join(id, done)) this.enqueue(id, done);
   }
