--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -53,7 +53,7 @@
 
   private enqueue(id: string, done: RecordedStateCallback): void {
     const request = this.sharedRequests.create(id, done);
-    const settle = (state: RecordedState): void => {
+    const settleRequest = (state: RecordedState): void => {
       request.seal();
       for (const waiter of request.waiters) waiter(state);
     };
@@ -64,7 +64,7 @@
       conditions,
       writes: [],
       onSent: () => request.seal(),
-      done: (result) => this.resolve(id, active ? 'active' : 'absent', result, settle),
+      done: (result) => this.resolve(id, active ? 'active' : 'absent', result, settleRequest),
     });
     if (queued) request.open();
     else done('unknown');
