--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -57,14 +57,14 @@
       request.seal();
       for (const waiter of request.waiters) waiter(state);
     };
-    const active = this.context.jobStates.isActive(id);
+    const isActive = this.context.jobStates.isActive(id);
     const conditions: Condition[] = [{ key: terminalKey(id), version: 0 }];
-    if (!active) conditions.push({ key: activeKey(id), version: 0 });
-    const queued = (active ? this.activeJobQueries : this.otherJobQueries).add({
+    if (!isActive) conditions.push({ key: activeKey(id), version: 0 });
+    const queued = (isActive ? this.activeJobQueries : this.otherJobQueries).add({
       conditions,
       writes: [],
       onSent: () => request.seal(),
-      done: (result) => this.resolve(id, active ? 'active' : 'absent', result, settleRequest),
+      done: (result) => this.resolve(id, isActive ? 'active' : 'absent', result, settleRequest),
     });
     if (queued) request.open();
     else done('unknown');
