--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -70,14 +70,14 @@
     else done('unknown');
   }
 
-  /** @param expected - the state of a job for which all conditions hold */
+  /** @param stateIfUnchanged - the state of a job for which all conditions hold */
   private resolve(
     id: string,
-    expected: RecordedState,
+    stateIfUnchanged: RecordedState,
     result: TransactionResult,
     done: RecordedStateCallback,
   ): void {
-    if (result.kind === 'ok') done(expected);
+    if (result.kind === 'ok') done(stateIfUnchanged);
     else if (result.kind === 'conflict') this.resolveConflict(id, result.failedKeys, done);
     else done('unknown');
   }
