--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -96,8 +96,8 @@
   private readTerminalState(id: string, done: RecordedStateCallback): void {
     const { client, jobStates } = this.context;
     if (!client.budget.requestTokens.tryTake(1, tokenReserve.reads)) return done('unknown');
-    client.read(terminalKey(id), CALL_TIMEOUT_MS, (read) => {
-      const state = terminalStateIn(read);
+    client.read(terminalKey(id), CALL_TIMEOUT_MS, (result) => {
+      const state = terminalStateIn(result);
       if (state !== null) jobStates.markTerminal(id, state);
       done(state ?? 'unknown');
     });
