--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -13,7 +13,7 @@
 
 /** Accepts jobs. A submission is idempotent: a retried one is answered with the job's status. */
 export class Submissions {
-  private readonly shared = new SharedRequests<Respond>();
+  private readonly sharedRequests = new SharedRequests<Respond>();
 
   constructor(
     private readonly context: FrontendContext,
@@ -78,11 +78,11 @@
       return this.refuse(spec.id, refusal, respond);
     }
     if (client.health.isUnavailable) return respondRetryLater(this.context, respond);
-    if (!this.shared.join(spec.id, respond)) this.create(spec.id, value, respond);
+    if (!this.sharedRequests.join(spec.id, respond)) this.create(spec.id, value, respond);
   }
 
   private create(id: string, value: unknown, respond: Respond): void {
-    const request = this.shared.create(id, respond);
+    const request = this.sharedRequests.create(id, respond);
     const queued = this.context.writes.add({
       conditions: [
         { key: activeKey(id), version: 0 },
