--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -45,8 +45,8 @@
   private submitSpec(spec: JobSpec, respond: Respond): void {
     const { jobStates, settings, hooks } = this.context;
     const { id } = spec;
-    const terminal = jobStates.terminalState(id);
-    if (terminal !== undefined) return this.statusQueries.reply(id, terminal, respond);
+    const terminalState = jobStates.terminalState(id);
+    if (terminalState !== undefined) return this.statusQueries.reply(id, terminalState, respond);
     const admission = admit(spec, settings.platform.teams, hooks.machineTypes());
     if (admission.kind === 'refused')
       this.refuse(id, { status: 422, body: { error: admission.reason } }, respond);
