--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -52,7 +52,7 @@
       this.refuse(id, { status: 422, body: { error: admission.reason } }, respond);
     else if (admission.kind === 'undecided' || jobStates.isActive(id))
       this.replyUnlessAbsent(id, respond, () => respondRetryLater(this.context, respond));
-    else this.record(spec, respond);
+    else this.recordJob(spec, respond);
   }
 
   /**
@@ -70,7 +70,7 @@
     });
   }
 
-  private record(spec: JobSpec, respond: Respond): void {
+  private recordJob(spec: JobSpec, respond: Respond): void {
     const { eventLoop, client } = this.context;
     const value = activeRecord(spec, Math.round(eventLoop.runtime.wallClock()));
     if (storedSize(value) > client.budget.limits.maxValueSize) {
