--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -78,10 +78,10 @@
       return this.refuse(spec.id, refusal, respond);
     }
     if (client.health.isUnavailable) return respondRetryLater(this.context, respond);
-    if (!this.sharedRequests.join(spec.id, respond)) this.create(spec.id, value, respond);
+    if (!this.sharedRequests.join(spec.id, respond)) this.createRecord(spec.id, value, respond);
   }
 
-  private create(id: string, value: unknown, respond: Respond): void {
+  private createRecord(id: string, value: unknown, respond: Respond): void {
     const request = this.sharedRequests.create(id, respond);
     const queued = this.context.writes.add({
       conditions: [
