--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -90,13 +90,17 @@
       ],
       writes: [{ put: activeKey(id), value }],
       onSent: () => request.seal(),
-      done: (result) => this.settle(id, result, request),
+      done: (result) => this.handleResult(id, result, request),
     });
     if (queued) request.open();
     else respondRetryLater(this.context, respond);
   }
 
-  private settle(id: string, result: TransactionResult, request: SharedRequest<Respond>): void {
+  private handleResult(
+    id: string,
+    result: TransactionResult,
+    request: SharedRequest<Respond>,
+  ): void {
     if (result.kind === 'ok') this.accepted(id, result.revision, request);
     else if (result.kind === 'conflict')
       this.recordedStates.resolveConflict(id, result.failedKeys, (state) =>
