--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -101,7 +101,7 @@
     result: TransactionResult,
     request: SharedRequest<Respond>,
   ): void {
-    if (result.kind === 'ok') this.accepted(id, result.revision, request);
+    if (result.kind === 'ok') this.handleAccepted(id, result.revision, request);
     else if (result.kind === 'conflict')
       this.recordedStates.resolveConflict(id, result.failedKeys, (state) =>
         this.replyToAll(id, state, request),
@@ -109,7 +109,7 @@
     else this.replyToAll(id, 'unknown', request);
   }
 
-  private accepted(id: string, version: number, request: SharedRequest<Respond>): void {
+  private handleAccepted(id: string, version: number, request: SharedRequest<Respond>): void {
     this.context.jobStates.setActiveVersion(id, version);
     this.context.hooks.onAccepted(id);
     const body = writeJobStatus({ id, state: 'queued' });
