--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -36,8 +36,8 @@
   private attempt(cancellation: Cancellation): void {
     const { id, attemptsLeft, respond } = cancellation;
     const { jobStates, client } = this.context;
-    const terminal = jobStates.terminalState(id);
-    if (terminal !== undefined) return this.statusQueries.reply(id, terminal, respond);
+    const terminalState = jobStates.terminalState(id);
+    if (terminalState !== undefined) return this.statusQueries.reply(id, terminalState, respond);
     if (client.health.isUnavailable || attemptsLeft === 0)
       return respondRetryLater(this.context, respond);
     const version = jobStates.activeVersion(id);
