--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -53,8 +53,8 @@
     const { client } = this.context;
     if (!client.budget.requestTokens.tryTake(1, tokenReserve.submissions))
       return respondRetryLater(this.context, cancellation.respond);
-    client.read(activeKey(cancellation.id), CALL_TIMEOUT_MS, (read) =>
-      this.versionRead(cancellation, read),
+    client.read(activeKey(cancellation.id), CALL_TIMEOUT_MS, (result) =>
+      this.versionRead(cancellation, result),
     );
   }
 
