--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -58,11 +58,11 @@
     );
   }
 
-  private versionRead(cancellation: Cancellation, read: ReadResult<KeyValue | null>): void {
+  private versionRead(cancellation: Cancellation, result: ReadResult<KeyValue | null>): void {
     const { id, respond } = cancellation;
-    if (read.kind === 'failed') return respondRetryLater(this.context, respond);
-    if (read.value === null) return this.notActive(cancellation);
-    this.context.jobStates.setActiveVersion(id, read.value.version);
+    if (result.kind === 'failed') return respondRetryLater(this.context, respond);
+    if (result.value === null) return this.notActive(cancellation);
+    this.context.jobStates.setActiveVersion(id, result.value.version);
     this.attempt(cancellation);
   }
 
