--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -54,11 +54,11 @@
     if (!client.budget.requestTokens.tryTake(1, tokenReserve.submissions))
       return respondRetryLater(this.context, cancellation.respond);
     client.read(activeKey(cancellation.id), CALL_TIMEOUT_MS, (result) =>
-      this.versionRead(cancellation, result),
+      this.handleVersionRead(cancellation, result),
     );
   }
 
-  private versionRead(cancellation: Cancellation, result: ReadResult<KeyValue | null>): void {
+  private handleVersionRead(cancellation: Cancellation, result: ReadResult<KeyValue | null>): void {
     const { id, respond } = cancellation;
     if (result.kind === 'failed') return respondRetryLater(this.context, respond);
     if (result.value === null) return this.notActive(cancellation);
