--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -61,13 +61,13 @@
   private handleVersionRead(cancellation: Cancellation, result: ReadResult<KeyValue | null>): void {
     const { id, respond } = cancellation;
     if (result.kind === 'failed') return respondRetryLater(this.context, respond);
-    if (result.value === null) return this.notActive(cancellation);
+    if (result.value === null) return this.handleNotActive(cancellation);
     this.context.jobStates.setActiveVersion(id, result.value.version);
     this.attempt(cancellation);
   }
 
   /** No active record was found: the job has ended, was never accepted, or is being accepted. */
-  private notActive(cancellation: Cancellation): void {
+  private handleNotActive(cancellation: Cancellation): void {
     const { id, respond } = cancellation;
     this.context.jobStates.forgetActive(id);
     this.recordedStates.query(id, (state) => {
