--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -42,7 +42,7 @@
       return respondRetryLater(this.context, respond);
     const version = jobStates.activeVersion(id);
     if (version === undefined) this.readVersion(cancellation);
-    else this.write(cancellation, version);
+    else this.writeTerminalRecord(cancellation, version);
   }
 
   private retry(cancellation: Cancellation): void {
@@ -77,7 +77,7 @@
     });
   }
 
-  private write(cancellation: Cancellation, version: number): void {
+  private writeTerminalRecord(cancellation: Cancellation, version: number): void {
     const { id, respond } = cancellation;
     const { eventLoop, writes } = this.context;
     const endedAt = Math.round(eventLoop.runtime.wallClock());
