--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -90,12 +90,12 @@
         { delete: activeKey(id) },
         { put: terminalKey(id), value: terminalRecord('cancelled', endedAt) },
       ],
-      done: (result) => this.settle(cancellation, result),
+      done: (result) => this.handleResult(cancellation, result),
     });
     if (!queued) respondRetryLater(this.context, respond);
   }
 
-  private settle(cancellation: Cancellation, result: TransactionResult): void {
+  private handleResult(cancellation: Cancellation, result: TransactionResult): void {
     const { id, respond } = cancellation;
     const { jobStates, hooks } = this.context;
     if (result.kind === 'ok') {
