--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -22,7 +22,7 @@
 ): Admission {
   const team = teams.find(({ name }) => name === spec.team);
   if (team === undefined) return { kind: 'refused', reason: 'unknown team' };
-  const overLimit = reasonOfTeamLimit(spec, team);
+  const overLimit = teamLimitRefusal(spec, team);
   if (overLimit !== null) return { kind: 'refused', reason: overLimit };
   if (types === null) return { kind: 'undecided' };
   const unplaceable = reasonOfMachineTypes(spec, types);
@@ -31,7 +31,7 @@
 }
 
 /** Why tasks that have to run at the same time exceed the team's limit; null: they don't. */
-function reasonOfTeamLimit(spec: JobSpec, team: Team): string | null {
+function teamLimitRefusal(spec: JobSpec, team: Team): string | null {
   const concurrentTasks = runsConcurrently(spec) ? spec.tasks : 1;
   const exceeds = (perTask: number, max: number): boolean =>
     concurrentTasks * perTask > Settings.effectiveCap(max) + ROUNDING_TOLERANCE;
