--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -25,7 +25,7 @@
   const overLimit = teamLimitRefusal(spec, team);
   if (overLimit !== null) return { kind: 'refused', reason: overLimit };
   if (types === null) return { kind: 'undecided' };
-  const unplaceable = reasonOfMachineTypes(spec, types);
+  const unplaceable = machineTypeRefusal(spec, types);
   if (unplaceable !== null) return { kind: 'refused', reason: unplaceable };
   return { kind: 'admitted' };
 }
@@ -41,7 +41,7 @@
 }
 
 /** Why no machines could take the job even if all were free; null: some could. */
-function reasonOfMachineTypes(spec: JobSpec, types: readonly MachineType[]): string | null {
+function machineTypeRefusal(spec: JobSpec, types: readonly MachineType[]): string | null {
   const zones = zonesFor(spec, types);
   if (zones.size === 0) return 'a task fits no allowed machine type';
   if (!spec.spread || spec.tasks === 1 || !runsConcurrently(spec)) return null;
