--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -22,8 +22,8 @@
 ): Admission {
   const team = teams.find(({ name }) => name === spec.team);
   if (team === undefined) return { kind: 'refused', reason: 'unknown team' };
-  const overLimit = teamLimitRefusal(spec, team);
-  if (overLimit !== null) return { kind: 'refused', reason: overLimit };
+  const limitRefusal = teamLimitRefusal(spec, team);
+  if (limitRefusal !== null) return { kind: 'refused', reason: limitRefusal };
   if (types === null) return { kind: 'undecided' };
   const unplaceable = machineTypeRefusal(spec, types);
   if (unplaceable !== null) return { kind: 'refused', reason: unplaceable };
