--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -25,8 +25,8 @@
   const limitRefusal = teamLimitRefusal(spec, team);
   if (limitRefusal !== null) return { kind: 'refused', reason: limitRefusal };
   if (types === null) return { kind: 'undecided' };
-  const unplaceable = machineTypeRefusal(spec, types);
-  if (unplaceable !== null) return { kind: 'refused', reason: unplaceable };
+  const typeRefusal = machineTypeRefusal(spec, types);
+  if (typeRefusal !== null) return { kind: 'refused', reason: typeRefusal };
   return { kind: 'admitted' };
 }
 
