--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -33,10 +33,10 @@
 /** Why tasks that have to run at the same time exceed the team's limit; null: they don't. */
 function teamLimitRefusal(spec: JobSpec, team: Team): string | null {
   const concurrentTasks = runsConcurrently(spec) ? spec.tasks : 1;
-  const exceeds = (perTask: number, max: number): boolean =>
+  const exceedsLimit = (perTask: number, max: number): boolean =>
     concurrentTasks * perTask > Settings.effectiveCap(max) + ROUNDING_TOLERANCE;
-  if (exceeds(spec.cpus, team.maxCpus)) return 'more CPUs than the team may use';
-  if (exceeds(spec.gpus, team.maxGpus)) return 'more GPUs than the team may use';
+  if (exceedsLimit(spec.cpus, team.maxCpus)) return 'more CPUs than the team may use';
+  if (exceedsLimit(spec.gpus, team.maxGpus)) return 'more GPUs than the team may use';
   return null;
 }
 
