--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -17,11 +17,11 @@
 
 /** The value of a chunk's record: its bits, lowest task first, in base64. */
 function encodeChunk(job: Job, chunk: number): string {
-  const from = chunk * TASKS_PER_RECORD;
-  const size = Math.min(TASKS_PER_RECORD, job.spec.tasks - from);
+  const firstTask = chunk * TASKS_PER_RECORD;
+  const size = Math.min(TASKS_PER_RECORD, job.spec.tasks - firstTask);
   const bits = Buffer.alloc(Math.ceil(size / BITS_PER_BYTE));
   for (let index = 0; index < size; index++) {
-    if (job.done[from + index] !== 1) continue;
+    if (job.done[firstTask + index] !== 1) continue;
     const byte = index >> 3;
     bits[byte] = (bits[byte] ?? 0) | (1 << (index & 7));
   }
