--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -31,10 +31,10 @@
 /** Marks the tasks as done whose bits are set in the value of a chunk's record. */
 function decodeChunk(job: Job, chunk: number, value: string): void {
   const bits = Buffer.from(value, 'base64');
-  const from = chunk * TASKS_PER_RECORD;
-  const size = Math.min(TASKS_PER_RECORD, job.spec.tasks - from);
+  const firstTask = chunk * TASKS_PER_RECORD;
+  const size = Math.min(TASKS_PER_RECORD, job.spec.tasks - firstTask);
   for (let index = 0; index < size; index++) {
-    const task = from + index;
+    const task = firstTask + index;
     const set = ((bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
     if (!set || job.done[task] === 1) continue;
     job.done[task] = 1;
