--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -35,8 +35,8 @@
   const size = Math.min(TASKS_PER_RECORD, job.spec.tasks - firstTask);
   for (let index = 0; index < size; index++) {
     const task = firstTask + index;
-    const set = ((bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
-    if (!set || job.done[task] === 1) continue;
+    const isSet = ((bits[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
+    if (!isSet || job.done[task] === 1) continue;
     job.done[task] = 1;
     job.doneRecorded[task] = 1;
     job.doneCount++;
