--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -101,10 +101,10 @@
 
   private write(job: Job, tasks: readonly number[]): void {
     for (const chunk of new Set(tasks.map(chunkOf))) {
-      const inChunk = tasks.filter((task) => chunkOf(task) === chunk);
+      const chunkTasks = tasks.filter((task) => chunkOf(task) === chunk);
       const key = recordKey(job.spec.id, chunk);
       this.records.set(key, encodeChunk(job, chunk), 'urgent', () =>
-        this.markRecorded(job, inChunk),
+        this.markRecorded(job, chunkTasks),
       );
     }
   }
