--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -61,10 +61,11 @@
   /** Marks what the leaders before have recorded, and removes records of jobs that have ended. */
   load(jobs: ReadonlyMap<string, Job>): void {
     for (const { key, value } of this.records.list(KEY_PREFIX)) {
-      const [id = '', chunk] = key.slice(KEY_PREFIX.length).split('/');
+      const [id = '', chunkText] = key.slice(KEY_PREFIX.length).split('/');
       const job = jobs.get(id);
       if (job === undefined) this.records.set(key, undefined, 'deferrable');
-      else if (typeof value === 'string' && !job.isService) decodeChunk(job, Number(chunk), value);
+      else if (typeof value === 'string' && !job.isService)
+        decodeChunk(job, Number(chunkText), value);
     }
   }
 
