--- a/src/controller/jobs/job-progress.ts
+++ b/src/controller/jobs/job-progress.ts
@@ -12,25 +12,25 @@
  * shown: no rule depends on it.
  */
 export class ProgressCache {
-  private readonly jobs: BoundedMap<JobProgress>;
+  private readonly progressById: BoundedMap<JobProgress>;
 
   constructor(maxJobs = MAX_JOBS) {
-    this.jobs = new BoundedMap(maxJobs);
+    this.progressById = new BoundedMap(maxJobs);
   }
 
   /** Remembers what the leader has sent of a job. */
   set(progress: JobProgress): void {
-    this.jobs.set(progress.id, progress);
+    this.progressById.set(progress.id, progress);
   }
 
   /** Forgets a job that has ended. */
   delete(id: string): void {
-    this.jobs.delete(id);
+    this.progressById.delete(id);
   }
 
   /** The job's progress in the form that users get; null: nothing was received of it. */
   status(id: string): JobStatus | null {
-    const progress = this.jobs.get(id);
+    const progress = this.progressById.get(id);
     if (progress === undefined) return null;
     const { blocked, ...counts } = progress;
     return blocked === '' ? counts : { ...counts, blocked };
