--- a/src/controller/jobs/job-progress.ts
+++ b/src/controller/jobs/job-progress.ts
@@ -39,13 +39,13 @@
 
 /** Progress of the jobs whose progress has changed since the last call. */
 export function takeChangedProgress(jobs: Iterable<Job>): JobProgress[] {
-  const changed: JobProgress[] = [];
+  const changedProgress: JobProgress[] = [];
   for (const job of jobs) {
     if (!job.progressChanged) continue;
     job.progressChanged = false;
-    changed.push(progressOf(job));
+    changedProgress.push(progressOf(job));
   }
-  return changed;
+  return changedProgress;
 }
 
 function progressOf(job: Job): JobProgress {
