--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -69,15 +69,15 @@
 
   private tick(): void {
     const { peers, client, catalogue, role } = this.components;
-    const statuses = peers.recentStatuses(this.settings.heartbeatIntervalMs);
+    const peerStatuses = peers.recentStatuses(this.settings.heartbeatIntervalMs);
     client.budget.updateWriteShare(
-      statuses.map(({ host, leaderHost, wantedWrites }) => ({
+      peerStatuses.map(({ host, leaderHost, wantedWrites }) => ({
         isLeader: leaderHost === host,
         writesPerSecond: wantedWrites,
       })),
     );
     catalogue.refreshIfDue();
-    role.currentTerm?.tick(statuses, this.tickMs);
+    role.currentTerm?.tick(peerStatuses, this.tickMs);
   }
 
   // ---- what arrives from outside
