--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -27,7 +27,7 @@
   readonly watchRequests: WatchRequest[] = [];
   readonly snapshotRequests: Parameters<StateStoreClient['readPrefix']>[2][] = [];
   /** What the handler was told. */
-  readonly told: string[] = [];
+  readonly handlerCalls: string[] = [];
   readonly watch: JobWatch;
 
   constructor() {
@@ -37,8 +37,9 @@
       readPrefix: (_prefix, _timeoutMs, done) => void this.snapshotRequests.push(done),
     };
     this.watch = new JobWatch(new EventLoop(this.runtime, silentLogger), settings, client, {
-      onSnapshot: (items) => this.told.push(`all ${items.length}`),
-      onEvents: (events) => this.told.push(...events.map(({ kind, key }) => `${kind} ${key}`)),
+      onSnapshot: (items) => this.handlerCalls.push(`all ${items.length}`),
+      onEvents: (events) =>
+        this.handlerCalls.push(...events.map(({ kind, key }) => `${kind} ${key}`)),
     });
     this.watch.start(REVISION, this.runtime.now());
   }
@@ -61,7 +62,7 @@
   });
 
   it('is as stale as the time since the last answered read was sent, not answered', () => {
-    const { runtime, watch, told } = fixture;
+    const { runtime, watch, handlerCalls: told } = fixture;
     assert.ok(watch.isFresh);
     runtime.advance(2000);
     fixture.answer(8, [{ kind: 'delete', key: 'live/req-1' }]);
@@ -102,7 +103,7 @@
   });
 
   it('reads all active records when the state store has forgotten the changes since', () => {
-    const { runtime, watch, snapshotRequests, told } = fixture;
+    const { runtime, watch, snapshotRequests, handlerCalls: told } = fixture;
     runtime.advance(500);
     fixture.lastRequest.done({ kind: 'too-old' });
     runtime.advance(500);
@@ -113,7 +114,7 @@
   });
 
   it('reads all active records again when that has failed', () => {
-    const { runtime, snapshotRequests, told } = fixture;
+    const { runtime, snapshotRequests, handlerCalls: told } = fixture;
     fixture.lastRequest.done({ kind: 'too-old' });
     snapshotRequests[0]?.({ kind: 'failed' });
     runtime.advance(settings.heartbeatIntervalMs);
@@ -125,7 +126,7 @@
     fixture.watch.close();
     fixture.answer(8, [{ kind: 'delete', key: 'live/req-1' }]);
     fixture.runtime.advance(settings.leaderLeaseMs * 3);
-    assert.deepEqual(fixture.told, []);
+    assert.deepEqual(fixture.handlerCalls, []);
     assert.equal(fixture.watchRequests.length, 1);
   });
 });
