--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -84,13 +84,13 @@
 
   it('is fresh after a gap only once a read sent after it is answered', () => {
     const { runtime, watch } = fixture;
-    const before = fixture.lastRequest;
+    const requestBeforeGap = fixture.lastRequest;
     runtime.advance(100);
     watch.requireFreshRead();
     assert.ok(!watch.isFresh);
     assert.equal(fixture.lastRequest.holdMs, 0);
     assert.equal(fixture.lastRequest.revision, REVISION);
-    before.done({ kind: 'ok', value: { revision: 8, events: [] } });
+    requestBeforeGap.done({ kind: 'ok', value: { revision: 8, events: [] } });
     assert.ok(!watch.isFresh, 'a read from before the gap proves nothing');
     fixture.answer(8);
     assert.ok(watch.isFresh);
