--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -137,12 +137,12 @@
     assert.ok(
       (settings.maxWatchStalenessMs + settings.workerLeaseMs) / 1000 + 4 < workers.cancelDeadlineS,
     );
-    const tight = {
+    const platformWithShortDeadline = {
       ...standalonePlatform(),
       workers: { ...workers, cancelDeadlineS: workers.leaseS + 5 },
     };
     assert.throws(
-      () => new Settings(tight, defaultProperties()),
+      () => new Settings(platformWithShortDeadline, defaultProperties()),
       (err: Error) => err instanceof SettingsError && /cancel_s.*lease_s/.test(err.message),
     );
   });
