--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -238,12 +238,12 @@
       assert.deepEqual([job.pending.length, job.pending.has(2)], [1, true]);
     });
 
-    const gangs: [condition: string, attempts: number[], events: string[]][] = [
+    const gangCases: [condition: string, attempts: number[], events: string[]][] = [
       ['all members were assigned together', [4, 4], []],
       ['a member has no assignment', [4], [`incomplete gang ${ID}`]],
       ['members are of different attempts', [4, 5], [`incomplete gang ${ID}`]],
     ];
-    for (const [condition, attempts, events] of gangs)
+    for (const [condition, attempts, events] of gangCases)
       it(`has ${events.length === 0 ? 'no gang' : 'the gang'} stopped of which ${condition}`, () => {
         const job = fixture.add({ kind: 'gang' });
         const machine = new Machine('n-1', 0, settings);
