--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -25,7 +25,7 @@
 const settings = new Settings(standalonePlatform(), defaultProperties());
 
 type Transaction = Parameters<RecordStore['transact']>;
-type Read = (result: ReadResult<KeyValue | null>) => void;
+type ReadCallback = (result: ReadResult<KeyValue | null>) => void;
 
 /** A table whose transactions and reads the test answers. */
 class TableFixture {
@@ -33,7 +33,7 @@
   /** Hooks called, with the job or its id. */
   readonly events: string[] = [];
   readonly transactions: Transaction[] = [];
-  readonly reads: Read[] = [];
+  readonly reads: ReadCallback[] = [];
   readonly table: JobTable;
 
   constructor(stored: Record<string, unknown> = {}) {
@@ -43,7 +43,7 @@
     const client = {
       budget: { requestTokens: { forceTake: () => undefined } },
       health: { isUnavailable: false },
-      read: (_key: string, _timeoutMs: number, done: Read) => this.reads.push(done),
+      read: (_key: string, _timeoutMs: number, done: ReadCallback) => this.reads.push(done),
     } as unknown as StateStoreClient;
     const eventLoop = new EventLoop(this.runtime, silentLogger);
     this.table = new JobTable(eventLoop, settings, client, records, {
