--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -33,7 +33,7 @@
   /** Hooks called, with the job or its id. */
   readonly events: string[] = [];
   readonly transactions: Transaction[] = [];
-  readonly reads: ReadCallback[] = [];
+  readonly openReads: ReadCallback[] = [];
   readonly table: JobTable;
 
   constructor(stored: Record<string, unknown> = {}) {
@@ -43,7 +43,7 @@
     const client = {
       budget: { requestTokens: { forceTake: () => undefined } },
       health: { isUnavailable: false },
-      read: (_key: string, _timeoutMs: number, done: ReadCallback) => this.reads.push(done),
+      read: (_key: string, _timeoutMs: number, done: ReadCallback) => this.openReads.push(done),
     } as unknown as StateStoreClient;
     const eventLoop = new EventLoop(this.runtime, silentLogger);
     this.table = new JobTable(eventLoop, settings, client, records, {
@@ -67,7 +67,7 @@
   /** Answers the oldest open read of a terminal record. */
   answerRead(state: TerminalState | null): void {
     const value = state === null ? null : { key: '', version: 1, value: terminalRecord(state, 0) };
-    (this.reads.shift() ?? assert.fail('no read'))({ kind: 'ok', value });
+    (this.openReads.shift() ?? assert.fail('no read'))({ kind: 'ok', value });
   }
 
   /** Answers the oldest open transaction. */
@@ -208,9 +208,9 @@
       fixture.add();
       fixture.table.handleRecordRemoved(ID);
       for (const failed of [true, false]) {
-        if (failed) fixture.reads.shift()?.({ kind: 'failed' });
+        if (failed) fixture.openReads.shift()?.({ kind: 'failed' });
         else fixture.answerRead(null);
-        assert.equal(fixture.reads.length, 0);
+        assert.equal(fixture.openReads.length, 0);
         fixture.runtime.advance(READ_RETRY_MS);
       }
       fixture.answerRead('cancelled');
