--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -32,13 +32,13 @@
   readonly runtime = new ManualRuntime();
   /** Hooks called, with the job or its id. */
   readonly events: string[] = [];
-  readonly transactions: Transaction[] = [];
+  readonly openTransactions: Transaction[] = [];
   readonly openReads: ReadCallback[] = [];
   readonly table: JobTable;
 
   constructor(stored: Record<string, unknown> = {}) {
     const records = Object.assign(immediateRecords(stored), {
-      transact: (...transaction: Transaction) => void this.transactions.push(transaction),
+      transact: (...transaction: Transaction) => void this.openTransactions.push(transaction),
     });
     const client = {
       budget: { requestTokens: { forceTake: () => undefined } },
@@ -72,7 +72,7 @@
 
   /** Answers the oldest open transaction. */
   answerTransaction(result: 'ok' | 'conflict'): void {
-    const [, , done] = this.transactions.shift() ?? assert.fail('no transaction');
+    const [, , done] = this.openTransactions.shift() ?? assert.fail('no transaction');
     done(result);
   }
 }
@@ -122,7 +122,7 @@
       assert.deepEqual(fixture.events, ['recorded 0']);
       fixture.table.markDone(job, 1);
       fixture.table.flushCompletions();
-      const [conditions, writes] = fixture.transactions[0] ?? assert.fail('no transaction');
+      const [conditions, writes] = fixture.openTransactions[0] ?? assert.fail('no transaction');
       assert.deepEqual(conditions, [
         { key: 'live/req-1', version: VERSION },
         { key: 'final/req-1', version: 0 },
@@ -215,7 +215,7 @@
       }
       fixture.answerRead('cancelled');
       assert.deepEqual(fixture.events.slice(1), [`cancelled ${ID}`, `terminated ${ID}`]);
-      assert.equal(fixture.transactions.length, 0);
+      assert.equal(fixture.openTransactions.length, 0);
     });
   });
 
