--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -58,8 +58,8 @@
   }
 
   /** Adds a job of two tasks, and forgets the events of that. */
-  add(part: Partial<JobSpec> = {}): Job {
-    this.table.add(ID, activeRecord(arraySpec({ id: ID, ...part }), 0), VERSION);
+  add(overrides: Partial<JobSpec> = {}): Job {
+    this.table.add(ID, activeRecord(arraySpec({ id: ID, ...overrides }), 0), VERSION);
     this.events.length = 0;
     return this.table.jobs.get(ID) ?? assert.fail('not added');
   }
