--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -18,11 +18,11 @@
   it('marks the tasks as done that were recorded before, across the borders of records', () => {
     const records = immediateRecords();
     const recorded: number[] = [];
-    const before = acceptedJob({ id: ID, tasks: TASKS });
+    const recordedJob = acceptedJob({ id: ID, tasks: TASKS });
     const completions = new CompletionRecords(records, (_job, task) => recorded.push(task));
     for (const task of DONE) {
-      before.done[task] = 1;
-      completions.add(before, task);
+      recordedJob.done[task] = 1;
+      completions.add(recordedJob, task);
     }
     completions.flush();
     assert.deepEqual(recorded, DONE);
