--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -30,13 +30,13 @@
       [...records.list('p/')].map(({ key }) => key),
       ['p/req-1/0', 'p/req-1/1'],
     );
-    const after = acceptedJob({ id: ID, tasks: TASKS });
-    new CompletionRecords(records, ignore).load(new Map([[ID, after]]));
+    const loadedJob = acceptedJob({ id: ID, tasks: TASKS });
+    new CompletionRecords(records, ignore).load(new Map([[ID, loadedJob]]));
     assert.deepEqual(
-      [...after.done.entries()].filter(([, flag]) => flag === 1).map(([task]) => task),
+      [...loadedJob.done.entries()].filter(([, flag]) => flag === 1).map(([task]) => task),
       DONE,
     );
-    assert.equal(after.doneRecordedCount, DONE.length);
+    assert.equal(loadedJob.doneRecordedCount, DONE.length);
   });
 
   it('removes the records of a job that has ended', () => {
