--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -42,10 +42,10 @@
   it('removes the records of a job that has ended', () => {
     const records = immediateRecords();
     const completions = new CompletionRecords(records, ignore);
-    const ended = acceptedJob({ id: ID, tasks: TASKS });
-    for (const task of DONE) completions.add(ended, task);
+    const endedJob = acceptedJob({ id: ID, tasks: TASKS });
+    for (const task of DONE) completions.add(endedJob, task);
     completions.flush();
-    completions.remove(ended);
+    completions.remove(endedJob);
     assert.deepEqual([...records.list('p/')], []);
   });
 
