--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -10,7 +10,7 @@
 /** The first and last of records, and of bytes in them. */
 const DONE = [0, 7, 8, 8191, 8192, 9999];
 
-function ignore(): void {
+function ignoreRecorded(): void {
   // Nobody is told.
 }
 
@@ -31,7 +31,7 @@
       ['p/req-1/0', 'p/req-1/1'],
     );
     const loadedJob = acceptedJob({ id: ID, tasks: TASKS });
-    new CompletionRecords(records, ignore).load(new Map([[ID, loadedJob]]));
+    new CompletionRecords(records, ignoreRecorded).load(new Map([[ID, loadedJob]]));
     assert.deepEqual(
       [...loadedJob.done.entries()].filter(([, flag]) => flag === 1).map(([task]) => task),
       DONE,
@@ -41,7 +41,7 @@
 
   it('removes the records of a job that has ended', () => {
     const records = immediateRecords();
-    const completions = new CompletionRecords(records, ignore);
+    const completions = new CompletionRecords(records, ignoreRecorded);
     const endedJob = acceptedJob({ id: ID, tasks: TASKS });
     for (const task of DONE) completions.add(endedJob, task);
     completions.flush();
@@ -51,13 +51,13 @@
 
   it('removes records of jobs that are not known when they are loaded', () => {
     const records = immediateRecords({ 'p/req-0/0': 'AQ==' });
-    new CompletionRecords(records, ignore).load(new Map());
+    new CompletionRecords(records, ignoreRecorded).load(new Map());
     assert.ok(!records.has('p/req-0/0'));
   });
 
   it('writes nothing of a job whose completions were discarded', () => {
     const records = immediateRecords();
-    const completions = new CompletionRecords(records, ignore);
+    const completions = new CompletionRecords(records, ignoreRecorded);
     const job = acceptedJob({ id: ID });
     completions.add(job, 0);
     completions.discard(job);
