--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -8,7 +8,7 @@
 /** More than one record has room for. */
 const TASKS = 10_000;
 /** The first and last of records, and of bytes in them. */
-const DONE = [0, 7, 8, 8191, 8192, 9999];
+const DONE_TASKS = [0, 7, 8, 8191, 8192, 9999];
 
 function ignoreRecorded(): void {
   // Nobody is told.
@@ -20,12 +20,12 @@
     const recorded: number[] = [];
     const recordedJob = acceptedJob({ id: ID, tasks: TASKS });
     const completions = new CompletionRecords(records, (_job, task) => recorded.push(task));
-    for (const task of DONE) {
+    for (const task of DONE_TASKS) {
       recordedJob.done[task] = 1;
       completions.add(recordedJob, task);
     }
     completions.flush();
-    assert.deepEqual(recorded, DONE);
+    assert.deepEqual(recorded, DONE_TASKS);
     assert.deepEqual(
       [...records.list('p/')].map(({ key }) => key),
       ['p/req-1/0', 'p/req-1/1'],
@@ -34,16 +34,16 @@
     new CompletionRecords(records, ignoreRecorded).load(new Map([[ID, loadedJob]]));
     assert.deepEqual(
       [...loadedJob.done.entries()].filter(([, flag]) => flag === 1).map(([task]) => task),
-      DONE,
+      DONE_TASKS,
     );
-    assert.equal(loadedJob.doneRecordedCount, DONE.length);
+    assert.equal(loadedJob.doneRecordedCount, DONE_TASKS.length);
   });
 
   it('removes the records of a job that has ended', () => {
     const records = immediateRecords();
     const completions = new CompletionRecords(records, ignoreRecorded);
     const endedJob = acceptedJob({ id: ID, tasks: TASKS });
-    for (const task of DONE) completions.add(endedJob, task);
+    for (const task of DONE_TASKS) completions.add(endedJob, task);
     completions.flush();
     completions.remove(endedJob);
     assert.deepEqual([...records.list('p/')], []);
