--- a/src/controller/jobs/admission.test.ts
+++ b/src/controller/jobs/admission.test.ts
@@ -40,7 +40,7 @@
     it(`admits ${condition}`, () =>
       assert.deepEqual(admit(arraySpec(part), teams, types), { kind: 'admitted' }));
 
-  const refused: [condition: string, part: Partial<JobSpec>, reason: string][] = [
+  const refusedCases: [condition: string, part: Partial<JobSpec>, reason: string][] = [
     ['of an unknown team', { team: 'nobody' }, 'unknown team'],
     ['with a task beyond the limit on CPUs', { cpus: 8.1 }, tooManyCpus],
     ['with a task beyond the limit on GPUs', { gpus: 5 }, tooManyGpus],
@@ -52,7 +52,7 @@
     ['to spread over one zone', { kind: 'gang', spread: true, zone: 'a' }, tooFewZones],
     ['to spread within one zone', { kind: 'gang', spread: true, singleZone: true }, tooFewZones],
   ];
-  for (const [condition, part, reason] of refused)
+  for (const [condition, part, reason] of refusedCases)
     it(`refuses a job ${condition}`, () => {
       const expected: Admission = { kind: 'refused', reason };
       assert.deepEqual(admit(arraySpec(part), teams, types), expected);
