--- a/src/controller/jobs/admission.test.ts
+++ b/src/controller/jobs/admission.test.ts
@@ -21,7 +21,7 @@
 const tooFewZones = 'too few zones to scatter its tasks over';
 
 describe('admission', () => {
-  const admitted: [condition: string, part: Partial<JobSpec>][] = [
+  const admittedCases: [condition: string, part: Partial<JobSpec>][] = [
     ['an array of more tasks than may run at once', { tasks: 100 }],
     ['a gang that has all that its team may use', { kind: 'gang', tasks: 2, cpus: 4, gpus: 2 }],
     [
@@ -36,7 +36,7 @@
     ['a spread gang of one task in one zone', { kind: 'gang', tasks: 1, spread: true, zone: 'a' }],
     ['a spread array in one zone', { spread: true, zone: 'a' }],
   ];
-  for (const [condition, part] of admitted)
+  for (const [condition, part] of admittedCases)
     it(`admits ${condition}`, () =>
       assert.deepEqual(admit(arraySpec(part), teams, types), { kind: 'admitted' }));
 
