--- a/src/controller/jobs/admission.test.ts
+++ b/src/controller/jobs/admission.test.ts
@@ -52,10 +52,10 @@
     ['to spread over one zone', { kind: 'gang', spread: true, zone: 'a' }, tooFewZones],
     ['to spread within one zone', { kind: 'gang', spread: true, singleZone: true }, tooFewZones],
   ];
-  for (const [condition, part, reason] of refusedCases)
+  for (const [condition, overrides, reason] of refusedCases)
     it(`refuses a job ${condition}`, () => {
       const expected: Admission = { kind: 'refused', reason };
-      assert.deepEqual(admit(arraySpec(part), teams, types), expected);
+      assert.deepEqual(admit(arraySpec(overrides), teams, types), expected);
     });
 
   it('is undecided while machine types are not known, unless a limit refuses the job', () => {
