--- a/src/controller/jobs/admission.test.ts
+++ b/src/controller/jobs/admission.test.ts
@@ -36,9 +36,9 @@
     ['a spread gang of one task in one zone', { kind: 'gang', tasks: 1, spread: true, zone: 'a' }],
     ['a spread array in one zone', { spread: true, zone: 'a' }],
   ];
-  for (const [condition, part] of admittedCases)
+  for (const [condition, overrides] of admittedCases)
     it(`admits ${condition}`, () =>
-      assert.deepEqual(admit(arraySpec(part), teams, types), { kind: 'admitted' }));
+      assert.deepEqual(admit(arraySpec(overrides), teams, types), { kind: 'admitted' }));
 
   const refusedCases: [condition: string, part: Partial<JobSpec>, reason: string][] = [
     ['of an unknown team', { team: 'nobody' }, 'unknown team'],
