--- a/src/controller/jobs/submissions.test.ts
+++ b/src/controller/jobs/submissions.test.ts
@@ -64,7 +64,7 @@
 });
 
 describe('a submission of a service', () => {
-  const refusals: [rule: string, part: object, status: number][] = [
+  const refusalCases: [rule: string, part: object, status: number][] = [
     ['a gang names an estimate', { shape: 'gang' }, 400],
     ['an array names an estimate', { shape: 'batch' }, 400],
     ['the estimate is no negative number', { expect_s: -1 }, 400],
@@ -74,7 +74,7 @@
     ['the team is known', { crew: 'nobody' }, 422],
     ['replicas to spread find two zones', { scatter: true }, 422],
   ];
-  for (const [rule, part, status] of refusals)
+  for (const [rule, part, status] of refusalCases)
     it(`gets ${status} unless ${rule}`, () =>
       assert.equal(statusOfSubmission({ ...serviceSubmission, ...part }), status));
 });
