--- a/src/controller/jobs/submissions.test.ts
+++ b/src/controller/jobs/submissions.test.ts
@@ -74,7 +74,7 @@
     ['the team is known', { crew: 'nobody' }, 422],
     ['replicas to spread find two zones', { scatter: true }, 422],
   ];
-  for (const [rule, part, status] of refusalCases)
+  for (const [rule, overrides, status] of refusalCases)
     it(`gets ${status} unless ${rule}`, () =>
-      assert.equal(statusOfSubmission({ ...serviceSubmission, ...part }), status));
+      assert.equal(statusOfSubmission({ ...serviceSubmission, ...overrides }), status));
 });
