--- a/src/controller/jobs/frontend.test.ts
+++ b/src/controller/jobs/frontend.test.ts
@@ -28,12 +28,12 @@
     const cancelled = node.cancel(ID);
     assert.deepEqual([cancelled.status, jobStatusIn(cancelled)], [200, 'aborted']);
     const other = new FrontendNode(store);
-    const responses = [node, other, new FrontendNode(store)].flatMap((each) => [
-      each.submit(serviceSubmission),
-      each.poll(ID),
-      each.cancel(ID),
-      each.submit({ ...serviceSubmission, expect_s: 'soon' }),
-      each.submit({ ...serviceSubmission, duties: 99 }),
+    const responses = [node, other, new FrontendNode(store)].flatMap((anyNode) => [
+      anyNode.submit(serviceSubmission),
+      anyNode.poll(ID),
+      anyNode.cancel(ID),
+      anyNode.submit({ ...serviceSubmission, expect_s: 'soon' }),
+      anyNode.submit({ ...serviceSubmission, duties: 99 }),
     ]);
     assert.equal(responses.length, 15);
     for (const response of responses)
