--- a/src/controller/jobs/frontend.test.ts
+++ b/src/controller/jobs/frontend.test.ts
@@ -27,8 +27,8 @@
     node.submit(serviceSubmission);
     const cancelled = node.cancel(ID);
     assert.deepEqual([cancelled.status, jobStatusIn(cancelled)], [200, 'aborted']);
-    const other = new FrontendNode(store);
-    const responses = [node, other, new FrontendNode(store)].flatMap((anyNode) => [
+    const otherNode = new FrontendNode(store);
+    const responses = [node, otherNode, new FrontendNode(store)].flatMap((anyNode) => [
       anyNode.submit(serviceSubmission),
       anyNode.poll(ID),
       anyNode.cancel(ID),
