--- a/src/controller/jobs/job-progress.test.ts
+++ b/src/controller/jobs/job-progress.test.ts
@@ -38,11 +38,11 @@
       ['req-1', 'req-2'],
     );
     assert.deepEqual(takeChangedProgress(jobs), []);
-    const [first] = jobs;
-    assert.ok(first);
-    first.exitCounts = { error: 1 };
-    first.blockedReason = 'no room';
-    first.progressChanged = true;
+    const [firstJob] = jobs;
+    assert.ok(firstJob);
+    firstJob.exitCounts = { error: 1 };
+    firstJob.blockedReason = 'no room';
+    firstJob.progressChanged = true;
     assert.deepEqual(takeChangedProgress(jobs), [
       {
         id: 'req-1',
