--- a/src/controller/jobs/job-progress.test.ts
+++ b/src/controller/jobs/job-progress.test.ts
@@ -32,9 +32,9 @@
 describe('takeChangedProgress', () => {
   it('takes the progress of each job once after it has changed', () => {
     const jobs = [acceptedJob({ id: 'req-1' }), acceptedJob({ id: 'req-2' })];
-    const taken = takeChangedProgress(jobs);
+    const takenProgress = takeChangedProgress(jobs);
     assert.deepEqual(
-      taken.map(({ id }) => id),
+      takenProgress.map(({ id }) => id),
       ['req-1', 'req-2'],
     );
     assert.deepEqual(takeChangedProgress(jobs), []);
