--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -35,7 +35,7 @@
   /** Knowledge from before then doesn't count: there was a gap. */
   private minReadSentAt = -Infinity;
   /** Of the last read; -1: none yet. */
-  private revision = -1;
+  private lastRevision = -1;
   /** Responses and timers of earlier requests are ignored. */
   private lastRequestNumber = 0;
   private closed = false;
@@ -52,7 +52,7 @@
 
   /** Starts to watch, after all active records were read with this revision by a read sent then. */
   start(revision: number, sentAt: number): void {
-    this.revision = revision;
+    this.lastRevision = revision;
     this.lastReadSentAt = Math.max(this.lastReadSentAt, sentAt);
     this.watch(this.holdMs);
   }
@@ -81,7 +81,7 @@
    */
   requireFreshRead(): void {
     this.minReadSentAt = this.eventLoop.now();
-    if (this.revision >= 0) this.watch(0);
+    if (this.lastRevision >= 0) this.watch(0);
   }
 
   /** How long the state store is asked to hold a watch request that has no changes to tell. */
@@ -95,12 +95,12 @@
     const sentAt = this.eventLoop.now();
     // A lost request must not keep the next one waiting for as long as its time-out lasts.
     if (holdMs > 0) this.schedule(requestNumber, holdMs * LOST_AFTER_HOLDS, () => this.watch(0));
-    this.client.watch(ACTIVE_PREFIX, this.revision, holdMs, (result) => {
+    this.client.watch(ACTIVE_PREFIX, this.lastRevision, holdMs, (result) => {
       if (!this.isCurrent(requestNumber)) return;
       if (result.kind === 'too-old') return this.readSnapshot();
       if (result.kind === 'failed')
         return this.schedule(requestNumber, this.watchIntervalMs, () => this.watch(0));
-      this.revision = Math.max(this.revision, result.value.revision);
+      this.lastRevision = Math.max(this.lastRevision, result.value.revision);
       this.lastReadSentAt = Math.max(this.lastReadSentAt, sentAt);
       this.handler.onEvents(result.value.events);
       this.schedule(requestNumber, this.watchIntervalMs, () => this.watch(this.holdMs));
