--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -12,7 +12,7 @@
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
 
-/** Revision of the read that the watch starts from. */
+/** Revision of the read after which the watch starts. */
 const REVISION = 7;
 
 interface WatchRequest {
@@ -21,12 +21,12 @@
   done: Parameters<StateStoreClient['watch']>[3];
 }
 
-/** A watch whose clock and requests the test drives. */
+/** A watch whose clock is advanced, and whose requests are answered, by the test. */
 class WatchFixture {
   readonly runtime = new ManualRuntime();
   readonly watchRequests: WatchRequest[] = [];
   readonly snapshotRequests: Parameters<StateStoreClient['readPrefix']>[2][] = [];
-  /** What the handler was told. */
+  /** Calls of the handler, as text. */
   readonly handlerCalls: string[] = [];
   readonly watch: JobWatch;
 
@@ -61,16 +61,16 @@
     fixture = new WatchFixture();
   });
 
-  it('is as stale as the time since the last answered read was sent, not answered', () => {
-    const { runtime, watch, handlerCalls: told } = fixture;
+  it('measures staleness from when the last answered read was sent, not from its response', () => {
+    const { runtime, watch, handlerCalls } = fixture;
     assert.ok(watch.isFresh);
     runtime.advance(2000);
     fixture.answer(8, [{ kind: 'delete', key: 'live/req-1' }]);
-    assert.deepEqual(told, ['delete live/req-1']);
+    assert.deepEqual(handlerCalls, ['delete live/req-1']);
     assert.equal(watch.stalenessMs, 2000);
   });
 
-  it('is not fresh once it is staler than the settings allow, until a read is answered', () => {
+  it('is not fresh beyond the maximum staleness until a read is answered', () => {
     const { runtime, watch } = fixture;
     for (let ms = 0; ms < settings.maxWatchStalenessMs + 1000; ms += 100) {
       runtime.advance(100);
@@ -82,7 +82,7 @@
     assert.ok(watch.isFresh);
   });
 
-  it('is fresh after a gap only once a read sent after it is answered', () => {
+  it('is fresh after an interruption only once a read that was sent afterwards is answered', () => {
     const { runtime, watch } = fixture;
     const requestBeforeGap = fixture.lastRequest;
     runtime.advance(100);
@@ -91,38 +91,38 @@
     assert.equal(fixture.lastRequest.holdMs, 0);
     assert.equal(fixture.lastRequest.revision, REVISION);
     requestBeforeGap.done({ kind: 'ok', value: { revision: 8, events: [] } });
-    assert.ok(!watch.isFresh, 'a read from before the gap proves nothing');
+    assert.ok(!watch.isFresh, 'a read sent before the interruption made the watch fresh');
     fixture.answer(8);
     assert.ok(watch.isFresh);
   });
 
-  it('sends another request when one is lost', () => {
+  it('sends another request when one gets no response', () => {
     fixture.runtime.advance(settings.leaderLeaseMs * 2 + 1);
     assert.equal(fixture.watchRequests.length, 2);
     assert.equal(fixture.lastRequest.holdMs, 0);
   });
 
-  it('reads all active records when the state store has forgotten the changes since', () => {
-    const { runtime, watch, snapshotRequests, handlerCalls: told } = fixture;
+  it('reads all active records when the state store no longer has the changes', () => {
+    const { runtime, watch, snapshotRequests, handlerCalls } = fixture;
     runtime.advance(500);
     fixture.lastRequest.done({ kind: 'too-old' });
     runtime.advance(500);
     snapshotRequests[0]?.({ kind: 'ok', value: { items: [], revision: 30_000 } });
-    assert.deepEqual(told, ['all 0']);
+    assert.deepEqual(handlerCalls, ['all 0']);
     assert.equal(watch.stalenessMs, 500);
     assert.equal(fixture.lastRequest.revision, 30_000);
   });
 
-  it('reads all active records again when that has failed', () => {
-    const { runtime, snapshotRequests, handlerCalls: told } = fixture;
+  it('reads all active records again after a failed attempt', () => {
+    const { runtime, snapshotRequests, handlerCalls } = fixture;
     fixture.lastRequest.done({ kind: 'too-old' });
     snapshotRequests[0]?.({ kind: 'failed' });
     runtime.advance(settings.heartbeatIntervalMs);
     assert.equal(snapshotRequests.length, 2);
-    assert.deepEqual(told, []);
+    assert.deepEqual(handlerCalls, []);
   });
 
-  it('tells nothing once closed', () => {
+  it('calls no handler and sends no request after it is closed', () => {
     fixture.watch.close();
     fixture.answer(8, [{ kind: 'delete', key: 'live/req-1' }]);
     fixture.runtime.advance(settings.leaderLeaseMs * 3);
@@ -131,8 +131,8 @@
   });
 });
 
-describe('the bound on the staleness of the watch', () => {
-  it('lets cancelled tasks end in time, or the settings are refused', () => {
+describe('the maximum staleness of the watch', () => {
+  it('leaves enough time to stop cancelled tasks, or the settings are rejected', () => {
     const { workers } = standalonePlatform();
     assert.ok(
       (settings.maxWatchStalenessMs + settings.workerLeaseMs) / 1000 + 4 < workers.cancelDeadlineS,
--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -1,42 +1,46 @@
-/** The leader's watch on the active jobs, with a bound on its staleness. */
+/** The leader's watch on the active jobs, which tracks how stale its view is. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import type { KeyValue, WatchEvent } from '../wire/state.js';
 import { ACTIVE_PREFIX } from './job-records.js';
 
-/** Receives what the watch reads. */
+/** Receives the results of the watch. */
 export interface JobWatchHandler {
-  /** The active records of all jobs, read anew: any other job has ended. */
+  /** Receives the active records of all jobs. Any job that is not among them has ended. */
   onSnapshot(items: KeyValue[]): void;
-  /** Changes of active records, in their order. */
+  /** Receives changes of active records in the order in which they were made. */
   onEvents(events: WatchEvent[]): void;
 }
 
-/** A watch request without a response for this many times its hold is taken for lost. */
+/** A watch request counts as lost if it has no response after this many times its hold time. */
 const LOST_AFTER_HOLDS = 2;
-/** Watch requests in a heartbeat interval, at most: changes that come together are taken together. */
+/**
+ * Maximum number of watch requests per heartbeat interval. Pausing between two requests lets one
+ * response carry several changes.
+ */
 const WATCHES_PER_HEARTBEAT = 20;
-/** Attempts to read all active records in a heartbeat interval, at most. */
+/** Maximum number of attempts per heartbeat interval to read all active records. */
 const SNAPSHOTS_PER_HEARTBEAT = 10;
 
 /**
- * Which jobs are active, as the state store tells, and how old that knowledge is (invariant 8).
+ * Follows the active records in the state store, and measures how stale the result may be.
  *
- * A worker that gets a response goes on with what it runs for a whole lease. So whoever responds
- * guarantees that every cancellation confirmed to a user is known here, or is younger than a bound
- * from the settings (`Settings.maxWatchStalenessMs`). The leader's own lease doesn't prove that: it
- * may be renewed while watches are refused, delayed or slow. What proves it is a read of the state
- * store that has been answered: it shows all that was confirmed before the read was sent.
+ * A worker that receives a response keeps its tasks running for another worker lease. A node may
+ * therefore answer a worker only if it knows every cancellation that was confirmed to a user more
+ * than `Settings.maxWatchStalenessMs` ago (invariant 8). Holding the leader's lease doesn't
+ * guarantee this, because the lease may be renewed while watch requests are refused or delayed. An
+ * answered read of the state store does: it shows everything that was confirmed before the read
+ * was sent.
  */
 export class JobWatch {
-  /** Everything that was confirmed by then is known; on this node's steady clock. */
+  /** When the latest answered read was sent, by this node's monotonic clock. */
   private lastReadSentAt = -Infinity;
-  /** Knowledge from before then doesn't count: there was a gap. */
+  /** Reads that were sent before this time don't make the view fresh; see `requireFreshRead`. */
   private minReadSentAt = -Infinity;
-  /** Of the last read; -1: none yet. */
+  /** Revision of the last read; -1 before the first one. */
   private lastRevision = -1;
-  /** Responses and timers of earlier requests are ignored. */
+  /** Number of the last request. Responses and timers of earlier requests are ignored. */
   private lastRequestNumber = 0;
   private closed = false;
 
@@ -50,19 +54,27 @@
     private readonly handler: JobWatchHandler,
   ) {}
 
-  /** Starts to watch, after all active records were read with this revision by a read sent then. */
+  /**
+   * Starts to watch for changes made after a read of all active records.
+   *
+   * @param revision - revision of the state store that the read returned
+   * @param sentAt - when the read was sent, by this node's monotonic clock
+   */
   start(revision: number, sentAt: number): void {
     this.lastRevision = revision;
     this.lastReadSentAt = Math.max(this.lastReadSentAt, sentAt);
     this.watch(this.holdMs);
   }
 
-  /** Ends the watch: the handler is not called any more. */
+  /** Stops the watch. The handler is not called afterwards. */
   close(): void {
     this.closed = true;
   }
 
-  /** Whether workers may be answered, and anything commanded or placed, on what is known. */
+  /**
+   * True if the view is recent enough to answer workers, send commands and place tasks
+   * (invariant 8: no cancellation may be unknown that was confirmed longer ago than the limit).
+   */
   get isFresh(): boolean {
     return (
       this.lastReadSentAt >= this.minReadSentAt &&
@@ -70,21 +82,21 @@
     );
   }
 
-  /** Milliseconds since the last time of which everything is known. */
+  /** Milliseconds since the latest answered read was sent. */
   get stalenessMs(): number {
     return this.eventLoop.now() - this.lastReadSentAt;
   }
 
   /**
-   * There was a gap, in the leader's lease for instance: what is known is fresh again only once a
-   * read that is sent from now on has been answered.
+   * Makes the view stale until a read that is sent from now on has been answered. Called after an
+   * interruption, for instance when the leader's lease had expired before it was renewed.
    */
   requireFreshRead(): void {
     this.minReadSentAt = this.eventLoop.now();
     if (this.lastRevision >= 0) this.watch(0);
   }
 
-  /** How long the state store is asked to hold a watch request that has no changes to tell. */
+  /** How long the state store is asked to hold a watch request while there are no changes. */
   private get holdMs(): number {
     return this.settings.leaderLeaseMs;
   }
@@ -93,7 +105,7 @@
     if (this.closed) return;
     const requestNumber = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
-    // A lost request must not keep the next one waiting for as long as its time-out lasts.
+    // Don't wait for the time-out of a lost request before sending the next one.
     if (holdMs > 0) this.schedule(requestNumber, holdMs * LOST_AFTER_HOLDS, () => this.watch(0));
     this.client.watch(ACTIVE_PREFIX, this.lastRevision, holdMs, (result) => {
       if (!this.isCurrent(requestNumber)) return;
@@ -107,7 +119,7 @@
     });
   }
 
-  /** Reads all active records: the state store has forgotten the changes since the last read. */
+  /** Reads all active records, because the state store has dropped changes since the last read. */
   private readSnapshot(): void {
     const requestNumber = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
@@ -128,7 +140,7 @@
     return this.settings.heartbeatIntervalMs / SNAPSHOTS_PER_HEARTBEAT;
   }
 
-  /** Runs the step after the delay, unless another request is sent before. */
+  /** Runs the step after the delay, unless another request has been sent by then. */
   private schedule(requestNumber: number, delayMs: number, step: () => void): void {
     this.eventLoop.after(delayMs, 'follow-jobs', () => {
       if (this.isCurrent(requestNumber)) step();
