--- a/src/controller/jobs/job-end-recorder.ts
+++ b/src/controller/jobs/job-end-recorder.ts
@@ -1,4 +1,4 @@
-/** How the leader's jobs pass from active to terminal on record. */
+/** Records the end of the leader's jobs, and reads their recorded terminal states. */
 import type { Job } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
@@ -7,20 +7,22 @@
 import type { TerminalState } from '../wire/jobs.js';
 import { activeKey, terminalKey, terminalRecord, terminalStateIn } from './job-records.js';
 
-/** Waits before an end that could not be read is read again, in milliseconds. */
+/** Delay before a failed attempt is repeated, in milliseconds. */
 const READ_RETRY_MS = 200;
+/** The same while the state store is unavailable. */
 const READ_RETRY_UNAVAILABLE_MS = 1000;
 
-/** Time-out of reading an end, as a share of the leader's lease. */
+/** Time-out for reading a terminal record, as a ratio of the leader's lease. */
 const READ_TIMEOUT_RATIO = 1 / 4;
 
 /**
- * Records that jobs are done, and reads how jobs have ended that others ended. How a job ended is
- * never inferred (invariant 3): a leader that was replaced without knowing it sees its successor's
- * deletions of active records too.
+ * Records that jobs are done, and reads the terminal states of jobs that another node has ended. A
+ * terminal state never changes once reported (invariant 3), so it is never inferred from the
+ * removal of an active record: a leader that was replaced without noticing also sees the active
+ * records that its successor removes, and those jobs may be done rather than cancelled.
  */
 export class JobEndRecorder {
-  /** @param onTerminal - a job's terminal state is on record; may be called more than once */
+  /** @param onTerminal - called, possibly more than once, when a terminal state has been recorded */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
@@ -30,8 +32,8 @@
   ) {}
 
   /**
-   * Replaces the active record of a completed job by its terminal one, in one transaction. If a
-   * cancellation came first the job is cancelled.
+   * Replaces the active record of a completed job by its terminal record in one transaction. If a
+   * cancellation was recorded first, the job ends as cancelled.
    */
   recordDone(job: Job): void {
     if (job.ending !== null || job.terminalState !== null) return;
@@ -51,7 +53,7 @@
     );
   }
 
-  /** Reads the end of a job whose active record is gone, until it is found. */
+  /** Reads the terminal record of a job without an active one, and retries until it is found. */
   readTerminalState(job: Job): void {
     const timeoutMs = this.settings.leaderLeaseMs * READ_TIMEOUT_RATIO;
     this.client.budget.requestTokens.forceTake();
--- a/src/controller/jobs/job-records.ts
+++ b/src/controller/jobs/job-records.ts
@@ -1,4 +1,4 @@
-/** Keys and values of jobs in the state store, which every controller reads and writes. */
+/** Keys and values of job records in the state store. All controllers read and write them. */
 import type { ReadResult } from '../store/results.js';
 import { isMap } from '../wire/cbor.js';
 import { WireError } from '../wire/fields.js';
@@ -8,47 +8,48 @@
 /** Prefix of the keys of active jobs. */
 export const ACTIVE_PREFIX = 'live/';
 
-/** Prefix of the keys of jobs that have ended. */
+/** Prefix of the keys of terminal jobs. */
 const TERMINAL_PREFIX = 'final/';
 
-/** The key of a job that was accepted and has not ended. */
+/** Returns the key of a job's active record, which exists from its acceptance to its end. */
 export function activeKey(id: string): string {
   return ACTIVE_PREFIX + id;
 }
 
 /**
- * The key that tells how a job has ended. It never exists together with the active one, and is
- * never removed (invariants 2 and 3).
+ * Returns the key of a job's terminal record. One transaction replaces the active record by it, so
+ * the two never exist together (invariant 3). It is never removed, so that a submission that the
+ * network delivers late cannot create the job again (invariant 2).
  */
 export function terminalKey(id: string): string {
   return TERMINAL_PREFIX + id;
 }
 
-/** An active job as it is stored. */
+/** Content of a job's active record. */
 export interface ActiveRecord {
   spec: JobSpec;
-  /** Time of acceptance by the wall clock in milliseconds; null: not on record. */
+  /** Time of acceptance in wall clock milliseconds; null if the record has none. */
   acceptedAt: number | null;
 }
 
-/** The value of a job's active key; `acceptedAt` is the wall clock in milliseconds. */
+/** Returns the value of an active record; `acceptedAt` is in wall clock milliseconds. */
 export function activeRecord(spec: JobSpec, acceptedAt: number): unknown {
   return { job: writeJobSpec(spec), at: acceptedAt };
 }
 
-/** Reads the value of an active key; throws a WireError that names what is malformed. */
+/** Parses the value of an active record. Throws a `WireError` that names the malformed field. */
 export function readActiveRecord(value: unknown): ActiveRecord {
   if (!isMap(value)) throw new WireError('job record: expected a map');
   const { job, at } = value;
   return { spec: readJobSpec(job), acceptedAt: typeof at === 'number' ? at : null };
 }
 
-/** The value of a job's terminal key; `endedAt` is the wall clock in milliseconds. */
+/** Returns the value of a terminal record; `endedAt` is in wall clock milliseconds. */
 export function terminalRecord(state: TerminalState, endedAt: number): unknown {
   return { state, at: endedAt };
 }
 
-/** Reads the value of a terminal key; null: it is malformed. */
+/** Parses the value of a terminal record. Returns null if it is malformed. */
 export function readTerminalState(value: unknown): TerminalState | null {
   if (!isMap(value)) return null;
   const { state } = value;
@@ -56,8 +57,8 @@
 }
 
 /**
- * The terminal state in what was read under a terminal key. Null: nothing is stored there, or it
- * could not be read. A malformed record counts as one that could not be read.
+ * Returns the terminal state from the result of reading a terminal record, or null if the read has
+ * failed, the record does not exist or it is malformed.
  */
 export function terminalStateIn(read: ReadResult<KeyValue | null>): TerminalState | null {
   return read.kind === 'ok' && read.value !== null ? readTerminalState(read.value.value) : null;
--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -17,9 +17,9 @@
 import { JobTable } from './job-table.js';
 
 const ID = 'req-1';
-/** Version of the job's active record. */
+/** Version of the active record of the job. */
 const VERSION = 7;
-/** Longer than any wait before an end is read again. */
+/** At least the delay before a terminal record is read again, in milliseconds. */
 const READ_RETRY_MS = 1000;
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
@@ -27,10 +27,10 @@
 type Transaction = Parameters<RecordStore['transact']>;
 type ReadCallback = (result: ReadResult<KeyValue | null>) => void;
 
-/** A table whose transactions and reads the test answers. */
+/** A job table whose transactions and reads are answered by the test. */
 class TableFixture {
   readonly runtime = new ManualRuntime();
-  /** Hooks called, with the job or its id. */
+  /** Calls of the hooks, as text. */
   readonly events: string[] = [];
   readonly openTransactions: Transaction[] = [];
   readonly openReads: ReadCallback[] = [];
@@ -57,22 +57,22 @@
     });
   }
 
-  /** Adds a job of two tasks, and forgets the events of that. */
+  /** Adds a job of two tasks, then clears the recorded events. */
   add(overrides: Partial<JobSpec> = {}): Job {
     this.table.add(ID, activeRecord(arraySpec({ id: ID, ...overrides }), 0), VERSION);
     this.events.length = 0;
-    return this.table.jobs.get(ID) ?? assert.fail('not added');
+    return this.table.jobs.get(ID) ?? assert.fail('the job was not added');
   }
 
-  /** Answers the oldest open read of a terminal record. */
+  /** Answers the oldest open read of a terminal record; null: there is no such record. */
   answerRead(state: TerminalState | null): void {
     const value = state === null ? null : { key: '', version: 1, value: terminalRecord(state, 0) };
-    (this.openReads.shift() ?? assert.fail('no read'))({ kind: 'ok', value });
+    (this.openReads.shift() ?? assert.fail('no open read'))({ kind: 'ok', value });
   }
 
   /** Answers the oldest open transaction. */
   answerTransaction(result: 'ok' | 'conflict'): void {
-    const [, , done] = this.openTransactions.shift() ?? assert.fail('no transaction');
+    const [, , done] = this.openTransactions.shift() ?? assert.fail('no open transaction');
     done(result);
   }
 }
@@ -84,8 +84,8 @@
     fixture = new TableFixture();
   });
 
-  describe('when a job becomes known', () => {
-    it('adds it once, and says that its tasks are pending', () => {
+  describe('when a job is added', () => {
+    it('adds it only once, and reports pending tasks', () => {
       const record = activeRecord(arraySpec({ id: ID }), 0);
       fixture.table.add(ID, record, VERSION);
       fixture.table.add(ID, record, VERSION + 1);
@@ -94,13 +94,13 @@
     });
 
     for (const value of [null, {}, { job: { id: ID } }])
-      it(`leaves out the malformed record ${JSON.stringify(value)}`, () => {
+      it(`ignores the malformed record ${JSON.stringify(value)}`, () => {
         fixture.table.add(ID, value, VERSION);
         assert.equal(fixture.table.jobs.size, 0);
         assert.deepEqual(fixture.events, []);
       });
 
-    it('counts its age from the recorded time of acceptance, which is never in the future', () => {
+    it('computes its age from the recorded time of acceptance, and never a negative age', () => {
       const { runtime, table } = fixture;
       runtime.advance(5000);
       const ages = [2000, 9000].map((acceptedAt) => {
@@ -113,7 +113,7 @@
   });
 
   describe('when tasks are done', () => {
-    it('records each with the next flush, and the end of the job after the last', () => {
+    it('records each with the next flush, and the end of the job when all are done', () => {
       const job = fixture.add();
       fixture.table.markDone(job, 0);
       fixture.table.markDone(job, 0);
@@ -122,7 +122,8 @@
       assert.deepEqual(fixture.events, ['recorded 0']);
       fixture.table.markDone(job, 1);
       fixture.table.flushCompletions();
-      const [conditions, writes] = fixture.openTransactions[0] ?? assert.fail('no transaction');
+      const [conditions, writes] =
+        fixture.openTransactions[0] ?? assert.fail('no open transaction');
       assert.deepEqual(conditions, [
         { key: 'live/req-1', version: VERSION },
         { key: 'final/req-1', version: 0 },
@@ -136,7 +137,7 @@
       assert.equal(fixture.table.jobs.size, 0);
     });
 
-    it('reads how the job ended when a cancellation came before its end', () => {
+    it('reads the terminal state when a cancellation was recorded before the end of the job', () => {
       const job = fixture.add({ tasks: 1 });
       fixture.table.markDone(job, 0);
       fixture.answerTransaction('conflict');
@@ -144,7 +145,7 @@
       assert.deepEqual(fixture.events, [`cancelled ${ID}`, `terminated ${ID}`]);
     });
 
-    it('records the end again when there was neither a conflict nor an end', () => {
+    it('records the end again when the transaction has failed and no terminal record exists', () => {
       const job = fixture.add({ tasks: 1 });
       fixture.table.markDone(job, 0);
       fixture.answerTransaction('conflict');
@@ -154,7 +155,7 @@
       assert.deepEqual(fixture.events, [`done ${ID}`, `terminated ${ID}`]);
     });
 
-    it('takes no replica of a service for done', () => {
+    it('does not mark replicas of a service as done', () => {
       const job = fixture.add({ kind: 'service', estimatedRunS: 0 });
       fixture.table.markDone(job, 0);
       assert.equal(job.doneCount, 0);
@@ -162,7 +163,7 @@
   });
 
   describe('when a task is requeued', () => {
-    it('has it wait once, unless it is done or assigned', () => {
+    it('makes it pending once, unless it is done or assigned', () => {
       const job = fixture.add({ tasks: 3 });
       while (job.pending.pop() !== undefined);
       fixture.table.markDone(job, 1);
@@ -176,7 +177,7 @@
   });
 
   describe('when a job is cancelled', () => {
-    it('ends it at once, and once', () => {
+    it('ends it immediately, and only once', () => {
       const job = fixture.add();
       fixture.table.markCancelled(ID);
       fixture.table.markCancelled(ID);
@@ -184,7 +185,7 @@
       assert.deepEqual([job.terminalState, job.pending.length], ['cancelled', 0]);
     });
 
-    it('takes no task of it for done, and requeues none', () => {
+    it('neither marks its tasks as done nor requeues them', () => {
       const job = fixture.add();
       fixture.table.markCancelled(ID);
       fixture.table.markDone(job, 0);
@@ -193,9 +194,10 @@
     });
   });
 
-  // World seed 5: a leader replaced without knowing it saw its successor's end of a job.
+  // World seed 5: a leader that did not know yet that it had been replaced saw its successor remove
+  // the active record of a job that had ended. It must not infer the terminal state from that.
   describe('when the active record of a job is removed', () => {
-    it('tells the terminal state only once it has been read', () => {
+    it('reports the terminal state only after reading it', () => {
       fixture.add();
       fixture.table.handleRecordRemoved(ID);
       fixture.table.handleRecordRemoved(ID);
@@ -204,7 +206,7 @@
       assert.deepEqual(fixture.events.slice(1), [`done ${ID}`, `terminated ${ID}`]);
     });
 
-    it('reads the end until it is found', () => {
+    it('repeats the read until the terminal record is found', () => {
       fixture.add();
       fixture.table.handleRecordRemoved(ID);
       for (const failed of [true, false]) {
@@ -220,7 +222,7 @@
   });
 
   describe('when recovery is finished', () => {
-    it('ends a job of which all tasks were recorded as done', () => {
+    it('ends a job whose tasks are all recorded as done', () => {
       fixture = new TableFixture({ 'p/req-1/0': Buffer.from([0b11]).toString('base64') });
       fixture.add();
       fixture.table.loadCompletions();
@@ -229,7 +231,7 @@
       assert.deepEqual(fixture.events, [`done ${ID}`, `terminated ${ID}`]);
     });
 
-    it('leaves tasks pending that are neither done nor assigned', () => {
+    it('keeps exactly those tasks pending that are neither done nor assigned', () => {
       fixture = new TableFixture({ 'p/req-1/0': Buffer.from([0b1]).toString('base64') });
       const job = fixture.add({ tasks: 3 });
       job.currentAssignments.set(1, planAssignment(job, 1, 1, new Machine('n-1', 0, settings), 0));
@@ -239,12 +241,12 @@
     });
 
     const gangCases: [condition: string, attempts: number[], events: string[]][] = [
-      ['all members were assigned together', [4, 4], []],
-      ['a member has no assignment', [4], [`incomplete gang ${ID}`]],
-      ['members are of different attempts', [4, 5], [`incomplete gang ${ID}`]],
+      ['whose members all have the same attempt', [4, 4], []],
+      ['with an unassigned member', [4], [`incomplete gang ${ID}`]],
+      ['with members of different attempts', [4, 5], [`incomplete gang ${ID}`]],
     ];
     for (const [condition, attempts, events] of gangCases)
-      it(`has ${events.length === 0 ? 'no gang' : 'the gang'} stopped of which ${condition}`, () => {
+      it(`${events.length === 0 ? 'does not stop' : 'stops'} a gang ${condition}`, () => {
         const job = fixture.add({ kind: 'gang' });
         const machine = new Machine('n-1', 0, settings);
         for (const [task, attempt] of attempts.entries())
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -1,4 +1,4 @@
-/** The leader's table of jobs: how they become known, progress and end. */
+/** The leader's table of active jobs, from the active record to the terminal state. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -10,27 +10,27 @@
 import { JobEndRecorder } from './job-end-recorder.js';
 import { readActiveRecord, type ActiveRecord } from './job-records.js';
 
-/** What the table tells the other parts of the leader. */
+/** Notifications of the table to the other parts of the leader. */
 export interface JobTableHooks {
-  /** A job became known to this leader. */
+  /** A job was added to the table. */
   onJobAdded(job: Job): void;
-  /** Tasks wait to be placed that did not before. */
+  /** More tasks wait to be placed. */
   onTasksPending(): void;
-  /** Only some members of the gang were running under the leader before: all have to stop. */
+  /** Recovery found a gang that is incomplete or mixes attempts. All its members must stop. */
   onIncompleteGang(job: Job): void;
-  /** The completion of this task is on record. */
+  /** The completion of this task has been recorded in the state store. */
   onCompletionRecorded(job: Job, task: number): void;
-  /** The job has ended, it is not known yet how: its tasks have to stop. */
+  /** The job has ended, but its terminal state is not yet known. Its tasks must stop. */
   onRecordRemoved(job: Job): void;
-  /** The job's terminal state is known; called before `onJobTerminated`. */
+  /** The job's terminal state became known. Called before `onJobTerminated`. */
   onTerminalState(id: string, state: TerminalState): void;
-  /** The job has left the table: its tasks have to leave their machines. */
+  /** The job was removed from the table. Its tasks must be removed from their machines. */
   onJobTerminated(job: Job): void;
 }
 
-/** The leader's jobs: all that are active. */
+/** All active jobs that the leader knows. */
 export class JobTable {
-  /** By id. */
+  /** Active jobs by id. */
   readonly jobs = new Map<string, Job>();
   private readonly completionRecords: CompletionRecords;
   private readonly endRecorder: JobEndRecorder;
@@ -50,11 +50,11 @@
     );
   }
 
-  // ---- becoming known
+  // ---- adding and recovery
 
   /**
-   * Adds a job by its active record, which was read during recovery or seen by the watch. A
-   * malformed record is logged and left out.
+   * Adds a job from its active record, which was read during recovery or by the watch. A malformed
+   * record is logged and ignored. Does nothing if the job was already added.
    */
   add(id: string, value: unknown, version: number): void {
     if (this.jobs.has(id)) return;
@@ -65,7 +65,7 @@
     const { class: className, team, tasks, image, imageGb } = job.spec;
     this.eventLoop.log.debug(
       { job: id, class: className, team, tasks, image, gb: imageGb },
-      'job known',
+      'job added',
     );
     this.hooks.onTasksPending();
   }
@@ -84,14 +84,14 @@
     return new Job(record.spec, now - ageMs, version, now);
   }
 
-  /** Takes in the completions that the leaders before have recorded. */
+  /** Loads the completions that previous leaders have recorded. */
   loadCompletions(): void {
     this.completionRecords.load(this.jobs);
   }
 
   /**
-   * Called once completions and assignments of the leaders before are loaded: finds out which tasks
-   * are left to place, and ends jobs that only lack their terminal record.
+   * Called after the completions and assignments of previous leaders were loaded. Determines which
+   * tasks are pending, and records the end of jobs whose tasks are all done.
    */
   finishRecovery(): void {
     for (const job of this.jobs.values()) {
@@ -101,7 +101,10 @@
     }
   }
 
-  /** A gang of which only some members are left starts again as a whole once those are gone. */
+  /**
+   * Has an incomplete gang, or one with members of several attempts, stopped. Its tasks become
+   * pending, all together, only once the remaining members are gone.
+   */
   private recoverGang(job: Job): void {
     const assignments = [...job.currentAssignments.values()];
     const attempts = new Set(assignments.map(({ attempt }) => attempt));
@@ -111,14 +114,15 @@
 
   // ---- progress
 
-  /** Counts an attempt of one of the job's tasks that has ended for this cause. */
+  /** Counts an attempt of one of the job's tasks that ended with this cause. */
   countExit(job: Job, cause: ExitCause | 'lost'): void {
     job.exitCounts[cause] = (job.exitCounts[cause] ?? 0) + 1;
   }
 
   /**
-   * Notes that a heartbeat shows the task as done. The worker may be told to clear it only once
-   * that is on record (invariant 4). Has no effect for replicas of services, which are never done.
+   * Marks a task as done that a heartbeat has reported as done. The worker may be sent the command
+   * to clear it only after the completion has been recorded (invariant 4). Has no effect on
+   * replicas of services, which are never done.
    */
   markDone(job: Job, task: number): void {
     if (job.terminalState !== null || job.isService || job.done[task] === 1) return;
@@ -127,7 +131,7 @@
     job.progressChanged = true;
     job.pending.remove(task);
     if (job.isComplete) {
-      // The terminal record tells all.
+      // The terminal record makes the records of single completions unnecessary.
       this.completionRecords.discard(job);
       this.endRecorder.recordDone(job);
     } else {
@@ -135,17 +139,17 @@
     }
   }
 
-  /** Has a task placed again that is on no machine, unless it is done or pending already. */
+  /** Makes a task pending again, unless it is done, assigned to a machine or already pending. */
   requeue(job: Job, task: number): void {
     if (job.terminalState !== null || job.done[task] === 1) return;
-    // Pending twice would be running twice.
+    // A task that is pending twice would be started twice.
     if (job.currentAssignments.has(task) || job.pending.has(task)) return;
     if (job.pending.length === 0) job.waitingSince = this.eventLoop.now();
     job.pending.push(task);
     this.hooks.onTasksPending();
   }
 
-  /** Writes the completions noted since the last call; called once a batch of events. */
+  /** Writes the completions since the last call. Called once per batch of events. */
   flushCompletions(): void {
     this.completionRecords.flush();
   }
@@ -153,8 +157,9 @@
   // ---- end
 
   /**
-   * The watch has seen the job's active record go, and this leader did not remove it. Most likely a
-   * user has cancelled the job, but a successor of this leader may have finished it.
+   * Handles the removal of a job's active record. Does nothing if that was handled before, or if
+   * this leader is recording the end of the job itself. In most cases a user has cancelled the job,
+   * but it may also have been completed by a successor of this leader.
    */
   handleRecordRemoved(id: string): void {
     const job = this.jobs.get(id);
@@ -164,7 +169,7 @@
     this.endRecorder.readTerminalState(job);
   }
 
-  /** A node has confirmed that the job was cancelled. */
+  /** Ends a job whose cancellation was confirmed by a node. */
   markCancelled(id: string): void {
     const job = this.jobs.get(id);
     if (job !== undefined) this.terminate(job, 'cancelled');
