--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -1,4 +1,4 @@
-/** The state of single jobs as the state store has it at this time. */
+/** Queries the state store for the current states of single jobs. */
 import { tokenReserve } from '../store/rate-budget.js';
 import { GroupCommit } from '../store/group-commit.js';
 import type { TransactionResult } from '../store/results.js';
@@ -9,24 +9,29 @@
 import { SharedRequests } from './shared-requests.js';
 
 /**
- * What the state store has of a job. `absent`: it was never accepted; `unknown`: the state store
- * has not told.
+ * State of a job according to the state store. `absent`: the job was never accepted; `unknown`: the
+ * state store has not answered.
  */
 export type RecordedState = 'absent' | 'active' | TerminalState | 'unknown';
 
-/** Receives what the state store has of a job; called once. */
+/** Receives the recorded state of a job. Called once. */
 export type RecordedStateCallback = (state: RecordedState) => void;
 
-/** Transactions of each kind that are sent in a heartbeat interval, at most, unless they are full. */
+/**
+ * Maximum number of transactions of each of the two kinds per heartbeat interval. Full transactions
+ * are sent in addition.
+ */
 const QUERIES_PER_HEARTBEAT = 25;
 
 /**
- * Queries the state store for the states of jobs, many in one transaction that only compares
- * versions. A job that is known as active needs one comparison, any other two: so the two kinds
- * have transactions of their own.
+ * Queries the state store for the states of jobs. One transaction, which only compares versions,
+ * serves many queries. A job that is known as active takes one comparison and any other job takes
+ * two, so the two kinds are sent in separate transactions.
  */
 export class RecordedStates {
+  /** Queries for jobs that this node knows as active. */
   private readonly activeJobQueries: GroupCommit;
+  /** Queries for all other jobs. */
   private readonly otherJobQueries: GroupCommit;
   private readonly sharedRequests = new SharedRequests<RecordedStateCallback>();
 
@@ -42,7 +47,7 @@
     this.otherJobQueries = new GroupCommit(eventLoop, client, options);
   }
 
-  /** Finds out the job's state: a terminal one from memory, any other from the state store. */
+  /** Looks up the job's state: a known terminal state in memory, any other in the state store. */
   query(id: string, done: RecordedStateCallback): void {
     const { jobStates, client } = this.context;
     const terminalState = jobStates.terminalState(id);
@@ -70,7 +75,11 @@
     else done('unknown');
   }
 
-  /** @param stateIfUnchanged - the state of a job for which all conditions hold */
+  /**
+   * Determines the state of a job from the result of its query.
+   *
+   * @param stateIfUnchanged - the state of the job if all conditions of the query hold
+   */
   private resolve(
     id: string,
     stateIfUnchanged: RecordedState,
@@ -83,8 +92,8 @@
   }
 
   /**
-   * Finds out the state of a job for which a transaction found records that it expected not to
-   * exist. The active and the terminal record of a job never exist together.
+   * Determines the state of a job after a transaction found a record that its conditions require to
+   * be absent. The active and the terminal record of a job never exist together (invariant 3).
    */
   resolveConflict(id: string, failedKeys: readonly string[], done: RecordedStateCallback): void {
     if (failedKeys.includes(terminalKey(id))) return this.readTerminalState(id, done);
--- a/src/controller/jobs/shared-requests.test.ts
+++ b/src/controller/jobs/shared-requests.test.ts
@@ -3,19 +3,19 @@
 import { SharedRequests } from './shared-requests.js';
 
 describe('SharedRequests', () => {
-  it('lets others join a request from when it is open until it is sealed', () => {
+  it('lets others join a request after it is opened and before it is sealed', () => {
     const requests = new SharedRequests<string>();
     const request = requests.create('req-1', 'first');
     assert.ok(!requests.join('req-1', 'too early'));
     request.open();
     assert.ok(requests.join('req-1', 'second'));
-    assert.ok(!requests.join('req-2', 'of another job'));
+    assert.ok(!requests.join('req-2', 'other key'));
     request.seal();
     assert.ok(!requests.join('req-1', 'too late'));
     assert.deepEqual(request.waiters, ['first', 'second']);
   });
 
-  it('leaves a newer request with the same key open when an older one is sealed again', () => {
+  it('keeps a newer request with the same key open when the older one is sealed again', () => {
     const requests = new SharedRequests<string>();
     const older = requests.create('req-1', 'first');
     older.open();
--- a/src/controller/jobs/shared-requests.ts
+++ b/src/controller/jobs/shared-requests.ts
@@ -1,29 +1,30 @@
-/** Requests of several users that are answered by one call to the state store. */
+/** Requests of several users that share one call to the state store. */
 
 /**
- * Requests by key, each with everyone who waits for its outcome. Others may join a request only
- * until it is sent: one on its way may find a state from before an answer that a user who comes
- * later was given by another node meanwhile (invariant 3).
+ * Unsent requests by key, each with the callers that wait for its result. A caller may join a
+ * request only until it is sent. A request in flight may return a state older than the one that
+ * another node has meanwhile reported to the same user, but any state other than a known terminal
+ * one must be confirmed after the user has asked (invariant 3).
  */
 export class SharedRequests<Waiter> {
   private readonly unsent = new Map<string, SharedRequest<Waiter>>();
 
-  /** Adds the waiter to the unsent request with this key; false: there is none. */
+  /** Adds the waiter to the unsent request with this key. Returns false if there is none. */
   join(key: string, waiter: Waiter): boolean {
     const request = this.unsent.get(key);
     request?.waiters.push(waiter);
     return request !== undefined;
   }
 
-  /** A request that others may join once `open` was called, and until `seal` is. */
+  /** Creates a request. Others may join it from the call of `open` until the call of `seal`. */
   create(key: string, waiter: Waiter): SharedRequest<Waiter> {
     return new SharedRequest(this.unsent, key, waiter);
   }
 }
 
-/** One request and everyone who waits for its outcome. */
+/** One request and the callers that wait for its result. */
 export class SharedRequest<Waiter> {
-  /** In the order in which they came. */
+  /** Waiters in the order in which they joined. */
   readonly waiters: Waiter[];
 
   constructor(
@@ -34,12 +35,12 @@
     this.waiters = [waiter];
   }
 
-  /** The request is queued: others may join it from now on. */
+  /** Lets others join the request. Called once it is queued. */
   open(): void {
     this.unsent.set(this.key, this);
   }
 
-  /** The request is sent or settled: nobody may join it any more. */
+  /** Lets no one else join the request. Called when it is sent or has a result. */
   seal(): void {
     if (this.unsent.get(this.key) === this) this.unsent.delete(this.key);
   }
