--- a/src/controller/jobs/cancellations.test.ts
+++ b/src/controller/jobs/cancellations.test.ts
@@ -13,7 +13,7 @@
     fixture.cancel(ID);
   });
 
-  /** Answers the read of the job's active record. */
+  /** Answers the read of the job's active record with this version. */
   function answerRead(version: number): void {
     const { method, path } = fixture.runtime.answer(200, {
       ...{ k: activeKey(ID), value: {}, stamp: version, permit: null },
@@ -21,12 +21,12 @@
     assert.deepEqual([method, path], ['GET', `/keys/${activeKey(ID)}`]);
   }
 
-  /** Answers the transaction: the active record has another version. */
+  /** Answers the transaction with a conflict: the active record has another version. */
   function answerConflict(): void {
     fixture.runtime.answer(409, { ledger: 9, failed: [activeKey(ID)] });
   }
 
-  it('replaces the active record in the version that was read', () => {
+  it('replaces the active record only if it still has the version that was read', () => {
     answerRead(5);
     const { body } = fixture.runtime.answer(200, { ledger: 6 });
     assert.deepEqual((body as { if: unknown }).if, [
@@ -36,7 +36,7 @@
     assert.deepEqual(fixture.responses, [{ status: 200, body: { id: ID, status: 'aborted' } }]);
   });
 
-  it('reads the version again when it was outdated', () => {
+  it('reads the version again after a conflict', () => {
     answerRead(5);
     answerConflict();
     answerRead(8);
@@ -44,7 +44,7 @@
     assert.equal(fixture.responses[0]?.status, 200);
   });
 
-  it('gets 503 when the version was outdated three times', () => {
+  it('gets 503 after three conflicts', () => {
     for (const version of [5, 6, 7]) {
       answerRead(version);
       answerConflict();
--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -1,4 +1,4 @@
-/** Users' cancellations: one transaction replaces a job's active record by its terminal one. */
+/** Users' cancellations: one transaction replaces a job's active record by its terminal record. */
 import { tokenReserve } from '../store/rate-budget.js';
 import type { ReadResult, TransactionResult } from '../store/results.js';
 import { isJobId } from '../wire/jobs.js';
@@ -9,17 +9,20 @@
 import type { RecordedStates } from './recorded-states.js';
 import type { StatusQueries } from './status-queries.js';
 
-/** How often the version of a job's active record may prove outdated before the user has to retry. */
+/**
+ * Maximum number of attempts to cancel a job before the user is asked to retry. An attempt fails if
+ * the active record has changed since it was read, or was created after a read found none.
+ */
 const MAX_ATTEMPTS = 3;
 
-/** One user's cancellation of a job. */
+/** A user's request to cancel a job. */
 interface Cancellation {
   id: string;
   attemptsLeft: number;
   respond: Respond;
 }
 
-/** Cancels jobs. A cancellation is idempotent: that of an ended job is answered with its end. */
+/** Cancels jobs. Cancelling is idempotent: for an ended job the response is its terminal state. */
 export class Cancellations {
   constructor(
     private readonly context: FrontendContext,
@@ -27,7 +30,7 @@
     private readonly statusQueries: StatusQueries,
   ) {}
 
-  /** Ends a job that has not ended, and responds with how it ended. */
+  /** Cancels a job unless it has already ended, and responds with its terminal state. */
   cancel(id: string, respond: Respond): void {
     if (!isJobId(id)) return respond(jobNotFound());
     this.attempt({ id, attemptsLeft: MAX_ATTEMPTS, respond });
@@ -66,12 +69,12 @@
     this.attempt(cancellation);
   }
 
-  /** No active record was found: the job has ended, was never accepted, or is being accepted. */
+  /** Handles a missing active record: the job has ended, does not exist or is being accepted. */
   private handleNotActive(cancellation: Cancellation): void {
     const { id, respond } = cancellation;
     this.context.jobStates.forgetActive(id);
     this.recordedStates.query(id, (state) => {
-      // It was accepted between the read and the query.
+      // The job was accepted between the read and the query.
       if (state === 'active') this.retry(cancellation);
       else this.statusQueries.reply(id, state, respond);
     });
--- a/src/controller/jobs/submissions.test.ts
+++ b/src/controller/jobs/submissions.test.ts
@@ -11,7 +11,7 @@
 
 const ID = arraySubmission.id;
 
-/** The status of the response to a submission, where the named jobs are active. */
+/** Returns the HTTP status of the response to a submission while the given jobs are active. */
 function statusOfSubmission(body: unknown, activeIds: readonly string[] = []): number {
   const store = new FakeStateStore();
   for (const id of activeIds) store.put(activeKey(id), {});
@@ -23,25 +23,29 @@
   const manyModels = Array.from({ length: 60 }, (_, i) => `model-${i}-${'x'.repeat(40)}`);
   const service = { ...serviceSubmission, cores: 1, cards: 0 };
   const cases: [condition: string, body: unknown, status: number][] = [
-    ['can run', arraySubmission, 201],
+    ['is valid', arraySubmission, 201],
     ['lacks a field', lackingField, 400],
     ['has a field of a wrong type', { ...arraySubmission, loaners: String(loaners) }, 400],
-    ['asks for more than its team may have', { ...arraySubmission, cores: 9 }, 422],
-    ['is a service within its limit', { ...service, duties: 8 }, 201],
-    ['is a service beyond its limit', { ...service, duties: 9 }, 422],
-    ['is an array without an estimate', { ...arraySubmission, expect_s: 0 }, 400],
-    ['is larger than a value may be', { ...arraySubmission, models: ['g', ...manyModels] }, 400],
-    ['fits no machine', { ...arraySubmission, hall: 'b' }, 422],
+    ['exceeds the CPU limit of its team', { ...arraySubmission, cores: 9 }, 422],
+    ['is a service within the limits of its team', { ...service, duties: 8 }, 201],
+    ['is a service beyond the limits of its team', { ...service, duties: 9 }, 422],
+    ['is an array without an estimated run time', { ...arraySubmission, expect_s: 0 }, 400],
+    [
+      'is larger than the maximum value of the state store',
+      { ...arraySubmission, models: ['g', ...manyModels] },
+      400,
+    ],
+    ['is restricted to a zone without machine types', { ...arraySubmission, hall: 'b' }, 422],
   ];
   for (const [condition, body, status] of cases) {
     it(`that ${condition} gets ${status}`, () => assert.equal(statusOfSubmission(body), status));
-    // Accepted by another version, or before the settings changed: it stays known.
-    it(`that ${condition} gets 200 if its job is known`, () =>
+    // The job may have been accepted by another version, or before the settings were changed.
+    it(`that ${condition} gets 200 if its job is already active`, () =>
       assert.equal(statusOfSubmission(body, [ID]), 200));
   }
 
-  // The job may have been accepted, and cancelled, through another node in between.
-  it('that is retried does not share the response of a transaction sent before', () => {
+  // Between the two submissions another node may have cancelled the job.
+  it('that is repeated does not share the response of a transaction that was already sent', () => {
     const fixture = new FrontendFixture();
     const { runtime, responses } = fixture;
     fixture.submit(arraySubmission);
@@ -63,18 +67,18 @@
   });
 });
 
-describe('a submission of a service', () => {
-  const refusalCases: [rule: string, part: object, status: number][] = [
-    ['a gang names an estimate', { shape: 'gang' }, 400],
-    ['an array names an estimate', { shape: 'batch' }, 400],
-    ['the estimate is no negative number', { expect_s: -1 }, 400],
-    ['all replicas together are within the limit on CPUs', { cores: 2.1 }, 422],
-    ['all replicas together are within the limit on GPUs', { duties: 5, cores: 1 }, 422],
-    ['a replica fits a machine', { duties: 1, mem_gb: 65 }, 422],
-    ['the team is known', { crew: 'nobody' }, 422],
-    ['replicas to spread find two zones', { scatter: true }, 422],
+describe('a submission based on a valid service', () => {
+  const refusalCases: [condition: string, overrides: object, status: number][] = [
+    ['is a gang without an estimated run time', { shape: 'gang' }, 400],
+    ['is an array without an estimated run time', { shape: 'batch' }, 400],
+    ['has a negative estimated run time', { expect_s: -1 }, 400],
+    ['has replicas that together exceed the CPU limit', { cores: 2.1 }, 422],
+    ['has replicas that together exceed the GPU limit', { duties: 5, cores: 1 }, 422],
+    ['has a replica too large for every machine type', { duties: 1, mem_gb: 65 }, 422],
+    ['names an unknown team', { crew: 'nobody' }, 422],
+    ['must be spread but has only one usable zone', { scatter: true }, 422],
   ];
-  for (const [rule, overrides, status] of refusalCases)
-    it(`gets ${status} unless ${rule}`, () =>
+  for (const [condition, overrides, status] of refusalCases)
+    it(`that ${condition} gets ${status}`, () =>
       assert.equal(statusOfSubmission({ ...serviceSubmission, ...overrides }), status));
 });
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -1,4 +1,4 @@
-/** Users' submissions: checked, and recorded once however often they are retried. */
+/** Users' submissions: validates jobs, and records each one once even if it is submitted again. */
 import { storedSize } from '../store/page.js';
 import type { TransactionResult } from '../store/results.js';
 import { WireError } from '../wire/fields.js';
@@ -11,7 +11,7 @@
 import { SharedRequests, type SharedRequest } from './shared-requests.js';
 import type { StatusQueries } from './status-queries.js';
 
-/** Accepts jobs. A submission is idempotent: a retried one is answered with the job's status. */
+/** Accepts jobs. Submissions are idempotent: a repeated one is answered with the job's status. */
 export class Submissions {
   private readonly sharedRequests = new SharedRequests<Respond>();
 
@@ -21,7 +21,7 @@
     private readonly statusQueries: StatusQueries,
   ) {}
 
-  /** Accepts a job, refuses it, or answers a retried submission with the job's status. */
+  /** Accepts or refuses a job, or answers a repeated submission with the job's status. */
   submit(body: unknown, respond: Respond): void {
     let spec: JobSpec;
     try {
@@ -35,7 +35,7 @@
   }
 
   private refuseMalformed(body: unknown, { message }: WireError, respond: Respond): void {
-    this.context.eventLoop.log.debug({ reason: message, body }, 'malformed submission');
+    this.context.eventLoop.log.debug({ reason: message, body }, 'refused a malformed submission');
     const refusal = { status: 400, body: { error: message } };
     const id = readJobId(body);
     if (id === null) respond(refusal);
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Refuses a submission, unless its job is known: teams, machine types and what a version takes
-   * for well-formed may have changed since it was accepted.
+   * Refuses a submission, unless its job was accepted before. In that case responds with the job's
+   * status, since teams, machine types or the validation rules may have changed in the meantime.
    */
   private refuse(id: string, refusal: ApiResponse, respond: Respond): void {
     this.replyUnlessAbsent(id, respond, () => respond(refusal));
