--- a/src/controller/jobs/admission.test.ts
+++ b/src/controller/jobs/admission.test.ts
@@ -21,36 +21,61 @@
 const tooFewZones = 'too few zones to scatter its tasks over';
 
 describe('admission', () => {
-  const admittedCases: [condition: string, part: Partial<JobSpec>][] = [
-    ['an array of more tasks than may run at once', { tasks: 100 }],
-    ['a gang that has all that its team may use', { kind: 'gang', tasks: 2, cpus: 4, gpus: 2 }],
+  const admittedCases: [condition: string, overrides: Partial<JobSpec>][] = [
+    ['an array with more tasks than its team may run at once', { tasks: 100 }],
+    [
+      'a gang that uses exactly the limits of its team',
+      { kind: 'gang', tasks: 2, cpus: 4, gpus: 2 },
+    ],
     [
       'a gang whose CPUs exceed the limit by a rounding error',
       { kind: 'gang', tasks: 30, cpus: 0.2666666666666667 },
     ],
-    ['a job bound to a zone that has a machine type for it', { zone: 'b', types: ['type-b'] }],
     [
-      'a spread gang when two zones have a machine type',
+      'a job restricted to a zone that has a suitable machine type',
+      { zone: 'b', types: ['type-b'] },
+    ],
+    [
+      'a spread gang with suitable machine types in two zones',
       { kind: 'gang', spread: true, types: ['type-a', 'type-b'] },
     ],
-    ['a spread gang of one task in one zone', { kind: 'gang', tasks: 1, spread: true, zone: 'a' }],
+    [
+      'a spread gang of a single task in one zone',
+      { kind: 'gang', tasks: 1, spread: true, zone: 'a' },
+    ],
     ['a spread array in one zone', { spread: true, zone: 'a' }],
   ];
   for (const [condition, overrides] of admittedCases)
     it(`admits ${condition}`, () =>
       assert.deepEqual(admit(arraySpec(overrides), teams, types), { kind: 'admitted' }));
 
-  const refusedCases: [condition: string, part: Partial<JobSpec>, reason: string][] = [
+  const refusedCases: [condition: string, overrides: Partial<JobSpec>, reason: string][] = [
     ['of an unknown team', { team: 'nobody' }, 'unknown team'],
-    ['with a task beyond the limit on CPUs', { cpus: 8.1 }, tooManyCpus],
-    ['with a task beyond the limit on GPUs', { gpus: 5 }, tooManyGpus],
-    ['of a gang beyond the limit on CPUs', { kind: 'gang', tasks: 9 }, tooManyCpus],
-    ['of a service beyond the limit on GPUs', { kind: 'service', tasks: 5, gpus: 1 }, tooManyGpus],
-    ['with a task larger than every machine', { memoryGb: 65 }, noMachineType],
-    ['that allows no known machine type', { types: ['other'] }, noMachineType],
-    ['whose zone has no allowed machine type', { zone: 'b', types: ['type-a'] }, noMachineType],
-    ['to spread over one zone', { kind: 'gang', spread: true, zone: 'a' }, tooFewZones],
-    ['to spread within one zone', { kind: 'gang', spread: true, singleZone: true }, tooFewZones],
+    ['with a task that exceeds the CPU limit of the team', { cpus: 8.1 }, tooManyCpus],
+    ['with a task that exceeds the GPU limit of the team', { gpus: 5 }, tooManyGpus],
+    ['that is a gang beyond the CPU limit of the team', { kind: 'gang', tasks: 9 }, tooManyCpus],
+    [
+      'that is a service beyond the GPU limit of the team',
+      { kind: 'service', tasks: 5, gpus: 1 },
+      tooManyGpus,
+    ],
+    ['with a task larger than every machine type', { memoryGb: 65 }, noMachineType],
+    ['that allows only unknown machine types', { types: ['other'] }, noMachineType],
+    [
+      'whose zone has none of its allowed machine types',
+      { zone: 'b', types: ['type-a'] },
+      noMachineType,
+    ],
+    [
+      'that must be spread but may use only one zone',
+      { kind: 'gang', spread: true, zone: 'a' },
+      tooFewZones,
+    ],
+    [
+      'that must both be spread and stay within a single zone',
+      { kind: 'gang', spread: true, singleZone: true },
+      tooFewZones,
+    ],
   ];
   for (const [condition, overrides, reason] of refusedCases)
     it(`refuses a job ${condition}`, () => {
@@ -58,7 +83,7 @@
       assert.deepEqual(admit(arraySpec(overrides), teams, types), expected);
     });
 
-  it('is undecided while machine types are not known, unless a limit refuses the job', () => {
+  it('is undecided while machine types are not known, unless the job exceeds a team limit', () => {
     assert.deepEqual(admit(arraySpec(), teams, null), { kind: 'undecided' });
     assert.equal(admit(arraySpec({ cpus: 9 }), teams, null).kind, 'refused');
   });
--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -1,20 +1,27 @@
-/** Admission: whether a submitted job can ever run. What only waits for capacity is admitted. */
+/**
+ * Admission of submitted jobs. A job is refused only if it could never run. One that merely has to
+ * wait for capacity is admitted.
+ */
 import type { Team } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { JobSpec } from '../wire/jobs.js';
 
-/** Whether a job is admitted; `undecided`: the machine types of the cloud are not known yet. */
+/** Result of admission. `undecided`: the machine types of the cloud are not known yet. */
 export type Admission =
   { kind: 'admitted' } | { kind: 'undecided' } | { kind: 'refused'; reason: string };
 
-/** Tolerance when resources of many tasks are added up and compared with a limit. */
+/** Amount by which the resources of all tasks may exceed a limit because of rounding errors. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-/** The least number of zones over which the tasks of a spread job are distributed. */
+/** Minimum number of zones over which the tasks of a spread job must be distributed. */
 const MIN_SPREAD_ZONES = 2;
 
-/** Whether a job with this specification can ever run; `types`: null while they are not known. */
+/**
+ * Decides whether a job with this specification could ever run.
+ *
+ * @param types - the machine types of the cloud, or null while they are not known
+ */
 export function admit(
   spec: JobSpec,
   teams: readonly Team[],
@@ -30,7 +37,10 @@
   return { kind: 'admitted' };
 }
 
-/** Why tasks that have to run at the same time exceed the team's limit; null: they don't. */
+/**
+ * Returns the reason of refusal if the tasks that must run at the same time exceed a limit of the
+ * team, or null if they don't.
+ */
 function teamLimitRefusal(spec: JobSpec, team: Team): string | null {
   const concurrentTasks = runsConcurrently(spec) ? spec.tasks : 1;
   const exceedsLimit = (perTask: number, max: number): boolean =>
@@ -40,29 +50,29 @@
   return null;
 }
 
-/** Why no machines could take the job even if all were free; null: some could. */
+/** Returns the reason of refusal if not even empty machines could run the job, or else null. */
 function machineTypeRefusal(spec: JobSpec, types: readonly MachineType[]): string | null {
   const zones = zonesFor(spec, types);
   if (zones.size === 0) return 'a task fits no allowed machine type';
   if (!spec.spread || spec.tasks === 1 || !runsConcurrently(spec)) return null;
-  const usableZones = spec.singleZone ? 1 : zones.size;
+  const usableZoneCount = spec.singleZone ? 1 : zones.size;
   const maxTasksPerZone = Math.ceil(spec.tasks / MIN_SPREAD_ZONES);
-  if (maxTasksPerZone * usableZones >= spec.tasks) return null;
+  if (maxTasksPerZone * usableZoneCount >= spec.tasks) return null;
   return 'too few zones to scatter its tasks over';
 }
 
-/** Gang members run at the same time, and so do replicas of a service. */
+/** Returns true if all tasks must run at the same time, as in gangs and services. */
 function runsConcurrently(spec: JobSpec): boolean {
   return spec.kind !== 'array';
 }
 
-/** The zones that the job allows and that have machines which can take one of its tasks. */
+/** Returns the zones allowed for the job that have a machine type on which one of its tasks fits. */
 function zonesFor(spec: JobSpec, types: readonly MachineType[]): Set<string> {
   const zones = types.filter((type) => fitsMachineType(spec, type)).flatMap((type) => type.zones);
   return new Set(zones.filter((zone) => spec.zone === null || zone === spec.zone));
 }
 
-/** Whether an empty machine of this type could take a task of the job. */
+/** Returns true if a task of the job may use this machine type and fits on an empty machine. */
 function fitsMachineType(spec: JobSpec, type: MachineType): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
