--- a/src/controller/jobs/bounded-map.ts
+++ b/src/controller/jobs/bounded-map.ts
@@ -1,19 +1,19 @@
 /** A map of limited size, for caches. */
 
-/** A map that drops the entry that was set longest ago once it holds more than its limit. */
+/** A map that drops the least recently set entry when it exceeds its maximum size. */
 export class BoundedMap<Value> {
-  /** In the order in which the entries were last set. */
+  /** Entries in the order in which they were last set. */
   private readonly entries = new Map<string, Value>();
 
-  /** @param maxEntries - how many entries are kept */
+  /** @param maxEntries - maximum number of entries */
   constructor(private readonly maxEntries: number) {}
 
-  /** The value of the key, unless it was never set, deleted or dropped. */
+  /** Returns the value of the key, or undefined if it was never set, deleted or dropped. */
   get(key: string): Value | undefined {
     return this.entries.get(key);
   }
 
-  /** Sets the value of the key, which becomes the newest entry. */
+  /** Sets the value of the key and makes it the most recently set entry. */
   set(key: string, value: Value): void {
     this.entries.delete(key);
     this.entries.set(key, value);
@@ -22,7 +22,7 @@
     if (oldest.done !== true) this.entries.delete(oldest.value);
   }
 
-  /** Removes the key, if it is there. */
+  /** Removes the key if it exists. */
   delete(key: string): void {
     this.entries.delete(key);
   }
--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -5,17 +5,17 @@
 import { CompletionRecords } from './completion-records.js';
 
 const ID = 'req-1';
-/** More than one record has room for. */
+/** More tasks than one record covers. */
 const TASKS = 10_000;
-/** The first and last of records, and of bytes in them. */
+/** Tasks at the boundaries of records and of bytes in records. */
 const DONE_TASKS = [0, 7, 8, 8191, 8192, 9999];
 
 function ignoreRecorded(): void {
-  // Nobody is told.
+  // These tests don't check the callback.
 }
 
 describe('CompletionRecords', () => {
-  it('marks the tasks as done that were recorded before, across the borders of records', () => {
+  it('loads the completions that it has recorded, across the boundaries of records', () => {
     const records = immediateRecords();
     const recorded: number[] = [];
     const recordedJob = acceptedJob({ id: ID, tasks: TASKS });
@@ -49,13 +49,13 @@
     assert.deepEqual([...records.list('p/')], []);
   });
 
-  it('removes records of jobs that are not known when they are loaded', () => {
+  it('removes the records of jobs that are not active when it loads them', () => {
     const records = immediateRecords({ 'p/req-0/0': 'AQ==' });
     new CompletionRecords(records, ignoreRecorded).load(new Map());
     assert.ok(!records.has('p/req-0/0'));
   });
 
-  it('writes nothing of a job whose completions were discarded', () => {
+  it('does not write completions that were discarded', () => {
     const records = immediateRecords();
     const completions = new CompletionRecords(records, ignoreRecorded);
     const job = acceptedJob({ id: ID });
--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -1,8 +1,8 @@
-/** Stored records of completed tasks: a bit for each, in records of a fixed number of tasks. */
+/** Stored records of completed tasks: bitmaps that each cover a fixed number of a job's tasks. */
 import type { RecordStore } from '../store/record-store.js';
 import type { Job } from '../model/entities.js';
 
-/** Tasks whose bits one record holds. */
+/** Number of tasks covered by one record, which is called a chunk here. */
 const TASKS_PER_RECORD = 8192;
 const BITS_PER_BYTE = 8;
 const KEY_PREFIX = 'p/';
@@ -15,7 +15,7 @@
   return Math.floor(task / TASKS_PER_RECORD);
 }
 
-/** The value of a chunk's record: its bits, lowest task first, in base64. */
+/** Encodes a chunk's record: one bit per task, lowest task first, in base64. */
 function encodeChunk(job: Job, chunk: number): string {
   const firstTask = chunk * TASKS_PER_RECORD;
   const size = Math.min(TASKS_PER_RECORD, job.spec.tasks - firstTask);
@@ -28,7 +28,7 @@
   return bits.toString('base64');
 }
 
-/** Marks the tasks as done whose bits are set in the value of a chunk's record. */
+/** Marks the tasks as done whose bits are set in a chunk's record. */
 function decodeChunk(job: Job, chunk: number, value: string): void {
   const bits = Buffer.from(value, 'base64');
   const firstTask = chunk * TASKS_PER_RECORD;
@@ -45,20 +45,25 @@
 }
 
 /**
- * Records of completed tasks of the leader's jobs. A worker is told to clear a completed task only
- * once that is on record (invariant 4).
+ * Records which tasks of the leader's jobs are completed. A worker is sent the command to clear a
+ * completed task only after the completion has been recorded (invariant 4).
  */
 export class CompletionRecords {
-  /** Tasks completed since the last flush, by job. */
+  /** Tasks that were completed since the last flush, by job. */
   private readonly unwritten = new Map<Job, Set<number>>();
 
-  /** @param onRecorded - the completion of this task is on record; called once for each */
+  /** @param onRecorded - called once per task when its completion has been recorded */
   constructor(
     private readonly records: Pick<RecordStore, 'list' | 'has' | 'set'>,
     private readonly onRecorded: (job: Job, task: number) => void,
   ) {}
 
-  /** Marks what the leaders before have recorded, and removes records of jobs that have ended. */
+  /**
+   * Marks the tasks as done that previous leaders have recorded as completed, and removes the
+   * records of jobs that are no longer active.
+   *
+   * @param jobs - all active jobs by id
+   */
   load(jobs: ReadonlyMap<string, Job>): void {
     for (const { key, value } of this.records.list(KEY_PREFIX)) {
       const [id = '', chunkText] = key.slice(KEY_PREFIX.length).split('/');
@@ -69,7 +74,7 @@
     }
   }
 
-  /** Notes a completed task, to be written with the next flush. */
+  /** Adds a completed task, which is written with the next flush. */
   add(job: Job, task: number): void {
     let tasks = this.unwritten.get(job);
     if (tasks === undefined) {
@@ -79,12 +84,15 @@
     tasks.add(task);
   }
 
-  /** Drops what is not written of the job: its terminal record is being written, which tells all. */
+  /**
+   * Drops the job's unwritten completions. Called when the job's terminal record is written, which
+   * makes them unnecessary.
+   */
   discard(job: Job): void {
     this.unwritten.delete(job);
   }
 
-  /** Removes the records of a job that has ended. */
+  /** Removes the completion records of a job that has ended. */
   remove(job: Job): void {
     this.discard(job);
     const chunks = Math.ceil(job.spec.tasks / TASKS_PER_RECORD);
@@ -94,7 +102,7 @@
     }
   }
 
-  /** Writes what was noted since the last flush, one write for each record. */
+  /** Writes the completions added since the last flush, with one write per record. */
   flush(): void {
     for (const [job, tasks] of this.unwritten) this.write(job, [...tasks]);
     this.unwritten.clear();
--- a/src/controller/jobs/job-progress.test.ts
+++ b/src/controller/jobs/job-progress.test.ts
@@ -9,7 +9,7 @@
 }
 
 describe('ProgressCache', () => {
-  it('has the last progress, and why the job is blocked only if it is', () => {
+  it('returns the last progress, with a reason for waiting only if the job is blocked', () => {
     const cache = new ProgressCache();
     cache.set(progressOf('req-1'));
     const { blocked, ...counts } = progressOf('req-1');
@@ -21,7 +21,7 @@
     assert.equal(cache.status('req-1'), null);
   });
 
-  it('drops the job that was not heard of for longest beyond its limit', () => {
+  it('drops the job with the oldest progress when it exceeds its maximum size', () => {
     const cache = new ProgressCache(2);
     for (const id of ['req-1', 'req-2', 'req-1', 'req-3']) cache.set(progressOf(id));
     assert.equal(cache.status('req-2'), null);
@@ -30,7 +30,7 @@
 });
 
 describe('takeChangedProgress', () => {
-  it('takes the progress of each job once after it has changed', () => {
+  it('returns the progress of each job once after each change', () => {
     const jobs = [acceptedJob({ id: 'req-1' }), acceptedJob({ id: 'req-2' })];
     const takenProgress = takeChangedProgress(jobs);
     assert.deepEqual(
--- a/src/controller/jobs/job-progress.ts
+++ b/src/controller/jobs/job-progress.ts
@@ -1,15 +1,16 @@
-/** Progress of jobs for display, which the leader sends to the other controllers. */
+/** Progress of jobs. The leader sends it to the other controllers, which show it to users. */
 import type { JobProgress } from '../peers/message.js';
 import type { JobStatus } from '../wire/jobs.js';
 import { BoundedMap } from './bounded-map.js';
 import type { Job } from '../model/entities.js';
 
-/** Jobs whose progress a controller remembers by default. */
+/** Default maximum number of jobs whose progress a controller keeps. */
 const MAX_JOBS = 20_000;
 
 /**
- * The last progress received of each job; jobs not heard of for longest are dropped. It is only
- * shown: no rule depends on it.
+ * Keeps the progress last received for each job, up to a maximum number of jobs. The job whose
+ * progress was received longest ago is dropped first. The progress is only for display: no
+ * scheduling decision depends on it.
  */
 export class ProgressCache {
   private readonly progressById: BoundedMap<JobProgress>;
@@ -18,17 +19,17 @@
     this.progressById = new BoundedMap(maxJobs);
   }
 
-  /** Remembers what the leader has sent of a job. */
+  /** Stores a job's progress as received from the leader. */
   set(progress: JobProgress): void {
     this.progressById.set(progress.id, progress);
   }
 
-  /** Forgets a job that has ended. */
+  /** Removes a job that has ended. */
   delete(id: string): void {
     this.progressById.delete(id);
   }
 
-  /** The job's progress in the form that users get; null: nothing was received of it. */
+  /** Returns the job's progress as a user-visible status, or null if none is stored. */
   status(id: string): JobStatus | null {
     const progress = this.progressById.get(id);
     if (progress === undefined) return null;
@@ -37,7 +38,7 @@
   }
 }
 
-/** Progress of the jobs whose progress has changed since the last call. */
+/** Returns the progress of the jobs that have changed since the last call. */
 export function takeChangedProgress(jobs: Iterable<Job>): JobProgress[] {
   const changedProgress: JobProgress[] = [];
   for (const job of jobs) {
--- a/src/controller/jobs/job-state-cache.test.ts
+++ b/src/controller/jobs/job-state-cache.test.ts
@@ -11,7 +11,7 @@
     cache = new JobStateCache(MAX_JOBS);
   });
 
-  it('knows that a job is active without knowing the version of its record', () => {
+  it('can mark a job as active without a version, and keeps a known version', () => {
     cache.markActive('req-1');
     assert.deepEqual([cache.isActive('req-1'), cache.activeVersion('req-1')], [true, undefined]);
     cache.setActiveVersion('req-1', 5);
@@ -21,14 +21,14 @@
     assert.ok(!cache.isActive('req-1'));
   });
 
-  it('keeps the first terminal state, and takes the job for active no more', () => {
+  it('keeps the first terminal state, and removes the job from the active ones', () => {
     cache.setActiveVersion('req-1', 5);
     cache.markTerminal('req-1', 'done');
     cache.markTerminal('req-1', 'cancelled');
     assert.deepEqual([cache.terminalState('req-1'), cache.isActive('req-1')], ['done', false]);
   });
 
-  it('forgets the jobs noted longest ago beyond its limit, active and terminal ones apart', () => {
+  it('drops the oldest jobs beyond its limit, separately for active and terminal jobs', () => {
     for (const id of ['req-1', 'req-2', 'req-3']) {
       cache.markTerminal(id, 'done');
       cache.markActive(`${id}-active`);
--- a/src/controller/jobs/job-state-cache.ts
+++ b/src/controller/jobs/job-state-cache.ts
@@ -1,57 +1,57 @@
-/** One controller's cache of the states of jobs, within a limit. */
+/** A controller's cache of the states of jobs, limited in size. */
 import type { TerminalState } from '../wire/jobs.js';
 import { BoundedMap } from './bounded-map.js';
 
-/** Stands for the version of an active record that exists, but that this node has not read. */
+/** Stored for an active record that exists, but whose version this node doesn't know. */
 const VERSION_UNKNOWN = 0;
 
 /**
- * What this node knows of jobs. A terminal state never changes, so it may be answered from here
- * (invariant 3). That a job is active is only a hint: another node may have ended it since.
+ * Caches the states of jobs. A terminal state never changes, so users may be answered from this
+ * cache (invariant 3). An active state is only a hint, since another node may have ended the job.
  */
 export class JobStateCache {
   private readonly terminalStates: BoundedMap<TerminalState>;
-  /** Versions of active records, for transactions that replace them. */
+  /** Versions of active records, for the conditions of transactions that replace them. */
   private readonly activeVersions: BoundedMap<number>;
 
-  /** @param maxJobs - how many terminal and how many active jobs are remembered */
+  /** @param maxJobs - maximum number of terminal jobs, and also of active jobs */
   constructor(maxJobs: number) {
     this.terminalStates = new BoundedMap(maxJobs);
     this.activeVersions = new BoundedMap(maxJobs);
   }
 
-  /** The job's terminal state, if this node knows it. */
+  /** Returns the job's terminal state, or undefined if this node doesn't know one. */
   terminalState(id: string): TerminalState | undefined {
     return this.terminalStates.get(id);
   }
 
-  /** Whether this node knows that the job was accepted, and does not know that it has ended. */
+  /** Returns true if this node knows that the job was accepted, but not that it has ended. */
   isActive(id: string): boolean {
     return this.activeVersions.get(id) !== undefined;
   }
 
-  /** The version of the job's active record, if this node has read or written it. */
+  /** Returns the version of the job's active record, or undefined if this node doesn't know it. */
   activeVersion(id: string): number | undefined {
     const version = this.activeVersions.get(id);
     return version === VERSION_UNKNOWN ? undefined : version;
   }
 
-  /** Notes that the active record was written or read with this version. */
+  /** Stores the version with which the job's active record was written or read. */
   setActiveVersion(id: string, version: number): void {
     this.activeVersions.set(id, version);
   }
 
-  /** Notes that the active record exists, in whatever version. */
+  /** Marks the job as active without changing a known version of its active record. */
   markActive(id: string): void {
     if (!this.isActive(id)) this.activeVersions.set(id, VERSION_UNKNOWN);
   }
 
-  /** Forgets what is known of the active record: it is gone or has another version. */
+  /** Removes the job from the active ones, since its record is gone or has another version. */
   forgetActive(id: string): void {
     this.activeVersions.delete(id);
   }
 
-  /** Notes how the job has ended. */
+  /** Stores the job's terminal state, unless one is already stored. */
   markTerminal(id: string, state: TerminalState): void {
     if (this.terminalStates.get(id) !== undefined) return;
     this.terminalStates.set(id, state);
