--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -1,4 +1,4 @@
-/** The parts of one controller, and how they call each other. */
+/** The components of a controller and their connections. */
 import { MachineTypeCatalogue } from './fleet/machine-type-catalogue.js';
 import { Frontend } from './jobs/frontend.js';
 import type { FrontendHooks } from './jobs/frontend-context.js';
@@ -19,15 +19,15 @@
 import { StateStoreClient } from './store/client.js';
 import type { JobStatus, TerminalState } from './wire/jobs.js';
 
-/** Age that a peer's status gives where the state store has never served the sender. */
+/** Value of `stateOkAgeMs` in a status if the state store has never served the sender. */
 const NEVER_SERVED = -1;
 
-/** Answers a request that a peer has forwarded. */
+/** Handles a request that a peer has forwarded. */
 export type AnswerForwarded = PeerEvents['requestForwarded'];
 
-/** Everything of a controller that outlasts its terms as leader. */
+/** The components of a controller that exist independently of its terms as leader. */
 export class ControllerComponents implements LeaderEnvironment, ApiContext {
-  /** Loaded a little after the start, which is to be short. */
+  /** Null at first. It is loaded after the start, so as not to delay the start. */
   metrics: MetricsSink | null = null;
   readonly redirectedHeartbeats: DecayingRate;
   readonly learned: LearnedStatistics;
@@ -40,7 +40,7 @@
   readonly progress = new ProgressCache();
   readonly readiness: Readiness;
 
-  /** `identity`: tells apart the processes of one host. */
+  /** @param identity - distinguishes this process from other processes on the same host */
   constructor(
     readonly eventLoop: EventLoop,
     readonly settings: Settings,
@@ -103,11 +103,11 @@
     };
   }
 
-  /** A peer knows how a job ended. */
+  /** Handles a job's terminal state that a peer has announced. */
   private jobEnded(id: string, state: TerminalState): void {
     this.frontend.markTerminal(id, state);
     this.progress.delete(id);
-    // The leader learns of a cancellation on another node sooner than from its watch.
+    // The announcement usually arrives before the leader's own watch reports the cancellation.
     if (state === 'cancelled') this.role.currentTerm?.components.table.markCancelled(id);
   }
 
@@ -116,7 +116,7 @@
     return job === undefined ? this.progress.status(id) : job.status();
   }
 
-  /** What this node says of itself. */
+  /** Returns the status of this node that is sent to its peers. */
   private ownStatus(): PeerStatus {
     const { client, leadership } = this;
     const { sinceSuccessMs } = client.health;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: its start, its ticks and what arrives from outside. */
+/** A controller: starts its components, and passes them timer ticks, requests and peer messages. */
 import { encodeResponseBody } from './api/response-body.js';
 import { Router } from './api/router.js';
 import { ControllerComponents } from './controller-components.js';
@@ -10,16 +10,16 @@
 import type { Logger, Runtime } from './runtime/runtime.js';
 import type { Settings } from './settings/settings.js';
 
-/** Ticks in a heartbeat interval. */
+/** Number of ticks per heartbeat interval. */
 const TICKS_PER_HEARTBEAT = 3;
 
-/** One of a deployment's equal controllers, of which one leads. */
+/** One of a deployment's controllers. All run the same code, and at most one acts as leader. */
 export class Controller {
   private readonly eventLoop: EventLoop;
   private readonly components: ControllerComponents;
   private readonly router: Router;
 
-  /** `identity`: tells apart the processes of one host. */
+  /** @param identity - distinguishes this process from other processes on the same host */
   constructor(
     runtime: Runtime,
     log: Logger,
@@ -36,22 +36,25 @@
     this.router = new Router(this.components);
   }
 
-  /** Where this node's metrics go; set a little after the start, which is to be short. */
+  /** The sink for this node's metrics. It is set after the start, which loading it would delay. */
   set metrics(metrics: MetricsSink) {
     this.components.metrics = metrics;
   }
 
-  /** This node has been elected, and has not learned that its term is over. */
+  /** True if this node has been elected as leader and does not know that its term has ended. */
   get leads(): boolean {
     return this.components.role.currentTerm !== null;
   }
 
-  /** This node may answer workers, which may go on beyond its lease as leader. */
+  /**
+   * True if this node may answer workers. Beyond its lease as leader it may do so only while every
+   * other controller has promised not to act as leader (invariant 1).
+   */
   get mayAnswerWorkers(): boolean {
     return this.components.role.mayAnswerWorkers;
   }
 
-  /** Begins to follow the leader, or to lead. */
+  /** Starts leader election, the exchange with peers and the regular ticks. */
   start(): void {
     const { leadership, catalogue, peers, role } = this.components;
     this.eventLoop.post('start', () => {
@@ -80,24 +83,24 @@
     role.currentTerm?.tick(peerStatuses, this.tickMs);
   }
 
-  // ---- what arrives from outside
+  // ---- requests and peer messages
 
-  /** A request to the API; it is answered once. */
+  /** Handles a request to the API. `respond` is called once. */
   request(method: string, path: string, body: Buffer, respond: Respond): void {
     this.router.request({ method, target: path, body }, respond);
   }
 
-  /** A complete frame from another controller. */
+  /** Handles a complete frame received from another controller. */
   peerFrame(bytes: Buffer): void {
     this.eventLoop.post('peer', () => this.components.peers.receive(bytes));
   }
 
-  /** A connection from another controller was dropped since what arrived can't be read. */
+  /** Handles a connection from another controller that was closed because of malformed data. */
   peerConnectionFailed(err: Error): void {
     this.eventLoop.post('peer', () => this.components.peers.dropUnreadable(err));
   }
 
-  /** Answers a request that a peer has forwarded: of a leader for a lease grant, or of a user. */
+  /** Answers a request from a peer: a leader's request for a lease grant, or a user's request. */
   private answerForwarded(
     method: string,
     path: string,
--- a/src/controller/jobs/api-response.ts
+++ b/src/controller/jobs/api-response.ts
@@ -1,6 +1,6 @@
 /** Responses of the API, independent of their transport. */
 
-/** A body that is sent as it is. */
+/** A response body that is already encoded. */
 export interface EncodedBody {
   bytes: Buffer;
   contentType: string;
@@ -9,20 +9,20 @@
 /** A response to one request. */
 export interface ApiResponse {
   status: number;
-  /** Sent as CBOR; absent: the body is empty. */
+  /** Encoded as CBOR. The response has an empty body if this is absent. */
   body?: unknown;
-  /** Sent in place of `body`. */
+  /** Sent instead of `body`. */
   encodedBody?: EncodedBody;
-  /** Seconds after which the client is asked to try again. */
+  /** Value of the Retry-After header in seconds. */
   retryAfterS?: number;
-  /** The method that the path allows, where the request had another. */
+  /** Value of the Allow header: the method that the path supports, if the request had another. */
   allow?: string;
 }
 
-/** Sends the response to one request; called once. */
+/** Sends the response to a request. Must be called exactly once. */
 export type Respond = (response: ApiResponse) => void;
 
-/** The response about a job that does not exist. */
+/** Returns the response to a request for a job that does not exist. */
 export function jobNotFound(): ApiResponse {
   return { status: 404, body: { error: 'no such job' } };
 }
--- a/src/controller/jobs/frontend-context.ts
+++ b/src/controller/jobs/frontend-context.ts
@@ -1,4 +1,4 @@
-/** What submissions, status queries and cancellations of one node share. */
+/** Context shared by the submissions, status queries and cancellations of one node. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -8,11 +8,11 @@
 import type { Respond } from './api-response.js';
 import type { JobStateCache } from './job-state-cache.js';
 
-/** What the frontend asks of the rest of the controller, and tells it. */
+/** Queries and notifications of the frontend to the other parts of the controller. */
 export interface FrontendHooks {
-  /** The machine types of the cloud; null: not known yet. */
+  /** Returns the machine types of the cloud, or null if they have not been loaded yet. */
   machineTypes(): MachineType[] | null;
-  /** The job's last known progress, for display; null: this node knows none. */
+  /** Returns the job's last known progress for display, or null if this node has received none. */
   progress(id: string): JobStatus | null;
   /** This node has accepted a job. */
   onAccepted(id: string): void;
@@ -20,24 +20,24 @@
   onCancelled(id: string): void;
 }
 
-/** Time-out of calls to the state store for a user who waits, in milliseconds. */
+/** Time-out of calls to the state store that a user's request waits for, in milliseconds. */
 export const CALL_TIMEOUT_MS = 1500;
 
-/** How long users are asked to wait, at least, while the state store is unavailable. */
+/** Minimum delay before a retry while the state store is unavailable, in milliseconds. */
 const UNAVAILABLE_RETRY_MS = 1000;
 
-/** Shared by submissions, status queries and cancellations. */
+/** Dependencies and caches of submissions, status queries and cancellations. */
 export interface FrontendContext {
   readonly eventLoop: EventLoop;
   readonly settings: Settings;
   readonly client: StateStoreClient;
   readonly hooks: FrontendHooks;
   readonly jobStates: JobStateCache;
-  /** Group commit of submissions and cancellations. */
+  /** Writes of submissions and cancellations, many in one transaction. */
   readonly writes: GroupCommit;
 }
 
-/** Asks the user to try again later, once the state store can be expected to take the request. */
+/** Responds with 503 and the time after which the state store is expected to take the request. */
 export function respondRetryLater({ writes, client }: FrontendContext, respond: Respond): void {
   const waitMs = Math.max(writes.waitMs(), client.health.isUnavailable ? UNAVAILABLE_RETRY_MS : 0);
   const retryAfterS = Math.max(1, Math.ceil(waitMs / 1000));
--- a/src/controller/jobs/frontend.test.ts
+++ b/src/controller/jobs/frontend.test.ts
@@ -7,7 +7,7 @@
 
 const jobStatusIn = ({ body }: ApiResponse): unknown => (body as { status?: unknown }).status;
 
-describe('nodes with a state store in common', () => {
+describe('nodes that share a state store', () => {
   let store: FakeStateStore;
   let node: FrontendNode;
 
@@ -16,14 +16,14 @@
     node = new FrontendNode(store);
   });
 
-  it('accept a service exactly at its team’s limit, and know it from then on', () => {
+  it('accept a service exactly at its team’s limit, and then report it as pending', () => {
     assert.equal(node.submit(serviceSubmission).status, 201);
     assert.equal(node.submit(serviceSubmission).status, 200);
     assert.equal(new FrontendNode(store).submit(serviceSubmission).status, 200);
     assert.equal(jobStatusIn(new FrontendNode(store).poll(ID)), 'pending');
   });
 
-  it('answer every question, retry and cancellation of a cancelled job with its end', () => {
+  it('answer every submission, status query and cancellation of a cancelled job with aborted', () => {
     node.submit(serviceSubmission);
     const cancelled = node.cancel(ID);
     assert.deepEqual([cancelled.status, jobStatusIn(cancelled)], [200, 'aborted']);
@@ -40,7 +40,7 @@
       assert.deepEqual([response.status, jobStatusIn(response)], [200, 'aborted']);
   });
 
-  it('respond with 404 to a question or cancellation of a job that was never accepted', () => {
+  it('respond with 404 to a status query or cancellation of a job that was never accepted', () => {
     assert.deepEqual([node.poll(ID).status, node.cancel(ID).status], [404, 404]);
   });
 
@@ -52,6 +52,6 @@
   });
 
   for (const request of ['poll', 'cancel'] as const)
-    it(`respond with 404 to ${request} with what is no job id`, () =>
+    it(`respond with 404 to a ${request} request with an invalid job id`, () =>
       assert.equal(node[request]('../lead').status, 404));
 });
--- a/src/controller/jobs/frontend.ts
+++ b/src/controller/jobs/frontend.ts
@@ -1,4 +1,4 @@
-/** The users' side of a controller: submissions, status queries and cancellations. */
+/** The user API of a controller: submissions, status queries and cancellations. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -14,9 +14,10 @@
 import { Submissions } from './submissions.js';
 
 /**
- * The users' side, the same on every node. A terminal state never changes and is answered from
- * memory. Anything else, a 404 too, is answered only after the state store has confirmed it, for
- * another node may have told the user something newer (invariant 3).
+ * Handles users' requests in the same way on the leader and on all other nodes. A terminal state
+ * never changes, so it is answered from memory. Every other state, including that a job does not
+ * exist, must first be confirmed by the state store, since another node may already have reported a
+ * newer state to the user (invariant 3).
  */
 export class Frontend {
   private readonly jobStates: JobStateCache;
@@ -44,22 +45,22 @@
     this.cancellations = new Cancellations(context, recordedStates, this.statusQueries);
   }
 
-  /** Notes that another controller has accepted the job. */
+  /** Remembers a job that another controller has accepted, unless it is known to have ended. */
   markAccepted(id: string): void {
     if (this.jobStates.terminalState(id) === undefined) this.jobStates.markActive(id);
   }
 
-  /** How the job has ended; null: it is not known to have ended. */
+  /** Returns the job's terminal state, or null if this node does not know one. */
   terminalState(id: string): TerminalState | null {
     return this.jobStates.terminalState(id) ?? null;
   }
 
-  /** Notes how a job has ended, as another controller or this node's leader tells. */
+  /** Remembers a job's terminal state, reported by another controller or by this node as leader. */
   markTerminal(id: string, state: TerminalState): void {
     this.jobStates.markTerminal(id, state);
   }
 
-  /** Responds to a submission with this decoded body. */
+  /** Handles a submission, whose body is already decoded. */
   submit(body: unknown, respond: Respond): void {
     this.submissions.submit(body, respond);
   }
@@ -69,7 +70,7 @@
     this.statusQueries.poll(id, respond);
   }
 
-  /** Cancels a job, and responds with how it has ended. */
+  /** Cancels a job, and responds with its terminal state. */
   cancel(id: string, respond: Respond): void {
     this.cancellations.cancel(id, respond);
   }
