--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -27,7 +27,7 @@
 
 /** The components of a controller that exist independently of its terms as leader. */
 export class ControllerComponents implements LeaderEnvironment, ApiContext {
-  /** Null at first. It is loaded after the start, so as not to delay the start. */
+  /** Null until it is set. That happens after the start, which loading the module would delay. */
   metrics: MetricsSink | null = null;
   readonly redirectedHeartbeats: DecayingRate;
   readonly learned: LearnedStatistics;
--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -11,7 +11,7 @@
 export type Admission =
   { kind: 'admitted' } | { kind: 'undecided' } | { kind: 'refused'; reason: string };
 
-/** Amount by which the resources of all tasks may exceed a limit because of rounding errors. */
+/** Excess over a team limit, in CPUs or GPUs, that is tolerated as a rounding error of the total. */
 const ROUNDING_TOLERANCE = 1e-9;
 
 /** Minimum number of zones over which the tasks of a spread job must be distributed. */
@@ -66,7 +66,7 @@
   return spec.kind !== 'array';
 }
 
-/** Returns the zones allowed for the job that have a machine type on which one of its tasks fits. */
+/** Returns the zones that the job may use and that have a machine type which fits its tasks. */
 function zonesFor(spec: JobSpec, types: readonly MachineType[]): Set<string> {
   const zones = types.filter((type) => fitsMachineType(spec, type)).flatMap((type) => type.zones);
   return new Set(zones.filter((zone) => spec.zone === null || zone === spec.zone));
--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -19,7 +19,7 @@
 const ID = 'req-1';
 /** Version of the active record of the job. */
 const VERSION = 7;
-/** At least the delay before a terminal record is read again, in milliseconds. */
+/** Longest delay before a terminal record is read again, in milliseconds. */
 const READ_RETRY_MS = 1000;
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Has an incomplete gang, or one with members of several attempts, stopped. Its tasks become
-   * pending, all together, only once the remaining members are gone.
+   * Reports a gang that is incomplete or mixes attempts, so that it is stopped. Its tasks become
+   * pending, all together, only after the remaining members are gone.
    */
   private recoverGang(job: Job): void {
     const assignments = [...job.currentAssignments.values()];
--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -29,9 +29,9 @@
  * A worker that receives a response keeps its tasks running for another worker lease. A node may
  * therefore answer a worker only if it knows every cancellation that was confirmed to a user more
  * than `Settings.maxWatchStalenessMs` ago (invariant 8). Holding the leader's lease doesn't
- * guarantee this, because the lease may be renewed while watch requests are refused or delayed. An
- * answered read of the state store does: it shows everything that was confirmed before the read
- * was sent.
+ * guarantee this, because the lease may be renewed while watch requests are refused, delayed or
+ * slow. An answered read of the state store does: it shows everything that was confirmed before the
+ * read was sent.
  */
 export class JobWatch {
   /** When the latest answered read was sent, by this node's monotonic clock. */
--- a/src/controller/jobs/shared-requests.ts
+++ b/src/controller/jobs/shared-requests.ts
@@ -2,9 +2,9 @@
 
 /**
  * Unsent requests by key, each with the callers that wait for its result. A caller may join a
- * request only until it is sent. A request in flight may return a state older than the one that
- * another node has meanwhile reported to the same user, but any state other than a known terminal
- * one must be confirmed after the user has asked (invariant 3).
+ * request only until it is sent: a request in flight may return an older state than the one that
+ * another node has already reported to the same user (invariant 3: the state store must confirm
+ * every state that is not known to be terminal).
  */
 export class SharedRequests<Waiter> {
   private readonly unsent = new Map<string, SharedRequest<Waiter>>();
--- a/src/controller/jobs/submissions.test.ts
+++ b/src/controller/jobs/submissions.test.ts
@@ -44,7 +44,7 @@
       assert.equal(statusOfSubmission(body, [ID]), 200));
   }
 
-  // Between the two submissions another node may have cancelled the job.
+  // Another node may have accepted and cancelled the job between the two submissions.
   it('that is repeated does not share the response of a transaction that was already sent', () => {
     const fixture = new FrontendFixture();
     const { runtime, responses } = fixture;
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -1,4 +1,4 @@
-/** Users' submissions: validates jobs, and records each one once even if it is submitted again. */
+/** Users' submissions: validation of jobs, and recording of each job only once. */
 import { storedSize } from '../store/page.js';
 import type { TransactionResult } from '../store/results.js';
 import { WireError } from '../wire/fields.js';
@@ -35,7 +35,7 @@
   }
 
   private refuseMalformed(body: unknown, { message }: WireError, respond: Respond): void {
-    this.context.eventLoop.log.debug({ reason: message, body }, 'refused a malformed submission');
+    this.context.eventLoop.log.debug({ reason: message, body }, 'malformed submission');
     const refusal = { status: 400, body: { error: message } };
     const id = readJobId(body);
     if (id === null) respond(refusal);
