--- a/src/controller/jobs/cancellations.ts
+++ b/src/controller/jobs/cancellations.ts
@@ -1,4 +1,4 @@
-/** Users' cancellations: one transaction replaces a job's active record by its terminal one. */
+/** Users' cancellations: one transaction replaces a job's active record by its terminal record. */
 import { tokenReserve } from '../store/rate-budget.js';
 import type { ReadResult, TransactionResult } from '../store/results.js';
 import { isJobId } from '../wire/jobs.js';
@@ -9,17 +9,20 @@
 import type { RecordedStates } from './recorded-states.js';
 import type { StatusQueries } from './status-queries.js';
 
-/** How often the version of a job's active record may prove outdated before the user has to retry. */
+/**
+ * Maximum number of attempts to cancel a job before the user is asked to retry. An attempt fails if
+ * the active record has changed since it was read, or was created after a read found none.
+ */
 const MAX_ATTEMPTS = 3;
 
-/** One user's cancellation of a job. */
+/** A user's request to cancel a job. */
 interface Cancellation {
   id: string;
   attemptsLeft: number;
   respond: Respond;
 }
 
-/** Cancels jobs. A cancellation is idempotent: that of an ended job is answered with its end. */
+/** Cancels jobs. Cancelling is idempotent: for an ended job the response is its terminal state. */
 export class Cancellations {
   constructor(
     private readonly context: FrontendContext,
@@ -27,7 +30,7 @@
     private readonly statusQueries: StatusQueries,
   ) {}
 
-  /** Ends a job that has not ended, and responds with how it ended. */
+  /** Cancels a job unless it has already ended, and responds with its terminal state. */
   cancel(id: string, respond: Respond): void {
     if (!isJobId(id)) return respond(jobNotFound());
     this.attempt({ id, attemptsLeft: MAX_ATTEMPTS, respond });
@@ -36,13 +39,13 @@
   private attempt(cancellation: Cancellation): void {
     const { id, attemptsLeft, respond } = cancellation;
     const { jobStates, client } = this.context;
-    const terminal = jobStates.terminalState(id);
-    if (terminal !== undefined) return this.statusQueries.reply(id, terminal, respond);
+    const terminalState = jobStates.terminalState(id);
+    if (terminalState !== undefined) return this.statusQueries.reply(id, terminalState, respond);
     if (client.health.isUnavailable || attemptsLeft === 0)
       return respondRetryLater(this.context, respond);
     const version = jobStates.activeVersion(id);
     if (version === undefined) this.readVersion(cancellation);
-    else this.write(cancellation, version);
+    else this.writeTerminalRecord(cancellation, version);
   }
 
   private retry(cancellation: Cancellation): void {
@@ -53,31 +56,31 @@
     const { client } = this.context;
     if (!client.budget.requestTokens.tryTake(1, tokenReserve.submissions))
       return respondRetryLater(this.context, cancellation.respond);
-    client.read(activeKey(cancellation.id), CALL_TIMEOUT_MS, (read) =>
-      this.versionRead(cancellation, read),
+    client.read(activeKey(cancellation.id), CALL_TIMEOUT_MS, (result) =>
+      this.handleVersionRead(cancellation, result),
     );
   }
 
-  private versionRead(cancellation: Cancellation, read: ReadResult<KeyValue | null>): void {
+  private handleVersionRead(cancellation: Cancellation, result: ReadResult<KeyValue | null>): void {
     const { id, respond } = cancellation;
-    if (read.kind === 'failed') return respondRetryLater(this.context, respond);
-    if (read.value === null) return this.notActive(cancellation);
-    this.context.jobStates.setActiveVersion(id, read.value.version);
+    if (result.kind === 'failed') return respondRetryLater(this.context, respond);
+    if (result.value === null) return this.handleNotActive(cancellation);
+    this.context.jobStates.setActiveVersion(id, result.value.version);
     this.attempt(cancellation);
   }
 
-  /** No active record was found: the job has ended, was never accepted, or is being accepted. */
-  private notActive(cancellation: Cancellation): void {
+  /** Handles a missing active record: the job has ended, does not exist or is being accepted. */
+  private handleNotActive(cancellation: Cancellation): void {
     const { id, respond } = cancellation;
     this.context.jobStates.forgetActive(id);
     this.recordedStates.query(id, (state) => {
-      // It was accepted between the read and the query.
+      // The job was accepted between the read and the query.
       if (state === 'active') this.retry(cancellation);
       else this.statusQueries.reply(id, state, respond);
     });
   }
 
-  private write(cancellation: Cancellation, version: number): void {
+  private writeTerminalRecord(cancellation: Cancellation, version: number): void {
     const { id, respond } = cancellation;
     const { eventLoop, writes } = this.context;
     const endedAt = Math.round(eventLoop.runtime.wallClock());
@@ -90,12 +93,12 @@
         { delete: activeKey(id) },
         { put: terminalKey(id), value: terminalRecord('cancelled', endedAt) },
       ],
-      done: (result) => this.settle(cancellation, result),
+      done: (result) => this.handleResult(cancellation, result),
     });
     if (!queued) respondRetryLater(this.context, respond);
   }
 
-  private settle(cancellation: Cancellation, result: TransactionResult): void {
+  private handleResult(cancellation: Cancellation, result: TransactionResult): void {
     const { id, respond } = cancellation;
     const { jobStates, hooks } = this.context;
     if (result.kind === 'ok') {
--- a/src/controller/jobs/completion-records.test.ts
+++ b/src/controller/jobs/completion-records.test.ts
@@ -5,59 +5,59 @@
 import { CompletionRecords } from './completion-records.js';
 
 const ID = 'req-1';
-/** More than one record has room for. */
+/** More tasks than one record covers. */
 const TASKS = 10_000;
-/** The first and last of records, and of bytes in them. */
-const DONE = [0, 7, 8, 8191, 8192, 9999];
+/** Tasks at the boundaries of records and of bytes in records. */
+const DONE_TASKS = [0, 7, 8, 8191, 8192, 9999];
 
-function ignore(): void {
-  // Nobody is told.
+function ignoreRecorded(): void {
+  // These tests don't check the callback.
 }
 
 describe('CompletionRecords', () => {
-  it('marks the tasks as done that were recorded before, across the borders of records', () => {
+  it('loads the completions that it has recorded, across the boundaries of records', () => {
     const records = immediateRecords();
     const recorded: number[] = [];
-    const before = acceptedJob({ id: ID, tasks: TASKS });
+    const recordedJob = acceptedJob({ id: ID, tasks: TASKS });
     const completions = new CompletionRecords(records, (_job, task) => recorded.push(task));
-    for (const task of DONE) {
-      before.done[task] = 1;
-      completions.add(before, task);
+    for (const task of DONE_TASKS) {
+      recordedJob.done[task] = 1;
+      completions.add(recordedJob, task);
     }
     completions.flush();
-    assert.deepEqual(recorded, DONE);
+    assert.deepEqual(recorded, DONE_TASKS);
     assert.deepEqual(
       [...records.list('p/')].map(({ key }) => key),
       ['p/req-1/0', 'p/req-1/1'],
     );
-    const after = acceptedJob({ id: ID, tasks: TASKS });
-    new CompletionRecords(records, ignore).load(new Map([[ID, after]]));
+    const loadedJob = acceptedJob({ id: ID, tasks: TASKS });
+    new CompletionRecords(records, ignoreRecorded).load(new Map([[ID, loadedJob]]));
     assert.deepEqual(
-      [...after.done.entries()].filter(([, flag]) => flag === 1).map(([task]) => task),
-      DONE,
+      [...loadedJob.done.entries()].filter(([, flag]) => flag === 1).map(([task]) => task),
+      DONE_TASKS,
     );
-    assert.equal(after.doneRecordedCount, DONE.length);
+    assert.equal(loadedJob.doneRecordedCount, DONE_TASKS.length);
   });
 
   it('removes the records of a job that has ended', () => {
     const records = immediateRecords();
-    const completions = new CompletionRecords(records, ignore);
-    const ended = acceptedJob({ id: ID, tasks: TASKS });
-    for (const task of DONE) completions.add(ended, task);
+    const completions = new CompletionRecords(records, ignoreRecorded);
+    const endedJob = acceptedJob({ id: ID, tasks: TASKS });
+    for (const task of DONE_TASKS) completions.add(endedJob, task);
     completions.flush();
-    completions.remove(ended);
+    completions.remove(endedJob);
     assert.deepEqual([...records.list('p/')], []);
   });
 
-  it('removes records of jobs that are not known when they are loaded', () => {
+  it('removes the records of jobs that are not active when it loads them', () => {
     const records = immediateRecords({ 'p/req-0/0': 'AQ==' });
-    new CompletionRecords(records, ignore).load(new Map());
+    new CompletionRecords(records, ignoreRecorded).load(new Map());
     assert.ok(!records.has('p/req-0/0'));
   });
 
-  it('writes nothing of a job whose completions were discarded', () => {
+  it('does not write completions that were discarded', () => {
     const records = immediateRecords();
-    const completions = new CompletionRecords(records, ignore);
+    const completions = new CompletionRecords(records, ignoreRecorded);
     const job = acceptedJob({ id: ID });
     completions.add(job, 0);
     completions.discard(job);
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -1,4 +1,4 @@
-/** Users' submissions: checked, and recorded once however often they are retried. */
+/** Users' submissions: validation of jobs, and recording of each job only once. */
 import { storedSize } from '../store/page.js';
 import type { TransactionResult } from '../store/results.js';
 import { WireError } from '../wire/fields.js';
@@ -11,9 +11,9 @@
 import { SharedRequests, type SharedRequest } from './shared-requests.js';
 import type { StatusQueries } from './status-queries.js';
 
-/** Accepts jobs. A submission is idempotent: a retried one is answered with the job's status. */
+/** Accepts jobs. Submissions are idempotent: a repeated one is answered with the job's status. */
 export class Submissions {
-  private readonly shared = new SharedRequests<Respond>();
+  private readonly sharedRequests = new SharedRequests<Respond>();
 
   constructor(
     private readonly context: FrontendContext,
@@ -21,7 +21,7 @@
     private readonly statusQueries: StatusQueries,
   ) {}
 
-  /** Accepts a job, refuses it, or answers a retried submission with the job's status. */
+  /** Accepts or refuses a job, or answers a repeated submission with the job's status. */
   submit(body: unknown, respond: Respond): void {
     let spec: JobSpec;
     try {
@@ -45,19 +45,19 @@
   private submitSpec(spec: JobSpec, respond: Respond): void {
     const { jobStates, settings, hooks } = this.context;
     const { id } = spec;
-    const terminal = jobStates.terminalState(id);
-    if (terminal !== undefined) return this.statusQueries.reply(id, terminal, respond);
+    const terminalState = jobStates.terminalState(id);
+    if (terminalState !== undefined) return this.statusQueries.reply(id, terminalState, respond);
     const admission = admit(spec, settings.platform.teams, hooks.machineTypes());
     if (admission.kind === 'refused')
       this.refuse(id, { status: 422, body: { error: admission.reason } }, respond);
     else if (admission.kind === 'undecided' || jobStates.isActive(id))
       this.replyUnlessAbsent(id, respond, () => respondRetryLater(this.context, respond));
-    else this.record(spec, respond);
+    else this.recordJob(spec, respond);
   }
 
   /**
-   * Refuses a submission, unless its job is known: teams, machine types and what a version takes
-   * for well-formed may have changed since it was accepted.
+   * Refuses a submission, unless its job was accepted before. In that case responds with the job's
+   * status, since teams, machine types or the validation rules may have changed in the meantime.
    */
   private refuse(id: string, refusal: ApiResponse, respond: Respond): void {
     this.replyUnlessAbsent(id, respond, () => respond(refusal));
@@ -70,7 +70,7 @@
     });
   }
 
-  private record(spec: JobSpec, respond: Respond): void {
+  private recordJob(spec: JobSpec, respond: Respond): void {
     const { eventLoop, client } = this.context;
     const value = activeRecord(spec, Math.round(eventLoop.runtime.wallClock()));
     if (storedSize(value) > client.budget.limits.maxValueSize) {
@@ -78,11 +78,11 @@
       return this.refuse(spec.id, refusal, respond);
     }
     if (client.health.isUnavailable) return respondRetryLater(this.context, respond);
-    if (!this.shared.join(spec.id, respond)) this.create(spec.id, value, respond);
+    if (!this.sharedRequests.join(spec.id, respond)) this.createRecord(spec.id, value, respond);
   }
 
-  private create(id: string, value: unknown, respond: Respond): void {
-    const request = this.shared.create(id, respond);
+  private createRecord(id: string, value: unknown, respond: Respond): void {
+    const request = this.sharedRequests.create(id, respond);
     const queued = this.context.writes.add({
       conditions: [
         { key: activeKey(id), version: 0 },
@@ -90,14 +90,18 @@
       ],
       writes: [{ put: activeKey(id), value }],
       onSent: () => request.seal(),
-      done: (result) => this.settle(id, result, request),
+      done: (result) => this.handleResult(id, result, request),
     });
     if (queued) request.open();
     else respondRetryLater(this.context, respond);
   }
 
-  private settle(id: string, result: TransactionResult, request: SharedRequest<Respond>): void {
-    if (result.kind === 'ok') this.accepted(id, result.revision, request);
+  private handleResult(
+    id: string,
+    result: TransactionResult,
+    request: SharedRequest<Respond>,
+  ): void {
+    if (result.kind === 'ok') this.handleAccepted(id, result.revision, request);
     else if (result.kind === 'conflict')
       this.recordedStates.resolveConflict(id, result.failedKeys, (state) =>
         this.replyToAll(id, state, request),
@@ -105,7 +109,7 @@
     else this.replyToAll(id, 'unknown', request);
   }
 
-  private accepted(id: string, version: number, request: SharedRequest<Respond>): void {
+  private handleAccepted(id: string, version: number, request: SharedRequest<Respond>): void {
     this.context.jobStates.setActiveVersion(id, version);
     this.context.hooks.onAccepted(id);
     const body = writeJobStatus({ id, state: 'queued' });
