--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -11,7 +11,7 @@
 import { LeaseGrant } from './lease-grant.js';
 
 /** Name of the timer's command in the log. */
-const BEGIN_TERM_COMMAND = 'begin-term';
+const BEGIN_TERM_EVENT = 'begin-term';
 
 /** Why a leader gives the lead to a node that may be better placed, as the log says. */
 export type HandOverReason = 'no view of the jobs' | 'workers do not reach this node';
@@ -201,7 +201,7 @@
     if (this.lease !== lease) return;
     const { remainingMs } = this.leaseGrant;
     if (remainingMs === 0) return this.events.elected(lease.term);
-    this.eventLoop.after(remainingMs, BEGIN_TERM_COMMAND, () =>
+    this.eventLoop.after(remainingMs, BEGIN_TERM_EVENT, () =>
       this.beginTermOnceGrantExpires(lease),
     );
   }
