--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -133,8 +133,8 @@
    * leader for a while. Denied if this node leads, or knows that the term is over.
    */
   grantLease(term: number): boolean {
-    const isOver = term <= this.endedTerm || term < (this.knownLeader?.term ?? 0);
-    if (this.lease !== null || isOver) return false;
+    const hasTermEnded = term <= this.endedTerm || term < (this.knownLeader?.term ?? 0);
+    if (this.lease !== null || hasTermEnded) return false;
     this.leaseGrant.grant();
     return true;
   }
