--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -76,7 +76,7 @@
         this.knownLeader = leader;
       },
       leaderGone: () => this.forgetLeader(),
-      electionDue: () => this.election.start((result) => this.electionDecided(result)),
+      electionDue: () => this.election.start((result) => this.electionFinished(result)),
     });
   }
 
@@ -170,7 +170,7 @@
 
   // ---- beginning of this node's term
 
-  private electionDecided(result: ElectionResult): void {
+  private electionFinished(result: ElectionResult): void {
     if (result.kind === 'lost') this.watch.retry();
     else this.electionWon(result);
   }
