--- a/src/controller/leadership/leader-lease.ts
+++ b/src/controller/leadership/leader-lease.ts
@@ -7,7 +7,7 @@
 import { LeaseExtension, type RequestLeaseGrant } from './lease-extension.js';
 
 /** Name of the timers' command in the log. */
-const RENEW_COMMAND = 'renew-lease';
+const RENEW_EVENT = 'renew-lease';
 
 /** After a failed renewal the next is tried sooner by this factor. */
 const RETRY_FACTOR = 4;
@@ -82,7 +82,7 @@
   }
 
   private renewAfter(delayMs: number): void {
-    this.eventLoop.after(delayMs, RENEW_COMMAND, () => {
+    this.eventLoop.after(delayMs, RENEW_EVENT, () => {
       if (!this.isClosed) this.renew();
     });
   }
