--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -8,7 +8,7 @@
 import { LEADER_KEY, readLeaderRecord, type LeaderRecord } from './leader-record.js';
 
 /** Name of the timers' command in the log. */
-const OBSERVE_COMMAND = 'observe-leader';
+const OBSERVE_EVENT = 'observe-leader';
 
 /** Delay before the key is read again, as a share of the leader's lease. */
 const RETRY_RATIO = 0.04;
@@ -69,7 +69,7 @@
   }
 
   private observeAfter(delayMs: number): void {
-    this.eventLoop.after(delayMs, OBSERVE_COMMAND, () => this.observe());
+    this.eventLoop.after(delayMs, OBSERVE_EVENT, () => this.observe());
   }
 
   private keyRead(got: ReadResult<KeyValue | null>): void {
