--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -46,9 +46,9 @@
     if (this.isObserving || !this.events.isFollower()) return;
     this.isObserving = true;
     this.client.budget.requestTokens.forceTake();
-    this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
+    this.client.read(LEADER_KEY, this.timeoutMs, (result) => {
       this.isObserving = false;
-      if (this.events.isFollower()) this.keyRead(got);
+      if (this.events.isFollower()) this.keyRead(result);
     });
   }
 
