--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -72,9 +72,9 @@
     this.eventLoop.after(delayMs, OBSERVE_EVENT, () => this.observe());
   }
 
-  private keyRead(got: ReadResult<KeyValue | null>): void {
-    if (got.kind === 'failed') return this.retry();
-    const item = got.value;
+  private keyRead(result: ReadResult<KeyValue | null>): void {
+    if (result.kind === 'failed') return this.retry();
+    const item = result.value;
     if (item === null) return this.keyFree();
     this.backoff.keyTaken();
     const leader = readLeaderRecord(item.value, item.version);
