--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -97,10 +97,11 @@
   /** Waits for a change of the key after a revision. */
   private watch(revision: number): void {
     this.isObserving = true;
-    this.client.watch(LEADER_KEY, revision, this.settings.leaderLeaseMs, (got) => {
+    this.client.watch(LEADER_KEY, revision, this.settings.leaderLeaseMs, (result) => {
       this.isObserving = false;
       if (!this.events.isFollower()) return;
-      if (got.kind === 'ok') this.keyWatched(got.value.events, revision, got.value.revision);
+      if (result.kind === 'ok')
+        this.keyWatched(result.value.events, revision, result.value.revision);
       else this.retry();
     });
   }
