--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -107,10 +107,10 @@
   }
 
   private keyWatched(events: readonly WatchEvent[], watchedFrom: number, revision: number): void {
-    const last = events.filter((event) => event.key === LEADER_KEY).at(-1);
-    if (last === undefined) this.watch(Math.max(watchedFrom, revision));
-    else if (last.kind === 'put') {
-      this.events.leaderChanged(readLeaderRecord(last.value, last.version));
+    const lastEvent = events.filter((event) => event.key === LEADER_KEY).at(-1);
+    if (lastEvent === undefined) this.watch(Math.max(watchedFrom, revision));
+    else if (lastEvent.kind === 'put') {
+      this.events.leaderChanged(readLeaderRecord(lastEvent.value, lastEvent.version));
       this.watch(revision);
     } else this.keyFree();
   }
