--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -106,9 +106,13 @@
     });
   }
 
-  private keyWatched(events: readonly WatchEvent[], watchedFrom: number, revision: number): void {
+  private keyWatched(
+    events: readonly WatchEvent[],
+    watchedRevision: number,
+    revision: number,
+  ): void {
     const lastEvent = events.filter((event) => event.key === LEADER_KEY).at(-1);
-    if (lastEvent === undefined) this.watch(Math.max(watchedFrom, revision));
+    if (lastEvent === undefined) this.watch(Math.max(watchedRevision, revision));
     else if (lastEvent.kind === 'put') {
       this.events.leaderChanged(readLeaderRecord(lastEvent.value, lastEvent.version));
       this.watch(revision);
