--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -101,12 +101,12 @@
       this.isObserving = false;
       if (!this.events.isFollower()) return;
       if (result.kind === 'ok')
-        this.keyWatched(result.value.events, revision, result.value.revision);
+        this.watchAnswered(result.value.events, revision, result.value.revision);
       else this.retry();
     });
   }
 
-  private keyWatched(
+  private watchAnswered(
     events: readonly WatchEvent[],
     watchedRevision: number,
     revision: number,
