--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -79,7 +79,7 @@
     this.backoff.keyTaken();
     const leader = readLeaderRecord(item.value, item.version);
     if (leader === null) return this.retry();
-    if (this.isOfPreviousProcess(leader)) return this.endLeaseOf(leader);
+    if (this.isOfPreviousProcess(leader)) return this.revokeLeaseOf(leader);
     this.events.leaderChanged(leader);
     this.watch(item.version);
   }
@@ -89,7 +89,7 @@
     return leader.host === this.settings.platform.host && leader.identity !== this.identity;
   }
 
-  private endLeaseOf(leader: LeaderRecord): void {
+  private revokeLeaseOf(leader: LeaderRecord): void {
     this.eventLoop.log.info({ term: leader.term }, 'revoking the lease of the previous process');
     this.client.revokeLease(leader.leaseId, this.timeoutMs, () => this.observe());
   }
