--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -54,7 +54,7 @@
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'after' | 'now'>,
     private readonly settings: Pick<Settings, 'leaseGrantMs'>,
-    private readonly peers: readonly string[],
+    private readonly peerHosts: readonly string[],
     private readonly requestGrant: RequestLeaseGrant,
   ) {}
 
@@ -65,7 +65,7 @@
 
   /** Begins an extension, unless one is running or has lapsed, or there are no other controllers. */
   begin(request: ExtensionRequest): void {
-    if (this.state.kind !== 'idle' || this.peers.length === 0) return;
+    if (this.state.kind !== 'idle' || this.peerHosts.length === 0) return;
     const extension: RunningExtension = { kind: 'running', request, grantedUntil: -Infinity };
     this.state = extension;
     this.runRounds(extension);
@@ -87,8 +87,8 @@
   private runRound(extension: RunningExtension): void {
     const { leaseGrantMs } = this.settings;
     const requestedAt = this.eventLoop.now();
-    let missingGrants = this.peers.length;
-    for (const host of this.peers)
+    let missingGrants = this.peerHosts.length;
+    for (const host of this.peerHosts)
       this.requestGrant(host, extension.request.term, leaseGrantMs, (granted) => {
         if (!granted || this.state !== extension) return;
         missingGrants--;
