--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -97,9 +97,9 @@
   }
 
   private allGranted(extension: RunningExtension, requestedAt: number): void {
-    const heldUntil = Math.max(extension.request.leaseHeldUntil(), extension.grantedUntil);
+    const coveredUntil = Math.max(extension.request.leaseHeldUntil(), extension.grantedUntil);
     // Between then and now another controller may have acted as leader.
-    const hasLapsed = this.eventLoop.now() >= heldUntil;
+    const hasLapsed = this.eventLoop.now() >= coveredUntil;
     if (hasLapsed) this.state = { kind: 'lapsed' };
     else
       extension.grantedUntil = Math.max(
