--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -55,9 +55,9 @@
       this.isRunning = false;
       done(result);
     };
-    this.client.grantLease(this.settings.leaderLeaseMs, this.timeoutMs, (granted) => {
-      if (granted.kind === 'failed') decide({ kind: 'lost' });
-      else this.createKey({ leaseId: granted.value, requestedAt }, decide);
+    this.client.grantLease(this.settings.leaderLeaseMs, this.timeoutMs, (result) => {
+      if (result.kind === 'failed') decide({ kind: 'lost' });
+      else this.createKey({ leaseId: result.value, requestedAt }, decide);
     });
   }
 
