--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -87,8 +87,8 @@
 
   private readKey(candidacy: Candidacy, decide: ElectionCallback): void {
     this.client.budget.requestTokens.forceTake();
-    this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
-      const item = got.kind === 'ok' ? got.value : null;
+    this.client.read(LEADER_KEY, this.timeoutMs, (result) => {
+      const item = result.kind === 'ok' ? result.value : null;
       const leader = item === null ? null : readLeaderRecord(item.value, item.version);
       if (leader?.identity === this.identity && leader.leaseId === candidacy.leaseId)
         decide({ kind: 'won', ...candidacy, term: leader.term });
