--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -51,13 +51,13 @@
     if (this.isRunning) return;
     this.isRunning = true;
     const requestedAt = this.eventLoop.now();
-    const decide: ElectionCallback = (result) => {
+    const finish: ElectionCallback = (result) => {
       this.isRunning = false;
       done(result);
     };
     this.client.grantLease(this.settings.leaderLeaseMs, this.timeoutMs, (result) => {
-      if (result.kind === 'failed') decide({ kind: 'lost' });
-      else this.createKey({ leaseId: result.value, requestedAt }, decide);
+      if (result.kind === 'failed') finish({ kind: 'lost' });
+      else this.createKey({ leaseId: result.value, requestedAt }, finish);
     });
   }
 
