--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -61,7 +61,7 @@
     });
   }
 
-  private createKey(candidacy: Candidacy, decide: ElectionCallback): void {
+  private createKey(candidacy: Candidacy, finish: ElectionCallback): void {
     const { identity } = this;
     const { leaseId } = candidacy;
     const value = writeLeaderRecord({ host: this.settings.platform.host, identity, leaseId });
@@ -70,7 +70,7 @@
       [{ key: LEADER_KEY, version: 0 }],
       [{ put: LEADER_KEY, value, lease: leaseId }],
       this.timeoutMs,
-      (result) => this.keyCreated(candidacy, result, decide),
+      (result) => this.keyCreated(candidacy, result, finish),
     );
   }
 
