--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -77,12 +77,12 @@
   private keyCreated(
     candidacy: Candidacy,
     result: TransactionResult,
-    decide: ElectionCallback,
+    finish: ElectionCallback,
   ): void {
-    if (result.kind === 'ok') decide({ kind: 'won', ...candidacy, term: result.revision });
+    if (result.kind === 'ok') finish({ kind: 'won', ...candidacy, term: result.revision });
     // The key may have been created: only reading it tells.
-    else if (result.kind === 'unknown') this.readKey(candidacy, decide);
-    else this.lose(candidacy, decide);
+    else if (result.kind === 'unknown') this.readKey(candidacy, finish);
+    else this.lose(candidacy, finish);
   }
 
   private readKey(candidacy: Candidacy, decide: ElectionCallback): void {
