--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -85,14 +85,14 @@
     else this.lose(candidacy, finish);
   }
 
-  private readKey(candidacy: Candidacy, decide: ElectionCallback): void {
+  private readKey(candidacy: Candidacy, finish: ElectionCallback): void {
     this.client.budget.requestTokens.forceTake();
     this.client.read(LEADER_KEY, this.timeoutMs, (result) => {
       const item = result.kind === 'ok' ? result.value : null;
       const leader = item === null ? null : readLeaderRecord(item.value, item.version);
       if (leader?.identity === this.identity && leader.leaseId === candidacy.leaseId)
-        decide({ kind: 'won', ...candidacy, term: leader.term });
-      else this.lose(candidacy, decide);
+        finish({ kind: 'won', ...candidacy, term: leader.term });
+      else this.lose(candidacy, finish);
     });
   }
 
