--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -96,8 +96,8 @@
     });
   }
 
-  private lose({ leaseId }: Candidacy, decide: ElectionCallback): void {
+  private lose({ leaseId }: Candidacy, finish: ElectionCallback): void {
     this.client.revokeLease(leaseId, this.timeoutMs, () => undefined);
-    decide({ kind: 'lost' });
+    finish({ kind: 'lost' });
   }
 }
