--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -70,11 +70,11 @@
       [{ key: LEADER_KEY, version: 0 }],
       [{ put: LEADER_KEY, value, lease: leaseId }],
       this.timeoutMs,
-      (result) => this.keyCreated(candidacy, result, finish),
+      (result) => this.createAnswered(candidacy, result, finish),
     );
   }
 
-  private keyCreated(
+  private createAnswered(
     candidacy: Candidacy,
     result: TransactionResult,
     finish: ElectionCallback,
