--- a/src/controller/leadership/lease-extension.test.ts
+++ b/src/controller/leadership/lease-extension.test.ts
@@ -20,7 +20,7 @@
   extension.begin({ term: 5, leaseHeldUntil: () => leaseHeldUntil, isUseful: () => isUseful });
   /** Replies to the oldest requests. */
   const reply = (...granted: boolean[]): void => {
-    for (const each of granted) requests.shift()?.reply(each);
+    for (const isGranted of granted) requests.shift()?.reply(isGranted);
   };
   return { runtime, requests, extension, reply, stopUse: () => (isUseful = false) };
 }
