--- a/src/controller/leader/failover-recovery.ts
+++ b/src/controller/leader/failover-recovery.ts
@@ -56,10 +56,10 @@
 
   private read(prefix: string, done: (read: PrefixRead) => void): void {
     const sentAt = this.eventLoop.now();
-    this.client.readPrefix(prefix, READ_TIMEOUT_MS, (got) => {
+    this.client.readPrefix(prefix, READ_TIMEOUT_MS, (result) => {
       if (this.target.closed) return;
-      if (got.kind === 'failed') return this.retry(prefix, done);
-      done({ items: got.value.items, revision: got.value.revision, sentAt });
+      if (result.kind === 'failed') return this.retry(prefix, done);
+      done({ items: result.value.items, revision: result.value.revision, sentAt });
     });
   }
 
