--- a/src/controller/leader/failover-recovery.test.ts
+++ b/src/controller/leader/failover-recovery.test.ts
@@ -24,7 +24,7 @@
 }
 
 /** A recovery that has begun, and its reads that are not answered yet. */
-function begin() {
+function startRecovery() {
   const runtime = new ManualRuntime();
   const reads: { prefix: string; done: ReadPrefixDone }[] = [];
   const target = new RecordingTarget();
@@ -40,7 +40,7 @@
   const item = { key: 'live/req-1', value: {}, version: 3 };
 
   it('reads jobs, then pages, and repeats a read that has failed', () => {
-    const { runtime, reads, target } = begin();
+    const { runtime, reads, target } = startRecovery();
     reads.shift()?.done({ kind: 'failed' });
     runtime.advance(500);
     const jobsRead = reads.shift();
@@ -52,7 +52,7 @@
   });
 
   it('reads nothing more once the term is over', () => {
-    const { runtime, reads, target } = begin();
+    const { runtime, reads, target } = startRecovery();
     target.closed = true;
     reads.shift()?.done({ kind: 'failed' });
     runtime.advance(500);
