--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -16,7 +16,7 @@
    * Share of the machines whose heartbeats are late by `lateMs`; `onlyHeardInThisTerm`: of those
    * that have sent one in this term.
    */
-  overdueShare(minOverdueMs: number, onlyHeardInThisTerm: boolean): number;
+  overdueShare(minOverdueMs: number, onlySeenInThisTerm: boolean): number;
 }
 
 /**
