--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -32,8 +32,8 @@
 ): boolean {
   const { heartbeatIntervalMs, machineCount } = workers;
   const redirectedPerSecond = peers.reduce((sum, peer) => sum + peer.strayReports, 0);
-  const usualPerSecond = (machineCount / heartbeatIntervalMs) * 1000;
-  const workersReachPeers = redirectedPerSecond >= usualPerSecond * REDIRECTED_HEARTBEATS_SHARE;
+  const expectedPerSecond = (machineCount / heartbeatIntervalMs) * 1000;
+  const workersReachPeers = redirectedPerSecond >= expectedPerSecond * REDIRECTED_HEARTBEATS_SHARE;
   if (workersReachPeers && workers.overdueShare(0, false) > OVERDUE_SHARE) return true;
   return peers.length === 0 && workers.overdueShare(heartbeatIntervalMs, true) > UNRESPONSIVE_SHARE;
 }
