--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -155,8 +155,8 @@
     const reachability: WorkerReachability = {
       heartbeatIntervalMs: settings.heartbeatIntervalMs,
       machineCount: workers.machines.size,
-      overdueShare: (lateMs, onlyHeardInThisTerm) =>
-        workers.overdueShare(lateMs, onlyHeardInThisTerm),
+      overdueShare: (minOverdueMs, onlyHeardInThisTerm) =>
+        workers.overdueShare(minOverdueMs, onlyHeardInThisTerm),
     };
     return isIsolated(reachability, peerStatuses);
   }
