--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -155,8 +155,8 @@
     const reachability: WorkerReachability = {
       heartbeatIntervalMs: settings.heartbeatIntervalMs,
       machineCount: workers.machines.size,
-      overdueShare: (minOverdueMs, onlyHeardInThisTerm) =>
-        workers.overdueShare(minOverdueMs, onlyHeardInThisTerm),
+      overdueShare: (minOverdueMs, onlySeenInThisTerm) =>
+        workers.overdueShare(minOverdueMs, onlySeenInThisTerm),
     };
     return isIsolated(reachability, peerStatuses);
   }
