--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -47,7 +47,7 @@
       eventLoop,
       settings,
       this.components.placement,
-      (tookMs) => environment.metrics?.observePlacementPass(tookMs),
+      (durationMs) => environment.metrics?.observePlacementPass(durationMs),
     );
   }
 
