--- a/src/controller/leader/isolation.test.ts
+++ b/src/controller/leader/isolation.test.ts
@@ -7,7 +7,7 @@
   return {
     heartbeatIntervalMs: 1000,
     machineCount: 100,
-    overdueShare: (_lateMs, onlyHeardInThisTerm) =>
+    overdueShare: (_minOverdueMs, onlyHeardInThisTerm) =>
       onlyHeardInThisTerm ? unresponsiveShare : overdueShare,
   };
 }
