--- a/src/controller/leader/isolation.test.ts
+++ b/src/controller/leader/isolation.test.ts
@@ -7,8 +7,8 @@
   return {
     heartbeatIntervalMs: 1000,
     machineCount: 100,
-    overdueShare: (_minOverdueMs, onlyHeardInThisTerm) =>
-      onlyHeardInThisTerm ? unresponsiveShare : overdueShare,
+    overdueShare: (_minOverdueMs, onlySeenInThisTerm) =>
+      onlySeenInThisTerm ? unresponsiveShare : overdueShare,
   };
 }
 
