--- a/src/controller/leader/leader-context.ts
+++ b/src/controller/leader/leader-context.ts
@@ -12,7 +12,7 @@
 /** Takes the measurements of a leader. */
 export interface PlacementPassObserver {
   /** A placement pass has ended, whose slices together took `tookMs`. */
-  observePlacementPass(tookMs: number): void;
+  observePlacementPass(durationMs: number): void;
 }
 
 /** The parts of the controller that a leader works with; they outlast its terms. */
