--- a/src/controller/leader/leader-components.ts
+++ b/src/controller/leader/leader-components.ts
@@ -61,9 +61,9 @@
       findMachineType: (name) => catalogue.types?.find((type) => type.name === name),
       higherTermSeen: (term) => leadership.observeTerm(term),
       placementInputChanged: () => this.role.requestPlacement(),
-      taskCompleted: (assignment, tookMs) => {
+      taskCompleted: (assignment, runTimeMs) => {
         if (assignment.job === null) return;
-        learned.observeTaskEnd(assignment.job, tookMs, assignment.assignedAt);
+        learned.observeTaskEnd(assignment.job, runTimeMs, assignment.assignedAt);
       },
     });
   }
