--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -35,8 +35,8 @@
   }
 
   /** A task of the job has completed after running for `tookMs`, assigned to its machine since `assignedAt`. */
-  observeTaskEnd(job: Job, tookMs: number, assignedAt: number): void {
-    this.estimates.observe(job.spec, tookMs);
+  observeTaskEnd(job: Job, runTimeMs: number, assignedAt: number): void {
+    this.estimates.observe(job.spec, runTimeMs);
     this.headroom.recordOccupancy(job.spec, this.eventLoop.now() - assignedAt);
   }
 
