--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -45,9 +45,9 @@
    * counted before the records, they would make these look outdated.
    */
   load(records: Pick<RecordStore, 'list'>, activeJobs: Iterable<Job>): void {
-    const recorded = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
-    for (const { ratios } of recorded) this.estimates.importStatistics(ratios);
-    const arrivals = recorded.map((record) => record['arrivals']);
+    const classRecords = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
+    for (const { ratios } of classRecords) this.estimates.importStatistics(ratios);
+    const arrivals = classRecords.map((record) => record['arrivals']);
     this.headroom.restore(
       arrivals,
       activeJobs,
