--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -14,7 +14,7 @@
  * together take a bounded share of the time, however many tasks are waiting.
  */
 export class PassScheduler {
-  private isPassDue = true;
+  private isPassRequested = true;
   private isTimerSet = false;
   private startedAt = -Infinity;
   private lastSliceEndedAt = -Infinity;
@@ -31,7 +31,7 @@
 
   /** Requests a pass, which begins once those before leave time for it. */
   request(): void {
-    this.isPassDue = true;
+    this.isPassRequested = true;
   }
 
   /** Runs a slice of the pass in progress, or of a new one if it is due; called after each batch of commands. */
@@ -49,13 +49,13 @@
 
   /** Begins a pass if one is due; tells whether it did. */
   private begin(now: number): boolean {
-    if (!this.isPassDue) return false;
+    if (!this.isPassRequested) return false;
     const waitMs = this.waitMs(now);
     if (waitMs > 0) {
       this.wakeAfter(waitMs);
       return false;
     }
-    this.isPassDue = false;
+    this.isPassRequested = false;
     this.startedAt = now;
     this.tookMs = 0;
     this.placement.begin();
