--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -16,7 +16,7 @@
 export class PassScheduler {
   private isPassRequested = true;
   private isTimerSet = false;
-  private startedAt = -Infinity;
+  private passStartedAt = -Infinity;
   private lastSliceEndedAt = -Infinity;
   /** What the slices of the latest pass took together. */
   private tookMs = 0;
@@ -56,7 +56,7 @@
       return false;
     }
     this.isPassRequested = false;
-    this.startedAt = now;
+    this.passStartedAt = now;
     this.tookMs = 0;
     this.placement.begin();
     return true;
@@ -66,7 +66,7 @@
     const intervalMs =
       this.settings.heartbeatIntervalMs * this.settings.get('placement.interval.ratio');
     return Math.max(
-      this.startedAt + intervalMs - now,
+      this.passStartedAt + intervalMs - now,
       this.lastSliceEndedAt + this.tookMs * PASS_REST_FACTOR - now,
     );
   }
