--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -39,11 +39,11 @@
     const sliceStartedAt = this.eventLoop.now();
     if (!this.placement.passInProgress && !this.begin(sliceStartedAt)) return;
     const sliceMs = this.settings.heartbeatIntervalMs * this.settings.get('placement.slice.ratio');
-    const isOver = this.placement.advance(sliceStartedAt + sliceMs);
+    const isFinished = this.placement.advance(sliceStartedAt + sliceMs);
     const now = this.eventLoop.now();
     this.tookMs += now - sliceStartedAt;
     this.lastSliceEndedAt = now;
-    if (isOver) this.onPassFinished(this.tookMs);
+    if (isFinished) this.onPassFinished(this.tookMs);
     else this.wakeAfter(0);
   }
 
