--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -63,10 +63,10 @@
   }
 
   private waitMs(now: number): number {
-    const intervalMs =
+    const minIntervalMs =
       this.settings.heartbeatIntervalMs * this.settings.get('placement.interval.ratio');
     return Math.max(
-      this.passStartedAt + intervalMs - now,
+      this.passStartedAt + minIntervalMs - now,
       this.lastSliceEndedAt + this.tookMs * PASS_REST_FACTOR - now,
     );
   }
