--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -50,9 +50,9 @@
   /** Begins a pass if one is due; tells whether it did. */
   private begin(now: number): boolean {
     if (!this.isPassRequested) return false;
-    const waitMs = this.waitMs(now);
-    if (waitMs > 0) {
-      this.wakeAfter(waitMs);
+    const delayMs = this.waitMs(now);
+    if (delayMs > 0) {
+      this.wakeAfter(delayMs);
       return false;
     }
     this.isPassRequested = false;
