--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -29,8 +29,8 @@
     },
   };
   const eventLoop = new EventLoop(runtime, silentLogger);
-  const scheduler = new PassScheduler(eventLoop, settings, placement, (tookMs) =>
-    seen.finished.push(tookMs),
+  const scheduler = new PassScheduler(eventLoop, settings, placement, (durationMs) =>
+    seen.finished.push(durationMs),
   );
   return { runtime, seen, scheduler };
 }
