--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -11,7 +11,7 @@
 const intervalMs = settings.heartbeatIntervalMs * settings.get('placement.interval.ratio');
 
 /** A scheduler of passes that take `sliceCount` slices of `sliceMs` each. */
-function schedule(sliceCount: number, sliceMs: number) {
+function setUp(sliceCount: number, sliceMs: number) {
   const runtime = new ManualRuntime();
   const seen = { begun: 0, finished: [] as number[] };
   let slicesLeft = 0;
@@ -37,7 +37,7 @@
 
 describe('PassScheduler', () => {
   it('runs one slice in each step and tells what the slices took together', () => {
-    const { seen, scheduler } = schedule(3, 10);
+    const { seen, scheduler } = setUp(3, 10);
     scheduler.step();
     scheduler.step();
     assert.deepEqual(seen.finished, []);
@@ -46,7 +46,7 @@
   });
 
   it('begins no second pass before one is requested', () => {
-    const { runtime, seen, scheduler } = schedule(1, 1);
+    const { runtime, seen, scheduler } = setUp(1, 1);
     scheduler.step();
     runtime.advance(intervalMs * 10);
     scheduler.step();
@@ -58,7 +58,7 @@
 
   it('waits for the interval, and three times as long as the last pass took', () => {
     const tookMs = intervalMs;
-    const { runtime, seen, scheduler } = schedule(1, tookMs);
+    const { runtime, seen, scheduler } = setUp(1, tookMs);
     scheduler.step();
     scheduler.request();
     runtime.advance(tookMs * 3 - 1);
