--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -19,7 +19,7 @@
   private passStartedAt = -Infinity;
   private lastSliceEndedAt = -Infinity;
   /** What the slices of the latest pass took together. */
-  private tookMs = 0;
+  private passDurationMs = 0;
 
   /** `onPassFinished`: told, when a pass is over, what its slices took together. */
   constructor(
@@ -41,9 +41,9 @@
     const sliceMs = this.settings.heartbeatIntervalMs * this.settings.get('placement.slice.ratio');
     const isFinished = this.placement.advance(sliceStartedAt + sliceMs);
     const now = this.eventLoop.now();
-    this.tookMs += now - sliceStartedAt;
+    this.passDurationMs += now - sliceStartedAt;
     this.lastSliceEndedAt = now;
-    if (isFinished) this.onPassFinished(this.tookMs);
+    if (isFinished) this.onPassFinished(this.passDurationMs);
     else this.wakeAfter(0);
   }
 
@@ -57,7 +57,7 @@
     }
     this.isPassRequested = false;
     this.passStartedAt = now;
-    this.tookMs = 0;
+    this.passDurationMs = 0;
     this.placement.begin();
     return true;
   }
@@ -67,7 +67,7 @@
       this.settings.heartbeatIntervalMs * this.settings.get('placement.interval.ratio');
     return Math.max(
       this.passStartedAt + minIntervalMs - now,
-      this.lastSliceEndedAt + this.tookMs * PASS_REST_FACTOR - now,
+      this.lastSliceEndedAt + this.passDurationMs * PASS_REST_FACTOR - now,
     );
   }
 
