--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -26,7 +26,7 @@
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly placement: SlicedPlacement,
-    private readonly onPassFinished: (tookMs: number) => void,
+    private readonly onPassFinished: (durationMs: number) => void,
   ) {}
 
   /** Requests a pass, which begins once those before leave time for it. */
