--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -57,11 +57,11 @@
   });
 
   it('waits for the interval, and three times as long as the last pass took', () => {
-    const tookMs = intervalMs;
-    const { runtime, seen, scheduler } = setUp(1, tookMs);
+    const durationMs = intervalMs;
+    const { runtime, seen, scheduler } = setUp(1, durationMs);
     scheduler.step();
     scheduler.request();
-    runtime.advance(tookMs * 3 - 1);
+    runtime.advance(durationMs * 3 - 1);
     scheduler.step();
     assert.equal(seen.begun, 1);
     runtime.advance(1);
