--- a/src/controller/leadership/lease-extension.test.ts
+++ b/src/controller/leadership/lease-extension.test.ts
@@ -19,8 +19,8 @@
   let isUseful = true;
   extension.begin({ term: 5, leaseHeldUntil: () => leaseHeldUntil, isUseful: () => isUseful });
   /** Replies to the oldest requests. */
-  const reply = (...granted: boolean[]): void => {
-    for (const isGranted of granted) requests.shift()?.reply(isGranted);
+  const reply = (...answers: boolean[]): void => {
+    for (const isGranted of answers) requests.shift()?.reply(isGranted);
   };
   return { runtime, requests, extension, reply, stopUse: () => (isUseful = false) };
 }
