--- a/src/controller/leadership/leader-lease.ts
+++ b/src/controller/leadership/leader-lease.ts
@@ -1,4 +1,4 @@
-/** The lease of one term of this node as leader. */
+/** The lease that this node holds at the state store for one term as leader. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -6,36 +6,37 @@
 import type { WonElection } from './election.js';
 import { LeaseExtension, type RequestLeaseGrant } from './lease-extension.js';
 
-/** Name of the timers' command in the log. */
+/** Name of the timers' event in the log. */
 const RENEW_EVENT = 'renew-lease';
 
-/** After a failed renewal the next is tried sooner by this factor. */
+/** After a failed renewal the delay before the next one is the usual interval divided by this factor. */
 const RETRY_FACTOR = 4;
 
-/** What the lease asks and tells. */
+/** Events of the lease, and what the lease asks of its owner. */
 export interface LeaderLeaseEvents {
-  /** The state store no longer has the lease. */
+  /** The lease no longer exists at the state store. */
   expired(): void;
-  /** The lease has been renewed after a time in which this node did not hold it. */
+  /** The lease was renewed after it had run out on this node's clock. */
   recovered(): void;
-  /** Whether answering workers beyond the lease is of use. */
+  /** Whether it is useful to extend the right to answer workers beyond the lease. */
   shouldExtend(): boolean;
 }
 
 /**
- * Renews the lease until it is closed. The lease is held from when its last successful renewal was
- * _sent_, on this node's clock, for less than its time to live (design.md, invariant 1).
+ * Renews the lease periodically until it is closed. A leader acts only while it holds its lease (design.md,
+ * invariant 1). The lease counts as held from the time at which the last successful renewal was _sent_, on
+ * this node's clock, for its time to live less the clock drift and a margin.
  */
 export class LeaderLease {
   /** Term of the leader that holds the lease. */
   readonly term: number;
   private readonly leaseId: number;
   private readonly extension: LeaseExtension;
-  /** Until when this node holds the lease, on its steady clock. */
+  /** Time until which this node holds the lease, on its monotonic clock. */
   private heldUntil: number;
   private isClosed = false;
 
-  /** `requestGrant`: asks another controller for a lease grant. */
+  /** @param requestGrant - Requests a lease grant from another controller. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
@@ -51,28 +52,28 @@
     this.extension = new LeaseExtension(eventLoop, settings, peers, requestGrant);
   }
 
-  /** This node holds the lease. */
+  /** Whether this node holds the lease. */
   get isHeld(): boolean {
     return this.eventLoop.now() < this.heldUntil;
   }
 
-  /** All other controllers have granted that this node answers workers beyond its lease. */
+  /** Whether this node may answer workers beyond its lease because all other controllers have granted it. */
   get isExtended(): boolean {
     return this.extension.isActive;
   }
 
-  /** Begins to renew the lease. */
+  /** Starts the periodic renewals. */
   start(): void {
     this.renewAfter(this.settings.leaderRenewIntervalMs);
   }
 
-  /** Ends renewals and extensions; the lease itself goes on at the state store. */
+  /** Stops renewals and extensions. The lease remains at the state store until it expires or is revoked. */
   close(): void {
     this.isClosed = true;
     this.extension.end();
   }
 
-  /** Revokes the lease at the state store, and with it the leader key. */
+  /** Revokes the lease at the state store, which deletes the leader key. */
   revoke(): void {
     this.client.revokeLease(this.leaseId, this.timeoutMs, () => undefined);
   }
@@ -109,7 +110,7 @@
   }
 
   private renewed(sentAt: number): void {
-    // Told even if the gap began while the renewal was on its way.
+    // Also reported if the lease ran out only while this renewal was in flight.
     const hadGap = !this.isHeld;
     this.heldUntil = Math.max(this.heldUntil, sentAt + this.settings.usableLeaderLeaseMs);
     this.extension.end();
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -1,4 +1,4 @@
-/** The leadership among the controllers: who leads, and what this node may do if it does. */
+/** Leader election among the controllers, and what this node may do while it is the leader. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -10,55 +10,56 @@
 import type { LeaseGrantor } from './lease-grant-exchange.js';
 import { LeaseGrant } from './lease-grant.js';
 
-/** Name of the timer's command in the log. */
+/** Name of the timer's event in the log. */
 const BEGIN_TERM_EVENT = 'begin-term';
 
-/** Why a leader gives the lead to a node that may be better placed, as the log says. */
+/** Why a leader hands over to another node that may be able to do the work, as logged. */
 export type HandOverReason = 'no view of the jobs' | 'workers do not reach this node';
 
-/** Why a leader gives the lead up, as the log says. */
+/** Why a leader steps down, as logged. */
 export type StepDownReason =
   | HandOverReason
-  /** A write was refused: the leader key has another version. */
+  /** A write was rejected because the version of the leader key has changed. */
   | 'another leader'
-  /** The term has no number left for a further attempt to run a task. */
+  /** All numbers that the term has for attempts to run a task are used. */
   | 'attempts used up'
-  /** Another node has shown a higher term. */
+  /** A message from another node carried a higher term. */
   | 'higher term'
-  /** The state store no longer has the lease. */
+  /** The lease no longer exists at the state store. */
   | 'lease ended';
 
-/** What is told of this node's own terms. */
+/** Events of this node's own terms, and what `Leadership` asks about them. */
 export interface LeadershipEvents {
-  /** This node leads from now on. */
+  /** This node has become the leader, and no earlier leader may still answer workers. */
   elected(term: number): void;
-  /** The same term goes on after a time in which this node did not hold its lease. */
+  /** The lease was renewed after it had run out on this node's clock; the term continues. */
   leaseRecovered(): void;
-  /** This node leads no longer. */
+  /** This node is no longer the leader. */
   deposed(): void;
-  /** Whether the leader has a use for answering workers beyond its lease. */
+  /** Whether it is useful to extend the right to answer workers beyond the lease. */
   shouldExtendLease(): boolean;
 }
 
 /**
- * Follows the leader, and becomes it where nobody leads. The leader holds a key bound to a lease of the
- * state store. The version that the key got when it was created is the leader's term and part of the
- * fencing tokens that workers check. It grows with every change at the store, so a later leader's is
- * always higher (design.md, invariant 1).
+ * Tracks the current leader, and tries to become the leader when there is none. The leader holds a key
+ * that is bound to a lease of the state store. The version of this key at its creation is the leader's
+ * term, and part of the fencing tokens that workers check. Versions increase with every change at the
+ * state store, so a later leader always has a higher term. At any time only one leader acts: it acts only
+ * while it holds its lease (design.md, invariant 1).
  */
 export class Leadership implements LeaseGrantor {
   private knownLeader: LeaderInfo | null = null;
-  /** This node's lease while it leads. */
+  /** This node's lease while it is the leader, otherwise null. */
   private lease: LeaderLease | null = null;
-  /** The latest term that is known to be over. */
+  /** The highest term that is known to have ended. */
   private endedTerm = 0;
   private readonly watch: LeaderWatch;
   private readonly election: Election;
   private readonly leaseGrant: LeaseGrant;
 
   /**
-   * `identity`: tells apart the processes of one host.
-   * `requestGrant`: asks another controller for a lease grant.
+   * @param identity - Distinguishes this process from earlier processes on the same host.
+   * @param requestGrant - Requests a lease grant from another controller.
    */
   constructor(
     private readonly eventLoop: EventLoop,
@@ -80,37 +81,38 @@
     });
   }
 
-  /** Finds out who leads, and takes the lead if nobody does. */
+  /** Starts to watch the leader key, and to run for leader whenever the key does not exist. */
   start(): void {
     this.watch.observe();
   }
 
-  // ---- who leads
+  // ---- current leader
 
-  /** Who leads, as far as this node knows. */
+  /** The current leader according to this node, null if it knows of none. */
   get leader(): LeaderInfo | null {
     return this.knownLeader;
   }
 
-  /** This node leads and holds its lease. */
+  /** Whether this node is the leader and holds its lease. */
   get holdsLease(): boolean {
     return this.lease?.isHeld === true;
   }
 
   /**
-   * This node leads and may answer workers: it holds its lease, or the state store serves nobody and all
-   * other controllers are bound by lease grants. Nothing else may be done without the lease.
+   * Whether this node is the leader and may answer workers: it holds its lease, or all other controllers
+   * have granted an extension during an outage of the state store. Without the lease a leader may do
+   * nothing else (design.md, invariant 1).
    */
   get mayAnswerWorkers(): boolean {
     return this.lease !== null && (this.lease.isHeld || this.lease.isExtended);
   }
 
-  /** The latest term known here, over or not. */
+  /** The highest term that this node knows of, whether or not it has ended. */
   private get latestTerm(): number {
     return Math.max(this.endedTerm, this.knownLeader?.term ?? 0);
   }
 
-  /** Another node has shown a term: if it is higher than this node's, there is a later leader. */
+  /** Steps down if the term, received from another node, is higher than this node's: there is a later leader. */
   observeTerm(term: number): void {
     if (this.lease === null || term <= this.lease.term) return;
     this.eventLoop.log.warn({ term: this.lease.term, observedTerm: term }, 'higher term observed');
@@ -118,9 +120,9 @@
   }
 
   /**
-   * A peer says who leads. That proves nothing, but is good enough to redirect workers there; and if
-   * it is a later leader than this node, which the state store may not serve just now, this node's
-   * term is over.
+   * Handles a peer's report of the current leader. The report is only a hint, but sufficient to redirect
+   * workers to that leader. If its term is higher than this node's own, this node steps down; it may not
+   * have noticed the change itself while the state store does not respond to it.
    */
   peerReportedLeader(host: string, term: number): void {
     if (host === '') return;
@@ -129,8 +131,8 @@
   }
 
   /**
-   * Gives a lease grant to a leader that the state store does not serve: this node does not act as
-   * leader for a while. Denied if this node leads, or knows that the term is over.
+   * Gives a lease grant to a leader that cannot renew its lease: this node will not act as leader for the
+   * duration of the grant. Returns false if this node is the leader or knows that the term has ended.
    */
   grantLease(term: number): boolean {
     const hasTermEnded = term <= this.endedTerm || term < (this.knownLeader?.term ?? 0);
@@ -146,7 +148,7 @@
 
   // ---- end of this node's term
 
-  /** Gives the lead up; any node may take it. */
+  /** Steps down; any node, including this one, may become the next leader. */
   stepDown(reason: StepDownReason): void {
     const { lease } = this;
     if (lease === null) return;
@@ -155,14 +157,14 @@
     lease.close();
     this.forgetLeader();
     this.client.budget.setRole(false);
-    // Otherwise a late copy of the request that created the key could create it once more under a
-    // lease that nobody renews.
+    // Without this, a delayed copy of the request that created the leader key could create the key again,
+    // under a lease that nobody renews.
     lease.revoke();
     this.events.deposed();
     this.watch.retry();
   }
 
-  /** Gives the lead to a node that may be better placed. */
+  /** Steps down and lets other nodes run for leader first, since they may be able to do the work. */
   handOver(reason: HandOverReason): void {
     this.watch.backOff();
     this.stepDown(reason);
@@ -196,7 +198,7 @@
     return new LeaderLease(eventLoop, settings, client, election, events, requestGrant);
   }
 
-  /** Nothing is read or done in the new term while the previous leader may still answer workers. */
+  /** Begins the term once this node's own lease grant has expired: until then the previous leader may answer workers. */
   private beginTermOnceGrantExpires(lease: LeaderLease): void {
     if (this.lease !== lease) return;
     const { remainingMs } = this.leaseGrant;
--- a/src/controller/leadership/lease-extension.test.ts
+++ b/src/controller/leadership/lease-extension.test.ts
@@ -6,7 +6,7 @@
 
 const GRANT_MS = 300;
 
-/** The running extension of a leader with two peers, which holds its lease until `leaseHeldUntil`. */
+/** Starts the extension of a leader that has two peers and holds its lease until `leaseHeldUntil`. */
 function setUp(leaseHeldUntil: number) {
   const runtime = new ManualRuntime();
   const requests: { host: string; reply: (granted: boolean) => void }[] = [];
@@ -18,7 +18,7 @@
   );
   let isUseful = true;
   extension.begin({ term: 5, leaseHeldUntil: () => leaseHeldUntil, isUseful: () => isUseful });
-  /** Replies to the oldest requests. */
+  /** Answers the oldest pending requests, one per argument. */
   const reply = (...answers: boolean[]): void => {
     for (const isGranted of answers) requests.shift()?.reply(isGranted);
   };
@@ -26,7 +26,7 @@
 }
 
 describe('LeaseExtension', () => {
-  it('is active while all others grant again and again, and ends after the last grants', () => {
+  it('is active while both peers grant every round, and ends when the last grants expire', () => {
     const { runtime, extension, reply } = setUp(50);
     for (let round = 0; round < 20; round++) {
       reply(true, true);
@@ -34,17 +34,17 @@
       runtime.advance(GRANT_MS / 3);
     }
     runtime.advance(GRANT_MS);
-    assert.ok(!extension.isActive, 'nobody has granted lately');
+    assert.ok(!extension.isActive, 'the extension is active though all grants have expired');
   });
 
-  it('is not active where one of the others denies its grant', () => {
+  it('is not active if one of the peers denies its grant', () => {
     const { runtime, extension, reply } = setUp(50);
     reply(true, false);
     runtime.advance(10);
     assert.ok(!extension.isActive);
   });
 
-  it('lasts for a grant from when it was asked for, not from the replies', () => {
+  it('lasts for the duration of a grant, counted from the requests and not from the replies', () => {
     const { runtime, extension, reply } = setUp(1000);
     runtime.advance(90);
     reply(true, true);
@@ -54,8 +54,8 @@
     assert.ok(!extension.isActive);
   });
 
-  // Another may have led, ended and come back without a memory of it.
-  it('asks no more after a gap between the lease and the grants', () => {
+  // In the gap another controller may have acted as leader, restarted and lost any record of its term.
+  it('stops requesting grants after a gap between the lease and the grants', () => {
     const { runtime, extension, reply, requests } = setUp(50);
     runtime.advance(60);
     reply(true, true);
@@ -67,7 +67,7 @@
     assert.ok(!extension.isActive);
   });
 
-  it('ends when it is of no use any more', () => {
+  it('ends when it is no longer useful', () => {
     const { runtime, extension, reply, requests, stopUse } = setUp(50);
     reply(true, true);
     stopUse();
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -1,20 +1,21 @@
 /**
- * The right of a leader to answer workers beyond its lease, while the state store serves nobody.
- * Workers end their tasks when nobody answers them for a lease of theirs, and an outage may be longer.
+ * Lets a leader answer workers beyond its lease during an outage of the state store. Workers stop their
+ * tasks if they get no answer for the duration of a worker lease, and an outage may last longer.
  *
- * The leader asks every other controller, again and again, for a lease grant: the promise not to act as
- * leader for a short time. It may answer workers for that time, counted from when it asked, once all
- * have granted it. From its last renewal on either its lease was held or all others were bound by their
- * grants, so nobody else has acted. A leader that has let a gap come up between the two gets no
- * extension any more until its lease is renewed (design.md, invariant 1).
+ * The leader periodically requests a lease grant from every other controller: a promise not to act as
+ * leader for a short time. Once all have granted it, the leader may answer workers for that time, counted
+ * from when it sent the requests. So at every moment since its last renewal, either the leader held its
+ * lease or all other controllers were bound by grants, and no other leader has acted. If there was a gap
+ * between the lease and the grants, or between two rounds of grants, the extension lapses, and there is
+ * none until the lease has been renewed (design.md, invariant 1: only one leader acts at a time).
  */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Rounds of requests while one grant lasts. */
+/** Number of rounds of grant requests in the duration of one grant. */
 const ROUNDS_PER_GRANT = 3;
 
-/** Asks the controller on a host for its grant; `done` tells whether it has been given. */
+/** Requests a lease grant from the controller on a host; `done` receives whether it was given. */
 export type RequestLeaseGrant = (
   host: string,
   term: number,
@@ -22,35 +23,35 @@
   done: (granted: boolean) => void,
 ) => void;
 
-/** Whose lease is to be extended, and for how long that is wanted. */
+/** The lease to extend, and the condition under which the extension continues. */
 export interface ExtensionRequest {
   /** Term of the leader. */
   term: number;
-  /** Until when the leader holds its lease, on its steady clock. */
+  /** Returns the time until which the leader holds its lease, on its monotonic clock. */
   leaseHeldUntil: () => number;
-  /** Asked before each round; false ends the extension. */
+  /** Called before each round of requests; the extension ends if it returns false. */
   isUseful: () => boolean;
 }
 
-/** An extension for which the others are asked. */
+/** An extension for which grants are being requested. */
 interface RunningExtension {
   kind: 'running';
   request: ExtensionRequest;
-  /** Until when all others are bound by their grants. */
+  /** Time until which all other controllers are bound by their grants, on the leader's monotonic clock. */
   grantedUntil: number;
 }
 
 type ExtensionState =
   | { kind: 'idle' }
   | RunningExtension
-  /** There was a moment at which neither the lease was held nor all others were bound. */
+  /** At some moment neither the lease was held nor all other controllers were bound by grants. */
   | { kind: 'lapsed' };
 
-/** The extensions of one lease, at most one at a time. */
+/** Manages the extensions of one lease, of which at most one runs at a time. */
 export class LeaseExtension {
   private state: ExtensionState = { kind: 'idle' };
 
-  /** `peers`: hosts of all other controllers. */
+  /** @param peerHosts - The hosts of all other controllers. */
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'after' | 'now'>,
     private readonly settings: Pick<Settings, 'leaseGrantMs'>,
@@ -58,12 +59,12 @@
     private readonly requestGrant: RequestLeaseGrant,
   ) {}
 
-  /** All others are bound by their grants at this moment. */
+  /** Whether all other controllers are currently bound by their grants. */
   get isActive(): boolean {
     return this.state.kind === 'running' && this.eventLoop.now() < this.state.grantedUntil;
   }
 
-  /** Begins an extension, unless one is running or has lapsed, or there are no other controllers. */
+  /** Starts an extension, unless one is running or has lapsed, or there are no other controllers. */
   begin(request: ExtensionRequest): void {
     if (this.state.kind !== 'idle' || this.peerHosts.length === 0) return;
     const extension: RunningExtension = { kind: 'running', request, grantedUntil: -Infinity };
@@ -71,7 +72,7 @@
     this.runRounds(extension);
   }
 
-  /** No extension is wanted any more: the lease has been renewed, or the term is over. */
+  /** Ends the extension, because the lease was renewed, the term has ended, or it is no longer useful. */
   end(): void {
     this.state = { kind: 'idle' };
   }
@@ -98,7 +99,7 @@
 
   private allGranted(extension: RunningExtension, requestedAt: number): void {
     const coveredUntil = Math.max(extension.request.leaseHeldUntil(), extension.grantedUntil);
-    // Between then and now another controller may have acted as leader.
+    // If this time has passed, another controller may have acted as leader since.
     const hasLapsed = this.eventLoop.now() >= coveredUntil;
     if (hasLapsed) this.state = { kind: 'lapsed' };
     else
