--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -1,35 +1,35 @@
-/** An attempt to become leader: a lease is granted and the leader key created under it. */
+/** An attempt to become leader: requests a lease and creates the leader key under it. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 import type { TransactionResult } from '../store/results.js';
 import { LEADER_KEY, readLeaderRecord, writeLeaderRecord } from './leader-record.js';
 
-/** A lease that was granted for an election. */
+/** A lease that the state store granted for an election. */
 interface Candidacy {
   leaseId: number;
-  /** When the lease was asked for, on this node's steady clock. */
+  /** Time at which the lease was requested, on this node's monotonic clock. */
   requestedAt: number;
 }
 
 /** An election that this node has won. */
 export interface WonElection extends Candidacy {
   kind: 'won';
-  /** Version of the leader key that was created. */
+  /** Version of the leader key at its creation. */
   term: number;
 }
 
-/** Outcome of an election; `lost`: another node was faster, or the state store did not serve this one. */
+/** Outcome of an election. It is lost if another node was first or a request to the state store failed. */
 export type ElectionResult = WonElection | { kind: 'lost' };
 
-/** Takes the outcome of an election. */
+/** Receives the outcome of an election. */
 export type ElectionCallback = (result: ElectionResult) => void;
 
-/** Runs at most one attempt at a time. */
+/** Runs attempts to become leader, at most one at a time. */
 export class Election {
   private isRunning = false;
 
-  /** `identity`: tells apart the processes of one host. */
+  /** @param identity - Distinguishes this process from earlier processes on the same host. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
@@ -37,7 +37,7 @@
     private readonly identity: string,
   ) {}
 
-  /** An attempt has not been decided yet. */
+  /** Whether an attempt has started and its outcome is not known yet. */
   get inProgress(): boolean {
     return this.isRunning;
   }
@@ -80,7 +80,7 @@
     finish: ElectionCallback,
   ): void {
     if (result.kind === 'ok') finish({ kind: 'won', ...candidacy, term: result.revision });
-    // The key may have been created: only reading it tells.
+    // The key may have been created; reading it shows whether it was.
     else if (result.kind === 'unknown') this.readKey(candidacy, finish);
     else this.lose(candidacy, finish);
   }
--- a/src/controller/leadership/hand-over-backoff.test.ts
+++ b/src/controller/leadership/hand-over-backoff.test.ts
@@ -8,11 +8,11 @@
     backoff = new HandOverBackoff();
   });
 
-  it('takes a free key at once where this node has not handed over', () => {
+  it('does not wait if this node has not handed over', () => {
     assert.equal(backoff.shouldWait(0), false);
   });
 
-  it('waits once after a hand-over, and then takes a key that is still free', () => {
+  it('waits once after a hand-over, but not a second time if the key is still free', () => {
     backoff.begin(100);
     assert.equal(backoff.shouldWait(10), true);
     assert.equal(backoff.shouldWait(60), false);
@@ -25,7 +25,7 @@
     assert.equal(backoff.shouldWait(60), true);
   });
 
-  it('waits no more when the time after the hand-over has passed', () => {
+  it('does not wait after the end of the back-off', () => {
     backoff.begin(100);
     assert.equal(backoff.shouldWait(100), false);
   });
--- a/src/controller/leadership/hand-over-backoff.ts
+++ b/src/controller/leadership/hand-over-backoff.ts
@@ -1,22 +1,25 @@
-/** How a node that has handed over leaves the leader key to the others. */
+/** Delays a node's next attempt to become leader after it has handed over. */
 
-/** Backs off once from a free key, for a while after a hand-over. */
+/**
+ * Makes a node that has handed over wait once before it takes a free leader key, so that another node can
+ * take it first.
+ */
 export class HandOverBackoff {
   private endsAt = -Infinity;
   private hasWaited = false;
 
-  /** This node hands over: until `endsAt` it leaves a free key to the others at first. */
+  /** Starts a back-off after a hand-over; from `endsAt` on this node no longer waits. */
   begin(endsAt: number): void {
     this.endsAt = endsAt;
     this.hasWaited = false;
   }
 
-  /** A node has taken the key. */
+  /** Notes that a node holds the key. The next time that it is free this node waits again. */
   keyTaken(): void {
     this.hasWaited = false;
   }
 
-  /** Whether to wait before taking a free key; not again before a node has taken it. */
+  /** Whether to wait before taking the free key. True at most once until a node has taken the key. */
   shouldWait(now: number): boolean {
     if (this.hasWaited || now >= this.endsAt) return false;
     this.hasWaited = true;
--- a/src/controller/leadership/leader-lease.ts
+++ b/src/controller/leadership/leader-lease.ts
@@ -57,7 +57,7 @@
     return this.eventLoop.now() < this.heldUntil;
   }
 
-  /** Whether this node may answer workers beyond its lease because all other controllers have granted it. */
+  /** Whether all other controllers have granted that this node may answer workers beyond its lease. */
   get isExtended(): boolean {
     return this.extension.isActive;
   }
--- a/src/controller/leadership/leader-record.ts
+++ b/src/controller/leadership/leader-record.ts
@@ -1,25 +1,28 @@
-/** The record of who leads, in the state store. */
+/** The record of the current leader in the state store. */
 import { isMap, type Fields } from '../wire/cbor.js';
 
-/** Key of the leader's record, bound to the leader's lease. */
+/** Key of the leader record, which is bound to the leader's lease. */
 export const LEADER_KEY = 'lead';
 
-/** Who leads, as the record or a peer says. */
+/** The current leader according to the leader record or to a peer. */
 export interface LeaderInfo {
   host: string;
-  /** Version of the leader key when it was created (design.md, invariant 1). */
+  /**
+   * Version of the leader key at its creation. Every write of a leader is conditional on this version, so
+   * that an earlier leader can no longer write (design.md, invariant 1).
+   */
   term: number;
 }
 
-/** Who leads, as the record says. */
+/** The contents of the leader record. */
 export interface LeaderRecord extends LeaderInfo {
-  /** Tells apart the processes of one host. */
+  /** Distinguishes the processes that have run on the same host. */
   identity: string;
-  /** The lease that the key is bound to. */
+  /** The lease of the state store to which the key is bound. */
   leaseId: number;
 }
 
-/** The leader in a value of the key; `null`: the value is not a leader's record. */
+/** Reads the value of the leader key; returns null if it is not a leader record. */
 export function readLeaderRecord(value: unknown, version: number): LeaderRecord | null {
   if (!isMap(value)) return null;
   const { host, identity, lease } = value;
@@ -28,7 +31,7 @@
   return { host, identity, leaseId: lease, term: version };
 }
 
-/** The value of the key; the term is not part of it. */
+/** Returns the value to store under the leader key. The term is not part of it: it is the key's version. */
 export function writeLeaderRecord(leader: Omit<LeaderRecord, 'term'>): Fields {
   return { host: leader.host, identity: leader.identity, lease: leader.leaseId };
 }
--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -1,4 +1,4 @@
-/** The watch of a follower on the leader key. */
+/** Watches the leader key while this node is a follower. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -7,32 +7,32 @@
 import { HandOverBackoff } from './hand-over-backoff.js';
 import { LEADER_KEY, readLeaderRecord, type LeaderRecord } from './leader-record.js';
 
-/** Name of the timers' command in the log. */
+/** Name of the timers' event in the log. */
 const OBSERVE_EVENT = 'observe-leader';
 
-/** Delay before the key is read again, as a share of the leader's lease. */
+/** Smallest delay before the key is read again, as a ratio to the leader's lease. */
 const RETRY_RATIO = 0.04;
-/** The largest jitter that is added to the delay, as a share of the leader's lease. */
+/** Largest random jitter added to that delay, as a ratio to the leader's lease. */
 const RETRY_JITTER_RATIO = 0.04;
 
-/** What the watch asks and tells. */
+/** Events of the watch, and what it asks of its owner. */
 export interface LeaderWatchEvents {
-  /** This node neither leads nor has an election in progress: only then is the key observed. */
+  /** Whether this node is not the leader and has no election in progress. Only then is the key observed. */
   isFollower(): boolean;
-  /** The key has a new value; `null`: it is not a leader's record. */
+  /** The leader key was read or has changed; null if its value is not a leader record. */
   leaderChanged(leader: LeaderRecord | null): void;
-  /** The key does not exist: nobody leads. */
+  /** The leader key does not exist: there is no leader. */
   leaderGone(): void;
-  /** This node should try to become leader. */
+  /** This node should run for leader now. */
   electionDue(): void;
 }
 
-/** Finds out who leads, waits for a change, and finds out again; one request at a time. */
+/** Reads the leader key and then watches it for changes, with one request at a time. */
 export class LeaderWatch {
   private isObserving = false;
   private readonly backoff = new HandOverBackoff();
 
-  /** `identity`: tells apart the processes of one host. */
+  /** @param identity - Distinguishes this process from earlier processes on the same host. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
@@ -41,7 +41,7 @@
     private readonly events: LeaderWatchEvents,
   ) {}
 
-  /** Reads the key and then watches it, unless that is in progress or this node is no follower. */
+  /** Reads the key and then watches it, unless a request is in progress or this node is not a follower. */
   observe(): void {
     if (this.isObserving || !this.events.isFollower()) return;
     this.isObserving = true;
@@ -52,14 +52,14 @@
     });
   }
 
-  /** Observes again after a delay with jitter. */
+  /** Calls `observe` after a delay with jitter. */
   retry(): void {
     const { leaderLeaseMs } = this.settings;
     const jitter = RETRY_JITTER_RATIO * this.eventLoop.runtime.random();
     this.observeAfter(leaderLeaseMs * (RETRY_RATIO + jitter));
   }
 
-  /** This node hands over, and leaves the key to the others for a while, if they take it. */
+  /** Delays this node's next attempt to become leader once after a hand-over, so that others go first. */
   backOff(): void {
     this.backoff.begin(this.eventLoop.now() + this.settings.workerLeaseMs);
   }
@@ -84,7 +84,7 @@
     this.watch(item.version);
   }
 
-  /** The key was created by an earlier process of this host, which has ended: one runs at a time. */
+  /** Whether an earlier process of this host created the key. It has ended: only one runs at a time. */
   private isOfPreviousProcess(leader: LeaderRecord): boolean {
     return leader.host === this.settings.platform.host && leader.identity !== this.identity;
   }
@@ -94,7 +94,7 @@
     this.client.revokeLease(leader.leaseId, this.timeoutMs, () => this.observe());
   }
 
-  /** Waits for a change of the key after a revision. */
+  /** Waits for a change of the key after the given revision. */
   private watch(revision: number): void {
     this.isObserving = true;
     this.client.watch(LEADER_KEY, revision, this.settings.leaderLeaseMs, (result) => {
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -112,7 +112,7 @@
     return Math.max(this.endedTerm, this.knownLeader?.term ?? 0);
   }
 
-  /** Steps down if the term, received from another node, is higher than this node's: there is a later leader. */
+  /** Steps down if the term, received from another node, is higher than this node's own. */
   observeTerm(term: number): void {
     if (this.lease === null || term <= this.lease.term) return;
     this.eventLoop.log.warn({ term: this.lease.term, observedTerm: term }, 'higher term observed');
@@ -198,7 +198,10 @@
     return new LeaderLease(eventLoop, settings, client, election, events, requestGrant);
   }
 
-  /** Begins the term once this node's own lease grant has expired: until then the previous leader may answer workers. */
+  /**
+   * Begins the term once the lease grant that this node has given expires. Until then the previous leader
+   * may answer workers, so this node must not read or do anything as leader.
+   */
   private beginTermOnceGrantExpires(lease: LeaderLease): void {
     if (this.lease !== lease) return;
     const { remainingMs } = this.leaseGrant;
--- a/src/controller/leadership/lease-grant-exchange.test.ts
+++ b/src/controller/leadership/lease-grant-exchange.test.ts
@@ -24,8 +24,8 @@
 describe('decodeLeaseGrantRequest', () => {
   const malformed = {
     'an empty body': Buffer.alloc(0),
-    'a body that is no map': encodeBody([7]),
-    'a term that is no number': encodeBody({ term: '7' }),
+    'a body that is not a map': encodeBody([7]),
+    'a term that is not a number': encodeBody({ term: '7' }),
   };
   for (const [title, body] of Object.entries(malformed))
     it(`throws on ${title}`, () =>
@@ -35,17 +35,21 @@
 describe('requestLeaseGrantsOver', () => {
   const replies: { title: string; reply: ForwardedReply | null; granted: boolean }[] = [
     {
-      title: 'a reply of 200',
+      title: 'a reply with status 200',
       reply: { id: 1, status: 200, body: Buffer.alloc(0) },
       granted: true,
     },
-    { title: 'a denial', reply: { id: 1, status: 409, body: Buffer.alloc(0) }, granted: false },
     {
-      title: 'the 404 of a version that does not know the request',
+      title: 'a reply with status 409',
+      reply: { id: 1, status: 409, body: Buffer.alloc(0) },
+      granted: false,
+    },
+    {
+      title: 'a 404 from an older version that does not know the request',
       reply: { id: 1, status: 404, body: Buffer.alloc(0) },
       granted: false,
     },
-    { title: 'no reply in time', reply: null, granted: false },
+    { title: 'a missing reply', reply: null, granted: false },
   ];
   for (const { title, reply, granted } of replies)
     it(`takes ${title} as ${granted ? 'a grant' : 'no grant'}`, () => {
--- a/src/controller/leadership/lease-grant-exchange.ts
+++ b/src/controller/leadership/lease-grant-exchange.ts
@@ -1,4 +1,4 @@
-/** Lease grants as they are asked for and given between controllers. */
+/** Requests lease grants from other controllers and answers such requests. */
 import type { Peers } from '../peers/peers.js';
 import type { RequestLeaseGrant } from './lease-extension.js';
 import {
@@ -10,13 +10,13 @@
   LeaseGrantRequestError,
 } from './lease-grant-request.js';
 
-/** Gives this controller's lease grants. */
+/** Decides on this controller's lease grants. */
 export interface LeaseGrantor {
-  /** Gives the leader of a term a grant; false: denied. */
+  /** Gives a lease grant to the leader of the given term; returns false if the grant is denied. */
   grantLease(term: number): boolean;
 }
 
-/** Asks the other controllers for lease grants, by forwarded requests. */
+/** Returns a function that requests lease grants by forwarding a request to the other controller. */
 export function requestLeaseGrantsOver(peers: () => Pick<Peers, 'forward'>): RequestLeaseGrant {
   return (host, term, timeoutMs, done) => {
     const body = encodeLeaseGrantRequest(term);
@@ -26,7 +26,7 @@
   };
 }
 
-/** Status of the reply to a leader that asks for a lease grant; a malformed request is denied. */
+/** Handles a lease grant request and returns the status of the reply; a malformed request is denied. */
 export function answerLeaseGrantRequest(grantor: LeaseGrantor, body: Buffer): number {
   try {
     const term = decodeLeaseGrantRequest(body);
--- a/src/controller/leadership/lease-grant-request.ts
+++ b/src/controller/leadership/lease-grant-request.ts
@@ -1,33 +1,36 @@
 /**
- * The request by which a leader asks another controller for a lease grant. It travels like a user's
- * request that one controller forwards to another: older versions that don't know it answer 404,
- * which is no grant.
+ * The request by which a leader asks another controller for a lease grant. It is sent like a user request
+ * that one controller forwards to another, so older versions that do not know it answer with status 404,
+ * which does not count as a grant.
  */
 import { decodeBody, encodeBody, isMap } from '../wire/cbor.js';
 
-/** Path of the request; it is answered among controllers only. */
+/** Path of the request. It is only answered if it comes from another controller. */
 export const LEASE_GRANT_PATH = '/leadership/promise';
 
 /** Status of a reply that gives the grant. */
 export const GRANTED_STATUS = 200;
-/** Status of a reply that does not. */
+/** Status of a reply that denies the grant. */
 export const DENIED_STATUS = 409;
 
-/** The body of a lease grant request is malformed. */
+/** Thrown if the body of a lease grant request is malformed. */
 export class LeaseGrantRequestError extends Error {
   override readonly name = 'LeaseGrantRequestError';
 }
 
-/** The body of a request of the leader of a term. */
+/** Encodes the body of a request from the leader of the given term. */
 export function encodeLeaseGrantRequest(term: number): Buffer {
   return encodeBody({ term });
 }
 
-/** The term of the leader that asks; throws a `LeaseGrantRequestError` on a malformed body. */
+/** Decodes the term of the requesting leader; throws a `LeaseGrantRequestError` if the body is malformed. */
 export function decodeLeaseGrantRequest(body: Buffer): number {
   const request = decodeRequest(body);
   const term = isMap(request) ? request['term'] : null;
-  if (typeof term !== 'number') throw new LeaseGrantRequestError('term: expected a number');
+  if (typeof term !== 'number')
+    throw new LeaseGrantRequestError(
+      'malformed lease grant request: expected a map with a number as term',
+    );
   return term;
 }
 
@@ -35,6 +38,8 @@
   try {
     return decodeBody(body);
   } catch (err) {
-    throw new LeaseGrantRequestError('body: not CBOR', { cause: err });
+    throw new LeaseGrantRequestError('malformed lease grant request: the body is not valid CBOR', {
+      cause: err,
+    });
   }
 }
--- a/src/controller/leadership/lease-grant.test.ts
+++ b/src/controller/leadership/lease-grant.test.ts
@@ -8,7 +8,7 @@
 const settings = { leaseGrantMs: GRANT_MS };
 
 describe('LeaseGrant', () => {
-  it('lasts longer than the leader counts on it, by the margin for clocks', () => {
+  it('lasts longer than the leader relies on it, by a margin for clock drift', () => {
     const runtime = new ManualRuntime();
     const grant = new LeaseGrant(new EventLoop(runtime, silentLogger), settings);
     const remainingMs = (): number => grant.remainingMs;
@@ -19,8 +19,8 @@
     assert.equal(remainingMs(), 0);
   });
 
-  // A process that is back within the time may have given a grant just before it ended.
-  it('counts from the start of a process that has given none itself', () => {
+  // The previous process on this host may have given a grant just before it ended.
+  it('binds a new process that has given no grant, counted from its start', () => {
     const runtime = new ManualRuntime();
     runtime.advance(1000);
     const startedAt = 900;
--- a/src/controller/leadership/lease-grant.ts
+++ b/src/controller/leadership/lease-grant.ts
@@ -1,19 +1,20 @@
-/** The lease grant that this controller has given to a leader that the state store does not serve. */
+/** The lease grant that this controller has given to a leader that cannot renew its lease. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import { MAX_CLOCK_DRIFT, type Settings } from '../settings/settings.js';
 
-/** Bounds the difference between two machines' clocks, each of which may drift either way. */
+/** Factor that covers the difference between two hosts' clocks, each of which may drift either way. */
 const CLOCK_FACTOR = 1 + 4 * MAX_CLOCK_DRIFT;
-/** For timers that fire early by a fraction of a millisecond. */
+/** Extra time in milliseconds, because timers may fire early by a fraction of a millisecond. */
 const CLOCK_MARGIN_MS = 2;
 
 /**
- * While a grant lasts this controller does not act as leader, even if it is elected. The previous
- * process on this host may have given one just before it ended, so each process begins as if it had
- * given one when it started (design.md, invariant 1).
+ * This controller does not act as leader until its grant expires, even if it is elected: meanwhile the
+ * leader that holds the grant may answer workers beyond its lease (design.md, invariant 1). The previous
+ * process on this host may have given a grant just before it ended, so every process behaves as if it had
+ * given one when it started.
  */
 export class LeaseGrant {
-  /** Until when this controller is bound, on its steady clock. */
+  /** Time until which this controller is bound by a grant, on its monotonic clock. */
   private grantedUntil: number;
 
   constructor(
@@ -25,17 +26,17 @@
     this.grantedUntil = eventLoop.runtime.startedAt + this.durationMs;
   }
 
-  /** Somewhat longer than the leader counts on it. */
+  /** Duration of a grant here, which is longer than the leader relies on it, by a margin for clock drift. */
   private get durationMs(): number {
     return this.settings.leaseGrantMs * CLOCK_FACTOR + CLOCK_MARGIN_MS;
   }
 
-  /** Gives a grant that begins now. */
+  /** Gives a grant that starts now. */
   grant(): void {
     this.grantedUntil = Math.max(this.grantedUntil, this.eventLoop.now() + this.durationMs);
   }
 
-  /** Time until this controller may act as leader as far as its grants are concerned. */
+  /** Time in milliseconds until no grant keeps this controller from acting as leader. */
   get remainingMs(): number {
     return Math.max(0, this.grantedUntil - this.eventLoop.now());
   }
