--- a/src/controller/leader/active-jobs.test.ts
+++ b/src/controller/leader/active-jobs.test.ts
@@ -4,7 +4,7 @@
 import type { TerminalState } from '../wire/jobs.js';
 import { ActiveJobs } from './active-jobs.js';
 
-/** A table with the jobs of the given ids, and what is called on it. */
+/** Creates a table with jobs of the given ids that records the calls of its methods. */
 function setUp(ids: string[], terminal: Record<string, TerminalState> = {}) {
   const calls: string[] = [];
   const table = {
@@ -21,19 +21,19 @@
 }
 
 describe('ActiveJobs', () => {
-  it('adds the jobs of records, but for those known to have ended', () => {
+  it('adds the jobs of the records, except jobs that are known to have ended', () => {
     const { calls, activeJobs } = setUp([], { 'req-2': 'cancelled' });
     activeJobs.add([record('req-1', 4), record('req-2', 5)]);
     assert.deepEqual(calls, ['add req-1 4']);
   });
 
-  it('removes the jobs without a record, after adding the others, when all records are replaced', () => {
+  it('replaceAll adds the jobs of the records and then removes the jobs without a record', () => {
     const { calls, activeJobs } = setUp(['req-1', 'req-3']);
     activeJobs.replaceAll([record('req-1', 4), record('req-2', 6)]);
     assert.deepEqual(calls, ['add req-1 4', 'add req-2 6', 'removed req-3']);
   });
 
-  it('applies changes in their order', () => {
+  it('applies changes in the given order', () => {
     const { calls, activeJobs } = setUp(['req-1']);
     activeJobs.apply([
       { kind: 'delete', key: 'live/req-1' },
--- a/src/controller/leader/active-jobs.ts
+++ b/src/controller/leader/active-jobs.ts
@@ -1,4 +1,4 @@
-/** Applies the state store's records of active jobs to the leader's job table. */
+/** Applies the records of active jobs in the state store to the leader's job table. */
 import type { Frontend } from '../jobs/frontend.js';
 import { ACTIVE_PREFIX } from '../jobs/job-records.js';
 import type { JobTable } from '../jobs/job-table.js';
@@ -8,19 +8,19 @@
   return key.slice(ACTIVE_PREFIX.length);
 }
 
-/** Keeps the table in step with the records. */
+/** Keeps the job table consistent with the records of active jobs. */
 export class ActiveJobs {
   constructor(
     private readonly frontend: Pick<Frontend, 'terminalState'>,
     private readonly table: Pick<JobTable, 'add' | 'handleRecordRemoved' | 'jobs'>,
   ) {}
 
-  /** Adds jobs whose records have been read. */
+  /** Adds the jobs of the given records. */
   add(records: readonly KeyValue[]): void {
     for (const { key, value, version } of records) this.addJob(key, value, version);
   }
 
-  /** Takes all records of active jobs: adds theirs, and removes the jobs without a record. */
+  /** Given the records of all active jobs: adds their jobs, and removes the jobs that have no record. */
   replaceAll(records: readonly KeyValue[]): void {
     const activeKeys = new Set(records.map((record) => record.key));
     this.add(records);
@@ -28,7 +28,7 @@
       if (!activeKeys.has(ACTIVE_PREFIX + id)) this.table.handleRecordRemoved(id);
   }
 
-  /** Applies changes of the records, in their order. */
+  /** Applies changes of the records in the given order. */
   apply(events: readonly WatchEvent[]): void {
     for (const event of events) {
       if (event.kind === 'put') this.addJob(event.key, event.value, event.version);
@@ -38,7 +38,7 @@
 
   private addJob(key: string, value: unknown, version: number): void {
     const id = jobIdOf(key);
-    // This node may know of the job's end already, from another node.
+    // Another node may have informed this node already that the job has ended.
     if (this.frontend.terminalState(id) === null) this.table.add(id, value, version);
   }
 }
--- a/src/controller/leader/failover-recovery.test.ts
+++ b/src/controller/leader/failover-recovery.test.ts
@@ -8,7 +8,7 @@
 
 type ReadPrefixDone = Parameters<StateStoreClient['readPrefix']>[2];
 
-/** Keeps what it is given. */
+/** Records the calls of the recovery. */
 class RecordingTarget implements RecoveryTarget {
   closed = false;
   activeJobCount = 0;
@@ -23,7 +23,7 @@
   }
 }
 
-/** A recovery that has begun, and its reads that are not answered yet. */
+/** Starts a recovery; `reads` contains its reads that have not been answered. */
 function startRecovery() {
   const runtime = new ManualRuntime();
   const reads: { prefix: string; done: ReadPrefixDone }[] = [];
@@ -39,7 +39,7 @@
 describe('FailoverRecovery', () => {
   const item = { key: 'live/req-1', value: {}, version: 3 };
 
-  it('reads jobs, then pages, and repeats a read that has failed', () => {
+  it('reads the jobs and then the pages, and repeats a failed read', () => {
     const { runtime, reads, target } = startRecovery();
     reads.shift()?.done({ kind: 'failed' });
     runtime.advance(500);
@@ -51,7 +51,7 @@
     assert.deepEqual(target.recovered, [{ jobs: [item], revision: 9, sentAt: 500, pages: [] }]);
   });
 
-  it('reads nothing more once the term is over', () => {
+  it('stops reading when the term has ended', () => {
     const { runtime, reads, target } = startRecovery();
     target.closed = true;
     reads.shift()?.done({ kind: 'failed' });
--- a/src/controller/leader/failover-recovery.ts
+++ b/src/controller/leader/failover-recovery.ts
@@ -1,4 +1,4 @@
-/** Reads the state that previous leaders have stored, once this node has been elected. */
+/** Reads the state that previous leaders stored, after this node has been elected. */
 import { ACTIVE_PREFIX } from '../jobs/job-records.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -8,15 +8,15 @@
 const READ_TIMEOUT_MS = 3000;
 const RETRY_DELAY_MS = 200;
 
-/** All that is stored. From the election on no previous leader can change it. */
+/** The stored state. No previous leader can change it after the election. */
 export interface RecoveredState {
   /** Records of the active jobs. */
   jobs: KeyValue[];
   /** The state store's revision when the jobs were read. */
   revision: number;
-  /** When the read of the jobs was sent, on this node's steady clock. */
+  /** Time at which the read of the jobs was sent, on this node's monotonic clock. */
   sentAt: number;
-  /** Pages with all other records. */
+  /** Pages, which contain all other records. */
   pages: KeyValue[];
 }
 
@@ -26,17 +26,17 @@
   sentAt: number;
 }
 
-/** What takes in the recovered state. */
+/** Receives the recovered state. */
 export interface RecoveryTarget {
-  /** The term is over: nothing more is read. */
+  /** Whether the term has ended; if so, nothing more is read. */
   readonly closed: boolean;
-  /** The active jobs have been read, the pages not yet. */
+  /** Called when the active jobs have been read, before the pages are read. */
   activeJobsRead(jobs: readonly KeyValue[]): void;
-  /** Everything has been read. */
+  /** Called when the whole state has been read. */
   recover(state: RecoveredState): void;
 }
 
-/** The reads of one failover; each is repeated until it is answered or the term is over. */
+/** Reads the state once per term; each read is repeated until it succeeds or the term has ended. */
 export class FailoverRecovery {
   constructor(
     private readonly eventLoop: EventLoop,
@@ -44,7 +44,7 @@
     private readonly target: RecoveryTarget,
   ) {}
 
-  /** Reads the jobs, then the pages. */
+  /** Starts to read the jobs and then the pages. */
   start(): void {
     this.read(ACTIVE_PREFIX, ({ items: jobs, revision, sentAt }) => {
       this.target.activeJobsRead(jobs);
--- a/src/controller/leader/isolation.test.ts
+++ b/src/controller/leader/isolation.test.ts
@@ -2,7 +2,11 @@
 import { describe, it } from 'node:test';
 import { isIsolated, type WorkerReachability } from './isolation.js';
 
-/** 100 machines, and the shares of them that are overdue: of all, and of those heard in this term. */
+/**
+ * Creates the reachability of 100 machines.
+ * @param overdueShare - Share of all machines that is overdue.
+ * @param unresponsiveShare - Share of the machines seen in this term that is overdue.
+ */
 function workers(overdueShare: number, unresponsiveShare: number): WorkerReachability {
   return {
     heartbeatIntervalMs: 1000,
@@ -12,7 +16,7 @@
   };
 }
 
-/** Statuses of peers that redirect so many heartbeats a second. */
+/** Creates statuses of peers that redirect the given numbers of heartbeats per second. */
 function peers(...redirectedPerSecond: number[]): { strayReports: number }[] {
   return redirectedPerSecond.map((strayReports) => ({ strayReports }));
 }
@@ -20,37 +24,39 @@
 describe('isIsolated', () => {
   const cases = [
     {
-      title: 'is true where most machines are overdue and peers redirect a tenth of the heartbeats',
+      title: 'is true if most machines are overdue and peers redirect a tenth of all heartbeats',
       expected: true,
       reach: workers(0.6, 0),
       statuses: peers(4, 6),
     },
     {
-      title: 'is false where peers redirect fewer heartbeats',
+      title: 'is false if peers redirect less than a tenth of all heartbeats',
       expected: false,
       reach: workers(0.6, 0),
       statuses: peers(4, 5),
     },
     {
-      title: 'is false where peers redirect heartbeats but only half of the machines are overdue',
+      title: 'is false if peers redirect heartbeats but only half of the machines are overdue',
       expected: false,
       reach: workers(0.5, 1),
       statuses: peers(100),
     },
     {
-      title: 'is true where no peer is heard and nearly all machines are unresponsive',
+      title:
+        'is true if no peer sends a status and more than nine tenths of the machines are unresponsive',
       expected: true,
       reach: workers(0, 0.95),
       statuses: peers(),
     },
     {
-      title: 'is false where no peer is heard and a tenth of the machines respond',
+      title: 'is false if no peer sends a status and a tenth of the machines respond',
       expected: false,
       reach: workers(0, 0.9),
       statuses: peers(),
     },
     {
-      title: 'is false where nearly all machines are unresponsive but a peer is heard',
+      title:
+        'is false if more than nine tenths of the machines are unresponsive but a peer sends its status',
       expected: false,
       reach: workers(0, 0.95),
       statuses: peers(0),
--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -1,30 +1,33 @@
-/** Detects that the workers reach the other controllers and not the leader. */
+/** Detects that the workers cannot reach the leader although they may reach other controllers. */
 import type { PeerStatus } from '../peers/message.js';
 
-/** Heartbeats at other nodes that show that workers are up, as a share of the usual rate of all. */
+/**
+ * Least rate of heartbeats received by peers that shows that the workers are running, as a share of the rate
+ * at which all machines together send heartbeats.
+ */
 const REDIRECTED_HEARTBEATS_SHARE = 0.1;
-/** Share of the machines that are overdue here, where peers tell of their heartbeats. */
+/** The leader is isolated if a larger share of the machines is overdue while peers receive heartbeats. */
 const OVERDUE_SHARE = 0.5;
-/** Share of the machines that are unresponsive here, where no peer is heard either. */
+/** The leader is isolated if a larger share of the machines is overdue while no peer sends a status. */
 const UNRESPONSIVE_SHARE = 0.9;
 
-/** What the leader sees of the workers. */
+/** How well the workers reach the leader. */
 export interface WorkerReachability {
   heartbeatIntervalMs: number;
   machineCount: number;
   /**
-   * Share of the machines whose heartbeats are late by `lateMs`; `onlyHeardInThisTerm`: of those
-   * that have sent one in this term.
+   * Returns the share, from 0 to 1, of the machines whose heartbeats are overdue by more than `minOverdueMs`.
+   * With `onlySeenInThisTerm` only machines that have sent a heartbeat in this term are counted.
    */
   overdueShare(minOverdueMs: number, onlySeenInThisTerm: boolean): number;
 }
 
 /**
- * Whether the workers have lost this node and not the others. Its lease goes on, so nobody else
- * would answer them, and every task would end with its worker's lease. Their heartbeats at the other
- * nodes are the proof. Where the peers are not heard either, missing heartbeats have to do, but only
- * those of machines that have sent some in this term: without them a leader could not tell its own
- * isolation from the loss of the machines.
+ * Whether the workers cannot reach this node although they are running. An isolated leader keeps renewing
+ * its lease, so no other node would answer the workers, and every task would be stopped when its worker's
+ * lease expires. Heartbeats that workers send to peers are the evidence. If no peer sends a status either,
+ * missing heartbeats are sufficient, but only of machines that have sent one in this term: with other
+ * machines a leader could not distinguish its own isolation from a loss of the machines.
  */
 export function isIsolated(
   workers: WorkerReachability,
--- a/src/controller/leader/leader-components.ts
+++ b/src/controller/leader/leader-components.ts
@@ -1,4 +1,4 @@
-/** The parts that only a leader has: created for each term and dropped with it. */
+/** The components that only a leader has. They are created for each term and discarded at its end. */
 import { Fleet } from '../fleet/fleet.js';
 import { JobTable } from '../jobs/job-table.js';
 import { LEADER_KEY } from '../leadership/leader-record.js';
@@ -9,9 +9,9 @@
 import { Workers } from '../workers/workers.js';
 import type { CurrentRole, LeaderEnvironment } from './leader-context.js';
 
-/** Creates the parts of one term and connects them. */
+/** Creates and connects the components of one term. */
 export class LeaderComponents {
-  /** The leader's records; every write is conditional on this term's leader key. */
+  /** The leader's records. Every write is conditional on the version of this term's leader key. */
   readonly records: RecordStore;
   readonly table: JobTable;
   readonly workers: Workers;
@@ -78,7 +78,7 @@
       this.records,
       learned.estimates,
       learned.headroom,
-      { attemptsExhausted: () => leadership.stepDown('attempts used up') },
+      { attemptsExhausted: () => leadership.stepDown('attempt numbers used up') },
     );
   }
 
@@ -94,7 +94,7 @@
 
   private jobAdded(job: Job): void {
     const { learned, eventLoop } = this.environment;
-    // A job that a previous leader knew was counted by that leader.
+    // Jobs read during recovery are excluded because previous leaders have counted them.
     if (this.role.hasRecovered) learned.headroom.recordSubmission(job, eventLoop.now());
   }
 
--- a/src/controller/leader/leader-context.ts
+++ b/src/controller/leader/leader-context.ts
@@ -1,4 +1,4 @@
-/** What the terms of this node as leader are given by the rest of the controller. */
+/** Interfaces between the terms of this node as leader and the rest of the controller. */
 import type { MachineTypeCatalogue } from '../fleet/machine-type-catalogue.js';
 import type { Frontend } from '../jobs/frontend.js';
 import type { ProgressCache } from '../jobs/job-progress.js';
@@ -9,13 +9,13 @@
 import type { StateStoreClient } from '../store/client.js';
 import type { LearnedStatistics } from './learned-statistics.js';
 
-/** Takes the measurements of a leader. */
+/** Receives measurements of placement passes. */
 export interface PlacementPassObserver {
-  /** A placement pass has ended, whose slices together took `tookMs`. */
+  /** Records a finished placement pass; `durationMs` is the total duration of its slices. */
   observePlacementPass(durationMs: number): void;
 }
 
-/** The parts of the controller that a leader works with; they outlast its terms. */
+/** The components of the controller that a leader uses; they exist independently of its terms. */
 export interface LeaderEnvironment {
   readonly eventLoop: EventLoop;
   readonly settings: Settings;
@@ -26,25 +26,28 @@
   readonly progress: ProgressCache;
   readonly catalogue: MachineTypeCatalogue;
   readonly learned: LearnedStatistics;
-  /** Loaded a little after the start; `null` until then. */
+  /** Null until the metrics have been loaded, shortly after the process has started. */
   readonly metrics: PlacementPassObserver | null;
 }
 
 /**
- * What this node may do as leader, in whatever term: callbacks of a term that is over may still run,
- * and then this tells of the current one.
+ * What this node may do as leader. The values always refer to the current term, even when they are read by a
+ * callback of a term that has ended.
  */
 export interface CurrentRole {
   /**
-   * This node may send commands, place, rent and write: its lease as leader runs, its state is
-   * recovered, and no cancellation confirmed longer ago than the settings allow is unknown to it
-   * (design.md, invariants 1 and 8).
+   * Whether this node may send commands, place tasks, rent machines and write records. It must hold the
+   * leader's lease (design.md, invariant 1), have recovered the state, and know every cancellation that was
+   * confirmed longer ago than the allowed staleness of its job watch (invariant 8).
    */
   readonly mayActAsLeader: boolean;
-  /** This node may answer workers, which may go on beyond its lease (design.md, invariant 1). */
+  /**
+   * Whether this node may answer workers. It may do so even beyond its lease, while all other controllers
+   * have promised not to act as leader (design.md, invariant 1).
+   */
   readonly mayAnswerWorkers: boolean;
-  /** This node leads and has recovered the state that previous leaders stored. */
+  /** Whether this node is the leader and has recovered the state that previous leaders stored. */
   readonly hasRecovered: boolean;
-  /** Requests a placement pass, since something has become placeable. */
+  /** Requests a placement pass, because tasks or capacity have changed. */
   requestPlacement(): void;
 }
--- a/src/controller/leader/leader-role.ts
+++ b/src/controller/leader/leader-role.ts
@@ -1,61 +1,64 @@
-/** Whether this node leads, and what it may do as leader. */
+/** Whether this node is the leader, and what it may do as leader. */
 import type { LeadershipEvents } from '../leadership/leadership.js';
 import type { CurrentRole, LeaderEnvironment } from './leader-context.js';
 import { LeaderTerm } from './leader-term.js';
 
-/** Creates a `LeaderTerm` when this node is elected, and drops it when it steps down. */
+/** Creates a `LeaderTerm` when this node is elected, and closes it when this node steps down. */
 export class LeaderRole implements LeadershipEvents, CurrentRole {
   private term: LeaderTerm | null = null;
 
-  /** `environment` may be completed later: it is read from the start of the controller on. */
+  /**
+   * @param environment - May still lack components when it is passed in, because it is not used before the
+   * controller starts.
+   */
   constructor(private readonly environment: LeaderEnvironment) {}
 
-  /** This node's term as leader, from its election until it learns of the end. */
+  /** This node's current term as leader, null if it is not the leader. */
   get currentTerm(): LeaderTerm | null {
     return this.term;
   }
 
-  /** The current term, once the state has been recovered. */
+  /** The current term if its state has been recovered, otherwise null. */
   get recoveredTerm(): LeaderTerm | null {
     return this.term?.recovered === true ? this.term : null;
   }
 
   // ---- permissions
 
-  /** This node may send commands, place, rent and write. */
+  /** Whether this node may send commands, place tasks, rent machines and write records. */
   get mayActAsLeader(): boolean {
     return this.environment.leadership.holdsLease && this.hasFreshState;
   }
 
-  /** This node may answer workers. */
+  /** Whether this node may answer workers. */
   get mayAnswerWorkers(): boolean {
     return this.environment.leadership.mayAnswerWorkers && this.hasFreshState;
   }
 
-  /** This node leads and has recovered the state. */
+  /** Whether this node is the leader and has recovered the state. */
   get hasRecovered(): boolean {
     return this.term?.recovered === true;
   }
 
-  /** The state is recovered, and the watch on the active jobs is fresh enough to act on. */
+  /** Whether the state is recovered and the watch on the active jobs is fresh enough to act on. */
   private get hasFreshState(): boolean {
     return this.term?.recovered === true && this.term.jobWatch.isFresh;
   }
 
-  /** Requests a placement pass, if this node leads. */
+  /** Requests a placement pass if this node is the leader. */
   requestPlacement(): void {
     this.term?.passScheduler.request();
   }
 
-  // ---- events of the leadership
+  // ---- leadership events
 
-  /** Begins a term. */
+  /** Starts a term. */
   elected(term: number): void {
     this.term = new LeaderTerm(term, this.environment, this);
     this.term.start();
   }
 
-  /** After a time without the lease the job watch counts only once it has been read again. */
+  /** After a gap in the lease the job watch only counts as fresh once the jobs have been read again. */
   leaseRecovered(): void {
     this.term?.jobWatch.requireFreshRead();
   }
@@ -66,7 +69,7 @@
     this.term = null;
   }
 
-  /** Answering workers beyond the lease is of use while the watch on the active jobs is fresh. */
+  /** Whether the state is fresh: otherwise this node may not answer workers, even within its lease. */
   shouldExtendLease(): boolean {
     return this.hasFreshState;
   }
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -1,4 +1,4 @@
-/** One term of this node as leader: recovery of the state, the work of each batch and tick, its end. */
+/** One term of this node as leader, from the recovery of the stored state to the end of the term. */
 import { takeChangedProgress } from '../jobs/job-progress.js';
 import { JobWatch } from '../jobs/job-watch.js';
 import type { HandOverReason } from '../leadership/leadership.js';
@@ -12,14 +12,14 @@
 import type { CurrentRole, LeaderEnvironment } from './leader-context.js';
 import { PassScheduler } from './pass-scheduler.js';
 
-/** A job watch whose staleness exceeds its limit by this factor ends the term. */
+/** The leader hands over if the staleness of its job watch exceeds the allowed staleness times this factor. */
 const STALE_WATCH_FACTOR = 1.5;
-/** How often the learned statistics are recorded in a lease of the workers. */
+/** Number of times that the learned statistics are recorded in the duration of a worker lease. */
 const STATISTICS_RECORDS_PER_LEASE = 4;
-/** Share of a worker's lease for which a new leader is not taken to be isolated. */
+/** Time after its election in which a leader does not check for isolation, as a share of a worker lease. */
 const SETTLING_LEASE_SHARE = 0.5;
 
-/** Created when the node is elected, and closed when it steps down. */
+/** The state and work of one term. Created when the node is elected, and closed when it steps down. */
 export class LeaderTerm implements RecoveryTarget {
   readonly components: LeaderComponents;
   readonly jobWatch: JobWatch;
@@ -51,12 +51,12 @@
     );
   }
 
-  /** The state that previous leaders stored has been recovered. */
+  /** Whether the state that previous leaders stored has been recovered. */
   get recovered(): boolean {
     return this.isRecovered;
   }
 
-  /** The term is over. */
+  /** Whether the term has ended. */
   get closed(): boolean {
     return this.isClosed;
   }
@@ -68,17 +68,17 @@
 
   // ---- start and end
 
-  /** Begins to recover the state. */
+  /** Starts to read the state that previous leaders stored. */
   start(): void {
     new FailoverRecovery(this.environment.eventLoop, this.environment.client, this).start();
   }
 
-  /** Adds the active jobs; the rest of the state is recovered later. */
+  /** Adds the active jobs, which are read before the rest of the state. */
   activeJobsRead(jobs: readonly KeyValue[]): void {
     this.activeJobs.add(jobs);
   }
 
-  /** Takes in the recovered state; the leader acts from then on. */
+  /** Restores the leader's components from the stored state; from then on the leader may act. */
   recover({ jobs, pages, revision, sentAt }: RecoveredState): void {
     const { learned, eventLoop, catalogue } = this.environment;
     const { records, table, workers, placement } = this.components;
@@ -91,14 +91,14 @@
     this.isRecovered = true;
     eventLoop.log.info(
       { term: this.term, jobs: jobs.length, machines: workers.machines.size },
-      'leading',
+      'state recovered, acting as leader',
     );
     this.jobWatch.start(revision, sentAt);
     this.role.requestPlacement();
     catalogue.publish(this);
   }
 
-  /** Ends the term: nothing is written any more. */
+  /** Ends the term: its components write no more records, and the job watch stops. */
   close(): void {
     this.isClosed = true;
     this.components.records.close();
@@ -107,7 +107,7 @@
 
   // ---- batches and ticks
 
-  /** Runs after each batch of commands. */
+  /** Called after each batch of events: runs a slice of placement and writes changed records. */
   onBatchEnd(): void {
     const { catalogue } = this.environment;
     const { table, workers, records } = this.components;
@@ -118,7 +118,11 @@
     records.flush();
   }
 
-  /** Runs every `tickMs`, a few times in a heartbeat interval, with the peers' recent statuses. */
+  /**
+   * Does the periodic work of the leader.
+   * @param peerStatuses - Recent statuses of the other controllers.
+   * @param tickMs - Time between two calls; there are several calls per heartbeat interval.
+   */
   tick(peerStatuses: readonly PeerStatus[], tickMs: number): void {
     if (!this.isRecovered) return;
     const { leadership } = this.environment;
@@ -137,7 +141,8 @@
   private handOverReason(peerStatuses: readonly PeerStatus[]): HandOverReason | null {
     const { leadership, settings } = this.environment;
     const maxStalenessMs = settings.maxWatchStalenessMs * STALE_WATCH_FACTOR;
-    // Its lease keeps the others from leading, and it may not act itself (design.md, invariant 8).
+    // A leader with a stale job watch may not act (design.md, invariant 8), while its lease keeps every other
+    // node from becoming leader.
     if (leadership.holdsLease && this.jobWatch.stalenessMs > maxStalenessMs)
       return 'no view of the jobs';
     if (this.role.mayActAsLeader && this.isIsolated(peerStatuses))
@@ -148,7 +153,8 @@
   private isIsolated(peerStatuses: readonly PeerStatus[]): boolean {
     const { eventLoop, settings } = this.environment;
     const { workers } = this.components;
-    // Not soon after the election: a failover costs, and one after the other would leave nobody to answer.
+    // Not shortly after the election: each failover interrupts the answers to workers, and several in
+    // succession would leave the workers without answers for too long.
     const settlingMs = settings.workerLeaseMs * SETTLING_LEASE_SHARE;
     const isSettled = eventLoop.now() - this.startedAt > settlingMs;
     if (settings.platform.peers.length === 0 || !isSettled) return false;
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -1,4 +1,4 @@
-/** Statistics of classes of jobs, recorded so that the next leader goes on with them. */
+/** Statistics of job classes, which are recorded so that the next leader can continue with them. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../model/entities.js';
 import { DurationEstimator } from '../placement/estimates/duration-estimator.js';
@@ -9,10 +9,10 @@
 import { isMap } from '../wire/cbor.js';
 
 const LEARNED_KEY = 'learned';
-/** A class's record is stored if it takes no more than this share of the largest value. */
+/** The record of a class is only stored if it is smaller than this share of the state store's value limit. */
 const MAX_VALUE_SHARE = 0.5;
 
-/** The error of estimated run times and the arrivals of jobs, by class. */
+/** Errors of the estimated run times, and arrivals of jobs, by job class. */
 export class LearnedStatistics {
   readonly estimates = new DurationEstimator();
   readonly headroom: ClassHeadroom;
@@ -34,15 +34,15 @@
     );
   }
 
-  /** A task of the job has completed after running for `tookMs`, assigned to its machine since `assignedAt`. */
+  /** Counts a completed task of the job, which was assigned at `assignedAt` and ran for `runTimeMs`. */
   observeTaskEnd(job: Job, runTimeMs: number, assignedAt: number): void {
     this.estimates.observe(job.spec, runTimeMs);
     this.headroom.recordOccupancy(job.spec, this.eventLoop.now() - assignedAt);
   }
 
   /**
-   * Takes in what previous leaders have recorded, and then the active jobs, which must have been read:
-   * counted before the records, they would make these look outdated.
+   * Loads the statistics that previous leaders recorded, and then counts the active jobs, which must have
+   * been read before. If the jobs were counted first, the recorded statistics would look outdated.
    */
   load(records: Pick<RecordStore, 'list'>, activeJobs: Iterable<Job>): void {
     const classRecords = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
@@ -57,8 +57,9 @@
   }
 
   /**
-   * Records the statistics, a record for each class: all classes together may exceed the largest value.
-   * Older versions read every record whose key begins with `learned`, and wrote a single one.
+   * Records the statistics, with one record per class because all classes together may exceed the state
+   * store's value limit. Older versions read all records whose keys begin with `learned`, but wrote only one
+   * record with all classes, which is deleted here.
    */
   save(records: Pick<RecordStore, 'set'>): void {
     const ratios = this.estimates.exportStatistics();
--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -10,7 +10,7 @@
 const settings = new Settings(standalonePlatform(), defaultProperties());
 const intervalMs = settings.heartbeatIntervalMs * settings.get('placement.interval.ratio');
 
-/** A scheduler of passes that take `sliceCount` slices of `sliceMs` each. */
+/** Creates a scheduler of passes that take `sliceCount` slices of `sliceMs` each. */
 function setUp(sliceCount: number, sliceMs: number) {
   const runtime = new ManualRuntime();
   const seen = { begun: 0, finished: [] as number[] };
@@ -36,7 +36,7 @@
 }
 
 describe('PassScheduler', () => {
-  it('runs one slice in each step and tells what the slices took together', () => {
+  it('runs one slice in each step and reports the total duration of the slices', () => {
     const { seen, scheduler } = setUp(3, 10);
     scheduler.step();
     scheduler.step();
@@ -45,7 +45,7 @@
     assert.deepEqual(seen, { begun: 1, finished: [30] });
   });
 
-  it('begins no second pass before one is requested', () => {
+  it('starts no second pass until one is requested', () => {
     const { runtime, seen, scheduler } = setUp(1, 1);
     scheduler.step();
     runtime.advance(intervalMs * 10);
@@ -56,7 +56,7 @@
     assert.equal(seen.begun, 2);
   });
 
-  it('waits for the interval, and three times as long as the last pass took', () => {
+  it('waits for the interval, and for three times the duration of the last pass', () => {
     const durationMs = intervalMs;
     const { runtime, seen, scheduler } = setUp(1, durationMs);
     scheduler.step();
--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -1,27 +1,27 @@
-/** Schedules placement passes and their slices, so that requests are served in between. */
+/** Schedules placement passes in slices, so that other events are handled between the slices. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Least time between two passes, as a multiple of what the first one took. */
+/** Least time from the end of a pass to the start of the next, as a multiple of the duration of its slices. */
 const PASS_REST_FACTOR = 3;
 
-/** The placement whose passes are scheduled. */
+/** The methods of `Placement` that the scheduler calls. */
 export type SlicedPlacement = Pick<Placement, 'passInProgress' | 'begin' | 'advance'>;
 
 /**
- * Runs placement passes in slices. Between the slices heartbeats and users are served. All passes
- * together take a bounded share of the time, however many tasks are waiting.
+ * Runs placement passes in slices. Between the slices heartbeats and user requests are handled. All passes
+ * together take a bounded share of the time, regardless of the number of waiting tasks.
  */
 export class PassScheduler {
   private isPassRequested = true;
   private isTimerSet = false;
   private passStartedAt = -Infinity;
   private lastSliceEndedAt = -Infinity;
-  /** What the slices of the latest pass took together. */
+  /** Total duration of the slices of the latest pass so far. */
   private passDurationMs = 0;
 
-  /** `onPassFinished`: told, when a pass is over, what its slices took together. */
+  /** @param onPassFinished - Called at the end of a pass with the total duration of its slices. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
@@ -29,12 +29,12 @@
     private readonly onPassFinished: (durationMs: number) => void,
   ) {}
 
-  /** Requests a pass, which begins once those before leave time for it. */
+  /** Requests a pass, which starts once enough time has passed since the previous one. */
   request(): void {
     this.isPassRequested = true;
   }
 
-  /** Runs a slice of the pass in progress, or of a new one if it is due; called after each batch of commands. */
+  /** Called after each batch of events: runs a slice of the pass in progress, or of a new pass if one is due. */
   step(): void {
     const sliceStartedAt = this.eventLoop.now();
     if (!this.placement.passInProgress && !this.begin(sliceStartedAt)) return;
@@ -47,7 +47,7 @@
     else this.wakeAfter(0);
   }
 
-  /** Begins a pass if one is due; tells whether it did. */
+  /** Starts a pass if one is due; returns whether it did. */
   private begin(now: number): boolean {
     if (!this.isPassRequested) return false;
     const delayMs = this.waitMs(now);
@@ -71,7 +71,7 @@
     );
   }
 
-  /** Posts an empty command: `step` runs after its batch. */
+  /** Queues an event that does nothing itself: `step` is called after the batch that contains it. */
   private wakeAfter(delayMs: number): void {
     if (this.isTimerSet) return;
     this.isTimerSet = true;
--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -59,7 +59,7 @@
     this.observeAfter(leaderLeaseMs * (RETRY_RATIO + jitter));
   }
 
-  /** Delays this node's next attempt to become leader once after a hand-over, so that others go first. */
+  /** After a hand-over: makes this node wait once before it takes a free key, so that others can take it first. */
   backOff(): void {
     this.backoff.begin(this.eventLoop.now() + this.settings.workerLeaseMs);
   }
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -22,7 +22,7 @@
   /** A write was rejected because the version of the leader key has changed. */
   | 'another leader'
   /** All numbers that the term has for attempts to run a task are used. */
-  | 'attempts used up'
+  | 'attempt numbers used up'
   /** A message from another node carried a higher term. */
   | 'higher term'
   /** The lease no longer exists at the state store. */
