--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -108,7 +108,7 @@
   }
 
   /** The highest term that this node knows of, whether or not it has ended. */
-  private get latestTerm(): number {
+  private get highestTerm(): number {
     return Math.max(this.endedTerm, this.knownLeader?.term ?? 0);
   }
 
@@ -127,7 +127,7 @@
   peerReportedLeader(host: string, term: number): void {
     if (host === '') return;
     this.observeTerm(term);
-    if (this.lease === null && term > this.latestTerm) this.knownLeader = { host, term };
+    if (this.lease === null && term > this.highestTerm) this.knownLeader = { host, term };
   }
 
   /**
@@ -142,7 +142,7 @@
   }
 
   private forgetLeader(): void {
-    this.endedTerm = this.latestTerm;
+    this.endedTerm = this.highestTerm;
     this.knownLeader = null;
   }
 
