--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -52,7 +52,7 @@
   /** This node's lease while it is the leader, otherwise null. */
   private lease: LeaderLease | null = null;
   /** The highest term that is known to have ended. */
-  private endedTerm = 0;
+  private highestEndedTerm = 0;
   private readonly watch: LeaderWatch;
   private readonly election: Election;
   private readonly leaseGrant: LeaseGrant;
@@ -109,7 +109,7 @@
 
   /** The highest term that this node knows of, whether or not it has ended. */
   private get highestTerm(): number {
-    return Math.max(this.endedTerm, this.knownLeader?.term ?? 0);
+    return Math.max(this.highestEndedTerm, this.knownLeader?.term ?? 0);
   }
 
   /** Steps down if the term, received from another node, is higher than this node's own. */
@@ -135,14 +135,14 @@
    * duration of the grant. Returns false if this node is the leader or knows that the term has ended.
    */
   grantLease(term: number): boolean {
-    const hasTermEnded = term <= this.endedTerm || term < (this.knownLeader?.term ?? 0);
+    const hasTermEnded = term <= this.highestEndedTerm || term < (this.knownLeader?.term ?? 0);
     if (this.lease !== null || hasTermEnded) return false;
     this.leaseGrant.grant();
     return true;
   }
 
   private forgetLeader(): void {
-    this.endedTerm = this.highestTerm;
+    this.highestEndedTerm = this.highestTerm;
     this.knownLeader = null;
   }
 
