--- a/src/controller/leadership/leader-lease.ts
+++ b/src/controller/leadership/leader-lease.ts
@@ -111,10 +111,10 @@
 
   private renewed(sentAt: number): void {
     // Also reported if the lease ran out only while this renewal was in flight.
-    const hadGap = !this.isHeld;
+    const hadExpired = !this.isHeld;
     this.heldUntil = Math.max(this.heldUntil, sentAt + this.settings.usableLeaderLeaseMs);
     this.extension.end();
-    if (!hadGap) return;
+    if (!hadExpired) return;
     this.eventLoop.log.info({ term: this.term }, 'lease renewed after a gap');
     this.events.recovered();
   }
