--- a/src/controller/leadership/lease-grant.ts
+++ b/src/controller/leadership/lease-grant.ts
@@ -5,7 +5,7 @@
 /** Factor that covers the difference between two hosts' clocks, each of which may drift either way. */
 const CLOCK_DRIFT_FACTOR = 1 + 4 * MAX_CLOCK_DRIFT;
 /** Extra time in milliseconds, because timers may fire early by a fraction of a millisecond. */
-const CLOCK_MARGIN_MS = 2;
+const TIMER_MARGIN_MS = 2;
 
 /**
  * This controller does not act as leader until its grant expires, even if it is elected: meanwhile the
@@ -28,7 +28,7 @@
 
   /** Duration of a grant here, which is longer than the leader relies on it, by a margin for clock drift. */
   private get durationMs(): number {
-    return this.settings.leaseGrantMs * CLOCK_DRIFT_FACTOR + CLOCK_MARGIN_MS;
+    return this.settings.leaseGrantMs * CLOCK_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
 
   /** Gives a grant that starts now. */
