--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -5,7 +5,7 @@
  * Least rate of heartbeats received by peers that shows that the workers are running, as a share of the rate
  * at which all machines together send heartbeats.
  */
-const REDIRECTED_HEARTBEATS_SHARE = 0.1;
+const MIN_REDIRECTED_SHARE = 0.1;
 /** The leader is isolated if a larger share of the machines is overdue while peers receive heartbeats. */
 const OVERDUE_SHARE = 0.5;
 /** The leader is isolated if a larger share of the machines is overdue while no peer sends a status. */
@@ -36,7 +36,7 @@
   const { heartbeatIntervalMs, machineCount } = workers;
   const redirectedPerSecond = peers.reduce((sum, peer) => sum + peer.strayReports, 0);
   const expectedPerSecond = (machineCount / heartbeatIntervalMs) * 1000;
-  const workersReachPeers = redirectedPerSecond >= expectedPerSecond * REDIRECTED_HEARTBEATS_SHARE;
+  const workersReachPeers = redirectedPerSecond >= expectedPerSecond * MIN_REDIRECTED_SHARE;
   if (workersReachPeers && workers.overdueShare(0, false) > OVERDUE_SHARE) return true;
   return peers.length === 0 && workers.overdueShare(heartbeatIntervalMs, true) > UNRESPONSIVE_SHARE;
 }
