--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -13,7 +13,7 @@
 import { PassScheduler } from './pass-scheduler.js';
 
 /** The leader hands over if the staleness of its job watch exceeds the allowed staleness times this factor. */
-const STALE_WATCH_FACTOR = 1.5;
+const MAX_STALENESS_FACTOR = 1.5;
 /** Number of times that the learned statistics are recorded in the duration of a worker lease. */
 const STATISTICS_RECORDS_PER_LEASE = 4;
 /** Time after its election in which a leader does not check for isolation, as a share of a worker lease. */
@@ -140,7 +140,7 @@
 
   private handOverReason(peerStatuses: readonly PeerStatus[]): HandOverReason | null {
     const { leadership, settings } = this.environment;
-    const maxStalenessMs = settings.maxWatchStalenessMs * STALE_WATCH_FACTOR;
+    const maxStalenessMs = settings.maxWatchStalenessMs * MAX_STALENESS_FACTOR;
     // A leader with a stale job watch may not act (design.md, invariant 8), while its lease keeps every other
     // node from becoming leader.
     if (leadership.holdsLease && this.jobWatch.stalenessMs > maxStalenessMs)
