--- a/src/controller/leader/leader-role.ts
+++ b/src/controller/leader/leader-role.ts
@@ -69,7 +69,10 @@
     this.term = null;
   }
 
-  /** Whether the state is fresh: otherwise this node may not answer workers, even within its lease. */
+  /**
+   * Whether the state is fresh. With stale state this node may not answer workers even within its lease
+   * (design.md, invariant 8), so an extension would be useless.
+   */
   shouldExtendLease(): boolean {
     return this.hasFreshState;
   }
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -14,7 +14,7 @@
 
 /** The leader hands over if the staleness of its job watch exceeds the allowed staleness times this factor. */
 const MAX_STALENESS_FACTOR = 1.5;
-/** Number of times that the learned statistics are recorded in the duration of a worker lease. */
+/** The learned statistics are recorded this many times in the duration of a worker lease. */
 const STATISTICS_RECORDS_PER_LEASE = 4;
 /** Time after its election in which a leader does not check for isolation, as a share of a worker lease. */
 const SETTLING_LEASE_SHARE = 0.5;
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -58,8 +58,8 @@
 
   /**
    * Records the statistics, with one record per class because all classes together may exceed the state
-   * store's value limit. Older versions read all records whose keys begin with `learned`, but wrote only one
-   * record with all classes, which is deleted here.
+   * store's value limit. Deletes the single record with all classes that older versions wrote; they can read
+   * the new records, because they read every key that begins with `learned`.
    */
   save(records: Pick<RecordStore, 'set'>): void {
     const ratios = this.estimates.exportStatistics();
--- a/src/controller/leadership/hand-over-backoff.ts
+++ b/src/controller/leadership/hand-over-backoff.ts
@@ -14,7 +14,7 @@
     this.hasWaited = false;
   }
 
-  /** Notes that a node holds the key. The next time that it is free this node waits again. */
+  /** Notes that a node holds the key. If the key becomes free before the back-off ends, this node waits again. */
   keyTaken(): void {
     this.hasWaited = false;
   }
--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -10,9 +10,9 @@
 /** Name of the timers' event in the log. */
 const OBSERVE_EVENT = 'observe-leader';
 
-/** Smallest delay before the key is read again, as a ratio to the leader's lease. */
+/** Smallest delay before the key is read again, as a share of the duration of the leader's lease. */
 const RETRY_RATIO = 0.04;
-/** Largest random jitter added to that delay, as a ratio to the leader's lease. */
+/** Largest random jitter added to that delay, as a share of the duration of the leader's lease. */
 const RETRY_JITTER_RATIO = 0.04;
 
 /** Events of the watch, and what it asks of its owner. */
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -13,7 +13,7 @@
 /** Name of the timer's event in the log. */
 const BEGIN_TERM_EVENT = 'begin-term';
 
-/** Why a leader hands over to another node that may be able to do the work, as logged. */
+/** Why a leader steps down in favour of another node, as logged. */
 export type HandOverReason = 'no view of the jobs' | 'workers do not reach this node';
 
 /** Why a leader steps down, as logged. */
@@ -21,7 +21,7 @@
   | HandOverReason
   /** A write was rejected because the version of the leader key has changed. */
   | 'another leader'
-  /** All numbers that the term has for attempts to run a task are used. */
+  /** The term has no attempt numbers left for starting tasks. */
   | 'attempt numbers used up'
   /** A message from another node carried a higher term. */
   | 'higher term'
@@ -44,8 +44,8 @@
  * Tracks the current leader, and tries to become the leader when there is none. The leader holds a key
  * that is bound to a lease of the state store. The version of this key at its creation is the leader's
  * term, and part of the fencing tokens that workers check. Versions increase with every change at the
- * state store, so a later leader always has a higher term. At any time only one leader acts: it acts only
- * while it holds its lease (design.md, invariant 1).
+ * state store, so a later leader always has a higher term. Only one leader acts at a time: it acts only
+ * while it holds its lease, and beyond it may at most answer workers (design.md, invariant 1).
  */
 export class Leadership implements LeaseGrantor {
   private knownLeader: LeaderInfo | null = null;
@@ -81,7 +81,7 @@
     });
   }
 
-  /** Starts to watch the leader key, and to run for leader whenever the key does not exist. */
+  /** Starts to watch the leader key. This node runs for leader whenever the key does not exist. */
   start(): void {
     this.watch.observe();
   }
@@ -121,8 +121,8 @@
 
   /**
    * Handles a peer's report of the current leader. The report is only a hint, but sufficient to redirect
-   * workers to that leader. If its term is higher than this node's own, this node steps down; it may not
-   * have noticed the change itself while the state store does not respond to it.
+   * workers to that leader. If its term is higher than this node's own, this node steps down. It may learn
+   * of the later leader only in this way while it gets no responses from the state store.
    */
   peerReportedLeader(host: string, term: number): void {
     if (host === '') return;
@@ -164,7 +164,7 @@
     this.watch.retry();
   }
 
-  /** Steps down and lets other nodes run for leader first, since they may be able to do the work. */
+  /** Steps down and lets other nodes run for leader first, because the reason may not apply to them. */
   handOver(reason: HandOverReason): void {
     this.watch.backOff();
     this.stepDown(reason);
--- a/src/controller/leadership/lease-extension.test.ts
+++ b/src/controller/leadership/lease-extension.test.ts
@@ -54,7 +54,7 @@
     assert.ok(!extension.isActive);
   });
 
-  // In the gap another controller may have acted as leader, restarted and lost any record of its term.
+  // In the gap another controller may have acted as leader and restarted, so that its grant does not show it.
   it('stops requesting grants after a gap between the lease and the grants', () => {
     const { runtime, extension, reply, requests } = setUp(50);
     runtime.advance(60);
--- a/src/controller/leadership/lease-grant.test.ts
+++ b/src/controller/leadership/lease-grant.test.ts
@@ -20,7 +20,7 @@
   });
 
   // The previous process on this host may have given a grant just before it ended.
-  it('binds a new process that has given no grant, counted from its start', () => {
+  it('binds a process from its start although it has given no grant itself', () => {
     const runtime = new ManualRuntime();
     runtime.advance(1000);
     const startedAt = 900;
--- a/src/controller/leadership/lease-grant.ts
+++ b/src/controller/leadership/lease-grant.ts
@@ -26,7 +26,7 @@
     this.grantedUntil = eventLoop.runtime.startedAt + this.durationMs;
   }
 
-  /** Duration of a grant here, which is longer than the leader relies on it, by a margin for clock drift. */
+  /** How long a grant binds this controller: longer than the leader relies on it, by a margin for clock drift. */
   private get durationMs(): number {
     return this.settings.leaseGrantMs * CLOCK_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
@@ -36,7 +36,7 @@
     this.grantedUntil = Math.max(this.grantedUntil, this.eventLoop.now() + this.durationMs);
   }
 
-  /** Time in milliseconds until no grant keeps this controller from acting as leader. */
+  /** Time in milliseconds until this controller is no longer bound by a grant; 0 if it is not bound. */
   get remainingMs(): number {
     return Math.max(0, this.grantedUntil - this.eventLoop.now());
   }
