--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -7,7 +7,7 @@
  */
 const MIN_REDIRECTED_SHARE = 0.1;
 /** The leader is isolated if a larger share of the machines is overdue while peers receive heartbeats. */
-const MAX_OVERDUE_SHARE = 0.5;
+const OVERDUE_SHARE = 0.5;
 /** The leader is isolated if a larger share of the machines is overdue while no peer sends a status. */
 const MAX_UNRESPONSIVE_SHARE = 0.9;
 
@@ -37,7 +37,7 @@
   const redirectedPerSecond = peers.reduce((sum, peer) => sum + peer.strayReports, 0);
   const expectedPerSecond = (machineCount / heartbeatIntervalMs) * 1000;
   const workersReachPeers = redirectedPerSecond >= expectedPerSecond * MIN_REDIRECTED_SHARE;
-  if (workersReachPeers && workers.overdueShare(0, false) > MAX_OVERDUE_SHARE) return true;
+  if (workersReachPeers && workers.overdueShare(0, false) > OVERDUE_SHARE) return true;
   return (
     peers.length === 0 && workers.overdueShare(heartbeatIntervalMs, true) > MAX_UNRESPONSIVE_SHARE
   );
