--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -9,7 +9,7 @@
 /** The leader is isolated if a larger share of the machines is overdue while peers receive heartbeats. */
 const OVERDUE_SHARE = 0.5;
 /** The leader is isolated if a larger share of the machines is overdue while no peer sends a status. */
-const MAX_UNRESPONSIVE_SHARE = 0.9;
+const UNRESPONSIVE_SHARE = 0.9;
 
 /** How well the workers reach the leader. */
 export interface WorkerReachability {
@@ -38,7 +38,5 @@
   const expectedPerSecond = (machineCount / heartbeatIntervalMs) * 1000;
   const workersReachPeers = redirectedPerSecond >= expectedPerSecond * MIN_REDIRECTED_SHARE;
   if (workersReachPeers && workers.overdueShare(0, false) > OVERDUE_SHARE) return true;
-  return (
-    peers.length === 0 && workers.overdueShare(heartbeatIntervalMs, true) > MAX_UNRESPONSIVE_SHARE
-  );
+  return peers.length === 0 && workers.overdueShare(heartbeatIntervalMs, true) > UNRESPONSIVE_SHARE;
 }
