--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -26,8 +26,8 @@
  * Whether the workers cannot reach this node although they are running. An isolated leader keeps renewing
  * its lease, so no other node would answer the workers, and every task would be stopped when its worker's
  * lease expires. Heartbeats that workers send to peers are the evidence. If no peer sends a status either,
- * missing heartbeats are sufficient, but only of machines that have sent one in this term: with other
- * machines a leader could not distinguish its own isolation from a loss of the machines.
+ * missing heartbeats are sufficient, but only of machines that have sent one in this term: if others were
+ * counted, a leader could not distinguish its own isolation from a loss of the machines.
  */
 export function isIsolated(
   workers: WorkerReachability,
