--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -10,8 +10,8 @@
 const settings = new Settings(standalonePlatform(), defaultProperties());
 const intervalMs = settings.heartbeatIntervalMs * settings.get('placement.interval.ratio');
 
-/** A scheduler of passes that take `sliceCount` slices of `sliceMs` each. */
-function schedule(sliceCount: number, sliceMs: number) {
+/** Creates a scheduler of passes that take `sliceCount` slices of `sliceMs` each. */
+function setUp(sliceCount: number, sliceMs: number) {
   const runtime = new ManualRuntime();
   const seen = { begun: 0, finished: [] as number[] };
   let slicesLeft = 0;
@@ -29,15 +29,15 @@
     },
   };
   const eventLoop = new EventLoop(runtime, silentLogger);
-  const scheduler = new PassScheduler(eventLoop, settings, placement, (tookMs) =>
-    seen.finished.push(tookMs),
+  const scheduler = new PassScheduler(eventLoop, settings, placement, (durationMs) =>
+    seen.finished.push(durationMs),
   );
   return { runtime, seen, scheduler };
 }
 
 describe('PassScheduler', () => {
-  it('runs one slice in each step and tells what the slices took together', () => {
-    const { seen, scheduler } = schedule(3, 10);
+  it('runs one slice in each step and reports the total duration of the slices', () => {
+    const { seen, scheduler } = setUp(3, 10);
     scheduler.step();
     scheduler.step();
     assert.deepEqual(seen.finished, []);
@@ -45,8 +45,8 @@
     assert.deepEqual(seen, { begun: 1, finished: [30] });
   });
 
-  it('begins no second pass before one is requested', () => {
-    const { runtime, seen, scheduler } = schedule(1, 1);
+  it('starts no second pass until one is requested', () => {
+    const { runtime, seen, scheduler } = setUp(1, 1);
     scheduler.step();
     runtime.advance(intervalMs * 10);
     scheduler.step();
@@ -56,12 +56,12 @@
     assert.equal(seen.begun, 2);
   });
 
-  it('waits for the interval, and three times as long as the last pass took', () => {
-    const tookMs = intervalMs;
-    const { runtime, seen, scheduler } = schedule(1, tookMs);
+  it('waits for the interval, and for three times the duration of the last pass', () => {
+    const durationMs = intervalMs;
+    const { runtime, seen, scheduler } = setUp(1, durationMs);
     scheduler.step();
     scheduler.request();
-    runtime.advance(tookMs * 3 - 1);
+    runtime.advance(durationMs * 3 - 1);
     scheduler.step();
     assert.equal(seen.begun, 1);
     runtime.advance(1);
--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -1,4 +1,4 @@
-/** The watch of a follower on the leader key. */
+/** Watches the leader key while this node is a follower. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -7,32 +7,32 @@
 import { HandOverBackoff } from './hand-over-backoff.js';
 import { LEADER_KEY, readLeaderRecord, type LeaderRecord } from './leader-record.js';
 
-/** Name of the timers' command in the log. */
-const OBSERVE_COMMAND = 'observe-leader';
+/** Name of the timers' event in the log. */
+const OBSERVE_EVENT = 'observe-leader';
 
-/** Delay before the key is read again, as a share of the leader's lease. */
+/** Smallest delay before the key is read again, as a share of the duration of the leader's lease. */
 const RETRY_RATIO = 0.04;
-/** The largest jitter that is added to the delay, as a share of the leader's lease. */
+/** Largest random jitter added to that delay, as a share of the duration of the leader's lease. */
 const RETRY_JITTER_RATIO = 0.04;
 
-/** What the watch asks and tells. */
+/** Events of the watch, and what it asks of its owner. */
 export interface LeaderWatchEvents {
-  /** This node neither leads nor has an election in progress: only then is the key observed. */
+  /** Whether this node is not the leader and has no election in progress. Only then is the key observed. */
   isFollower(): boolean;
-  /** The key has a new value; `null`: it is not a leader's record. */
+  /** The leader key was read or has changed; null if its value is not a leader record. */
   leaderChanged(leader: LeaderRecord | null): void;
-  /** The key does not exist: nobody leads. */
+  /** The leader key does not exist: there is no leader. */
   leaderGone(): void;
-  /** This node should try to become leader. */
+  /** This node should run for leader now. */
   electionDue(): void;
 }
 
-/** Finds out who leads, waits for a change, and finds out again; one request at a time. */
+/** Reads the leader key and then watches it for changes, with one request at a time. */
 export class LeaderWatch {
   private isObserving = false;
   private readonly backoff = new HandOverBackoff();
 
-  /** `identity`: tells apart the processes of one host. */
+  /** @param identity - Distinguishes this process from earlier processes on the same host. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
@@ -41,25 +41,25 @@
     private readonly events: LeaderWatchEvents,
   ) {}
 
-  /** Reads the key and then watches it, unless that is in progress or this node is no follower. */
+  /** Reads the key and then watches it, unless a request is in progress or this node is not a follower. */
   observe(): void {
     if (this.isObserving || !this.events.isFollower()) return;
     this.isObserving = true;
     this.client.budget.requestTokens.forceTake();
-    this.client.read(LEADER_KEY, this.timeoutMs, (got) => {
+    this.client.read(LEADER_KEY, this.timeoutMs, (result) => {
       this.isObserving = false;
-      if (this.events.isFollower()) this.keyRead(got);
+      if (this.events.isFollower()) this.keyRead(result);
     });
   }
 
-  /** Observes again after a delay with jitter. */
+  /** Calls `observe` after a delay with jitter. */
   retry(): void {
     const { leaderLeaseMs } = this.settings;
     const jitter = RETRY_JITTER_RATIO * this.eventLoop.runtime.random();
     this.observeAfter(leaderLeaseMs * (RETRY_RATIO + jitter));
   }
 
-  /** This node hands over, and leaves the key to the others for a while, if they take it. */
+  /** After a hand-over: makes this node wait once before it takes a free key, so that others can take it first. */
   backOff(): void {
     this.backoff.begin(this.eventLoop.now() + this.settings.workerLeaseMs);
   }
@@ -69,47 +69,52 @@
   }
 
   private observeAfter(delayMs: number): void {
-    this.eventLoop.after(delayMs, OBSERVE_COMMAND, () => this.observe());
+    this.eventLoop.after(delayMs, OBSERVE_EVENT, () => this.observe());
   }
 
-  private keyRead(got: ReadResult<KeyValue | null>): void {
-    if (got.kind === 'failed') return this.retry();
-    const item = got.value;
+  private keyRead(result: ReadResult<KeyValue | null>): void {
+    if (result.kind === 'failed') return this.retry();
+    const item = result.value;
     if (item === null) return this.keyFree();
     this.backoff.keyTaken();
     const leader = readLeaderRecord(item.value, item.version);
     if (leader === null) return this.retry();
-    if (this.isOfPreviousProcess(leader)) return this.endLeaseOf(leader);
+    if (this.isOfPreviousProcess(leader)) return this.revokeLeaseOf(leader);
     this.events.leaderChanged(leader);
     this.watch(item.version);
   }
 
-  /** The key was created by an earlier process of this host, which has ended: one runs at a time. */
+  /** Whether an earlier process of this host created the key. It has ended: only one runs at a time. */
   private isOfPreviousProcess(leader: LeaderRecord): boolean {
     return leader.host === this.settings.platform.host && leader.identity !== this.identity;
   }
 
-  private endLeaseOf(leader: LeaderRecord): void {
+  private revokeLeaseOf(leader: LeaderRecord): void {
     this.eventLoop.log.info({ term: leader.term }, 'revoking the lease of the previous process');
     this.client.revokeLease(leader.leaseId, this.timeoutMs, () => this.observe());
   }
 
-  /** Waits for a change of the key after a revision. */
+  /** Waits for a change of the key after the given revision. */
   private watch(revision: number): void {
     this.isObserving = true;
-    this.client.watch(LEADER_KEY, revision, this.settings.leaderLeaseMs, (got) => {
+    this.client.watch(LEADER_KEY, revision, this.settings.leaderLeaseMs, (result) => {
       this.isObserving = false;
       if (!this.events.isFollower()) return;
-      if (got.kind === 'ok') this.keyWatched(got.value.events, revision, got.value.revision);
+      if (result.kind === 'ok')
+        this.watchAnswered(result.value.events, revision, result.value.revision);
       else this.retry();
     });
   }
 
-  private keyWatched(events: readonly WatchEvent[], watchedFrom: number, revision: number): void {
-    const last = events.filter((event) => event.key === LEADER_KEY).at(-1);
-    if (last === undefined) this.watch(Math.max(watchedFrom, revision));
-    else if (last.kind === 'put') {
-      this.events.leaderChanged(readLeaderRecord(last.value, last.version));
+  private watchAnswered(
+    events: readonly WatchEvent[],
+    watchedRevision: number,
+    revision: number,
+  ): void {
+    const lastEvent = events.filter((event) => event.key === LEADER_KEY).at(-1);
+    if (lastEvent === undefined) this.watch(Math.max(watchedRevision, revision));
+    else if (lastEvent.kind === 'put') {
+      this.events.leaderChanged(readLeaderRecord(lastEvent.value, lastEvent.version));
       this.watch(revision);
     } else this.keyFree();
   }
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -1,4 +1,4 @@
-/** The leadership among the controllers: who leads, and what this node may do if it does. */
+/** Leader election among the controllers, and what this node may do while it is the leader. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -10,55 +10,56 @@
 import type { LeaseGrantor } from './lease-grant-exchange.js';
 import { LeaseGrant } from './lease-grant.js';
 
-/** Name of the timer's command in the log. */
-const BEGIN_TERM_COMMAND = 'begin-term';
+/** Name of the timer's event in the log. */
+const BEGIN_TERM_EVENT = 'begin-term';
 
-/** Why a leader gives the lead to a node that may be better placed, as the log says. */
+/** Why a leader steps down in favour of another node, as logged. */
 export type HandOverReason = 'no view of the jobs' | 'workers do not reach this node';
 
-/** Why a leader gives the lead up, as the log says. */
+/** Why a leader steps down, as logged. */
 export type StepDownReason =
   | HandOverReason
-  /** A write was refused: the leader key has another version. */
+  /** A write was rejected because the version of the leader key has changed. */
   | 'another leader'
-  /** The term has no number left for a further attempt to run a task. */
-  | 'attempts used up'
-  /** Another node has shown a higher term. */
+  /** The term has no attempt numbers left for starting tasks. */
+  | 'attempt numbers used up'
+  /** A message from another node carried a higher term. */
   | 'higher term'
-  /** The state store no longer has the lease. */
+  /** The lease no longer exists at the state store. */
   | 'lease ended';
 
-/** What is told of this node's own terms. */
+/** Events of this node's own terms, and what `Leadership` asks about them. */
 export interface LeadershipEvents {
-  /** This node leads from now on. */
+  /** This node has become the leader, and no earlier leader may still answer workers. */
   elected(term: number): void;
-  /** The same term goes on after a time in which this node did not hold its lease. */
+  /** The lease was renewed after it had run out on this node's clock; the term continues. */
   leaseRecovered(): void;
-  /** This node leads no longer. */
+  /** This node is no longer the leader. */
   deposed(): void;
-  /** Whether the leader has a use for answering workers beyond its lease. */
+  /** Whether it is useful to extend the right to answer workers beyond the lease. */
   shouldExtendLease(): boolean;
 }
 
 /**
- * Follows the leader, and becomes it where nobody leads. The leader holds a key bound to a lease of the
- * state store. The version that the key got when it was created is the leader's term and part of the
- * fencing tokens that workers check. It grows with every change at the store, so a later leader's is
- * always higher (design.md, invariant 1).
+ * Tracks the current leader, and tries to become the leader when there is none. The leader holds a key
+ * that is bound to a lease of the state store. The version of this key at its creation is the leader's
+ * term, and part of the fencing tokens that workers check. Versions increase with every change at the
+ * state store, so a later leader always has a higher term. Only one leader acts at a time: it acts only
+ * while it holds its lease, and beyond it may at most answer workers (design.md, invariant 1).
  */
 export class Leadership implements LeaseGrantor {
   private knownLeader: LeaderInfo | null = null;
-  /** This node's lease while it leads. */
+  /** This node's lease while it is the leader, otherwise null. */
   private lease: LeaderLease | null = null;
-  /** The latest term that is known to be over. */
-  private endedTerm = 0;
+  /** The highest term that is known to have ended. */
+  private highestEndedTerm = 0;
   private readonly watch: LeaderWatch;
   private readonly election: Election;
   private readonly leaseGrant: LeaseGrant;
 
   /**
-   * `identity`: tells apart the processes of one host.
-   * `requestGrant`: asks another controller for a lease grant.
+   * @param identity - Distinguishes this process from earlier processes on the same host.
+   * @param requestGrant - Requests a lease grant from another controller.
    */
   constructor(
     private readonly eventLoop: EventLoop,
@@ -76,41 +77,42 @@
         this.knownLeader = leader;
       },
       leaderGone: () => this.forgetLeader(),
-      electionDue: () => this.election.start((result) => this.electionDecided(result)),
+      electionDue: () => this.election.start((result) => this.electionFinished(result)),
     });
   }
 
-  /** Finds out who leads, and takes the lead if nobody does. */
+  /** Starts to watch the leader key. This node runs for leader whenever the key does not exist. */
   start(): void {
     this.watch.observe();
   }
 
-  // ---- who leads
+  // ---- current leader
 
-  /** Who leads, as far as this node knows. */
+  /** The current leader according to this node, null if it knows of none. */
   get leader(): LeaderInfo | null {
     return this.knownLeader;
   }
 
-  /** This node leads and holds its lease. */
+  /** Whether this node is the leader and holds its lease. */
   get holdsLease(): boolean {
     return this.lease?.isHeld === true;
   }
 
   /**
-   * This node leads and may answer workers: it holds its lease, or the state store serves nobody and all
-   * other controllers are bound by lease grants. Nothing else may be done without the lease.
+   * Whether this node is the leader and may answer workers: it holds its lease, or all other controllers
+   * have granted an extension during an outage of the state store. Without the lease a leader may do
+   * nothing else (design.md, invariant 1).
    */
   get mayAnswerWorkers(): boolean {
     return this.lease !== null && (this.lease.isHeld || this.lease.isExtended);
   }
 
-  /** The latest term known here, over or not. */
-  private get latestTerm(): number {
-    return Math.max(this.endedTerm, this.knownLeader?.term ?? 0);
+  /** The highest term that this node knows of, whether or not it has ended. */
+  private get highestTerm(): number {
+    return Math.max(this.highestEndedTerm, this.knownLeader?.term ?? 0);
   }
 
-  /** Another node has shown a term: if it is higher than this node's, there is a later leader. */
+  /** Steps down if the term, received from another node, is higher than this node's own. */
   observeTerm(term: number): void {
     if (this.lease === null || term <= this.lease.term) return;
     this.eventLoop.log.warn({ term: this.lease.term, observedTerm: term }, 'higher term observed');
@@ -118,35 +120,35 @@
   }
 
   /**
-   * A peer says who leads. That proves nothing, but is good enough to redirect workers there; and if
-   * it is a later leader than this node, which the state store may not serve just now, this node's
-   * term is over.
+   * Handles a peer's report of the current leader. The report is only a hint, but sufficient to redirect
+   * workers to that leader. If its term is higher than this node's own, this node steps down. It may learn
+   * of the later leader only in this way while it gets no responses from the state store.
    */
   peerReportedLeader(host: string, term: number): void {
     if (host === '') return;
     this.observeTerm(term);
-    if (this.lease === null && term > this.latestTerm) this.knownLeader = { host, term };
+    if (this.lease === null && term > this.highestTerm) this.knownLeader = { host, term };
   }
 
   /**
-   * Gives a lease grant to a leader that the state store does not serve: this node does not act as
-   * leader for a while. Denied if this node leads, or knows that the term is over.
+   * Gives a lease grant to a leader that cannot renew its lease: this node will not act as leader for the
+   * duration of the grant. Returns false if this node is the leader or knows that the term has ended.
    */
   grantLease(term: number): boolean {
-    const isOver = term <= this.endedTerm || term < (this.knownLeader?.term ?? 0);
-    if (this.lease !== null || isOver) return false;
+    const hasTermEnded = term <= this.highestEndedTerm || term < (this.knownLeader?.term ?? 0);
+    if (this.lease !== null || hasTermEnded) return false;
     this.leaseGrant.grant();
     return true;
   }
 
   private forgetLeader(): void {
-    this.endedTerm = this.latestTerm;
+    this.highestEndedTerm = this.highestTerm;
     this.knownLeader = null;
   }
 
   // ---- end of this node's term
 
-  /** Gives the lead up; any node may take it. */
+  /** Steps down; any node, including this one, may become the next leader. */
   stepDown(reason: StepDownReason): void {
     const { lease } = this;
     if (lease === null) return;
@@ -155,14 +157,14 @@
     lease.close();
     this.forgetLeader();
     this.client.budget.setRole(false);
-    // Otherwise a late copy of the request that created the key could create it once more under a
-    // lease that nobody renews.
+    // Without this, a delayed copy of the request that created the leader key could create the key again,
+    // under a lease that nobody renews.
     lease.revoke();
     this.events.deposed();
     this.watch.retry();
   }
 
-  /** Gives the lead to a node that may be better placed. */
+  /** Steps down and lets other nodes run for leader first, because the reason may not apply to them. */
   handOver(reason: HandOverReason): void {
     this.watch.backOff();
     this.stepDown(reason);
@@ -170,7 +172,7 @@
 
   // ---- beginning of this node's term
 
-  private electionDecided(result: ElectionResult): void {
+  private electionFinished(result: ElectionResult): void {
     if (result.kind === 'lost') this.watch.retry();
     else this.electionWon(result);
   }
@@ -196,12 +198,15 @@
     return new LeaderLease(eventLoop, settings, client, election, events, requestGrant);
   }
 
-  /** Nothing is read or done in the new term while the previous leader may still answer workers. */
+  /**
+   * Begins the term once the lease grant that this node has given expires. Until then the previous leader
+   * may answer workers, so this node must not read or do anything as leader.
+   */
   private beginTermOnceGrantExpires(lease: LeaderLease): void {
     if (this.lease !== lease) return;
     const { remainingMs } = this.leaseGrant;
     if (remainingMs === 0) return this.events.elected(lease.term);
-    this.eventLoop.after(remainingMs, BEGIN_TERM_COMMAND, () =>
+    this.eventLoop.after(remainingMs, BEGIN_TERM_EVENT, () =>
       this.beginTermOnceGrantExpires(lease),
     );
   }
