--- a/src/controller/placement/capacity/cluster-capacity.ts
+++ b/src/controller/placement/capacity/cluster-capacity.ts
@@ -41,10 +41,10 @@
 
   /** Machines that the job's tasks may be on, by kind of machine; in one zone where one is named. */
   ofKindsAllowedFor(spec: JobSpec, zone: string | null = null): FreeCapacity[][] {
-    const found: FreeCapacity[][] = [];
+    const allowed: FreeCapacity[][] = [];
     for (const { kind, capacities } of this.kinds)
-      if ((zone === null || kind.zone === zone) && isAllowed(spec, kind)) found.push(capacities);
-    return found;
+      if ((zone === null || kind.zone === zone) && isAllowed(spec, kind)) allowed.push(capacities);
+    return allowed;
   }
 
   /** Zones that have machines which the job's tasks may be on. */
