--- a/src/controller/placement/capacity/cluster-capacity.ts
+++ b/src/controller/placement/capacity/cluster-capacity.ts
@@ -25,11 +25,11 @@
     for (const machine of machines) {
       const { type, zone, spot } = machine;
       if (type === null) continue;
-      const kindName = `${type.name} ${zone} ${spot ? 1 : 0}`;
-      let capacities = byKindName.get(kindName);
+      const kindKey = `${type.name} ${zone} ${spot ? 1 : 0}`;
+      let capacities = byKindName.get(kindKey);
       if (capacities === undefined) {
         capacities = [];
-        byKindName.set(kindName, capacities);
+        byKindName.set(kindKey, capacities);
         this.kinds.push({ kind: { type, zone, spot }, capacities });
       }
       const capacity = new FreeCapacity(machine, recordLimitBytes, this.all.length);
