--- a/src/controller/placement/capacity/cluster-capacity.ts
+++ b/src/controller/placement/capacity/cluster-capacity.ts
@@ -21,15 +21,15 @@
     /** Bytes that the tasks of a machine may take in its record. */
     recordLimitBytes: number,
   ) {
-    const byKindName = new Map<string, FreeCapacity[]>();
+    const capacitiesByKind = new Map<string, FreeCapacity[]>();
     for (const machine of machines) {
       const { type, zone, spot } = machine;
       if (type === null) continue;
       const kindKey = `${type.name} ${zone} ${spot ? 1 : 0}`;
-      let capacities = byKindName.get(kindKey);
+      let capacities = capacitiesByKind.get(kindKey);
       if (capacities === undefined) {
         capacities = [];
-        byKindName.set(kindKey, capacities);
+        capacitiesByKind.set(kindKey, capacities);
         this.kinds.push({ kind: { type, zone, spot }, capacities });
       }
       const capacity = new FreeCapacity(machine, recordLimitBytes, this.all.length);
