--- a/src/controller/placement/capacity/capacity-claim.test.ts
+++ b/src/controller/placement/capacity/capacity-claim.test.ts
@@ -10,14 +10,14 @@
   type ClaimQuery,
 } from './capacity-claim.js';
 
-const amounts = { cpus: 4, gpus: 1, memoryGb: 4 };
+const taskRequest = { cpus: 4, gpus: 1, memoryGb: 4 };
 const large: JobSpec = gpuArraySpec({ kind: 'gang', class: 'large', gpus: 4, cpus: 16 });
 const query: ClaimQuery = {
   ...{ spec: gpuArraySpec(), level: 1, endsAt: Infinity, backfillRatio: 0.5, now: 1000 },
 };
 
 describe('a claim for a waiting job', () => {
-  const claim: CapacityClaim = { ...amounts, fillAt: 3000, headroom: null };
+  const claim: CapacityClaim = { ...taskRequest, fillAt: 3000, headroom: null };
   const cases = [
     { condition: 'that ends within the backfill ratio', endsAt: 2000, binds: false },
     { condition: 'that ends later', endsAt: 2001, binds: true },
@@ -31,7 +31,7 @@
 
 describe('a claim of headroom for a class of large gangs', () => {
   const headroom = { spec: large, level: 1, minSizeRatio: 1.5 };
-  const claim: CapacityClaim = { ...amounts, fillAt: 3000, headroom };
+  const claim: CapacityClaim = { ...taskRequest, fillAt: 3000, headroom };
   const cases: { condition: string; part: Partial<JobSpec>; level?: number; binds: boolean }[] = [
     { condition: 'a smaller task', part: {}, binds: true },
     { condition: 'a task of higher priority', part: {}, level: 2, binds: false },
@@ -53,7 +53,7 @@
   });
 
   it('is the whole machine where its type is not known', () => {
-    assert.equal(dominantShare(amounts, null), 1);
+    assert.equal(dominantShare(taskRequest, null), 1);
   });
 });
 
@@ -62,8 +62,8 @@
     const claim = (cpus: number, gpus: number): CapacityClaim => ({
       ...{ cpus, gpus, memoryGb: 0, fillAt: 0, headroom: null },
     });
-    assert.equal(countClaimedSlots([], amounts), 0);
-    assert.equal(countClaimedSlots([claim(1, 1)], amounts), 1);
-    assert.equal(countClaimedSlots([claim(5, 0), claim(4, 2)], amounts), 3);
+    assert.equal(countClaimedSlots([], taskRequest), 0);
+    assert.equal(countClaimedSlots([claim(1, 1)], taskRequest), 1);
+    assert.equal(countClaimedSlots([claim(5, 0), claim(4, 2)], taskRequest), 3);
   });
 });
