--- a/src/controller/placement/capacity/free-capacity.test.ts
+++ b/src/controller/placement/capacity/free-capacity.test.ts
@@ -7,8 +7,12 @@
 
 describe('FreeCapacity', () => {
   const gang = gpuArraySpec({ kind: 'gang', tasks: 1 });
-  const fits = (capacity: FreeCapacity, spec: JobSpec, level: number, endsAt: number): number =>
-    capacity.countFitting({ spec, level, endsAt, backfillRatio: 0.9, now: 0 });
+  const countFitting = (
+    capacity: FreeCapacity,
+    spec: JobSpec,
+    level: number,
+    endsAt: number,
+  ): number => capacity.countFitting({ spec, level, endsAt, backfillRatio: 0.9, now: 0 });
 
   it('counts whole tasks by the scarcest resource', () => {
     assert.equal(capacityOf().countFittingIgnoringClaims(resourceRequestOf(gang)), 4);
@@ -22,9 +26,9 @@
   it('lets lower ranks use claimed capacity only for work that ends before the reservation is filled', () => {
     const capacity = capacityOf();
     capacity.claimForTask({ cpus: 8, gpus: 3, memoryGb: 8 }, 100_000);
-    assert.equal(fits(capacity, gang, 1, 95_000), 1);
-    assert.equal(fits(capacity, gang, 1, 80_000), 4);
-    assert.equal(fits(capacity, gang, 1, Infinity), 1, 'a service never ends');
+    assert.equal(countFitting(capacity, gang, 1, 95_000), 1);
+    assert.equal(countFitting(capacity, gang, 1, 80_000), 4);
+    assert.equal(countFitting(capacity, gang, 1, Infinity), 1, 'a service never ends');
   });
 
   it('keeps headroom from small arrays, not from gangs or higher priorities', () => {
@@ -32,10 +36,10 @@
     const whole = gpuArraySpec({ kind: 'gang', class: 'whole', gpus: 4, cpus: 14 });
     capacity.claimHeadroom(1, 0, { spec: whole, level: 1, minSizeRatio: 1.5 });
     const small = gpuArraySpec({ kind: 'array', class: 'small' });
-    assert.equal(fits(capacity, small, 1, 1000), 0);
-    assert.equal(fits(capacity, small, 2, 1000), 4);
-    assert.equal(fits(capacity, gang, 1, 1000), 4);
-    assert.equal(fits(capacity, whole, 1, 1000), 1);
+    assert.equal(countFitting(capacity, small, 1, 1000), 0);
+    assert.equal(countFitting(capacity, small, 2, 1000), 4);
+    assert.equal(countFitting(capacity, gang, 1, 1000), 4);
+    assert.equal(countFitting(capacity, whole, 1, 1000), 1);
     assert.ok(capacity.intrudesOnHeadroom(small));
   });
 });
