--- a/src/controller/placement/capacity/free-capacity.test.ts
+++ b/src/controller/placement/capacity/free-capacity.test.ts
@@ -33,13 +33,13 @@
 
   it('keeps headroom from small arrays, not from gangs or higher priorities', () => {
     const capacity = capacityOf();
-    const whole = gpuArraySpec({ kind: 'gang', class: 'whole', gpus: 4, cpus: 14 });
-    capacity.claimHeadroom(1, 0, { spec: whole, level: 1, minSizeRatio: 1.5 });
+    const wholeMachineGang = gpuArraySpec({ kind: 'gang', class: 'whole', gpus: 4, cpus: 14 });
+    capacity.claimHeadroom(1, 0, { spec: wholeMachineGang, level: 1, minSizeRatio: 1.5 });
     const small = gpuArraySpec({ kind: 'array', class: 'small' });
     assert.equal(countFitting(capacity, small, 1, 1000), 0);
     assert.equal(countFitting(capacity, small, 2, 1000), 4);
     assert.equal(countFitting(capacity, gang, 1, 1000), 4);
-    assert.equal(countFitting(capacity, whole, 1, 1000), 1);
+    assert.equal(countFitting(capacity, wholeMachineGang, 1, 1000), 1);
     assert.ok(capacity.intrudesOnHeadroom(small));
   });
 });
