--- a/src/controller/placement/capacity/free-capacity.test.ts
+++ b/src/controller/placement/capacity/free-capacity.test.ts
@@ -35,11 +35,11 @@
     const capacity = capacityOf();
     const wholeMachineGang = gpuArraySpec({ kind: 'gang', class: 'whole', gpus: 4, cpus: 14 });
     capacity.claimHeadroom(1, 0, { spec: wholeMachineGang, level: 1, minSizeRatio: 1.5 });
-    const small = gpuArraySpec({ kind: 'array', class: 'small' });
-    assert.equal(countFitting(capacity, small, 1, 1000), 0);
-    assert.equal(countFitting(capacity, small, 2, 1000), 4);
+    const smallArray = gpuArraySpec({ kind: 'array', class: 'small' });
+    assert.equal(countFitting(capacity, smallArray, 1, 1000), 0);
+    assert.equal(countFitting(capacity, smallArray, 2, 1000), 4);
     assert.equal(countFitting(capacity, gang, 1, 1000), 4);
     assert.equal(countFitting(capacity, wholeMachineGang, 1, 1000), 1);
-    assert.ok(capacity.intrudesOnHeadroom(small));
+    assert.ok(capacity.intrudesOnHeadroom(smallArray));
   });
 });
