--- a/src/controller/placement/capacity/schedulable-machines.test.ts
+++ b/src/controller/placement/capacity/schedulable-machines.test.ts
@@ -5,10 +5,10 @@
 import { isSchedulable } from './schedulable-machines.js';
 
 describe('isSchedulable', () => {
-  const alive = { isAlive: () => true };
+  const responsiveWorkers = { isAlive: () => true };
 
   it('accepts a machine whose worker has reported in this term', () => {
-    assert.ok(isSchedulable(bigMachine(), 0, alive));
+    assert.ok(isSchedulable(bigMachine(), 0, responsiveWorkers));
   });
 
   it('excludes a machine whose worker is unresponsive', () => {
@@ -25,6 +25,6 @@
   ];
   for (const state of excluding)
     it(`excludes a machine with ${JSON.stringify(state)}`, () => {
-      assert.ok(!isSchedulable(Object.assign(bigMachine(), state), 0, alive));
+      assert.ok(!isSchedulable(Object.assign(bigMachine(), state), 0, responsiveWorkers));
     });
 });
