--- a/src/controller/placement/capacity/schedulable-machines.test.ts
+++ b/src/controller/placement/capacity/schedulable-machines.test.ts
@@ -15,7 +15,7 @@
     assert.ok(!isSchedulable(bigMachine(), 0, { isAlive: () => false }));
   });
 
-  const excluding: Partial<Machine>[] = [
+  const unschedulableStates: Partial<Machine>[] = [
     { type: null },
     { tokenAcknowledged: false },
     { releasing: true },
@@ -23,7 +23,7 @@
     { unschedulableUntil: 1 },
     { cloudState: 'failed' },
   ];
-  for (const state of excluding)
+  for (const state of unschedulableStates)
     it(`excludes a machine with ${JSON.stringify(state)}`, () => {
       assert.ok(!isSchedulable(Object.assign(bigMachine(), state), 0, responsiveWorkers));
     });
