--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -9,7 +9,7 @@
 import { spreadAllowance } from '../capacity/zones.js';
 
 /** A replica leaves its machine at least this long before the interruption, in heartbeat intervals. */
-const MIGRATION_LEAD = 1.5;
+const MIGRATION_LEAD_INTERVALS = 1.5;
 
 /** Evicts tasks from machines that will be interrupted or released, where that saves work. */
 export class MachineDrainer {
@@ -50,7 +50,7 @@
 
   /** A replica migrates as soon as it can start elsewhere at once, and otherwise as late as is safe. */
   private migratesNow(assignment: Assignment, job: Job, leftMs: number, now: number): boolean {
-    if (leftMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD) return true;
+    if (leftMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD_INTERVALS) return true;
     const destination = this.destination(assignment, job, now);
     if (destination === null) return false;
     this.migrations.begin(assignment, job, destination);
