--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -30,12 +30,12 @@
       if (machine.interruptionAt === null && !machine.releasing) continue;
       const leftMs = machine.interruptionAt === null ? Infinity : machine.interruptionAt - now;
       for (const assignment of [...machine.assignments.values()])
-        this.evictIfLate(assignment, leftMs, now);
+        this.evictUnlessDoneInTime(assignment, leftMs, now);
     }
   }
 
   /** Evicts a task that would not end in time by itself. */
-  private evictIfLate(assignment: Assignment, leftMs: number, now: number): void {
+  private evictUnlessDoneInTime(assignment: Assignment, leftMs: number, now: number): void {
     const { job } = assignment;
     if (assignment.stop !== null || assignment.phase === 'ended' || job === null) return;
     if (this.estimator.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
