--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -28,9 +28,10 @@
     this.migrations.removeFinished();
     for (const machine of this.workers.machines.values()) {
       if (machine.interruptionAt === null && !machine.releasing) continue;
-      const leftMs = machine.interruptionAt === null ? Infinity : machine.interruptionAt - now;
+      const timeLeftOnMachineMs =
+        machine.interruptionAt === null ? Infinity : machine.interruptionAt - now;
       for (const assignment of [...machine.assignments.values()])
-        this.evictUnlessDoneInTime(assignment, leftMs, now);
+        this.evictUnlessDoneInTime(assignment, timeLeftOnMachineMs, now);
     }
   }
 
