--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -36,12 +36,19 @@
   }
 
   /** Evicts a task that would not end in time by itself. */
-  private evictUnlessDoneInTime(assignment: Assignment, leftMs: number, now: number): void {
+  private evictUnlessDoneInTime(
+    assignment: Assignment,
+    timeLeftOnMachineMs: number,
+    now: number,
+  ): void {
     const { job } = assignment;
     if (assignment.stop !== null || assignment.phase === 'ended' || job === null) return;
-    if (this.estimator.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
+    if (
+      this.estimator.remainingMs(assignment, now) <
+      timeLeftOnMachineMs - this.settings.heartbeatIntervalMs
+    )
       return;
-    if (job.isService && !this.migratesNow(assignment, job, leftMs, now)) return;
+    if (job.isService && !this.migratesNow(assignment, job, timeLeftOnMachineMs, now)) return;
     const { spec } = job;
     const saves = spec.checkpointIntervalS > 0 && assignment.state === 'running';
     const graceS = saves ? spec.checkpointSaveS : 0;
