--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -57,8 +57,14 @@
   }
 
   /** A replica migrates as soon as it can start elsewhere at once, and otherwise as late as is safe. */
-  private migratesNow(assignment: Assignment, job: Job, leftMs: number, now: number): boolean {
-    if (leftMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD_INTERVALS) return true;
+  private migratesNow(
+    assignment: Assignment,
+    job: Job,
+    timeLeftOnMachineMs: number,
+    now: number,
+  ): boolean {
+    if (timeLeftOnMachineMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD_INTERVALS)
+      return true;
     const destination = this.destination(assignment, job, now);
     if (destination === null) return false;
     this.migrations.begin(assignment, job, destination);
