--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -50,8 +50,8 @@
       return;
     if (job.isService && !this.migratesNow(assignment, job, timeLeftOnMachineMs, now)) return;
     const { spec } = job;
-    const saves = spec.checkpointIntervalS > 0 && assignment.state === 'running';
-    const graceS = saves ? spec.checkpointSaveS : 0;
+    const savesCheckpoint = spec.checkpointIntervalS > 0 && assignment.state === 'running';
+    const graceS = savesCheckpoint ? spec.checkpointSaveS : 0;
     if (spec.kind === 'gang') this.workers.stopJob(job, graceS, 'machine drained');
     else this.workers.stop(assignment, graceS, 'machine drained');
   }
