--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -92,10 +92,10 @@
 }
 
 /** Whether a replica that leaves its machine may start in the zone, beside the others of its service. */
-function zoneAllows({ allAssignments, spec }: Job, leaving: Assignment, zone: string): boolean {
+function zoneAllows({ allAssignments, spec }: Job, migrating: Assignment, zone: string): boolean {
   let inZone = 0;
   for (const assignment of allAssignments) {
-    if (assignment === leaving || assignment.phase === 'ended') continue;
+    if (assignment === migrating || assignment.phase === 'ended') continue;
     if (assignment.machine.zone === zone) inZone++;
     else if (spec.singleZone) return false;
   }
