--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -93,11 +93,11 @@
 
 /** Whether a replica that leaves its machine may start in the zone, beside the others of its service. */
 function zoneAllows({ allAssignments, spec }: Job, migrating: Assignment, zone: string): boolean {
-  let inZone = 0;
+  let replicasInZone = 0;
   for (const assignment of allAssignments) {
     if (assignment === migrating || assignment.phase === 'ended') continue;
-    if (assignment.machine.zone === zone) inZone++;
+    if (assignment.machine.zone === zone) replicasInZone++;
     else if (spec.singleZone) return false;
   }
-  return !spec.spread || spreadAllowance(spec, inZone) > 0;
+  return !spec.spread || spreadAllowance(spec, replicasInZone) > 0;
 }
