--- a/src/controller/placement/draining/machine-drainer.test.ts
+++ b/src/controller/placement/draining/machine-drainer.test.ts
@@ -34,10 +34,10 @@
     const job = cluster.add({ tasks: 4 });
     cluster.run(3);
     assert.equal(cluster.tasksByMachine(job).get('n-0'), 4);
-    const other = cluster.add({ tasks: 1, cpus: 7, image: 'other' });
+    const blockingJob = cluster.add({ tasks: 1, cpus: 7, image: 'other' });
     cluster.addMachineLike('n-0', 'n-1', 'i');
     cluster.run(6);
-    assert.equal(cluster.tasksByMachine(other).get('n-1'), 1);
+    assert.equal(cluster.tasksByMachine(blockingJob).get('n-1'), 1);
     cluster.worker('n-0').spotNoticeS = NOTICE_S;
     for (let i = 0; i < 8; i++) {
       cluster.step();
