--- a/src/controller/placement/draining/machine-drainer.test.ts
+++ b/src/controller/placement/draining/machine-drainer.test.ts
@@ -41,8 +41,8 @@
     cluster.worker('n-0').spotNoticeS = NOTICE_S;
     for (let i = 0; i < 8; i++) {
       cluster.step();
-      const up = [...cluster.tasksByMachine(job).values()].reduce((sum, n) => sum + n, 0);
-      assert.ok(up >= 3, `${up} of 4 replicas after ${i} s`);
+      const replicaCount = [...cluster.tasksByMachine(job).values()].reduce((sum, n) => sum + n, 0);
+      assert.ok(replicaCount >= 3, `${replicaCount} of 4 replicas after ${i} s`);
     }
     assert.equal(cluster.tasksByMachine(job).get('n-1'), 1, 'the place ready is used');
     assert.equal(cluster.tasksByMachine(job).get('n-0'), 3);
