--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -4,7 +4,7 @@
 
 /** A replica that was stopped because it can start at once on another machine. */
 interface Migration {
-  from: Assignment;
+  oldAssignment: Assignment;
   job: Job;
   to: Machine;
 }
@@ -15,12 +15,12 @@
 
   /** The replica leaves its machine and is to start again on the other. */
   begin(from: Assignment, job: Job, to: Machine): void {
-    this.migrations.push({ from, job, to });
+    this.migrations.push({ oldAssignment: from, job, to });
   }
 
   /** Forgets the migrations that are over: the replica is assigned again, or its job has ended. */
   removeFinished(): void {
-    this.migrations = this.migrations.filter(({ from, job }) => {
+    this.migrations = this.migrations.filter(({ oldAssignment: from, job }) => {
       const current = job.currentAssignments.get(from.task);
       return job.terminalState === null && (current === undefined || current === from);
     });
@@ -29,7 +29,7 @@
   /** What the replicas that migrate to the machine will take there. */
   reservedOn(machine: Machine): ResourceRequest {
     const reserved = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const { from, to } of this.migrations) {
+    for (const { oldAssignment: from, to } of this.migrations) {
       if (to !== machine) continue;
       reserved.cpus += from.request.cpus;
       reserved.gpus += from.request.gpus;
