--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -6,7 +6,7 @@
 interface Migration {
   oldAssignment: Assignment;
   job: Job;
-  to: Machine;
+  destination: Machine;
 }
 
 /** The migrations that are not over: what they take on their destinations is not there for others. */
@@ -15,7 +15,7 @@
 
   /** The replica leaves its machine and is to start again on the other. */
   begin(from: Assignment, job: Job, to: Machine): void {
-    this.migrations.push({ oldAssignment: from, job, to });
+    this.migrations.push({ oldAssignment: from, job, destination: to });
   }
 
   /** Forgets the migrations that are over: the replica is assigned again, or its job has ended. */
@@ -29,7 +29,7 @@
   /** What the replicas that migrate to the machine will take there. */
   reservedOn(machine: Machine): ResourceRequest {
     const reserved = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const { oldAssignment: from, to } of this.migrations) {
+    for (const { oldAssignment: from, destination: to } of this.migrations) {
       if (to !== machine) continue;
       reserved.cpus += from.request.cpus;
       reserved.gpus += from.request.gpus;
