--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -25,7 +25,7 @@
 const MIN_STOP_MS = 500;
 
 /** The least rest of a run that has no estimate, and its rest as a share of what it has taken. */
-const MIN_REST_MS = 1000;
+const MIN_REMAINING_RUN_MS = 1000;
 const REMAINING_TO_ELAPSED_RATIO = 1 / 4;
 
 /** Ratios of a class's runs to the estimates that came with the jobs, as logarithms. */
@@ -150,7 +150,7 @@
   private restOfRunMs(spec: JobSpec, elapsedMs: number): number {
     const runMs = this.runMs(spec);
     if (!Number.isFinite(runMs)) return runMs;
-    if (runMs <= 0) return Math.max(MIN_REST_MS, elapsedMs * REMAINING_TO_ELAPSED_RATIO);
+    if (runMs <= 0) return Math.max(MIN_REMAINING_RUN_MS, elapsedMs * REMAINING_TO_ELAPSED_RATIO);
     const deviation = Math.max(MIN_DEVIATION, Math.sqrt(this.statisticsOf(spec.class).variance));
     const shape = Math.PI / (Math.sqrt(3) * deviation);
     const medianRatio = (1 + 2 * (elapsedMs / runMs) ** shape) ** (1 / shape);
