--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -139,7 +139,7 @@
     const { spec } = assignment.job;
     if (assignment.runningAt === null && assignment.state !== 'running')
       return this.fetchMs(spec, assignment.machine, now) + this.runMs(spec);
-    return this.restOfRunMs(spec, now - (assignment.runningAt ?? assignment.assignedAt));
+    return this.remainingRunMs(spec, now - (assignment.runningAt ?? assignment.assignedAt));
   }
 
   /**
@@ -147,7 +147,7 @@
    * log-logistic distribution about the estimate. So a task of a class with unreliable estimates is not
    * taken to be nearly done because its estimate says so, nor because the estimate is over.
    */
-  private restOfRunMs(spec: JobSpec, elapsedMs: number): number {
+  private remainingRunMs(spec: JobSpec, elapsedMs: number): number {
     const runMs = this.runMs(spec);
     if (!Number.isFinite(runMs)) return runMs;
     if (runMs <= 0) return Math.max(MIN_REMAINING_RUN_MS, elapsedMs * REMAINING_TO_ELAPSED_RATIO);
