--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -54,9 +54,9 @@
   observe(spec: JobSpec, ranMs: number): void {
     if (spec.estimatedRunS <= 0 || ranMs <= 0) return;
     const ratio = ranMs / (spec.estimatedRunS * 1000);
-    const bounded = Math.min(MAX_RATIO, Math.max(1 / MAX_RATIO, ratio));
+    const boundedRatio = Math.min(MAX_RATIO, Math.max(1 / MAX_RATIO, ratio));
     const { mean, variance } = this.statisticsOf(spec.class);
-    const deviation = Math.log(bounded) - mean;
+    const deviation = Math.log(boundedRatio) - mean;
     this.statistics.delete(spec.class);
     this.statistics.set(spec.class, {
       mean: mean + NEWEST_RUN_WEIGHT * deviation,
