--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -74,11 +74,11 @@
 
   /** What has been learned, for the next leader: mean and variance by class. */
   exportStatistics(): Record<string, [number, number]> {
-    const recorded = [...this.statistics].filter(
+    const exportedClasses = [...this.statistics].filter(
       ([className]) => className.length <= MAX_NAME_LENGTH,
     );
     return Object.fromEntries(
-      recorded.map(([className, { mean, variance }]) => [className, [mean, variance]]),
+      exportedClasses.map(([className, { mean, variance }]) => [className, [mean, variance]]),
     );
   }
 
