--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -83,9 +83,9 @@
   }
 
   /** Takes over what an earlier leader has learned; what is not of this form is skipped. */
-  importStatistics(learned: unknown): void {
-    if (!isMap(learned)) return;
-    for (const [className, recorded] of Object.entries(learned)) {
+  importStatistics(exported: unknown): void {
+    if (!isMap(exported)) return;
+    for (const [className, recorded] of Object.entries(exported)) {
       const [mean, variance] = Array.isArray(recorded) ? (recorded as unknown[]) : [];
       if (typeof mean === 'number' && typeof variance === 'number')
         this.statistics.set(className, { mean, variance });
