--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -110,13 +110,13 @@
     let otherImages: Set<string> | null = null;
     for (const assignment of machine.assignments.values()) {
       if (!mayBeFetching(assignment)) continue;
-      const other = assignment.job.spec;
-      if (other.image === spec.image) startedAt = Math.min(startedAt, assignment.assignedAt);
-      if (other.image === spec.image || machine.images.has(other.image)) continue;
+      const otherSpec = assignment.job.spec;
+      if (otherSpec.image === spec.image) startedAt = Math.min(startedAt, assignment.assignedAt);
+      if (otherSpec.image === spec.image || machine.images.has(otherSpec.image)) continue;
       otherImages ??= new Set();
-      if (otherImages.has(other.image)) continue;
-      otherImages.add(other.image);
-      fetchGb += Math.min(other.imageGb, spec.imageGb);
+      if (otherImages.has(otherSpec.image)) continue;
+      otherImages.add(otherSpec.image);
+      fetchGb += Math.min(otherSpec.imageGb, spec.imageGb);
     }
     return Math.max(0, (fetchGb / gbPerS) * 1000 - (now - startedAt));
   }
