--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -10,18 +10,18 @@
   it('counts what is fetched at the same time, and nothing where the image is there', () => {
     const machine = bigMachine();
     const estimator = new DurationEstimator();
-    const first = gpuArraySpec({ image: 'x', imageGb: 10 });
-    assert.equal(estimator.fetchMs(first, machine, 0), 10_000);
+    const spec = gpuArraySpec({ image: 'x', imageGb: 10 });
+    assert.equal(estimator.fetchMs(spec, machine, 0), 10_000);
     machine.assignments.set('req-x/0', {
       job: gpuJob({ image: 'y', imageGb: 4 }),
       state: 'fetching',
       phase: 'seen',
     } as Assignment);
-    assert.equal(estimator.fetchMs(first, machine, 0), 14_000);
-    assert.ok(estimator.needsFetch(first, machine));
+    assert.equal(estimator.fetchMs(spec, machine, 0), 14_000);
+    assert.ok(estimator.needsFetch(spec, machine));
     machine.recordImageUse('x', 10);
-    assert.equal(estimator.fetchMs(first, machine, 0), 0);
-    assert.ok(!estimator.needsFetch(first, machine));
+    assert.equal(estimator.fetchMs(spec, machine, 0), 0);
+    assert.ok(!estimator.needsFetch(spec, machine));
   });
 });
 
