--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -27,7 +27,7 @@
 
 describe('estimated rest of a run', () => {
   const machine = bigMachine();
-  const run = (estimator: DurationEstimator, spec: JobSpec, elapsed: number): number => {
+  const remainingRunMs = (estimator: DurationEstimator, spec: JobSpec, elapsed: number): number => {
     const a = { job: gpuJob(spec), machine, stop: null, state: 'running', assignedAt: 0 };
     return estimator.remainingMs(
       { ...a, runningAt: 0, phase: 'seen' } as unknown as Assignment,
@@ -46,14 +46,16 @@
       unreliable.observe(spec, 100_000 * (i % 2 === 0 ? 2 : 0.5));
     }
     for (const elapsed of [50_000, 90_000, 100_000, 150_000, 1e9]) {
-      assert.ok(run(reliable, spec, elapsed) > 0);
-      assert.ok(run(unreliable, spec, elapsed) > run(reliable, spec, elapsed));
+      assert.ok(remainingRunMs(reliable, spec, elapsed) > 0);
+      assert.ok(
+        remainingRunMs(unreliable, spec, elapsed) > remainingRunMs(reliable, spec, elapsed),
+      );
     }
-    assert.ok(Math.abs(run(reliable, spec, 0) - 100_000) < 5000);
-    assert.ok(run(reliable, spec, 90_000) < 20_000);
-    assert.ok(run(unreliable, spec, 100_000) > 40_000);
+    assert.ok(Math.abs(remainingRunMs(reliable, spec, 0) - 100_000) < 5000);
+    assert.ok(remainingRunMs(reliable, spec, 90_000) < 20_000);
+    assert.ok(remainingRunMs(unreliable, spec, 100_000) > 40_000);
     const successor = new DurationEstimator();
     successor.importStatistics(unreliable.exportStatistics());
-    assert.equal(run(successor, spec, 50_000), run(unreliable, spec, 50_000));
+    assert.equal(remainingRunMs(successor, spec, 50_000), remainingRunMs(unreliable, spec, 50_000));
   });
 });
