--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -28,9 +28,9 @@
 describe('estimated rest of a run', () => {
   const machine = bigMachine();
   const remainingRunMs = (estimator: DurationEstimator, spec: JobSpec, elapsed: number): number => {
-    const a = { job: gpuJob(spec), machine, stop: null, state: 'running', assignedAt: 0 };
+    const assignment = { job: gpuJob(spec), machine, stop: null, state: 'running', assignedAt: 0 };
     return estimator.remainingMs(
-      { ...a, runningAt: 0, phase: 'seen' } as unknown as Assignment,
+      { ...assignment, runningAt: 0, phase: 'seen' } as unknown as Assignment,
       elapsed,
     );
   };
