--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -27,11 +27,15 @@
 
 describe('estimated rest of a run', () => {
   const machine = bigMachine();
-  const remainingRunMs = (estimator: DurationEstimator, spec: JobSpec, elapsed: number): number => {
+  const remainingRunMs = (
+    estimator: DurationEstimator,
+    spec: JobSpec,
+    elapsedMs: number,
+  ): number => {
     const assignment = { job: gpuJob(spec), machine, stop: null, state: 'running', assignedAt: 0 };
     return estimator.remainingMs(
       { ...assignment, runningAt: 0, phase: 'seen' } as unknown as Assignment,
-      elapsed,
+      elapsedMs,
     );
   };
 
