--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -58,8 +58,8 @@
     assert.ok(Math.abs(remainingRunMs(reliable, spec, 0) - 100_000) < 5000);
     assert.ok(remainingRunMs(reliable, spec, 90_000) < 20_000);
     assert.ok(remainingRunMs(unreliable, spec, 100_000) > 40_000);
-    const successor = new DurationEstimator();
-    successor.importStatistics(unreliable.exportStatistics());
-    assert.equal(remainingRunMs(successor, spec, 50_000), remainingRunMs(unreliable, spec, 50_000));
+    const restored = new DurationEstimator();
+    restored.importStatistics(unreliable.exportStatistics());
+    assert.equal(remainingRunMs(restored, spec, 50_000), remainingRunMs(unreliable, spec, 50_000));
   });
 });
