--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -4,7 +4,7 @@
 import type { DurationEstimator } from './duration-estimator.js';
 
 /** A run is allowed to take this many times its estimate when its start deadline is set. */
-const RUN_MARGIN = 1.3;
+const RUN_TIME_MARGIN_FACTOR = 1.3;
 
 /** The settings that start deadlines follow from. */
 export type StartDeadlineSettings = Pick<
@@ -26,7 +26,8 @@
   of(job: Job): number[] {
     const { spec } = job;
     // Estimates err; a start at the last moment would as likely as not be late.
-    const runMs = this.estimator.runMs(spec) * RUN_MARGIN + this.settings.heartbeatIntervalMs;
+    const runMs =
+      this.estimator.runMs(spec) * RUN_TIME_MARGIN_FACTOR + this.settings.heartbeatIntervalMs;
     const { starts, ends } = this.settings.objectivesFor(spec.class, spec.deadlineS);
     const deadlines = starts.slice();
     const guaranteeMs = job.guaranteed ? this.settings.guaranteeObjectiveMs : null;
