--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -32,7 +32,7 @@
     const deadlines = starts.slice();
     const guaranteeMs = job.guaranteed ? this.settings.guaranteeObjectiveMs : null;
     if (guaranteeMs !== null) deadlines.push(guaranteeMs);
-    for (const end of ends) deadlines.push(Math.max(0, end - runMs));
+    for (const endObjectiveMs of ends) deadlines.push(Math.max(0, endObjectiveMs - runMs));
     return deadlines;
   }
 
