--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -29,7 +29,7 @@
 const DOMINANT_SHARE_WEIGHT = 0.5;
 
 /** A class, and the machines that its tasks may be on. */
-interface ClassChoice {
+interface ClassWithMachines {
   statistics: ClassStatistics;
   capacities: FreeCapacity[];
 }
@@ -160,7 +160,7 @@
 }
 
 /** Classes with the fewest machines to choose from choose first, then those of higher priority. */
-function compareChoices(a: ClassChoice, b: ClassChoice): number {
+function compareChoices(a: ClassWithMachines, b: ClassWithMachines): number {
   return a.capacities.length - b.capacities.length || b.statistics.level - a.statistics.level;
 }
 
