--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -104,7 +104,7 @@
   /** Claims the headroom of all classes. `waitingClasses`: those with jobs that found no capacity. */
   claimHeadroom(cluster: ClusterCapacity, waitingClasses: Set<string>, now: number): void {
     this.statistics.forgetUnseen(now);
-    const choices = this.statistics
+    const classes = this.statistics
       .values()
       .filter(({ spec }) => hasHeadroom(spec))
       .map((statistics) => ({
@@ -113,7 +113,7 @@
       }))
       .filter(({ capacities }) => capacities.length > 0)
       .sort(compareChoices);
-    for (const { statistics, capacities } of choices)
+    for (const { statistics, capacities } of classes)
       this.claimForClass(statistics, capacities, waitingClasses, now);
   }
 
