--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -112,7 +112,7 @@
         capacities: cluster.ofKindsAllowedFor(statistics.spec).flat(),
       }))
       .filter(({ capacities }) => capacities.length > 0)
-      .sort(compareChoices);
+      .sort(compareByMachinesAndPriority);
     for (const { statistics, capacities } of classes)
       this.claimForClass(statistics, capacities, waitingClasses, now);
   }
@@ -160,7 +160,7 @@
 }
 
 /** Classes with the fewest machines to choose from choose first, then those of higher priority. */
-function compareChoices(a: ClassWithMachines, b: ClassWithMachines): number {
+function compareByMachinesAndPriority(a: ClassWithMachines, b: ClassWithMachines): number {
   return a.capacities.length - b.capacities.length || b.statistics.level - a.statistics.level;
 }
 
