--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -106,7 +106,7 @@
     this.statistics.forgetUnseen(now);
     const classes = this.statistics
       .values()
-      .filter(({ spec }) => hasHeadroom(spec))
+      .filter(({ spec }) => qualifiesForHeadroom(spec))
       .map((statistics) => ({
         statistics,
         capacities: cluster.ofKindsAllowedFor(statistics.spec).flat(),
@@ -155,7 +155,7 @@
 }
 
 /** Headroom is kept for gangs, and for job arrays that need GPUs. */
-function hasHeadroom({ kind, gpus }: JobSpec): boolean {
+function qualifiesForHeadroom({ kind, gpus }: JobSpec): boolean {
   return kind === 'gang' || (kind === 'array' && gpus > 0);
 }
 
