--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -125,15 +125,15 @@
   ): void {
     const { spec, level } = statistics;
     const slots = findSlots(statistics, capacities);
-    let left = this.slotsToKeep(statistics, slots, now);
-    if (left <= 0) return;
+    let unclaimedSlots = this.slotsToKeep(statistics, slots, now);
+    if (unclaimedSlots <= 0) return;
     slots.machines.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
     const objectiveMs = waitingClasses.has(spec.class) ? null : this.startObjectiveMs(spec.class);
     for (const { capacity, slots: available } of slots.machines) {
-      if (left <= 0) break;
-      const count = Math.min(left, available - countClaimedSlots(capacity.claims, spec));
+      if (unclaimedSlots <= 0) break;
+      const count = Math.min(unclaimedSlots, available - countClaimedSlots(capacity.claims, spec));
       if (count <= 0) continue;
-      left -= count;
+      unclaimedSlots -= count;
       const fetchMs = this.estimator.fetchMs(spec, capacity.machine, now);
       const patienceMs = objectiveMs === null ? 0 : Math.max(0, objectiveMs - fetchMs);
       capacity.claimHeadroom(count, now + patienceMs, {
