--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -129,9 +129,12 @@
     if (unclaimedSlots <= 0) return;
     slots.machines.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
     const objectiveMs = waitingClasses.has(spec.class) ? null : this.startObjectiveMs(spec.class);
-    for (const { capacity, slots: available } of slots.machines) {
+    for (const { capacity, slots: unusedSlots } of slots.machines) {
       if (unclaimedSlots <= 0) break;
-      const count = Math.min(unclaimedSlots, available - countClaimedSlots(capacity.claims, spec));
+      const count = Math.min(
+        unclaimedSlots,
+        unusedSlots - countClaimedSlots(capacity.claims, spec),
+      );
       if (count <= 0) continue;
       unclaimedSlots -= count;
       const fetchMs = this.estimator.fetchMs(spec, capacity.machine, now);
