--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -138,8 +138,8 @@
       if (count <= 0) continue;
       unclaimedSlots -= count;
       const fetchMs = this.estimator.fetchMs(spec, capacity.machine, now);
-      const patienceMs = objectiveMs === null ? 0 : Math.max(0, objectiveMs - fetchMs);
-      capacity.claimHeadroom(count, now + patienceMs, {
+      const backfillWindowMs = objectiveMs === null ? 0 : Math.max(0, objectiveMs - fetchMs);
+      capacity.claimHeadroom(count, now + backfillWindowMs, {
         spec,
         level,
         minSizeRatio: MIN_SIZE_RATIO,
