--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -151,9 +151,9 @@
   private slotsToKeep(statistics: ClassStatistics, slots: ClassSlots, now: number): number {
     const { maxShare, spareDeviations } = this.settings;
     const expected = this.statistics.expectedTasks(statistics, now);
-    const wanted =
+    const targetSlots =
       expected + spareDeviations * Math.sqrt(expected) + Math.ceil(statistics.largestJobTasks);
-    return Math.ceil(Math.min(wanted, slots.total * maxShare) - slots.inUse);
+    return Math.ceil(Math.min(targetSlots, slots.total * maxShare) - slots.inUse);
   }
 }
 
