--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -186,13 +186,13 @@
 /** Machines that suit the class best: its images there, free, and of little use to others. */
 function score({ spec, images }: ClassStatistics, capacity: FreeCapacity): number {
   const { machine } = capacity;
-  let known = 0;
+  let cachedWeight = 0;
   let all = 0;
   for (const [image, weight] of images) {
     all += weight;
-    if (machine.images.has(image)) known += weight;
+    if (machine.images.has(image)) cachedWeight += weight;
   }
-  const warm = all > 0 ? known / all : 0;
+  const warm = all > 0 ? cachedWeight / all : 0;
   const free = capacity.countFittingIgnoringClaims(resourceRequestOf(spec)) > 0 ? 1 : 0;
   const spot = spec.spot && machine.spot ? SPOT_SCORE : 0;
   return warm + free + spot + dominantShare(spec, machine.type) * DOMINANT_SHARE_WEIGHT;
