--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -187,12 +187,12 @@
 function score({ spec, images }: ClassStatistics, capacity: FreeCapacity): number {
   const { machine } = capacity;
   let cachedWeight = 0;
-  let all = 0;
+  let totalWeight = 0;
   for (const [image, weight] of images) {
-    all += weight;
+    totalWeight += weight;
     if (machine.images.has(image)) cachedWeight += weight;
   }
-  const warm = all > 0 ? cachedWeight / all : 0;
+  const warm = totalWeight > 0 ? cachedWeight / totalWeight : 0;
   const free = capacity.countFittingIgnoringClaims(resourceRequestOf(spec)) > 0 ? 1 : 0;
   const spot = spec.spot && machine.spot ? SPOT_SCORE : 0;
   return warm + free + spot + dominantShare(spec, machine.type) * DOMINANT_SHARE_WEIGHT;
