--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -193,7 +193,7 @@
     if (machine.images.has(image)) cachedWeight += weight;
   }
   const cachedShare = totalWeight > 0 ? cachedWeight / totalWeight : 0;
-  const free = capacity.countFittingIgnoringClaims(resourceRequestOf(spec)) > 0 ? 1 : 0;
+  const freeScore = capacity.countFittingIgnoringClaims(resourceRequestOf(spec)) > 0 ? 1 : 0;
   const spot = spec.spot && machine.spot ? SPOT_SCORE : 0;
-  return cachedShare + free + spot + dominantShare(spec, machine.type) * DOMINANT_SHARE_WEIGHT;
+  return cachedShare + freeScore + spot + dominantShare(spec, machine.type) * DOMINANT_SHARE_WEIGHT;
 }
