--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -194,6 +194,8 @@
   }
   const cachedShare = totalWeight > 0 ? cachedWeight / totalWeight : 0;
   const freeScore = capacity.countFittingIgnoringClaims(resourceRequestOf(spec)) > 0 ? 1 : 0;
-  const spot = spec.spot && machine.spot ? SPOT_SCORE : 0;
-  return cachedShare + freeScore + spot + dominantShare(spec, machine.type) * DOMINANT_SHARE_WEIGHT;
+  const spotScore = spec.spot && machine.spot ? SPOT_SCORE : 0;
+  return (
+    cachedShare + freeScore + spotScore + dominantShare(spec, machine.type) * DOMINANT_SHARE_WEIGHT
+  );
 }
