--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -50,19 +50,19 @@
   /** Counts an accepted job. */
   recordSubmission(job: Job, now: number): void {
     const { spec } = job;
-    const known = this.classes.get(spec.class);
-    const images = known?.images ?? new Map<string, number>();
+    const existing = this.classes.get(spec.class);
+    const images = existing?.images ?? new Map<string, number>();
     for (const [image, weight] of images) images.set(image, weight * JOB_DECAY);
     images.set(spec.image, (images.get(spec.image) ?? 0) + 1);
-    const largest = Math.max(spec.tasks, (known?.largestJobTasks ?? 1) * JOB_DECAY);
+    const largest = Math.max(spec.tasks, (existing?.largestJobTasks ?? 1) * JOB_DECAY);
     this.classes.set(spec.class, {
       spec,
       level: job.level,
-      weight: (known === undefined ? 0 : this.weightAt(known, now)) + spec.tasks,
+      weight: (existing === undefined ? 0 : this.weightAt(existing, now)) + spec.tasks,
       updatedAt: now,
       largestJobTasks: Math.min(MAX_LARGEST_JOB_TASKS, largest),
       images,
-      occupancyMs: known?.occupancyMs ?? 0,
+      occupancyMs: existing?.occupancyMs ?? 0,
     });
   }
 
