--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -68,12 +68,12 @@
 
   /** Counts a task that has left its machine after `occupancyMs`. */
   recordOccupancy(spec: JobSpec, occupancyMs: number): void {
-    const known = this.classes.get(spec.class);
-    if (known === undefined) return;
-    known.occupancyMs =
-      known.occupancyMs === 0
+    const existing = this.classes.get(spec.class);
+    if (existing === undefined) return;
+    existing.occupancyMs =
+      existing.occupancyMs === 0
         ? occupancyMs
-        : known.occupancyMs + NEWEST_OCCUPANCY_WEIGHT * (occupancyMs - known.occupancyMs);
+        : existing.occupancyMs + NEWEST_OCCUPANCY_WEIGHT * (occupancyMs - existing.occupancyMs);
   }
 
   /** Whether anything has been observed of the class. */
