--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -118,8 +118,8 @@
     const observedMs = Math.max(this.observedMs(now), memoryMs * MIN_OBSERVED_SHARE);
     const effectiveMs = memoryMs * (1 - Math.exp(-observedMs / memoryMs));
     const { occupancyMs, spec } = statistics;
-    const stayMs = occupancyMs > 0 ? occupancyMs : this.estimator.runMs(spec);
-    return (this.weightAt(statistics, now) / effectiveMs) * stayMs;
+    const meanOccupancyMs = occupancyMs > 0 ? occupancyMs : this.estimator.runMs(spec);
+    return (this.weightAt(statistics, now) / effectiveMs) * meanOccupancyMs;
   }
 
   private weightAt({ weight, updatedAt }: ClassStatistics, now: number): number {
