--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -103,7 +103,7 @@
 
   /** Claims the headroom of all classes. `waitingClasses`: those with jobs that found no capacity. */
   claimHeadroom(cluster: ClusterCapacity, waitingClasses: Set<string>, now: number): void {
-    this.statistics.forgetUnseen(now);
+    this.statistics.removeStale(now);
     const classes = this.statistics
       .values()
       .filter(({ spec }) => qualifiesForHeadroom(spec))
--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -104,7 +104,7 @@
   }
 
   /** Forgets classes that have not come for long: users name them, so there could be any number. */
-  forgetUnseen(now: number): void {
+  removeStale(now: number): void {
     for (const [className, statistics] of this.classes)
       if (this.weightAt(statistics, now) < MIN_WEIGHT) this.classes.delete(className);
   }
