--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -46,11 +46,11 @@
   { now, wallClockMs }: ClockReading,
 ): void {
   if (!isMap(value) || !Array.isArray(value['classes'])) return;
-  const fromWallClock = (at: unknown): number => now - Math.max(0, wallClockMs - Number(at));
-  table.extendObservation(fromWallClock(value['since']));
+  const toControllerClock = (at: unknown): number => now - Math.max(0, wallClockMs - Number(at));
+  table.extendObservation(toControllerClock(value['since']));
   // Earlier versions have recorded several classes together.
   for (const record of value['classes'] as unknown[]) {
-    const statistics = readClass(record, fromWallClock);
+    const statistics = readClass(record, toControllerClock);
     if (statistics !== null) table.merge(statistics);
   }
 }
