--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -58,7 +58,7 @@
 /** `null`: not a record of this version. */
 function readClass(
   record: unknown,
-  fromWallClock: (at: unknown) => number,
+  toControllerClock: (at: unknown) => number,
 ): ClassStatistics | null {
   if (!isMap(record) || !isMap(record['images'])) return null;
   const images = Object.entries(record['images']);
@@ -68,7 +68,7 @@
       spec,
       level: priorityLevels[spec.priority],
       weight: Number(record['weight']),
-      updatedAt: fromWallClock(record['at']),
+      updatedAt: toControllerClock(record['at']),
       largestJobTasks: Number(record['together']),
       images: new Map(images.map(([image, weight]) => [image, Number(weight)])),
       occupancyMs: Number(record['stay']),
