--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -50,13 +50,13 @@
   table.extendObservation(toControllerClock(value['since']));
   // Earlier versions have recorded several classes together.
   for (const record of value['classes'] as unknown[]) {
-    const statistics = readClass(record, toControllerClock);
+    const statistics = readClassStatistics(record, toControllerClock);
     if (statistics !== null) table.merge(statistics);
   }
 }
 
 /** `null`: not a record of this version. */
-function readClass(
+function readClassStatistics(
   record: unknown,
   toControllerClock: (at: unknown) => number,
 ): ClassStatistics | null {
