--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -36,8 +36,11 @@
   /** The headroom of a leader that has seen jobs of one class with two images, and their occupancy. */
   function observedHeadroom(): ClassHeadroom {
     const headroom = newHeadroom();
-    for (let at = 1000; at <= 10_000; at += 1000)
-      headroom.recordSubmission(trainingGang({ image: at % 2000 === 0 ? 'i-1' : 'i-2' }, at), at);
+    for (let submittedAt = 1000; submittedAt <= 10_000; submittedAt += 1000)
+      headroom.recordSubmission(
+        trainingGang({ image: submittedAt % 2000 === 0 ? 'i-1' : 'i-2' }, submittedAt),
+        submittedAt,
+      );
     headroom.recordOccupancy(trainingGang({}, 0).spec, 50_000);
     return headroom;
   }
