--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -9,9 +9,12 @@
 
 const WALL_CLOCK_MS = 1_700_000_000_000;
 
-function trainingGang(part: Partial<JobSpec>, submittedAt: number): Job {
+function trainingGang(specOverrides: Partial<JobSpec>, submittedAt: number): Job {
   const gang: Partial<JobSpec> = { kind: 'gang', priority: 'high', tasks: 4, image: 'i-1' };
-  return gpuJob({ id: `req-${submittedAt}`, class: 'train', ...gang, ...part }, submittedAt);
+  return gpuJob(
+    { id: `req-${submittedAt}`, class: 'train', ...gang, ...specOverrides },
+    submittedAt,
+  );
 }
 
 function newHeadroom(): ClassHeadroom {
