--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -23,7 +23,7 @@
 }
 
 /** What a leader records of a class. */
-function recorded(
+function recordedStatistics(
   headroom: ClassHeadroom,
   className: string,
   now: number,
@@ -51,7 +51,7 @@
   it('follows the record of a class that has active jobs', () => {
     const before = observedHeadroom();
     const now = 12_000;
-    const expected = recorded(before, 'train', now);
+    const expected = recordedStatistics(before, 'train', now);
     const next = newHeadroom();
     const records = [...before.exportStatistics(now, WALL_CLOCK_MS + now).values()];
     next.restore(
@@ -60,7 +60,7 @@
       now,
       WALL_CLOCK_MS + now,
     );
-    assert.deepEqual(recorded(next, 'train', now), expected);
+    assert.deepEqual(recordedStatistics(next, 'train', now), expected);
   });
 
   it('starts from the first active job of a class without a record', () => {
@@ -71,7 +71,7 @@
       5000,
       WALL_CLOCK_MS,
     );
-    assert.equal(recorded(next, 'train', 5000)['weight'], 3);
+    assert.equal(recordedStatistics(next, 'train', 5000)['weight'], 3);
   });
 
   it('follows the newest of several records of a class, in whatever order they come', () => {
@@ -79,14 +79,14 @@
     const oldRecords = [...old.exportStatistics(12_000, WALL_CLOCK_MS + 12_000).values()];
     old.recordSubmission(trainingGang({ tasks: 7 }, 20_000), 20_000);
     const newRecords = [...old.exportStatistics(21_000, WALL_CLOCK_MS + 21_000).values()];
-    const expected = recorded(old, 'train', 25_000);
+    const expected = recordedStatistics(old, 'train', 25_000);
     for (const records of [
       [...oldRecords, ...newRecords],
       [...newRecords, ...oldRecords],
     ]) {
       const next = newHeadroom();
       next.restore(records, [trainingGang({}, 20_000)], 25_000, WALL_CLOCK_MS + 25_000);
-      assert.deepEqual(recorded(next, 'train', 25_000), expected);
+      assert.deepEqual(recordedStatistics(next, 'train', 25_000), expected);
     }
   });
 });
