--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -49,11 +49,11 @@
   }
 
   it('follows the record of a class that has active jobs', () => {
-    const before = observedHeadroom();
+    const predecessor = observedHeadroom();
     const now = 12_000;
-    const expected = recordedStatistics(before, 'train', now);
+    const expected = recordedStatistics(predecessor, 'train', now);
     const next = newHeadroom();
-    const records = [...before.exportStatistics(now, WALL_CLOCK_MS + now).values()];
+    const records = [...predecessor.exportStatistics(now, WALL_CLOCK_MS + now).values()];
     next.restore(
       records,
       [trainingGang({}, 9000), trainingGang({ image: 'i-2' }, 10_000)],
