--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -75,11 +75,11 @@
   });
 
   it('follows the newest of several records of a class, in whatever order they come', () => {
-    const old = observedHeadroom();
-    const oldRecords = [...old.exportStatistics(12_000, WALL_CLOCK_MS + 12_000).values()];
-    old.recordSubmission(trainingGang({ tasks: 7 }, 20_000), 20_000);
-    const newRecords = [...old.exportStatistics(21_000, WALL_CLOCK_MS + 21_000).values()];
-    const expected = recordedStatistics(old, 'train', 25_000);
+    const predecessor = observedHeadroom();
+    const oldRecords = [...predecessor.exportStatistics(12_000, WALL_CLOCK_MS + 12_000).values()];
+    predecessor.recordSubmission(trainingGang({ tasks: 7 }, 20_000), 20_000);
+    const newRecords = [...predecessor.exportStatistics(21_000, WALL_CLOCK_MS + 21_000).values()];
+    const expected = recordedStatistics(predecessor, 'train', 25_000);
     for (const records of [
       [...oldRecords, ...newRecords],
       [...newRecords, ...oldRecords],
