--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -95,7 +95,7 @@
   const GANG: Partial<JobSpec> = { cpus: 4, gpus: 1, tasks: 4 };
 
   /** The machines of a pass after headroom was claimed for a class that has had one gang. */
-  function claimed(waitingClasses: string[], objectiveMs: number | null) {
+  function claimsAfterOneGang(waitingClasses: string[], objectiveMs: number | null) {
     const settings = { memoryMs: 300_000, maxShare: 0.5, spareDeviations: 0 };
     const headroom = new ClassHeadroom(settings, new DurationEstimator(), 0, () => objectiveMs);
     headroom.recordSubmission(trainingGang(GANG, 1000), 1000);
@@ -107,14 +107,14 @@
   }
 
   it('are kept on machines with the image of the class, up to its share of the slots', () => {
-    assert.deepEqual(claimed([], null), [[], [{ gpus: 4, fillAt: 1000 }]]);
+    assert.deepEqual(claimsAfterOneGang([], null), [[], [{ gpus: 4, fillAt: 1000 }]]);
   });
 
   it('let short work backfill them for as long as a job of the class may wait', () => {
-    assert.deepEqual(claimed([], 30_000), [[], [{ gpus: 4, fillAt: 31_000 }]]);
+    assert.deepEqual(claimsAfterOneGang([], 30_000), [[], [{ gpus: 4, fillAt: 31_000 }]]);
   });
 
   it('let no work backfill them while a job of the class waits', () => {
-    assert.deepEqual(claimed(['train'], 30_000), [[], [{ gpus: 4, fillAt: 1000 }]]);
+    assert.deepEqual(claimsAfterOneGang(['train'], 30_000), [[], [{ gpus: 4, fillAt: 1000 }]]);
   });
 });
