--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -99,9 +99,9 @@
     const settings = { memoryMs: 300_000, maxShare: 0.5, spareDeviations: 0 };
     const headroom = new ClassHeadroom(settings, new DurationEstimator(), 0, () => objectiveMs);
     headroom.recordSubmission(trainingGang(GANG, 1000), 1000);
-    const warm = bigMachine('n-2');
-    warm.recordImageUse('i-1', 1);
-    const { cluster } = passOver([bigMachine(), warm]);
+    const warmMachine = bigMachine('n-2');
+    warmMachine.recordImageUse('i-1', 1);
+    const { cluster } = passOver([bigMachine(), warmMachine]);
     headroom.claimHeadroom(cluster, new Set(waitingClasses), 1000);
     return cluster.all.map(({ claims }) => claims.map(({ gpus, fillAt }) => ({ gpus, fillAt })));
   }
