--- a/src/controller/placement/capacity/capacity-claim.test.ts
+++ b/src/controller/placement/capacity/capacity-claim.test.ts
@@ -32,14 +32,19 @@
 describe('a claim of headroom for a class of large gangs', () => {
   const headroom = { spec: large, level: 1, minSizeRatio: 1.5 };
   const claim: CapacityClaim = { ...taskRequest, fillAt: 3000, headroom };
-  const cases: { condition: string; part: Partial<JobSpec>; level?: number; binds: boolean }[] = [
-    { condition: 'a smaller task', part: {}, binds: true },
-    { condition: 'a task of higher priority', part: {}, level: 2, binds: false },
-    { condition: 'a gang', part: { kind: 'gang' }, binds: false },
-    { condition: 'a task of the class itself', part: { class: 'large' }, binds: false },
-    { condition: 'a task that is nearly as large', part: { gpus: 3 }, binds: false },
+  const cases: {
+    condition: string;
+    specOverrides: Partial<JobSpec>;
+    level?: number;
+    binds: boolean;
+  }[] = [
+    { condition: 'a smaller task', specOverrides: {}, binds: true },
+    { condition: 'a task of higher priority', specOverrides: {}, level: 2, binds: false },
+    { condition: 'a gang', specOverrides: { kind: 'gang' }, binds: false },
+    { condition: 'a task of the class itself', specOverrides: { class: 'large' }, binds: false },
+    { condition: 'a task that is nearly as large', specOverrides: { gpus: 3 }, binds: false },
   ];
-  for (const { condition, part, level = 1, binds } of cases)
+  for (const { condition, specOverrides: part, level = 1, binds } of cases)
     it(`${binds ? 'binds' : 'does not bind'} ${condition}`, () => {
       const spec = gpuArraySpec(part);
       assert.equal(claimBinds(claim, { ...query, spec, level }, bigMachineType), binds);
