--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -65,14 +65,14 @@
   ): boolean {
     if (timeLeftOnMachineMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD_INTERVALS)
       return true;
-    const destination = this.destination(assignment, job, now);
+    const destination = this.findDestination(assignment, job, now);
     if (destination === null) return false;
     this.migrations.begin(assignment, job, destination);
     return true;
   }
 
   /** A machine with the image and capacity that no other replica migrates to; `null`: there is none. */
-  private destination(assignment: Assignment, job: Job, now: number): Machine | null {
+  private findDestination(assignment: Assignment, job: Job, now: number): Machine | null {
     const { spec } = job;
     const request = resourceRequestOf(spec);
     for (const machine of this.workers.machines.values()) {
