--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -14,8 +14,8 @@
   private migrations: Migration[] = [];
 
   /** The replica leaves its machine and is to start again on the other. */
-  begin(oldAssignment: Assignment, job: Job, to: Machine): void {
-    this.migrations.push({ oldAssignment: oldAssignment, job, destination: to });
+  begin(oldAssignment: Assignment, job: Job, destination: Machine): void {
+    this.migrations.push({ oldAssignment: oldAssignment, job, destination: destination });
   }
 
   /** Forgets the migrations that are over: the replica is assigned again, or its job has ended. */
