--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -20,9 +20,9 @@
 
   /** Forgets the migrations that are over: the replica is assigned again, or its job has ended. */
   removeFinished(): void {
-    this.migrations = this.migrations.filter(({ oldAssignment: from, job }) => {
-      const current = job.currentAssignments.get(from.task);
-      return job.terminalState === null && (current === undefined || current === from);
+    this.migrations = this.migrations.filter(({ oldAssignment: oldAssignment, job }) => {
+      const current = job.currentAssignments.get(oldAssignment.task);
+      return job.terminalState === null && (current === undefined || current === oldAssignment);
     });
   }
 
