--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -29,11 +29,11 @@
   /** What the replicas that migrate to the machine will take there. */
   reservedOn(machine: Machine): ResourceRequest {
     const reserved = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const { oldAssignment: from, destination: to } of this.migrations) {
+    for (const { oldAssignment: oldAssignment, destination: to } of this.migrations) {
       if (to !== machine) continue;
-      reserved.cpus += from.request.cpus;
-      reserved.gpus += from.request.gpus;
-      reserved.memoryGb += from.request.memoryGb;
+      reserved.cpus += oldAssignment.request.cpus;
+      reserved.gpus += oldAssignment.request.gpus;
+      reserved.memoryGb += oldAssignment.request.memoryGb;
     }
     return reserved;
   }
