--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -29,8 +29,8 @@
   /** What the replicas that migrate to the machine will take there. */
   reservedOn(machine: Machine): ResourceRequest {
     const reserved = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const { oldAssignment: oldAssignment, destination: to } of this.migrations) {
-      if (to !== machine) continue;
+    for (const { oldAssignment: oldAssignment, destination: destination } of this.migrations) {
+      if (destination !== machine) continue;
       reserved.cpus += oldAssignment.request.cpus;
       reserved.gpus += oldAssignment.request.gpus;
       reserved.memoryGb += oldAssignment.request.memoryGb;
