--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -178,13 +178,17 @@
     slots.total += total;
     slots.inUse += inUse;
     if (total > inUse)
-      slots.machines.push({ capacity, slots: total - inUse, score: score(statistics, capacity) });
+      slots.machines.push({
+        capacity,
+        slots: total - inUse,
+        score: scoreMachine(statistics, capacity),
+      });
   }
   return slots;
 }
 
 /** Machines that suit the class best: its images there, free, and of little use to others. */
-function score({ spec, images }: ClassStatistics, capacity: FreeCapacity): number {
+function scoreMachine({ spec, images }: ClassStatistics, capacity: FreeCapacity): number {
   const { machine } = capacity;
   let cachedWeight = 0;
   let totalWeight = 0;
