--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -52,15 +52,15 @@
     const predecessor = observedHeadroom();
     const now = 12_000;
     const expected = recordedStatistics(predecessor, 'train', now);
-    const next = newHeadroom();
+    const successor = newHeadroom();
     const records = [...predecessor.exportStatistics(now, WALL_CLOCK_MS + now).values()];
-    next.restore(
+    successor.restore(
       records,
       [trainingGang({}, 9000), trainingGang({ image: 'i-2' }, 10_000)],
       now,
       WALL_CLOCK_MS + now,
     );
-    assert.deepEqual(recordedStatistics(next, 'train', now), expected);
+    assert.deepEqual(recordedStatistics(successor, 'train', now), expected);
   });
 
   it('starts from the first active job of a class without a record', () => {
