--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -64,14 +64,14 @@
   });
 
   it('starts from the first active job of a class without a record', () => {
-    const next = newHeadroom();
-    next.restore(
+    const successor = newHeadroom();
+    successor.restore(
       [],
       [trainingGang({ tasks: 3 }, 1000), trainingGang({ tasks: 2 }, 2000)],
       5000,
       WALL_CLOCK_MS,
     );
-    assert.equal(recordedStatistics(next, 'train', 5000)['weight'], 3);
+    assert.equal(recordedStatistics(successor, 'train', 5000)['weight'], 3);
   });
 
   it('follows the newest of several records of a class, in whatever order they come', () => {
