--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -84,9 +84,9 @@
       [...oldRecords, ...newRecords],
       [...newRecords, ...oldRecords],
     ]) {
-      const next = newHeadroom();
-      next.restore(records, [trainingGang({}, 20_000)], 25_000, WALL_CLOCK_MS + 25_000);
-      assert.deepEqual(recordedStatistics(next, 'train', 25_000), expected);
+      const successor = newHeadroom();
+      successor.restore(records, [trainingGang({}, 20_000)], 25_000, WALL_CLOCK_MS + 25_000);
+      assert.deepEqual(recordedStatistics(successor, 'train', 25_000), expected);
     }
   });
 });
