--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -7,7 +7,7 @@
 const NEWEST_RUN_WEIGHT = 0.15;
 
 /** A run counts as this many times its estimate at most, and as the inverse at least. */
-const MAX_RATIO = 4;
+const MAX_RUN_TIME_RATIO = 4;
 
 /** Classes remembered; users name them, so there could be any number. */
 const MAX_CLASSES = 40;
@@ -54,7 +54,7 @@
   observe(spec: JobSpec, ranMs: number): void {
     if (spec.estimatedRunS <= 0 || ranMs <= 0) return;
     const ratio = ranMs / (spec.estimatedRunS * 1000);
-    const boundedRatio = Math.min(MAX_RATIO, Math.max(1 / MAX_RATIO, ratio));
+    const boundedRatio = Math.min(MAX_RUN_TIME_RATIO, Math.max(1 / MAX_RUN_TIME_RATIO, ratio));
     const { mean, variance } = this.statisticsOf(spec.class);
     const deviation = Math.log(boundedRatio) - mean;
     this.statistics.delete(spec.class);
