--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -10,7 +10,7 @@
 const MAX_RUN_TIME_RATIO = 4;
 
 /** Classes remembered; users name them, so there could be any number. */
-const MAX_CLASSES = 40;
+const MAX_TRACKED_CLASSES = 40;
 
 /** Classes with longer names are not recorded. */
 const MAX_NAME_LENGTH = 64;
@@ -62,7 +62,7 @@
       mean: mean + NEWEST_RUN_WEIGHT * deviation,
       variance: (1 - NEWEST_RUN_WEIGHT) * (variance + NEWEST_RUN_WEIGHT * deviation ** 2),
     });
-    if (this.statistics.size > MAX_CLASSES) {
+    if (this.statistics.size > MAX_TRACKED_CLASSES) {
       const oldest = this.statistics.keys().next();
       if (oldest.done !== true) this.statistics.delete(oldest.value);
     }
