--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -13,7 +13,7 @@
 const MAX_TRACKED_CLASSES = 40;
 
 /** Classes with longer names are not recorded. */
-const MAX_NAME_LENGTH = 64;
+const MAX_EXPORTED_NAME_LENGTH = 64;
 
 /** Standard deviation of the logarithm of a run's ratio to its estimate, before anything is known. */
 const PRIOR_DEVIATION = 0.5;
@@ -75,7 +75,7 @@
   /** What has been learned, for the next leader: mean and variance by class. */
   exportStatistics(): Record<string, [number, number]> {
     const exportedClasses = [...this.statistics].filter(
-      ([className]) => className.length <= MAX_NAME_LENGTH,
+      ([className]) => className.length <= MAX_EXPORTED_NAME_LENGTH,
     );
     return Object.fromEntries(
       exportedClasses.map(([className, { mean, variance }]) => [className, [mean, variance]]),
