--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -106,19 +106,20 @@
     // Images that are fetched at the same time share the rate; each delays by at most its own size.
     // A machine fetches an image once, so a task joins a fetch that is under way.
     let fetchGb = spec.imageGb;
-    let startedAt = now;
+    let fetchStartedAt = now;
     let otherImages: Set<string> | null = null;
     for (const assignment of machine.assignments.values()) {
       if (!mayBeFetching(assignment)) continue;
       const otherSpec = assignment.job.spec;
-      if (otherSpec.image === spec.image) startedAt = Math.min(startedAt, assignment.assignedAt);
+      if (otherSpec.image === spec.image)
+        fetchStartedAt = Math.min(fetchStartedAt, assignment.assignedAt);
       if (otherSpec.image === spec.image || machine.images.has(otherSpec.image)) continue;
       otherImages ??= new Set();
       if (otherImages.has(otherSpec.image)) continue;
       otherImages.add(otherSpec.image);
       fetchGb += Math.min(otherSpec.imageGb, spec.imageGb);
     }
-    return Math.max(0, (fetchGb / gbPerS) * 1000 - (now - startedAt));
+    return Math.max(0, (fetchGb / gbPerS) * 1000 - (now - fetchStartedAt));
   }
 
   /** Whether a task on the machine would need an image fetch of its own. */
