--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -49,10 +49,10 @@
       reliable.observe(spec, 100_000 * (i % 2 === 0 ? 1.05 : 0.95));
       unreliable.observe(spec, 100_000 * (i % 2 === 0 ? 2 : 0.5));
     }
-    for (const elapsed of [50_000, 90_000, 100_000, 150_000, 1e9]) {
-      assert.ok(remainingRunMs(reliable, spec, elapsed) > 0);
+    for (const elapsedMs of [50_000, 90_000, 100_000, 150_000, 1e9]) {
+      assert.ok(remainingRunMs(reliable, spec, elapsedMs) > 0);
       assert.ok(
-        remainingRunMs(unreliable, spec, elapsed) > remainingRunMs(reliable, spec, elapsed),
+        remainingRunMs(unreliable, spec, elapsedMs) > remainingRunMs(reliable, spec, elapsedMs),
       );
     }
     assert.ok(Math.abs(remainingRunMs(reliable, spec, 0) - 100_000) < 5000);
