--- a/src/controller/placement/capacity/capacity-claim.test.ts
+++ b/src/controller/placement/capacity/capacity-claim.test.ts
@@ -44,9 +44,9 @@
     { condition: 'a task of the class itself', specOverrides: { class: 'large' }, binds: false },
     { condition: 'a task that is nearly as large', specOverrides: { gpus: 3 }, binds: false },
   ];
-  for (const { condition, specOverrides: part, level = 1, binds } of cases)
+  for (const { condition, specOverrides: specOverrides, level = 1, binds } of cases)
     it(`${binds ? 'binds' : 'does not bind'} ${condition}`, () => {
-      const spec = gpuArraySpec(part);
+      const spec = gpuArraySpec(specOverrides);
       assert.equal(claimBinds(claim, { ...query, spec, level }, bigMachineType), binds);
     });
 });
