--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -22,7 +22,7 @@
   return new ClassHeadroom(settings, new DurationEstimator(), 0, () => null);
 }
 
-/** What a leader records of a class. */
+/** The statistics of the class in the records that a leader stores. */
 function recordedStatistics(
   headroom: ClassHeadroom,
   className: string,
@@ -31,12 +31,12 @@
   const value = headroom.exportStatistics(now, WALL_CLOCK_MS + now).get(className);
   const classes = isMap(value) ? value['classes'] : [];
   const [stats] = isList(classes) ? classes : [];
-  assert.ok(isMap(stats), `nothing of ${className}`);
+  assert.ok(isMap(stats), `no statistics recorded for class ${className}`);
   return stats;
 }
 
 describe('headroom after a failover', () => {
-  /** The headroom of a leader that has seen jobs of one class with two images, and their occupancy. */
+  /** The headroom of a leader that observed jobs of one class with two images, and how long a task ran. */
   function observedHeadroom(): ClassHeadroom {
     const headroom = newHeadroom();
     for (let submittedAt = 1000; submittedAt <= 10_000; submittedAt += 1000)
@@ -48,7 +48,7 @@
     return headroom;
   }
 
-  it('follows the record of a class that has active jobs', () => {
+  it('restores the recorded statistics of a class that has active jobs', () => {
     const predecessor = observedHeadroom();
     const now = 12_000;
     const expected = recordedStatistics(predecessor, 'train', now);
@@ -63,7 +63,7 @@
     assert.deepEqual(recordedStatistics(successor, 'train', now), expected);
   });
 
-  it('starts from the first active job of a class without a record', () => {
+  it('initializes the statistics of a class without a record from its first active job', () => {
     const successor = newHeadroom();
     successor.restore(
       [],
@@ -74,7 +74,7 @@
     assert.equal(recordedStatistics(successor, 'train', 5000)['weight'], 3);
   });
 
-  it('follows the newest of several records of a class, in whatever order they come', () => {
+  it('restores the newest of several records of a class, in whichever order they are read', () => {
     const predecessor = observedHeadroom();
     const oldRecords = [...predecessor.exportStatistics(12_000, WALL_CLOCK_MS + 12_000).values()];
     predecessor.recordSubmission(trainingGang({ tasks: 7 }, 20_000), 20_000);
@@ -94,7 +94,7 @@
 describe('claims of headroom', () => {
   const GANG: Partial<JobSpec> = { cpus: 4, gpus: 1, tasks: 4 };
 
-  /** The machines of a pass after headroom was claimed for a class that has had one gang. */
+  /** The claims on each machine of a pass, for a class of which one gang was submitted. */
   function claimsAfterOneGang(waitingClasses: string[], objectiveMs: number | null) {
     const settings = { memoryMs: 300_000, maxShare: 0.5, spareDeviations: 0 };
     const headroom = new ClassHeadroom(settings, new DurationEstimator(), 0, () => objectiveMs);
@@ -106,15 +106,15 @@
     return cluster.all.map(({ claims }) => claims.map(({ gpus, fillAt }) => ({ gpus, fillAt })));
   }
 
-  it('are kept on machines with the image of the class, up to its share of the slots', () => {
+  it('are made on machines that cache the image of the class, up to the maximum share of its slots', () => {
     assert.deepEqual(claimsAfterOneGang([], null), [[], [{ gpus: 4, fillAt: 1000 }]]);
   });
 
-  it('let short work backfill them for as long as a job of the class may wait', () => {
+  it('are due after the start objective of the class, which lets short tasks backfill them', () => {
     assert.deepEqual(claimsAfterOneGang([], 30_000), [[], [{ gpus: 4, fillAt: 31_000 }]]);
   });
 
-  it('let no work backfill them while a job of the class waits', () => {
+  it('are due at once while a job of the class waits for capacity, which prevents backfill', () => {
     assert.deepEqual(claimsAfterOneGang(['train'], 30_000), [[], [{ gpus: 4, fillAt: 1000 }]]);
   });
 });
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -1,4 +1,4 @@
-/** Headroom: free capacity that is kept for classes of large tasks. */
+/** Headroom: free capacity that is kept for future jobs of classes with large tasks. */
 import type { Job } from '../../model/entities.js';
 import type { JobSpec } from '../../wire/jobs.js';
 import { countClaimedSlots, dominantShare } from '../capacity/capacity-claim.js';
@@ -9,52 +9,59 @@
 import { mergeRecordedStatistics, writeStatistics } from './class-statistics-record.js';
 import { ClassStatisticsTable, type ClassStatistics } from './class-statistics.js';
 
-/** How much headroom is kept. */
+/** Settings that determine how much headroom is kept. */
 export interface HeadroomSettings {
-  /** Time over which arrivals are remembered. */
+  /** Time constant, in ms, with which the counts of submitted tasks decay. */
   memoryMs: number;
-  /** Largest share of the slots that a class could use that may be kept for it. */
+  /** Maximum fraction of the slots on the machines allowed for a class that may be kept for it. */
   maxShare: number;
-  /** Slots kept beyond the expected number, in standard deviations. */
+  /** Margin added to the expected number of tasks, in standard deviations. */
   spareDeviations: number;
 }
 
-/** Headroom of a class binds tasks than which its own are this much larger on the machine. */
+/**
+ * Headroom of a class is withheld only from smaller tasks: the dominant share of the machine that a task
+ * of the class takes has to be at least this many times that of the other task.
+ */
 const MIN_SIZE_RATIO = 1.5;
 
-/** What speaks for a machine beside its images and its free capacity: spot, for a class that may use it. */
+/**
+ * Score of a spot machine for a class that allows spot machines. Cached images and free capacity score at
+ * most 1 each.
+ */
 const SPOT_SCORE = 0.7;
 
-/** Weight of the share of the machine that a task takes. */
+/** Weight, in the score of a machine, of the dominant share of it that a task of the class takes. */
 const DOMINANT_SHARE_WEIGHT = 0.5;
 
-/** A class, and the machines that its tasks may be on. */
+/** A class and the machines on which its tasks are allowed. */
 interface ClassWithMachines {
   statistics: ClassStatistics;
   capacities: FreeCapacity[];
 }
 
-/** A machine that has slots for the class beside its tasks there. */
+/** A machine with slots that are not used by tasks of the class. */
 interface ScoredMachine {
   capacity: FreeCapacity;
+  /** Slots of the machine, without those that tasks of the class use. */
   slots: number;
-  /** Higher is better. */
+  /** Machines with higher scores are claimed first. */
   score: number;
 }
 
-/** The slots of a class. */
+/** The slots for tasks of a class on the machines that it may use. A slot has the size of one task. */
 interface ClassSlots {
   machines: ScoredMachine[];
-  /** Of all machines together. */
+  /** All slots of the machines, whether or not they are free. */
   total: number;
-  /** Those in use by the class itself. */
+  /** Slots used by tasks of the class. */
   inUse: number;
 }
 
 /**
- * Segregation by shape (m03 §6, §9): classes of large tasks, and those that need GPUs, keep capacity
- * free that small work would otherwise eat piece by piece. How much is kept follows from how often the
- * class comes and how long its tasks stay; it is a reservation in advance for the gang that comes next.
+ * Keeps capacity free for gangs and for job arrays that need GPUs. Without it, small tasks would fragment
+ * the free capacity until no large task fits. How much is kept for a class follows from the rate at which
+ * its jobs are submitted and from how long its tasks run; it also covers the next job of the class.
  */
 export class ClassHeadroom {
   private readonly statistics: ClassStatisticsTable;
@@ -63,31 +70,31 @@
     private readonly settings: HeadroomSettings,
     private readonly estimator: Pick<DurationEstimator, 'fetchMs' | 'runMs'>,
     now: number,
-    /** Time within which a job of the class should start, by the platform's objectives. */
+    /** Time in ms within which a job of the class should start; null if the platform sets no objective. */
     private readonly startObjectiveMs: (className: string) => number | null,
   ) {
     this.statistics = new ClassStatisticsTable(settings.memoryMs, estimator, now);
   }
 
-  /** Counts an accepted job. */
+  /** Adds an accepted job to the statistics of its class. */
   recordSubmission(job: Job, now: number): void {
     this.statistics.recordSubmission(job, now);
   }
 
-  /** Counts a task that has left its machine after `occupancyMs`. */
+  /** Adds a task that was on its machine for `occupancyMs` to the statistics of its class. */
   recordOccupancy(spec: JobSpec, occupancyMs: number): void {
     this.statistics.recordOccupancy(spec, occupancyMs);
   }
 
-  /** What has been observed of the classes that came last, by class, for the next leader. */
+  /** Records of the most recently submitted classes, by class name, to be stored for the next leader. */
   exportStatistics(now: number, wallClockMs: number): Map<string, unknown> {
     return writeStatistics(this.statistics, { now, wallClockMs });
   }
 
   /**
-   * Takes over what earlier leaders have recorded, and then the active jobs: of a class without a record
-   * the first stands for what came before. A leader that began without this would let small work flood
-   * the machines that large classes need.
+   * Restores the statistics that earlier leaders recorded. A class that has active jobs but no record
+   * starts from the first of them. A new leader without statistics would keep no headroom, and small tasks
+   * would fill the machines that classes of large tasks need.
    */
   restore(
     recorded: Iterable<unknown>,
@@ -101,7 +108,11 @@
       if (!statistics.has(job.spec.class)) statistics.recordSubmission(job, now);
   }
 
-  /** Claims the headroom of all classes. `waitingClasses`: those with jobs that found no capacity. */
+  /**
+   * Claims the headroom of all classes on the machines of the pass.
+   *
+   * @param waitingClasses - names of the classes that have jobs waiting for capacity
+   */
   claimHeadroom(cluster: ClusterCapacity, waitingClasses: Set<string>, now: number): void {
     this.statistics.removeStale(now);
     const classes = this.statistics
@@ -147,7 +158,10 @@
     }
   }
 
-  /** How many slots to keep beside those in use: for the expected tasks, some spare, and a further job. */
+  /**
+   * Returns how many slots to claim besides those in use. All slots of the class together should cover the
+   * expected tasks, a margin, and its largest recent job, within the maximum share of the slots.
+   */
   private slotsToKeep(statistics: ClassStatistics, slots: ClassSlots, now: number): number {
     const { maxShare, spareDeviations } = this.settings;
     const expected = this.statistics.expectedTasks(statistics, now);
@@ -157,12 +171,12 @@
   }
 }
 
-/** Headroom is kept for gangs, and for job arrays that need GPUs. */
+/** Returns whether headroom is kept for the class: only for gangs and for job arrays that need GPUs. */
 function qualifiesForHeadroom({ kind, gpus }: JobSpec): boolean {
   return kind === 'gang' || (kind === 'array' && gpus > 0);
 }
 
-/** Classes with the fewest machines to choose from choose first, then those of higher priority. */
+/** Orders classes with fewer allowed machines first, and those with equally many by falling priority. */
 function compareByMachinesAndPriority(a: ClassWithMachines, b: ClassWithMachines): number {
   return a.capacities.length - b.capacities.length || b.statistics.level - a.statistics.level;
 }
@@ -187,7 +201,10 @@
   return slots;
 }
 
-/** Machines that suit the class best: its images there, free, and of little use to others. */
+/**
+ * Scores how well the machine suits the class: images of the class are cached there, a task fits now, it is
+ * a spot machine that the class may use, and a task takes much of it, so that less is left for other classes.
+ */
 function scoreMachine({ spec, images }: ClassStatistics, capacity: FreeCapacity): number {
   const { machine } = capacity;
   let cachedWeight = 0;
--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -1,19 +1,19 @@
-/** The stored form of class statistics, which the next leader reads. Its keys are fixed. */
+/** The stored format of class statistics, which the next leader reads. Its field names must not change. */
 import { priorityLevels } from '../../model/job.js';
 import { isMap } from '../../wire/cbor.js';
 import { readJobSpec, writeJobSpec } from '../../wire/jobs.js';
 import type { ClassStatistics, ClassStatisticsTable } from './class-statistics.js';
 
-/** Classes that are recorded: those that came last. */
+/** Maximum number of classes that are recorded: those with the most recently submitted jobs. */
 const MAX_RECORDED_CLASSES = 12;
 
-/** A moment on the controller's own clock, and what the wall clock shows then. */
+/** The same instant on the controller's steady clock (`now`) and on the wall clock, in ms. */
 export interface ClockReading {
   now: number;
   wallClockMs: number;
 }
 
-/** The records of the classes that came last, by class. Times in them are those of the wall clock. */
+/** Returns the records of the most recently submitted classes, by class name. Their times are wall-clock times. */
 export function writeStatistics(
   table: ClassStatisticsTable,
   { now, wallClockMs }: ClockReading,
@@ -37,8 +37,8 @@
 }
 
 /**
- * Merges a record into the table. What cannot be read is skipped: it was written by another version,
- * and will be learned again.
+ * Merges a record into the table. Skips values of another format: a different version wrote them, and
+ * the statistics build up again from new jobs.
  */
 export function mergeRecordedStatistics(
   table: ClassStatisticsTable,
@@ -48,14 +48,14 @@
   if (!isMap(value) || !Array.isArray(value['classes'])) return;
   const toControllerClock = (at: unknown): number => now - Math.max(0, wallClockMs - Number(at));
   table.extendObservation(toControllerClock(value['since']));
-  // Earlier versions have recorded several classes together.
+  // Earlier versions stored several classes in one record.
   for (const record of value['classes'] as unknown[]) {
     const statistics = readClassStatistics(record, toControllerClock);
     if (statistics !== null) table.merge(statistics);
   }
 }
 
-/** `null`: not a record of this version. */
+/** Returns null if the value is not a class record of this version. */
 function readClassStatistics(
   record: unknown,
   toControllerClock: (at: unknown) => number,
--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -1,53 +1,54 @@
-/** What a leader has observed of each class of jobs: how often it comes, and how long its tasks stay. */
+/** Statistics of job classes: how often jobs are submitted, and how long tasks occupy their machines. */
 import type { Job } from '../../model/entities.js';
 import type { JobSpec } from '../../wire/jobs.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 
-/** What has been observed of one class. */
+/** The statistics of one class. */
 export interface ClassStatistics {
   /** The latest job of the class. */
   spec: JobSpec;
   /** Priority level of the latest job. */
   level: number;
-  /** Exponentially decaying count of the tasks submitted, as of `updatedAt`. */
+  /** Exponentially decaying count of the submitted tasks, as of `updatedAt`. */
   weight: number;
+  /** When the latest job was submitted, on the controller's clock. */
   updatedAt: number;
-  /** Decaying maximum of the tasks of one job, up to `MAX_LARGEST_JOB_TASKS`. */
+  /** Decaying maximum of the number of tasks in one job, at most `MAX_LARGEST_JOB_TASKS`. */
   largestJobTasks: number;
-  /** Decaying counts of jobs by image. */
+  /** Decaying number of jobs, by image. */
   images: Map<string, number>;
-  /** Mean time from assignment to end of a task; 0 until one has ended. */
+  /** Moving average of the time from the assignment to the end of a task; 0 until a task has ended. */
   occupancyMs: number;
 }
 
-/** Factor by which each job of a class lessens the counts of images and the largest job so far. */
+/** Each new job multiplies the image counts and the largest job size of its class by this factor. */
 const JOB_DECAY = 0.95;
 
-/** Weight of the newest occupancy in the mean. */
+/** Weight of the newest task in the moving average of occupancy times. */
 const NEWEST_OCCUPANCY_WEIGHT = 0.15;
 
-/** Headroom is kept for this many tasks of the next job at most. */
+/** Maximum number of tasks of the next job that headroom is kept for. */
 const MAX_LARGEST_JOB_TASKS = 4;
 
-/** Weight at which a class is forgotten: several times the memory after its last job. */
+/** A class with less weight is removed, which happens several decay time constants after its last job. */
 const MIN_WEIGHT = 0.005;
 
-/** Least time of observation that arrival rates count with, as a share of the memory. */
+/** Minimum observation time used for arrival rates, as a fraction of the decay time constant. */
 const MIN_OBSERVED_SHARE = 1 / 4;
 
-/** The statistics of all classes that have been submitted lately. */
+/** The statistics of all recently submitted classes. */
 export class ClassStatisticsTable {
   private readonly classes = new Map<string, ClassStatistics>();
 
   constructor(
-    /** Time constant with which arrivals are forgotten. */
+    /** Time constant, in ms, with which the counts of submitted tasks decay. */
     private readonly memoryMs: number,
     private readonly estimator: Pick<DurationEstimator, 'runMs'>,
-    /** Since when classes are observed, by this leader or those before. */
+    /** Since when this leader or its predecessors have observed submissions, on the controller's clock. */
     private observedSince: number,
   ) {}
 
-  /** Counts an accepted job. */
+  /** Adds an accepted job to the statistics of its class. */
   recordSubmission(job: Job, now: number): void {
     const { spec } = job;
     const existing = this.classes.get(spec.class);
@@ -66,7 +67,7 @@
     });
   }
 
-  /** Counts a task that has left its machine after `occupancyMs`. */
+  /** Adds a task that was on its machine for `occupancyMs` to the statistics of its class. */
   recordOccupancy(spec: JobSpec, occupancyMs: number): void {
     const existing = this.classes.get(spec.class);
     if (existing === undefined) return;
@@ -76,42 +77,42 @@
         : existing.occupancyMs + NEWEST_OCCUPANCY_WEIGHT * (occupancyMs - existing.occupancyMs);
   }
 
-  /** Whether anything has been observed of the class. */
+  /** Whether the table has statistics of the class. */
   has(className: string): boolean {
     return this.classes.has(className);
   }
 
-  /** Takes over what was observed since `observedSince`, unless something newer is known of the class. */
+  /** Adds the statistics of a class from a record, unless the table has newer ones of the class. */
   merge(statistics: ClassStatistics): void {
     const { spec, updatedAt } = statistics;
     if (updatedAt < (this.classes.get(spec.class)?.updatedAt ?? -Infinity)) return;
     this.classes.set(spec.class, statistics);
   }
 
-  /** An earlier leader has observed classes since then. */
+  /** Extends the observation period back to the time since which an earlier leader observed classes. */
   extendObservation(since: number): void {
     this.observedSince = Math.min(this.observedSince, since);
   }
 
-  /** How long classes have been observed. */
+  /** How long submissions have been observed, in ms. */
   observedMs(now: number): number {
     return now - this.observedSince;
   }
 
-  /** The statistics of all classes, in the order in which the classes were first seen. */
+  /** The statistics of all classes, in the order in which the classes were added to the table. */
   values(): ClassStatistics[] {
     return [...this.classes.values()];
   }
 
-  /** Forgets classes that have not come for long: users name them, so there could be any number. */
+  /** Removes classes without recent jobs. Users choose class names, so the table could grow without limit. */
   removeStale(now: number): void {
     for (const [className, statistics] of this.classes)
       if (this.weightAt(statistics, now) < MIN_WEIGHT) this.classes.delete(className);
   }
 
   /**
-   * Tasks of the class that are expected to be on machines at one time, by Little's law: their arrival
-   * rate times how long each stays.
+   * Returns the expected number of tasks of the class on machines at one time, by Little's law: their
+   * arrival rate times the mean time that a task occupies its machine.
    */
   expectedTasks(statistics: ClassStatistics, now: number): number {
     const { memoryMs } = this;
