--- a/src/controller/placement/capacity/capacity-claim.test.ts
+++ b/src/controller/placement/capacity/capacity-claim.test.ts
@@ -19,8 +19,12 @@
 describe('a claim for a waiting job', () => {
   const claim: CapacityClaim = { ...taskRequest, fillAt: 3000, headroom: null };
   const cases = [
-    { condition: 'that ends within the backfill ratio', endsAt: 2000, binds: false },
-    { condition: 'that ends later', endsAt: 2001, binds: true },
+    {
+      condition: 'that ends within the backfill ratio of the time until it is filled',
+      endsAt: 2000,
+      binds: false,
+    },
+    { condition: 'that ends 1 ms after that', endsAt: 2001, binds: true },
     { condition: 'that never ends', endsAt: Infinity, binds: true },
   ];
   for (const { condition, endsAt, binds } of cases)
@@ -41,10 +45,10 @@
     { condition: 'a smaller task', specOverrides: {}, binds: true },
     { condition: 'a task of higher priority', specOverrides: {}, level: 2, binds: false },
     { condition: 'a gang', specOverrides: { kind: 'gang' }, binds: false },
-    { condition: 'a task of the class itself', specOverrides: { class: 'large' }, binds: false },
-    { condition: 'a task that is nearly as large', specOverrides: { gpus: 3 }, binds: false },
+    { condition: 'a task of the same class', specOverrides: { class: 'large' }, binds: false },
+    { condition: 'a task of nearly the same size', specOverrides: { gpus: 3 }, binds: false },
   ];
-  for (const { condition, specOverrides: specOverrides, level = 1, binds } of cases)
+  for (const { condition, specOverrides, level = 1, binds } of cases)
     it(`${binds ? 'binds' : 'does not bind'} ${condition}`, () => {
       const spec = gpuArraySpec(specOverrides);
       assert.equal(claimBinds(claim, { ...query, spec, level }, bigMachineType), binds);
@@ -52,18 +56,18 @@
 });
 
 describe('dominantShare', () => {
-  it('is the share of the resource of which a task takes most', () => {
+  it('is the largest fraction of any resource of the machine that a task takes', () => {
     assert.equal(dominantShare({ cpus: 4, gpus: 1, memoryGb: 48 }, bigMachineType), 0.75);
     assert.equal(dominantShare({ cpus: 4, gpus: 2, memoryGb: 4 }, bigMachineType), 0.5);
   });
 
-  it('is the whole machine where its type is not known', () => {
+  it('is 1 if the machine type is unknown', () => {
     assert.equal(dominantShare(taskRequest, null), 1);
   });
 });
 
 describe('countClaimedSlots', () => {
-  it('counts slots of which claims take a part, by the resource that takes most', () => {
+  it('counts partly claimed slots as claimed, for the resource with the most claimed slots', () => {
     const claim = (cpus: number, gpus: number): CapacityClaim => ({
       ...{ cpus, gpus, memoryGb: 0, fillAt: 0, headroom: null },
     });
--- a/src/controller/placement/capacity/capacity-claim.ts
+++ b/src/controller/placement/capacity/capacity-claim.ts
@@ -1,44 +1,48 @@
 /**
- * Claims on the free capacity of a machine, made in the course of a placement pass: by gangs that fill
- * up their reservations, and for the headroom of classes. A claim binds only what ranks below it.
+ * Claims on the free capacity of a machine, made during a placement pass: by jobs that wait for capacity,
+ * such as gangs with reservations, and for the headroom of classes. A claim is said to bind a task if the
+ * task must not use the claimed capacity.
  */
 import type { MachineType } from '../../wire/cloud.js';
 import type { JobSpec } from '../../wire/jobs.js';
 import { AMOUNT_TOLERANCE, type ResourceRequest } from '../../model/resource-request.js';
 
-/** For which class headroom is kept, and against what: smaller tasks that rank no higher. */
+/** The class that headroom is kept for. It binds smaller tasks of the same or lower priority. */
 export interface HeadroomClaim {
   /** A job of the class. */
   spec: JobSpec;
   /** Priority level of the class. */
   level: number;
-  /** How many times as large as another task those of the class have to be to bind it. */
+  /**
+   * The headroom binds a task of another class only if the dominant share of a task of this class is at
+   * least this many times as large.
+   */
   minSizeRatio: number;
 }
 
 /** Claimed capacity of one machine. */
 export interface CapacityClaim extends ResourceRequest {
-  /** When all capacity that the claim is a part of should be free, on the controller's clock. */
+  /** When all capacity that the job or class waits for is expected to be free, on the controller's clock. */
   fillAt: number;
-  /** `null`: claimed for a job that waits. */
+  /** null if the capacity is claimed for a waiting job. */
   headroom: HeadroomClaim | null;
 }
 
-/** The tasks that claims may bind. */
+/** Describes the tasks for which claims are checked. */
 export interface ClaimQuery {
   spec: JobSpec;
   /** Priority level of the job. */
   level: number;
-  /** When the tasks should have ended; `Infinity` for a service. */
+  /** When the tasks are expected to end, on the controller's clock; `Infinity` for a service. */
   endsAt: number;
-  /** Share of the time until a claim is filled that a task beneath it may take. */
+  /** A task may backfill a claim if it ends within this ratio of the time until `fillAt`. */
   backfillRatio: number;
   now: number;
 }
 
 /**
- * Whether the claim takes its capacity from the tasks. It does not from a task that should be gone well
- * before the claim is filled: such work backfills the capacity.
+ * Returns whether the tasks must not use the claimed capacity. Tasks that are expected to end well before
+ * the claim is filled may backfill it.
  */
 export function claimBinds(
   claim: CapacityClaim,
@@ -60,7 +64,7 @@
   return wouldIntrude(headroom, spec, type);
 }
 
-/** Whether the task is one of those that the headroom is kept against, whatever their priority. */
+/** Returns whether the headroom is kept from tasks of this kind, without regard to their priority. */
 export function wouldIntrude(
   headroom: HeadroomClaim,
   spec: JobSpec,
@@ -71,7 +75,10 @@
   return dominantShare(headroom.spec, type) >= headroom.minSizeRatio * dominantShare(spec, type);
 }
 
-/** Share of a machine of the type that a task takes, by the resource of which it takes most. */
+/**
+ * Returns the largest of the fractions of the machine's CPUs, GPUs and memory that a task takes; 1 if the
+ * machine type is unknown.
+ */
 export function dominantShare(spec: ResourceRequest, type: MachineType | null): number {
   if (type === null) return 1;
   return Math.max(
@@ -81,7 +88,7 @@
   );
 }
 
-/** Slots of the size of the request that the claims take at least a part of. */
+/** Returns how many slots of the size of the request the claims take in whole or in part. */
 export function countClaimedSlots(
   claims: readonly CapacityClaim[],
   request: ResourceRequest,
--- a/src/controller/placement/capacity/cluster-capacity.ts
+++ b/src/controller/placement/capacity/cluster-capacity.ts
@@ -1,4 +1,4 @@
-/** The free capacity of all machines, as one placement pass sees it. */
+/** The free capacity of all machines during one placement pass. */
 import type { JobSpec } from '../../wire/jobs.js';
 import type { Machine } from '../../model/entities.js';
 import { isAllowed, type MachineKind } from './machine-kind.js';
@@ -9,16 +9,16 @@
   capacities: FreeCapacity[];
 }
 
-/** The free capacity of the machines of one pass, those of a kind together. */
+/** The free capacity of the machines of one pass, grouped by kind of machine. */
 export class ClusterCapacity {
-  /** One entry for each machine whose type is known, in the order in which they were given. */
+  /** One entry for each machine whose type is known, in the order of the constructor argument. */
   readonly all: FreeCapacity[] = [];
   readonly byMachineId = new Map<string, FreeCapacity>();
   private readonly kinds: CapacityOfKind[] = [];
 
   constructor(
     machines: Iterable<Machine>,
-    /** Bytes that the tasks of a machine may take in its record. */
+    /** Maximum number of bytes that a machine's tasks may take in its record at the state store. */
     recordLimitBytes: number,
   ) {
     const capacitiesByKind = new Map<string, FreeCapacity[]>();
@@ -39,7 +39,11 @@
     }
   }
 
-  /** Machines that the job's tasks may be on, by kind of machine; in one zone where one is named. */
+  /**
+   * Returns the machines on which the job's tasks are allowed, one list for each kind of machine.
+   *
+   * @param zone - only include machines of this zone; null includes all zones
+   */
   ofKindsAllowedFor(spec: JobSpec, zone: string | null = null): FreeCapacity[][] {
     const allowed: FreeCapacity[][] = [];
     for (const { kind, capacities } of this.kinds)
@@ -47,7 +51,7 @@
     return allowed;
   }
 
-  /** Zones that have machines which the job's tasks may be on. */
+  /** Returns the zones with machines on which the job's tasks are allowed. */
   zonesAllowedFor(spec: JobSpec): string[] {
     const zones = new Set<string>();
     for (const { kind } of this.kinds) if (isAllowed(spec, kind)) zones.add(kind.zone);
--- a/src/controller/placement/capacity/free-capacity.test.ts
+++ b/src/controller/placement/capacity/free-capacity.test.ts
@@ -14,7 +14,7 @@
     endsAt: number,
   ): number => capacity.countFitting({ spec, level, endsAt, backfillRatio: 0.9, now: 0 });
 
-  it('counts whole tasks by the scarcest resource', () => {
+  it('counts the whole tasks that fit, limited by the scarcest resource', () => {
     assert.equal(capacityOf().countFittingIgnoringClaims(resourceRequestOf(gang)), 4);
     assert.equal(
       capacityOf().countFittingIgnoringClaims({ cpus: 16.0000001, gpus: 0, memoryGb: 0 }),
@@ -23,7 +23,7 @@
     assert.equal(capacityOf().countFittingIgnoringClaims({ cpus: 1, gpus: 0, memoryGb: 33 }), 1);
   });
 
-  it('lets lower ranks use claimed capacity only for work that ends before the reservation is filled', () => {
+  it('admits tasks to claimed capacity only if they end within the backfill ratio', () => {
     const capacity = capacityOf();
     capacity.claimForTask({ cpus: 8, gpus: 3, memoryGb: 8 }, 100_000);
     assert.equal(countFitting(capacity, gang, 1, 95_000), 1);
@@ -31,7 +31,7 @@
     assert.equal(countFitting(capacity, gang, 1, Infinity), 1, 'a service never ends');
   });
 
-  it('keeps headroom from small arrays, not from gangs or higher priorities', () => {
+  it('denies headroom to small job arrays, but not to gangs or jobs of higher priority', () => {
     const capacity = capacityOf();
     const wholeMachineGang = gpuArraySpec({ kind: 'gang', class: 'whole', gpus: 4, cpus: 14 });
     capacity.claimHeadroom(1, 0, { spec: wholeMachineGang, level: 1, minSizeRatio: 1.5 });
--- a/src/controller/placement/capacity/free-capacity.ts
+++ b/src/controller/placement/capacity/free-capacity.ts
@@ -1,4 +1,4 @@
-/** The free capacity of one machine, as a placement pass sees it. */
+/** The free capacity of one machine during a placement pass. */
 import type { JobSpec } from '../../wire/jobs.js';
 import {
   AMOUNT_TOLERANCE,
@@ -16,48 +16,48 @@
 } from './capacity-claim.js';
 import type { MachineForecast } from './machine-forecast.js';
 
-/** Where the size of the machine's record is of no interest. */
+/** Used for queries without `record`, which do not check the size of the machine's record. */
 const NO_RECORD_SPACE: RecordSpace = { bytesPerJob: 0, bytesPerTask: 1 };
 
-/** What decides how many tasks of a job fit on a machine. */
+/** Determines how many tasks of a job fit on a machine. */
 export interface FitQuery extends ClaimQuery {
-  /** What the tasks take in the machine's record. */
+  /** Bytes that the tasks take in the machine's record; if missing, the size of the record is ignored. */
   record?: RecordSpace;
 }
 
-/** The free capacity of one machine. Amounts are always those that the machine now has free. */
+/** The free capacity of one machine. Free amounts always follow the tasks that are now on the machine. */
 export class FreeCapacity {
-  /** Nothing may be placed on the machine, for now. */
+  /** Whether placement on the machine is excluded. */
   unschedulable = false;
-  /** Claims of jobs that had their turn earlier in this pass, and of headroom. */
+  /** Claims of jobs that were considered earlier in this pass, and claims of class headroom. */
   readonly claims: CapacityClaim[] = [];
-  /** Made when it is first asked for, and dropped when a task is started on the machine. */
+  /** Cached forecast: null until it is first needed, and again after a task is started on the machine. */
   forecast: MachineForecast | null = null;
 
   constructor(
     readonly machine: Machine,
-    /** Bytes that the tasks of a machine may take in its record. */
+    /** Maximum number of bytes that the machine's tasks may take in its record at the state store. */
     private readonly recordLimitBytes: number,
-    /** Place among the machines of the pass: decides between equals. */
+    /** Position among the machines of the pass, which breaks ties between machines of equal score. */
     readonly index = 0,
   ) {}
 
-  /** Processors that no task takes. */
+  /** Unallocated CPUs. */
   get cpus(): number {
     return (this.machine.type?.cpus ?? 0) - this.machine.cpus;
   }
 
-  /** GPUs that no task takes. */
+  /** Unallocated GPUs. */
   get gpus(): number {
     return (this.machine.type?.gpus ?? 0) - this.machine.gpus;
   }
 
-  /** Memory that no task takes. */
+  /** Unallocated memory in GB. */
   get memoryGb(): number {
     return (this.machine.type?.memoryGb ?? 0) - this.machine.memoryGb;
   }
 
-  /** Whether at least one task would fit without the claims. Cheap: it is asked of every machine. */
+  /** Returns whether at least one task fits if claims are ignored. A cheap check to run on each machine. */
   fitsIgnoringClaims(request: ResourceRequest): boolean {
     const { machine } = this;
     const { type } = machine;
@@ -70,7 +70,7 @@
     );
   }
 
-  /** Tasks that fit now beside the claims that bind them. */
+  /** Returns how many tasks fit now, without the capacity of the claims that bind them. */
   countFitting(query: FitQuery): number {
     if (this.unschedulable) return 0;
     const { type } = this.machine;
@@ -87,12 +87,12 @@
     return Math.max(0, Math.min(recordSlots, countFittingTasks(spec, cpus, gpus, memoryGb)));
   }
 
-  /** Tasks that would fit now without the claims. */
+  /** Returns how many tasks fit now if claims and the size of the record are ignored. */
   countFittingIgnoringClaims(request: ResourceRequest): number {
     return countFittingTasks(request, this.cpus, this.gpus, this.memoryGb);
   }
 
-  /** Whether headroom of other classes is kept against tasks like this one. */
+  /** Returns whether the machine has headroom of another class that is kept from tasks of this kind. */
   intrudesOnHeadroom(spec: JobSpec): boolean {
     const { type } = this.machine;
     for (const { headroom } of this.claims)
@@ -100,7 +100,7 @@
     return false;
   }
 
-  /** Claims headroom for so many tasks of a class. */
+  /** Claims headroom for `count` tasks of a class. */
   claimHeadroom(count: number, fillAt: number, headroom: HeadroomClaim): void {
     const { cpus, gpus, memoryGb } = headroom.spec;
     this.claims.push({
@@ -112,7 +112,7 @@
     });
   }
 
-  /** Claims capacity for one task of a job that waits. */
+  /** Claims capacity for one task of a waiting job. */
   claimForTask({ cpus, gpus, memoryGb }: ResourceRequest, fillAt: number): void {
     this.claims.push({ cpus, gpus, memoryGb, fillAt, headroom: null });
   }
--- a/src/controller/placement/capacity/hypothetical-capacity.ts
+++ b/src/controller/placement/capacity/hypothetical-capacity.ts
@@ -1,10 +1,10 @@
-/** Counting of what a machine would have free without some of its tasks. */
+/** Computes the capacity that a machine would have free without some of its tasks. */
 import { AMOUNT_TOLERANCE, type ResourceRequest } from '../../model/resource-request.js';
 import type { FreeCapacity } from './free-capacity.js';
 
 /**
- * What would be free on a machine if some of its tasks were gone. One object serves all machines in
- * turn, so that a search over them allocates nothing.
+ * The capacity that would be free on a machine if some of its tasks ended. One object is reused for all
+ * machines, so that a search over them allocates no memory.
  */
 export class HypotheticalCapacity {
   private cpus = 0;
@@ -12,8 +12,8 @@
   private memoryGb = 0;
 
   /**
-   * Starts with what the machine has free beside the claims of jobs that wait, and `plannedTasks` tasks
-   * of the job itself. Headroom is left out: a reservation may use it.
+   * Starts from the free capacity of the machine, less the claims of waiting jobs and less `plannedTasks`
+   * tasks of the job. Headroom claims are not subtracted, since a reservation may use headroom.
    */
   reset(capacity: FreeCapacity, request: ResourceRequest, plannedTasks: number): void {
     this.cpus = capacity.cpus - request.cpus * plannedTasks;
@@ -22,21 +22,21 @@
     for (const claim of capacity.claims) if (claim.headroom === null) this.allocate(claim);
   }
 
-  /** A task would be gone. */
+  /** Adds the resources of a task, as if it had ended. */
   release(request: ResourceRequest): void {
     this.cpus += request.cpus;
     this.gpus += request.gpus;
     this.memoryGb += request.memoryGb;
   }
 
-  /** A task would be there. */
+  /** Subtracts the resources of a task, as if it had started. */
   allocate(request: ResourceRequest): void {
     this.cpus -= request.cpus;
     this.gpus -= request.gpus;
     this.memoryGb -= request.memoryGb;
   }
 
-  /** Whether one more such task would fit. */
+  /** Returns whether a task with this request would fit. */
   fits(request: ResourceRequest): boolean {
     return (
       request.gpus <= this.gpus + AMOUNT_TOLERANCE &&
--- a/src/controller/placement/capacity/machine-forecast.ts
+++ b/src/controller/placement/capacity/machine-forecast.ts
@@ -1,23 +1,23 @@
-/** What is to be expected of the tasks on one machine. */
+/** The forecast of when the tasks on one machine end. */
 import type { Assignment } from '../../model/entities.js';
 
-/** When a task should have left its machine by itself. */
+/** When a task is expected to end if it is not preempted. */
 export interface ExpectedEnd {
   assignment: Assignment;
-  /** On the controller's clock; `Infinity`: never. */
+  /** On the controller's clock; `Infinity` if the task is not expected to end. */
   endsAt: number;
 }
 
-/** When the tasks of a machine should end, and which of them a job might preempt. */
+/** When the tasks of a machine are expected to end, and whether some of them might be preempted. */
 export interface MachineForecast {
-  /** Earliest first. */
+  /** Sorted by time, earliest first. */
   expectedEnds: ExpectedEnd[];
-  /** Some tasks are being stopped. */
+  /** Whether any task is being stopped. */
   hasStopping: boolean;
-  /** The longest time that any of the tasks needs to save a checkpoint when it is stopped. */
+  /** The longest time, in ms, that any of the tasks needs to save a checkpoint when it is stopped. */
   longestSaveMs: number;
-  /** Lowest priority level of the tasks that are old enough to be preempted. */
+  /** Lowest priority level of the tasks that have run long enough to be preempted; `Infinity` if none has. */
   lowestLevel: number;
-  /** Some of these are outside their team's guarantee. */
+  /** Whether any of the tasks that have run long enough is outside its team's guarantee. */
   hasUnguaranteed: boolean;
 }
--- a/src/controller/placement/capacity/machine-kind.ts
+++ b/src/controller/placement/capacity/machine-kind.ts
@@ -1,15 +1,15 @@
-/** Kinds of machines: machines of one kind differ for a job only in what is on them. */
+/** Kinds of machines: machines of one kind differ only in their tasks and cached images. */
 import type { MachineType } from '../../wire/cloud.js';
 import type { JobSpec } from '../../wire/jobs.js';
 
-/** Type, zone and market (spot or on-demand) of machines. */
+/** A combination of machine type, zone and market (spot or on-demand). */
 export interface MachineKind {
   type: MachineType;
   zone: string;
   spot: boolean;
 }
 
-/** Whether the job's tasks may be on machines of this kind at all. */
+/** Returns whether the job's tasks are allowed on machines of this kind, and fit on an empty one. */
 export function isAllowed(spec: JobSpec, { type, zone, spot }: MachineKind): boolean {
   return (
     (spec.types === null || spec.types.includes(type.name)) &&
--- a/src/controller/placement/capacity/schedulable-machines.test.ts
+++ b/src/controller/placement/capacity/schedulable-machines.test.ts
@@ -7,7 +7,7 @@
 describe('isSchedulable', () => {
   const responsiveWorkers = { isAlive: () => true };
 
-  it('accepts a machine whose worker has reported in this term', () => {
+  it('accepts a machine whose worker is responsive and has acknowledged its token', () => {
     assert.ok(isSchedulable(bigMachine(), 0, responsiveWorkers));
   });
 
--- a/src/controller/placement/capacity/schedulable-machines.ts
+++ b/src/controller/placement/capacity/schedulable-machines.ts
@@ -1,12 +1,16 @@
-/** Which machines tasks may be placed on. */
+/** Determines the machines on which tasks may be placed. */
 import type { Machine } from '../../model/entities.js';
 
-/** Tells whether a machine's worker has been heard lately. */
+/** Reports whether workers send heartbeats. */
 export interface WorkerLiveness {
+  /** Whether a recent heartbeat of the machine's worker was received. */
   isAlive(machine: Machine): boolean;
 }
 
-/** Whether tasks may be placed on the machine now: its worker is known and responsive, and it stays. */
+/**
+ * Returns whether tasks may be placed on the machine now: its type is known, its worker is responsive and has
+ * acknowledged its token, and it is not quarantined, failed, being released or about to be interrupted.
+ */
 export function isSchedulable(machine: Machine, now: number, workers: WorkerLiveness): boolean {
   return (
     machine.type !== null &&
--- a/src/controller/placement/capacity/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -1,12 +1,15 @@
-/** How a job's tasks may be divided among zones. */
+/** Rules for the distribution of a job's tasks over zones. */
 import type { Job } from '../../model/entities.js';
 import type { JobSpec } from '../../wire/jobs.js';
 import type { ClusterCapacity } from './cluster-capacity.js';
 
-/** Tasks of one job by zone. */
+/** Number of tasks of one job, by zone. */
 export type TasksByZone = Map<string, number>;
 
-/** Counts the job's tasks by zone, those included that are not proven gone (docs/design.md, 5). */
+/**
+ * Counts the job's tasks by zone. A task counts until it is proven to be no longer on its machine
+ * (invariant 5).
+ */
 export function tasksByZone(job: Job): TasksByZone {
   const counts: TasksByZone = new Map();
   for (const assignment of job.allAssignments) {
@@ -16,29 +19,29 @@
   return counts;
 }
 
-/** Counts further tasks in a zone. */
+/** Adds tasks to the count of a zone. */
 export function addTasks(counts: TasksByZone, zone: string, tasks: number): void {
   counts.set(zone, (counts.get(zone) ?? 0) + tasks);
 }
 
-/** Most tasks of a spread job that one zone may have. */
+/** Returns the maximum number of tasks of a spread job in one zone. */
 function spreadLimit(spec: JobSpec): number {
   return Math.ceil(spec.tasks / 2);
 }
 
-/** How many more tasks of a spread job a zone may take that has `tasks` of them. */
+/** Returns how many more tasks of a spread job are allowed in a zone that has `tasks` of them. */
 export function spreadAllowance(spec: JobSpec, tasks: number): number {
   return spreadLimit(spec) - tasks;
 }
 
-/** How many more tasks of the job a zone may take. */
+/** Returns how many more tasks of the job are allowed in the zone; `Infinity` if there is no limit. */
 export function zoneAllowance(spec: JobSpec, zone: string, counts: TasksByZone): number {
   if (spec.singleZone)
     for (const [other, tasks] of counts) if (tasks > 0 && other !== zone) return 0;
   return spec.spread ? spreadAllowance(spec, counts.get(zone) ?? 0) : Infinity;
 }
 
-/** Zones to search one by one for a gang that asks for a single zone; otherwise `null`, for all at once. */
+/** Returns the zones to search one at a time for a single-zone gang, or null for all zones together. */
 export function zoneChoices(cluster: ClusterCapacity, spec: JobSpec): (string | null)[] {
   return spec.singleZone ? cluster.zonesAllowedFor(spec) : [null];
 }
