--- a/src/controller/placement/draining/machine-drainer.test.ts
+++ b/src/controller/placement/draining/machine-drainer.test.ts
@@ -5,7 +5,7 @@
 describe('a spot machine with an interruption notice', () => {
   const NOTICE_S = 30;
 
-  it('gives its replica up at once where another machine has capacity and the image', () => {
+  it('loses its replica at once if another machine has capacity and caches the image', () => {
     const cluster = serviceCluster([{ spot: true, images: ['i'] }]);
     const job = cluster.add({ tasks: 1 });
     cluster.run(3);
@@ -18,7 +18,7 @@
     assert.equal(job.runningCount, 1);
   });
 
-  it('keeps its replica until shortly before the interruption where no other has capacity', () => {
+  it('keeps its replica until shortly before the interruption if no other machine has capacity', () => {
     const cluster = serviceCluster([{ spot: true, images: ['i'] }]);
     const job = cluster.add({ tasks: 1 });
     cluster.run(3);
@@ -26,10 +26,14 @@
     cluster.run(NOTICE_S - 2 * serviceSettings.platform.workers.heartbeatIntervalS);
     assert.equal(cluster.tasksByMachine(job).get('n-0'), 1);
     cluster.run(2 * serviceSettings.platform.workers.heartbeatIntervalS - 1);
-    assert.equal(cluster.tasksByMachine(job).size, 0, 'stopped in time');
+    assert.equal(
+      cluster.tasksByMachine(job).size,
+      0,
+      'the replica is stopped before the interruption',
+    );
   });
 
-  it('gives up only as many replicas as can start at once elsewhere', () => {
+  it('loses only as many replicas as another machine can start without delay', () => {
     const cluster = serviceCluster([{ spot: true, images: ['i'] }]);
     const job = cluster.add({ tasks: 4 });
     cluster.run(3);
@@ -42,9 +46,16 @@
     for (let i = 0; i < 8; i++) {
       cluster.step();
       const replicaCount = [...cluster.tasksByMachine(job).values()].reduce((sum, n) => sum + n, 0);
-      assert.ok(replicaCount >= 3, `${replicaCount} of 4 replicas after ${i} s`);
+      assert.ok(
+        replicaCount >= 3,
+        `${replicaCount} of 4 replicas are assigned after ${i} s, expected at least 3`,
+      );
     }
-    assert.equal(cluster.tasksByMachine(job).get('n-1'), 1, 'the place ready is used');
+    assert.equal(
+      cluster.tasksByMachine(job).get('n-1'),
+      1,
+      'one replica uses the free capacity of n-1',
+    );
     assert.equal(cluster.tasksByMachine(job).get('n-0'), 3);
   });
 });
--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -1,4 +1,4 @@
-/** Draining of machines that will be interrupted or released. */
+/** Draining of machines that are about to be interrupted or released. */
 import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
@@ -8,10 +8,13 @@
 import { countFittingTasks, resourceRequestOf } from '../../model/resource-request.js';
 import { spreadAllowance } from '../capacity/zones.js';
 
-/** A replica leaves its machine at least this long before the interruption, in heartbeat intervals. */
+/** A replica is stopped at least this many heartbeat intervals before its machine is interrupted. */
 const MIGRATION_LEAD_INTERVALS = 1.5;
 
-/** Evicts tasks from machines that will be interrupted or released, where that saves work. */
+/**
+ * Evicts tasks from machines that are about to be interrupted or released, if they would not end in time.
+ * Running tasks with checkpoints can then save their work first.
+ */
 export class MachineDrainer {
   private readonly migrations = new Migrations();
 
@@ -23,7 +26,7 @@
     private readonly isSchedulable: (machine: Machine, now: number) => boolean,
   ) {}
 
-  /** Evicts the tasks that have to leave their machines now. */
+  /** Evicts the tasks that have to be stopped now. */
   run(now: number): void {
     this.migrations.removeFinished();
     for (const machine of this.workers.machines.values()) {
@@ -35,7 +38,10 @@
     }
   }
 
-  /** Evicts a task that would not end in time by itself. */
+  /**
+   * Stops the task, and with it its whole gang, unless it is expected to end in time. A replica of a service
+   * is stopped only when its migration is due.
+   */
   private evictUnlessDoneInTime(
     assignment: Assignment,
     timeLeftOnMachineMs: number,
@@ -56,7 +62,10 @@
     else this.workers.stop(assignment, graceS, 'machine drained');
   }
 
-  /** A replica migrates as soon as it can start elsewhere at once, and otherwise as late as is safe. */
+  /**
+   * Returns whether the replica is to be stopped now: as soon as another machine can start it without delay,
+   * and otherwise shortly before the interruption. Reserves capacity on that other machine.
+   */
   private migratesNow(
     assignment: Assignment,
     job: Job,
@@ -71,7 +80,10 @@
     return true;
   }
 
-  /** A machine with the image and capacity that no other replica migrates to; `null`: there is none. */
+  /**
+   * Returns a machine that caches the image and has capacity which no other migration reserves; null if
+   * there is none.
+   */
   private findDestination(assignment: Assignment, job: Job, now: number): Machine | null {
     const { spec } = job;
     const request = resourceRequestOf(spec);
@@ -91,7 +103,7 @@
   }
 }
 
-/** Whether a replica that leaves its machine may start in the zone, beside the others of its service. */
+/** Returns whether the zone rules of the service allow the migrating replica to start in the zone. */
 function zoneAllows({ allAssignments, spec }: Job, migrating: Assignment, zone: string): boolean {
   let replicasInZone = 0;
   for (const assignment of allAssignments) {
--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -1,35 +1,38 @@
-/** Migrations of replicas from machines that are drained. */
+/** Migrations of service replicas away from machines that are being drained. */
 import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { ResourceRequest } from '../../model/resource-request.js';
 
-/** A replica that was stopped because it can start at once on another machine. */
+/** A replica that was stopped because another machine can start it without delay. */
 interface Migration {
   oldAssignment: Assignment;
   job: Job;
   destination: Machine;
 }
 
-/** The migrations that are not over: what they take on their destinations is not there for others. */
+/**
+ * The migrations in progress. Each reserves capacity on its destination, so that other replicas do not
+ * migrate to the same capacity.
+ */
 export class Migrations {
   private migrations: Migration[] = [];
 
-  /** The replica leaves its machine and is to start again on the other. */
+  /** Adds a replica that is about to be stopped on its machine and restarted on the destination. */
   begin(oldAssignment: Assignment, job: Job, destination: Machine): void {
-    this.migrations.push({ oldAssignment: oldAssignment, job, destination: destination });
+    this.migrations.push({ oldAssignment, job, destination });
   }
 
-  /** Forgets the migrations that are over: the replica is assigned again, or its job has ended. */
+  /** Removes the migrations whose replica has been assigned again or whose job has ended. */
   removeFinished(): void {
-    this.migrations = this.migrations.filter(({ oldAssignment: oldAssignment, job }) => {
+    this.migrations = this.migrations.filter(({ oldAssignment, job }) => {
       const current = job.currentAssignments.get(oldAssignment.task);
       return job.terminalState === null && (current === undefined || current === oldAssignment);
     });
   }
 
-  /** What the replicas that migrate to the machine will take there. */
+  /** Returns the resources reserved on the machine by replicas that migrate to it. */
   reservedOn(machine: Machine): ResourceRequest {
     const reserved = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const { oldAssignment: oldAssignment, destination: destination } of this.migrations) {
+    for (const { oldAssignment, destination } of this.migrations) {
       if (destination !== machine) continue;
       reserved.cpus += oldAssignment.request.cpus;
       reserved.gpus += oldAssignment.request.gpus;
