--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -6,8 +6,9 @@
 import { DurationEstimator } from './duration-estimator.js';
 
 describe('estimated image fetch', () => {
-  // Rough day, caroni: two gangs with different images on one machine fetched for 50 s instead of 25.
-  it('counts what is fetched at the same time, and nothing where the image is there', () => {
+  // Guards against estimates that ignore concurrent fetches: two gangs with different images on one machine
+  // each fetched for 50 s instead of the estimated 25 s.
+  it('adds the images fetched at the same time, and is 0 if the image is cached', () => {
     const machine = bigMachine();
     const estimator = new DurationEstimator();
     const spec = gpuArraySpec({ image: 'x', imageGb: 10 });
@@ -25,7 +26,7 @@
   });
 });
 
-describe('estimated rest of a run', () => {
+describe('estimated remaining run time', () => {
   const machine = bigMachine();
   const remainingRunMs = (
     estimator: DurationEstimator,
@@ -39,9 +40,9 @@
     );
   };
 
-  // Fleet day busy: gangs of owners who err much seemed nearly done for minutes, and reservations
-  // waited for them instead of preempting.
-  it('is longer for a class whose estimates are less reliable, and never zero', () => {
+  // Guards against trust in unreliable estimates: gangs of users with inaccurate estimates appeared to be
+  // almost done for minutes, and reservations waited for them instead of preempting.
+  it('is longer for a class with less reliable estimates, and always positive', () => {
     const reliable = new DurationEstimator();
     const unreliable = new DurationEstimator();
     const spec = gpuArraySpec({ estimatedRunS: 100 });
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -3,38 +3,43 @@
 import { isMap } from '../../wire/cbor.js';
 import type { JobSpec } from '../../wire/jobs.js';
 
-/** Weight of the newest run in the statistics of its class. */
+/** Weight of the newest run in the moving averages of its class. */
 const NEWEST_RUN_WEIGHT = 0.15;
 
-/** A run counts as this many times its estimate at most, and as the inverse at least. */
+/** The ratio of actual to estimated run time is limited to this value, and to its inverse from below. */
 const MAX_RUN_TIME_RATIO = 4;
 
-/** Classes remembered; users name them, so there could be any number. */
+/** Maximum number of classes with statistics. Users choose class names, so there could be any number. */
 const MAX_TRACKED_CLASSES = 40;
 
-/** Classes with longer names are not recorded. */
+/** The statistics of classes with names of more characters are not exported. */
 const MAX_EXPORTED_NAME_LENGTH = 64;
 
-/** Standard deviation of the logarithm of a run's ratio to its estimate, before anything is known. */
+/**
+ * Standard deviation of the logarithm of the ratio of actual to estimated run time, for a class without
+ * observed runs.
+ */
 const PRIOR_DEVIATION = 0.5;
 
-/** The least standard deviation that is counted with. */
+/** Lower bound of the standard deviation used in estimates. */
 const MIN_DEVIATION = 0.1;
 
-/** The least time in which a task that is being stopped is taken to be gone. */
+/** Lower bound, in ms, of the estimated time until a task that is being stopped has ended. */
 const MIN_STOP_MS = 500;
 
-/** The least rest of a run that has no estimate, and its rest as a share of what it has taken. */
+/** Lower bound, in ms, of the remaining run time of a task whose job has no run time estimate. */
 const MIN_REMAINING_RUN_MS = 1000;
+
+/** Ratio of remaining to elapsed run time, for a job without an estimate or a run far beyond it. */
 const REMAINING_TO_ELAPSED_RATIO = 1 / 4;
 
-/** Ratios of a class's runs to the estimates that came with the jobs, as logarithms. */
+/** Mean and variance of the logarithm of the ratio of actual to estimated run time, for one class. */
 interface RunTimeStatistics {
   mean: number;
   variance: number;
 }
 
-/** Whether the task may still be waiting for its image. */
+/** Returns whether the worker may still be fetching the image of the task. */
 function mayBeFetching(assignment: Assignment): assignment is Assignment & { job: Job } {
   return (
     assignment.job !== null &&
@@ -44,13 +49,14 @@
 }
 
 /**
- * Estimates durations. The run times that users give err by half, and at times all one way: so they are
- * corrected by what each class was observed to take, and trusted as far as its runs agreed with them.
+ * Estimates run times and image fetch times. The run time estimates of users are often wrong by half, and
+ * sometimes all in the same direction. They are therefore corrected by the mean ratio observed for the
+ * class, and weighted by how closely the runs of the class agreed with their estimates.
  */
 export class DurationEstimator {
   private readonly statistics = new Map<string, RunTimeStatistics>();
 
-  /** Learns from a task that has run for `ranMs`. */
+  /** Adds a task that has run for `ranMs` to the statistics of its class. */
   observe(spec: JobSpec, ranMs: number): void {
     if (spec.estimatedRunS <= 0 || ranMs <= 0) return;
     const ratio = ranMs / (spec.estimatedRunS * 1000);
@@ -72,7 +78,7 @@
     return this.statistics.get(className) ?? { mean: 0, variance: PRIOR_DEVIATION ** 2 };
   }
 
-  /** What has been learned, for the next leader: mean and variance by class. */
+  /** Returns mean and variance by class name, to be stored for the next leader. */
   exportStatistics(): Record<string, [number, number]> {
     const exportedClasses = [...this.statistics].filter(
       ([className]) => className.length <= MAX_EXPORTED_NAME_LENGTH,
@@ -82,7 +88,7 @@
     );
   }
 
-  /** Takes over what an earlier leader has learned; what is not of this form is skipped. */
+  /** Restores the statistics that an earlier leader exported; malformed entries are skipped. */
   importStatistics(exported: unknown): void {
     if (!isMap(exported)) return;
     for (const [className, entry] of Object.entries(exported)) {
@@ -92,19 +98,19 @@
     }
   }
 
-  /** How long a task of the job should run; `Infinity` for a service. */
+  /** Returns the estimated run time of a task of the job in ms; `Infinity` for a service. */
   runMs(spec: JobSpec): number {
     if (spec.kind === 'service') return Infinity;
     return spec.estimatedRunS * 1000 * Math.exp(this.statisticsOf(spec.class).mean);
   }
 
-  /** How long a task that is assigned to the machine now waits for its image. */
+  /** Returns how long, in ms, a task assigned to the machine now would wait for its image. */
   fetchMs(spec: JobSpec, machine: Machine, now: number): number {
     if (machine.images.has(spec.image)) return 0;
     const gbPerS = machine.type?.fetchGbPerS ?? 0;
     if (gbPerS <= 0) return 0;
-    // Images that are fetched at the same time share the rate; each delays by at most its own size.
-    // A machine fetches an image once, so a task joins a fetch that is under way.
+    // Images that are fetched at the same time share the fetch rate, so each adds at most its own size.
+    // A machine fetches an image only once, so a task waits for a fetch that is already in progress.
     let fetchGb = spec.imageGb;
     let fetchStartedAt = now;
     let otherImages: Set<string> | null = null;
@@ -122,7 +128,7 @@
     return Math.max(0, (fetchGb / gbPerS) * 1000 - (now - fetchStartedAt));
   }
 
-  /** Whether a task on the machine would need an image fetch of its own. */
+  /** Returns whether the image of the task is neither cached on the machine nor being fetched there. */
   needsFetch(spec: JobSpec, machine: Machine): boolean {
     if (machine.images.has(spec.image)) return false;
     for (const assignment of machine.assignments.values())
@@ -130,7 +136,7 @@
     return true;
   }
 
-  /** Time until the task should have left its machine by itself. */
+  /** Returns the estimated time, in ms, until the task ends without being preempted. */
   remainingMs(assignment: Assignment, now: number): number {
     if (assignment.stop !== null || assignment.job === null)
       return Math.max(
@@ -144,9 +150,9 @@
   }
 
   /**
-   * How much longer a run should take after `elapsedMs`: the median of the rest, where run times have a
-   * log-logistic distribution about the estimate. So a task of a class with unreliable estimates is not
-   * taken to be nearly done because its estimate says so, nor because the estimate is over.
+   * Returns the median of the remaining run time after `elapsedMs`, for run times with a log-logistic
+   * distribution around the estimate. A task of a class with unreliable estimates is therefore not assumed
+   * to end soon because its estimated run time is almost over or has passed.
    */
   private remainingRunMs(spec: JobSpec, elapsedMs: number): number {
     const runMs = this.runMs(spec);
--- a/src/controller/placement/estimates/start-deadlines.test.ts
+++ b/src/controller/placement/estimates/start-deadlines.test.ts
@@ -13,14 +13,14 @@
     { runMs: () => 10_000 },
   );
 
-  it('leave time for the run, and include the guarantee only for jobs inside it', () => {
+  it('leave time for the run, and include the guarantee objective only for guaranteed jobs', () => {
     const job = gpuJob();
     assert.deepEqual(deadlines.of(job), [30_000, 86_000, 0]);
     job.guaranteed = true;
     assert.deepEqual(deadlines.of(job), [30_000, 60_000, 86_000, 0]);
   });
 
-  it('skip those that the job has missed already', () => {
+  it('next skips deadlines that the job has already missed', () => {
     assert.equal(deadlines.next(gpuJob(), 1), 30_000);
     assert.equal(deadlines.next(gpuJob(), 30_001), 86_000);
     assert.equal(deadlines.next(gpuJob(), 86_001), Infinity);
--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -1,12 +1,12 @@
-/** Start deadlines: when a job has to start at the latest to meet its objectives. */
+/** Start deadlines: the latest times at which a job can start and still meet its objectives. */
 import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { DurationEstimator } from './duration-estimator.js';
 
-/** A run is allowed to take this many times its estimate when its start deadline is set. */
+/** Start deadlines leave time for a run of this many times its estimate. */
 const RUN_TIME_MARGIN_FACTOR = 1.3;
 
-/** The settings that start deadlines follow from. */
+/** The settings that determine start deadlines. */
 export type StartDeadlineSettings = Pick<
   Settings,
   'objectivesFor' | 'guaranteeObjectiveMs' | 'heartbeatIntervalMs'
@@ -20,12 +20,12 @@
   ) {}
 
   /**
-   * The job's start deadlines, as times since its submission and in no order: for the start objective of
-   * its class, its team's guarantee, and each time by which it should have ended.
+   * Returns the job's start deadlines, in ms since its submission and in no particular order: one for each
+   * start objective of its class, for its team's guarantee, and for each time by which the job should end.
    */
   of(job: Job): number[] {
     const { spec } = job;
-    // Estimates err; a start at the last moment would as likely as not be late.
+    // Without a margin, a job started at its deadline would end late whenever the estimate is too low.
     const runMs =
       this.estimator.runMs(spec) * RUN_TIME_MARGIN_FACTOR + this.settings.heartbeatIntervalMs;
     const { starts, ends } = this.settings.objectivesFor(spec.class, spec.deadlineS);
@@ -36,7 +36,11 @@
     return deadlines;
   }
 
-  /** The next start deadline that the job can still meet; `Infinity` if there is none. */
+  /**
+   * Returns the next start deadline that the job can still meet; `Infinity` if there is none.
+   *
+   * @param waitedMs - time since the job was submitted
+   */
   next(job: Job, waitedMs: number): number {
     return Math.min(...this.of(job).filter((deadline) => deadline >= waitedMs));
   }
