--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -32,7 +32,7 @@
 const SPOT_SCORE = 0.7;
 
 /** Weight, in the score of a machine, of the dominant share of it that a task of the class takes. */
-const DOMINANT_SHARE_WEIGHT = 0.5;
+const TASK_SIZE_WEIGHT = 0.5;
 
 /** A class and the machines on which its tasks are allowed. */
 interface ClassWithMachines {
@@ -216,7 +216,5 @@
   const cachedShare = totalWeight > 0 ? cachedWeight / totalWeight : 0;
   const freeScore = capacity.countFittingIgnoringClaims(resourceRequestOf(spec)) > 0 ? 1 : 0;
   const spotScore = spec.spot && machine.spot ? SPOT_SCORE : 0;
-  return (
-    cachedShare + freeScore + spotScore + dominantShare(spec, machine.type) * DOMINANT_SHARE_WEIGHT
-  );
+  return cachedShare + freeScore + spotScore + dominantShare(spec, machine.type) * TASK_SIZE_WEIGHT;
 }
