--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -136,18 +136,15 @@
   ): void {
     const { spec, level } = statistics;
     const slots = findSlots(statistics, capacities);
-    let unclaimedSlots = this.slotsToKeep(statistics, slots, now);
-    if (unclaimedSlots <= 0) return;
+    let slotsToClaim = this.slotsToKeep(statistics, slots, now);
+    if (slotsToClaim <= 0) return;
     slots.machines.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
     const objectiveMs = waitingClasses.has(spec.class) ? null : this.startObjectiveMs(spec.class);
     for (const { capacity, slots: unusedSlots } of slots.machines) {
-      if (unclaimedSlots <= 0) break;
-      const count = Math.min(
-        unclaimedSlots,
-        unusedSlots - countClaimedSlots(capacity.claims, spec),
-      );
+      if (slotsToClaim <= 0) break;
+      const count = Math.min(slotsToClaim, unusedSlots - countClaimedSlots(capacity.claims, spec));
       if (count <= 0) continue;
-      unclaimedSlots -= count;
+      slotsToClaim -= count;
       const fetchMs = this.estimator.fetchMs(spec, capacity.machine, now);
       const backfillWindowMs = objectiveMs === null ? 0 : Math.max(0, objectiveMs - fetchMs);
       capacity.claimHeadroom(count, now + backfillWindowMs, {
