--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -44,7 +44,7 @@
 interface ScoredMachine {
   capacity: FreeCapacity;
   /** Slots of the machine, without those that tasks of the class use. */
-  slots: number;
+  unusedSlots: number;
   /** Machines with higher scores are claimed first. */
   score: number;
 }
@@ -140,7 +140,7 @@
     if (slotsToClaim <= 0) return;
     slots.machines.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
     const objectiveMs = waitingClasses.has(spec.class) ? null : this.startObjectiveMs(spec.class);
-    for (const { capacity, slots: unusedSlots } of slots.machines) {
+    for (const { capacity, unusedSlots: unusedSlots } of slots.machines) {
       if (slotsToClaim <= 0) break;
       const count = Math.min(slotsToClaim, unusedSlots - countClaimedSlots(capacity.claims, spec));
       if (count <= 0) continue;
@@ -191,7 +191,7 @@
     if (total > inUse)
       slots.machines.push({
         capacity,
-        slots: total - inUse,
+        unusedSlots: total - inUse,
         score: scoreMachine(statistics, capacity),
       });
   }
