--- a/src/controller/placement/capacity/capacity-claim.test.ts
+++ b/src/controller/placement/capacity/capacity-claim.test.ts
@@ -11,7 +11,7 @@
 } from './capacity-claim.js';
 
 const taskRequest = { cpus: 4, gpus: 1, memoryGb: 4 };
-const large: JobSpec = gpuArraySpec({ kind: 'gang', class: 'large', gpus: 4, cpus: 16 });
+const largeGang: JobSpec = gpuArraySpec({ kind: 'gang', class: 'large', gpus: 4, cpus: 16 });
 const query: ClaimQuery = {
   ...{ spec: gpuArraySpec(), level: 1, endsAt: Infinity, backfillRatio: 0.5, now: 1000 },
 };
@@ -34,7 +34,7 @@
 });
 
 describe('a claim of headroom for a class of large gangs', () => {
-  const headroom = { spec: large, level: 1, minSizeRatio: 1.5 };
+  const headroom = { spec: largeGang, level: 1, minSizeRatio: 1.5 };
   const claim: CapacityClaim = { ...taskRequest, fillAt: 3000, headroom };
   const cases: {
     condition: string;
