--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -55,13 +55,13 @@
     const images = existing?.images ?? new Map<string, number>();
     for (const [image, weight] of images) images.set(image, weight * JOB_DECAY);
     images.set(spec.image, (images.get(spec.image) ?? 0) + 1);
-    const largest = Math.max(spec.tasks, (existing?.largestJobTasks ?? 1) * JOB_DECAY);
+    const largestTasks = Math.max(spec.tasks, (existing?.largestJobTasks ?? 1) * JOB_DECAY);
     this.classes.set(spec.class, {
       spec,
       level: job.level,
       weight: (existing === undefined ? 0 : this.weightAt(existing, now)) + spec.tasks,
       updatedAt: now,
-      largestJobTasks: Math.min(MAX_LARGEST_JOB_TASKS, largest),
+      largestJobTasks: Math.min(MAX_LARGEST_JOB_TASKS, largestTasks),
       images,
       occupancyMs: existing?.occupancyMs ?? 0,
     });
