--- a/src/controller/placement/capacity/capacity-claim.test.ts
+++ b/src/controller/placement/capacity/capacity-claim.test.ts
@@ -20,11 +20,11 @@
   const claim: CapacityClaim = { ...taskRequest, fillAt: 3000, headroom: null };
   const cases = [
     {
-      condition: 'that ends within the backfill ratio of the time until it is filled',
+      condition: 'that ends within the backfill ratio',
       endsAt: 2000,
       binds: false,
     },
-    { condition: 'that ends 1 ms after that', endsAt: 2001, binds: true },
+    { condition: 'that ends 1 ms beyond the backfill ratio', endsAt: 2001, binds: true },
     { condition: 'that never ends', endsAt: Infinity, binds: true },
   ];
   for (const { condition, endsAt, binds } of cases)
--- a/src/controller/placement/capacity/capacity-claim.ts
+++ b/src/controller/placement/capacity/capacity-claim.ts
@@ -7,7 +7,10 @@
 import type { JobSpec } from '../../wire/jobs.js';
 import { AMOUNT_TOLERANCE, type ResourceRequest } from '../../model/resource-request.js';
 
-/** The class that headroom is kept for. It binds smaller tasks of the same or lower priority. */
+/**
+ * The class that headroom is kept for. The headroom binds smaller tasks of other classes with the same or
+ * lower priority, but never gangs.
+ */
 export interface HeadroomClaim {
   /** A job of the class. */
   spec: JobSpec;
@@ -22,7 +25,7 @@
 
 /** Claimed capacity of one machine. */
 export interface CapacityClaim extends ResourceRequest {
-  /** When all capacity that the job or class waits for is expected to be free, on the controller's clock. */
+  /** When the whole reservation or headroom that this is a part of should be free, on the controller's clock. */
   fillAt: number;
   /** null if the capacity is claimed for a waiting job. */
   headroom: HeadroomClaim | null;
@@ -64,7 +67,7 @@
   return wouldIntrude(headroom, spec, type);
 }
 
-/** Returns whether the headroom is kept from tasks of this kind, without regard to their priority. */
+/** Returns whether the headroom is kept from tasks of this size and class, whatever their priority. */
 export function wouldIntrude(
   headroom: HeadroomClaim,
   spec: JobSpec,
--- a/src/controller/placement/capacity/free-capacity.ts
+++ b/src/controller/placement/capacity/free-capacity.ts
@@ -25,7 +25,7 @@
   record?: RecordSpace;
 }
 
-/** The free capacity of one machine. Free amounts always follow the tasks that are now on the machine. */
+/** The free capacity of one machine. The amounts always reflect the tasks that it now has. */
 export class FreeCapacity {
   /** Whether placement on the machine is excluded. */
   unschedulable = false;
@@ -70,7 +70,7 @@
     );
   }
 
-  /** Returns how many tasks fit now, without the capacity of the claims that bind them. */
+  /** Returns how many of the tasks fit now, beside the claims that bind them and within the record limit. */
   countFitting(query: FitQuery): number {
     if (this.unschedulable) return 0;
     const { type } = this.machine;
@@ -92,7 +92,7 @@
     return countFittingTasks(request, this.cpus, this.gpus, this.memoryGb);
   }
 
-  /** Returns whether the machine has headroom of another class that is kept from tasks of this kind. */
+  /** Returns whether the machine has headroom that is kept from tasks of this size and class. */
   intrudesOnHeadroom(spec: JobSpec): boolean {
     const { type } = this.machine;
     for (const { headroom } of this.claims)
--- a/src/controller/placement/capacity/machine-forecast.ts
+++ b/src/controller/placement/capacity/machine-forecast.ts
@@ -16,8 +16,8 @@
   hasStopping: boolean;
   /** The longest time, in ms, that any of the tasks needs to save a checkpoint when it is stopped. */
   longestSaveMs: number;
-  /** Lowest priority level of the tasks that have run long enough to be preempted; `Infinity` if none has. */
+  /** Lowest priority level of the tasks that are old enough to be preempted; `Infinity` if there are none. */
   lowestLevel: number;
-  /** Whether any of the tasks that have run long enough is outside its team's guarantee. */
+  /** Whether any of the tasks that are old enough to be preempted is outside its team's guarantee. */
   hasUnguaranteed: boolean;
 }
--- a/src/controller/placement/capacity/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -41,7 +41,10 @@
   return spec.spread ? spreadAllowance(spec, counts.get(zone) ?? 0) : Infinity;
 }
 
-/** Returns the zones to search one at a time for a single-zone gang, or null for all zones together. */
+/**
+ * Returns the zones to search one after the other for a single-zone gang. For other jobs, returns a single
+ * null, which stands for all zones together.
+ */
 export function zoneChoices(cluster: ClusterCapacity, spec: JobSpec): (string | null)[] {
   return spec.singleZone ? cluster.zonesAllowedFor(spec) : [null];
 }
--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -13,7 +13,7 @@
 
 /**
  * Evicts tasks from machines that are about to be interrupted or released, if they would not end in time.
- * Running tasks with checkpoints can then save their work first.
+ * A running task with checkpoints is given time to save one.
  */
 export class MachineDrainer {
   private readonly migrations = new Migrations();
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -6,7 +6,7 @@
 /** Weight of the newest run in the moving averages of its class. */
 const NEWEST_RUN_WEIGHT = 0.15;
 
-/** The ratio of actual to estimated run time is limited to this value, and to its inverse from below. */
+/** Observed ratios of actual to estimated run time are limited to this value, and to its inverse from below. */
 const MAX_RUN_TIME_RATIO = 4;
 
 /** Maximum number of classes with statistics. Users choose class names, so there could be any number. */
@@ -30,7 +30,7 @@
 /** Lower bound, in ms, of the remaining run time of a task whose job has no run time estimate. */
 const MIN_REMAINING_RUN_MS = 1000;
 
-/** Ratio of remaining to elapsed run time, for a job without an estimate or a run far beyond it. */
+/** Ratio of remaining to elapsed run time, used without an estimate or if the median overflows. */
 const REMAINING_TO_ELAPSED_RATIO = 1 / 4;
 
 /** Mean and variance of the logarithm of the ratio of actual to estimated run time, for one class. */
@@ -51,7 +51,7 @@
 /**
  * Estimates run times and image fetch times. The run time estimates of users are often wrong by half, and
  * sometimes all in the same direction. They are therefore corrected by the mean ratio observed for the
- * class, and weighted by how closely the runs of the class agreed with their estimates.
+ * class, and their uncertainty follows from how closely the runs of the class agreed with their estimates.
  */
 export class DurationEstimator {
   private readonly statistics = new Map<string, RunTimeStatistics>();
@@ -136,7 +136,7 @@
     return true;
   }
 
-  /** Returns the estimated time, in ms, until the task ends without being preempted. */
+  /** Returns the estimated time, in ms, until the task ends if it is not preempted. */
   remainingMs(assignment: Assignment, now: number): number {
     if (assignment.stop !== null || assignment.job === null)
       return Math.max(
--- a/src/controller/placement/estimates/start-deadlines.test.ts
+++ b/src/controller/placement/estimates/start-deadlines.test.ts
@@ -20,7 +20,7 @@
     assert.deepEqual(deadlines.of(job), [30_000, 60_000, 86_000, 0]);
   });
 
-  it('next skips deadlines that the job has already missed', () => {
+  it('skip deadlines that the job has already missed', () => {
     assert.equal(deadlines.next(gpuJob(), 1), 30_000);
     assert.equal(deadlines.next(gpuJob(), 30_001), 86_000);
     assert.equal(deadlines.next(gpuJob(), 86_001), Infinity);
--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -25,7 +25,7 @@
    */
   of(job: Job): number[] {
     const { spec } = job;
-    // Without a margin, a job started at its deadline would end late whenever the estimate is too low.
+    // Estimates are inexact: without a margin, about half of the jobs started at a deadline would end late.
     const runMs =
       this.estimator.runMs(spec) * RUN_TIME_MARGIN_FACTOR + this.settings.heartbeatIntervalMs;
     const { starts, ends } = this.settings.objectivesFor(spec.class, spec.deadlineS);
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -13,15 +13,18 @@
 export interface HeadroomSettings {
   /** Time constant, in ms, with which the counts of submitted tasks decay. */
   memoryMs: number;
-  /** Maximum fraction of the slots on the machines allowed for a class that may be kept for it. */
+  /**
+   * Limits the headroom of a class: it and the tasks of the class together take at most this fraction of the
+   * slots on the machines that the class may use.
+   */
   maxShare: number;
   /** Margin added to the expected number of tasks, in standard deviations. */
   spareDeviations: number;
 }
 
 /**
- * Headroom of a class is withheld only from smaller tasks: the dominant share of the machine that a task
- * of the class takes has to be at least this many times that of the other task.
+ * Headroom of a class is kept only from smaller tasks: the dominant share of the machine that a task of the
+ * class takes has to be at least this many times that of the other task.
  */
 const MIN_SIZE_RATIO = 1.5;
 
@@ -31,7 +34,10 @@
  */
 const SPOT_SCORE = 0.7;
 
-/** Weight, in the score of a machine, of the dominant share of it that a task of the class takes. */
+/**
+ * Weight of the task size in the score of a machine. The size is the dominant share of the machine that a
+ * task of the class takes.
+ */
 const TASK_SIZE_WEIGHT = 0.5;
 
 /** A class and the machines on which its tasks are allowed. */
@@ -86,7 +92,7 @@
     this.statistics.recordOccupancy(spec, occupancyMs);
   }
 
-  /** Records of the most recently submitted classes, by class name, to be stored for the next leader. */
+  /** Returns the records to be stored for the next leader, by class name: the most recently submitted classes. */
   exportStatistics(now: number, wallClockMs: number): Map<string, unknown> {
     return writeStatistics(this.statistics, { now, wallClockMs });
   }
@@ -140,7 +146,7 @@
     if (slotsToClaim <= 0) return;
     slots.machines.sort((a, b) => b.score - a.score || a.capacity.index - b.capacity.index);
     const objectiveMs = waitingClasses.has(spec.class) ? null : this.startObjectiveMs(spec.class);
-    for (const { capacity, unusedSlots: unusedSlots } of slots.machines) {
+    for (const { capacity, unusedSlots } of slots.machines) {
       if (slotsToClaim <= 0) break;
       const count = Math.min(slotsToClaim, unusedSlots - countClaimedSlots(capacity.claims, spec));
       if (count <= 0) continue;
@@ -173,7 +179,7 @@
   return kind === 'gang' || (kind === 'array' && gpus > 0);
 }
 
-/** Orders classes with fewer allowed machines first, and those with equally many by falling priority. */
+/** Orders classes with fewer allowed machines first, and among equals those of higher priority. */
 function compareByMachinesAndPriority(a: ClassWithMachines, b: ClassWithMachines): number {
   return a.capacities.length - b.capacities.length || b.statistics.level - a.statistics.level;
 }
--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -13,7 +13,7 @@
   wallClockMs: number;
 }
 
-/** Returns the records of the most recently submitted classes, by class name. Their times are wall-clock times. */
+/** Returns records of the most recently submitted classes, by class name. Times in them are wall-clock times. */
 export function writeStatistics(
   table: ClassStatisticsTable,
   { now, wallClockMs }: ClockReading,
