--- a/src/controller/placement/capacity/schedulable-machines.test.ts
+++ b/src/controller/placement/capacity/schedulable-machines.test.ts
@@ -5,17 +5,17 @@
 import { isSchedulable } from './schedulable-machines.js';
 
 describe('isSchedulable', () => {
-  const alive = { isAlive: () => true };
+  const responsiveWorkers = { isAlive: () => true };
 
-  it('accepts a machine whose worker has reported in this term', () => {
-    assert.ok(isSchedulable(bigMachine(), 0, alive));
+  it('accepts a machine whose worker is responsive and has acknowledged its token', () => {
+    assert.ok(isSchedulable(bigMachine(), 0, responsiveWorkers));
   });
 
   it('excludes a machine whose worker is unresponsive', () => {
     assert.ok(!isSchedulable(bigMachine(), 0, { isAlive: () => false }));
   });
 
-  const excluding: Partial<Machine>[] = [
+  const unschedulableStates: Partial<Machine>[] = [
     { type: null },
     { tokenAcknowledged: false },
     { releasing: true },
@@ -23,8 +23,8 @@
     { unschedulableUntil: 1 },
     { cloudState: 'failed' },
   ];
-  for (const state of excluding)
+  for (const state of unschedulableStates)
     it(`excludes a machine with ${JSON.stringify(state)}`, () => {
-      assert.ok(!isSchedulable(Object.assign(bigMachine(), state), 0, alive));
+      assert.ok(!isSchedulable(Object.assign(bigMachine(), state), 0, responsiveWorkers));
     });
 });
--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -1,4 +1,4 @@
-/** Draining of machines that will be interrupted or released. */
+/** Draining of machines that are about to be interrupted or released. */
 import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
@@ -8,10 +8,13 @@
 import { countFittingTasks, resourceRequestOf } from '../../model/resource-request.js';
 import { spreadAllowance } from '../capacity/zones.js';
 
-/** A replica leaves its machine at least this long before the interruption, in heartbeat intervals. */
-const MIGRATION_LEAD = 1.5;
+/** A replica is stopped at least this many heartbeat intervals before its machine is interrupted. */
+const MIGRATION_LEAD_INTERVALS = 1.5;
 
-/** Evicts tasks from machines that will be interrupted or released, where that saves work. */
+/**
+ * Evicts tasks from machines that are about to be interrupted or released, if they would not end in time.
+ * A running task with checkpoints is given time to save one.
+ */
 export class MachineDrainer {
   private readonly migrations = new Migrations();
 
@@ -23,42 +26,65 @@
     private readonly isSchedulable: (machine: Machine, now: number) => boolean,
   ) {}
 
-  /** Evicts the tasks that have to leave their machines now. */
+  /** Evicts the tasks that have to be stopped now. */
   run(now: number): void {
     this.migrations.removeFinished();
     for (const machine of this.workers.machines.values()) {
       if (machine.interruptionAt === null && !machine.releasing) continue;
-      const leftMs = machine.interruptionAt === null ? Infinity : machine.interruptionAt - now;
+      const timeLeftOnMachineMs =
+        machine.interruptionAt === null ? Infinity : machine.interruptionAt - now;
       for (const assignment of [...machine.assignments.values()])
-        this.evictIfLate(assignment, leftMs, now);
+        this.evictUnlessDoneInTime(assignment, timeLeftOnMachineMs, now);
     }
   }
 
-  /** Evicts a task that would not end in time by itself. */
-  private evictIfLate(assignment: Assignment, leftMs: number, now: number): void {
+  /**
+   * Stops the task, and with it its whole gang, unless it is expected to end in time. A replica of a service
+   * is stopped only when its migration is due.
+   */
+  private evictUnlessDoneInTime(
+    assignment: Assignment,
+    timeLeftOnMachineMs: number,
+    now: number,
+  ): void {
     const { job } = assignment;
     if (assignment.stop !== null || assignment.phase === 'ended' || job === null) return;
-    if (this.estimator.remainingMs(assignment, now) < leftMs - this.settings.heartbeatIntervalMs)
+    if (
+      this.estimator.remainingMs(assignment, now) <
+      timeLeftOnMachineMs - this.settings.heartbeatIntervalMs
+    )
       return;
-    if (job.isService && !this.migratesNow(assignment, job, leftMs, now)) return;
+    if (job.isService && !this.migratesNow(assignment, job, timeLeftOnMachineMs, now)) return;
     const { spec } = job;
-    const saves = spec.checkpointIntervalS > 0 && assignment.state === 'running';
-    const graceS = saves ? spec.checkpointSaveS : 0;
+    const savesCheckpoint = spec.checkpointIntervalS > 0 && assignment.state === 'running';
+    const graceS = savesCheckpoint ? spec.checkpointSaveS : 0;
     if (spec.kind === 'gang') this.workers.stopJob(job, graceS, 'machine drained');
     else this.workers.stop(assignment, graceS, 'machine drained');
   }
 
-  /** A replica migrates as soon as it can start elsewhere at once, and otherwise as late as is safe. */
-  private migratesNow(assignment: Assignment, job: Job, leftMs: number, now: number): boolean {
-    if (leftMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD) return true;
-    const destination = this.destination(assignment, job, now);
+  /**
+   * Returns whether the replica is to be stopped now: as soon as another machine can start it without delay,
+   * and otherwise shortly before the interruption. Reserves capacity on that other machine.
+   */
+  private migratesNow(
+    assignment: Assignment,
+    job: Job,
+    timeLeftOnMachineMs: number,
+    now: number,
+  ): boolean {
+    if (timeLeftOnMachineMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD_INTERVALS)
+      return true;
+    const destination = this.findDestination(assignment, job, now);
     if (destination === null) return false;
     this.migrations.begin(assignment, job, destination);
     return true;
   }
 
-  /** A machine with the image and capacity that no other replica migrates to; `null`: there is none. */
-  private destination(assignment: Assignment, job: Job, now: number): Machine | null {
+  /**
+   * Returns a machine that caches the image and has capacity which no other migration reserves; null if
+   * there is none.
+   */
+  private findDestination(assignment: Assignment, job: Job, now: number): Machine | null {
     const { spec } = job;
     const request = resourceRequestOf(spec);
     for (const machine of this.workers.machines.values()) {
@@ -77,13 +103,13 @@
   }
 }
 
-/** Whether a replica that leaves its machine may start in the zone, beside the others of its service. */
-function zoneAllows({ allAssignments, spec }: Job, leaving: Assignment, zone: string): boolean {
-  let inZone = 0;
+/** Returns whether the zone rules of the service allow the migrating replica to start in the zone. */
+function zoneAllows({ allAssignments, spec }: Job, migrating: Assignment, zone: string): boolean {
+  let replicasInZone = 0;
   for (const assignment of allAssignments) {
-    if (assignment === leaving || assignment.phase === 'ended') continue;
-    if (assignment.machine.zone === zone) inZone++;
+    if (assignment === migrating || assignment.phase === 'ended') continue;
+    if (assignment.machine.zone === zone) replicasInZone++;
     else if (spec.singleZone) return false;
   }
-  return !spec.spread || spreadAllowance(spec, inZone) > 0;
+  return !spec.spread || spreadAllowance(spec, replicasInZone) > 0;
 }
--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -1,39 +1,42 @@
-/** Migrations of replicas from machines that are drained. */
+/** Migrations of service replicas away from machines that are being drained. */
 import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { ResourceRequest } from '../../model/resource-request.js';
 
-/** A replica that was stopped because it can start at once on another machine. */
+/** A replica that was stopped because another machine can start it without delay. */
 interface Migration {
-  from: Assignment;
+  oldAssignment: Assignment;
   job: Job;
-  to: Machine;
+  destination: Machine;
 }
 
-/** The migrations that are not over: what they take on their destinations is not there for others. */
+/**
+ * The migrations in progress. Each reserves capacity on its destination, so that other replicas do not
+ * migrate to the same capacity.
+ */
 export class Migrations {
   private migrations: Migration[] = [];
 
-  /** The replica leaves its machine and is to start again on the other. */
-  begin(from: Assignment, job: Job, to: Machine): void {
-    this.migrations.push({ from, job, to });
+  /** Adds a replica that is about to be stopped on its machine and restarted on the destination. */
+  begin(oldAssignment: Assignment, job: Job, destination: Machine): void {
+    this.migrations.push({ oldAssignment, job, destination });
   }
 
-  /** Forgets the migrations that are over: the replica is assigned again, or its job has ended. */
+  /** Removes the migrations whose replica has been assigned again or whose job has ended. */
   removeFinished(): void {
-    this.migrations = this.migrations.filter(({ from, job }) => {
-      const current = job.currentAssignments.get(from.task);
-      return job.terminalState === null && (current === undefined || current === from);
+    this.migrations = this.migrations.filter(({ oldAssignment, job }) => {
+      const current = job.currentAssignments.get(oldAssignment.task);
+      return job.terminalState === null && (current === undefined || current === oldAssignment);
     });
   }
 
-  /** What the replicas that migrate to the machine will take there. */
+  /** Returns the resources reserved on the machine by replicas that migrate to it. */
   reservedOn(machine: Machine): ResourceRequest {
     const reserved = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const { from, to } of this.migrations) {
-      if (to !== machine) continue;
-      reserved.cpus += from.request.cpus;
-      reserved.gpus += from.request.gpus;
-      reserved.memoryGb += from.request.memoryGb;
+    for (const { oldAssignment, destination } of this.migrations) {
+      if (destination !== machine) continue;
+      reserved.cpus += oldAssignment.request.cpus;
+      reserved.gpus += oldAssignment.request.gpus;
+      reserved.memoryGb += oldAssignment.request.memoryGb;
     }
     return reserved;
   }
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -3,38 +3,43 @@
 import { isMap } from '../../wire/cbor.js';
 import type { JobSpec } from '../../wire/jobs.js';
 
-/** Weight of the newest run in the statistics of its class. */
+/** Weight of the newest run in the moving averages of its class. */
 const NEWEST_RUN_WEIGHT = 0.15;
 
-/** A run counts as this many times its estimate at most, and as the inverse at least. */
-const MAX_RATIO = 4;
+/** Observed ratios of actual to estimated run time are limited to this value, and to its inverse from below. */
+const MAX_RUN_TIME_RATIO = 4;
 
-/** Classes remembered; users name them, so there could be any number. */
-const MAX_CLASSES = 40;
+/** Maximum number of classes with statistics. Users choose class names, so there could be any number. */
+const MAX_TRACKED_CLASSES = 40;
 
-/** Classes with longer names are not recorded. */
-const MAX_NAME_LENGTH = 64;
+/** The statistics of classes with names of more characters are not exported. */
+const MAX_EXPORTED_NAME_LENGTH = 64;
 
-/** Standard deviation of the logarithm of a run's ratio to its estimate, before anything is known. */
+/**
+ * Standard deviation of the logarithm of the ratio of actual to estimated run time, for a class without
+ * observed runs.
+ */
 const PRIOR_DEVIATION = 0.5;
 
-/** The least standard deviation that is counted with. */
+/** Lower bound of the standard deviation used in estimates. */
 const MIN_DEVIATION = 0.1;
 
-/** The least time in which a task that is being stopped is taken to be gone. */
+/** Lower bound, in ms, of the estimated time until a task that is being stopped has ended. */
 const MIN_STOP_MS = 500;
 
-/** The least rest of a run that has no estimate, and its rest as a share of what it has taken. */
-const MIN_REST_MS = 1000;
-const REST_SHARE = 1 / 4;
+/** Lower bound, in ms, of the remaining run time of a task whose job has no run time estimate. */
+const MIN_REMAINING_RUN_MS = 1000;
+
+/** Ratio of remaining to elapsed run time, used without an estimate or if the median overflows. */
+const REMAINING_TO_ELAPSED_RATIO = 1 / 4;
 
-/** Ratios of a class's runs to the estimates that came with the jobs, as logarithms. */
+/** Mean and variance of the logarithm of the ratio of actual to estimated run time, for one class. */
 interface RunTimeStatistics {
   mean: number;
   variance: number;
 }
 
-/** Whether the task may still be waiting for its image. */
+/** Returns whether the worker may still be fetching the image of the task. */
 function mayBeFetching(assignment: Assignment): assignment is Assignment & { job: Job } {
   return (
     assignment.job !== null &&
@@ -44,25 +49,26 @@
 }
 
 /**
- * Estimates durations. The run times that users give err by half, and at times all one way: so they are
- * corrected by what each class was observed to take, and trusted as far as its runs agreed with them.
+ * Estimates run times and image fetch times. The run time estimates of users are often wrong by half, and
+ * sometimes all in the same direction. They are therefore corrected by the mean ratio observed for the
+ * class, and their uncertainty follows from how closely the runs of the class agreed with their estimates.
  */
 export class DurationEstimator {
   private readonly statistics = new Map<string, RunTimeStatistics>();
 
-  /** Learns from a task that has run for `ranMs`. */
+  /** Adds a task that has run for `ranMs` to the statistics of its class. */
   observe(spec: JobSpec, ranMs: number): void {
     if (spec.estimatedRunS <= 0 || ranMs <= 0) return;
     const ratio = ranMs / (spec.estimatedRunS * 1000);
-    const bounded = Math.min(MAX_RATIO, Math.max(1 / MAX_RATIO, ratio));
+    const boundedRatio = Math.min(MAX_RUN_TIME_RATIO, Math.max(1 / MAX_RUN_TIME_RATIO, ratio));
     const { mean, variance } = this.statisticsOf(spec.class);
-    const deviation = Math.log(bounded) - mean;
+    const deviation = Math.log(boundedRatio) - mean;
     this.statistics.delete(spec.class);
     this.statistics.set(spec.class, {
       mean: mean + NEWEST_RUN_WEIGHT * deviation,
       variance: (1 - NEWEST_RUN_WEIGHT) * (variance + NEWEST_RUN_WEIGHT * deviation ** 2),
     });
-    if (this.statistics.size > MAX_CLASSES) {
+    if (this.statistics.size > MAX_TRACKED_CLASSES) {
       const oldest = this.statistics.keys().next();
       if (oldest.done !== true) this.statistics.delete(oldest.value);
     }
@@ -72,56 +78,57 @@
     return this.statistics.get(className) ?? { mean: 0, variance: PRIOR_DEVIATION ** 2 };
   }
 
-  /** What has been learned, for the next leader: mean and variance by class. */
+  /** Returns mean and variance by class name, to be stored for the next leader. */
   exportStatistics(): Record<string, [number, number]> {
-    const recorded = [...this.statistics].filter(
-      ([className]) => className.length <= MAX_NAME_LENGTH,
+    const exportedClasses = [...this.statistics].filter(
+      ([className]) => className.length <= MAX_EXPORTED_NAME_LENGTH,
     );
     return Object.fromEntries(
-      recorded.map(([className, { mean, variance }]) => [className, [mean, variance]]),
+      exportedClasses.map(([className, { mean, variance }]) => [className, [mean, variance]]),
     );
   }
 
-  /** Takes over what an earlier leader has learned; what is not of this form is skipped. */
-  importStatistics(learned: unknown): void {
-    if (!isMap(learned)) return;
-    for (const [className, recorded] of Object.entries(learned)) {
-      const [mean, variance] = Array.isArray(recorded) ? (recorded as unknown[]) : [];
+  /** Restores the statistics that an earlier leader exported; malformed entries are skipped. */
+  importStatistics(exported: unknown): void {
+    if (!isMap(exported)) return;
+    for (const [className, entry] of Object.entries(exported)) {
+      const [mean, variance] = Array.isArray(entry) ? (entry as unknown[]) : [];
       if (typeof mean === 'number' && typeof variance === 'number')
         this.statistics.set(className, { mean, variance });
     }
   }
 
-  /** How long a task of the job should run; `Infinity` for a service. */
+  /** Returns the estimated run time of a task of the job in ms; `Infinity` for a service. */
   runMs(spec: JobSpec): number {
     if (spec.kind === 'service') return Infinity;
     return spec.estimatedRunS * 1000 * Math.exp(this.statisticsOf(spec.class).mean);
   }
 
-  /** How long a task that is assigned to the machine now waits for its image. */
+  /** Returns how long, in ms, a task assigned to the machine now would wait for its image. */
   fetchMs(spec: JobSpec, machine: Machine, now: number): number {
     if (machine.images.has(spec.image)) return 0;
     const gbPerS = machine.type?.fetchGbPerS ?? 0;
     if (gbPerS <= 0) return 0;
-    // Images that are fetched at the same time share the rate; each delays by at most its own size.
-    // A machine fetches an image once, so a task joins a fetch that is under way.
+    // Images that are fetched at the same time share the fetch rate, so each adds at most its own size.
+    // A machine fetches an image only once, so a task waits for a fetch that is already in progress.
     let fetchGb = spec.imageGb;
-    let startedAt = now;
+    let fetchStartedAt = now;
     let otherImages: Set<string> | null = null;
     for (const assignment of machine.assignments.values()) {
       if (!mayBeFetching(assignment)) continue;
-      const other = assignment.job.spec;
-      if (other.image === spec.image) startedAt = Math.min(startedAt, assignment.assignedAt);
-      if (other.image === spec.image || machine.images.has(other.image)) continue;
+      const otherSpec = assignment.job.spec;
+      if (otherSpec.image === spec.image)
+        fetchStartedAt = Math.min(fetchStartedAt, assignment.assignedAt);
+      if (otherSpec.image === spec.image || machine.images.has(otherSpec.image)) continue;
       otherImages ??= new Set();
-      if (otherImages.has(other.image)) continue;
-      otherImages.add(other.image);
-      fetchGb += Math.min(other.imageGb, spec.imageGb);
+      if (otherImages.has(otherSpec.image)) continue;
+      otherImages.add(otherSpec.image);
+      fetchGb += Math.min(otherSpec.imageGb, spec.imageGb);
     }
-    return Math.max(0, (fetchGb / gbPerS) * 1000 - (now - startedAt));
+    return Math.max(0, (fetchGb / gbPerS) * 1000 - (now - fetchStartedAt));
   }
 
-  /** Whether a task on the machine would need an image fetch of its own. */
+  /** Returns whether the image of the task is neither cached on the machine nor being fetched there. */
   needsFetch(spec: JobSpec, machine: Machine): boolean {
     if (machine.images.has(spec.image)) return false;
     for (const assignment of machine.assignments.values())
@@ -129,7 +136,7 @@
     return true;
   }
 
-  /** Time until the task should have left its machine by itself. */
+  /** Returns the estimated time, in ms, until the task ends if it is not preempted. */
   remainingMs(assignment: Assignment, now: number): number {
     if (assignment.stop !== null || assignment.job === null)
       return Math.max(
@@ -139,21 +146,23 @@
     const { spec } = assignment.job;
     if (assignment.runningAt === null && assignment.state !== 'running')
       return this.fetchMs(spec, assignment.machine, now) + this.runMs(spec);
-    return this.restOfRunMs(spec, now - (assignment.runningAt ?? assignment.assignedAt));
+    return this.remainingRunMs(spec, now - (assignment.runningAt ?? assignment.assignedAt));
   }
 
   /**
-   * How much longer a run should take after `elapsedMs`: the median of the rest, where run times have a
-   * log-logistic distribution about the estimate. So a task of a class with unreliable estimates is not
-   * taken to be nearly done because its estimate says so, nor because the estimate is over.
+   * Returns the median of the remaining run time after `elapsedMs`, for run times with a log-logistic
+   * distribution around the estimate. A task of a class with unreliable estimates is therefore not assumed
+   * to end soon because its estimated run time is almost over or has passed.
    */
-  private restOfRunMs(spec: JobSpec, elapsedMs: number): number {
+  private remainingRunMs(spec: JobSpec, elapsedMs: number): number {
     const runMs = this.runMs(spec);
     if (!Number.isFinite(runMs)) return runMs;
-    if (runMs <= 0) return Math.max(MIN_REST_MS, elapsedMs * REST_SHARE);
+    if (runMs <= 0) return Math.max(MIN_REMAINING_RUN_MS, elapsedMs * REMAINING_TO_ELAPSED_RATIO);
     const deviation = Math.max(MIN_DEVIATION, Math.sqrt(this.statisticsOf(spec.class).variance));
     const shape = Math.PI / (Math.sqrt(3) * deviation);
     const medianRatio = (1 + 2 * (elapsedMs / runMs) ** shape) ** (1 / shape);
-    return Number.isFinite(medianRatio) ? runMs * medianRatio - elapsedMs : elapsedMs * REST_SHARE;
+    return Number.isFinite(medianRatio)
+      ? runMs * medianRatio - elapsedMs
+      : elapsedMs * REMAINING_TO_ELAPSED_RATIO;
   }
 }
--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -9,9 +9,12 @@
 
 const WALL_CLOCK_MS = 1_700_000_000_000;
 
-function trainingGang(part: Partial<JobSpec>, at: number): Job {
+function trainingGang(specOverrides: Partial<JobSpec>, submittedAt: number): Job {
   const gang: Partial<JobSpec> = { kind: 'gang', priority: 'high', tasks: 4, image: 'i-1' };
-  return gpuJob({ id: `req-${at}`, class: 'train', ...gang, ...part }, at);
+  return gpuJob(
+    { id: `req-${submittedAt}`, class: 'train', ...gang, ...specOverrides },
+    submittedAt,
+  );
 }
 
 function newHeadroom(): ClassHeadroom {
@@ -19,8 +22,8 @@
   return new ClassHeadroom(settings, new DurationEstimator(), 0, () => null);
 }
 
-/** What a leader records of a class. */
-function recorded(
+/** The statistics of the class in the records that a leader stores. */
+function recordedStatistics(
   headroom: ClassHeadroom,
   className: string,
   now: number,
@@ -28,59 +31,62 @@
   const value = headroom.exportStatistics(now, WALL_CLOCK_MS + now).get(className);
   const classes = isMap(value) ? value['classes'] : [];
   const [stats] = isList(classes) ? classes : [];
-  assert.ok(isMap(stats), `nothing of ${className}`);
+  assert.ok(isMap(stats), `no statistics recorded for class ${className}`);
   return stats;
 }
 
 describe('headroom after a failover', () => {
-  /** The headroom of a leader that has seen jobs of one class with two images, and their occupancy. */
+  /** The headroom of a leader that observed jobs of one class with two images, and how long a task ran. */
   function observedHeadroom(): ClassHeadroom {
     const headroom = newHeadroom();
-    for (let at = 1000; at <= 10_000; at += 1000)
-      headroom.recordSubmission(trainingGang({ image: at % 2000 === 0 ? 'i-1' : 'i-2' }, at), at);
+    for (let submittedAt = 1000; submittedAt <= 10_000; submittedAt += 1000)
+      headroom.recordSubmission(
+        trainingGang({ image: submittedAt % 2000 === 0 ? 'i-1' : 'i-2' }, submittedAt),
+        submittedAt,
+      );
     headroom.recordOccupancy(trainingGang({}, 0).spec, 50_000);
     return headroom;
   }
 
-  it('follows the record of a class that has active jobs', () => {
-    const before = observedHeadroom();
+  it('restores the recorded statistics of a class that has active jobs', () => {
+    const predecessor = observedHeadroom();
     const now = 12_000;
-    const expected = recorded(before, 'train', now);
-    const next = newHeadroom();
-    const records = [...before.exportStatistics(now, WALL_CLOCK_MS + now).values()];
-    next.restore(
+    const expected = recordedStatistics(predecessor, 'train', now);
+    const successor = newHeadroom();
+    const records = [...predecessor.exportStatistics(now, WALL_CLOCK_MS + now).values()];
+    successor.restore(
       records,
       [trainingGang({}, 9000), trainingGang({ image: 'i-2' }, 10_000)],
       now,
       WALL_CLOCK_MS + now,
     );
-    assert.deepEqual(recorded(next, 'train', now), expected);
+    assert.deepEqual(recordedStatistics(successor, 'train', now), expected);
   });
 
-  it('starts from the first active job of a class without a record', () => {
-    const next = newHeadroom();
-    next.restore(
+  it('initializes the statistics of a class without a record from its first active job', () => {
+    const successor = newHeadroom();
+    successor.restore(
       [],
       [trainingGang({ tasks: 3 }, 1000), trainingGang({ tasks: 2 }, 2000)],
       5000,
       WALL_CLOCK_MS,
     );
-    assert.equal(recorded(next, 'train', 5000)['weight'], 3);
+    assert.equal(recordedStatistics(successor, 'train', 5000)['weight'], 3);
   });
 
-  it('follows the newest of several records of a class, in whatever order they come', () => {
-    const old = observedHeadroom();
-    const oldRecords = [...old.exportStatistics(12_000, WALL_CLOCK_MS + 12_000).values()];
-    old.recordSubmission(trainingGang({ tasks: 7 }, 20_000), 20_000);
-    const newRecords = [...old.exportStatistics(21_000, WALL_CLOCK_MS + 21_000).values()];
-    const expected = recorded(old, 'train', 25_000);
+  it('restores the newest of several records of a class, in whichever order they are read', () => {
+    const predecessor = observedHeadroom();
+    const oldRecords = [...predecessor.exportStatistics(12_000, WALL_CLOCK_MS + 12_000).values()];
+    predecessor.recordSubmission(trainingGang({ tasks: 7 }, 20_000), 20_000);
+    const newRecords = [...predecessor.exportStatistics(21_000, WALL_CLOCK_MS + 21_000).values()];
+    const expected = recordedStatistics(predecessor, 'train', 25_000);
     for (const records of [
       [...oldRecords, ...newRecords],
       [...newRecords, ...oldRecords],
     ]) {
-      const next = newHeadroom();
-      next.restore(records, [trainingGang({}, 20_000)], 25_000, WALL_CLOCK_MS + 25_000);
-      assert.deepEqual(recorded(next, 'train', 25_000), expected);
+      const successor = newHeadroom();
+      successor.restore(records, [trainingGang({}, 20_000)], 25_000, WALL_CLOCK_MS + 25_000);
+      assert.deepEqual(recordedStatistics(successor, 'train', 25_000), expected);
     }
   });
 });
@@ -88,27 +94,27 @@
 describe('claims of headroom', () => {
   const GANG: Partial<JobSpec> = { cpus: 4, gpus: 1, tasks: 4 };
 
-  /** The machines of a pass after headroom was claimed for a class that has had one gang. */
-  function claimed(waitingClasses: string[], objectiveMs: number | null) {
+  /** The claims on each machine of a pass, for a class of which one gang was submitted. */
+  function claimsAfterOneGang(waitingClasses: string[], objectiveMs: number | null) {
     const settings = { memoryMs: 300_000, maxShare: 0.5, spareDeviations: 0 };
     const headroom = new ClassHeadroom(settings, new DurationEstimator(), 0, () => objectiveMs);
     headroom.recordSubmission(trainingGang(GANG, 1000), 1000);
-    const warm = bigMachine('n-2');
-    warm.recordImageUse('i-1', 1);
-    const { cluster } = passOver([bigMachine(), warm]);
+    const warmMachine = bigMachine('n-2');
+    warmMachine.recordImageUse('i-1', 1);
+    const { cluster } = passOver([bigMachine(), warmMachine]);
     headroom.claimHeadroom(cluster, new Set(waitingClasses), 1000);
     return cluster.all.map(({ claims }) => claims.map(({ gpus, fillAt }) => ({ gpus, fillAt })));
   }
 
-  it('are kept on machines with the image of the class, up to its share of the slots', () => {
-    assert.deepEqual(claimed([], null), [[], [{ gpus: 4, fillAt: 1000 }]]);
+  it('are made on machines that cache the image of the class, up to the maximum share of its slots', () => {
+    assert.deepEqual(claimsAfterOneGang([], null), [[], [{ gpus: 4, fillAt: 1000 }]]);
   });
 
-  it('let short work backfill them for as long as a job of the class may wait', () => {
-    assert.deepEqual(claimed([], 30_000), [[], [{ gpus: 4, fillAt: 31_000 }]]);
+  it('are due after the start objective of the class, which lets short tasks backfill them', () => {
+    assert.deepEqual(claimsAfterOneGang([], 30_000), [[], [{ gpus: 4, fillAt: 31_000 }]]);
   });
 
-  it('let no work backfill them while a job of the class waits', () => {
-    assert.deepEqual(claimed(['train'], 30_000), [[], [{ gpus: 4, fillAt: 1000 }]]);
+  it('are due at once while a job of the class waits for capacity, which prevents backfill', () => {
+    assert.deepEqual(claimsAfterOneGang(['train'], 30_000), [[], [{ gpus: 4, fillAt: 1000 }]]);
   });
 });
