--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -60,8 +60,8 @@
   wallClockNow: number,
 ): EncodedAttempt {
   const span = Math.floor(assignedAt / spanMs);
-  const known = job.attempts.find((entry) => entry.attempt === attempt && entry.span === span);
-  if (known !== undefined) return known;
+  const existing = job.attempts.find((entry) => entry.attempt === attempt && entry.span === span);
+  if (existing !== undefined) return existing;
   const assignedAtWallClock = Math.round(wallClockNow - (now - assignedAt));
   const entry = { attempt, span, encoded: [attempt, assignedAtWallClock] };
   job.attempts.push(entry);
