--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -59,11 +59,13 @@
   now: number,
   wallClockNow: number,
 ): EncodedAttempt {
-  const span = Math.floor(assignedAt / spanMs);
-  const existing = job.attempts.find((entry) => entry.attempt === attempt && entry.span === span);
+  const timeSlot = Math.floor(assignedAt / spanMs);
+  const existing = job.attempts.find(
+    (entry) => entry.attempt === attempt && entry.span === timeSlot,
+  );
   if (existing !== undefined) return existing;
   const assignedAtWallClock = Math.round(wallClockNow - (now - assignedAt));
-  const entry = { attempt, span, encoded: [attempt, assignedAtWallClock] };
+  const entry = { attempt, span: timeSlot, encoded: [attempt, assignedAtWallClock] };
   job.attempts.push(entry);
   job.encoded.push(entry.encoded);
   return entry;
