--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -36,7 +36,7 @@
   now: number,
   wallClockNow: number,
 ): unknown[] {
-  const spanMs = sharedStartMs(settings);
+  const slotMs = sharedStartMs(settings);
   const jobs = new Map<string, EncodedJob>();
   for (const assignment of machine.assignments.values()) {
     let job = jobs.get(assignment.jobId);
@@ -44,7 +44,7 @@
       job = { encoded: encodeJob(assignment), attempts: [] };
       jobs.set(assignment.jobId, job);
     }
-    encodedAttemptOf(job, assignment, spanMs, now, wallClockNow).encoded.push(assignment.task);
+    encodedAttemptOf(job, assignment, slotMs, now, wallClockNow).encoded.push(assignment.task);
   }
   const { agentEpoch, typeName, zone, spot, addr } = machine;
   const tasks = [...jobs.values()].map((job) => job.encoded);
