--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -55,11 +55,11 @@
 function encodedAttemptOf(
   job: EncodedJob,
   { attempt, assignedAt }: Assignment,
-  spanMs: number,
+  slotMs: number,
   now: number,
   wallClockNow: number,
 ): EncodedAttempt {
-  const timeSlot = Math.floor(assignedAt / spanMs);
+  const timeSlot = Math.floor(assignedAt / slotMs);
   const existing = job.attempts.find(
     (entry) => entry.attempt === attempt && entry.span === timeSlot,
   );
