--- a/src/controller/model/machine-record-size.ts
+++ b/src/controller/model/machine-record-size.ts
@@ -65,9 +65,9 @@
 }
 
 /** Assignments with the same key share one list of tasks in the record. */
-function attemptGroupKey(assignment: RecordedAssignment, withinMs: number): string {
+function attemptGroupKey(assignment: RecordedAssignment, slotMs: number): string {
   const { jobId, attempt, assignedAt } = assignment;
-  return `${jobId}@${attempt}@${Math.floor(assignedAt / withinMs)}`;
+  return `${jobId}@${attempt}@${Math.floor(assignedAt / slotMs)}`;
 }
 
 /** The size of the tasks in a machine's record, kept up to date as they come and go. */
