--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -35,8 +35,8 @@
 
   /** The machine of this name; it is created if it is not known. */
   getOrCreate(id: string): Machine {
-    const known = this.machines.get(id);
-    if (known !== undefined) return known;
+    const existing = this.machines.get(id);
+    if (existing !== undefined) return existing;
     const machine = new Machine(id, this.eventLoop.now(), this.settings);
     machine.expectedToken = this.fencingTokens.currentToken(machine);
     this.machines.set(id, machine);
