--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -9,7 +9,7 @@
  * Machines that are gone are remembered for this many worker leases, however many they are: the network
  * may deliver copies of their heartbeats for minutes.
  */
-const REMOVED_MACHINE_LEASES = 60;
+const REMOVED_MACHINE_RETENTION_LEASES = 60;
 
 /** Properties of a machine, as heartbeats, records and the cloud's list give them. */
 export interface MachineDescription {
@@ -71,7 +71,7 @@
   }
 
   private forgetRemoved(): void {
-    const rememberedMs = this.settings.workerLeaseMs * REMOVED_MACHINE_LEASES;
+    const rememberedMs = this.settings.workerLeaseMs * REMOVED_MACHINE_RETENTION_LEASES;
     for (const [id, removedAt] of this.removedAtByName) {
       if (this.eventLoop.now() - removedAt <= rememberedMs) return;
       this.removedAtByName.delete(id);
