--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -71,9 +71,9 @@
   }
 
   private forgetRemoved(): void {
-    const rememberedMs = this.settings.workerLeaseMs * REMOVED_MACHINE_RETENTION_LEASES;
+    const retentionMs = this.settings.workerLeaseMs * REMOVED_MACHINE_RETENTION_LEASES;
     for (const [id, removedAt] of this.removedAtByName) {
-      if (this.eventLoop.now() - removedAt <= rememberedMs) return;
+      if (this.eventLoop.now() - removedAt <= retentionMs) return;
       this.removedAtByName.delete(id);
     }
   }
