--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -236,7 +236,7 @@
  * machine it went to. Both count until heartbeats show which is gone; the job knows the later attempt.
  */
 function attachLatestAttempt(job: Job, assignment: Assignment): void {
-  const known = job.currentAssignments.get(assignment.task);
-  if (known === undefined || known.attempt < assignment.attempt)
+  const current = job.currentAssignments.get(assignment.task);
+  if (current === undefined || current.attempt < assignment.attempt)
     job.currentAssignments.set(assignment.task, assignment);
 }
