--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -166,12 +166,12 @@
     if (outcome !== 'unsent') this.table.countExit(job, outcome);
     this.eventLoop.log.info({ job: job.spec.id, task, machine: machine.id, outcome }, 'task ended');
     this.failures.recordFailure(machine, job, outcome);
-    if (job.spec.kind === 'gang') this.gangLostMember(job);
+    if (job.spec.kind === 'gang') this.handleLostGangMember(job);
     else if (!job.currentAssignments.has(task)) this.table.requeue(job, task);
   }
 
   /** Stops the other members of the gang; if there are none, the gang restarts at once. */
-  private gangLostMember(job: Job): void {
+  private handleLostGangMember(job: Job): void {
     if (job.gangRestarting || job.isComplete) {
       this.restartGang(job);
       return;
