--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -19,7 +19,7 @@
   /** Free capacity or tasks changed: a placement pass is needed. */
   placementInputChanged(): void;
   /** A task was completed, this long after it began to run. */
-  taskCompleted(assignment: Assignment, tookMs: number): void;
+  taskCompleted(assignment: Assignment, runMs: number): void;
   /** The machine's record has to be written. */
   recordDue(machine: Machine): void;
   /** The machine has to be sent a stop. */
