--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -31,7 +31,7 @@
   /** Capacity, tasks or machines changed: a placement pass is needed. */
   placementInputChanged(): void;
   /** A task was completed, this long after it began to run. */
-  taskCompleted(assignment: Assignment, tookMs: number): void;
+  taskCompleted(assignment: Assignment, runMs: number): void;
 }
 
 /** The events of all components of `Workers`. */
