--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -105,7 +105,7 @@
     return {
       placementInputChanged: () => listener.placementInputChanged(),
       higherTermSeen: (term) => listener.higherTermSeen(term),
-      taskCompleted: (assignment, tookMs) => listener.taskCompleted(assignment, tookMs),
+      taskCompleted: (assignment, runMs) => listener.taskCompleted(assignment, runMs),
       recordDue: (machine) => this.machineStore.markChanged(machine),
       commandDue: (machine) => this.commands.request(machine),
       taskRestored: (machine, task, assignedAt) =>
