--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -200,8 +200,8 @@
   }
 
   /** Share of the machines whose heartbeats are overdue by `lateMs`; see `Liveness.overdueShare`. */
-  overdueShare(lateMs: number, onlyHeardInThisTerm: boolean): number {
-    return this.liveness.overdueShare(lateMs, onlyHeardInThisTerm);
+  overdueShare(overdueByMs: number, onlyHeardInThisTerm: boolean): number {
+    return this.liveness.overdueShare(overdueByMs, onlyHeardInThisTerm);
   }
 
   /** Whether the machine sent a heartbeat lately and its agent epoch is not over. */
