--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -200,8 +200,8 @@
   }
 
   /** Share of the machines whose heartbeats are overdue by `lateMs`; see `Liveness.overdueShare`. */
-  overdueShare(overdueByMs: number, onlyHeardInThisTerm: boolean): number {
-    return this.liveness.overdueShare(overdueByMs, onlyHeardInThisTerm);
+  overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
+    return this.liveness.overdueShare(overdueByMs, excludeUnseen);
   }
 
   /** Whether the machine sent a heartbeat lately and its agent epoch is not over. */
