--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -60,8 +60,9 @@
    * been answered, among those from which heartbeats are expected. With `onlyHeardInThisTerm`
    * machines that have sent none in this term don't count.
    */
-  overdueShare(lateMs: number, onlyHeardInThisTerm: boolean): number {
-    const allowedMs = this.settings.heartbeatIntervalMs * MAX_HEARTBEAT_INTERVAL_RATIO + lateMs;
+  overdueShare(overdueByMs: number, onlyHeardInThisTerm: boolean): number {
+    const allowedMs =
+      this.settings.heartbeatIntervalMs * MAX_HEARTBEAT_INTERVAL_RATIO + overdueByMs;
     let expected = 0;
     let overdue = 0;
     for (const machine of this.machines.values()) {
