--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -60,7 +60,7 @@
    * been answered, among those from which heartbeats are expected. With `onlyHeardInThisTerm`
    * machines that have sent none in this term don't count.
    */
-  overdueShare(overdueByMs: number, onlyHeardInThisTerm: boolean): number {
+  overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
     const allowedMs =
       this.settings.heartbeatIntervalMs * MAX_HEARTBEAT_INTERVAL_RATIO + overdueByMs;
     let expected = 0;
@@ -68,7 +68,7 @@
     for (const machine of this.machines.values()) {
       if (machine.agentEpoch < machine.lowestValidAgentEpoch || machine.cloudState === 'failed')
         continue;
-      if (onlyHeardInThisTerm && machine.lastHeartbeatAt === -Infinity) continue;
+      if (excludeUnseen && machine.lastHeartbeatAt === -Infinity) continue;
       expected++;
       if (this.unresponsiveMs(machine) > allowedMs) overdue++;
     }
