--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -38,8 +38,12 @@
 
   /** Time in ms without a heartbeat of the machine, while heartbeats would have been answered. */
   unresponsiveMs(machine: Machine): number {
-    const heardAt = Math.max(machine.lastHeartbeatAt, machine.firstSeenAt, this.answeringSince);
-    return this.eventLoop.now() - heardAt;
+    const unresponsiveSince = Math.max(
+      machine.lastHeartbeatAt,
+      machine.firstSeenAt,
+      this.answeringSince,
+    );
+    return this.eventLoop.now() - unresponsiveSince;
   }
 
   /** Time in ms in which the machine was answered without acknowledging its fencing token. */
