--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -92,8 +92,8 @@
     assignment.lastHeartbeatNumber = inProgress.heartbeatNumber;
     // A heartbeat from before this term may be arbitrarily old. That a task is done stays true; but one
     // that ended otherwise may have been cleared and started again under the same attempt.
-    const isLasting = task.cause === 'done' && assignment.job?.isService !== true;
-    if (!inProgress.sentUnderThisTerm && task.state === 'exited' && !isLasting) return false;
+    const isCompletion = task.cause === 'done' && assignment.job?.isService !== true;
+    if (!inProgress.sentUnderThisTerm && task.state === 'exited' && !isCompletion) return false;
     if (task.cause === 'alone' && isGangMemberAwaited(assignment)) {
       this.restartGangMember(inProgress, assignment, task);
       return false;
