--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -94,7 +94,7 @@
     // that ended otherwise may have been cleared and started again under the same attempt.
     const isCompletion = task.cause === 'done' && assignment.job?.isService !== true;
     if (!inProgress.sentUnderThisTerm && task.state === 'exited' && !isCompletion) return false;
-    if (task.cause === 'alone' && isGangMemberAwaited(assignment)) {
+    if (task.cause === 'alone' && isGangMemberNeeded(assignment)) {
       this.restartGangMember(inProgress, assignment, task);
       return false;
     }
@@ -169,7 +169,7 @@
 }
 
 /** Whether a gang member that gave up waiting is still needed, since other members fetch their image. */
-function isGangMemberAwaited(assignment: Assignment): boolean {
+function isGangMemberNeeded(assignment: Assignment): boolean {
   const { job, machine } = assignment;
   if (job?.terminalState !== null || job.gangRestarting) return false;
   if (assignment.stop !== null || assignment.phase === 'ended') return false;
