--- a/src/controller/workers/agent-epochs.ts
+++ b/src/controller/workers/agent-epochs.ts
@@ -41,8 +41,8 @@
   expireLeases(machines: Iterable<Machine>): void {
     const now = this.eventLoop.now();
     for (const machine of machines) {
-      const isOver = machine.lowestValidAgentEpoch > machine.agentEpoch;
-      if (isOver || now - machine.leaseRenewedAt <= this.settings.workerLeaseExpiryMs) continue;
+      const hasEnded = machine.lowestValidAgentEpoch > machine.agentEpoch;
+      if (hasEnded || now - machine.leaseRenewedAt <= this.settings.workerLeaseExpiryMs) continue;
       this.expireLease(machine);
     }
   }
