--- a/src/controller/workers/agent-epochs.ts
+++ b/src/controller/workers/agent-epochs.ts
@@ -30,10 +30,10 @@
   begin(machine: Machine, agentEpoch: number): void {
     this.assignments.endBeforeEpoch(machine, agentEpoch);
     // A machine that was not known before still has to acknowledge this term anyway.
-    const wasKnown = machine.agentEpoch > 0;
+    const hadEarlierEpoch = machine.agentEpoch > 0;
     machine.agentEpoch = agentEpoch;
     machine.directStartTokens.clear();
-    if (wasKnown) this.fencingTokens.requireNewToken(machine);
+    if (hadEarlierEpoch) this.fencingTokens.requireNewToken(machine);
     this.events.recordDue(machine);
   }
 
