--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -74,12 +74,12 @@
   }
 
   private renewLease(machine: Machine, { sequence, spotNoticeS }: Heartbeat, now: number): void {
-    const isFirst = machine.lastHeartbeatAt === -Infinity;
+    const isFirstHeartbeat = machine.lastHeartbeatAt === -Infinity;
     machine.lastHeartbeatSequence = sequence;
     machine.lastHeartbeatAt = now;
     machine.leaseRenewedAt = now;
     machine.interruptionAt = spotNoticeS === null ? null : now + spotNoticeS * 1000;
-    if (isFirst) this.events.placementInputChanged();
+    if (isFirstHeartbeat) this.events.placementInputChanged();
   }
 
   private reconcile(inProgress: HeartbeatInProgress, now: number): void {
