--- a/src/controller/model/job.ts
+++ b/src/controller/model/job.ts
@@ -150,11 +150,11 @@
    * An attempt under which the task has not been started. Tasks that start one by one have one in
    * common, which keeps the records of their machines small.
    *
-   * @param next - draws a new attempt, if one is needed
+   * @param nextAttempt - draws a new attempt, if one is needed
    */
-  attemptFor(task: number, next: () => number): number {
+  attemptFor(task: number, nextAttempt: () => number): number {
     if (this.sharedAttempt === 0 || this.startedInAttempt.has(task)) {
-      this.sharedAttempt = next();
+      this.sharedAttempt = nextAttempt();
       this.startedInAttempt.clear();
     }
     this.startedInAttempt.add(task);
