--- a/src/controller/model/job.test.ts
+++ b/src/controller/model/job.test.ts
@@ -17,7 +17,7 @@
 describe('Job', () => {
   describe('attemptFor', () => {
     let attempt: number;
-    const next = (): number => ++attempt;
+    const nextAttempt = (): number => ++attempt;
 
     beforeEach(() => {
       attempt = 0;
@@ -26,7 +26,7 @@
     it('gives tasks that start one by one the same attempt', () => {
       const job = acceptedJob({ tasks: 3 });
       assert.deepEqual(
-        [0, 1, 2].map((task) => job.attemptFor(task, next)),
+        [0, 1, 2].map((task) => job.attemptFor(task, nextAttempt)),
         [1, 1, 1],
       );
     });
@@ -34,7 +34,7 @@
     it('gives a task that starts again another attempt, which later ones have too', () => {
       const job = acceptedJob({ tasks: 3 });
       assert.deepEqual(
-        [0, 0, 1, 0].map((task) => job.attemptFor(task, next)),
+        [0, 0, 1, 0].map((task) => job.attemptFor(task, nextAttempt)),
         [1, 2, 2, 3],
       );
     });
