--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -79,9 +79,9 @@
 
   /** Backoff in ms after so many failures: it doubles with each, up to a number of leases. */
   private backoffMs(failures: number): number {
-    const doubled =
+    const uncappedMs =
       this.settings.heartbeatIntervalMs * 2 ** Math.min(failures, BACKOFF_MAX_DOUBLINGS);
-    return Math.min(doubled, this.settings.workerLeaseMs * BACKOFF_MAX_LEASES);
+    return Math.min(uncappedMs, this.settings.workerLeaseMs * BACKOFF_MAX_LEASES);
   }
 
   /** A job that has failed on several machines is itself the cause; it counts against no machine. */
