--- a/src/controller/model/pending-tasks.ts
+++ b/src/controller/model/pending-tasks.ts
@@ -43,9 +43,9 @@
   }
 
   /** Removes all tasks that the predicate does not hold for. */
-  retain(keeps: (task: number) => boolean): void {
+  retain(predicate: (task: number) => boolean): void {
     this.stack = this.stack.filter((task) => {
-      const keep = keeps(task);
+      const keep = predicate(task);
       if (!keep) this.pendingFlags[task] = 0;
       return keep;
     });
