--- a/src/controller/model/pending-tasks.ts
+++ b/src/controller/model/pending-tasks.ts
@@ -45,9 +45,9 @@
   /** Removes all tasks that the predicate does not hold for. */
   retain(predicate: (task: number) => boolean): void {
     this.stack = this.stack.filter((task) => {
-      const keep = predicate(task);
-      if (!keep) this.pendingFlags[task] = 0;
-      return keep;
+      const isRetained = predicate(task);
+      if (!isRetained) this.pendingFlags[task] = 0;
+      return isRetained;
     });
   }
 }
