--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -112,7 +112,7 @@
       this.eventLoop.now(),
       this.eventLoop.runtime.wallClock(),
     );
-    this.records.set(key, value, urgencyOf(planned), () => {
+    this.records.set(key, value, writePriorityOf(planned), () => {
       for (const assignment of planned)
         if (assignment.phase === 'planned') assignment.phase = 'recorded';
       this.events.assignmentsRecorded(machine);
@@ -121,7 +121,7 @@
 }
 
 /** Replicas of services go first, since each second without one is downtime. */
-function urgencyOf(planned: readonly Assignment[]): WritePriority {
+function writePriorityOf(planned: readonly Assignment[]): WritePriority {
   if (planned.some(({ job }) => job?.isService === true)) return 'immediate';
   return planned.length > 0 ? 'urgent' : 'deferrable';
 }
