--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -105,15 +105,17 @@
   private write(machine: Machine): void {
     const key = machineKey(machine.id);
     if (machine.assignments.size === 0 && !this.records.has(key)) return;
-    const planned = [...machine.assignments.values()].filter(({ phase }) => phase === 'planned');
+    const plannedAssignments = [...machine.assignments.values()].filter(
+      ({ phase }) => phase === 'planned',
+    );
     const value = encodeMachineRecord(
       machine,
       this.settings,
       this.eventLoop.now(),
       this.eventLoop.runtime.wallClock(),
     );
-    this.records.set(key, value, writePriorityOf(planned), () => {
-      for (const assignment of planned)
+    this.records.set(key, value, writePriorityOf(plannedAssignments), () => {
+      for (const assignment of plannedAssignments)
         if (assignment.phase === 'planned') assignment.phase = 'recorded';
       this.events.assignmentsRecorded(machine);
     });
