--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -123,7 +123,7 @@
 }
 
 /** Replicas of services go first, since each second without one is downtime. */
-function writePriorityOf(planned: readonly Assignment[]): WritePriority {
-  if (planned.some(({ job }) => job?.isService === true)) return 'immediate';
-  return planned.length > 0 ? 'urgent' : 'deferrable';
+function writePriorityOf(plannedAssignments: readonly Assignment[]): WritePriority {
+  if (plannedAssignments.some(({ job }) => job?.isService === true)) return 'immediate';
+  return plannedAssignments.length > 0 ? 'urgent' : 'deferrable';
 }
