--- a/src/controller/workers/commands.ts
+++ b/src/controller/workers/commands.ts
@@ -4,7 +4,7 @@
 import type { Heartbeat, WorkerCommand } from '../wire/workers.js';
 
 /** A save that takes longer than this many times its announced time is cut short. */
-const SAVE_TIME_TOLERANCE = 2;
+const MAX_SAVE_TIME_RATIO = 2;
 
 /** The command to start a recorded assignment. */
 export function startCommand({ name, attempt }: Assignment): WorkerCommand {
@@ -49,7 +49,7 @@
   now: number,
 ): boolean {
   const savedWithinS =
-    checkpointSaveS * SAVE_TIME_TOLERANCE + settings.platform.workers.gangPeerExitS;
+    checkpointSaveS * MAX_SAVE_TIME_RATIO + settings.platform.workers.gangPeerExitS;
   const allowedMs = savedWithinS * 1000 + settings.heartbeatIntervalMs;
   return stop.graceS === 0 || now - stop.requestedAt > allowedMs;
 }
