--- a/src/controller/workers/commands.ts
+++ b/src/controller/workers/commands.ts
@@ -48,8 +48,7 @@
   settings: Settings,
   now: number,
 ): boolean {
-  const savedWithinS =
-    checkpointSaveS * MAX_SAVE_TIME_RATIO + settings.platform.workers.gangPeerExitS;
-  const allowedMs = savedWithinS * 1000 + settings.heartbeatIntervalMs;
+  const maxSaveS = checkpointSaveS * MAX_SAVE_TIME_RATIO + settings.platform.workers.gangPeerExitS;
+  const allowedMs = maxSaveS * 1000 + settings.heartbeatIntervalMs;
   return stop.graceS === 0 || now - stop.requestedAt > allowedMs;
 }
