--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -92,8 +92,8 @@
     return batch;
   }
 
-  private markSent(machine: Machine, starts: readonly Assignment[]): void {
-    for (const assignment of starts) {
+  private markSent(machine: Machine, startedAssignments: readonly Assignment[]): void {
+    for (const assignment of startedAssignments) {
       assignment.phase = 'sent';
       assignment.startSentSequence = machine.lastHeartbeatSequence;
       const key = attemptKey(assignment.name, assignment.attempt);
