--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -14,7 +14,7 @@
   /** Whether a direct start may still be carried out. */
   directStartOpen = false;
   /** Whether the machine is taken to receive no responses. */
-  receivesNothing = false;
+  receivesNoResponses = false;
   private readonly reconciliation: Reconciliation;
 
   constructor(readonly job: Job = acceptedJob()) {
@@ -34,7 +34,7 @@
       { end: (_, outcome) => this.events.push(`end ${outcome}`) },
       {
         voidDirectStart: () => this.directStartOpen,
-        recordLostStart: () => this.receivesNothing,
+        recordLostStart: () => this.receivesNoResponses,
       },
       {
         placementInputChanged: () => undefined,
@@ -142,7 +142,7 @@
 
   it('ends an assignment as unsent if the machine receives no responses', () => {
     const fixture = new Fixture();
-    fixture.receivesNothing = true;
+    fixture.receivesNoResponses = true;
     fixture.reconcileMissingTask(5);
     assert.deepEqual(fixture.events, ['end unsent']);
   });
