--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -12,7 +12,7 @@
   readonly machine = newMachine();
   readonly assignment: Assignment;
   /** Whether a direct start may still be carried out. */
-  directStartOpen = false;
+  directStartPending = false;
   /** Whether the machine is taken to receive no responses. */
   receivesNoResponses = false;
   private readonly reconciliation: Reconciliation;
@@ -33,7 +33,7 @@
       },
       { end: (_, outcome) => this.events.push(`end ${outcome}`) },
       {
-        voidDirectStart: () => this.directStartOpen,
+        voidDirectStart: () => this.directStartPending,
         recordLostStart: () => this.receivesNoResponses,
       },
       {
@@ -124,10 +124,10 @@
     const fixture = new Fixture();
     fixture.reconcileMissingTask(4);
     assert.equal(fixture.assignment.phase, 'sent');
-    fixture.directStartOpen = true;
+    fixture.directStartPending = true;
     fixture.reconcileMissingTask(5);
     assert.equal(fixture.assignment.phase, 'sent', 'a direct start may yet be carried out');
-    fixture.directStartOpen = false;
+    fixture.directStartPending = false;
     fixture.reconcileMissingTask(5);
     assert.equal(fixture.assignment.phase, 'recorded');
     assert.deepEqual(fixture.events, []);
