--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -113,8 +113,8 @@
     assert.deepEqual(whileFetching, ['forget req-1/0', 'start req-1/0']);
     assert.equal(fixture.assignment.startSentSequence, 5);
     other.state = 'waiting';
-    const afterwards = fixture.reconcileReportedTask({ state: 'exited', cause: 'alone' });
-    assert.deepEqual(afterwards, ['forget req-1/0']);
+    const afterFetching = fixture.reconcileReportedTask({ state: 'exited', cause: 'alone' });
+    assert.deepEqual(afterFetching, ['forget req-1/0']);
     assert.deepEqual(fixture.events, ['end alone']);
   });
 });
