--- a/src/controller/workers/liveness.test.ts
+++ b/src/controller/workers/liveness.test.ts
@@ -25,7 +25,7 @@
   });
 
   /** Lets time pass as it does for a controller that is not stalled. */
-  function pass(ms: number, mayAnswer = true): void {
+  function advanceTime(ms: number, mayAnswer = true): void {
     for (let passed = 0; passed < ms; passed += TICK_MS) {
       clock.time += TICK_MS;
       liveness.setAnswering(mayAnswer, TICK_MS);
@@ -33,10 +33,10 @@
   }
 
   it('counts a machine as unresponsive only while heartbeats would have been answered', () => {
-    pass(2000);
+    advanceTime(2000);
     assert.equal(liveness.unresponsiveMs(machine), 2000);
     assert.equal(liveness.unacknowledgedMs(machine), 2000);
-    pass(1000, false);
+    advanceTime(1000, false);
     assert.equal(liveness.unresponsiveMs(machine), 0);
     assert.equal(liveness.unacknowledgedMs(machine), 0);
   });
@@ -59,7 +59,7 @@
   });
 
   it('gives the overdue share of the machines from which heartbeats are expected', () => {
-    pass(settings.heartbeatIntervalMs * 4);
+    advanceTime(settings.heartbeatIntervalMs * 4);
     machine.lastHeartbeatAt = clock.time;
     assert.equal(liveness.overdueShare(0, false), 0.5);
     assert.equal(liveness.overdueShare(0, true), 0);
