--- a/src/controller/workers/liveness.test.ts
+++ b/src/controller/workers/liveness.test.ts
@@ -26,7 +26,7 @@
 
   /** Lets time pass as it does for a controller that is not stalled. */
   function advanceTime(ms: number, mayAnswer = true): void {
-    for (let passed = 0; passed < ms; passed += TICK_MS) {
+    for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += TICK_MS) {
       clock.time += TICK_MS;
       liveness.setAnswering(mayAnswer, TICK_MS);
     }
