--- a/src/controller/workers/fencing-token-sync.test.ts
+++ b/src/controller/workers/fencing-token-sync.test.ts
@@ -18,8 +18,8 @@
 
   it('takes the token for acknowledged once a heartbeat shows the expected one of this term', () => {
     assert.ok(!fencingTokens.acknowledge(machine, makeFencingToken(TERM - 1, 9)));
-    const ofLaterLeader = makeFencingToken(TERM + 1, 0);
-    assert.ok(!fencingTokens.acknowledge(machine, ofLaterLeader), 'of another leader');
+    const laterLeaderToken = makeFencingToken(TERM + 1, 0);
+    assert.ok(!fencingTokens.acknowledge(machine, laterLeaderToken), 'of another leader');
     assert.ok(!machine.tokenAcknowledged);
     assert.ok(fencingTokens.acknowledge(machine, TOKEN));
     assert.ok(machine.tokenAcknowledged);
