--- a/src/controller/workers/machine-store.test.ts
+++ b/src/controller/workers/machine-store.test.ts
@@ -60,10 +60,10 @@
 
     const reader = new Fixture(records);
     reader.store.restore();
-    const known = reader.registry.getOrCreate('n-1');
-    assert.deepEqual([known.agentEpoch, known.typeName, known.zone], [3, 'g', 'a']);
-    assert.deepEqual([known.spot, known.addr], [true, '10.1.0.1:9']);
-    assert.deepEqual([...known.images], [['i', 2.5]]);
+    const restored = reader.registry.getOrCreate('n-1');
+    assert.deepEqual([restored.agentEpoch, restored.typeName, restored.zone], [3, 'g', 'a']);
+    assert.deepEqual([restored.spot, restored.addr], [true, '10.1.0.1:9']);
+    assert.deepEqual([...restored.images], [['i', 2.5]]);
     assert.deepEqual(reader.events, [`restored n-1 req-1/0@${ATTEMPT} at ${NOW}`]);
   });
 
