--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -83,8 +83,8 @@
       fc.property(assignedTasks, (tasks) => {
         const machine = machineWith(tasks);
         const { recordSize } = machine;
-        const written = storedSize(encode(machine)) - storedSize(encode(newMachine()));
-        assert.ok(written <= recordSize.bytes, `${written} of ${recordSize.bytes}`);
+        const tasksBytes = storedSize(encode(machine)) - storedSize(encode(newMachine()));
+        assert.ok(tasksBytes <= recordSize.bytes, `${tasksBytes} of ${recordSize.bytes}`);
         for (const assignment of machine.assignments.values()) recordSize.remove(assignment);
         assert.equal(recordSize.bytes, 0);
       }),
