--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -30,11 +30,14 @@
   selector: ({ job, task }) => `${job}/${task}`,
 });
 
-function assignmentOf({ job, task, attempt, assignedAt }: AssignedTask, on: Machine): Assignment {
+function assignmentOf(
+  { job, task, attempt, assignedAt }: AssignedTask,
+  machine: Machine,
+): Assignment {
   const jobId = `req-${String(job).padStart(6, '0')}`;
   return {
     ...{ name: `${jobId}/${task}`, jobId, job: null, team: 'red', task },
-    ...{ attempt: 77 * ATTEMPTS_PER_TERM + attempt, machine: on, agentEpoch: 1, assignedAt },
+    ...{ attempt: 77 * ATTEMPTS_PER_TERM + attempt, machine: machine, agentEpoch: 1, assignedAt },
     ...{ request: { cpus: 1.25, gpus: 0, memoryGb: 2.3 }, checkpointSaveS: 0, phase: 'seen' },
     ...{ state: null, startSentSequence: null, runningAt: null },
     ...{ lastHeartbeatNumber: 0, stop: null },
