--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -10,7 +10,7 @@
   readonly events: string[] = [];
   readonly machine = newMachine();
   readonly assignments: Assignments;
-  teamTasks = 0;
+  teamTaskCount = 0;
 
   constructor(readonly job: Job = acceptedJob()) {
     this.assignments = new Assignments(
@@ -21,7 +21,7 @@
         requeue: (_, task) => this.events.push(`put back ${task}`),
         countExit: (_, cause) => this.events.push(`exit ${cause}`),
       },
-      { add: (_team, _request, count) => (this.teamTasks += count) },
+      { add: (_team, _request, count) => (this.teamTaskCount += count) },
       {
         recordFailure: (_machine, _job, outcome) => this.events.push(`failure ${outcome}`),
         recordSuccess: () => this.events.push('success'),
@@ -52,13 +52,13 @@
     const assignment = fixture.start(0);
     assert.equal(assignments.count, 1);
     assert.equal(assignments.countByClass.get('c'), 1);
-    assert.equal(fixture.teamTasks, 1);
+    assert.equal(fixture.teamTaskCount, 1);
     assert.ok(machine.isBusy);
     assignments.end(assignment, 'error');
     assignments.end(assignment, 'error');
     assert.equal(assignments.count, 0);
     assert.equal(assignments.countByClass.size, 0);
-    assert.equal(fixture.teamTasks, 0);
+    assert.equal(fixture.teamTaskCount, 0);
     assert.equal(machine.idleSince, 1000);
     assert.deepEqual(fixture.events, ['exit error', 'failure error', 'put back 0']);
   });
