--- a/src/controller/workers/commands.test.ts
+++ b/src/controller/workers/commands.test.ts
@@ -9,7 +9,7 @@
 const STOP = { graceS: 5, requestedAt: 0, reason: 'preempted', sentAsDirectCommand: false };
 
 /** An assignment of agent epoch 1 whose task takes 10 s to save a checkpoint. */
-function assignmentIn(state: Partial<Assignment>): Assignment {
+function assignmentWith(state: Partial<Assignment>): Assignment {
   const machine = newMachine();
   machine.agentEpoch = 1;
   const job = acceptedJob({ checkpointSaveS: 10 });
@@ -24,7 +24,7 @@
 
 describe('addCommand', () => {
   it('starts a recorded assignment once, in its own agent epoch', () => {
-    const assignment = assignmentIn({ phase: 'recorded' });
+    const assignment = assignmentWith({ phase: 'recorded' });
     assert.deepEqual(commandsFor(assignment, 0, 2), []);
     const start = { op: 'start', name: 'req-1/0', attempt: ATTEMPT };
     assert.deepEqual(commandsFor(assignment), [start]);
@@ -34,11 +34,11 @@
   });
 
   it('does not start an assignment that is not recorded yet', () => {
-    assert.deepEqual(commandsFor(assignmentIn({ phase: 'planned' })), []);
+    assert.deepEqual(commandsFor(assignmentWith({ phase: 'planned' })), []);
   });
 
   it('repeats a stop until the task saves its checkpoint', () => {
-    const assignment = assignmentIn({ phase: 'seen', state: 'running', stop: { ...STOP } });
+    const assignment = assignmentWith({ phase: 'seen', state: 'running', stop: { ...STOP } });
     const stop = { op: 'stop', name: 'req-1/0', attempt: ATTEMPT, graceS: 5 };
     assert.deepEqual(commandsFor(assignment), [stop]);
     assert.deepEqual(commandsFor(assignment), [stop]);
@@ -47,7 +47,7 @@
   });
 
   it('cuts a save short that takes far too long, or is no longer wanted', () => {
-    const assignment = assignmentIn({ phase: 'seen', state: 'saving', stop: { ...STOP } });
+    const assignment = assignmentWith({ phase: 'seen', state: 'saving', stop: { ...STOP } });
     const { gangPeerExitS } = settings.platform.workers;
     const allowedMs = (10 * 2 + gangPeerExitS) * 1000 + settings.heartbeatIntervalMs;
     const stop = { op: 'stop', name: 'req-1/0', attempt: ATTEMPT, graceS: 0 };
