--- a/src/controller/workers/commands.test.ts
+++ b/src/controller/workers/commands.test.ts
@@ -9,11 +9,11 @@
 const STOP = { graceS: 5, requestedAt: 0, reason: 'preempted', sentAsDirectCommand: false };
 
 /** An assignment of agent epoch 1 whose task takes 10 s to save a checkpoint. */
-function assignmentWith(state: Partial<Assignment>): Assignment {
+function assignmentWith(overrides: Partial<Assignment>): Assignment {
   const machine = newMachine();
   machine.agentEpoch = 1;
   const job = acceptedJob({ checkpointSaveS: 10 });
-  return Object.assign(planAssignment(job, 0, ATTEMPT, machine, 0), state);
+  return Object.assign(planAssignment(job, 0, ATTEMPT, machine, 0), overrides);
 }
 
 function commandsFor(assignment: Assignment, now = 0, agentEpoch = 1): WorkerCommand[] {
