--- a/src/controller/model/pending-tasks.ts
+++ b/src/controller/model/pending-tasks.ts
@@ -7,10 +7,10 @@
   /** By task: 1 if it is in the stack. */
   private readonly pendingFlags: Uint8Array;
 
-  /** @param tasks - how many tasks the job has; all of them wait at first */
-  constructor(tasks: number) {
-    this.stack = Array.from({ length: tasks }, (_, index) => tasks - 1 - index);
-    this.pendingFlags = new Uint8Array(tasks).fill(1);
+  /** @param taskCount - how many tasks the job has; all of them wait at first */
+  constructor(taskCount: number) {
+    this.stack = Array.from({ length: taskCount }, (_, index) => taskCount - 1 - index);
+    this.pendingFlags = new Uint8Array(taskCount).fill(1);
   }
 
   /** How many tasks wait. */
