--- a/src/controller/workers/fencing-token-sync.ts
+++ b/src/controller/workers/fencing-token-sync.ts
@@ -1,12 +1,18 @@
-/** Raises fencing tokens and tracks, by the tokens in heartbeats, which workers receive their leader. */
+/**
+ * Raises the fencing tokens of workers. The tokens in heartbeats show to which workers the leader's
+ * responses get through.
+ */
 import { attemptKey, type Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import { FENCING_EPOCH_LIMIT, makeFencingToken, termOfToken } from './fencing-token.js';
 
-/** After so many heartbeats in a row that lack a start the machine is taken to receive nothing. */
+/**
+ * Number of consecutive heartbeats without a task whose start was sent, after which the leader assumes
+ * that its responses do not reach the machine.
+ */
 const LOST_START_LIMIT = 2;
 
-/** Raises and checks the fencing tokens of one leader's workers. */
+/** Raises and checks the fencing tokens of all workers for one leader's term. */
 export class FencingTokenSync {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now'>,
@@ -14,21 +20,22 @@
     readonly term: number,
   ) {}
 
-  /** The token of the commands and heartbeat responses that go to the machine now. */
+  /** Returns the token that commands and heartbeat responses to the machine carry at present. */
   currentToken(machine: Machine): number {
     return makeFencingToken(this.term, machine.fencingEpoch);
   }
 
-  /** Whether a heartbeat with this token was sent by a worker that knew this leader. */
+  /** Returns true if the token is of this term, so that the worker that reported it has seen this leader. */
   isOfThisTerm(token: number | bigint): boolean {
     return termOfToken(token) === this.term;
   }
 
   /**
-   * Raises the token that the machine has to show before anything more is placed on it; the worker
-   * can only have it from a response that is yet to be sent. A machine whose heartbeats arrive while
-   * responses and commands are lost looks idle in every new agent epoch, and would otherwise be given
-   * the same tasks again and again.
+   * Raises the token that the worker has to report before more tasks are placed on the machine. The
+   * worker can obtain the new token only from a response that has not been sent yet, so reporting it
+   * proves that responses arrive. Without this check, a machine whose heartbeats arrive while responses
+   * and commands are lost would look idle in every new agent epoch and would be assigned the same tasks
+   * again and again.
    */
   requireNewToken(machine: Machine): void {
     if (machine.fencingEpoch < FENCING_EPOCH_LIMIT) machine.fencingEpoch++;
@@ -38,8 +45,8 @@
   }
 
   /**
-   * Takes note of the token in a heartbeat. Returns true if the machine has just been found to
-   * receive responses: it shows the expected token, and had not done so before.
+   * Processes the token in a heartbeat. Returns true if it is the first heartbeat that shows the expected
+   * token, which proves that responses reach the machine.
    */
   acknowledge(machine: Machine, token: number | bigint): boolean {
     for (const [attempt, startToken] of machine.directStartTokens)
@@ -55,8 +62,8 @@
   }
 
   /**
-   * Makes sure that the response to the present heartbeat invalidates direct starts of the attempt.
-   * Returns true if one may still be carried out.
+   * Ensures that the response to the heartbeat being handled invalidates all direct starts of the
+   * attempt. Returns true if the worker may still carry out such a start.
    */
   voidDirectStart(machine: Machine, name: string, attempt: number | bigint): boolean {
     const token = machine.directStartTokens.get(attemptKey(name, attempt));
@@ -66,9 +73,9 @@
   }
 
   /**
-   * Records that a start did not arrive, as the heartbeat of this number shows; several lost starts in
-   * one heartbeat count once. Returns true if the machine is taken to receive nothing, so that the
-   * task may be placed elsewhere.
+   * Records that the heartbeat with this number shows that a start did not arrive. Several lost starts in
+   * one heartbeat count once. Returns true if responses are assumed not to reach the machine, so that the
+   * task may be placed on another machine.
    */
   recordLostStart(machine: Machine, heartbeatNumber: number): boolean {
     if (machine.lastLostStartHeartbeat !== heartbeatNumber) machine.lostStartHeartbeats++;
@@ -78,7 +85,10 @@
     return true;
   }
 
-  /** Whether the worker has acknowledged this term in its agent epoch, and fencing epochs are left. */
+  /**
+   * Returns true if direct starts may be sent to the worker: it has acknowledged the expected token in
+   * its current agent epoch, and its fencing epoch is below `FENCING_EPOCH_LIMIT`.
+   */
   mayStartDirectly(machine: Machine): boolean {
     return machine.tokenAcknowledged && machine.fencingEpoch < FENCING_EPOCH_LIMIT;
   }
--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Handles the heartbeats of workers: what they prove, and the commands in their responses. */
+/** Handles worker heartbeats: updates the leader's state and puts commands into the responses. */
 import type { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
@@ -11,24 +11,24 @@
 import type { HeartbeatInProgress, Reconciliation } from './reconciliation.js';
 
 /**
- * The response to a heartbeat. Only 200 renews the worker's lease; a heartbeat that is late, or of an
- * agent epoch that is over, must not renew it and gets 503.
+ * The response to a heartbeat. Only status 200 renews the worker's lease. A heartbeat that arrives out
+ * of order, or that belongs to an agent epoch that has ended, must not renew it and is answered with 503.
  */
 export type HeartbeatResponse = { status: 200; body: unknown } | { status: 503 };
 
 const REFUSED: HeartbeatResponse = { status: 503 };
 
-/** What follows from heartbeats. */
+/** Events that `HeartbeatHandler` raises. */
 export interface HeartbeatEvents {
-  /** The worker has seen a leader of this term. */
+  /** A heartbeat carried a fencing token of this term, so the worker has seen a leader of that term. */
   higherTermSeen(term: number): void;
-  /** The usable machines changed: a placement pass is needed. */
+  /** The set of usable machines may have changed: a placement pass is needed. */
   placementInputChanged(): void;
 }
 
-/** Answers the heartbeats of workers. */
+/** Checks each heartbeat, applies it to the state of its machine, and builds the response. */
 export class HeartbeatHandler {
-  /** Heartbeats of all machines that were accepted in this term. */
+  /** Number of heartbeats accepted in this term, from all machines. */
   private heartbeatCount = 0;
 
   constructor(
@@ -44,10 +44,11 @@
     private readonly events: HeartbeatEvents,
   ) {}
 
-  /** Takes over the state that the heartbeat shows; a response of 200 renews the worker's lease. */
+  /** Applies the state in the heartbeat. A response with status 200 renews the worker's lease. */
   handle(heartbeat: Heartbeat): HeartbeatResponse {
     this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
-    // Late copies of heartbeats must not bring back a machine that the cloud has taken.
+    // The network may deliver copies of a heartbeat after the cloud has confirmed that the machine is
+    // gone; such a copy must not register the machine again.
     if (this.registry.wasRemoved(heartbeat.machine)) return REFUSED;
     const machine = this.registry.getOrCreate(heartbeat.machine);
     if (isOutdated(heartbeat, machine)) return REFUSED;
@@ -85,7 +86,7 @@
   private reconcile(inProgress: HeartbeatInProgress, now: number): void {
     const { machine, heartbeat, heartbeatNumber, sentUnderThisTerm, commands } = inProgress;
     for (const task of heartbeat.tasks) this.reconciliation.reconcileReportedTask(inProgress, task);
-    // An assignment that ends is deleted from the map, which iteration over a Map allows.
+    // Assignments that end are deleted from the map during the loop; iteration over a Map allows that.
     for (const assignment of machine.assignments.values()) {
       const isMissing =
         assignment.lastHeartbeatNumber !== heartbeatNumber && assignment.phase !== 'ended';
@@ -96,7 +97,10 @@
   }
 }
 
-/** Whether the heartbeat is of an agent epoch that is over, or no later than the last of its epoch. */
+/**
+ * Returns true if the heartbeat belongs to an agent epoch that has ended, or if a heartbeat with the same
+ * or a higher sequence number was already accepted in its epoch.
+ */
 function isOutdated({ agentEpoch, sequence }: Heartbeat, machine: Machine): boolean {
   if (agentEpoch < machine.agentEpoch || agentEpoch < machine.lowestValidAgentEpoch) return true;
   return agentEpoch === machine.agentEpoch && sequence <= machine.lastHeartbeatSequence;
--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -1,6 +1,7 @@
 /**
- * The stored forms of a machine's two records: one of the machine and its assignments, one of its
- * cached images. Both are lists whose form is fixed, since leaders of other versions read them.
+ * Encodes and decodes the two records of a machine: one holds the machine and its assignments, the
+ * other its cached images. The format of both lists is fixed, because leaders that run other versions
+ * of the program read them.
  */
 import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
 import { encodeJob, sharedStartMs } from '../model/machine-record-size.js';
@@ -9,26 +10,27 @@
 import { isList } from '../wire/cbor.js';
 import type { MachineDescription } from './machine-registry.js';
 
-/** The encoded tasks of one attempt that were assigned within one span of time. */
+/** The encoded tasks of one attempt that were assigned in the same time slot. */
 interface EncodedAttempt {
   readonly attempt: number;
-  /** Number of the span of time in which they were assigned. */
-  readonly span: number;
-  /** The attempt, the time of its first task, and the numbers of its tasks. */
+  /** Number of the time slot in which the tasks were assigned; see `sharedStartMs`. */
+  readonly timeSlot: number;
+  /** The attempt number, the assignment time of the first task, and the task numbers. */
   readonly encoded: number[];
 }
 
 /** The encoded tasks of one job. */
 interface EncodedJob {
-  /** The job's part of the record; the encoded attempts follow in the same list. */
+  /** The job's fields as `encodeJob` returns them, followed by the encoded attempts. */
   readonly encoded: unknown[];
   readonly attempts: EncodedAttempt[];
 }
 
 /**
- * Encodes the machine's record: agent epoch, type, zone, 1 for a spot machine, address, and for each job
- * its tasks by attempt and time of assignment. Times are milliseconds of the wall clock, which other
- * controllers share. Encoded whenever a task comes or goes, so it builds no string per task.
+ * Encodes the machine's record: agent epoch, type, zone, 1 for a spot machine or else 0, address, and
+ * for each job its tasks, grouped by attempt and time of assignment. Times are wall-clock milliseconds,
+ * because the steady clocks of controllers cannot be compared. The record is encoded each time a task
+ * is added or removed, so this function builds no string per task.
  */
 export function encodeMachineRecord(
   machine: Machine,
@@ -51,7 +53,7 @@
   return [agentEpoch, typeName, zone, spot ? 1 : 0, addr, ...tasks];
 }
 
-/** The encoded attempt that the task belongs to; it is added if it is not there. */
+/** Returns the encoded attempt that the assignment belongs to, and adds it if it does not exist. */
 function encodedAttemptOf(
   job: EncodedJob,
   { attempt, assignedAt }: Assignment,
@@ -61,11 +63,11 @@
 ): EncodedAttempt {
   const timeSlot = Math.floor(assignedAt / slotMs);
   const existing = job.attempts.find(
-    (entry) => entry.attempt === attempt && entry.span === timeSlot,
+    (entry) => entry.attempt === attempt && entry.timeSlot === timeSlot,
   );
   if (existing !== undefined) return existing;
   const assignedAtWallClock = Math.round(wallClockNow - (now - assignedAt));
-  const entry = { attempt, span: timeSlot, encoded: [attempt, assignedAtWallClock] };
+  const entry = { attempt, timeSlot, encoded: [attempt, assignedAtWallClock] };
   job.attempts.push(entry);
   job.encoded.push(entry.encoded);
   return entry;
@@ -77,7 +79,7 @@
   tasks: RecordedTask[];
 }
 
-/** Decodes a machine's record; tasks without a time count as assigned now. */
+/** Decodes a machine's record. Tasks without an assignment time are treated as assigned now. */
 export function decodeMachineRecord(
   record: readonly unknown[],
   wallClockNow: number,
@@ -93,7 +95,7 @@
   };
 }
 
-/** Decodes the tasks of one job. */
+/** Decodes the tasks of one job in a machine's record. */
 function decodeJob(encoded: readonly unknown[], wallClockNow: number): RecordedTask[] {
   const [jobId, team, cpus, gpus, memoryGb, checkpointSaveS, ...attempts] = encoded;
   const request: ResourceRequest = {
@@ -120,12 +122,12 @@
   return tasks;
 }
 
-/** Encodes the images cached on a machine: each name followed by its size in GB. */
+/** Encodes the images cached on a machine as a flat list: each name is followed by its size in GB. */
 export function encodeImages(images: ReadonlyMap<string, number>): unknown[] {
   return [...images].flat();
 }
 
-/** Decodes the images cached on a machine, as names and sizes in GB. */
+/** Decodes the images cached on a machine into pairs of name and size in GB. */
 export function decodeImages(record: readonly unknown[]): [image: string, sizeGb: number][] {
   const images: [string, number][] = [];
   for (let i = 0; i + 1 < record.length; i += 2)
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -1,4 +1,4 @@
-/** Reconciles the tasks that a heartbeat lists with those that are assigned to the machine. */
+/** Reconciles the tasks that a heartbeat lists with the assignments of the machine. */
 import type { JobTable } from '../jobs/job-table.js';
 import type { Assignment, Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
@@ -11,29 +11,30 @@
 import type { Assignments } from './assignments.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
-/** A heartbeat that is being handled, and the commands of its response. */
+/** A heartbeat that is being handled, and the commands that its response will carry. */
 export interface HeartbeatInProgress {
   readonly machine: Machine;
   readonly heartbeat: Heartbeat;
-  /** Number of this heartbeat among those of all machines in this term. */
+  /** Sequential number of this heartbeat among the heartbeats of all machines in this term. */
   readonly heartbeatNumber: number;
   /**
-   * Whether the worker knew this leader's term when it sent the heartbeat. One sent before may be
-   * arbitrarily old: a task that it lacks may have been started since by the previous leader.
+   * Whether the worker had seen this leader's term when it sent the heartbeat. If not, the heartbeat may
+   * be arbitrarily old, and the previous leader may since have started a task that it does not list.
    */
   readonly sentUnderThisTerm: boolean;
+  /** Commands for the response; reconciliation appends to this list. */
   readonly commands: WorkerCommand[];
 }
 
-/** What follows from the tasks that heartbeats show. */
+/** Events that `Reconciliation` raises. */
 export interface ReconciliationEvents {
-  /** Tasks changed: a placement pass is needed. */
+  /** The state of a task changed: a placement pass is needed. */
   placementInputChanged(): void;
-  /** The machine was found to have an image that was not known to be there. */
+  /** The machine has cached an image that was not yet in `machine.images`. */
   imagesChanged(machine: Machine): void;
 }
 
-/** Brings assignments in line with the tasks that heartbeats list, and with those that they lack. */
+/** Updates assignments from the tasks that a heartbeat lists and from assigned tasks that it lacks. */
 export class Reconciliation {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
@@ -43,14 +44,14 @@
     private readonly events: ReconciliationEvents,
   ) {}
 
-  /** Handles a task that the heartbeat lists. */
+  /** Updates the assignment of a task that the heartbeat lists, or stops the task if it has none. */
   reconcileReportedTask(inProgress: HeartbeatInProgress, task: TaskStatus): void {
     const { machine } = inProgress;
     const assignment = machine.assignments.get(task.name);
     if (assignment?.attempt === task.attempt && assignment.agentEpoch === machine.agentEpoch) {
       if (!this.reconcileAssignment(inProgress, assignment, task)) return;
     } else if (task.state !== 'exited') {
-      // No record assigns it to this machine, so it must not run here.
+      // The attempt is not assigned to this machine in this agent epoch, so it must not run here.
       this.eventLoop.log.warn({ task: task.name, machine: machine.id }, 'orphaned task');
       inProgress.commands.push({ op: 'stop', name: task.name, attempt: task.attempt, graceS: 0 });
       return;
@@ -58,40 +59,46 @@
     if (task.state === 'exited') this.clearExited(inProgress, task);
   }
 
-  /** Handles an assigned task that a heartbeat sent under this term lacks (invariants 5 and 6). */
+  /**
+   * Handles an assigned task that is missing from a heartbeat sent under this term. Once the start is
+   * settled, such a heartbeat proves that the task is gone (invariant 5). A direct start is settled only
+   * when the worker has shown a higher fencing token, because it then refuses late copies of the start
+   * (invariant 6).
+   */
   reconcileMissingTask(
     { machine, heartbeat, heartbeatNumber }: HeartbeatInProgress,
     assignment: Assignment,
   ): void {
     const { phase, name, attempt, startSentSequence } = assignment;
     if (phase !== 'seen' && phase !== 'sent') return;
-    // A direct start may yet be carried out; no longer once the worker shows the raised token.
+    // The worker may still carry out a direct start until its heartbeats show the raised token.
     if (this.fencingTokens.voidDirectStart(machine, name, attempt)) return;
-    // The worker has one heartbeat in flight at a time, so a later one without the task means that
-    // the response with its start was dropped, or that the task is gone.
+    // A worker has one heartbeat in flight at a time, so a heartbeat that was sent after the start and
+    // lacks the task means that the response with the start was lost or that the task is gone.
     if (startSentSequence !== null && heartbeat.sequence <= startSentSequence) return;
-    // A start of this term that never arrived may be sent again. One of an earlier leader may have
-    // arrived, and its task have ended and been cleared: that attempt is over.
+    // A start that this leader sent and that never arrived may be sent again. A start that an earlier
+    // leader sent may have arrived, and the task may have ended and been cleared since, so that attempt
+    // is ended.
     if (phase === 'seen' || startSentSequence === null || assignment.stop !== null) {
       this.assignments.end(assignment, 'lost');
       return;
     }
     assignment.phase = 'recorded';
-    // The machine receives no responses. The task is neither there nor on its way, so it may be placed
-    // elsewhere.
+    // If responses do not reach the machine, the task is neither on it nor about to start there, so it
+    // may be placed on another machine.
     if (this.fencingTokens.recordLostStart(machine, heartbeatNumber))
       this.assignments.end(assignment, 'unsent');
   }
 
-  /** Returns true if the task's exit, if it has exited, is to be cleared. */
+  /** Updates the assignment. Returns false if the worker must not clear the task even if it exited. */
   private reconcileAssignment(
     inProgress: HeartbeatInProgress,
     assignment: Assignment,
     task: TaskStatus,
   ): boolean {
     assignment.lastHeartbeatNumber = inProgress.heartbeatNumber;
-    // A heartbeat from before this term may be arbitrarily old. That a task is done stays true; but one
-    // that ended otherwise may have been cleared and started again under the same attempt.
+    // A heartbeat sent before this term may be arbitrarily old. A completion remains valid, but a task
+    // that exited with another cause may have been cleared and started again under the same attempt.
     const isCompletion = task.cause === 'done' && assignment.job?.isService !== true;
     if (!inProgress.sentUnderThisTerm && task.state === 'exited' && !isCompletion) return false;
     if (task.cause === 'alone' && isGangMemberNeeded(assignment)) {
@@ -103,8 +110,8 @@
   }
 
   /**
-   * A gang member gave up waiting while the others still fetch their image. It is started again under
-   * the same attempt; stopping the whole gang would throw those fetches away.
+   * Restarts a gang member that stopped waiting for its peers while other members still fetch their
+   * image. It keeps the same attempt: stopping the whole gang would discard the fetches in progress.
    */
   private restartGangMember(
     { machine, commands }: HeartbeatInProgress,
@@ -118,14 +125,17 @@
     assignment.startSentSequence = machine.lastHeartbeatSequence;
   }
 
-  /** Has the worker clear a task that has exited, unless the completion still has to be recorded. */
+  /** Tells the worker to clear an exited task, unless its completion has not been recorded yet. */
   private clearExited({ machine, commands }: HeartbeatInProgress, task: TaskStatus): void {
     if (task.cause === 'done' && this.isCompletionUnrecorded(task)) return;
     this.fencingTokens.voidDirectStart(machine, task.name, task.attempt);
     commands.push({ op: 'forget', name: task.name, attempt: task.attempt });
   }
 
-  /** Whether the worker's state is the only trace of the completion until that is recorded. */
+  /**
+   * Returns true if the completion of the task is not recorded yet, so that the worker's state is the
+   * only evidence of it. Also marks the task as done if it is not marked yet and belongs to no gang.
+   */
   private isCompletionUnrecorded({ name }: TaskStatus): boolean {
     const { job: id, task } = parseTaskName(name);
     const job = this.table.jobs.get(id);
@@ -134,7 +144,7 @@
     return job.doneRecorded[task] !== 1;
   }
 
-  /** Takes over the task state that the heartbeat shows. */
+  /** Applies the task state in the heartbeat to the assignment. */
   private applyTaskState(assignment: Assignment, { state, cause }: TaskStatus): void {
     const { job, machine } = assignment;
     if (assignment.phase !== 'seen') machine.lostStartHeartbeats = 0;
@@ -145,7 +155,7 @@
     }
     if (state === assignment.state) return;
     if (state === 'running' || state === 'waiting') this.recordImage(assignment);
-    // Only runs that this leader started are timed: of others it does not know when they began.
+    // Only tasks that this leader started are timed: it does not know when the others began to run.
     const startedInThisTerm = assignment.startSentSequence !== null;
     const now = this.eventLoop.now();
     if (state === 'running' && startedInThisTerm) assignment.runningAt ??= now;
@@ -160,7 +170,7 @@
     this.events.placementInputChanged();
   }
 
-  /** A task that no longer fetches has its image, so the machine has it cached. */
+  /** Records that the machine has cached the task's image; called once the task has fetched it. */
   private recordImage({ job, machine }: Assignment): void {
     if (job === null) return;
     const { image, imageGb } = job.spec;
@@ -168,7 +178,10 @@
   }
 }
 
-/** Whether a gang member that gave up waiting is still needed, since other members fetch their image. */
+/**
+ * Returns true if a gang member that stopped waiting for its peers has to be started again, because
+ * another member still fetches its image and nothing else prevents the gang from running.
+ */
 function isGangMemberNeeded(assignment: Assignment): boolean {
   const { job, machine } = assignment;
   if (job?.terminalState !== null || job.gangRestarting) return false;
