--- a/src/controller/workers/agent-epochs.ts
+++ b/src/controller/workers/agent-epochs.ts
@@ -1,13 +1,16 @@
-/** Agent epochs of workers: when one begins, and when its lease has certainly expired. */
+/**
+ * Agent epochs of workers. A worker begins a new agent epoch after its lease has expired; the leader ends
+ * an epoch once its lease has certainly expired.
+ */
 import type { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignments } from './assignments.js';
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
-/** What follows from the begin or end of an agent epoch. */
+/** Events that `AgentEpochs` raises. */
 export interface AgentEpochEvents {
-  /** The usable machines changed: a placement pass is needed. */
+  /** The set of usable machines changed: a placement pass is needed. */
   placementInputChanged(): void;
   /** The machine's record has to be written. */
   recordDue(machine: Machine): void;
@@ -24,12 +27,12 @@
   ) {}
 
   /**
-   * Begins the agent epoch that a heartbeat shows. The worker's lease had ended before, so everything
-   * assigned in earlier epochs is gone from the machine.
+   * Begins the agent epoch that a heartbeat reports. The worker's lease ended before it began this epoch,
+   * so all tasks assigned in earlier epochs are gone from the machine.
    */
   begin(machine: Machine, agentEpoch: number): void {
     this.assignments.endBeforeEpoch(machine, agentEpoch);
-    // A machine that was not known before still has to acknowledge this term anyway.
+    // Without an earlier epoch no new token is needed: the machine still has to acknowledge this term.
     const hadEarlierEpoch = machine.agentEpoch > 0;
     machine.agentEpoch = agentEpoch;
     machine.directStartTokens.clear();
@@ -37,7 +40,7 @@
     this.events.recordDue(machine);
   }
 
-  /** Ends the agent epochs whose worker lease has certainly expired. */
+  /** Ends each agent epoch whose worker lease has certainly expired, and all its assignments. */
   expireLeases(machines: Iterable<Machine>): void {
     const now = this.eventLoop.now();
     for (const machine of machines) {
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -1,4 +1,4 @@
-/** The life cycle of assignments: assigned, stopped, ended; and what follows for their jobs. */
+/** The life cycle of assignments: they are created, stopped and ended, and their jobs are updated. */
 import type { JobTable } from '../jobs/job-table.js';
 import {
   type Assignment,
@@ -14,23 +14,27 @@
 import type { FailureTracker } from './failure-tracker.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** What follows from changes of assignments. */
+/** Events that `Assignments` raises. */
 export interface AssignmentEvents {
-  /** Free capacity or tasks changed: a placement pass is needed. */
+  /** Free capacity or the set of pending tasks changed: a placement pass is needed. */
   placementInputChanged(): void;
-  /** A task was completed, this long after it began to run. */
+  /** A task was completed; `runMs` is the time since this leader first saw it running. */
   taskCompleted(assignment: Assignment, runMs: number): void;
   /** The machine's record has to be written. */
   recordDue(machine: Machine): void;
-  /** The machine has to be sent a stop. */
+  /** A stop command has to be sent to the machine. */
   commandDue(machine: Machine): void;
 }
 
-/** All tasks that may be on a machine, counted until they are proven gone (invariants 5 and 7). */
+/**
+ * All tasks that may be on a machine. A task is counted, against its team's limits too, until it is proven
+ * gone (invariants 5 and 7): the agent epoch has advanced, the worker's lease has certainly expired, the
+ * cloud has confirmed the release, or a heartbeat sent after the start was settled does not list the task.
+ */
 export class Assignments {
-  /** Number of tasks that are not proven gone, by class. */
+  /** Number of tasks that are not yet proven gone, by job class. */
   readonly countByClass = new Map<string, number>();
-  /** Number of tasks that are not proven gone. */
+  /** Number of tasks that are not yet proven gone. */
   count = 0;
 
   constructor(
@@ -41,7 +45,10 @@
     private readonly events: AssignmentEvents,
   ) {}
 
-  /** Assigns the task to the machine; it is started once the assignment is recorded (invariant 4). */
+  /**
+   * Assigns the task to the machine. Its start command is sent only after the machine's record lists the
+   * assignment (invariant 4).
+   */
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
     const assignment = planAssignment(job, task, attempt, machine, this.eventLoop.now());
     this.register(assignment);
@@ -53,7 +60,7 @@
     );
   }
 
-  /** Restores a task that an earlier leader has recorded on the machine. */
+  /** Restores an assignment from a machine's record that an earlier leader wrote. */
   restore(machine: Machine, recorded: RecordedTask, assignedAt: number): void {
     const job = this.table.jobs.get(recorded.jobId) ?? null;
     const assignment = restoreAssignment(recorded, job, machine, assignedAt);
@@ -63,8 +70,9 @@
   }
 
   /**
-   * Stops the assignment: at once if its start was never sent, otherwise by a command to the worker,
-   * which has `graceS` seconds to save a checkpoint. Only an earlier end than before is sent again.
+   * Stops the assignment. If its start was never sent, it ends immediately. Otherwise a command is sent to
+   * the worker, and the task has `graceS` seconds to save a checkpoint. A repeated stop has an effect only
+   * if it allows less time than the one before.
    */
   stop(assignment: Assignment, graceS: number, reason: string): void {
     const { phase, machine, jobId, task } = assignment;
@@ -88,7 +96,10 @@
     );
   }
 
-  /** Stops all tasks of a job; the stops of a gang have to arrive within `gang_peer_s` of each other. */
+  /**
+   * Stops all current tasks of a job. The stops of a gang have to reach its machines within `gang_peer_s`
+   * seconds of each other.
+   */
   stopJob(job: Job, graceS: number, reason: string): void {
     if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) job.gangRestarting = true;
     for (const assignment of [...job.currentAssignments.values()])
@@ -96,15 +107,16 @@
     this.restartGang(job);
   }
 
-  /** Stops all attempts of a job that has ended, including those that are known only from records. */
+  /** Stops all attempts of an ended job, including older attempts that are only on record. */
   stopAll(job: Job, reason: string): void {
     this.stopJob(job, 0, reason);
     for (const assignment of [...job.allAssignments]) this.stop(assignment, 0, reason);
   }
 
   /**
-   * The job has ended: forgets assignments that have ended, and stops the others if it was cancelled.
-   * The members of a completed gang all exit by themselves at the same time.
+   * Cleans up after a job that has ended: removes its ended assignments and, if the job was cancelled,
+   * stops the others. The members of a completed gang need no stop, because they all exit at the same
+   * time.
    */
   jobTerminated(job: Job): void {
     for (const assignment of [...job.allAssignments]) {
@@ -113,24 +125,27 @@
     }
   }
 
-  /** The completion of the task is recorded: the worker may clear it, and its assignment is forgotten. */
+  /**
+   * Removes the assignment of a task whose completion has been recorded; from now on the worker may be
+   * told to clear the task.
+   */
   completionRecorded(job: Job, task: number): void {
     const assignment = job.currentAssignments.get(task);
     if (assignment?.phase === 'ended') this.forget(assignment);
   }
 
-  /** Ends what was assigned in earlier agent epochs of the machine: it is proven gone. */
+  /** Ends the assignments of agent epochs before `agentEpoch`, whose tasks are proven gone. */
   endBeforeEpoch(machine: Machine, agentEpoch: number): void {
     for (const assignment of [...machine.assignments.values()])
       if (assignment.agentEpoch < agentEpoch) this.end(assignment, 'lost');
   }
 
-  /** Ends all that was assigned to the machine: it is proven gone. */
+  /** Ends all assignments of the machine; the caller has proof that its tasks are gone. */
   endAll(machine: Machine): void {
     for (const assignment of [...machine.assignments.values()]) this.end(assignment, 'lost');
   }
 
-  /** Ends the assignment: its task is proven to be no longer on the machine. */
+  /** Ends the assignment; the caller has proof that its task is no longer on the machine. */
   end(assignment: Assignment, outcome: AssignmentOutcome): void {
     if (assignment.phase === 'ended') return;
     const { job } = assignment;
@@ -145,7 +160,7 @@
     if (job?.terminalState === null) this.requeue(assignment, job, outcome);
   }
 
-  /** The task is completed; the assignment stays until that is recorded. */
+  /** Handles a completed task. The assignment is kept until the completion is recorded. */
   private complete(assignment: Assignment, job: Job): void {
     const { machine, task, runningAt } = assignment;
     if (runningAt !== null) this.events.taskCompleted(assignment, this.eventLoop.now() - runningAt);
@@ -155,12 +170,12 @@
     if (job.doneRecorded[task] === 1) this.forget(assignment);
   }
 
-  /** The members of a gang complete together. */
+  /** Marks all tasks of the gang as done, because the members of a gang complete together. */
   private completeGang(job: Job): void {
     for (let task = 0; task < job.spec.tasks; task++) this.table.markDone(job, task);
   }
 
-  /** The task has ended without being completed, and has to run again. */
+  /** Counts the exit of a task that was not completed, and has the task run again. */
   private requeue(assignment: Assignment, job: Job, outcome: AssignmentOutcome): void {
     const { machine, task } = assignment;
     if (outcome !== 'unsent') this.table.countExit(job, outcome);
@@ -170,7 +185,10 @@
     else if (!job.currentAssignments.has(task)) this.table.requeue(job, task);
   }
 
-  /** Stops the other members of the gang; if there are none, the gang restarts at once. */
+  /**
+   * Handles the loss of a gang member: stops the other members. If none is left, the gang is put back
+   * into the queue immediately.
+   */
   private handleLostGangMember(job: Job): void {
     if (job.gangRestarting || job.isComplete) {
       this.restartGang(job);
@@ -180,7 +198,7 @@
     this.stopJob(job, 0, 'gang lost a member');
   }
 
-  /** Has a gang start anew once nothing of its old attempt is left on any machine. */
+  /** Requeues all tasks of a restarting gang once no task of its old attempt is left on any machine. */
   private restartGang(job: Job): void {
     if (
       !job.gangRestarting ||
@@ -193,7 +211,7 @@
     for (let task = job.spec.tasks - 1; task >= 0; task--) this.table.requeue(job, task);
   }
 
-  /** Counts the task as being on its machine. */
+  /** Adds the assignment to its machine and job, and counts the resources that it uses. */
   private register(assignment: Assignment): void {
     const { machine, job, team, request } = assignment;
     machine.assignments.set(assignment.name, assignment);
@@ -206,7 +224,7 @@
     adjustCount(this.countByClass, job.spec.class, 1);
   }
 
-  /** Frees what the task used: it is gone, even if its completion has yet to be recorded. */
+  /** Frees the resources of a task that is gone, even if its completion is not recorded yet. */
   private release(assignment: Assignment): void {
     const { machine, job, team, request } = assignment;
     machine.deallocate(assignment);
@@ -217,7 +235,7 @@
     job.progressChanged = true;
   }
 
-  /** Removes an assignment that has ended from its machine, the machine's record and its job. */
+  /** Removes an ended assignment from its machine, the machine's record and its job. */
   private forget(assignment: Assignment): void {
     const { machine, job, name, task } = assignment;
     if (machine.assignments.get(name) === assignment) {
@@ -232,8 +250,9 @@
 }
 
 /**
- * Earlier leaders may have left a task on the record of a machine that it had left, beside that of the
- * machine it went to. Both count until heartbeats show which is gone; the job knows the later attempt.
+ * Makes the assignment the current one of its task unless the task already has one of a later attempt.
+ * An earlier leader may have reassigned a task to a second machine before it removed the task from the
+ * record of the first. Both assignments count until heartbeats prove one of them gone.
  */
 function attachLatestAttempt(job: Job, assignment: Assignment): void {
   const current = job.currentAssignments.get(assignment.task);
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -1,4 +1,4 @@
-/** Starts and stops sent directly to workers, ahead of the responses to their heartbeats. */
+/** Sends start and stop commands directly to workers, without waiting for their next heartbeat. */
 import { type Assignment, attemptKey, type Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Reply } from '../runtime/runtime.js';
@@ -14,34 +14,37 @@
 import { termOfToken } from './fencing-token.js';
 import type { Liveness } from './liveness.js';
 
-/** Direct calls to one machine that may wait for a response, so that an unreachable machine takes no more sockets. */
+/**
+ * Maximum number of unanswered direct calls to one machine. It limits the sockets that an unreachable
+ * machine can occupy.
+ */
 const PENDING_CALLS_LIMIT = 2;
 
-/** Path of direct commands at a worker. */
+/** URL path at which workers accept direct commands. */
 const COMMAND_PATH = '/do';
 
 const OK = 200;
-/** The worker has seen a higher fencing token, and has carried out nothing. */
+/** Status with which a worker that has seen a higher fencing token refuses all commands of a call. */
 const CONFLICT = 409;
 
-/** The commands of one direct call, and the assignments that they start. */
+/** The commands of one direct call and the assignments that they start. */
 interface CommandBatch {
   readonly agentEpoch: number;
   readonly commands: WorkerCommand[];
   readonly startedAssignments: Assignment[];
 }
 
-/** What follows from the responses to direct commands. */
+/** Events that `DirectCommands` raises. */
 export interface DirectCommandEvents {
-  /** The worker has seen a leader of this term. */
+  /** A worker refused commands with a fencing token of this term, so it has seen a leader of that term. */
   higherTermSeen(term: number): void;
 }
 
 /**
- * Sends starts and stops to workers at once; the responses to heartbeats repeat them until they take
- * effect. Starts go only to a worker that has acknowledged this term in its agent epoch: there a copy
- * of the call can be carried out until the fencing token is raised or the agent epoch ends, and no
- * longer (invariant 6).
+ * Sends starts and stops to workers without delay. Responses to heartbeats repeat them until they take
+ * effect. Starts are sent only to a worker that has acknowledged this term in its agent epoch. Such a
+ * worker can carry out a late copy of the call only until it sees a raised fencing token or its agent
+ * epoch ends (invariant 6: workers refuse tokens lower than the highest they have seen).
  */
 export class DirectCommands {
   private readonly dueMachines = new Set<Machine>();
@@ -54,24 +57,24 @@
     private readonly events: DirectCommandEvents,
   ) {}
 
-  /** Marks the machine as one that may need commands at the end of the batch. */
+  /** Requests that `flush` sends the commands that the machine needs, if there are any. */
   request(machine: Machine): void {
     this.dueMachines.add(machine);
   }
 
-  /** Forgets a machine that is gone. */
+  /** Withdraws the request for a machine that is gone. */
   cancel(machine: Machine): void {
     this.dueMachines.delete(machine);
   }
 
-  /** Sends the commands that are due. */
+  /** Sends the commands of all machines for which they were requested. Called after each batch. */
   flush(): void {
     for (const machine of this.dueMachines) this.send(machine);
     this.dueMachines.clear();
   }
 
   private send(machine: Machine): void {
-    // Responses to heartbeats carry the same commands a little later.
+    // It is safe to send nothing: the response to the next heartbeat carries the same commands.
     if (machine.addr === '' || machine.pendingDirectCalls >= PENDING_CALLS_LIMIT) return;
     if (!this.eventLoop.runtime.hasSpareConnection(machine.addr)) return;
     const batch = this.batchFor(machine);
@@ -124,14 +127,17 @@
     );
   }
 
-  /** A worker responds with its state, in the form of a heartbeat. */
+  /** Handles the response to a direct call. Its body is the worker's state, encoded as a heartbeat. */
   private handleResponse(machine: Machine, batch: CommandBatch, { status, body }: Reply): void {
     if (status !== OK && status !== CONFLICT) return;
     let heartbeat: Heartbeat;
     try {
       heartbeat = readHeartbeat(body);
     } catch (err) {
-      this.eventLoop.log.warn({ machine: machine.id, err }, 'malformed response of a worker');
+      this.eventLoop.log.warn(
+        { machine: machine.id, err },
+        'malformed response to direct commands',
+      );
       return;
     }
     if (status === CONFLICT) this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
@@ -143,7 +149,7 @@
   }
 }
 
-/** Adds the start or the stop of the assignment to the batch, if one has to be sent directly. */
+/** Adds the start or stop command of the assignment to the batch if one has to be sent directly. */
 function addToBatch(batch: CommandBatch, assignment: Assignment, mayStart: boolean): void {
   const { phase, stop } = assignment;
   if (phase === 'recorded' && stop === null && mayStart) {
@@ -156,12 +162,15 @@
   batch.commands.push(stopCommand(assignment, stop.graceS));
 }
 
-/** The worker has carried out the start: heartbeats that it sent before cannot show the task. */
+/**
+ * Notes the sequence number with which the worker confirmed the start. Heartbeats up to this number may
+ * have been sent before the start, so they cannot prove that the task is missing.
+ */
 function confirmStart(assignment: Assignment, { sequence }: Heartbeat): void {
   if (assignment.phase === 'sent') assignment.startSentSequence = sequence;
 }
 
-/** The worker has not carried out the start and never will: it has to be sent again. */
+/** Undoes a start that the worker refused and will never carry out, so that it is sent again. */
 function revertStart(machine: Machine, assignment: Assignment): void {
   machine.directStartTokens.delete(attemptKey(assignment.name, assignment.attempt));
   if (assignment.phase === 'sent') assignment.phase = 'recorded';
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -1,15 +1,24 @@
-/** Which machines send heartbeats, and for how long the others have been unresponsive. */
+/** Tracks which machines send heartbeats and for how long the others have been unresponsive. */
 import type { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 
-/** The longest time between two heartbeats (PROTOCOL, with a small margin), in heartbeat intervals. */
+/**
+ * Maximum time between two heartbeats of a worker, in heartbeat intervals: the protocol's limit plus a
+ * small margin.
+ */
 const MAX_HEARTBEAT_INTERVAL_RATIO = 1.35;
 
-/** A controller whose tick is this many tick intervals late was stalled itself. */
+/**
+ * If the time between two calls of `setAnswering` exceeds this many call intervals, the controller process
+ * itself was stalled.
+ */
 const STALL_INTERVALS = 3;
 
-/** How long machines are unresponsive; only the time in which this node would have answered them counts. */
+/**
+ * Measures how long machines have been unresponsive. Only the time in which this node could have answered
+ * their heartbeats counts.
+ */
 export class Liveness {
   private answeringSince: number;
   private lastTickAt: number;
@@ -25,18 +34,21 @@
   }
 
   /**
-   * Notes whether this node may answer workers; to be called every `intervalMs`. A call that comes
-   * late shows that the process was stalled.
+   * Records whether this node may answer workers. Must be called every `intervalMs`; a call that is much
+   * later shows that the process was stalled.
    */
   setAnswering(mayAnswer: boolean, intervalMs: number): void {
     const now = this.eventLoop.now();
-    // A stalled process has not answered either.
+    // A stalled process has not answered heartbeats either.
     const wasStalled = now - this.lastTickAt > intervalMs * STALL_INTERVALS;
     if (!mayAnswer || wasStalled) this.answeringSince = now;
     this.lastTickAt = now;
   }
 
-  /** Time in ms without a heartbeat of the machine, while heartbeats would have been answered. */
+  /**
+   * Time in ms since the machine's last heartbeat. Only the period in which this node could answer
+   * heartbeats counts.
+   */
   unresponsiveMs(machine: Machine): number {
     const unresponsiveSince = Math.max(
       machine.lastHeartbeatAt,
@@ -46,13 +58,16 @@
     return this.eventLoop.now() - unresponsiveSince;
   }
 
-  /** Time in ms in which the machine was answered without acknowledging its fencing token. */
+  /**
+   * Time in ms for which the machine has not acknowledged its fencing token; 0 if it has. Only the period
+   * in which this node could answer heartbeats counts.
+   */
   unacknowledgedMs(machine: Machine): number {
     if (machine.tokenAcknowledged) return 0;
     return this.eventLoop.now() - Math.max(machine.tokenUnacknowledgedSince, this.answeringSince);
   }
 
-  /** Whether the machine sent a heartbeat lately and its agent epoch is not over. */
+  /** Returns true if the machine sent a heartbeat recently and its agent epoch has not ended. */
   isAlive(machine: Machine): boolean {
     const allowedMs = this.settings.workerLeaseMs * this.settings.get('workers.silent.ratio');
     const isResponsive = this.eventLoop.now() - machine.lastHeartbeatAt < allowedMs;
@@ -60,9 +75,9 @@
   }
 
   /**
-   * Share, from 0 to 1, of the machines whose heartbeats are overdue by `lateMs` though they would have
-   * been answered, among those from which heartbeats are expected. With `onlyHeardInThisTerm`
-   * machines that have sent none in this term don't count.
+   * Share, from 0 to 1, of machines whose heartbeats are overdue by more than `overdueByMs` although this
+   * node could have answered them. Only machines from which heartbeats are expected are counted. If
+   * `excludeUnseen` is true, machines that have sent no heartbeat in this term are not counted.
    */
   overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
     const allowedMs =
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -1,4 +1,4 @@
-/** The leader's state of the machines, and of every task that may be on one of them. */
+/** The leader's state of all machines and of every task that may be on one of them. */
 import type { JobTable } from '../jobs/job-table.js';
 import type { Assignment, Job, Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
@@ -22,19 +22,19 @@
 import { Reconciliation, type ReconciliationEvents } from './reconciliation.js';
 import { TeamUsage } from './team-usage.js';
 
-/** What the workers module needs of the other modules of a leader. */
+/** Queries and events through which `Workers` uses the other modules of a leader. */
 export interface WorkersEvents {
-  /** The machine type of this name, if the catalogue has it. */
+  /** Returns the machine type with this name, or undefined if the catalogue does not contain it. */
   findMachineType(name: string): MachineType | undefined;
-  /** A worker has seen a leader of this term. */
+  /** A worker has reported a fencing token of this term, so it has seen a leader of that term. */
   higherTermSeen(term: number): void;
   /** Capacity, tasks or machines changed: a placement pass is needed. */
   placementInputChanged(): void;
-  /** A task was completed, this long after it began to run. */
+  /** A task was completed; `runMs` is the time since this leader first saw it running. */
   taskCompleted(assignment: Assignment, runMs: number): void;
 }
 
-/** The events of all components of `Workers`. */
+/** The events that the components of `Workers` raise. */
 type ComponentEvents = AssignmentEvents &
   AgentEpochEvents &
   DirectCommandEvents &
@@ -43,14 +43,14 @@
   ReconciliationEvents;
 
 /**
- * Machines, assignments, heartbeats and commands of one leader. Created anew for each term; `flush` has
- * to be called after each batch of the event loop.
+ * Machines, assignments, heartbeats and commands of one leader. A new instance is created for each term.
+ * The owner must call `flush` after each batch of the event loop.
  */
 export class Workers {
   readonly machines: ReadonlyMap<string, Machine>;
-  /** What the tasks of each team use, counting every task that is not proven gone (invariant 7). */
+  /** Resources used by each team. Every task that is not proven gone is counted (invariant 7). */
   readonly teams: TeamUsage;
-  /** Number of tasks that are not proven gone, by class. */
+  /** Number of tasks that are not yet proven gone, by job class. */
   readonly assignedCountByClass: ReadonlyMap<string, number>;
   private readonly registry: MachineRegistry;
   private readonly machineStore: MachineStore;
@@ -99,7 +99,7 @@
     );
   }
 
-  /** Connects the events of the components with each other and with the other modules. */
+  /** Routes the events of the components to each other and to the other modules. */
   private componentEvents(): ComponentEvents {
     const { listener } = this;
     return {
@@ -115,67 +115,82 @@
     };
   }
 
-  /** Number of tasks that are not proven gone. */
+  /** Number of tasks that are not yet proven gone. */
   get assignedCount(): number {
     return this.assignments.count;
   }
 
-  /** The machine of this name; it is created if it is not known. */
+  /** Returns the machine with this name, and creates it if it does not exist. */
   getOrCreateMachine(id: string): Machine {
     return this.registry.getOrCreate(id);
   }
 
-  /** Sets what the cloud's list says of the machine; an empty address leaves the known one. */
+  /** Sets the machine's properties from the cloud's list. An empty `addr` keeps the known address. */
   setDescription(machine: Machine, type: string, zone: string, spot: boolean, addr: string): void {
     this.registry.setDescription(machine, { type, zone, spot, addr });
   }
 
-  /** Restores the machines and tasks that earlier leaders have recorded; called once, at failover. */
+  /** Restores machines and tasks from the records of earlier leaders. Called once, at failover. */
   restore(): void {
     this.machineStore.restore();
   }
 
-  /** Assigns the task to the machine; it is started once the assignment is recorded (invariant 4). */
+  /**
+   * Assigns the task to the machine. Its start command is sent only after the machine's record lists the
+   * assignment (invariant 4).
+   */
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
     this.assignments.assign(job, task, attempt, machine);
   }
 
-  /** Stops one task, with so many seconds to save a checkpoint. */
+  /** Stops one task; it has `graceS` seconds to save a checkpoint. */
   stop(assignment: Assignment, graceS: number, reason: string): void {
     this.assignments.stop(assignment, graceS, reason);
   }
 
-  /** Stops all tasks of a job; the stops of a gang have to arrive within `gang_peer_s` of each other. */
+  /**
+   * Stops all current tasks of a job. The stops of a gang have to reach its machines within `gang_peer_s`
+   * seconds of each other.
+   */
   stopJob(job: Job, graceS: number, reason: string): void {
     this.assignments.stopJob(job, graceS, reason);
   }
 
-  /** Stops all attempts of a job that has ended, including those that are known only from records. */
+  /** Stops all attempts of an ended job, including older attempts that are only on record. */
   stopAll(job: Job, reason: string): void {
     this.assignments.stopAll(job, reason);
   }
 
-  /** The job has ended: removes what is left of it from the machines. */
+  /**
+   * Cleans up after a job that has ended: removes its ended assignments and, if the job was cancelled,
+   * stops the others.
+   */
   jobTerminated(job: Job): void {
     this.assignments.jobTerminated(job);
   }
 
-  /** The completion of the task is recorded: the worker may clear it, and its assignment is forgotten. */
+  /**
+   * Removes the assignment of a task whose completion has been recorded; from now on the worker may be
+   * told to clear the task.
+   */
   completionRecorded(job: Job, task: number): void {
     this.assignments.completionRecorded(job, task);
   }
 
-  /** Takes over the state that a worker's heartbeat shows; a response of 200 renews its lease. */
+  /** Applies the state in a worker's heartbeat. A response with status 200 renews the worker's lease. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     return this.heartbeatHandler.handle(heartbeat);
   }
 
-  /** Ends the agent epochs, with all their tasks, whose worker lease has certainly expired (invariant 5). */
+  /**
+   * Ends each agent epoch whose worker lease has certainly expired. This proves that its tasks are gone
+   * (invariant 5), so their assignments end too.
+   */
   expireLeases(): void {
     this.agentEpochs.expireLeases(this.machines.values());
   }
 
-  /** Removes a machine of which the cloud has confirmed that it is gone. */
+  /** Removes a machine after the cloud has confirmed that it is gone. */
   removeMachine(machine: Machine): void {
     this.assignments.endAll(machine);
     this.registry.remove(machine);
@@ -184,32 +199,41 @@
     this.listener.placementInputChanged();
   }
 
-  /** Notes, every `intervalMs`, whether this node may answer workers; see `Liveness.setAnswering`. */
+  /**
+   * Records whether this node may answer workers. Must be called every `intervalMs`; see
+   * `Liveness.setAnswering`.
+   */
   setAnswering(mayAnswer: boolean, intervalMs: number): void {
     this.liveness.setAnswering(mayAnswer, intervalMs);
   }
 
-  /** Time in ms without a heartbeat of the machine, while heartbeats would have been answered. */
+  /**
+   * Time in ms since the machine's last heartbeat. Only the period in which this node could answer
+   * heartbeats counts.
+   */
   unresponsiveMs(machine: Machine): number {
     return this.liveness.unresponsiveMs(machine);
   }
 
-  /** Time in ms in which the machine was answered without acknowledging its fencing token. */
+  /**
+   * Time in ms for which the machine has not acknowledged its fencing token; 0 if it has. Only the period
+   * in which this node could answer heartbeats counts.
+   */
   unacknowledgedMs(machine: Machine): number {
     return this.liveness.unacknowledgedMs(machine);
   }
 
-  /** Share of the machines whose heartbeats are overdue by `lateMs`; see `Liveness.overdueShare`. */
+  /** Share of machines whose heartbeats are overdue by `overdueByMs`; see `Liveness.overdueShare`. */
   overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
     return this.liveness.overdueShare(overdueByMs, excludeUnseen);
   }
 
-  /** Whether the machine sent a heartbeat lately and its agent epoch is not over. */
+  /** Returns true if the machine sent a heartbeat recently and its agent epoch has not ended. */
   isAlive(machine: Machine): boolean {
     return this.liveness.isAlive(machine);
   }
 
-  /** Writes the records of changed machines and sends direct commands; called after each batch. */
+  /** Writes the records of changed machines and sends direct commands. Called after each batch. */
   flush(): void {
     this.machineStore.flush();
     this.commands.flush();
