--- a/src/controller/model/entities.ts
+++ b/src/controller/model/entities.ts
@@ -1,7 +1,7 @@
 /**
- * Jobs, machines, and the assignments that connect them: the state that the leader keeps in memory. The
- * three refer to each other. So that their modules don't, those of jobs and machines leave the type of
- * assignments open, and it is filled in here.
+ * Jobs, machines, and the assignments of tasks to machines: the state that the leader keeps in
+ * memory. The three types refer to each other. To avoid import cycles, the modules of jobs and
+ * machines have the assignment type as a type parameter, and this module supplies it.
  */
 import { type ExitCause, taskName, type TaskState } from '../wire/workers.js';
 import { JobBase } from './job.js';
@@ -9,69 +9,79 @@
 import { MachineState } from './machine.js';
 import { resourceRequestOf } from './resource-request.js';
 
-/** An active job as its leader knows it. */
+/** An active job; see `JobBase`. */
 export class Job extends JobBase<Assignment> {}
 
-/** A machine, its agent's epoch and what is assigned to it. */
+/** A machine, its worker's agent epoch and its assignments; see `MachineState`. */
 export class Machine extends MachineState<Assignment> {}
 
 /**
- * Why an assignment ended: the cause with which the task exited; `lost` if the machine or its agent epoch
- * is gone, or the task disappeared; `unsent` if the start is proven not to have arrived.
+ * Why an assignment ended: the exit cause of the task; or `lost` if the machine was removed, its
+ * agent epoch ended or the task is missing from heartbeats; or `unsent` if the start was never sent
+ * or is proven not to have arrived.
  */
 export type AssignmentOutcome = ExitCause | 'lost' | 'unsent';
 
-/** A stop that has been or has to be sent to the worker. */
+/** A request to stop a task, which is sent to the worker until it takes effect. */
 export interface StopRequest {
   /** Seconds that the task has to save a checkpoint. */
   readonly graceS: number;
-  /** Time on the steady clock in ms. */
+  /** When the stop was requested, on the steady clock in ms. */
   readonly requestedAt: number;
-  /** For the log. */
+  /** Reason of the stop, used only in log lines. */
   readonly reason: string;
-  /** It has been sent as a direct command, besides the responses to heartbeats. */
+  /**
+   * Whether the stop has been sent as a direct command; responses to heartbeats carry it as well.
+   */
   sentAsDirectCommand: boolean;
 }
 
 /**
- * How far an assignment has come.
- * - `planned`: its record is not stored yet, so it must not be started (invariant 4).
- * - `recorded`: it may be started.
- * - `sent`: its start has been sent, or may have been by an earlier leader.
- * - `seen`: a heartbeat has listed it.
- * - `ended`: it is proven to be no longer on the machine (invariant 5).
+ * Phase in the life cycle of an assignment.
+ * - `planned`: the machine's stored record does not list it yet, so it must not be started
+ *   (invariant 4).
+ * - `recorded`: the stored record lists it, so it may be started.
+ * - `sent`: its start has been sent, or may have been sent by an earlier leader.
+ * - `seen`: a heartbeat has listed its task.
+ * - `ended`: its task is proven to be no longer on the machine (invariant 5).
  */
 export type AssignmentPhase = 'planned' | 'recorded' | 'sent' | 'seen' | 'ended';
 
 /**
- * A task assigned to a machine in one of its agent epochs. It counts as being there from the moment its
- * record is on its way to the state store until it is proven gone.
+ * The assignment of a task to a machine in one agent epoch of its worker. The task counts as being
+ * on the machine from before the write of the machine's record is sent until the task is proven
+ * gone.
  */
 export interface Assignment extends RecordedAssignment {
-  /** The task's name at the worker. */
+  /** Name of the task in messages to and from workers; see `taskName`. */
   readonly name: string;
-  /** null if the job had ended before this leader's term. */
+  /** The job of the task; null if the job had ended before this leader's term. */
   readonly job: Job | null;
   readonly task: number;
   readonly machine: Machine;
   readonly agentEpoch: number;
   phase: AssignmentPhase;
-  /** State of the task in the last heartbeat that listed it. */
+  /**
+   * State of the task in the last heartbeat that listed it; null if none has, or after a restart.
+   */
   state: TaskState | null;
   /**
-   * Only messages of the worker later than this one can prove that the task is missing: the heartbeat
-   * whose response carried the start, or the response to a direct start. null if an earlier leader
-   * sent the start.
+   * Sequence number of the heartbeat whose response carried the start, or of the response to a
+   * direct start. Only messages with a higher number can prove that the task is missing. null if
+   * this leader has not sent the start.
    */
   startSentSequence: number | bigint | null;
   /** When this leader first saw the task running, on the steady clock in ms. */
   runningAt: number | null;
-  /** Number of the last heartbeat that listed it; see `HeartbeatInProgress.heartbeatNumber`. */
+  /**
+   * Number of the last heartbeat that listed the task; see `HeartbeatInProgress.heartbeatNumber`.
+   */
   lastHeartbeatNumber: number;
+  /** The stop that has been requested; null if there is none. */
   stop: StopRequest | null;
 }
 
-/** The state of an assignment that no heartbeat has listed yet. */
+/** Initial values of the fields that heartbeats and commands change. */
 const UNOBSERVED = {
   state: null,
   startSentSequence: null,
@@ -80,7 +90,9 @@
   stop: null,
 } as const;
 
-/** Creates an assignment whose record is not stored yet. */
+/**
+ * Creates a new assignment in the phase `planned`, which is not in the machine's stored record yet.
+ */
 export function planAssignment(
   job: Job,
   task: number,
@@ -106,7 +118,7 @@
   };
 }
 
-/** A task in a machine's record, as an earlier leader has left it. */
+/** A task as listed in the stored record of a machine. */
 export interface RecordedTask extends RecordedJob {
   attempt: number;
   task: number;
@@ -114,7 +126,10 @@
   assignedAtWallClock: number;
 }
 
-/** Restores an assignment that an earlier leader has recorded: its start may have been sent. */
+/**
+ * Creates the assignment of a task that an earlier leader recorded. Its phase is `sent`, because
+ * that leader may have sent the start.
+ */
 export function restoreAssignment(
   recorded: RecordedTask,
   job: Job | null,
@@ -139,7 +154,7 @@
   };
 }
 
-/** Key of an attempt among all attempts of tasks on one machine. */
+/** Returns a key that identifies one attempt of a task among all attempts on a machine. */
 export function attemptKey(name: string, attempt: number | bigint): string {
   return `${name}@${attempt}`;
 }
--- a/src/controller/model/job.ts
+++ b/src/controller/model/job.ts
@@ -1,9 +1,9 @@
-/** One active job: its tasks, its assignments and what is known for placing it. */
+/** An active job: the state of its tasks, its assignments, and its state for placement. */
 import type { JobSpec, JobStatus, Priority, TerminalState } from '../wire/jobs.js';
 import type { TaskState } from '../wire/workers.js';
 import { PendingTasks } from './pending-tasks.js';
 
-/** Priorities as numbers; higher goes first. */
+/** Numeric levels of the priorities; jobs with a higher level are placed first. */
 export const priorityLevels: Record<Priority, number> = {
   production: 3,
   high: 2,
@@ -11,108 +11,122 @@
   low: 0,
 };
 
-/** Machines whose free capacity a waiting gang collects. Times are on the leader's steady clock. */
+/**
+ * Machines whose capacity is reserved for a waiting gang. Times are on the leader's steady clock,
+ * in ms.
+ */
 export interface GangReservation {
-  /** Names of the machines, one for each task that has a place. */
+  /** Names of the machines, one entry for each task of the gang that has a place reserved. */
   machines: string[];
+  /** When the reservation was made. */
   reservedAt: number;
-  /** When all of them are expected to have room for the gang. */
+  /** When all reserved machines are expected to have room for the gang. */
   fillAt: number;
-  /** When the gang is expected to be able to run there, with its image fetched. */
+  /** When the gang is expected to be able to run on them, with its image fetched. */
   readyAt: number;
   /** When machines were last searched for. */
   searchedAt: number;
 }
 
-/** A machine on which replicas of a service have ended by themselves. */
+/** Record of a machine that a service avoids because replicas of the service exited on it. */
 export interface MachineAvoidance {
-  /** Replicas that have ended there. */
+  /** Number of replicas that have exited on the machine. */
   replicaExits: number;
-  /** No replica of the service starts there before, on the leader's steady clock. */
+  /**
+   * No replica of the service is placed on it before this time on the leader's steady clock, in ms.
+   */
   until: number;
 }
 
 /**
- * Why an active job is about to end. `recording-done`: all its tasks are done, and its terminal
- * record is being written. `record-removed`: someone else has removed its active record, and how
- * it ended is being read.
+ * Why an active job is about to end.
+ * - `recording-done`: all its tasks are done, and its terminal record is being written.
+ * - `record-removed`: its active record was removed by another writer, and its terminal record is
+ *   being read to find out how the job ended.
  */
 export type JobEnding = 'recording-done' | 'record-removed';
 
-/** What a job asks of the assignments of its tasks. */
+/** The part of an assignment that a job uses. */
 interface TaskAssignment {
   readonly state: TaskState | null;
 }
 
 /**
- * An active job as its leader knows it, with assignments of the type `TAssignment`. All times are
+ * The leader's state of an active job, with assignments of the type `TAssignment`. All times are in
  * milliseconds on the leader's steady clock.
  */
 export class JobBase<TAssignment extends TaskAssignment> {
   // ---- tasks
 
-  /** By task: 1 if a heartbeat has shown it as done. */
+  /**
+   * Indexed by task: 1 if a heartbeat has reported the task as done, or if its completion was on
+   * record.
+   */
   readonly done: Uint8Array;
-  /** By task: 1 if its completion is on record. */
+  /** Indexed by task: 1 if the completion of the task is recorded in the state store. */
   readonly doneRecorded: Uint8Array;
   doneCount = 0;
   doneRecordedCount = 0;
   /** Tasks that are neither done nor assigned. */
   readonly pending: PendingTasks;
-  /** The newest assignment of each task that has one. */
+  /** The assignment of the latest attempt, for each task that has one. */
   readonly currentAssignments = new Map<number, TAssignment>();
-  /** Every assignment of its tasks that is on record, of older attempts and ended ones too. */
+  /** All assignments of its tasks on record, including older attempts and ended assignments. */
   readonly allAssignments = new Set<TAssignment>();
-  /** Ended attempts of its tasks by cause. */
+  /** Number of ended attempts of its tasks, by exit cause. */
   exitCounts: Record<string, number> = {};
-  /** Its status may differ from what was last told to the other controllers. */
+  /** Whether its status may have changed since it was last sent to the other controllers. */
   progressChanged = true;
 
   // ---- end
 
-  /** Set while the job is about to end: nothing of it is placed. */
+  /** Why the job is about to end; none of its tasks is placed while this is set. */
   ending: JobEnding | null = null;
-  /** How it has ended; it is in no table any more. */
+  /** How the job has ended; null while it is active. An ended job is in no job table any more. */
   terminalState: TerminalState | null = null;
 
   // ---- placement
 
-  /** Since when it has had tasks to place. */
+  /** Time since which the job has had tasks to place. */
   waitingSince: number;
-  /** Nothing of it is placed before then, after errors. */
+  /** No task of the job is placed before this time; set after failures. */
   backoffUntil = 0;
   errorCount = 0;
   /** Names of machines on which tasks of the job have failed. */
   readonly failedMachines = new Set<string>();
-  /** Machines that a service avoids for a while, by name. */
+  /** Machines that the service avoids temporarily, by name. */
   readonly avoidedMachines = new Map<string, MachineAvoidance>();
-  /** It fits into its team's guarantee, by the last placement pass. */
+  /** Whether the job was within the guarantee of its team in the last placement pass. */
   guaranteed = false;
-  /** A gang lost a member: it has no new attempt before all of the old one is gone. */
+  /**
+   * Whether the gang lost a member and is being restarted. The new attempt starts only after all
+   * tasks of the old attempt are gone.
+   */
   gangRestarting = false;
-  /** The machines that a gang has reserved, while it waits. */
+  /** The machines reserved for the gang while it waits; null if there is no reservation. */
   reservation: GangReservation | null = null;
-  /** Why it waits, for its user; empty: nothing is to be told. */
+  /** Reason why the job waits, shown to its user; empty if there is none. */
   blockedReason = '';
-  /** Times that its tasks were stopped for other jobs; each raises its rank. */
+  /** How often its tasks were preempted for other jobs; each preemption raises its rank. */
   preemptionCount = 0;
   /**
-   * Tasks were preempted for it, and until then it goes before all other jobs. Otherwise the
-   * victims, whose rank has risen, would take the freed capacity back.
+   * Until this time the job is placed before all other jobs, because tasks were preempted for it.
+   * Otherwise the preempted jobs, whose rank has risen, would take the freed capacity back.
    */
   preemptionClaimUntil = -Infinity;
-  /** When victims were last searched for an array's tasks. */
+  /** When the scheduler last searched for tasks to preempt in favour of this array job. */
   preemptionSearchedAt = -Infinity;
-  /** The attempt that tasks which start one by one have in common; 0: none yet. */
+  /** Attempt number shared by tasks that are started individually; 0 if none was drawn yet. */
   private sharedAttempt = 0;
-  /** Tasks that were started under `sharedAttempt`. */
+  /** Tasks that were assigned with the number `sharedAttempt`. */
   private readonly startedInAttempt = new Set<number>();
 
   /**
-   * @param spec - what its user asked for
-   * @param submittedAt - when it was accepted
-   * @param recordVersion - version of its active record, on which its end is conditional
-   * @param now - the present time
+   * @param spec - the submitted specification of the job
+   * @param submittedAt - the time at which the job was accepted
+   * @param recordVersion - the version of its active record; the write that ends the job requires
+   * it
+   * @param now - the present time on the steady clock, in ms
    */
   constructor(
     readonly spec: JobSpec,
@@ -126,31 +140,34 @@
     this.waitingSince = now;
   }
 
-  /** Whether its tasks run until the job is cancelled; each that ends is replaced. */
+  /**
+   * Whether the job is a service: its tasks run until it is cancelled, and each that ends is
+   * replaced.
+   */
   get isService(): boolean {
     return this.spec.kind === 'service';
   }
 
-  /** Replicas of a service that are not running; 0 for other jobs. */
+  /** Number of replicas of a service that are not running; 0 for other kinds of job. */
   get missingReplicas(): number {
     return this.isService ? this.spec.tasks - this.runningCount : 0;
   }
 
-  /** Whether replicas of it may not start on the machine for now. */
+  /** Returns true if no replica of the service may be placed on the machine at time `now`. */
   avoids(machine: string, now: number): boolean {
     return (this.avoidedMachines.get(machine)?.until ?? 0) > now;
   }
 
-  /** Its priority as a number; higher goes first. */
+  /** Numeric level of its priority; see `priorityLevels`. */
   get level(): number {
     return priorityLevels[this.spec.priority];
   }
 
   /**
-   * An attempt under which the task has not been started. Tasks that start one by one have one in
-   * common, which keeps the records of their machines small.
+   * Returns an attempt number that the task has not used. Tasks that are started individually share
+   * a number as long as possible, which keeps the records of their machines small.
    *
-   * @param nextAttempt - draws a new attempt, if one is needed
+   * @param nextAttempt - returns a new attempt number; called only if one is needed
    */
   attemptFor(task: number, nextAttempt: () => number): number {
     if (this.sharedAttempt === 0 || this.startedInAttempt.has(task)) {
@@ -166,7 +183,7 @@
     return this.doneCount === this.spec.tasks;
   }
 
-  /** Tasks that run, those that save a checkpoint before they stop included. */
+  /** Number of running tasks, including those that are saving a checkpoint before they stop. */
   get runningCount(): number {
     let running = 0;
     for (const { state } of this.currentAssignments.values())
@@ -174,7 +191,7 @@
     return running;
   }
 
-  /** What its user is told. */
+  /** Returns the status that is reported to the user of the job. */
   status(): JobStatus {
     const running = this.runningCount;
     const status: JobStatus = {
--- a/src/controller/model/machine-record-size.ts
+++ b/src/controller/model/machine-record-size.ts
@@ -1,30 +1,36 @@
 /**
- * How many bytes the tasks of a machine take in its record, which has to fit one value of the state
- * store. Counted as tasks come and go, since placement has to know before each start. All figures are
- * upper bounds.
+ * Estimates how many bytes the tasks of a machine take in its record, which has to fit in one value
+ * of the state store. The count is updated with each added or removed task, because placement needs
+ * it before each assignment. All sizes are upper bounds.
  */
 import type { Settings } from '../settings/settings.js';
 import { adjustCount } from './keyed-counts.js';
 import type { ResourceRequest } from './resource-request.js';
 
-/** A task in the list of its attempt: its number and a comma. */
+/** Bytes of a task in the list of its attempt: its number and a comma. */
 const TASK_BYTES = 7;
-/** An attempt: its number, the time of its first task, brackets and commas. */
+/** Bytes of an attempt without its tasks: its number, one assignment time, brackets and commas. */
 const ATTEMPT_BYTES = 40;
-/** Brackets and comma around a job; its quotes are escaped once more in a page. */
+/**
+ * Bytes of a job besides its encoded fields: brackets, a comma, and the escape characters that its
+ * quotes need when the record is stored in a page.
+ */
 const JOB_BYTES = 6;
-/** The machine itself, the record's key, and what a page adds. */
+/**
+ * Bytes of a record without tasks: the machine's own fields, the record's key, and the page's
+ * overhead.
+ */
 const HEADER_BYTES = 260;
 
-/** Bytes that tasks of a job add to a machine's record at most. */
+/** Maximum number of bytes that tasks of a job add to a machine's record. */
 export interface RecordSpace {
-  /** Once, for the job and its attempt. */
+  /** Bytes added once, for the job and one attempt. */
   bytesPerJob: number;
-  /** For each task. */
+  /** Bytes added for each task. */
   bytesPerTask: number;
 }
 
-/** What a machine's record tells about a job. */
+/** The fields of a job that a machine's record contains. */
 export interface RecordedJob {
   readonly jobId: string;
   readonly team: string;
@@ -33,14 +39,17 @@
   readonly checkpointSaveS: number;
 }
 
-/** What a machine's record tells about a task. */
+/** The fields of an assignment that affect the size of a machine's record. */
 export interface RecordedAssignment extends RecordedJob {
   readonly attempt: number;
   /** Time of the assignment on this node's steady clock, in ms. */
   readonly assignedAt: number;
 }
 
-/** Encodes a job for a machine's record; its encoded attempts follow in the same list. */
+/**
+ * Encodes the fields of a job for a machine's record. The caller appends the job's attempts to the
+ * list.
+ */
 export function encodeJob({ jobId, team, request, checkpointSaveS }: RecordedJob): unknown[] {
   return [jobId, team, request.cpus, request.gpus, request.memoryGb, checkpointSaveS];
 }
@@ -49,37 +58,44 @@
   return JSON.stringify(encodeJob(job)).length + JOB_BYTES;
 }
 
-/** Bytes that tasks of the job add to a machine's record. */
+/** Returns how many bytes tasks of the job add to a machine's record. */
 export function recordSpaceOf(job: RecordedJob): RecordSpace {
   return { bytesPerJob: encodedJobBytes(job) + ATTEMPT_BYTES, bytesPerTask: TASK_BYTES };
 }
 
-/** Bytes that the tasks in a machine's record may take, so that it fits a value of the state store. */
+/**
+ * Returns how many bytes the tasks may take in a machine's record, so that it fits in a stored
+ * value.
+ */
 export function recordCapacityBytes(settings: Settings): number {
   return settings.maxValueBytes - HEADER_BYTES;
 }
 
-/** Tasks assigned within this time in ms may share one time in the record, which only serves estimates. */
+/**
+ * Returns the length in ms of a time slot. Tasks of an attempt that were assigned in the same slot
+ * share one assignment time in the record. The precision suffices, because the time is only used
+ * for estimates.
+ */
 export function sharedStartMs(settings: Settings): number {
   return settings.heartbeatIntervalMs * 2;
 }
 
-/** Assignments with the same key share one list of tasks in the record. */
+/** Returns a key that is equal for all assignments that share one list of tasks in the record. */
 function attemptGroupKey(assignment: RecordedAssignment, slotMs: number): string {
   const { jobId, attempt, assignedAt } = assignment;
   return `${jobId}@${attempt}@${Math.floor(assignedAt / slotMs)}`;
 }
 
-/** The size of the tasks in a machine's record, kept up to date as they come and go. */
+/** Tracks the size of the tasks in a machine's record as tasks are added and removed. */
 export class MachineRecordSize {
-  /** Upper bound of the bytes that the tasks take; see `recordCapacityBytes`. */
+  /** Upper bound of the bytes that the tasks take; must not exceed `recordCapacityBytes`. */
   bytes = 0;
   private readonly jobs = new Map<string, number>();
   private readonly attempts = new Map<string, number>();
 
   constructor(private readonly settings: Settings) {}
 
-  /** Counts a task that has been assigned to the machine. */
+  /** Adds the bytes of a task that was assigned to the machine. */
   add(assignment: RecordedAssignment): void {
     this.bytes += TASK_BYTES;
     const tasksOfJob = adjustCount(this.jobs, assignment.jobId, 1);
@@ -88,7 +104,7 @@
     if (tasksOfAttempt === 1) this.bytes += ATTEMPT_BYTES;
   }
 
-  /** Uncounts a task that has been removed from the machine's record. */
+  /** Subtracts the bytes of a task that was removed from the machine's record. */
   remove(assignment: RecordedAssignment): void {
     this.bytes -= TASK_BYTES;
     const tasksOfJob = adjustCount(this.jobs, assignment.jobId, -1);
--- a/src/controller/model/machine.ts
+++ b/src/controller/model/machine.ts
@@ -1,105 +1,117 @@
-/** Machines as the leader knows them. */
+/** The leader's state of a machine. */
 import type { Settings } from '../settings/settings.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { JobSpec } from '../wire/jobs.js';
 import { adjustCount } from './keyed-counts.js';
 import { MachineRecordSize, type RecordedAssignment } from './machine-record-size.js';
 
-/** What a machine asks of the assignments to it. */
+/** The part of an assignment that a machine uses. */
 interface MachineAssignment extends RecordedAssignment {
   readonly job: { readonly spec: Pick<JobSpec, 'class'> } | null;
 }
 
-/** State of a machine in the cloud's list; `absent` if it was listed once and no longer is. */
+/** State of a machine in the cloud's list; `absent` if it was listed before but no longer is. */
 export type CloudState = 'booting' | 'running' | 'failed' | 'absent';
 
 /**
- * A machine, its worker's agent epoch and what is assigned to it, as assignments of the type
- * `TAssignment`. All times are on the steady clock, in ms.
+ * A machine, its worker's agent epoch and the assignments to it, which have the type `TAssignment`.
+ * All times are on the steady clock, in ms.
  */
 export class MachineState<TAssignment extends MachineAssignment> {
-  // What heartbeats and the cloud's list say of the machine.
+  // Properties reported by heartbeats and by the cloud's list.
 
   /** `host:port` of the worker; empty while it is not known. */
   addr = '';
   typeName = '';
-  /** null while the catalogue has no type of that name. */
+  /** The machine's type; null while the catalogue contains no type named `typeName`. */
   type: MachineType | null = null;
   zone = '';
   spot = false;
-  /** State in the cloud's list; null if it was never listed. */
+  /** State in the cloud's list; null if the machine was never listed. */
   cloudState: CloudState | null = null;
-  /** When the cloud's list last contained the machine. */
+  /** Time at which the cloud's list last contained the machine. */
   cloudStateAt = -Infinity;
-  /** When the cloud takes the machine back, by its spot interruption notice. */
+  /** Time at which the cloud will reclaim the spot machine; null without an interruption notice. */
   interruptionAt: number | null = null;
-  /** It is being returned to the cloud. */
+  /** Whether the machine is being released to the cloud. */
   releasing = false;
 
   // The worker's agent epoch and lease.
 
-  /** Raised by the worker each time its lease has ended; 0 before its first heartbeat. */
+  /** The worker increments it after each lease that ended; 0 before the first heartbeat. */
   agentEpoch = 0;
-  /** Agent epochs below this are over, even if the worker has not begun a new one. */
+  /** Agent epochs below this one have ended, even if the worker has not begun a new one yet. */
   lowestValidAgentEpoch = 0;
-  /** Sequence number of the last heartbeat in the agent epoch. */
+  /** Sequence number of the last heartbeat in the present agent epoch. */
   lastHeartbeatSequence: number | bigint = 0;
+  /** Time at which this leader registered the machine. */
   readonly firstSeenAt: number;
-  /** Last heartbeat in this term; -Infinity before the first. */
+  /** Time of the last heartbeat in this term; -Infinity before the first. */
   lastHeartbeatAt = -Infinity;
-  /** The worker's lease has expired for certain one lease after this time; see `AgentEpochs`. */
+  /**
+   * Latest time at which the worker's lease may have been renewed. The lease has certainly expired
+   * once its length, an allowance for clock drift and a margin have passed since then; see
+   * `AgentEpochs`.
+   */
   leaseRenewedAt: number;
 
-  // Fencing, and whether responses reach the worker; see `FencingTokenSync`.
+  // Fencing tokens, which also show whether responses reach the worker; see `FencingTokenSync`.
 
-  /** Part of the fencing token below the term; raised to invalidate direct commands sent before. */
+  /** Low part of the fencing token; raised to invalidate the direct commands sent before. */
   fencingEpoch = 0;
-  /** The fencing token that the worker has to show before anything is placed on the machine. */
+  /** The fencing token that the worker has to report before tasks are placed on the machine. */
   expectedToken = 0;
   /**
-   * A heartbeat of this agent epoch has shown the expected token: responses reach the worker, and the
-   * heartbeat is no late copy from before this term.
+   * Whether a heartbeat of this agent epoch has reported the expected token. This proves that
+   * responses reach the worker and that the heartbeat is not a late copy from before this term.
    */
   tokenAcknowledged = false;
-  /** Since when the expected token has not been acknowledged. */
+  /** Time since which the worker has been expected to acknowledge the token. */
   tokenUnacknowledgedSince: number;
-  /** The highest token that the worker has shown. */
+  /** The highest fencing token that the worker has reported. */
   highestAcknowledgedToken: number | bigint = 0;
-  /** Heartbeats in a row that lacked a task whose start the response before had carried. */
+  /**
+   * Number of consecutive heartbeats that lacked a task whose start was sent to the worker before.
+   */
   lostStartHeartbeats = 0;
-  /** Number of the last of these heartbeats. */
+  /** `HeartbeatInProgress.heartbeatNumber` of the last of these heartbeats. */
   lastLostStartHeartbeat = 0;
   /**
-   * Attempts started by direct commands in this agent epoch, with the token of the command. Until the
-   * worker shows a higher token a copy of the command may be carried out: until then absence from a
-   * heartbeat proves nothing, and `clear` needs a higher token (invariant 6).
+   * Attempts started by direct commands in this agent epoch, with the fencing token of the command.
+   * Until the worker reports a higher token, it may still carry out a copy of the command. Until
+   * then, a heartbeat without the task does not prove that it is gone, and `clear` has to carry a
+   * higher token (invariant 6).
    */
   readonly directStartTokens = new Map<string, number>();
-  /** Calls with direct commands that wait for their response. */
+  /** Number of calls with direct commands that have not been answered. */
   pendingDirectCalls = 0;
 
-  // Assignments, and what they use until they are proven gone.
+  // Assignments, and the resources of those whose tasks are not proven gone.
 
-  /** Assignments by task name, including those that have ended but are still on record. */
+  /** Assignments by task name, including ended ones that are still on record. */
   readonly assignments = new Map<string, TAssignment>();
   cpus = 0;
   gpus = 0;
   memoryGb = 0;
   taskCount = 0;
   readonly taskCountByClass = new Map<string, number>();
-  /** Size of the machine's record. */
+  /** Size that the assignments take in the machine's record. */
   readonly recordSize: MachineRecordSize;
+  /** Time since which no task has used the machine; only valid while it is not busy. */
   idleSince: number;
 
-  // What is known for placement.
+  // State for placement.
 
   /** Images known to be cached on the machine with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
-  /** Jobs that failed on the machine since a task was last completed on it. */
+  /**
+   * Ids of jobs that failed on the machine since a task was last completed on it or it was last
+   * quarantined.
+   */
   readonly failedJobs = new Set<string>();
-  /** Quarantines since a task was last completed on the machine. */
+  /** Number of quarantines since a task was last completed on the machine. */
   consecutiveQuarantines = 0;
-  /** Nothing is placed on the machine before this time, after failures. */
+  /** No task is placed on the machine before this time; set after failures. */
   unschedulableUntil = 0;
 
   constructor(
@@ -114,12 +126,12 @@
     this.idleSince = now;
   }
 
-  /** Allocates the resources that the assignment requests. */
+  /** Adds the resources that the assignment requests to the machine's usage. */
   allocate(assignment: TAssignment): void {
     this.adjustUsage(assignment, 1);
   }
 
-  /** Frees the resources that the assignment requests. */
+  /** Removes the resources that the assignment requests from the machine's usage. */
   deallocate(assignment: TAssignment): void {
     this.adjustUsage(assignment, -1);
   }
@@ -129,7 +141,7 @@
     this.cpus += request.cpus * sign;
     this.gpus += request.gpus * sign;
     this.memoryGb += request.memoryGb * sign;
-    // Sums of decimals drift; a machine without tasks has none.
+    // Rounding errors accumulate in the sums, so they are reset when the machine has no tasks.
     if (this.taskCount === 0) {
       this.cpus = 0;
       this.gpus = 0;
@@ -138,12 +150,12 @@
     if (job !== null) adjustCount(this.taskCountByClass, job.spec.class, sign);
   }
 
-  /** Whether some task uses the machine. */
+  /** Returns true if at least one task uses the machine. */
   get isBusy(): boolean {
     return this.taskCount > 0;
   }
 
-  /** Notes the image as the most recently used. Returns true if it was not known to be cached. */
+  /** Records the image as the most recently used. Returns true if it was not known to be cached. */
   recordImageUse(image: string, sizeGb: number): boolean {
     const wasKnown = this.images.delete(image);
     this.images.set(image, sizeGb);
@@ -152,7 +164,10 @@
     return true;
   }
 
-  /** Forgets the least recently used images beyond the size of the cache, but never the last one. */
+  /**
+   * Removes the least recently used images from the list until the rest fit in the machine's cache.
+   * The most recently used image is always kept.
+   */
   private evictImages(cacheGb: number): void {
     let totalGb = 0;
     for (const sizeGb of this.images.values()) totalGb += sizeGb;
--- a/src/controller/model/resource-request.ts
+++ b/src/controller/model/resource-request.ts
@@ -1,22 +1,27 @@
-/** Amounts of CPUs, GPUs and memory that tasks request, and how often they fit. */
+/**
+ * Amounts of CPUs, GPUs and memory that tasks request, and how many requests fit in given amounts.
+ */
 import type { JobSpec } from '../wire/jobs.js';
 
-/** The resources of a machine that one task uses. */
+/** The amounts of a machine's resources that one task requests. */
 export interface ResourceRequest {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Amounts are decimals, so sums of them may be off by this much. */
+/**
+ * Amounts are decimal fractions; comparisons of their sums allow for rounding errors up to this
+ * amount.
+ */
 export const AMOUNT_TOLERANCE = 1e-6;
 
-/** How many times the requested amount fits in the available one; Infinity if none is requested. */
+/** Returns how often `requested` fits in `available`; Infinity if nothing is requested. */
 export function countFitting(available: number, requested: number): number {
   return requested <= 0 ? Infinity : Math.floor((available + AMOUNT_TOLERANCE) / requested);
 }
 
-/** How many tasks with this request fit in the given amounts. */
+/** Returns how many tasks with this request fit in the given amounts of CPUs, GPUs and memory. */
 export function countFittingTasks(
   request: ResourceRequest,
   cpus: number,
@@ -31,7 +36,7 @@
   return Math.max(0, count);
 }
 
-/** The request of one task of the job. */
+/** Returns the resource request of one task of the job. */
 export function resourceRequestOf({ cpus, gpus, memoryGb }: JobSpec): ResourceRequest {
   return { cpus, gpus, memoryGb };
 }
--- a/src/controller/workers/agent-epochs.ts
+++ b/src/controller/workers/agent-epochs.ts
@@ -1,6 +1,6 @@
 /**
- * Agent epochs of workers. A worker begins a new agent epoch after its lease has expired; the leader ends
- * an epoch once its lease has certainly expired.
+ * Agent epochs of workers. A worker begins a new agent epoch after its lease has expired; the
+ * leader ends an epoch once its lease has certainly expired.
  */
 import type { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
@@ -27,12 +27,13 @@
   ) {}
 
   /**
-   * Begins the agent epoch that a heartbeat reports. The worker's lease ended before it began this epoch,
-   * so all tasks assigned in earlier epochs are gone from the machine.
+   * Begins the agent epoch that a heartbeat reports. The worker's lease ended before it began this
+   * epoch, so all tasks assigned in earlier epochs are gone from the machine.
    */
   begin(machine: Machine, agentEpoch: number): void {
     this.assignments.endBeforeEpoch(machine, agentEpoch);
-    // Without an earlier epoch no new token is needed: the machine still has to acknowledge this term.
+    // Without an earlier epoch no new token is needed: the machine still has to acknowledge this
+    // term.
     const hadEarlierEpoch = machine.agentEpoch > 0;
     machine.agentEpoch = agentEpoch;
     machine.directStartTokens.clear();
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -1,4 +1,6 @@
-/** The life cycle of assignments: they are created, stopped and ended, and their jobs are updated. */
+/**
+ * The life cycle of assignments: they are created, stopped and ended, and their jobs are updated.
+ */
 import type { JobTable } from '../jobs/job-table.js';
 import {
   type Assignment,
@@ -27,9 +29,10 @@
 }
 
 /**
- * All tasks that may be on a machine. A task is counted, against its team's limits too, until it is proven
- * gone (invariants 5 and 7): the agent epoch has advanced, the worker's lease has certainly expired, the
- * cloud has confirmed the release, or a heartbeat sent after the start was settled does not list the task.
+ * All tasks that may be on a machine. A task is counted, against its team's limits too, until it is
+ * proven gone (invariants 5 and 7): the agent epoch has advanced, the worker's lease has certainly
+ * expired, the cloud has confirmed the release, or a heartbeat sent after the start was settled
+ * does not list the task.
  */
 export class Assignments {
   /** Number of tasks that are not yet proven gone, by job class. */
@@ -46,8 +49,8 @@
   ) {}
 
   /**
-   * Assigns the task to the machine. Its start command is sent only after the machine's record lists the
-   * assignment (invariant 4).
+   * Assigns the task to the machine. Its start command is sent only after the machine's record
+   * lists the assignment (invariant 4).
    */
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
     const assignment = planAssignment(job, task, attempt, machine, this.eventLoop.now());
@@ -70,9 +73,9 @@
   }
 
   /**
-   * Stops the assignment. If its start was never sent, it ends immediately. Otherwise a command is sent to
-   * the worker, and the task has `graceS` seconds to save a checkpoint. A repeated stop has an effect only
-   * if it allows less time than the one before.
+   * Stops the assignment. If its start was never sent, it ends immediately. Otherwise a command is
+   * sent to the worker, and the task has `graceS` seconds to save a checkpoint. A repeated stop has
+   * an effect only if it allows less time than the one before.
    */
   stop(assignment: Assignment, graceS: number, reason: string): void {
     const { phase, machine, jobId, task } = assignment;
@@ -97,8 +100,8 @@
   }
 
   /**
-   * Stops all current tasks of a job. The stops of a gang have to reach its machines within `gang_peer_s`
-   * seconds of each other.
+   * Stops all current tasks of a job. The stops of a gang have to reach its machines within
+   * `gang_peer_s` seconds of each other.
    */
   stopJob(job: Job, graceS: number, reason: string): void {
     if (job.spec.kind === 'gang' && job.currentAssignments.size > 0) job.gangRestarting = true;
@@ -114,9 +117,9 @@
   }
 
   /**
-   * Cleans up after a job that has ended: removes its ended assignments and, if the job was cancelled,
-   * stops the others. The members of a completed gang need no stop, because they all exit at the same
-   * time.
+   * Cleans up after a job that has ended: removes its ended assignments and, if the job was
+   * cancelled, stops the others. The members of a completed gang need no stop, because they all
+   * exit at the same time.
    */
   jobTerminated(job: Job): void {
     for (const assignment of [...job.allAssignments]) {
@@ -126,8 +129,8 @@
   }
 
   /**
-   * Removes the assignment of a task whose completion has been recorded; from now on the worker may be
-   * told to clear the task.
+   * Removes the assignment of a task whose completion has been recorded; from now on the worker may
+   * be told to clear the task.
    */
   completionRecorded(job: Job, task: number): void {
     const assignment = job.currentAssignments.get(task);
@@ -186,8 +189,8 @@
   }
 
   /**
-   * Handles the loss of a gang member: stops the other members. If none is left, the gang is put back
-   * into the queue immediately.
+   * Handles the loss of a gang member: stops the other members. If none is left, the gang is put
+   * back into the queue immediately.
    */
   private handleLostGangMember(job: Job): void {
     if (job.gangRestarting || job.isComplete) {
@@ -198,7 +201,9 @@
     this.stopJob(job, 0, 'gang lost a member');
   }
 
-  /** Requeues all tasks of a restarting gang once no task of its old attempt is left on any machine. */
+  /**
+   * Requeues all tasks of a restarting gang once no task of its old attempt is left on any machine.
+   */
   private restartGang(job: Job): void {
     if (
       !job.gangRestarting ||
@@ -250,9 +255,10 @@
 }
 
 /**
- * Makes the assignment the current one of its task unless the task already has one of a later attempt.
- * An earlier leader may have reassigned a task to a second machine before it removed the task from the
- * record of the first. Both assignments count until heartbeats prove one of them gone.
+ * Makes the assignment the current one of its task unless the task already has one of a later
+ * attempt. An earlier leader may have reassigned a task to a second machine before it removed the
+ * task from the record of the first. Both assignments count until heartbeats prove one of them
+ * gone.
  */
 function attachLatestAttempt(job: Job, assignment: Assignment): void {
   const current = job.currentAssignments.get(assignment.task);
--- a/src/controller/workers/commands.ts
+++ b/src/controller/workers/commands.ts
@@ -1,24 +1,28 @@
-/** Commands to workers, derived from the state of assignments. */
+/** Derives the commands to workers from the state of assignments. */
 import type { Assignment, StopRequest } from '../model/entities.js';
 import type { Settings } from '../settings/settings.js';
 import type { Heartbeat, WorkerCommand } from '../wire/workers.js';
 
-/** A save that takes longer than this many times its announced time is cut short. */
+/**
+ * A task may take this many times the job's declared checkpoint time to save; then it is stopped.
+ */
 const MAX_SAVE_TIME_RATIO = 2;
 
-/** The command to start a recorded assignment. */
+/** Returns the command that starts a recorded assignment. */
 export function startCommand({ name, attempt }: Assignment): WorkerCommand {
   return { op: 'start', name, attempt };
 }
 
-/** The command to stop an assignment, with so many seconds to save a checkpoint. */
+/**
+ * Returns the command that stops an assignment and allows `graceS` seconds to save a checkpoint.
+ */
 export function stopCommand({ name, attempt }: Assignment, graceS: number): WorkerCommand {
   return { op: 'stop', name, attempt, graceS };
 }
 
 /**
- * Adds the command, if any, that the response to the heartbeat carries for the assignment. An
- * assignment whose start is added counts as sent.
+ * Adds the start or stop command that the response to the heartbeat has to carry for the
+ * assignment, if there is one. An assignment whose start is added moves to the phase `sent`.
  */
 export function addCommand(
   assignment: Assignment,
@@ -41,7 +45,10 @@
     commands.push(stopCommand(assignment, 0));
 }
 
-/** Whether a task that is saving should have ended long ago, or is to end without a checkpoint. */
+/**
+ * Returns true if a task has exceeded its time to save, or was stopped without time for a
+ * checkpoint.
+ */
 function isSaveOverdue(
   { checkpointSaveS }: Assignment,
   stop: StopRequest,
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -18,7 +18,10 @@
 
 const KEY = attemptKey('req-1/0', ATTEMPT);
 
-/** A machine that has acknowledged its token, with one recorded assignment, and the calls made to it. */
+/**
+ * A machine that has acknowledged its token, with one recorded assignment, and the calls made to
+ * it.
+ */
 class Fixture {
   readonly runtime = new ManualRuntime();
   readonly higherTerms: number[] = [];
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -15,8 +15,8 @@
 import type { Liveness } from './liveness.js';
 
 /**
- * Maximum number of unanswered direct calls to one machine. It limits the sockets that an unreachable
- * machine can occupy.
+ * Maximum number of unanswered direct calls to one machine. It limits the sockets that an
+ * unreachable machine can occupy.
  */
 const PENDING_CALLS_LIMIT = 2;
 
@@ -24,7 +24,9 @@
 const COMMAND_PATH = '/do';
 
 const OK = 200;
-/** Status with which a worker that has seen a higher fencing token refuses all commands of a call. */
+/**
+ * Status with which a worker that has seen a higher fencing token refuses all commands of a call.
+ */
 const CONFLICT = 409;
 
 /** The commands of one direct call and the assignments that they start. */
@@ -36,15 +38,18 @@
 
 /** Events that `DirectCommands` raises. */
 export interface DirectCommandEvents {
-  /** A worker refused commands with a fencing token of this term, so it has seen a leader of that term. */
+  /**
+   * A worker refused commands with a fencing token of this term, so it has seen a leader of that
+   * term.
+   */
   higherTermSeen(term: number): void;
 }
 
 /**
- * Sends starts and stops to workers without delay. Responses to heartbeats repeat them until they take
- * effect. Starts are sent only to a worker that has acknowledged this term in its agent epoch. Such a
- * worker can carry out a late copy of the call only until it sees a raised fencing token or its agent
- * epoch ends (invariant 6: workers refuse tokens lower than the highest they have seen).
+ * Sends starts and stops to workers without delay. Responses to heartbeats repeat them until they
+ * take effect. Starts are sent only to a worker that has acknowledged this term in its agent epoch.
+ * Such a worker can carry out a late copy of the call only until it sees a raised fencing token or
+ * its agent epoch ends (invariant 6: workers refuse tokens lower than the highest they have seen).
  */
 export class DirectCommands {
   private readonly dueMachines = new Set<Machine>();
@@ -127,7 +132,9 @@
     );
   }
 
-  /** Handles the response to a direct call. Its body is the worker's state, encoded as a heartbeat. */
+  /**
+   * Handles the response to a direct call. Its body is the worker's state, encoded as a heartbeat.
+   */
   private handleResponse(machine: Machine, batch: CommandBatch, { status, body }: Reply): void {
     if (status !== OK && status !== CONFLICT) return;
     let heartbeat: Heartbeat;
@@ -163,8 +170,8 @@
 }
 
 /**
- * Notes the sequence number with which the worker confirmed the start. Heartbeats up to this number may
- * have been sent before the start, so they cannot prove that the task is missing.
+ * Notes the sequence number with which the worker confirmed the start. Heartbeats up to this number
+ * may have been sent before the start, so they cannot prove that the task is missing.
  */
 function confirmStart(assignment: Assignment, { sequence }: Heartbeat): void {
   if (assignment.phase === 'sent') assignment.startSentSequence = sequence;
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -1,21 +1,24 @@
-/** Failures of tasks: machines are quarantined for them, and jobs back off. */
+/** Handles failed tasks: quarantines machines and applies a backoff to jobs. */
 import type { AssignmentOutcome, Job, Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 
 /**
- * Longest quarantine in worker leases: the machine may be the only one that fits a job, and no job may
- * wait for long beside free capacity.
+ * Maximum quarantine of a machine, in worker leases. It is short because the machine may be the
+ * only one that fits a job, and no job should wait long while capacity for it is free.
  */
 const QUARANTINE_MAX_LEASES = 3;
 
-/** Longest backoff of a job after failures, in worker leases. */
+/** Maximum backoff after failures, in worker leases. */
 const BACKOFF_MAX_LEASES = 2;
 
-/** Failures after which the backoff of a job, or of a machine for a service, no longer doubles. */
+/**
+ * Maximum number of times that the backoff of a job, or the time for which a service avoids a
+ * machine, is doubled.
+ */
 const BACKOFF_MAX_DOUBLINGS = 5;
 
-/** Outcomes of a service's replica that tell something about it or its machine. */
+/** Outcomes of a service replica that suggest a fault of the replica or of its machine. */
 const REPLICA_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'done',
   'error',
@@ -24,21 +27,23 @@
   'other',
 ]);
 
-/** Outcomes that are no failure of the task; its job pauses for one heartbeat interval. */
+/** Outcomes that do not count as a failure; the job pauses for one heartbeat interval. */
 const UNEXPLAINED_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'busy',
   'unknown',
   'other',
 ]);
 
-/** Quarantines failing machines and delays failing jobs. */
+/** Quarantines machines on which tasks fail, and delays jobs whose tasks fail. */
 export class FailureTracker {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly settings: Settings,
   ) {}
 
-  /** Records that a task was completed on the machine: its consecutive failures start from zero. */
+  /**
+   * Records that a task was completed on the machine, which resets the machine's failure counts.
+   */
   recordSuccess(machine: Machine): void {
     machine.failedJobs.clear();
     machine.consecutiveQuarantines = 0;
@@ -59,7 +64,8 @@
   private recordError(machine: Machine, job: Job, now: number): void {
     job.failedMachines.add(machine.id);
     if (job.isService) {
-      // The service goes on elsewhere at once; it backs off only if it fails on several machines.
+      // The replica may start on another machine immediately; the service backs off only if it has
+      // failed on several machines.
       if (this.isFaulty(job)) job.backoffUntil = now + this.settings.heartbeatIntervalMs;
     } else {
       job.errorCount++;
@@ -68,7 +74,10 @@
     this.recordMachineFailure(machine, job, now);
   }
 
-  /** A replica that ends by itself runs again elsewhere; its machine is avoided for a time that doubles. */
+  /**
+   * Makes the service avoid the machine on which a replica exited, so that the replica runs on
+   * another machine. The time doubles with each such exit.
+   */
   private avoidMachine(machine: Machine, job: Job, now: number): void {
     const replicaExits = (job.avoidedMachines.get(machine.id)?.replicaExits ?? 0) + 1;
     job.avoidedMachines.set(machine.id, {
@@ -77,22 +86,29 @@
     });
   }
 
-  /** Backoff in ms after so many failures: it doubles with each, up to a number of leases. */
+  /**
+   * Returns the backoff in ms after this many failures. It doubles with each failure up to a
+   * maximum.
+   */
   private backoffMs(failures: number): number {
     const uncappedMs =
       this.settings.heartbeatIntervalMs * 2 ** Math.min(failures, BACKOFF_MAX_DOUBLINGS);
     return Math.min(uncappedMs, this.settings.workerLeaseMs * BACKOFF_MAX_LEASES);
   }
 
-  /** A job that has failed on several machines is itself the cause; it counts against no machine. */
+  /**
+   * Returns true if the job has failed on so many machines that the job itself is assumed to be at
+   * fault. Its failures then do not count against machines.
+   */
   private isFaulty(job: Job): boolean {
     return job.failedMachines.size > this.settings.get('fleet.strikes');
   }
 
-  /** Counts a failed job against the machine, and quarantines it once enough jobs have failed there. */
+  /** Counts the failed job against the machine, and quarantines the machine at the threshold. */
   private recordMachineFailure(machine: Machine, job: Job, now: number): void {
     if (!this.isFaulty(job)) machine.failedJobs.add(job.spec.id);
-    // A machine that fails again after a quarantine goes back at once.
+    // A machine that fails again after a quarantine, before it completes a task, is quarantined
+    // again after a single failed job.
     const threshold = machine.consecutiveQuarantines > 0 ? 1 : this.settings.get('fleet.strikes');
     if (machine.failedJobs.size < threshold) return;
     machine.consecutiveQuarantines++;
--- a/src/controller/workers/fencing-token-sync.ts
+++ b/src/controller/workers/fencing-token-sync.ts
@@ -7,8 +7,8 @@
 import { FENCING_EPOCH_LIMIT, makeFencingToken, termOfToken } from './fencing-token.js';
 
 /**
- * Number of consecutive heartbeats without a task whose start was sent, after which the leader assumes
- * that its responses do not reach the machine.
+ * Number of consecutive heartbeats without a task whose start was sent, after which the leader
+ * assumes that its responses do not reach the machine.
  */
 const LOST_START_LIMIT = 2;
 
@@ -25,17 +25,20 @@
     return makeFencingToken(this.term, machine.fencingEpoch);
   }
 
-  /** Returns true if the token is of this term, so that the worker that reported it has seen this leader. */
+  /**
+   * Returns true if the token is of this term, so that the worker that reported it has seen this
+   * leader.
+   */
   isOfThisTerm(token: number | bigint): boolean {
     return termOfToken(token) === this.term;
   }
 
   /**
    * Raises the token that the worker has to report before more tasks are placed on the machine. The
-   * worker can obtain the new token only from a response that has not been sent yet, so reporting it
-   * proves that responses arrive. Without this check, a machine whose heartbeats arrive while responses
-   * and commands are lost would look idle in every new agent epoch and would be assigned the same tasks
-   * again and again.
+   * worker can obtain the new token only from a response that has not been sent yet, so reporting
+   * it proves that responses arrive. Without this check, a machine whose heartbeats arrive while
+   * responses and commands are lost would look idle in every new agent epoch and would be assigned
+   * the same tasks again and again.
    */
   requireNewToken(machine: Machine): void {
     if (machine.fencingEpoch < FENCING_EPOCH_LIMIT) machine.fencingEpoch++;
@@ -45,8 +48,8 @@
   }
 
   /**
-   * Processes the token in a heartbeat. Returns true if it is the first heartbeat that shows the expected
-   * token, which proves that responses reach the machine.
+   * Processes the token in a heartbeat. Returns true if it is the first heartbeat that shows the
+   * expected token, which proves that responses reach the machine.
    */
   acknowledge(machine: Machine, token: number | bigint): boolean {
     for (const [attempt, startToken] of machine.directStartTokens)
@@ -73,9 +76,9 @@
   }
 
   /**
-   * Records that the heartbeat with this number shows that a start did not arrive. Several lost starts in
-   * one heartbeat count once. Returns true if responses are assumed not to reach the machine, so that the
-   * task may be placed on another machine.
+   * Records that the heartbeat with this number shows that a start did not arrive. Several lost
+   * starts in one heartbeat count once. Returns true if responses are assumed not to reach the
+   * machine, so that the task may be placed on another machine.
    */
   recordLostStart(machine: Machine, heartbeatNumber: number): boolean {
     if (machine.lastLostStartHeartbeat !== heartbeatNumber) machine.lostStartHeartbeats++;
@@ -86,8 +89,8 @@
   }
 
   /**
-   * Returns true if direct starts may be sent to the worker: it has acknowledged the expected token in
-   * its current agent epoch, and its fencing epoch is below `FENCING_EPOCH_LIMIT`.
+   * Returns true if direct starts may be sent to the worker: it has acknowledged the expected token
+   * in its current agent epoch, and its fencing epoch is below `FENCING_EPOCH_LIMIT`.
    */
   mayStartDirectly(machine: Machine): boolean {
     return machine.tokenAcknowledged && machine.fencingEpoch < FENCING_EPOCH_LIMIT;
--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -11,8 +11,9 @@
 import type { HeartbeatInProgress, Reconciliation } from './reconciliation.js';
 
 /**
- * The response to a heartbeat. Only status 200 renews the worker's lease. A heartbeat that arrives out
- * of order, or that belongs to an agent epoch that has ended, must not renew it and is answered with 503.
+ * The response to a heartbeat. Only status 200 renews the worker's lease. A heartbeat that arrives
+ * out of order, or that belongs to an agent epoch that has ended, must not renew it and is answered
+ * with 503.
  */
 export type HeartbeatResponse = { status: 200; body: unknown } | { status: 503 };
 
@@ -20,7 +21,9 @@
 
 /** Events that `HeartbeatHandler` raises. */
 export interface HeartbeatEvents {
-  /** A heartbeat carried a fencing token of this term, so the worker has seen a leader of that term. */
+  /**
+   * A heartbeat carried a fencing token of this term, so the worker has seen a leader of that term.
+   */
   higherTermSeen(term: number): void;
   /** The set of usable machines may have changed: a placement pass is needed. */
   placementInputChanged(): void;
@@ -47,8 +50,8 @@
   /** Applies the state in the heartbeat. A response with status 200 renews the worker's lease. */
   handle(heartbeat: Heartbeat): HeartbeatResponse {
     this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
-    // The network may deliver copies of a heartbeat after the cloud has confirmed that the machine is
-    // gone; such a copy must not register the machine again.
+    // The network may deliver copies of a heartbeat after the cloud has confirmed that the machine
+    // is gone; such a copy must not register the machine again.
     if (this.registry.wasRemoved(heartbeat.machine)) return REFUSED;
     const machine = this.registry.getOrCreate(heartbeat.machine);
     if (isOutdated(heartbeat, machine)) return REFUSED;
@@ -86,7 +89,8 @@
   private reconcile(inProgress: HeartbeatInProgress, now: number): void {
     const { machine, heartbeat, heartbeatNumber, sentUnderThisTerm, commands } = inProgress;
     for (const task of heartbeat.tasks) this.reconciliation.reconcileReportedTask(inProgress, task);
-    // Assignments that end are deleted from the map during the loop; iteration over a Map allows that.
+    // Assignments that end are deleted from the map during the loop; iteration over a Map allows
+    // that.
     for (const assignment of machine.assignments.values()) {
       const isMissing =
         assignment.lastHeartbeatNumber !== heartbeatNumber && assignment.phase !== 'ended';
@@ -98,8 +102,8 @@
 }
 
 /**
- * Returns true if the heartbeat belongs to an agent epoch that has ended, or if a heartbeat with the same
- * or a higher sequence number was already accepted in its epoch.
+ * Returns true if the heartbeat belongs to an agent epoch that has ended, or if a heartbeat with
+ * the same or a higher sequence number was already accepted in its epoch.
  */
 function isOutdated({ agentEpoch, sequence }: Heartbeat, machine: Machine): boolean {
   if (agentEpoch < machine.agentEpoch || agentEpoch < machine.lowestValidAgentEpoch) return true;
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -4,20 +4,20 @@
 import type { Settings } from '../settings/settings.js';
 
 /**
- * Maximum time between two heartbeats of a worker, in heartbeat intervals: the protocol's limit plus a
- * small margin.
+ * Maximum time between two heartbeats of a worker, in heartbeat intervals: the protocol's limit
+ * plus a small margin.
  */
 const MAX_HEARTBEAT_INTERVAL_RATIO = 1.35;
 
 /**
- * If the time between two calls of `setAnswering` exceeds this many call intervals, the controller process
- * itself was stalled.
+ * If the time between two calls of `setAnswering` exceeds this many call intervals, the controller
+ * process itself was stalled.
  */
 const STALL_INTERVALS = 3;
 
 /**
- * Measures how long machines have been unresponsive. Only the time in which this node could have answered
- * their heartbeats counts.
+ * Measures how long machines have been unresponsive. Only the time in which this node could have
+ * answered their heartbeats counts.
  */
 export class Liveness {
   private answeringSince: number;
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Records whether this node may answer workers. Must be called every `intervalMs`; a call that is much
-   * later shows that the process was stalled.
+   * Records whether this node may answer workers. Must be called every `intervalMs`; a call that is
+   * much later shows that the process was stalled.
    */
   setAnswering(mayAnswer: boolean, intervalMs: number): void {
     const now = this.eventLoop.now();
@@ -59,8 +59,8 @@
   }
 
   /**
-   * Time in ms for which the machine has not acknowledged its fencing token; 0 if it has. Only the period
-   * in which this node could answer heartbeats counts.
+   * Time in ms for which the machine has not acknowledged its fencing token; 0 if it has. Only the
+   * period in which this node could answer heartbeats counts.
    */
   unacknowledgedMs(machine: Machine): number {
     if (machine.tokenAcknowledged) return 0;
@@ -75,9 +75,10 @@
   }
 
   /**
-   * Share, from 0 to 1, of machines whose heartbeats are overdue by more than `overdueByMs` although this
-   * node could have answered them. Only machines from which heartbeats are expected are counted. If
-   * `excludeUnseen` is true, machines that have sent no heartbeat in this term are not counted.
+   * Share, from 0 to 1, of machines whose heartbeats are overdue by more than `overdueByMs`
+   * although this node could have answered them. Only machines from which heartbeats are expected
+   * are counted. If `excludeUnseen` is true, machines that have sent no heartbeat in this term are
+   * not counted.
    */
   overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
     const allowedMs =
--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -1,7 +1,7 @@
 /**
  * Encodes and decodes the two records of a machine: one holds the machine and its assignments, the
- * other its cached images. The format of both lists is fixed, because leaders that run other versions
- * of the program read them.
+ * other its cached images. The format of both lists is fixed, because leaders that run other
+ * versions of the program read them.
  */
 import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
 import { encodeJob, sharedStartMs } from '../model/machine-record-size.js';
@@ -27,10 +27,10 @@
 }
 
 /**
- * Encodes the machine's record: agent epoch, type, zone, 1 for a spot machine or else 0, address, and
- * for each job its tasks, grouped by attempt and time of assignment. Times are wall-clock milliseconds,
- * because the steady clocks of controllers cannot be compared. The record is encoded each time a task
- * is added or removed, so this function builds no string per task.
+ * Encodes the machine's record: agent epoch, type, zone, 1 for a spot machine or else 0, address,
+ * and for each job its tasks, grouped by attempt and time of assignment. Times are wall-clock
+ * milliseconds, because the steady clocks of controllers cannot be compared. The record is encoded
+ * each time a task is added or removed, so this function builds no string per task.
  */
 export function encodeMachineRecord(
   machine: Machine,
@@ -122,7 +122,9 @@
   return tasks;
 }
 
-/** Encodes the images cached on a machine as a flat list: each name is followed by its size in GB. */
+/**
+ * Encodes the images cached on a machine as a flat list: each name is followed by its size in GB.
+ */
 export function encodeImages(images: ReadonlyMap<string, number>): unknown[] {
   return [...images].flat();
 }
--- a/src/controller/workers/machine-registry.test.ts
+++ b/src/controller/workers/machine-registry.test.ts
@@ -31,7 +31,8 @@
     assert.equal(machine.zone, 'b');
   });
 
-  // They were forgotten by number: a copy of an old heartbeat could bring one back in a large fleet.
+  // They were forgotten by number: a copy of an old heartbeat could bring one back in a large
+  // fleet.
   it('remembers the machines that are gone for minutes, however many they are', () => {
     for (let i = 1; i <= 30_000; i++) registry.remove(registry.getOrCreate(`n-${i}`));
     assert.equal(registry.machines.size, 0);
--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -1,4 +1,4 @@
-/** The machines that a leader knows, and the names of those that are gone. */
+/** Registry of the machines known to the leader and of the names of removed machines. */
 import { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
@@ -6,12 +6,13 @@
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /**
- * Machines that are gone are remembered for this many worker leases, however many they are: the network
- * may deliver copies of their heartbeats for minutes.
+ * Time for which the name of a removed machine is kept, in worker leases. The network may deliver
+ * copies of its heartbeats for minutes, so names are dropped by age only, never because there are
+ * too many.
  */
 const REMOVED_MACHINE_RETENTION_LEASES = 60;
 
-/** Properties of a machine, as heartbeats, records and the cloud's list give them. */
+/** Properties of a machine that heartbeats, records and the cloud's list contain. */
 export interface MachineDescription {
   type: string;
   zone: string;
@@ -20,10 +21,13 @@
   addr: string;
 }
 
-/** Machines by name, and the names of those that are gone for good. */
+/** Holds the machines by name, and the names of machines that were removed recently. */
 export class MachineRegistry {
   readonly machines = new Map<string, Machine>();
-  /** Names of machines that are gone, with the time of removal, oldest first; a name is never reused. */
+  /**
+   * Time of removal (steady clock, ms) by the name of the removed machine, oldest first. The cloud
+   * never reuses a name.
+   */
   private readonly removedAtByName = new Map<string, number>();
 
   constructor(
@@ -33,7 +37,7 @@
     private readonly findType: (name: string) => MachineType | undefined,
   ) {}
 
-  /** The machine of this name; it is created if it is not known. */
+  /** Returns the machine with this name, and creates it if it does not exist. */
   getOrCreate(id: string): Machine {
     const existing = this.machines.get(id);
     if (existing !== undefined) return existing;
@@ -43,7 +47,7 @@
     return machine;
   }
 
-  /** Sets the properties of the machine; an empty address leaves the known one. */
+  /** Sets the properties of the machine. An empty `addr` keeps the known address. */
   setDescription(machine: Machine, { type, zone, spot, addr }: MachineDescription): void {
     machine.typeName = type;
     machine.type = this.findType(type) ?? null;
@@ -52,7 +56,9 @@
     if (addr !== '') machine.addr = addr;
   }
 
-  /** Sets the properties of the machine if the heartbeat shows others than are known. */
+  /**
+   * Sets the properties of the machine if the reported ones differ or its type is still unknown.
+   */
   updateDescription(machine: Machine, reported: MachineDescription): void {
     const changed =
       machine.typeName !== reported.type ||
@@ -63,7 +69,7 @@
     if (changed) this.setDescription(machine, reported);
   }
 
-  /** Removes a machine that is gone for good; its name is remembered for a while. */
+  /** Removes a machine that is permanently gone, and keeps its name for the retention time. */
   remove(machine: Machine): void {
     this.machines.delete(machine.id);
     this.removedAtByName.set(machine.id, this.eventLoop.now());
@@ -78,7 +84,7 @@
     }
   }
 
-  /** Whether a machine of this name is gone for good, as far as that is remembered. */
+  /** Returns true if a machine with this name was removed within the retention time. */
   wasRemoved(id: string): boolean {
     return this.removedAtByName.has(id);
   }
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -1,4 +1,7 @@
-/** Writes the records of machines that have changed, and restores what earlier leaders have recorded. */
+/**
+ * Writes the records of changed machines, and restores machines from the records of earlier
+ * leaders.
+ */
 import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
@@ -15,28 +18,33 @@
 const MACHINE_PREFIX = 'm/';
 const IMAGES_PREFIX = 'i/';
 
-/** Key of the record of a machine's assignments. */
+/** Returns the key of the record that holds a machine and its assignments. */
 export function machineKey(id: string): string {
   return `${MACHINE_PREFIX}${id}`;
 }
 
-/** Key of the record of the images cached on a machine. */
+/** Returns the key of the record that holds the images cached on a machine. */
 export function imagesKey(id: string): string {
   return `${IMAGES_PREFIX}${id}`;
 }
 
-/** What follows from records that were read or stored. */
+/** Events that `MachineStore` raises after records were read or stored. */
 export interface MachineStoreEvents {
-  /** An earlier leader has recorded a task on the machine, assigned at this time of the steady clock. */
+  /**
+   * A task was found in the machine's record. `assignedAt` is on this node's steady clock, in ms.
+   */
   taskRestored(machine: Machine, task: RecordedTask, assignedAt: number): void;
-  /** The machine's planned assignments are recorded: they may be started (invariant 4). */
+  /**
+   * The machine's planned assignments are now in its stored record, so their start commands may be
+   * sent (invariant 4: assignments are recorded before they are started).
+   */
   assignmentsRecorded(machine: Machine): void;
 }
 
-/** Writes the machines that have changed once per batch of the event loop. */
+/** Writes the records of changed machines, once per batch of the event loop. */
 export class MachineStore {
   private readonly changedMachines = new Set<Machine>();
-  /** Machines whose images changed; their records are never urgent. */
+  /** Machines whose cached images changed. Writing their image records is never urgent. */
   private readonly machinesWithChangedImages = new Set<Machine>();
 
   constructor(
@@ -47,7 +55,7 @@
     private readonly events: MachineStoreEvents,
   ) {}
 
-  /** Restores what earlier leaders have recorded; called once, at failover. */
+  /** Restores machines, tasks and cached images from stored records. Called once, at failover. */
   restore(): void {
     for (const { key, value } of this.records.list(MACHINE_PREFIX))
       this.restoreMachine(key.slice(MACHINE_PREFIX.length), value);
@@ -56,7 +64,7 @@
   }
 
   private restoreMachine(id: string, value: unknown): void {
-    // Anything else is not the record of a machine.
+    // A machine record is always a list; any other value is ignored.
     if (!isList(value)) return;
     const wallClockNow = this.eventLoop.runtime.wallClock();
     const record = decodeMachineRecord(value, wallClockNow);
@@ -75,17 +83,17 @@
     for (const [image, sizeGb] of decodeImages(value)) images.set(image, sizeGb);
   }
 
-  /** Notes that the machine's agent epoch or assignments differ from its record. */
+  /** Marks the machine's record for writing, because its agent epoch or assignments changed. */
   markChanged(machine: Machine): void {
     this.changedMachines.add(machine);
   }
 
-  /** Notes that the machine's images differ from their record. */
+  /** Marks the machine's image record for writing, because its cached images changed. */
   markImagesChanged(machine: Machine): void {
     this.machinesWithChangedImages.add(machine);
   }
 
-  /** Removes the records of a machine that is gone for good. */
+  /** Removes both records of a machine that is permanently gone. */
   remove(machine: Machine): void {
     this.changedMachines.delete(machine);
     this.machinesWithChangedImages.delete(machine);
@@ -93,7 +101,7 @@
       if (this.records.has(key)) this.records.set(key, undefined, 'deferrable');
   }
 
-  /** Writes the records of all machines that have changed. */
+  /** Writes all records that are marked as changed. */
   flush(): void {
     for (const machine of this.changedMachines) this.write(machine);
     this.changedMachines.clear();
@@ -122,7 +130,10 @@
   }
 }
 
-/** Replicas of services go first, since each second without one is downtime. */
+/**
+ * Returns the write priority for a machine's record. Records with new replicas of services go
+ * first, because each second without a replica is downtime of the service.
+ */
 function writePriorityOf(plannedAssignments: readonly Assignment[]): WritePriority {
   if (plannedAssignments.some(({ job }) => job?.isService === true)) return 'immediate';
   return plannedAssignments.length > 0 ? 'urgent' : 'deferrable';
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -18,8 +18,9 @@
   /** Sequential number of this heartbeat among the heartbeats of all machines in this term. */
   readonly heartbeatNumber: number;
   /**
-   * Whether the worker had seen this leader's term when it sent the heartbeat. If not, the heartbeat may
-   * be arbitrarily old, and the previous leader may since have started a task that it does not list.
+   * Whether the worker had seen this leader's term when it sent the heartbeat. If not, the
+   * heartbeat may be arbitrarily old, and the previous leader may since have started a task that it
+   * does not list.
    */
   readonly sentUnderThisTerm: boolean;
   /** Commands for the response; reconciliation appends to this list. */
@@ -34,7 +35,9 @@
   imagesChanged(machine: Machine): void;
 }
 
-/** Updates assignments from the tasks that a heartbeat lists and from assigned tasks that it lacks. */
+/**
+ * Updates assignments from the tasks that a heartbeat lists and from assigned tasks that it lacks.
+ */
 export class Reconciliation {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
@@ -44,7 +47,9 @@
     private readonly events: ReconciliationEvents,
   ) {}
 
-  /** Updates the assignment of a task that the heartbeat lists, or stops the task if it has none. */
+  /**
+   * Updates the assignment of a task that the heartbeat lists, or stops the task if it has none.
+   */
   reconcileReportedTask(inProgress: HeartbeatInProgress, task: TaskStatus): void {
     const { machine } = inProgress;
     const assignment = machine.assignments.get(task.name);
@@ -60,10 +65,10 @@
   }
 
   /**
-   * Handles an assigned task that is missing from a heartbeat sent under this term. Once the start is
-   * settled, such a heartbeat proves that the task is gone (invariant 5). A direct start is settled only
-   * when the worker has shown a higher fencing token, because it then refuses late copies of the start
-   * (invariant 6).
+   * Handles an assigned task that is missing from a heartbeat sent under this term. Once the start
+   * is settled, such a heartbeat proves that the task is gone (invariant 5). A direct start is
+   * settled only when the worker has shown a higher fencing token, because it then refuses late
+   * copies of the start (invariant 6).
    */
   reconcileMissingTask(
     { machine, heartbeat, heartbeatNumber }: HeartbeatInProgress,
@@ -73,32 +78,35 @@
     if (phase !== 'seen' && phase !== 'sent') return;
     // The worker may still carry out a direct start until its heartbeats show the raised token.
     if (this.fencingTokens.voidDirectStart(machine, name, attempt)) return;
-    // A worker has one heartbeat in flight at a time, so a heartbeat that was sent after the start and
-    // lacks the task means that the response with the start was lost or that the task is gone.
+    // A worker has one heartbeat in flight at a time, so a heartbeat that was sent after the start
+    // and lacks the task means that the response with the start was lost or that the task is gone.
     if (startSentSequence !== null && heartbeat.sequence <= startSentSequence) return;
-    // A start that this leader sent and that never arrived may be sent again. A start that an earlier
-    // leader sent may have arrived, and the task may have ended and been cleared since, so that attempt
-    // is ended.
+    // A start that this leader sent and that never arrived may be sent again. A start that an
+    // earlier leader sent may have arrived, and the task may have ended and been cleared since, so
+    // that attempt is ended.
     if (phase === 'seen' || startSentSequence === null || assignment.stop !== null) {
       this.assignments.end(assignment, 'lost');
       return;
     }
     assignment.phase = 'recorded';
-    // If responses do not reach the machine, the task is neither on it nor about to start there, so it
-    // may be placed on another machine.
+    // If responses do not reach the machine, the task is neither on it nor about to start there, so
+    // it may be placed on another machine.
     if (this.fencingTokens.recordLostStart(machine, heartbeatNumber))
       this.assignments.end(assignment, 'unsent');
   }
 
-  /** Updates the assignment. Returns false if the worker must not clear the task even if it exited. */
+  /**
+   * Updates the assignment. Returns false if the worker must not clear the task even if it exited.
+   */
   private reconcileAssignment(
     inProgress: HeartbeatInProgress,
     assignment: Assignment,
     task: TaskStatus,
   ): boolean {
     assignment.lastHeartbeatNumber = inProgress.heartbeatNumber;
-    // A heartbeat sent before this term may be arbitrarily old. A completion remains valid, but a task
-    // that exited with another cause may have been cleared and started again under the same attempt.
+    // A heartbeat sent before this term may be arbitrarily old. A completion remains valid, but a
+    // task that exited with another cause may have been cleared and started again under the same
+    // attempt.
     const isCompletion = task.cause === 'done' && assignment.job?.isService !== true;
     if (!inProgress.sentUnderThisTerm && task.state === 'exited' && !isCompletion) return false;
     if (task.cause === 'alone' && isGangMemberNeeded(assignment)) {
@@ -111,7 +119,8 @@
 
   /**
    * Restarts a gang member that stopped waiting for its peers while other members still fetch their
-   * image. It keeps the same attempt: stopping the whole gang would discard the fetches in progress.
+   * image. It keeps the same attempt: stopping the whole gang would discard the fetches in
+   * progress.
    */
   private restartGangMember(
     { machine, commands }: HeartbeatInProgress,
@@ -133,8 +142,9 @@
   }
 
   /**
-   * Returns true if the completion of the task is not recorded yet, so that the worker's state is the
-   * only evidence of it. Also marks the task as done if it is not marked yet and belongs to no gang.
+   * Returns true if the completion of the task is not recorded yet, so that the worker's state is
+   * the only evidence of it. Also marks the task as done if it is not marked yet and belongs to no
+   * gang.
    */
   private isCompletionUnrecorded({ name }: TaskStatus): boolean {
     const { job: id, task } = parseTaskName(name);
--- a/src/controller/workers/team-usage.ts
+++ b/src/controller/workers/team-usage.ts
@@ -1,11 +1,11 @@
-/** What the tasks of each team take, for limits and guarantees. */
+/** Tracks the resources that each team uses, for its limits and guarantees. */
 import type { Assignment } from '../model/entities.js';
 import { AMOUNT_TOLERANCE, countFitting, type ResourceRequest } from '../model/resource-request.js';
 import type { Team } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
 import type { JobSpec } from '../wire/jobs.js';
 
-/** What the tasks of one team take. */
+/** The tasks of one team that are not proven gone, and the resources that they use. */
 interface Usage {
   team: Team;
   tasks: number;
@@ -13,7 +13,7 @@
   gpus: number;
 }
 
-/** What a team takes now. */
+/** A team and the resources that it uses at present. */
 export interface TeamUsageEntry {
   name: string;
   cpus: number;
@@ -22,8 +22,8 @@
 }
 
 /**
- * What the tasks of each team take. Every task counts that is not proven gone, so that no team ever has
- * more than its limit (docs/design.md, 7).
+ * Resources used by the tasks of each team. Every task that is not proven gone is counted, so that
+ * no team ever exceeds its limit (docs/design.md, invariant 7).
  */
 export class TeamUsage {
   private readonly usages = new Map<string, Usage>();
@@ -32,21 +32,23 @@
     for (const team of teams) this.usages.set(team.name, { team, tasks: 0, cpus: 0, gpus: 0 });
   }
 
-  /** Counts tasks that have come; a negative count is of tasks that are gone. */
+  /** Adds the requests of `count` tasks to the team's usage; a negative count removes tasks. */
   add(teamName: string, request: ResourceRequest, count: number): void {
     const usage = this.usages.get(teamName);
     if (usage === undefined) return;
     usage.tasks += count;
     usage.cpus += request.cpus * count;
     usage.gpus += request.gpus * count;
-    // Sums of decimals drift; a team without tasks has none.
+    // Rounding errors accumulate in the sums, so they are reset when the team has no tasks.
     if (usage.tasks === 0) {
       usage.cpus = 0;
       usage.gpus = 0;
     }
   }
 
-  /** How many more tasks of the job its team's limit allows; none for a team that is not known. */
+  /**
+   * Returns how many more tasks of the job the limit of its team allows; 0 if the team is unknown.
+   */
   allowance(spec: JobSpec): number {
     const usage = this.usages.get(spec.team);
     if (usage === undefined) return 0;
@@ -56,12 +58,16 @@
     return Math.max(0, Math.min(byCpus, byGpus));
   }
 
-  /** Whether the task runs on borrowed capacity: its team would have its guarantee without it too. */
+  /**
+   * Returns true if the task runs on borrowed capacity, that is, if its team would still use at
+   * least its guaranteed amount without the task.
+   */
   borrows({ team: teamName, request }: Assignment): boolean {
     const usage = this.usages.get(teamName);
     if (usage === undefined) return false;
     const { guaranteedCpus, guaranteedGpus } = usage.team;
-    // Only what is guaranteed at all can be borrowed beyond.
+    // GPUs decide if the team has guaranteed GPUs and the task uses some, otherwise CPUs in the
+    // same way. A task that uses no resource with a guarantee always runs on borrowed capacity.
     if (guaranteedGpus > 0 && request.gpus > 0)
       return usage.gpus - request.gpus >= guaranteedGpus - AMOUNT_TOLERANCE;
     if (guaranteedCpus > 0 && request.cpus > 0)
@@ -69,7 +75,7 @@
     return true;
   }
 
-  /** What each team takes now. */
+  /** Returns the present usage of each team. */
   state(): TeamUsageEntry[] {
     return [...this.usages.values()].map(({ team, cpus, gpus }) => ({
       name: team.name,
--- a/src/controller/workers/workers.test.ts
+++ b/src/controller/workers/workers.test.ts
@@ -58,8 +58,8 @@
     assert.ok(fixture.job.pending.has(0));
   });
 
-  // An attempt that gave up waiting was started again under its number; then a heartbeat from before
-  // arrived at a new leader, which took the attempt for ended and placed the task once more.
+  // An attempt that gave up waiting was started again under its number; then a heartbeat from
+  // before arrived at a new leader, which took the attempt for ended and placed the task once more.
   it('keeps an assignment that such a heartbeat shows as exited, unless the task is done', () => {
     const earlierToken = makeFencingToken(TERM - 1, 3);
     const fixture = new WorkersFixture({}, RECORDED_MACHINE);
@@ -98,8 +98,8 @@
 });
 
 describe('Workers: gangs', () => {
-  // World seeds 135 and 180: one member of a gang was on record, the other was placed beside it, and
-  // when the first was gone both were put back, one of them for the second time.
+  // World seeds 135 and 180: one member of a gang was on record, the other was placed beside it,
+  // and when the first was gone both were put back, one of them for the second time.
   it('restarts a gang of which one member is recorded as a whole, each task once', () => {
     const fixture = new WorkersFixture({ kind: 'gang' }, RECORDED_MACHINE);
     assert.equal(fixture.incompleteGangs, 1);
@@ -117,7 +117,8 @@
 });
 
 describe('Workers: failures', () => {
-  // Quarantines doubled up to 64 leases; a job that only such a machine fits waited beside its capacity.
+  // Quarantines doubled up to 64 leases; a job that only such a machine fits waited beside its
+  // capacity.
   it('ends a quarantine within three leases, and begins one when the machine fails again', () => {
     const fixture = new WorkersFixture({ tasks: 3 });
     const { job, machine, runtime } = fixture;
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -43,8 +43,8 @@
   ReconciliationEvents;
 
 /**
- * Machines, assignments, heartbeats and commands of one leader. A new instance is created for each term.
- * The owner must call `flush` after each batch of the event loop.
+ * Machines, assignments, heartbeats and commands of one leader. A new instance is created for each
+ * term. The owner must call `flush` after each batch of the event loop.
  */
 export class Workers {
   readonly machines: ReadonlyMap<string, Machine>;
@@ -125,7 +125,9 @@
     return this.registry.getOrCreate(id);
   }
 
-  /** Sets the machine's properties from the cloud's list. An empty `addr` keeps the known address. */
+  /**
+   * Sets the machine's properties from the cloud's list. An empty `addr` keeps the known address.
+   */
   setDescription(machine: Machine, type: string, zone: string, spot: boolean, addr: string): void {
     this.registry.setDescription(machine, { type, zone, spot, addr });
   }
@@ -136,8 +138,8 @@
   }
 
   /**
-   * Assigns the task to the machine. Its start command is sent only after the machine's record lists the
-   * assignment (invariant 4).
+   * Assigns the task to the machine. Its start command is sent only after the machine's record
+   * lists the assignment (invariant 4).
    */
   assign(job: Job, task: number, attempt: number, machine: Machine): void {
     this.assignments.assign(job, task, attempt, machine);
@@ -149,8 +151,8 @@
   }
 
   /**
-   * Stops all current tasks of a job. The stops of a gang have to reach its machines within `gang_peer_s`
-   * seconds of each other.
+   * Stops all current tasks of a job. The stops of a gang have to reach its machines within
+   * `gang_peer_s` seconds of each other.
    */
   stopJob(job: Job, graceS: number, reason: string): void {
     this.assignments.stopJob(job, graceS, reason);
@@ -162,29 +164,32 @@
   }
 
   /**
-   * Cleans up after a job that has ended: removes its ended assignments and, if the job was cancelled,
-   * stops the others.
+   * Cleans up after a job that has ended: removes its ended assignments and, if the job was
+   * cancelled, stops the others.
    */
   jobTerminated(job: Job): void {
     this.assignments.jobTerminated(job);
   }
 
   /**
-   * Removes the assignment of a task whose completion has been recorded; from now on the worker may be
-   * told to clear the task.
+   * Removes the assignment of a task whose completion has been recorded; from now on the worker may
+   * be told to clear the task.
    */
   completionRecorded(job: Job, task: number): void {
     this.assignments.completionRecorded(job, task);
   }
 
-  /** Applies the state in a worker's heartbeat. A response with status 200 renews the worker's lease. */
+  /**
+   * Applies the state in a worker's heartbeat. A response with status 200 renews the worker's
+   * lease.
+   */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse {
     return this.heartbeatHandler.handle(heartbeat);
   }
 
   /**
-   * Ends each agent epoch whose worker lease has certainly expired. This proves that its tasks are gone
-   * (invariant 5), so their assignments end too.
+   * Ends each agent epoch whose worker lease has certainly expired. This proves that its tasks are
+   * gone (invariant 5), so their assignments end too.
    */
   expireLeases(): void {
     this.agentEpochs.expireLeases(this.machines.values());
@@ -216,14 +221,16 @@
   }
 
   /**
-   * Time in ms for which the machine has not acknowledged its fencing token; 0 if it has. Only the period
-   * in which this node could answer heartbeats counts.
+   * Time in ms for which the machine has not acknowledged its fencing token; 0 if it has. Only the
+   * period in which this node could answer heartbeats counts.
    */
   unacknowledgedMs(machine: Machine): number {
     return this.liveness.unacknowledgedMs(machine);
   }
 
-  /** Share of machines whose heartbeats are overdue by `overdueByMs`; see `Liveness.overdueShare`. */
+  /**
+   * Share of machines whose heartbeats are overdue by `overdueByMs`; see `Liveness.overdueShare`.
+   */
   overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
     return this.liveness.overdueShare(overdueByMs, excludeUnseen);
   }
