--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -147,8 +147,8 @@
    * gang.
    */
   private isCompletionUnrecorded({ name }: TaskStatus): boolean {
-    const { job: id, task } = parseTaskName(name);
-    const job = this.table.jobs.get(id);
+    const { job: jobId, task } = parseTaskName(name);
+    const job = this.table.jobs.get(jobId);
     if (job === undefined || job.isService || task >= job.spec.tasks) return false;
     if (job.done[task] !== 1 && job.spec.kind !== 'gang') this.table.markDone(job, task);
     return job.doneRecorded[task] !== 1;
