--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -41,7 +41,7 @@
 export class Reconciliation {
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
-    private readonly table: Pick<JobTable, 'jobs' | 'markDone'>,
+    private readonly jobTable: Pick<JobTable, 'jobs' | 'markDone'>,
     private readonly assignments: Pick<Assignments, 'end'>,
     private readonly fencingTokens: Pick<FencingTokenSync, 'voidDirectStart' | 'recordLostStart'>,
     private readonly events: ReconciliationEvents,
@@ -148,9 +148,9 @@
    */
   private isCompletionUnrecorded({ name }: TaskStatus): boolean {
     const { job: jobId, task } = parseTaskName(name);
-    const job = this.table.jobs.get(jobId);
+    const job = this.jobTable.jobs.get(jobId);
     if (job === undefined || job.isService || task >= job.spec.tasks) return false;
-    if (job.done[task] !== 1 && job.spec.kind !== 'gang') this.table.markDone(job, task);
+    if (job.done[task] !== 1 && job.spec.kind !== 'gang') this.jobTable.markDone(job, task);
     return job.doneRecorded[task] !== 1;
   }
 
