--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -42,7 +42,7 @@
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
-    private readonly table: Pick<JobTable, 'jobs' | 'markDone' | 'requeue' | 'countExit'>,
+    private readonly jobTable: Pick<JobTable, 'jobs' | 'markDone' | 'requeue' | 'countExit'>,
     private readonly teams: Pick<TeamUsage, 'add'>,
     private readonly failures: Pick<FailureTracker, 'recordFailure' | 'recordSuccess'>,
     private readonly events: AssignmentEvents,
@@ -65,7 +65,7 @@
 
   /** Restores an assignment from a machine's record that an earlier leader wrote. */
   restore(machine: Machine, recorded: RecordedTask, assignedAt: number): void {
-    const job = this.table.jobs.get(recorded.jobId) ?? null;
+    const job = this.jobTable.jobs.get(recorded.jobId) ?? null;
     const assignment = restoreAssignment(recorded, job, machine, assignedAt);
     this.register(assignment);
     if (job === null) this.stop(assignment, 0, 'job ended');
@@ -169,23 +169,23 @@
     if (runningAt !== null) this.events.taskCompleted(assignment, this.eventLoop.now() - runningAt);
     this.failures.recordSuccess(machine);
     if (job.spec.kind === 'gang') this.completeGang(job);
-    else this.table.markDone(job, task);
+    else this.jobTable.markDone(job, task);
     if (job.doneRecorded[task] === 1) this.forget(assignment);
   }
 
   /** Marks all tasks of the gang as done, because the members of a gang complete together. */
   private completeGang(job: Job): void {
-    for (let task = 0; task < job.spec.tasks; task++) this.table.markDone(job, task);
+    for (let task = 0; task < job.spec.tasks; task++) this.jobTable.markDone(job, task);
   }
 
   /** Counts the exit of a task that was not completed, and has the task run again. */
   private requeue(assignment: Assignment, job: Job, outcome: AssignmentOutcome): void {
     const { machine, task } = assignment;
-    if (outcome !== 'unsent') this.table.countExit(job, outcome);
+    if (outcome !== 'unsent') this.jobTable.countExit(job, outcome);
     this.eventLoop.log.info({ job: job.spec.id, task, machine: machine.id, outcome }, 'task ended');
     this.failures.recordFailure(machine, job, outcome);
     if (job.spec.kind === 'gang') this.handleLostGangMember(job);
-    else if (!job.currentAssignments.has(task)) this.table.requeue(job, task);
+    else if (!job.currentAssignments.has(task)) this.jobTable.requeue(job, task);
   }
 
   /**
@@ -213,7 +213,7 @@
     )
       return;
     job.gangRestarting = false;
-    for (let task = job.spec.tasks - 1; task >= 0; task--) this.table.requeue(job, task);
+    for (let task = job.spec.tasks - 1; task >= 0; task--) this.jobTable.requeue(job, task);
   }
 
   /** Adds the assignment to its machine and job, and counts the resources that it uses. */
