--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -44,7 +44,7 @@
     private readonly eventLoop: Pick<EventLoop, 'now' | 'log'>,
     private readonly jobTable: Pick<JobTable, 'jobs' | 'markDone' | 'requeue' | 'countExit'>,
     private readonly teams: Pick<TeamUsage, 'add'>,
-    private readonly failures: Pick<FailureTracker, 'recordFailure' | 'recordSuccess'>,
+    private readonly failureTracker: Pick<FailureTracker, 'recordFailure' | 'recordSuccess'>,
     private readonly events: AssignmentEvents,
   ) {}
 
@@ -167,7 +167,7 @@
   private complete(assignment: Assignment, job: Job): void {
     const { machine, task, runningAt } = assignment;
     if (runningAt !== null) this.events.taskCompleted(assignment, this.eventLoop.now() - runningAt);
-    this.failures.recordSuccess(machine);
+    this.failureTracker.recordSuccess(machine);
     if (job.spec.kind === 'gang') this.completeGang(job);
     else this.jobTable.markDone(job, task);
     if (job.doneRecorded[task] === 1) this.forget(assignment);
@@ -183,7 +183,7 @@
     const { machine, task } = assignment;
     if (outcome !== 'unsent') this.jobTable.countExit(job, outcome);
     this.eventLoop.log.info({ job: job.spec.id, task, machine: machine.id, outcome }, 'task ended');
-    this.failures.recordFailure(machine, job, outcome);
+    this.failureTracker.recordFailure(machine, job, outcome);
     if (job.spec.kind === 'gang') this.handleLostGangMember(job);
     else if (!job.currentAssignments.has(task)) this.jobTable.requeue(job, task);
   }
