--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -77,8 +77,8 @@
     this.machines = this.registry.machines;
     this.liveness = new Liveness(eventLoop, settings, this.machines);
     this.machineStore = new MachineStore(eventLoop, settings, records, this.registry, events);
-    const failures = new FailureTracker(eventLoop, settings);
-    this.assignments = new Assignments(eventLoop, table, this.teams, failures, events);
+    const failureTracker = new FailureTracker(eventLoop, settings);
+    this.assignments = new Assignments(eventLoop, table, this.teams, failureTracker, events);
     this.assignedCountByClass = this.assignments.countByClass;
     this.agentEpochs = new AgentEpochs(
       eventLoop,
