--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -65,7 +65,7 @@
     settings: Settings,
     readonly term: number,
     records: RecordStore,
-    table: JobTable,
+    jobTable: JobTable,
     private readonly listener: WorkersEvents,
   ) {
     const fencingTokens = new FencingTokenSync(eventLoop, term);
@@ -78,7 +78,7 @@
     this.liveness = new Liveness(eventLoop, settings, this.machines);
     this.machineStore = new MachineStore(eventLoop, settings, records, this.registry, events);
     const failureTracker = new FailureTracker(eventLoop, settings);
-    this.assignments = new Assignments(eventLoop, table, this.teams, failureTracker, events);
+    this.assignments = new Assignments(eventLoop, jobTable, this.teams, failureTracker, events);
     this.assignedCountByClass = this.assignments.countByClass;
     this.agentEpochs = new AgentEpochs(
       eventLoop,
@@ -94,7 +94,7 @@
       this.registry,
       this.agentEpochs,
       fencingTokens,
-      new Reconciliation(eventLoop, table, this.assignments, fencingTokens, events),
+      new Reconciliation(eventLoop, jobTable, this.assignments, fencingTokens, events),
       events,
     );
   }
