--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -58,7 +58,7 @@
   private readonly agentEpochs: AgentEpochs;
   private readonly liveness: Liveness;
   private readonly heartbeatHandler: HeartbeatHandler;
-  private readonly commands: DirectCommands;
+  private readonly directCommands: DirectCommands;
 
   constructor(
     eventLoop: EventLoop,
@@ -87,7 +87,13 @@
       this.assignments,
       events,
     );
-    this.commands = new DirectCommands(eventLoop, settings, fencingTokens, this.liveness, events);
+    this.directCommands = new DirectCommands(
+      eventLoop,
+      settings,
+      fencingTokens,
+      this.liveness,
+      events,
+    );
     this.heartbeatHandler = new HeartbeatHandler(
       eventLoop,
       settings,
@@ -107,10 +113,10 @@
       higherTermSeen: (term) => listener.higherTermSeen(term),
       taskCompleted: (assignment, runMs) => listener.taskCompleted(assignment, runMs),
       recordDue: (machine) => this.machineStore.markChanged(machine),
-      commandDue: (machine) => this.commands.request(machine),
+      commandDue: (machine) => this.directCommands.request(machine),
       taskRestored: (machine, task, assignedAt) =>
         this.assignments.restore(machine, task, assignedAt),
-      assignmentsRecorded: (machine) => this.commands.request(machine),
+      assignmentsRecorded: (machine) => this.directCommands.request(machine),
       imagesChanged: (machine) => this.machineStore.markImagesChanged(machine),
     };
   }
@@ -199,7 +205,7 @@
   removeMachine(machine: Machine): void {
     this.assignments.endAll(machine);
     this.registry.remove(machine);
-    this.commands.cancel(machine);
+    this.directCommands.cancel(machine);
     this.machineStore.remove(machine);
     this.listener.placementInputChanged();
   }
@@ -243,6 +249,6 @@
   /** Writes the records of changed machines and sends direct commands. Called after each batch. */
   flush(): void {
     this.machineStore.flush();
-    this.commands.flush();
+    this.directCommands.flush();
   }
 }
