--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -90,9 +90,9 @@
    * Returns the backoff in ms after this many failures. It doubles with each failure up to a
    * maximum.
    */
-  private backoffMs(failures: number): number {
+  private backoffMs(failureCount: number): number {
     const uncappedMs =
-      this.settings.heartbeatIntervalMs * 2 ** Math.min(failures, BACKOFF_MAX_DOUBLINGS);
+      this.settings.heartbeatIntervalMs * 2 ** Math.min(failureCount, BACKOFF_MAX_DOUBLINGS);
     return Math.min(uncappedMs, this.settings.workerLeaseMs * BACKOFF_MAX_LEASES);
   }
 
