--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -113,8 +113,8 @@
     if (machine.failedJobs.size < threshold) return;
     machine.consecutiveQuarantines++;
     machine.failedJobs.clear();
-    const leases = Math.min(2 ** machine.consecutiveQuarantines, QUARANTINE_MAX_LEASES);
-    machine.unschedulableUntil = now + this.settings.workerLeaseMs * leases;
+    const quarantineLeases = Math.min(2 ** machine.consecutiveQuarantines, QUARANTINE_MAX_LEASES);
+    machine.unschedulableUntil = now + this.settings.workerLeaseMs * quarantineLeases;
     this.eventLoop.log.warn({ machine: machine.id }, 'machine quarantined');
   }
 }
