--- a/src/controller/workers/failure-tracker.test.ts
+++ b/src/controller/workers/failure-tracker.test.ts
@@ -8,7 +8,7 @@
 const NOW = 1000;
 
 describe('FailureTracker', () => {
-  const failures = new FailureTracker(new FakeClock(NOW), settings);
+  const failureTracker = new FailureTracker(new FakeClock(NOW), settings);
   let machine: Machine;
 
   beforeEach(() => {
@@ -18,42 +18,42 @@
   it('quarantines a machine on which enough different jobs have failed', () => {
     const threshold = settings.get('fleet.strikes');
     for (let i = 1; i < threshold; i++)
-      failures.recordFailure(machine, acceptedJob({ id: `req-${i}` }), 'error');
+      failureTracker.recordFailure(machine, acceptedJob({ id: `req-${i}` }), 'error');
     assert.equal(machine.unschedulableUntil, 0);
-    failures.recordFailure(machine, acceptedJob({ id: 'req-last' }), 'error');
+    failureTracker.recordFailure(machine, acceptedJob({ id: 'req-last' }), 'error');
     assert.equal(machine.unschedulableUntil, NOW + 2 * settings.workerLeaseMs);
     assert.equal(machine.failedJobs.size, 0);
   });
 
   it('resets the failure counts of a machine when a task is completed on it', () => {
-    failures.recordFailure(machine, acceptedJob(), 'error');
+    failureTracker.recordFailure(machine, acceptedJob(), 'error');
     machine.consecutiveQuarantines = 1;
-    failures.recordSuccess(machine);
+    failureTracker.recordSuccess(machine);
     assert.equal(machine.failedJobs.size, 0);
     assert.equal(machine.consecutiveQuarantines, 0);
   });
 
   it('doubles the backoff of a failing job with each failure, up to two leases', () => {
     const job = acceptedJob();
-    failures.recordFailure(machine, job, 'error');
+    failureTracker.recordFailure(machine, job, 'error');
     assert.equal(job.backoffUntil, NOW + settings.heartbeatIntervalMs * 2);
-    failures.recordFailure(machine, job, 'error');
+    failureTracker.recordFailure(machine, job, 'error');
     assert.equal(job.backoffUntil, NOW + settings.heartbeatIntervalMs * 4);
-    for (let i = 0; i < 10; i++) failures.recordFailure(machine, job, 'error');
+    for (let i = 0; i < 10; i++) failureTracker.recordFailure(machine, job, 'error');
     assert.ok(job.backoffUntil <= NOW + settings.workerLeaseMs * 2);
   });
 
   it('pauses a machine without room for one heartbeat interval, but not the job', () => {
     const job = acceptedJob();
-    failures.recordFailure(machine, job, 'no_room');
+    failureTracker.recordFailure(machine, job, 'no_room');
     assert.equal(machine.unschedulableUntil, NOW + settings.heartbeatIntervalMs);
     assert.equal(job.backoffUntil, 0);
   });
 
   it('makes a service avoid a machine on which its replicas exited, for a doubling time', () => {
     const service = acceptedJob({ kind: 'service' });
-    failures.recordFailure(machine, service, 'done');
-    failures.recordFailure(machine, service, 'other');
+    failureTracker.recordFailure(machine, service, 'done');
+    failureTracker.recordFailure(machine, service, 'other');
     const until = NOW + settings.heartbeatIntervalMs * 4;
     assert.deepEqual(service.avoidedMachines.get('n-1'), { replicaExits: 2, until });
     assert.equal(service.backoffUntil, 0);
