--- a/src/controller/workers/team-usage.ts
+++ b/src/controller/workers/team-usage.ts
@@ -26,15 +26,15 @@
  * no team ever exceeds its limit (docs/design.md, invariant 7).
  */
 export class TeamUsage {
-  private readonly usages = new Map<string, Usage>();
+  private readonly usageByTeam = new Map<string, Usage>();
 
   constructor(teams: readonly Team[]) {
-    for (const team of teams) this.usages.set(team.name, { team, tasks: 0, cpus: 0, gpus: 0 });
+    for (const team of teams) this.usageByTeam.set(team.name, { team, tasks: 0, cpus: 0, gpus: 0 });
   }
 
   /** Adds the requests of `count` tasks to the team's usage; a negative count removes tasks. */
   add(teamName: string, request: ResourceRequest, count: number): void {
-    const usage = this.usages.get(teamName);
+    const usage = this.usageByTeam.get(teamName);
     if (usage === undefined) return;
     usage.tasks += count;
     usage.cpus += request.cpus * count;
@@ -50,7 +50,7 @@
    * Returns how many more tasks of the job the limit of its team allows; 0 if the team is unknown.
    */
   allowance(spec: JobSpec): number {
-    const usage = this.usages.get(spec.team);
+    const usage = this.usageByTeam.get(spec.team);
     if (usage === undefined) return 0;
     const { maxCpus, maxGpus } = usage.team;
     const byCpus = countFitting(Settings.effectiveCap(maxCpus) - usage.cpus, spec.cpus);
@@ -63,7 +63,7 @@
    * least its guaranteed amount without the task.
    */
   borrows({ team: teamName, request }: Assignment): boolean {
-    const usage = this.usages.get(teamName);
+    const usage = this.usageByTeam.get(teamName);
     if (usage === undefined) return false;
     const { guaranteedCpus, guaranteedGpus } = usage.team;
     // GPUs decide if the team has guaranteed GPUs and the task uses some, otherwise CPUs in the
@@ -77,7 +77,7 @@
 
   /** Returns the present usage of each team. */
   state(): TeamUsageEntry[] {
-    return [...this.usages.values()].map(({ team, cpus, gpus }) => ({
+    return [...this.usageByTeam.values()].map(({ team, cpus, gpus }) => ({
       name: team.name,
       cpus,
       gpus,
