--- a/src/controller/model/machine-record-size.ts
+++ b/src/controller/model/machine-record-size.ts
@@ -90,7 +90,7 @@
 export class MachineRecordSize {
   /** Upper bound of the bytes that the tasks take; must not exceed `recordCapacityBytes`. */
   bytes = 0;
-  private readonly jobs = new Map<string, number>();
+  private readonly taskCountByJob = new Map<string, number>();
   private readonly attempts = new Map<string, number>();
 
   constructor(private readonly settings: Settings) {}
@@ -98,7 +98,7 @@
   /** Adds the bytes of a task that was assigned to the machine. */
   add(assignment: RecordedAssignment): void {
     this.bytes += TASK_BYTES;
-    const tasksOfJob = adjustCount(this.jobs, assignment.jobId, 1);
+    const tasksOfJob = adjustCount(this.taskCountByJob, assignment.jobId, 1);
     if (tasksOfJob === 1) this.bytes += encodedJobBytes(assignment);
     const tasksOfAttempt = adjustCount(this.attempts, this.attemptGroupKeyOf(assignment), 1);
     if (tasksOfAttempt === 1) this.bytes += ATTEMPT_BYTES;
@@ -107,7 +107,7 @@
   /** Subtracts the bytes of a task that was removed from the machine's record. */
   remove(assignment: RecordedAssignment): void {
     this.bytes -= TASK_BYTES;
-    const tasksOfJob = adjustCount(this.jobs, assignment.jobId, -1);
+    const tasksOfJob = adjustCount(this.taskCountByJob, assignment.jobId, -1);
     if (tasksOfJob === 0) this.bytes -= encodedJobBytes(assignment);
     const tasksOfAttempt = adjustCount(this.attempts, this.attemptGroupKeyOf(assignment), -1);
     if (tasksOfAttempt === 0) this.bytes -= ATTEMPT_BYTES;
