--- a/src/controller/model/machine-record-size.ts
+++ b/src/controller/model/machine-record-size.ts
@@ -91,7 +91,7 @@
   /** Upper bound of the bytes that the tasks take; must not exceed `recordCapacityBytes`. */
   bytes = 0;
   private readonly taskCountByJob = new Map<string, number>();
-  private readonly attempts = new Map<string, number>();
+  private readonly taskCountByAttempt = new Map<string, number>();
 
   constructor(private readonly settings: Settings) {}
 
@@ -100,7 +100,11 @@
     this.bytes += TASK_BYTES;
     const tasksOfJob = adjustCount(this.taskCountByJob, assignment.jobId, 1);
     if (tasksOfJob === 1) this.bytes += encodedJobBytes(assignment);
-    const tasksOfAttempt = adjustCount(this.attempts, this.attemptGroupKeyOf(assignment), 1);
+    const tasksOfAttempt = adjustCount(
+      this.taskCountByAttempt,
+      this.attemptGroupKeyOf(assignment),
+      1,
+    );
     if (tasksOfAttempt === 1) this.bytes += ATTEMPT_BYTES;
   }
 
@@ -109,7 +113,11 @@
     this.bytes -= TASK_BYTES;
     const tasksOfJob = adjustCount(this.taskCountByJob, assignment.jobId, -1);
     if (tasksOfJob === 0) this.bytes -= encodedJobBytes(assignment);
-    const tasksOfAttempt = adjustCount(this.attempts, this.attemptGroupKeyOf(assignment), -1);
+    const tasksOfAttempt = adjustCount(
+      this.taskCountByAttempt,
+      this.attemptGroupKeyOf(assignment),
+      -1,
+    );
     if (tasksOfAttempt === 0) this.bytes -= ATTEMPT_BYTES;
   }
 
