--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -86,8 +86,8 @@
 
   it('clears a failed task at once, but a completed task only when that is recorded', () => {
     const fixture = new Fixture();
-    const failed = fixture.reconcileReportedTask({ state: 'exited', cause: 'error' });
-    assert.deepEqual(failed, ['forget req-1/0']);
+    const commandsForFailure = fixture.reconcileReportedTask({ state: 'exited', cause: 'error' });
+    assert.deepEqual(commandsForFailure, ['forget req-1/0']);
     assert.deepEqual(fixture.events.splice(0), ['end error']);
     assert.deepEqual(fixture.reconcileReportedTask({ state: 'exited', cause: 'done' }), []);
     assert.deepEqual(fixture.events, ['end done', 'done 0']);
