--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -98,8 +98,11 @@
 
   it('ignores an exit in a heartbeat sent before the term, unless the task is done', () => {
     const fixture = new Fixture();
-    const failed = fixture.reconcileReportedTask({ state: 'exited', cause: 'error' }, false);
-    assert.deepEqual(failed, []);
+    const commandsForFailure = fixture.reconcileReportedTask(
+      { state: 'exited', cause: 'error' },
+      false,
+    );
+    assert.deepEqual(commandsForFailure, []);
     assert.equal(fixture.events.length, 0);
     fixture.reconcileReportedTask({ state: 'exited', cause: 'done' }, false);
     assert.ok(fixture.events.includes('end done'));
