--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -92,8 +92,8 @@
     assert.deepEqual(fixture.reconcileReportedTask({ state: 'exited', cause: 'done' }), []);
     assert.deepEqual(fixture.events, ['end done', 'done 0']);
     fixture.job.doneRecorded[0] = 1;
-    const completed = fixture.reconcileReportedTask({ state: 'exited', cause: 'done' });
-    assert.deepEqual(completed, ['forget req-1/0']);
+    const commandsForCompletion = fixture.reconcileReportedTask({ state: 'exited', cause: 'done' });
+    assert.deepEqual(commandsForCompletion, ['forget req-1/0']);
   });
 
   it('ignores an exit in a heartbeat sent before the term, unless the task is done', () => {
