--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -112,8 +112,11 @@
     const fixture = new Fixture(acceptedJob({ kind: 'gang' }));
     const other = planAssignment(fixture.job, 1, ATTEMPT, newMachine('n-2'), 0);
     fixture.job.currentAssignments.set(1, other);
-    const whileFetching = fixture.reconcileReportedTask({ state: 'exited', cause: 'alone' });
-    assert.deepEqual(whileFetching, ['forget req-1/0', 'start req-1/0']);
+    const commandsWhileFetching = fixture.reconcileReportedTask({
+      state: 'exited',
+      cause: 'alone',
+    });
+    assert.deepEqual(commandsWhileFetching, ['forget req-1/0', 'start req-1/0']);
     assert.equal(fixture.assignment.startSentSequence, 5);
     other.state = 'waiting';
     const afterFetching = fixture.reconcileReportedTask({ state: 'exited', cause: 'alone' });
