--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -119,8 +119,11 @@
     assert.deepEqual(commandsWhileFetching, ['forget req-1/0', 'start req-1/0']);
     assert.equal(fixture.assignment.startSentSequence, 5);
     other.state = 'waiting';
-    const afterFetching = fixture.reconcileReportedTask({ state: 'exited', cause: 'alone' });
-    assert.deepEqual(afterFetching, ['forget req-1/0']);
+    const commandsAfterFetching = fixture.reconcileReportedTask({
+      state: 'exited',
+      cause: 'alone',
+    });
+    assert.deepEqual(commandsAfterFetching, ['forget req-1/0']);
     assert.deepEqual(fixture.events, ['end alone']);
   });
 });
