--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -58,7 +58,7 @@
   private readonly agentEpochs: AgentEpochs;
   private readonly liveness: Liveness;
   private readonly heartbeatHandler: HeartbeatHandler;
-  private readonly directCommands: DirectCommands;
+  private readonly commands: DirectCommands;
 
   constructor(
     eventLoop: EventLoop,
@@ -87,13 +87,7 @@
       this.assignments,
       events,
     );
-    this.directCommands = new DirectCommands(
-      eventLoop,
-      settings,
-      fencingTokens,
-      this.liveness,
-      events,
-    );
+    this.commands = new DirectCommands(eventLoop, settings, fencingTokens, this.liveness, events);
     this.heartbeatHandler = new HeartbeatHandler(
       eventLoop,
       settings,
@@ -113,10 +107,10 @@
       higherTermSeen: (term) => listener.higherTermSeen(term),
       taskCompleted: (assignment, runMs) => listener.taskCompleted(assignment, runMs),
       recordDue: (machine) => this.machineStore.markChanged(machine),
-      commandDue: (machine) => this.directCommands.request(machine),
+      commandDue: (machine) => this.commands.request(machine),
       taskRestored: (machine, task, assignedAt) =>
         this.assignments.restore(machine, task, assignedAt),
-      assignmentsRecorded: (machine) => this.directCommands.request(machine),
+      assignmentsRecorded: (machine) => this.commands.request(machine),
       imagesChanged: (machine) => this.machineStore.markImagesChanged(machine),
     };
   }
@@ -205,7 +199,7 @@
   removeMachine(machine: Machine): void {
     this.assignments.endAll(machine);
     this.registry.remove(machine);
-    this.directCommands.cancel(machine);
+    this.commands.cancel(machine);
     this.machineStore.remove(machine);
     this.listener.placementInputChanged();
   }
@@ -249,6 +243,6 @@
   /** Writes the records of changed machines and sends direct commands. Called after each batch. */
   flush(): void {
     this.machineStore.flush();
-    this.directCommands.flush();
+    this.commands.flush();
   }
 }
