--- a/src/controller/model/job.ts
+++ b/src/controller/model/job.ts
@@ -24,7 +24,7 @@
   fillAt: number;
   /** When the gang is expected to be able to run on them, with its image fetched. */
   readyAt: number;
-  /** When machines were last searched for. */
+  /** When the scheduler last searched for machines for this reservation. */
   searchedAt: number;
 }
 
@@ -124,8 +124,8 @@
   /**
    * @param spec - the submitted specification of the job
    * @param submittedAt - the time at which the job was accepted
-   * @param recordVersion - the version of its active record; the write that ends the job requires
-   * it
+   * @param recordVersion - the version of its active record, on which the write that ends the job
+   * is conditional
    * @param now - the present time on the steady clock, in ms
    */
   constructor(
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -189,8 +189,8 @@
   }
 
   /**
-   * Handles the loss of a gang member: stops the other members. If none is left, the gang is put
-   * back into the queue immediately.
+   * Handles the loss of a gang member: stops the other members. As soon as none is left, all tasks
+   * of the gang are requeued.
    */
   private handleLostGangMember(job: Job): void {
     if (job.gangRestarting || job.isComplete) {
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -9,7 +9,10 @@
  */
 const QUARANTINE_MAX_LEASES = 3;
 
-/** Maximum backoff after failures, in worker leases. */
+/**
+ * Maximum backoff of a job, and maximum time for which a service avoids a machine, in worker
+ * leases.
+ */
 const BACKOFF_MAX_LEASES = 2;
 
 /**
@@ -18,7 +21,9 @@
  */
 const BACKOFF_MAX_DOUBLINGS = 5;
 
-/** Outcomes of a service replica that suggest a fault of the replica or of its machine. */
+/**
+ * Outcomes of a service replica after which the service avoids the machine, which may be the cause.
+ */
 const REPLICA_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'done',
   'error',
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -45,10 +45,7 @@
     this.lastTickAt = now;
   }
 
-  /**
-   * Time in ms since the machine's last heartbeat. Only the period in which this node could answer
-   * heartbeats counts.
-   */
+  /** Time in ms for which the machine has sent no heartbeat although this node could answer one. */
   unresponsiveMs(machine: Machine): number {
     const unresponsiveSince = Math.max(
       machine.lastHeartbeatAt,
@@ -59,8 +56,8 @@
   }
 
   /**
-   * Time in ms for which the machine has not acknowledged its fencing token; 0 if it has. Only the
-   * period in which this node could answer heartbeats counts.
+   * Time in ms for which the machine has not acknowledged its fencing token although this node
+   * could answer its heartbeats; 0 if it has acknowledged the token.
    */
   unacknowledgedMs(machine: Machine): number {
     if (machine.tokenAcknowledged) return 0;
@@ -76,9 +73,9 @@
 
   /**
    * Share, from 0 to 1, of machines whose heartbeats are overdue by more than `overdueByMs`
-   * although this node could have answered them. Only machines from which heartbeats are expected
-   * are counted. If `excludeUnseen` is true, machines that have sent no heartbeat in this term are
-   * not counted.
+   * although this node could have answered them. Machines whose agent epoch has ended or that have
+   * failed according to the cloud are not expected to send heartbeats, and are not counted. If
+   * `excludeUnseen` is true, machines that have sent no heartbeat in this term are not counted.
    */
   overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
     const allowedMs =
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -57,7 +57,10 @@
       if (!this.reconcileAssignment(inProgress, assignment, task)) return;
     } else if (task.state !== 'exited') {
       // The attempt is not assigned to this machine in this agent epoch, so it must not run here.
-      this.eventLoop.log.warn({ task: task.name, machine: machine.id }, 'orphaned task');
+      this.eventLoop.log.warn(
+        { task: task.name, machine: machine.id },
+        'stopping a task that is not assigned to this machine',
+      );
       inProgress.commands.push({ op: 'stop', name: task.name, attempt: task.attempt, graceS: 0 });
       return;
     }
@@ -175,7 +178,7 @@
     const afterMs = now - assignedAt;
     this.eventLoop.log.debug(
       { job: jobId, task, machine: machine.id, state, afterMs },
-      'task state',
+      'task state changed',
     );
     this.events.placementInputChanged();
   }
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -212,17 +212,14 @@
     this.liveness.setAnswering(mayAnswer, intervalMs);
   }
 
-  /**
-   * Time in ms since the machine's last heartbeat. Only the period in which this node could answer
-   * heartbeats counts.
-   */
+  /** Time in ms for which the machine has sent no heartbeat although this node could answer one. */
   unresponsiveMs(machine: Machine): number {
     return this.liveness.unresponsiveMs(machine);
   }
 
   /**
-   * Time in ms for which the machine has not acknowledged its fencing token; 0 if it has. Only the
-   * period in which this node could answer heartbeats counts.
+   * Time in ms for which the machine has not acknowledged its fencing token although this node
+   * could answer its heartbeats; 0 if it has acknowledged the token.
    */
   unacknowledgedMs(machine: Machine): number {
     return this.liveness.unacknowledgedMs(machine);
