--- a/src/controller/model/entities.ts
+++ b/src/controller/model/entities.ts
@@ -49,8 +49,8 @@
 
 /**
  * The assignment of a task to a machine in one agent epoch of its worker. The task counts as being
- * on the machine from before the write of the machine's record is sent until the task is proven
- * gone.
+ * on the machine from the creation of the assignment, before the machine's record is written, until
+ * it is proven gone.
  */
 export interface Assignment extends RecordedAssignment {
   /** Name of the task in messages to and from workers; see `taskName`. */
@@ -62,7 +62,8 @@
   readonly agentEpoch: number;
   phase: AssignmentPhase;
   /**
-   * State of the task in the last heartbeat that listed it; null if none has, or after a restart.
+   * State of the task in the last heartbeat that listed it; null if none has since the start was
+   * sent.
    */
   state: TaskState | null;
   /**
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -31,8 +31,8 @@
 /**
  * All tasks that may be on a machine. A task is counted, against its team's limits too, until it is
  * proven gone (invariants 5 and 7): the agent epoch has advanced, the worker's lease has certainly
- * expired, the cloud has confirmed the release, or a heartbeat sent after the start was settled
- * does not list the task.
+ * expired, the cloud has confirmed the release, or a heartbeat that was sent under this leader's
+ * term and after the start was settled does not list the task.
  */
 export class Assignments {
   /** Number of tasks that are not yet proven gone, by job class. */
--- a/src/controller/workers/fencing-token-sync.test.ts
+++ b/src/controller/workers/fencing-token-sync.test.ts
@@ -16,7 +16,7 @@
     machine.expectedToken = fencingTokens.currentToken(machine);
   });
 
-  it('treats the token as acknowledged once a heartbeat reports the expected token', () => {
+  it('treats the token as acknowledged once a heartbeat reports the expected one of this term', () => {
     assert.ok(!fencingTokens.acknowledge(machine, makeFencingToken(TERM - 1, 9)));
     const laterLeaderToken = makeFencingToken(TERM + 1, 0);
     assert.ok(
