--- a/src/controller/model/machine-record-size.ts
+++ b/src/controller/model/machine-record-size.ts
@@ -76,7 +76,7 @@
  * share one assignment time in the record. The precision suffices, because the time is only used
  * for estimates.
  */
-export function sharedStartMs(settings: Settings): number {
+export function assignmentTimeSlotMs(settings: Settings): number {
   return settings.heartbeatIntervalMs * 2;
 }
 
@@ -122,6 +122,6 @@
   }
 
   private attemptGroupKeyOf(assignment: RecordedAssignment): string {
-    return attemptGroupKey(assignment, sharedStartMs(this.settings));
+    return attemptGroupKey(assignment, assignmentTimeSlotMs(this.settings));
   }
 }
--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -4,7 +4,7 @@
  * versions of the program read them.
  */
 import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
-import { encodeJob, sharedStartMs } from '../model/machine-record-size.js';
+import { encodeJob, assignmentTimeSlotMs } from '../model/machine-record-size.js';
 import type { ResourceRequest } from '../model/resource-request.js';
 import type { Settings } from '../settings/settings.js';
 import { isList } from '../wire/cbor.js';
@@ -38,7 +38,7 @@
   now: number,
   wallClockNow: number,
 ): unknown[] {
-  const slotMs = sharedStartMs(settings);
+  const slotMs = assignmentTimeSlotMs(settings);
   const jobs = new Map<string, EncodedJob>();
   for (const assignment of machine.assignments.values()) {
     let job = jobs.get(assignment.jobId);
