--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -9,7 +9,7 @@
 const NOW = 500_000;
 const WALL_CLOCK_NOW = 1_700_000_000_000;
 /** Length of a time slot in ms; tasks assigned in the same slot share one time in the record. */
-const SHARED_START_MS = settings.heartbeatIntervalMs * 2;
+const TIME_SLOT_MS = settings.heartbeatIntervalMs * 2;
 const ATTEMPTS_PER_TERM = 2 ** 22;
 
 interface AssignedTask {
@@ -74,7 +74,7 @@
           assert.deepEqual(recorded.request, assignment.request);
           const assignedAt = NOW - (WALL_CLOCK_NOW - recorded.assignedAtWallClock);
           const differenceMs = Math.abs(assignedAt - assignment.assignedAt);
-          assert.ok(differenceMs <= SHARED_START_MS + 1, `${name}: ${differenceMs} ms`);
+          assert.ok(differenceMs <= TIME_SLOT_MS + 1, `${name}: ${differenceMs} ms`);
         }
       }),
       { seed: 5 },
@@ -100,7 +100,7 @@
 
   it('groups the tasks of one attempt that were assigned in the same time slot', () => {
     const tasks = Array.from({ length: 40 }, (_, task) => {
-      return { job: 1, task, attempt: 1, assignedAt: task < 30 ? 1000 : 1000 + SHARED_START_MS };
+      return { job: 1, task, attempt: 1, assignedAt: task < 30 ? 1000 : 1000 + TIME_SLOT_MS };
     });
     const value = encode(machineWith(tasks));
     const [, , , , , job] = value;
