--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -13,7 +13,7 @@
 /** The encoded tasks of one attempt that were assigned in the same time slot. */
 interface EncodedAttempt {
   readonly attempt: number;
-  /** Number of the time slot in which the tasks were assigned; see `sharedStartMs`. */
+  /** Number of the time slot in which the tasks were assigned; see `assignmentTimeSlotMs`. */
   readonly timeSlot: number;
   /** The attempt number, the assignment time of the first task, and the task numbers. */
   readonly encoded: number[];
