--- a/src/controller/placement/guarantees.ts
+++ b/src/controller/placement/guarantees.ts
@@ -12,7 +12,7 @@
 
   /** Sets `guaranteed` of every job, in the order of their submission. */
   mark(jobs: Iterable<Job>): void {
-    const leftByTeam = new Map(
+    const remainingByTeam = new Map(
       this.teams.map((team) => [
         team.name,
         { cpus: team.guaranteedCpus, gpus: team.guaranteedGpus, team },
@@ -20,7 +20,7 @@
     );
     for (const job of [...jobs].sort((a, b) => a.submittedAt - b.submittedAt)) {
       job.guaranteed = false;
-      const left = leftByTeam.get(job.spec.team);
+      const left = remainingByTeam.get(job.spec.team);
       if (left === undefined) continue;
       const unfinished = job.spec.tasks - job.doneCount;
       const cpus = left.team.guaranteedCpus > 0 ? job.spec.cpus * unfinished : 0;
