--- a/src/controller/placement/guarantees.ts
+++ b/src/controller/placement/guarantees.ts
@@ -20,17 +20,17 @@
     );
     for (const job of [...jobs].sort((a, b) => a.submittedAt - b.submittedAt)) {
       job.guaranteed = false;
-      const left = remainingByTeam.get(job.spec.team);
-      if (left === undefined) continue;
+      const remaining = remainingByTeam.get(job.spec.team);
+      if (remaining === undefined) continue;
       const unfinished = job.spec.tasks - job.doneCount;
-      const cpus = left.team.guaranteedCpus > 0 ? job.spec.cpus * unfinished : 0;
-      const gpus = left.team.guaranteedGpus > 0 ? job.spec.gpus * unfinished : 0;
+      const cpus = remaining.team.guaranteedCpus > 0 ? job.spec.cpus * unfinished : 0;
+      const gpus = remaining.team.guaranteedGpus > 0 ? job.spec.gpus * unfinished : 0;
       job.guaranteed =
         cpus + gpus > 0 &&
-        cpus <= left.cpus + AMOUNT_TOLERANCE &&
-        gpus <= left.gpus + AMOUNT_TOLERANCE;
-      left.cpus -= cpus;
-      left.gpus -= gpus;
+        cpus <= remaining.cpus + AMOUNT_TOLERANCE &&
+        gpus <= remaining.gpus + AMOUNT_TOLERANCE;
+      remaining.cpus -= cpus;
+      remaining.gpus -= gpus;
     }
   }
 }
