--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -31,20 +31,20 @@
 /** The failed searches of one pass, and whether another is bound to fail as well. */
 export class NegativeSearchCache {
   /** Requests that fit on no machine, even without claims. */
-  private readonly withoutCapacity: CapacityQuery[] = [];
+  private readonly failedCapacityQueries: CapacityQuery[] = [];
   /** Requests for which nothing could be preempted. */
   private readonly withoutVictims: VictimQuery[] = [];
 
   /** Whether so much is known to fit on no machine of these kinds. */
   hasNoCapacity({ request, kinds }: CapacityQuery): boolean {
-    return this.withoutCapacity.some(
+    return this.failedCapacityQueries.some(
       (failed) => failed.kinds === kinds && isAtLeast(request, failed.request),
     );
   }
 
   /** Remembers that it fits on no machine, even without claims. */
   addNoCapacity(search: CapacityQuery): void {
-    this.withoutCapacity.push(search);
+    this.failedCapacityQueries.push(search);
   }
 
   /** Whether nothing on machines of these kinds is known to be preemptible for such a job. */
@@ -66,7 +66,7 @@
 
   /** Forgets everything, where machines may have changed. */
   clear(): void {
-    this.withoutCapacity.length = 0;
+    this.failedCapacityQueries.length = 0;
     this.withoutVictims.length = 0;
   }
 }
