--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -33,7 +33,7 @@
   /** Requests that fit on no machine, even without claims. */
   private readonly failedCapacityQueries: CapacityQuery[] = [];
   /** Requests for which nothing could be preempted. */
-  private readonly withoutVictims: VictimQuery[] = [];
+  private readonly failedVictimQueries: VictimQuery[] = [];
 
   /** Whether so much is known to fit on no machine of these kinds. */
   hasNoCapacity({ request, kinds }: CapacityQuery): boolean {
@@ -49,7 +49,7 @@
 
   /** Whether nothing on machines of these kinds is known to be preemptible for such a job. */
   hasNoVictims({ request, kinds, team, guaranteed, level }: VictimQuery): boolean {
-    return this.withoutVictims.some(
+    return this.failedVictimQueries.some(
       (failed) =>
         failed.kinds === kinds &&
         failed.team === team &&
@@ -61,12 +61,12 @@
 
   /** Remembers that nothing could be preempted. */
   addNoVictims(search: VictimQuery): void {
-    this.withoutVictims.push(search);
+    this.failedVictimQueries.push(search);
   }
 
   /** Forgets everything, where machines may have changed. */
   clear(): void {
     this.failedCapacityQueries.length = 0;
-    this.withoutVictims.length = 0;
+    this.failedVictimQueries.length = 0;
   }
 }
