--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -43,8 +43,8 @@
   }
 
   /** Remembers that it fits on no machine, even without claims. */
-  addNoCapacity(search: CapacityQuery): void {
-    this.failedCapacityQueries.push(search);
+  addNoCapacity(query: CapacityQuery): void {
+    this.failedCapacityQueries.push(query);
   }
 
   /** Whether nothing on machines of these kinds is known to be preemptible for such a job. */
