--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -60,8 +60,8 @@
   }
 
   /** Remembers that nothing could be preempted. */
-  addNoVictims(search: VictimQuery): void {
-    this.failedVictimQueries.push(search);
+  addNoVictims(query: VictimQuery): void {
+    this.failedVictimQueries.push(query);
   }
 
   /** Forgets everything, where machines may have changed. */
