--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -26,17 +26,18 @@
 export function rankTime(job: Job, settings: RankSettings, now: number): number {
   const deadlines = settings.startDeadlines(job);
   const waitedMs = now - job.submittedAt;
-  let next = Infinity;
+  let nextDeadline = Infinity;
   let last = 0;
   for (const deadline of deadlines) {
-    if (deadline >= waitedMs && deadline < next) next = deadline;
+    if (deadline >= waitedMs && deadline < nextDeadline) nextDeadline = deadline;
     if (deadline > last) last = deadline;
   }
-  if (next === Infinity)
-    next = last + (deadlines.length > 0 ? settings.missedDeadlinePenalty * settings.agingMs : 0);
+  if (nextDeadline === Infinity)
+    nextDeadline =
+      last + (deadlines.length > 0 ? settings.missedDeadlinePenalty * settings.agingMs : 0);
   return (
     job.submittedAt +
-    next -
+    nextDeadline -
     (job.level + job.preemptionCount * settings.preemptionBonus) * settings.agingMs
   );
 }
