--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -27,14 +27,14 @@
   const deadlines = settings.startDeadlines(job);
   const waitedMs = now - job.submittedAt;
   let nextDeadline = Infinity;
-  let last = 0;
+  let lastDeadline = 0;
   for (const deadline of deadlines) {
     if (deadline >= waitedMs && deadline < nextDeadline) nextDeadline = deadline;
-    if (deadline > last) last = deadline;
+    if (deadline > lastDeadline) lastDeadline = deadline;
   }
   if (nextDeadline === Infinity)
     nextDeadline =
-      last + (deadlines.length > 0 ? settings.missedDeadlinePenalty * settings.agingMs : 0);
+      lastDeadline + (deadlines.length > 0 ? settings.missedDeadlinePenalty * settings.agingMs : 0);
   return (
     job.submittedAt +
     nextDeadline -
