--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -61,10 +61,10 @@
   }
 
   private pickAny(pass: PlacementPass, job: Job): Candidate[] | null {
-    const found = this.parts.candidateFinder.find(pass, job);
-    if (found.length === 0) return null;
+    const candidates = this.parts.candidateFinder.find(pass, job);
+    if (candidates.length === 0) return null;
     for (const zone of zoneChoices(pass.cluster, job.spec)) {
-      const picked = pickForGang(job, found, zone);
+      const picked = pickForGang(job, candidates, zone);
       if (picked !== null) return picked;
     }
     return null;
