--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -84,9 +84,9 @@
     if (capacities.length < job.spec.tasks) return false;
     const waitMs = readyAt - pass.now;
     const objectiveMs = settings.startObjectiveMs(job.spec.class);
-    const leftMs = objectiveMs === null ? 0 : objectiveMs - (pass.now - job.submittedAt);
+    const timeToObjectiveMs = objectiveMs === null ? 0 : objectiveMs - (pass.now - job.submittedAt);
     // Waiting meets the objective and fetching does not, or waiting is clearly shorter.
-    if (fetchMs > leftMs && waitMs < leftMs) return true;
+    if (fetchMs > timeToObjectiveMs && waitMs < timeToObjectiveMs) return true;
     return waitMs < fetchMs * MAX_WAIT_SHARE;
   }
 }
