--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -97,18 +97,18 @@
   candidates: readonly Candidate[],
   zone: string | null,
 ): Candidate[] | null {
-  let left = spec.tasks;
+  let unplaced = spec.tasks;
   const zones: TasksByZone = new Map();
   const picked: Candidate[] = [];
   for (const candidate of candidates) {
     const { zone: machineZone } = candidate.capacity.machine;
     if (zone !== null && machineZone !== zone) continue;
-    const count = Math.min(left, candidate.count, zoneAllowance(spec, machineZone, zones));
+    const count = Math.min(unplaced, candidate.count, zoneAllowance(spec, machineZone, zones));
     if (count <= 0) continue;
     picked.push({ ...candidate, count });
     addTasks(zones, machineZone, count);
-    left -= count;
-    if (left === 0) return picked;
+    unplaced -= count;
+    if (unplaced === 0) return picked;
   }
   return null;
 }
