--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -11,7 +11,7 @@
 import { addTasks, zoneAllowance, zoneChoices, type TasksByZone } from '../capacity/zones.js';
 
 /** An image fetch that is no longer than this is made at once, in heartbeat intervals. */
-const SHORT_FETCH = 2;
+const SHORT_FETCH_INTERVALS = 2;
 
 /**
  * Waiting has to take less than this share of a fetch: fetches take their nominal time give or take a
@@ -79,7 +79,7 @@
     const fetchMs = Math.max(
       ...picked.map(({ capacity }) => estimator.fetchMs(job.spec, capacity.machine, pass.now)),
     );
-    if (fetchMs <= settings.heartbeatIntervalMs * SHORT_FETCH) return false;
+    if (fetchMs <= settings.heartbeatIntervalMs * SHORT_FETCH_INTERVALS) return false;
     const { capacities, readyAt } = reservations.find(pass, job);
     if (capacities.length < job.spec.tasks) return false;
     const waitMs = readyAt - pass.now;
