--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -17,7 +17,7 @@
  * Waiting has to take less than this share of a fetch: fetches take their nominal time give or take a
  * third.
  */
-const MAX_WAIT_SHARE = 0.7;
+const MAX_WAIT_TO_FETCH_RATIO = 0.7;
 
 /** What the placement of gangs relies on. */
 export interface GangPlacerParts {
@@ -87,7 +87,7 @@
     const timeToObjectiveMs = objectiveMs === null ? 0 : objectiveMs - (pass.now - job.submittedAt);
     // Waiting meets the objective and fetching does not, or waiting is clearly shorter.
     if (fetchMs > timeToObjectiveMs && waitMs < timeToObjectiveMs) return true;
-    return waitMs < fetchMs * MAX_WAIT_SHARE;
+    return waitMs < fetchMs * MAX_WAIT_TO_FETCH_RATIO;
   }
 }
 
