--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -185,10 +185,10 @@
     return best;
   }
 
-  private keep(pass: PlacementPass, job: Job, found: GangCapacity): void {
+  private keep(pass: PlacementPass, job: Job, gangCapacity: GangCapacity): void {
     const { eventLoop, records } = this.parts;
-    const { fillAt, readyAt, victims } = found;
-    const machines = found.capacities.map((capacity) => capacity.machine.id);
+    const { fillAt, readyAt, victims } = gangCapacity;
+    const machines = gangCapacity.capacities.map((capacity) => capacity.machine.id);
     if (job.reservation?.machines.join() !== machines.join())
       records.set(reservationKey(job.spec.id), machines, 'deferrable');
     const reservedAt = job.reservation?.reservedAt ?? pass.now;
