--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -126,7 +126,7 @@
     const reserved = this.reserved(pass, job.reservation);
     if (reserved !== null) return reserved;
     const found = this.search(pass, job);
-    this.keep(pass, job, found);
+    this.store(pass, job, found);
     return found;
   }
 
@@ -185,7 +185,7 @@
     return best;
   }
 
-  private keep(pass: PlacementPass, job: Job, gangCapacity: GangCapacity): void {
+  private store(pass: PlacementPass, job: Job, gangCapacity: GangCapacity): void {
     const { eventLoop, records } = this.parts;
     const { fillAt, readyAt, victims } = gangCapacity;
     const machines = gangCapacity.capacities.map((capacity) => capacity.machine.id);
