--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -179,8 +179,9 @@
       const fillAt = isComplete
         ? Math.max(...candidates.map((candidate) => candidate.fillAt))
         : Infinity;
-      const more = candidates.length - best.candidates.length;
-      if (more > 0 || (more === 0 && fillAt < best.fillAt)) best = { candidates, fillAt };
+      const additionalCandidates = candidates.length - best.candidates.length;
+      if (additionalCandidates > 0 || (additionalCandidates === 0 && fillAt < best.fillAt))
+        best = { candidates, fillAt };
     }
     return best;
   }
