--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -171,7 +171,9 @@
         count: spec.tasks,
         onlyByPreemption: false,
         ...(spec.spread
-          ? { zoneAllowance: (_: string, there: number) => spreadAllowance(spec, there) }
+          ? {
+              zoneAllowance: (_: string, tasksInZone: number) => spreadAllowance(spec, tasksInZone),
+            }
           : {}),
         penalty: (capacity) => machinePenalty(job, capacity),
       });
