--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -125,9 +125,9 @@
   find(pass: PlacementPass, job: Job): GangCapacity {
     const reserved = this.reserved(pass, job.reservation);
     if (reserved !== null) return reserved;
-    const found = this.search(pass, job);
-    this.store(pass, job, found);
-    return found;
+    const gangCapacity = this.search(pass, job);
+    this.store(pass, job, gangCapacity);
+    return gangCapacity;
   }
 
   /** `null`: nothing is reserved, some of it cannot be used, or it is time for another search. */
