--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -123,8 +123,8 @@
    * now. Searching for them is what costs most in a pass.
    */
   find(pass: PlacementPass, job: Job): GangCapacity {
-    const reserved = this.reserved(pass, job.reservation);
-    if (reserved !== null) return reserved;
+    const reservedCapacity = this.reserved(pass, job.reservation);
+    if (reservedCapacity !== null) return reservedCapacity;
     const gangCapacity = this.search(pass, job);
     this.store(pass, job, gangCapacity);
     return gangCapacity;
