--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -123,7 +123,7 @@
    * now. Searching for them is what costs most in a pass.
    */
   find(pass: PlacementPass, job: Job): GangCapacity {
-    const reservedCapacity = this.reserved(pass, job.reservation);
+    const reservedCapacity = this.findReserved(pass, job.reservation);
     if (reservedCapacity !== null) return reservedCapacity;
     const gangCapacity = this.search(pass, job);
     this.store(pass, job, gangCapacity);
@@ -131,7 +131,10 @@
   }
 
   /** `null`: nothing is reserved, some of it cannot be used, or it is time for another search. */
-  private reserved(pass: PlacementPass, reservation: GangReservation | null): GangCapacity | null {
+  private findReserved(
+    pass: PlacementPass,
+    reservation: GangReservation | null,
+  ): GangCapacity | null {
     const { settings } = this.parts;
     const refreshMs = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
     if (reservation === null || pass.now - reservation.searchedAt >= refreshMs) return null;
