--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -101,8 +101,8 @@
     setBlockedReason(job, isLate ? `cannot fill yet: holds ${places}` : '');
     // Preemption pays only if the whole gang can start then, and soon: until what else it waits for has
     // ended, the work may go on.
-    const soon = fillAt - pass.now <= this.preemptionLeadMs(victims);
-    if (capacities.length === tasks && soon) preemptor.preemptAll(victims, job);
+    const fillsSoon = fillAt - pass.now <= this.preemptionLeadMs(victims);
+    if (capacities.length === tasks && fillsSoon) preemptor.preemptAll(victims, job);
   }
 
   /**
