--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -97,8 +97,8 @@
     const patienceMs = settings.get('placement.cannot.fill.s') * 1000;
     const machines = new Set(capacities).size;
     const places = `${capacities.length} of ${tasks} places on ${machines} machines`;
-    const isLate = pass.now - job.waitingSince > patienceMs;
-    setBlockedReason(job, isLate ? `cannot fill yet: holds ${places}` : '');
+    const hasWaitedLong = pass.now - job.waitingSince > patienceMs;
+    setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${places}` : '');
     // Preemption pays only if the whole gang can start then, and soon: until what else it waits for has
     // ended, the work may go on.
     const fillsSoon = fillAt - pass.now <= this.preemptionLeadMs(victims);
