--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -95,8 +95,8 @@
     const { capacities, fillAt, victims } = this.find(pass, job);
     for (const capacity of capacities) capacity.claimForTask(resourceRequestOf(job.spec), fillAt);
     const patienceMs = settings.get('placement.cannot.fill.s') * 1000;
-    const machines = new Set(capacities).size;
-    const places = `${capacities.length} of ${tasks} places on ${machines} machines`;
+    const machineCount = new Set(capacities).size;
+    const places = `${capacities.length} of ${tasks} places on ${machineCount} machines`;
     const hasWaitedLong = pass.now - job.waitingSince > patienceMs;
     setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${places}` : '');
     // Preemption pays only if the whole gang can start then, and soon: until what else it waits for has
