--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -94,10 +94,10 @@
     const { tasks } = job.spec;
     const { capacities, fillAt, victims } = this.find(pass, job);
     for (const capacity of capacities) capacity.claimForTask(resourceRequestOf(job.spec), fillAt);
-    const patienceMs = settings.get('placement.cannot.fill.s') * 1000;
+    const longWaitMs = settings.get('placement.cannot.fill.s') * 1000;
     const machineCount = new Set(capacities).size;
     const places = `${capacities.length} of ${tasks} places on ${machineCount} machines`;
-    const hasWaitedLong = pass.now - job.waitingSince > patienceMs;
+    const hasWaitedLong = pass.now - job.waitingSince > longWaitMs;
     setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${places}` : '');
     // Preemption pays only if the whole gang can start then, and soon: until what else it waits for has
     // ended, the work may go on.
