--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -22,7 +22,7 @@
 const KEY_PREFIX = 'h/';
 
 /** Work is preempted this long before a gang's reservation should be filled, in heartbeat intervals. */
-const PREEMPTION_LEAD = 3;
+const PREEMPTION_LEAD_INTERVALS = 3;
 
 /** Time allowed for the victims to save their checkpoints, as a ratio to the longest save. */
 const SAVE_MARGIN = 1.5;
@@ -113,7 +113,7 @@
     const { heartbeatIntervalMs } = this.parts.settings;
     const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.checkpointSaveS)) * 1000;
     return Math.max(
-      heartbeatIntervalMs * PREEMPTION_LEAD,
+      heartbeatIntervalMs * PREEMPTION_LEAD_INTERVALS,
       heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN,
     );
   }
