--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -37,9 +37,9 @@
   place(pass: PlacementPass, queued: QueuedJob): void {
     const { job } = queued;
     const warmOnly = !queued.acceptsFetch && this.isPatient(job, pass.now);
-    const wanted = Math.min(job.pending.length, this.parts.teamUsage.allowance(job.spec));
-    if (wanted === 0) return;
-    const left = this.start(pass, job, wanted, warmOnly);
+    const allowedTasks = Math.min(job.pending.length, this.parts.teamUsage.allowance(job.spec));
+    if (allowedTasks === 0) return;
+    const left = this.start(pass, job, allowedTasks, warmOnly);
     if (left === 0) job.preemptionClaimUntil = -Infinity;
     else if (warmOnly) pass.requeue({ ...queued, acceptsFetch: true });
     else {
