--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -39,14 +39,14 @@
     const warmOnly = !queued.acceptsFetch && this.isPatient(job, pass.now);
     const allowedTasks = Math.min(job.pending.length, this.parts.teamUsage.allowance(job.spec));
     if (allowedTasks === 0) return;
-    const left = this.start(pass, job, allowedTasks, warmOnly);
-    if (left === 0) job.preemptionClaimUntil = -Infinity;
+    const unplaced = this.start(pass, job, allowedTasks, warmOnly);
+    if (unplaced === 0) job.preemptionClaimUntil = -Infinity;
     else if (warmOnly) pass.requeue({ ...queued, acceptsFetch: true });
     else {
-      pass.shortages.push({ job, tasks: left });
+      pass.shortages.push({ job, tasks: unplaced });
       if (this.mayPreempt(pass, job)) {
         job.preemptionSearchedAt = pass.now;
-        this.preemptForTasks(pass, job, left);
+        this.preemptForTasks(pass, job, unplaced);
       }
     }
   }
