--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -71,20 +71,20 @@
     const isZoneLimited = spec.singleZone || spec.spread;
     const zones: TasksByZone = isZoneLimited ? tasksByZone(job) : new Map<string, number>();
     const candidates = this.parts.candidateFinder.find(pass, job, warmOnly);
-    let left = wanted;
+    let unplaced = wanted;
     for (const { capacity, count } of job.isService
       ? spreadReplicas(job, candidates)
       : candidates) {
       const { zone } = capacity.machine;
       const allowance = isZoneLimited ? zoneAllowance(spec, zone, zones) : Infinity;
-      const tasks = Math.min(left, count, allowance);
+      const tasks = Math.min(unplaced, count, allowance);
       if (tasks <= 0) continue;
       this.parts.taskStarter.start(job, capacity, tasks);
       addTasks(zones, zone, tasks);
-      left -= tasks;
-      if (left === 0) break;
+      unplaced -= tasks;
+      if (unplaced === 0) break;
     }
-    return left;
+    return unplaced;
   }
 
   /** Whether work may be preempted for the job, and the last search for it is long enough ago. */
