--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -66,12 +66,12 @@
   }
 
   /** Starts tasks where they fit; returns how many of those wanted fit nowhere. */
-  private start(pass: PlacementPass, job: Job, wanted: number, warmOnly: boolean): number {
+  private start(pass: PlacementPass, job: Job, maxTasks: number, warmOnly: boolean): number {
     const { spec } = job;
     const isZoneLimited = spec.singleZone || spec.spread;
     const zones: TasksByZone = isZoneLimited ? tasksByZone(job) : new Map<string, number>();
     const candidates = this.parts.candidateFinder.find(pass, job, warmOnly);
-    let unplaced = wanted;
+    let unplaced = maxTasks;
     for (const { capacity, count } of job.isService
       ? spreadReplicas(job, candidates)
       : candidates) {
