--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -36,7 +36,7 @@
   /** Places as many of the job's tasks as fit and as its team's limit allows. */
   place(pass: PlacementPass, queued: QueuedJob): void {
     const { job } = queued;
-    const warmOnly = !queued.acceptsFetch && this.isPatient(job, pass.now);
+    const warmOnly = !queued.acceptsFetch && this.canWaitForImage(job, pass.now);
     const allowedTasks = Math.min(job.pending.length, this.parts.teamUsage.allowance(job.spec));
     if (allowedTasks === 0) return;
     const unplaced = this.start(pass, job, allowedTasks, warmOnly);
@@ -56,7 +56,7 @@
    * it has its turn there after all others in the same pass. So nothing stands idle for it; and its
    * patience ends well before its start deadline.
    */
-  private isPatient(job: Job, now: number): boolean {
+  private canWaitForImage(job: Job, now: number): boolean {
     const waitedMs = now - job.submittedAt;
     const deadlineMs = this.parts.startDeadlines.next(job, waitedMs);
     return (
