--- a/src/controller/placement/placers/task-starter.ts
+++ b/src/controller/placement/placers/task-starter.ts
@@ -32,8 +32,8 @@
     for (let started = 0; started < count; started++) {
       const task = job.pending.pop();
       if (task === undefined) return;
-      const own = attempt ?? job.attemptFor(task, () => this.nextAttempt());
-      this.workers.assign(job, task, own, capacity.machine);
+      const taskAttempt = attempt ?? job.attemptFor(task, () => this.nextAttempt());
+      this.workers.assign(job, task, taskAttempt, capacity.machine);
     }
   }
 }
