--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -117,10 +117,10 @@
     this.policy.sortVictims(eligible);
     let freeAt = stoppedAt;
     for (let waits = 0; waits <= others.length && waits <= MAX_WAITS; waits++) {
-      const last = others[waits - 1];
-      if (last !== undefined) {
-        freeAt = Math.max(freeAt, last.endsAt);
-        this.hypothetical.release(last.assignment.request);
+      const awaited = others[waits - 1];
+      if (awaited !== undefined) {
+        freeAt = Math.max(freeAt, awaited.endsAt);
+        this.hypothetical.release(awaited.assignment.request);
       }
       if (freeAt >= naturalFillAt || (search.onlyByPreemption && waits > 0)) break;
       const plan = this.victimSelector.select(job.spec, eligible, freeAt, now);
