--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -116,13 +116,17 @@
     if (eligible.length === 0) return planWithoutVictims(naturalFillAt);
     this.policy.sortVictims(eligible);
     let freeAt = stoppedAt;
-    for (let waits = 0; waits <= others.length && waits <= MAX_WAITS; waits++) {
-      const awaited = others[waits - 1];
+    for (
+      let awaitedCount = 0;
+      awaitedCount <= others.length && awaitedCount <= MAX_WAITS;
+      awaitedCount++
+    ) {
+      const awaited = others[awaitedCount - 1];
       if (awaited !== undefined) {
         freeAt = Math.max(freeAt, awaited.endsAt);
         this.hypothetical.release(awaited.assignment.request);
       }
-      if (freeAt >= naturalFillAt || (search.onlyByPreemption && waits > 0)) break;
+      if (freeAt >= naturalFillAt || (search.onlyByPreemption && awaitedCount > 0)) break;
       const plan = this.victimSelector.select(job.spec, eligible, freeAt, now);
       if (plan === null) continue;
       const waitingIsCheaper = naturalFillAt < plan.fillAt + LOST_WORK_WEIGHT * plan.lostWorkMs;
