--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -16,7 +16,7 @@
 import { VictimSelector } from './victim-selector.js';
 
 /** How many tasks that may not be preempted are waited for on a machine while others are preempted. */
-const MAX_WAITS = 4;
+const MAX_AWAITED_TASKS = 4;
 
 /** Finds out when machines should have free capacity, and what to preempt for it. */
 export class CapacityPlanner {
@@ -118,7 +118,7 @@
     let freeAt = stoppedAt;
     for (
       let awaitedCount = 0;
-      awaitedCount <= others.length && awaitedCount <= MAX_WAITS;
+      awaitedCount <= others.length && awaitedCount <= MAX_AWAITED_TASKS;
       awaitedCount++
     ) {
       const awaited = others[awaitedCount - 1];
