--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -109,11 +109,11 @@
     forecast: MachineForecast,
     plannedVictims: Set<Assignment>,
     stoppedAt: number,
-    naturalFillAt: number,
+    fillAtByWaiting: number,
   ): CapacityPlan {
     const { now, job } = search;
     const { eligible, others } = this.victimSelector.split(search, forecast, plannedVictims);
-    if (eligible.length === 0) return planWithoutVictims(naturalFillAt);
+    if (eligible.length === 0) return planWithoutVictims(fillAtByWaiting);
     this.policy.sortVictims(eligible);
     let freeAt = stoppedAt;
     for (
@@ -126,12 +126,12 @@
         freeAt = Math.max(freeAt, awaited.endsAt);
         this.hypothetical.release(awaited.assignment.request);
       }
-      if (freeAt >= naturalFillAt || (search.onlyByPreemption && awaitedCount > 0)) break;
+      if (freeAt >= fillAtByWaiting || (search.onlyByPreemption && awaitedCount > 0)) break;
       const plan = this.victimSelector.select(job.spec, eligible, freeAt, now);
       if (plan === null) continue;
-      const waitingIsCheaper = naturalFillAt < plan.fillAt + LOST_WORK_WEIGHT * plan.lostWorkMs;
-      return waitingIsCheaper ? planWithoutVictims(naturalFillAt) : plan;
+      const waitingIsCheaper = fillAtByWaiting < plan.fillAt + LOST_WORK_WEIGHT * plan.lostWorkMs;
+      return waitingIsCheaper ? planWithoutVictims(fillAtByWaiting) : plan;
     }
-    return planWithoutVictims(naturalFillAt);
+    return planWithoutVictims(fillAtByWaiting);
   }
 }
