--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -58,15 +58,15 @@
     // Soon free, by itself or because it was stopped: nothing more needs stopping.
     if (byWaiting === null || byWaiting.fillAt - now < this.settings.heartbeatIntervalMs)
       return byWaiting;
-    const naturalFillAt = byWaiting.fillAt;
+    const fillAtByWaiting = byWaiting.fillAt;
     const mightPreempt = this.policy.mightPreempt(job, forecast);
     if (!forecast.hasStopping && plannedVictims.size === 0 && !mightPreempt)
-      return planWithoutVictims(naturalFillAt);
+      return planWithoutVictims(fillAtByWaiting);
     hypothetical.reset(capacity, job.spec, plannedTasks);
     const stoppedAt = this.releaseStopping(forecast, plannedVictims, now);
     if (hypothetical.fits(job.spec)) return planWithoutVictims(stoppedAt, true);
-    if (!mightPreempt) return planWithoutVictims(naturalFillAt);
-    return this.planByPreemption(search, forecast, plannedVictims, stoppedAt, naturalFillAt);
+    if (!mightPreempt) return planWithoutVictims(fillAtByWaiting);
+    return this.planByPreemption(search, forecast, plannedVictims, stoppedAt, fillAtByWaiting);
   }
 
   /** The plan to wait until enough tasks have ended by themselves; `null`: there are never enough. */
