--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -54,11 +54,11 @@
     hypothetical.reset(capacity, job.spec, plannedTasks);
     if (hypothetical.fits(job.spec)) return planWithoutVictims(now);
     const forecast = this.forecaster.forecast(capacity, now);
-    const byWaiting = this.planByWaiting(forecast, job.spec);
+    const waitingPlan = this.planByWaiting(forecast, job.spec);
     // Soon free, by itself or because it was stopped: nothing more needs stopping.
-    if (byWaiting === null || byWaiting.fillAt - now < this.settings.heartbeatIntervalMs)
-      return byWaiting;
-    const fillAtByWaiting = byWaiting.fillAt;
+    if (waitingPlan === null || waitingPlan.fillAt - now < this.settings.heartbeatIntervalMs)
+      return waitingPlan;
+    const fillAtByWaiting = waitingPlan.fillAt;
     const mightPreempt = this.policy.mightPreempt(job, forecast);
     if (!forecast.hasStopping && plannedVictims.size === 0 && !mightPreempt)
       return planWithoutVictims(fillAtByWaiting);
