--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -87,13 +87,13 @@
     plannedVictims: Set<Assignment>,
     now: number,
   ): number {
-    const heardAt = now + this.settings.heartbeatIntervalMs;
-    let stoppedAt = heardAt;
+    const stopDeliveredAt = now + this.settings.heartbeatIntervalMs;
+    let stoppedAt = stopDeliveredAt;
     for (const { assignment, endsAt } of forecast.expectedEnds) {
       const { stop, checkpointSaveS, request } = assignment;
       if (stop !== null) stoppedAt = Math.max(stoppedAt, endsAt);
       else if (plannedVictims.has(assignment))
-        stoppedAt = Math.max(stoppedAt, heardAt + checkpointSaveS * 1000);
+        stoppedAt = Math.max(stoppedAt, stopDeliveredAt + checkpointSaveS * 1000);
       else continue;
       this.hypothetical.release(request);
     }
