--- a/src/controller/placement/preemption/victim-selector.ts
+++ b/src/controller/placement/preemption/victim-selector.ts
@@ -52,7 +52,7 @@
   ): CapacityPlan | null {
     const { hypothetical } = this;
     const released = this.releaseEnded(eligible, freeAt);
-    const heardAt = now + this.settings.heartbeatIntervalMs;
+    const stopDeliveredAt = now + this.settings.heartbeatIntervalMs;
     let fillAt = freeAt;
     const victims: Assignment[] = [];
     for (const { assignment, endsAt } of eligible) {
@@ -62,7 +62,7 @@
       hypothetical.release(assignment.request);
       released.push(assignment.request);
       // Its worker hears of the preemption, and then it saves.
-      fillAt = Math.max(fillAt, heardAt + assignment.checkpointSaveS * 1000);
+      fillAt = Math.max(fillAt, stopDeliveredAt + assignment.checkpointSaveS * 1000);
     }
     const fits = hypothetical.fits(request);
     if (fits) this.spareNeedless(request, victims, released);
