--- a/src/controller/placement/preemption/victim-selector.ts
+++ b/src/controller/placement/preemption/victim-selector.ts
@@ -65,7 +65,7 @@
       fillAt = Math.max(fillAt, stopDeliveredAt + assignment.checkpointSaveS * 1000);
     }
     const fits = hypothetical.fits(request);
-    if (fits) this.spareNeedless(request, victims, released);
+    if (fits) this.spareUnneededVictims(request, victims, released);
     for (const amount of released) hypothetical.allocate(amount);
     if (!fits) return null;
     const lostWorkMs = victims.reduce(
@@ -87,7 +87,7 @@
   }
 
   /** Spares victims that later ones have made needless. */
-  private spareNeedless(
+  private spareUnneededVictims(
     request: ResourceRequest,
     victims: Assignment[],
     released: ResourceRequest[],
