--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -35,7 +35,7 @@
     if (victims.length === 0) return true;
     const now = this.eventLoop.now();
     const { workerLeaseMs } = this.settings;
-    this.recentTimes = this.recentTimes.filter((at) => now - at < workerLeaseMs);
+    this.recentTimes = this.recentTimes.filter((preemptedAt) => now - preemptedAt < workerLeaseMs);
     const share = this.settings.get('placement.preempt.share');
     const limit = Math.max(MIN_LIMIT, share * this.workers.assignedCount);
     if (this.recentTimes.length + victims.length > limit) {
