--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -21,7 +21,7 @@
   count = 0;
   /** When tasks were preempted within the last worker lease. */
   private recentTimes: number[] = [];
-  private throttledAt = -Infinity;
+  private throttleLoggedAt = -Infinity;
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'log' | 'now'>,
@@ -39,7 +39,8 @@
     const share = this.settings.get('placement.preempt.share');
     const limit = Math.max(MIN_LIMIT, share * this.workers.assignedCount);
     if (this.recentTimes.length + victims.length > limit) {
-      if (now - this.throttledAt > workerLeaseMs) this.logThrottled(victims, preempting, limit);
+      if (now - this.throttleLoggedAt > workerLeaseMs)
+        this.logThrottled(victims, preempting, limit);
       return false;
     }
     for (const victim of victims) this.preempt(victim, preempting);
@@ -48,7 +49,7 @@
 
   private logThrottled(victims: readonly Assignment[], preempting: Job, limit: number): void {
     const now = this.eventLoop.now();
-    this.throttledAt = now;
+    this.throttleLoggedAt = now;
     const lostWorkMs = victims.reduce((sum, victim) => sum + this.cost.lostWorkMs(victim, now), 0);
     this.eventLoop.log.warn(
       {
