--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -33,11 +33,11 @@
     // All replicas of a service are needed: nothing says otherwise.
     if (owner.spec.kind === 'service') return false;
     if (now - task.assignedAt < this.settings.get('placement.victim.age.s') * 1000) return false;
-    const otherTeam = task.team !== job.spec.team;
+    const isOtherTeam = task.team !== job.spec.team;
     // Work inside its team's guarantee never yields to another team (m03 §7).
-    if (owner.guaranteed && otherTeam) return false;
+    if (owner.guaranteed && isOtherTeam) return false;
     if (owner.level < job.level) return true;
-    return job.guaranteed && otherTeam && !owner.guaranteed && this.teamUsage.borrows(task);
+    return job.guaranteed && isOtherTeam && !owner.guaranteed && this.teamUsage.borrows(task);
   }
 
   /** Puts those to preempt first first: on borrowed capacity before others, then the newest (m03 §7). */
