--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -53,13 +53,13 @@
   lostWorkMs(task: Assignment, now: number): number {
     if (task.job === null || task.state === 'fetching' || task.state === null) return 0;
     const { spec } = task.job;
-    const ranMs = now - (task.runningAt ?? task.assignedAt);
+    const elapsedMs = now - (task.runningAt ?? task.assignedAt);
     const restartMs =
       this.settings.heartbeatIntervalMs + this.estimator.fetchMs(spec, task.machine, now);
     const lostMs =
       spec.checkpointIntervalS > 0
-        ? Math.min(ranMs, spec.checkpointSaveS * MAX_LOST_SAVES * 1000)
-        : ranMs;
+        ? Math.min(elapsedMs, spec.checkpointSaveS * MAX_LOST_SAVES * 1000)
+        : elapsedMs;
     // A gang has to find its places once more.
     return lostMs + restartMs + (spec.kind === 'gang' ? this.estimator.runMs(spec) : 0);
   }
