--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -6,7 +6,7 @@
 import type { TeamUsage } from '../../workers/team-usage.js';
 
 /** Most that a task with checkpoints loses, as a multiple of the time of a save. */
-const MAX_LOST_SAVES = 2;
+const MAX_LOST_SAVE_MULTIPLE = 2;
 
 /** The rules of preemption (PROTOCOL, "Preemption"; m03 §7). */
 export class PreemptionPolicy {
@@ -58,7 +58,7 @@
       this.settings.heartbeatIntervalMs + this.estimator.fetchMs(spec, task.machine, now);
     const lostMs =
       spec.checkpointIntervalS > 0
-        ? Math.min(elapsedMs, spec.checkpointSaveS * MAX_LOST_SAVES * 1000)
+        ? Math.min(elapsedMs, spec.checkpointSaveS * MAX_LOST_SAVE_MULTIPLE * 1000)
         : elapsedMs;
     // A gang has to find its places once more.
     return lostMs + restartMs + (spec.kind === 'gang' ? this.estimator.runMs(spec) : 0);
