--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -50,17 +50,17 @@
     const query = { request, kinds: machineKindsKey(kinds) };
     if (pass.negativeSearches.hasNoCapacity(query)) return [];
     const search = this.searchFor(pass, job, request, warmOnly);
-    const found: Candidate[] = [];
+    const candidates: Candidate[] = [];
     let fitsAnywhere = false;
     for (const capacities of kinds)
       for (const capacity of capacities) {
         if (!capacity.fitsIgnoringClaims(request)) continue;
         fitsAnywhere = true;
         const candidate = this.examine(search, capacity);
-        if (candidate !== null) found.push(candidate);
+        if (candidate !== null) candidates.push(candidate);
       }
     if (!fitsAnywhere) pass.negativeSearches.addNoCapacity(query);
-    return found.sort((a, b) => a.score - b.score || a.capacity.index - b.capacity.index);
+    return candidates.sort((a, b) => a.score - b.score || a.capacity.index - b.capacity.index);
   }
 
   private searchFor(
