--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -56,7 +56,7 @@
       for (const capacity of capacities) {
         if (!capacity.fitsIgnoringClaims(request)) continue;
         fitsAnywhere = true;
-        const candidate = this.examine(search, capacity);
+        const candidate = this.evaluate(search, capacity);
         if (candidate !== null) candidates.push(candidate);
       }
     if (!fitsAnywhere) pass.negativeSearches.addNoCapacity(query);
@@ -87,7 +87,7 @@
   }
 
   /** `null`: no task of the job can start there beside the claims of others. */
-  private examine(search: CandidateSearch, capacity: FreeCapacity): Candidate | null {
+  private evaluate(search: CandidateSearch, capacity: FreeCapacity): Candidate | null {
     const { job, now, record, backfillRatio } = search;
     const { machine } = capacity;
     if (job.avoids(machine.id, now)) return null;
