--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -30,7 +30,7 @@
   /** What the tasks take in the machine's record. */
   record: RecordSpace;
   /** When a task should end that needs no image fetch. */
-  endsAt: number;
+  endsAtWithoutFetch: number;
 }
 
 /** Finds the machines where tasks of a job can start now. */
@@ -82,7 +82,8 @@
         request,
         checkpointSaveS: spec.checkpointSaveS,
       }),
-      endsAt: pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimator.runMs(spec),
+      endsAtWithoutFetch:
+        pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimator.runMs(spec),
     };
   }
 
@@ -94,7 +95,7 @@
     if (search.warmOnly && this.estimator.needsFetch(job.spec, machine)) return null;
     const fetchMs = this.estimator.fetchMs(job.spec, machine, now);
     const { spec, level } = job;
-    const endsAt = search.endsAt + fetchMs;
+    const endsAt = search.endsAtWithoutFetch + fetchMs;
     const count = capacity.countFitting({ spec, level, endsAt, backfillRatio, now, record });
     if (count <= 0) return null;
     return { capacity, count, score: fetchMs / 1000 + machinePenalty(job, capacity) };
