--- a/src/controller/placement/search/machine-penalty.ts
+++ b/src/controller/placement/search/machine-penalty.ts
@@ -32,9 +32,9 @@
   if (spec.spot && machine.spot === job.isService) penalty += MARKET_PENALTY;
   if (job.failedMachines.has(machine.id)) penalty += FAILURE_PENALTY;
   if (spec.kind === 'gang' && capacity.intrudesOnHeadroom(spec)) penalty += INTRUSION_PENALTY;
-  const leftShare =
+  const leftoverShare =
     spec.gpus > 0
       ? (capacity.gpus - spec.gpus) / type.gpus
       : (capacity.cpus - spec.cpus) / type.cpus;
-  return penalty + LEFTOVER_PENALTY * leftShare;
+  return penalty + LEFTOVER_PENALTY * leftoverShare;
 }
