--- a/src/controller/placement/search/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -23,9 +23,9 @@
     needsFetch: !candidate.capacity.machine.images.has(job.spec.image),
     replicas: machines.get(candidate.capacity.machine.id) ?? 0,
   }));
-  const half = Math.ceil(job.spec.tasks / 2);
+  const halfOfReplicas = Math.ceil(job.spec.tasks / 2);
   const compare = (a: SpreadCandidate, b: SpreadCandidate): number =>
-    Number(a.replicas >= half) - Number(b.replicas >= half) ||
+    Number(a.replicas >= halfOfReplicas) - Number(b.replicas >= halfOfReplicas) ||
     Number(a.needsFetch) - Number(b.needsFetch) ||
     a.replicas - b.replicas ||
     (zones.get(a.capacity.machine.zone) ?? 0) - (zones.get(b.capacity.machine.zone) ?? 0) ||
