--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -60,7 +60,7 @@
   /** One machine for each task, best first; fewer where no more can have capacity at all. */
   find(search: ReservationSearch): ReservationCandidate[] {
     const { capacities } = search;
-    const found: ReservationCandidate[] = [];
+    const candidates: ReservationCandidate[] = [];
     const progress: SearchProgress = {
       plannedTasks: new Map(),
       plannedVictims: new Set(),
@@ -69,20 +69,20 @@
     };
     const costs = new Float64Array(capacities.length);
     for (let i = 0; i < costs.length; i++) costs[i] = this.cost(search, capacities[i], 0, progress);
-    while (found.length < search.count) {
+    while (candidates.length < search.count) {
       const best = this.cheapest(search, costs, progress.zones);
       const capacity = capacities[best];
       if (capacity === undefined) break;
       const plannedTasks = progress.plannedTasks.get(capacity) ?? 0;
       const plan = this.planner.plan(search, capacity, plannedTasks, progress.plannedVictims);
       if (plan === null) break;
-      found.push({ ...plan, capacity });
+      candidates.push({ ...plan, capacity });
       for (const victim of plan.victims) progress.plannedVictims.add(victim);
       progress.plannedTasks.set(capacity, plannedTasks + 1);
       addTasks(progress.zones, capacity.machine.zone, 1);
       costs[best] = this.cost(search, capacity, plannedTasks + 1, progress);
     }
-    return found;
+    return candidates;
   }
 
   /** Index of the cheapest machine whose zone may take one more task; -1: there is none. */
