--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -70,8 +70,8 @@
     const costs = new Float64Array(capacities.length);
     for (let i = 0; i < costs.length; i++) costs[i] = this.cost(search, capacities[i], 0, progress);
     while (candidates.length < search.count) {
-      const best = this.cheapest(search, costs, progress.zones);
-      const capacity = capacities[best];
+      const bestIndex = this.cheapest(search, costs, progress.zones);
+      const capacity = capacities[bestIndex];
       if (capacity === undefined) break;
       const plannedTasks = progress.plannedTasks.get(capacity) ?? 0;
       const plan = this.planner.plan(search, capacity, plannedTasks, progress.plannedVictims);
@@ -80,7 +80,7 @@
       for (const victim of plan.victims) progress.plannedVictims.add(victim);
       progress.plannedTasks.set(capacity, plannedTasks + 1);
       addTasks(progress.zones, capacity.machine.zone, 1);
-      costs[best] = this.cost(search, capacity, plannedTasks + 1, progress);
+      costs[bestIndex] = this.cost(search, capacity, plannedTasks + 1, progress);
     }
     return candidates;
   }
