--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -87,7 +87,7 @@
 
   /** Index of the cheapest machine whose zone may take one more task; -1: there is none. */
   private cheapest(search: ReservationSearch, costs: Float64Array, zones: TasksByZone): number {
-    let best = -1;
+    let bestIndex = -1;
     let bestCost = Infinity;
     for (let i = 0; i < costs.length; i++) {
       const cost = costs[i] ?? Infinity;
@@ -98,10 +98,10 @@
         search.zoneAllowance(zone, zones.get(zone) ?? 0) <= 0
       )
         continue;
-      best = i;
+      bestIndex = i;
       bestCost = cost;
     }
-    return best;
+    return bestIndex;
   }
 
   /** How much later a machine that the job has reserved may be than another, and still be kept. */
