--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -70,7 +70,7 @@
     const costs = new Float64Array(capacities.length);
     for (let i = 0; i < costs.length; i++) costs[i] = this.cost(search, capacities[i], 0, progress);
     while (candidates.length < search.count) {
-      const bestIndex = this.cheapest(search, costs, progress.zones);
+      const bestIndex = this.cheapestIndex(search, costs, progress.zones);
       const capacity = capacities[bestIndex];
       if (capacity === undefined) break;
       const plannedTasks = progress.plannedTasks.get(capacity) ?? 0;
@@ -86,7 +86,11 @@
   }
 
   /** Index of the cheapest machine whose zone may take one more task; -1: there is none. */
-  private cheapest(search: ReservationSearch, costs: Float64Array, zones: TasksByZone): number {
+  private cheapestIndex(
+    search: ReservationSearch,
+    costs: Float64Array,
+    zones: TasksByZone,
+  ): number {
     let bestIndex = -1;
     let bestCost = Infinity;
     for (let i = 0; i < costs.length; i++) {
