--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -24,7 +24,7 @@
   /** Tasks to find a machine for. */
   count: number;
   /** How many more tasks of the job a zone may take; absent where zones don't matter. */
-  zoneAllowance?: (zone: string, there: number) => number;
+  zoneAllowance?: (zone: string, tasksInZone: number) => number;
   /** Decides between machines that are alike otherwise; lower is better. */
   penalty: (capacity: FreeCapacity) => number;
 }
