--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -128,12 +128,16 @@
     const { machine } = capacity;
     // Reservations last: a reserved machine is left only for a clearly better one; where work is being
     // preempted for it, its save would be in vain.
-    const keptMs = reserved.has(machine.id)
+    const reservedBonusMs = reserved.has(machine.id)
       ? this.stickinessMs + this.forecaster.forecast(capacity, search.now).longestSaveMs
       : 0;
     const fetchMs = this.estimator.fetchMs(search.job.spec, machine, search.now);
     return (
-      plan.fillAt + fetchMs - keptMs + LOST_WORK_WEIGHT * plan.lostWorkMs + search.penalty(capacity)
+      plan.fillAt +
+      fetchMs -
+      reservedBonusMs +
+      LOST_WORK_WEIGHT * plan.lostWorkMs +
+      search.penalty(capacity)
     );
   }
 }
