--- a/src/controller/placement/guarantees.test.ts
+++ b/src/controller/placement/guarantees.test.ts
@@ -19,10 +19,10 @@
       priority: fc.constantFrom('normal', 'high', 'critical'),
     });
     fc.assert(
-      fc.property(fc.array(borrowed, { minLength: 1, maxLength: 4 }), owned, (guests, owner) => {
+      fc.property(fc.array(borrowed, { minLength: 1, maxLength: 4 }), owned, (guestJobs, owner) => {
         const cluster = batchCluster();
         cluster.run(3);
-        for (const g of guests)
+        for (const g of guestJobs)
           cluster.add({
             ...g,
             priority: g.priority === 'critical' ? 'production' : g.priority,
