--- a/src/controller/placement/guarantees.test.ts
+++ b/src/controller/placement/guarantees.test.ts
@@ -22,10 +22,10 @@
       fc.property(fc.array(borrowed, { minLength: 1, maxLength: 4 }), owned, (guestJobs, owner) => {
         const cluster = batchCluster();
         cluster.run(3);
-        for (const g of guestJobs)
+        for (const guestJob of guestJobs)
           cluster.add({
-            ...g,
-            priority: g.priority === 'critical' ? 'production' : g.priority,
+            ...guestJob,
+            priority: guestJob.priority === 'critical' ? 'production' : guestJob.priority,
           });
         cluster.run(20);
         const id = `req-${cluster.table.jobs.size}`;
