--- a/src/controller/placement/guarantees.test.ts
+++ b/src/controller/placement/guarantees.test.ts
@@ -19,20 +19,24 @@
       priority: fc.constantFrom('normal', 'high', 'critical'),
     });
     fc.assert(
-      fc.property(fc.array(borrowed, { minLength: 1, maxLength: 4 }), owned, (guestJobs, owner) => {
-        const cluster = batchCluster();
-        cluster.run(3);
-        for (const guestJob of guestJobs)
-          cluster.add({
-            ...guestJob,
-            priority: guestJob.priority === 'critical' ? 'production' : guestJob.priority,
-          });
-        cluster.run(20);
-        const id = `req-${cluster.table.jobs.size}`;
-        cluster.add({ ...owner, id, team: 'owner' });
-        cluster.run(30);
-        assert.equal(cluster.taskCount(id), owner.tasks);
-      }),
+      fc.property(
+        fc.array(borrowed, { minLength: 1, maxLength: 4 }),
+        owned,
+        (guestJobs, ownerJob) => {
+          const cluster = batchCluster();
+          cluster.run(3);
+          for (const guestJob of guestJobs)
+            cluster.add({
+              ...guestJob,
+              priority: guestJob.priority === 'critical' ? 'production' : guestJob.priority,
+            });
+          cluster.run(20);
+          const id = `req-${cluster.table.jobs.size}`;
+          cluster.add({ ...ownerJob, id, team: 'owner' });
+          cluster.run(30);
+          assert.equal(cluster.taskCount(id), ownerJob.tasks);
+        },
+      ),
       { seed: 6, numRuns: 60 },
     );
   });
