--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -6,7 +6,7 @@
 import type { Placement } from './placement.js';
 
 /** Remembers no search: each is made anew. */
-class ForgetfulSearchCache extends NegativeSearchCache {
+class NoOpSearchCache extends NegativeSearchCache {
   override addNoCapacity(): void {
     // Nothing is remembered.
   }
@@ -21,7 +21,7 @@
   placement.begin();
   const { current } = placement as unknown as { current: Record<string, unknown> };
   assert.ok(current['negativeSearches'] instanceof NegativeSearchCache);
-  Object.assign(current, { negativeSearches: new ForgetfulSearchCache() });
+  Object.assign(current, { negativeSearches: new NoOpSearchCache() });
   placement.advance(Infinity);
 }
 
