--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -17,7 +17,7 @@
 }
 
 /** A pass that looks at every machine for every job. */
-function forgetfulPass(placement: Placement): void {
+function runPassWithoutCache(placement: Placement): void {
   placement.begin();
   const { current } = placement as unknown as { current: Record<string, unknown> };
   assert.ok(current['negativeSearches'] instanceof NegativeSearchCache);
@@ -43,7 +43,7 @@
     );
     fc.assert(
       fc.property(steps, (played) => {
-        const both = [batchCluster(), batchCluster(forgetfulPass)];
+        const both = [batchCluster(), batchCluster(runPassWithoutCache)];
         for (const { jobs, ends } of played) {
           for (const cluster of both) {
             for (const job of jobs) cluster.add(job);
