--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -43,15 +43,15 @@
     );
     fc.assert(
       fc.property(steps, (played) => {
-        const both = [batchCluster(), batchCluster(runPassWithoutCache)];
+        const clusters = [batchCluster(), batchCluster(runPassWithoutCache)];
         for (const { jobs, ends } of played) {
-          for (const cluster of both) {
+          for (const cluster of clusters) {
             for (const job of jobs) cluster.add(job);
             cluster.run(2);
             cluster.complete(`req-${ends}`);
             cluster.step();
           }
-          assert.deepEqual(both[0]?.describe(), both[1]?.describe());
+          assert.deepEqual(clusters[0]?.describe(), clusters[1]?.describe());
         }
       }),
       { seed: 8, numRuns: 80 },
