--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -42,9 +42,9 @@
       { minLength: 4, maxLength: 12 },
     );
     fc.assert(
-      fc.property(steps, (played) => {
+      fc.property(steps, (generatedSteps) => {
         const clusters = [batchCluster(), batchCluster(runPassWithoutCache)];
-        for (const { jobs, ends } of played) {
+        for (const { jobs, ends } of generatedSteps) {
           for (const cluster of clusters) {
             for (const job of jobs) cluster.add(job);
             cluster.run(2);
