--- a/src/controller/placement/replica-placement.test.ts
+++ b/src/controller/placement/replica-placement.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { serviceCluster, workersAlike } from '../../../test/placement-cluster.js';
 
-const most = (counts: Map<string, number>): number => Math.max(...counts.values());
+const largestCount = (counts: Map<string, number>): number => Math.max(...counts.values());
 
 describe('placement of replicas', () => {
   it('uses as many machines as there are', () => {
@@ -40,7 +40,7 @@
     cluster.exit(job, 'error', lost);
     cluster.run(4);
     assert.equal(job.runningCount, 4);
-    assert.ok(most(cluster.tasksByMachine(job)) <= 2);
+    assert.ok(largestCount(cluster.tasksByMachine(job)) <= 2);
     assert.ok(!cluster.tasksByMachine(job).has(lost), 'not where it has just failed');
   });
 
@@ -49,7 +49,7 @@
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
     assert.equal(job.runningCount, 4);
-    assert.ok(most(cluster.tasksByMachine(job)) <= 2);
+    assert.ok(largestCount(cluster.tasksByMachine(job)) <= 2);
   });
 
   it('puts all replicas on one machine where no other has capacity', () => {
