--- a/src/controller/placement/replica-placement.test.ts
+++ b/src/controller/placement/replica-placement.test.ts
@@ -20,10 +20,10 @@
     ]);
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
-    const inB = [...cluster.tasksByMachine(job)].filter(
+    const machinesInZoneB = [...cluster.tasksByMachine(job)].filter(
       ([id]) => cluster.worker(id).zone === 'b',
     ).length;
-    assert.equal(inB, 2);
+    assert.equal(machinesInZoneB, 2);
     assert.equal(cluster.tasksByMachine(job).size, 4);
   });
 
