--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -16,9 +16,9 @@
     for (let round = 0; round < 3; round++) {
       for (const id of cluster.tasksByMachine(job).keys()) cluster.exit(job, 'done', id);
       cluster.run(5);
-      const answer = job.status();
-      assert.equal(answer.state, 'running');
-      assert.equal(answer.done, 0);
+      const status = job.status();
+      assert.equal(status.state, 'running');
+      assert.equal(status.done, 0);
       assert.equal(job.runningCount, 2);
     }
     assert.ok(!job.isComplete);
