--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -44,18 +44,21 @@
     const cluster = serviceCluster(workersAlike(1, { images: ['i'] }));
     const job = cluster.add({ tasks: 1 });
     const longestPauseMs = 2 * serviceSettings.workerLeaseMs;
-    let last = 0;
+    let previousPauseMs = 0;
     for (let i = 0; i < 6; i++) {
       for (let s = 0; s <= longestPauseMs / STEP_MS && cluster.tasksByMachine(job).size === 0; s++)
         cluster.step();
       cluster.exit(job, 'other', 'n-0');
       cluster.step();
       const pause = (job.avoidedMachines.get('n-0')?.until ?? 0) - cluster.now;
-      assert.ok(pause > last || pause === longestPauseMs, `pause ${pause} ms after ${last} ms`);
+      assert.ok(
+        pause > previousPauseMs || pause === longestPauseMs,
+        `pause ${pause} ms after ${previousPauseMs} ms`,
+      );
       assert.ok(pause <= longestPauseMs);
-      last = pause;
+      previousPauseMs = pause;
     }
-    assert.equal(last, longestPauseMs);
+    assert.equal(previousPauseMs, longestPauseMs);
   });
 
   it('of a team at its limit wait until the lost replica is proven gone', () => {
