--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -50,13 +50,13 @@
         cluster.step();
       cluster.exit(job, 'other', 'n-0');
       cluster.step();
-      const pause = (job.avoidedMachines.get('n-0')?.until ?? 0) - cluster.now;
+      const pauseMs = (job.avoidedMachines.get('n-0')?.until ?? 0) - cluster.now;
       assert.ok(
-        pause > previousPauseMs || pause === longestPauseMs,
-        `pause ${pause} ms after ${previousPauseMs} ms`,
+        pauseMs > previousPauseMs || pauseMs === longestPauseMs,
+        `pause ${pauseMs} ms after ${previousPauseMs} ms`,
       );
-      assert.ok(pause <= longestPauseMs);
-      previousPauseMs = pause;
+      assert.ok(pauseMs <= longestPauseMs);
+      previousPauseMs = pauseMs;
     }
     assert.equal(previousPauseMs, longestPauseMs);
   });
