--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -66,7 +66,7 @@
     const job = cluster.add({ team: 'owner', tasks: OWNER_GPUS, gpus: 1 });
     cluster.run(6);
     assert.equal(job.runningCount, OWNER_GPUS);
-    const later = cluster.add({ team: 'owner', tasks: 1, gpus: 1 });
+    const laterJob = cluster.add({ team: 'owner', tasks: 1, gpus: 1 });
     const [lost = ''] = cluster.tasksByMachine(job).keys();
     const there = cluster.tasksByMachine(job).get(lost) ?? 0;
     cluster.worker(lost).unresponsive = true;
@@ -76,9 +76,9 @@
     }
     assert.ok(there > 0);
     assert.equal(job.runningCount, OWNER_GPUS);
-    assert.equal(later.runningCount, 0);
+    assert.equal(laterJob.runningCount, 0);
     cluster.table.markCancelled(job.spec.id);
     cluster.run(8);
-    assert.equal(later.runningCount, 1);
+    assert.equal(laterJob.runningCount, 1);
   });
 });
