--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -68,13 +68,13 @@
     assert.equal(job.runningCount, OWNER_GPUS);
     const laterJob = cluster.add({ team: 'owner', tasks: 1, gpus: 1 });
     const [lost = ''] = cluster.tasksByMachine(job).keys();
-    const there = cluster.tasksByMachine(job).get(lost) ?? 0;
+    const replicasOnLostMachine = cluster.tasksByMachine(job).get(lost) ?? 0;
     cluster.worker(lost).unresponsive = true;
     for (let i = 0; i < serviceSettings.workerLeaseExpiryMs / STEP_MS + 10; i++) {
       cluster.step();
       assert.ok(cluster.workers.assignedCount <= OWNER_GPUS);
     }
-    assert.ok(there > 0);
+    assert.ok(replicasOnLostMachine > 0);
     assert.equal(job.runningCount, OWNER_GPUS);
     assert.equal(laterJob.runningCount, 0);
     cluster.table.markCancelled(job.spec.id);
