--- a/src/controller/placement/pass/negative-search-cache.test.ts
+++ b/src/controller/placement/pass/negative-search-cache.test.ts
@@ -17,11 +17,11 @@
 
   it('knows that there are no victims only for jobs that may preempt no more', () => {
     const cache = new NegativeSearchCache();
-    const search = { request: request, kinds: '0', team: 'red', guaranteed: false, level: 1 };
-    cache.addNoVictims(search);
-    assert.ok(cache.hasNoVictims({ ...search, level: 0 }));
-    assert.ok(!cache.hasNoVictims({ ...search, level: 2 }));
-    assert.ok(!cache.hasNoVictims({ ...search, guaranteed: true }));
-    assert.ok(!cache.hasNoVictims({ ...search, team: 'blue' }));
+    const query = { request: request, kinds: '0', team: 'red', guaranteed: false, level: 1 };
+    cache.addNoVictims(query);
+    assert.ok(cache.hasNoVictims({ ...query, level: 0 }));
+    assert.ok(!cache.hasNoVictims({ ...query, level: 2 }));
+    assert.ok(!cache.hasNoVictims({ ...query, guaranteed: true }));
+    assert.ok(!cache.hasNoVictims({ ...query, team: 'blue' }));
   });
 });
