--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -16,8 +16,8 @@
 let jobCount = 0;
 
 /** A job whose id comes after those of all jobs before. */
-function submitted(part: Partial<JobSpec>, at: number): Job {
-  return gpuJob({ id: `req-${jobCount++}`, ...part }, at);
+function submitted(part: Partial<JobSpec>, submittedAt: number): Job {
+  return gpuJob({ id: `req-${jobCount++}`, ...part }, submittedAt);
 }
 
 /** Compares two jobs by rank. */
