--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -21,8 +21,8 @@
 }
 
 /** Compares two jobs by rank. */
-function rank(a: Job, b: Job, by: RankSettings, now: number): number {
-  return compareRank(queuedJob(a, by, now), queuedJob(b, by, now));
+function rank(a: Job, b: Job, rankSettings: RankSettings, now: number): number {
+  return compareRank(queuedJob(a, rankSettings, now), queuedJob(b, rankSettings, now));
 }
 
 /** Compares two jobs by their turn in a pass. */
