--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -26,7 +26,7 @@
 }
 
 /** Compares two jobs by their turn in a pass. */
-function turn(a: Job, b: Job, now: number): number {
+function compareTurns(a: Job, b: Job, now: number): number {
   return compareQueued(queuedJob(a, settings, now), queuedJob(b, settings, now));
 }
 
@@ -89,7 +89,7 @@
     victim.preemptionCount = 1;
     const gang = submitted({}, 5000);
     gang.preemptionClaimUntil = 30_000;
-    assert.ok(turn(gang, victim, 20_000) < 0);
-    assert.ok(turn(gang, victim, 40_000) > 0);
+    assert.ok(compareTurns(gang, victim, 20_000) < 0);
+    assert.ok(compareTurns(gang, victim, 40_000) > 0);
   });
 });
