--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -21,7 +21,7 @@
 }
 
 /** Compares two jobs by rank. */
-function rank(a: Job, b: Job, rankSettings: RankSettings, now: number): number {
+function compareByRank(a: Job, b: Job, rankSettings: RankSettings, now: number): number {
   return compareRank(queuedJob(a, rankSettings, now), queuedJob(b, rankSettings, now));
 }
 
@@ -36,7 +36,7 @@
     const high = submitted({ priority: 'high' }, 5000);
     const later = submitted({ priority: 'high' }, 6000);
     const twin = submitted({ priority: 'high' }, 6000);
-    const sorted = [twin, later, low, high].sort((a, b) => rank(a, b, settings, 0));
+    const sorted = [twin, later, low, high].sort((a, b) => compareByRank(a, b, settings, 0));
     assert.deepEqual(sorted, [high, later, twin, low]);
   });
 
@@ -54,10 +54,13 @@
           return job;
         });
         if (a === undefined || b === undefined || c === undefined) return;
-        assert.notEqual(rank(a, b, settings, 0), 0);
-        assert.equal(Math.sign(rank(a, b, settings, 0)), -Math.sign(rank(b, a, settings, 0)));
-        if (rank(a, b, settings, 0) < 0 && rank(b, c, settings, 0) < 0)
-          assert.ok(rank(a, c, settings, 0) < 0);
+        assert.notEqual(compareByRank(a, b, settings, 0), 0);
+        assert.equal(
+          Math.sign(compareByRank(a, b, settings, 0)),
+          -Math.sign(compareByRank(b, a, settings, 0)),
+        );
+        if (compareByRank(a, b, settings, 0) < 0 && compareByRank(b, c, settings, 0) < 0)
+          assert.ok(compareByRank(a, c, settings, 0) < 0);
       }),
       { seed: 4 },
     );
@@ -74,11 +77,17 @@
   it('follows the next deadline that the job can meet, and puts a late job behind the others', () => {
     const old = submitted({}, 0);
     const young = submitted({}, 5000);
-    assert.ok(rank(old, young, withDeadlines, 0) < 0);
-    assert.ok(rank(old, young, withDeadlines, 10_001) > 0);
-    assert.ok(rank(old, young, withDeadlines, 100_000) < 0, 'both late: submission decides');
+    assert.ok(compareByRank(old, young, withDeadlines, 0) < 0);
+    assert.ok(compareByRank(old, young, withDeadlines, 10_001) > 0);
+    assert.ok(
+      compareByRank(old, young, withDeadlines, 100_000) < 0,
+      'both late: submission decides',
+    );
     const muchLater = submitted({}, 400_000);
-    assert.ok(rank(old, muchLater, withDeadlines, 400_000) < 0, 'late work does not starve');
+    assert.ok(
+      compareByRank(old, muchLater, withDeadlines, 400_000) < 0,
+      'late work does not starve',
+    );
   });
 });
 
