--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -73,19 +73,22 @@
 });
 
 describe('rank with start deadlines', () => {
-  const withDeadlines: RankSettings = { ...settings, startDeadlines: () => [10_000, 60_000] };
+  const settingsWithDeadlines: RankSettings = {
+    ...settings,
+    startDeadlines: () => [10_000, 60_000],
+  };
   it('follows the next deadline that the job can meet, and puts a late job behind the others', () => {
     const old = submitted({}, 0);
     const young = submitted({}, 5000);
-    assert.ok(compareByRank(old, young, withDeadlines, 0) < 0);
-    assert.ok(compareByRank(old, young, withDeadlines, 10_001) > 0);
+    assert.ok(compareByRank(old, young, settingsWithDeadlines, 0) < 0);
+    assert.ok(compareByRank(old, young, settingsWithDeadlines, 10_001) > 0);
     assert.ok(
-      compareByRank(old, young, withDeadlines, 100_000) < 0,
+      compareByRank(old, young, settingsWithDeadlines, 100_000) < 0,
       'both late: submission decides',
     );
     const muchLater = submitted({}, 400_000);
     assert.ok(
-      compareByRank(old, muchLater, withDeadlines, 400_000) < 0,
+      compareByRank(old, muchLater, settingsWithDeadlines, 400_000) < 0,
       'late work does not starve',
     );
   });
