--- a/src/controller/placement/placers/gang-placer.test.ts
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -14,14 +14,18 @@
 import type { PlacementPass } from '../pass/placement-pass.js';
 
 describe('GangPlacer', () => {
-  const place = (gang: Job, allowance: number, found: (pass: PlacementPass) => Candidate[]) => {
+  const place = (
+    gang: Job,
+    allowance: number,
+    findCandidates: (pass: PlacementPass) => Candidate[],
+  ) => {
     const pass = passOver([bigMachine()]);
     const calls: string[] = [];
     new GangPlacer({
       settings: defaultSettings,
       teamUsage: { allowance: () => allowance },
       estimator: { fetchMs: () => 0 },
-      candidateFinder: { find: () => found(pass) },
+      candidateFinder: { find: () => findCandidates(pass) },
       taskStarter: {
         nextAttempt: () => 8,
         start: (_job, _capacity, n, at) => calls.push(`${n}@${at}`),
