--- a/src/controller/placement/placers/gang-placer.test.ts
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -28,7 +28,7 @@
       candidateFinder: { find: () => findCandidates(pass) },
       taskStarter: {
         nextAttempt: () => 8,
-        start: (_job, _capacity, n, attempt) => calls.push(`${n}@${attempt}`),
+        start: (_job, _capacity, count, attempt) => calls.push(`${count}@${attempt}`),
       },
       reservations: {
         drop: () => calls.push('drop'),
