--- a/src/controller/placement/placers/gang-placer.test.ts
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -41,12 +41,12 @@
 
   it('starts a gang that fits whole, reserves machines for one that does not, and blocks one beyond its limit', () => {
     const gang = gpuJob({ kind: 'gang', tasks: 3 });
-    const fits = (count: number) => (pass: PlacementPass) => [
+    const candidatesFor = (count: number) => (pass: PlacementPass) => [
       candidate(capacityIn(pass, 'n-1'), count),
     ];
-    assert.deepEqual(place(gang, 3, fits(4)), ['3@8', 'drop']);
-    assert.deepEqual(place(gang, 3, fits(2)), ['reserve']);
-    assert.deepEqual(place(gang, 2, fits(4)), ['drop']);
+    assert.deepEqual(place(gang, 3, candidatesFor(4)), ['3@8', 'drop']);
+    assert.deepEqual(place(gang, 3, candidatesFor(2)), ['reserve']);
+    assert.deepEqual(place(gang, 2, candidatesFor(4)), ['drop']);
     assert.equal(gang.blockedReason, "its team's limit is used up");
   });
 
