--- a/src/controller/placement/placers/gang-placer.test.ts
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -52,12 +52,12 @@
 
   it('picks half of a spread gang in each zone, and nothing where one zone has too few places', () => {
     const pass = passOver([bigMachine('n-1', 'a'), bigMachine('n-2', 'b')]);
-    const found = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 4));
-    const picked = pickForGang(gpuJob({ tasks: 4, spread: true }), found, null);
+    const candidates = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 4));
+    const picked = pickForGang(gpuJob({ tasks: 4, spread: true }), candidates, null);
     assert.deepEqual(
       picked?.map(({ count }) => count),
       [2, 2],
     );
-    assert.equal(pickForGang(gpuJob({ tasks: 5 }), found, 'a'), null);
+    assert.equal(pickForGang(gpuJob({ tasks: 5 }), candidates, 'a'), null);
   });
 });
