--- a/src/controller/placement/placers/gang-reservations.test.ts
+++ b/src/controller/placement/placers/gang-reservations.test.ts
@@ -12,7 +12,7 @@
 import { GangReservations, reservationKey } from './gang-reservations.js';
 
 describe('GangReservations', () => {
-  const written = new Map<string, unknown>();
+  const writtenRecords = new Map<string, unknown>();
   let searches = 0;
   const reservations = new GangReservations({
     eventLoop: { log: silentLogger, now: () => 5 },
@@ -22,7 +22,7 @@
         yield { key: reservationKey('req-1'), value: ['n-1'] };
         yield { key: reservationKey('req-gone'), value: ['n-1'] };
       },
-      set: (key, value) => written.set(key, value),
+      set: (key, value) => writtenRecords.set(key, value),
     },
     estimator: { fetchMs: () => 100 },
     reservationCandidateFinder: {
@@ -44,19 +44,19 @@
     const gang = gpuJob({ kind: 'gang' });
     reservations.load({ jobs: new Map([['req-1', gang]]) });
     assert.deepEqual(gang.reservation?.machines, ['n-1']);
-    assert.deepEqual([...written], [['h/req-gone', undefined]]);
+    assert.deepEqual([...writtenRecords], [['h/req-gone', undefined]]);
   });
 
   it('claim capacity, last for a while without another search, and can be dropped', () => {
     const gang = gpuJob({ kind: 'gang', tasks: 2 });
     const pass = passOver([bigMachine(), bigMachine('n-2')]);
     reservations.reserve(pass, gang);
-    assert.deepEqual(written.get('h/req-1'), ['n-1', 'n-2']);
+    assert.deepEqual(writtenRecords.get('h/req-1'), ['n-1', 'n-2']);
     assert.equal(capacityIn(pass, 'n-2').claims[0]?.fillAt, 50);
     assert.equal(reservations.find(pass, gang).readyAt, 150);
     assert.equal(searches, 1);
     reservations.drop(gang);
-    assert.deepEqual([gang.reservation, written.get('h/req-1')], [null, undefined]);
+    assert.deepEqual([gang.reservation, writtenRecords.get('h/req-1')], [null, undefined]);
   });
 });
 
