--- a/src/controller/placement/search/candidate-finder.test.ts
+++ b/src/controller/placement/search/candidate-finder.test.ts
@@ -18,7 +18,8 @@
     const warm = bigMachine('n-2');
     warm.recordImageUse('i', 1);
     const pass = passOver([bigMachine(), warm]);
-    const ids = (found: Candidate[]): string[] => found.map(({ capacity }) => capacity.machine.id);
+    const ids = (candidates: Candidate[]): string[] =>
+      candidates.map(({ capacity }) => capacity.machine.id);
     assert.deepEqual(ids(finder.find(pass, gpuJob())), ['n-2', 'n-1']);
     assert.deepEqual(ids(finder.find(pass, gpuJob(), true)), ['n-2']);
   });
