--- a/src/controller/placement/search/replica-spread.test.ts
+++ b/src/controller/placement/search/replica-spread.test.ts
@@ -15,9 +15,9 @@
     const service = gpuJob({ kind: 'service', tasks: 4 });
     const pass = passOver([bigMachine(), bigMachine('n-2')]);
     runningAssignment(service, capacityIn(pass, 'n-1').machine);
-    const found = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 2));
+    const candidates = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 2));
     const order: string[] = [];
-    for (const { capacity } of spreadReplicas(service, found)) {
+    for (const { capacity } of spreadReplicas(service, candidates)) {
       order.push(capacity.machine.id);
       // The place is used: what is offered next depends on it.
       service.pending.pop();
