--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -41,7 +41,7 @@
     const policy = new PreemptionPolicy(defaultSettings, estimator, new TeamUsage([]));
     const finder = new ReservationCandidateFinder(defaultSettings, estimator, policy);
     const machine = bigMachine();
-    const kept = runOn(machine, 'other', 80, true);
+    const guaranteedTask = runOn(machine, 'other', 80, true);
     const borrowed = [runOn(machine, 'red', 900), runOn(machine, 'red', 900)];
     const brief = runOn(machine, 'red', 70);
     const now = 60_000;
@@ -51,7 +51,7 @@
       ...{ onlyByPreemption: false, penalty: () => 0 },
     });
     assert.deepEqual(new Set(candidate?.victims), new Set(borrowed));
-    assert.ok(!candidate?.victims.includes(brief) && !candidate?.victims.includes(kept));
-    assert.equal(candidate?.fillAt, now + estimator.remainingMs(kept, now));
+    assert.ok(!candidate?.victims.includes(brief) && !candidate?.victims.includes(guaranteedTask));
+    assert.equal(candidate?.fillAt, now + estimator.remainingMs(guaranteedTask, now));
   });
 });
