--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -43,7 +43,7 @@
     const machine = bigMachine();
     const guaranteedTask = runOn(machine, 'other', 80, true);
     const borrowed = [runOn(machine, 'red', 900), runOn(machine, 'red', 900)];
-    const brief = runOn(machine, 'red', 70);
+    const endingSoon = runOn(machine, 'red', 70);
     const now = 60_000;
     const gang = gpuJob({ id: 'req-gang', kind: 'gang', priority: 'high', gpus: 4, tasks: 1 }, now);
     const [candidate] = finder.find({
@@ -51,7 +51,9 @@
       ...{ onlyByPreemption: false, penalty: () => 0 },
     });
     assert.deepEqual(new Set(candidate?.victims), new Set(borrowed));
-    assert.ok(!candidate?.victims.includes(brief) && !candidate?.victims.includes(guaranteedTask));
+    assert.ok(
+      !candidate?.victims.includes(endingSoon) && !candidate?.victims.includes(guaranteedTask),
+    );
     assert.equal(candidate?.fillAt, now + estimator.remainingMs(guaranteedTask, now));
   });
 });
