--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -42,7 +42,7 @@
     const finder = new ReservationCandidateFinder(defaultSettings, estimator, policy);
     const machine = bigMachine();
     const guaranteedTask = runOn(machine, 'other', 80, true);
-    const borrowed = [runOn(machine, 'red', 900), runOn(machine, 'red', 900)];
+    const borrowingTasks = [runOn(machine, 'red', 900), runOn(machine, 'red', 900)];
     const endingSoon = runOn(machine, 'red', 70);
     const now = 60_000;
     const gang = gpuJob({ id: 'req-gang', kind: 'gang', priority: 'high', gpus: 4, tasks: 1 }, now);
@@ -50,7 +50,7 @@
       ...{ now, job: gang, capacities: [capacityOf(machine)], count: 1 },
       ...{ onlyByPreemption: false, penalty: () => 0 },
     });
-    assert.deepEqual(new Set(candidate?.victims), new Set(borrowed));
+    assert.deepEqual(new Set(candidate?.victims), new Set(borrowingTasks));
     assert.ok(
       !candidate?.victims.includes(endingSoon) && !candidate?.victims.includes(guaranteedTask),
     );
