--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -44,11 +44,11 @@
     fc.assert(
       fc.property(steps, (generatedSteps) => {
         const clusters = [batchCluster(), batchCluster(runPassWithoutCache)];
-        for (const { jobs, ends } of generatedSteps) {
+        for (const { jobs, ends: completedJobNumber } of generatedSteps) {
           for (const cluster of clusters) {
             for (const job of jobs) cluster.add(job);
             cluster.run(2);
-            cluster.complete(`req-${ends}`);
+            cluster.complete(`req-${completedJobNumber}`);
             cluster.step();
           }
           assert.deepEqual(clusters[0]?.describe(), clusters[1]?.describe());
