--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -38,13 +38,13 @@
       deadlineS: fc.constantFrom(null, 600, 5000),
     });
     const steps = fc.array(
-      fc.record({ jobs: fc.array(anyJob, { maxLength: 4 }), ends: fc.nat(20) }),
+      fc.record({ jobs: fc.array(anyJob, { maxLength: 4 }), completedJobNumber: fc.nat(20) }),
       { minLength: 4, maxLength: 12 },
     );
     fc.assert(
       fc.property(steps, (generatedSteps) => {
         const clusters = [batchCluster(), batchCluster(runPassWithoutCache)];
-        for (const { jobs, ends: completedJobNumber } of generatedSteps) {
+        for (const { jobs, completedJobNumber: completedJobNumber } of generatedSteps) {
           for (const cluster of clusters) {
             for (const job of jobs) cluster.add(job);
             cluster.run(2);
