--- a/src/controller/placement/service-cancellation.test.ts
+++ b/src/controller/placement/service-cancellation.test.ts
@@ -60,7 +60,7 @@
     assertCancelled(cluster, job);
   });
 
-  for (const { condition, returns } of [
+  for (const { condition, returns: recovers } of [
     { condition: 'once its unresponsive machine is heard again', returns: true },
     { condition: 'with the worker lease of a machine that stays unresponsive', returns: false },
   ])
@@ -74,8 +74,8 @@
       cluster.table.markCancelled(job.spec.id);
       cluster.run(2);
       assert.equal(cluster.workers.assignedCount, 2, 'not proven gone');
-      if (returns) worker.unresponsive = false;
-      cluster.run(returns ? 3 : serviceSettings.workerLeaseExpiryMs / STEP_MS);
+      if (recovers) worker.unresponsive = false;
+      cluster.run(recovers ? 3 : serviceSettings.workerLeaseExpiryMs / STEP_MS);
       assert.equal(cluster.workers.assignedCount, 0);
       worker.unresponsive = false;
       cluster.run(4);
