--- a/src/controller/placement/service-cancellation.test.ts
+++ b/src/controller/placement/service-cancellation.test.ts
@@ -60,8 +60,8 @@
     assertCancelled(cluster, job);
   });
 
-  for (const { condition, returns: recovers } of [
-    { condition: 'once its unresponsive machine is heard again', returns: true },
+  for (const { condition, recovers: recovers } of [
+    { condition: 'once its unresponsive machine is heard again', recovers: true },
     { condition: 'with the worker lease of a machine that stays unresponsive', returns: false },
   ])
     it(`ends ${condition}`, () => {
