--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -48,8 +48,8 @@
     });
     fc.assert(
       fc.property(fc.array(anyJob, { minLength: 3, maxLength: 3 }), (list) => {
-        const [a, b, c] = list.map(({ priority, at, preemptions }) => {
-          const job = submitted({ priority }, at);
+        const [a, b, c] = list.map(({ priority, at: submittedAt, preemptions }) => {
+          const job = submitted({ priority }, submittedAt);
           job.preemptionCount = preemptions;
           return job;
         });
