--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -43,12 +43,12 @@
   it('is a total order, and lets a job that has waited long go before higher priorities', () => {
     const anyJob = fc.record({
       priority: fc.constantFrom<Priority>('low', 'normal', 'high', 'production'),
-      at: fc.nat(1_000_000),
+      submittedAt: fc.nat(1_000_000),
       preemptions: fc.nat(3),
     });
     fc.assert(
       fc.property(fc.array(anyJob, { minLength: 3, maxLength: 3 }), (list) => {
-        const [a, b, c] = list.map(({ priority, at: submittedAt, preemptions }) => {
+        const [a, b, c] = list.map(({ priority, submittedAt: submittedAt, preemptions }) => {
           const job = submitted({ priority }, submittedAt);
           job.preemptionCount = preemptions;
           return job;
