--- a/src/controller/placement/guarantees.ts
+++ b/src/controller/placement/guarantees.ts
@@ -1,16 +1,17 @@
-/** Which jobs are inside the guarantee of their team. */
+/** Decides which jobs are covered by the guarantee of their team. */
 import type { Job } from '../model/entities.js';
 import type { Team } from '../settings/platform.js';
 import { AMOUNT_TOLERANCE } from '../model/resource-request.js';
 
 /**
- * Marks the jobs that fit into their team's guarantee together with the team's earlier unfinished ones
- * (PROTOCOL, "How aims are counted"). A guarantee of 0 states nothing for that resource.
+ * Marks the jobs covered by the guarantee of their team. A job is covered if its unfinished tasks fit into
+ * the guarantee together with those of all jobs that the team submitted earlier (PROTOCOL, "How aims are
+ * counted"). A guarantee of 0 means that the team has no guarantee for that resource.
  */
 export class Guarantees {
   constructor(private readonly teams: readonly Team[]) {}
 
-  /** Sets `guaranteed` of every job, in the order of their submission. */
+  /** Sets `guaranteed` on every job, going through the jobs in order of submission. */
   mark(jobs: Iterable<Job>): void {
     const remainingByTeam = new Map(
       this.teams.map((team) => [
--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -44,7 +44,7 @@
     fc.assert(
       fc.property(steps, (generatedSteps) => {
         const clusters = [batchCluster(), batchCluster(runPassWithoutCache)];
-        for (const { jobs, completedJobNumber: completedJobNumber } of generatedSteps) {
+        for (const { jobs, completedJobNumber } of generatedSteps) {
           for (const cluster of clusters) {
             for (const job of jobs) cluster.add(job);
             cluster.run(2);
--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -1,11 +1,11 @@
-/** Negative cache of a placement pass: searches without a result, so that none is made twice. */
+/** Negative cache of a placement pass: records failed searches so that they are not repeated. */
 import type { ResourceRequest } from '../../model/resource-request.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 
 /** A search for machines where a task can start now. */
 export interface CapacityQuery {
   request: ResourceRequest;
-  /** The kinds of machines searched, see `machineKindsKey`. */
+  /** Key of the machine kinds that are searched; see `machineKindsKey`. */
   kinds: string;
 }
 
@@ -16,38 +16,44 @@
   level: number;
 }
 
-/** Whether the request takes at least as much of each resource: it fails wherever the other did. */
+/**
+ * Returns whether `request` takes at least as much of each resource as `other`. If so, it fits on no
+ * machine on which `other` does not fit.
+ */
 function isAtLeast(request: ResourceRequest, other: ResourceRequest): boolean {
   return (
     request.cpus >= other.cpus && request.gpus >= other.gpus && request.memoryGb >= other.memoryGb
   );
 }
 
-/** Key of a selection of kinds of machines, within one pass. */
+/** Returns a key for a selection of machine kinds. The key is valid only within one pass. */
 export function machineKindsKey(kinds: readonly (readonly FreeCapacity[])[]): string {
   return kinds.map(([first]) => first?.index ?? -1).join();
 }
 
-/** The failed searches of one pass, and whether another is bound to fail as well. */
+/** Records the failed searches of one pass and tells whether another search must fail as well. */
 export class NegativeSearchCache {
-  /** Requests that fit on no machine, even without claims. */
+  /** Requests that fit on no machine, even if claims are ignored. */
   private readonly failedCapacityQueries: CapacityQuery[] = [];
-  /** Requests for which nothing could be preempted. */
+  /** Requests for which no task could be preempted. */
   private readonly failedVictimQueries: VictimQuery[] = [];
 
-  /** Whether so much is known to fit on no machine of these kinds. */
+  /** Returns whether a recorded failure shows that the request fits on no machine of these kinds. */
   hasNoCapacity({ request, kinds }: CapacityQuery): boolean {
     return this.failedCapacityQueries.some(
       (failed) => failed.kinds === kinds && isAtLeast(request, failed.request),
     );
   }
 
-  /** Remembers that it fits on no machine, even without claims. */
+  /** Records that the request fits on no machine of these kinds, even if claims are ignored. */
   addNoCapacity(query: CapacityQuery): void {
     this.failedCapacityQueries.push(query);
   }
 
-  /** Whether nothing on machines of these kinds is known to be preemptible for such a job. */
+  /**
+   * Returns whether a recorded failure shows that no task on machines of these kinds can be preempted for
+   * the request. The failed query must be of the same team, with the same `guaranteed` and the same or a higher level.
+   */
   hasNoVictims({ request, kinds, team, guaranteed, level }: VictimQuery): boolean {
     return this.failedVictimQueries.some(
       (failed) =>
@@ -59,12 +65,12 @@
     );
   }
 
-  /** Remembers that nothing could be preempted. */
+  /** Records that no task on machines of these kinds could be preempted for the request. */
   addNoVictims(query: VictimQuery): void {
     this.failedVictimQueries.push(query);
   }
 
-  /** Forgets everything, where machines may have changed. */
+  /** Removes all records; called when machines may have changed. */
   clear(): void {
     this.failedCapacityQueries.length = 0;
     this.failedVictimQueries.length = 0;
--- a/src/controller/placement/pass/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -1,56 +1,60 @@
-/** The state of one placement pass: its queue, the free capacity, and what it has found. */
+/** The state of one placement pass: its queue, the free capacity and its results so far. */
 import type { Job, Machine } from '../../model/entities.js';
 import { NegativeSearchCache } from './negative-search-cache.js';
 import { compareQueued, type QueuedJob } from './rank.js';
 import type { ClusterCapacity } from '../capacity/cluster-capacity.js';
 
-/** Tasks of a job that found no free capacity in a pass. */
+/** The tasks of a job for which a pass found no free capacity. */
 export interface Shortage {
   job: Job;
+  /** Number of these tasks. */
   tasks: number;
 }
 
-/** One walk over the waiting jobs, by turn. It may take several turns of the event loop. */
+/** One pass over the queue of waiting jobs. It may be spread over several turns of the event loop. */
 export class PlacementPass {
-  /** What found no free capacity so far. */
+  /** The tasks for which this pass has found no free capacity so far. */
   readonly shortages: Shortage[] = [];
   readonly negativeSearches = new NegativeSearchCache();
   private nextIndex = 0;
 
   constructor(
-    /** When the present slice of the pass began. */
+    /** When the current slice of the pass began, on the controller's clock. */
     public now: number,
     readonly cluster: ClusterCapacity,
     private readonly queue: QueuedJob[],
-    /** Lowest priority level of the jobs with tasks on machines: lower or equal ones can't outrank any. */
+    /**
+     * Lowest priority level among the jobs with assigned tasks. A job at this level or below outranks none
+     * of them by its priority.
+     */
     readonly lowestLevel: number,
   ) {
     queue.sort(compareQueued);
   }
 
-  /** Some jobs have had their turn. */
+  /** Returns whether at least one job has been taken off the queue. */
   isStarted(): boolean {
     return this.nextIndex > 0;
   }
 
-  /** All jobs have had their turn. */
+  /** Returns whether all jobs have been taken off the queue. */
   isFinished(): boolean {
     return this.nextIndex >= this.queue.length;
   }
 
-  /** Takes the next job off the queue. */
+  /** Takes the next job off the queue; returns undefined if there is none. */
   take(): QueuedJob | undefined {
     const queued = this.queue[this.nextIndex];
     this.nextIndex++;
     return queued;
   }
 
-  /** Gives the job a further turn in the same pass, after all others. */
+  /** Puts the job at the end of the queue, so that it is tried again in the same pass. */
   requeue(queued: QueuedJob): void {
     this.queue.push(queued);
   }
 
-  /** Goes on after an interruption in which heartbeats may have come. */
+  /** Refreshes the state of the machines after an interruption, in which heartbeats may have arrived. */
   resume(now: number, isSchedulable: (machine: Machine) => boolean): void {
     this.now = now;
     this.negativeSearches.clear();
--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -48,7 +48,7 @@
     });
     fc.assert(
       fc.property(fc.array(anyJob, { minLength: 3, maxLength: 3 }), (list) => {
-        const [a, b, c] = list.map(({ priority, submittedAt: submittedAt, preemptions }) => {
+        const [a, b, c] = list.map(({ priority, submittedAt, preemptions }) => {
           const job = submitted({ priority }, submittedAt);
           job.preemptionCount = preemptions;
           return job;
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -2,26 +2,27 @@
 import { priorityLevels } from '../../model/job.js';
 import { type Job } from '../../model/entities.js';
 
-/** What the order depends on. */
+/** Settings that determine the rank of jobs. */
 export interface RankSettings {
-  /** A wait this long counts like one priority class (aging, m03 §7). */
+  /** Waiting this long, in milliseconds, raises a job's rank by one priority class (aging, m03 §7). */
   agingMs: number;
-  /** What each preemption of a job adds to its rank, as a share of a priority class. */
+  /** Amount by which each preemption of a job raises its rank, as a fraction of a priority class. */
   preemptionBonus: number;
-  /** What a job that can meet no start deadline any more yields, as a share of a priority class. */
+  /** Amount by which missing all start deadlines lowers a job's rank, as a fraction of a priority class. */
   missedDeadlinePenalty: number;
-  /** Latest starts by which the job meets its objectives, as times since submission, in any order. */
+  /** Returns the latest start for each of the job's objectives, in ms since submission, in any order. */
   startDeadlines(job: Job): readonly number[];
 }
 
 /**
- * The time at which a job would have had to be submitted, at the lowest priority and without start
- * deadlines, to rank the same. All jobs age alike, so the order of two jobs hardly changes while they
- * wait, and any job is in the end before all that come later: there is no starvation.
+ * Returns the rank of a job as a virtual submission time: when a job of the lowest priority without start
+ * deadlines would have to be submitted to get the same rank. All jobs age at the same rate, so the order of
+ * two jobs rarely changes while they wait. Every job eventually ranks
+ * before all jobs submitted later, so no job starves.
  *
- * Within a priority, jobs that have to start sooner go first. A job that has missed a deadline is ranked
- * by its next one, and after its last yields by a fixed amount: each step is taken once and is bounded,
- * and makes way for work that can still be in time.
+ * Within a priority, jobs with earlier start deadlines go first. When a job misses a deadline, it is ranked
+ * by its next one; when it misses the last one, its rank is lowered by a fixed amount. Each of these steps
+ * is bounded and taken once. It lets jobs go first that can still meet their deadlines.
  */
 export function rankTime(job: Job, settings: RankSettings, now: number): number {
   const deadlines = settings.startDeadlines(job);
@@ -42,18 +43,21 @@
   );
 }
 
-/** A job with what decides its turn in one pass. */
+/** A waiting job with the values that determine its position in the queue of one pass. */
 export interface QueuedJob {
   job: Job;
-  /** See `rankTime`; lower goes first. */
+  /** Result of `rankTime`; the lower value goes first. */
   rank: number;
-  /** Work was preempted for it lately. */
+  /** Whether tasks were preempted for the job within the last worker lease, and some of it still waits. */
   hasPreempted: boolean;
-  /** An array's second turn in the pass, on machines that have to fetch its image. */
+  /**
+   * Whether this is the second entry of the job in the pass, in which its tasks may also start on machines
+   * that have to fetch the image.
+   */
   acceptsFetch: boolean;
 }
 
-/** Ranks a job that waits. */
+/** Creates the queue entry of a waiting job. */
 export function queuedJob(job: Job, settings: RankSettings, now: number): QueuedJob {
   return {
     job,
@@ -68,7 +72,7 @@
   return a < b ? -1 : 1;
 }
 
-/** Total order of waiting jobs and of reservations: rank, submission, id. Lower goes first. */
+/** Total order of waiting jobs, for use with `sort`: by rank, then submission time, then id. */
 export function compareRank(a: QueuedJob, b: QueuedJob): number {
   return (
     a.rank - b.rank ||
@@ -77,16 +81,23 @@
   );
 }
 
-/** Whether it is a service of the highest priority: it takes little, and each second is downtime. */
+/**
+ * Returns whether the job is a service of the highest priority. Such services need little capacity, and
+ * every second that a replica waits is downtime.
+ */
 function isProductionService({ job }: QueuedJob): boolean {
   return job.isService && job.level === priorityLevels.production;
 }
 
 /**
- * Whose turn it is. First production services, then jobs for which work was just preempted: its victims
- * may well rank higher, by their submission or by the preemption, and would take the capacity back in
- * the next pass. Then work inside its team's guarantee, which must not wait for what other teams borrow,
- * nor for their reservations. Then rank.
+ * Order of the queue of a pass, for use with `sort`:
+ * 1. Production services.
+ * 2. Jobs for which tasks were preempted recently. The preempted jobs may rank higher, because they were
+ *    submitted earlier or because preemption raises their rank, and would otherwise take the freed capacity
+ *    back in the next pass.
+ * 3. Jobs covered by their team's guarantee, which must not wait for capacity that other teams borrow or
+ *    reserve.
+ * 4. All other jobs. Jobs of the same group are ordered by rank.
  */
 export function compareQueued(a: QueuedJob, b: QueuedJob): number {
   return (
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -1,4 +1,4 @@
-/** Placement of waiting jobs: the parts of a pass put together, and its beginning and end. */
+/** Placement of waiting jobs: creates the components of a placement pass and runs the pass. */
 import type { Job, Machine } from '../model/entities.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { EventLoop } from '../runtime/event-loop.js';
@@ -24,13 +24,13 @@
 import { CandidateFinder } from './search/candidate-finder.js';
 import { ReservationCandidateFinder } from './search/reservation-candidate-finder.js';
 
-/** What placement asks of the controller around it. */
+/** Callbacks from placement into the controller. */
 export interface PlacementHooks {
-  /** This term has used up its attempt numbers: a new one must begin. */
+  /** Called when the attempt numbers of this term are used up, so that a new term must begin. */
   attemptsExhausted(): void;
 }
 
-/** Whether the job has tasks that may be placed now. */
+/** Returns whether the job has pending tasks that may be placed now. */
 function isWaiting(job: Job, now: number): boolean {
   return (
     job.pending.length > 0 && !job.gangRestarting && job.ending === null && job.backoffUntil <= now
@@ -47,11 +47,12 @@
 }
 
 /**
- * Places waiting jobs, by rank. A gang that does not fit reserves the machines that it is to start on;
- * lower ranks get only what is left, or short work that ends before the reservation is filled (m03 R2).
+ * Places waiting jobs in order of rank. A gang that does not fit reserves the machines on which it will
+ * start. Jobs of lower rank may use only unreserved capacity, or reserved capacity for tasks that are
+ * expected to end before the reservation is filled (backfill; m03 R2).
  */
 export class Placement {
-  /** What found no free capacity in the last pass. */
+  /** The tasks for which the last finished pass found no free capacity. */
   shortages: Shortage[] = [];
   private current: PlacementPass | null = null;
   private readonly rankSettings: RankSettings;
@@ -93,28 +94,28 @@
     this.independentTaskPlacer = new IndependentTaskPlacer(parts);
   }
 
-  /** Restores the reservations of earlier leaders, after a failover. */
+  /** Restores the reservations recorded by earlier leaders; called after a failover. */
   loadReservations(): void {
     this.reservations.load(this.table);
   }
 
-  /** Tasks preempted in this term. */
+  /** Number of tasks preempted in this term. */
   get preemptionCount(): number {
     return this.preemptor.count;
   }
 
-  /** Whether a pass has begun and not come to its end. */
+  /** Whether a pass has begun and is not finished. */
   get passInProgress(): boolean {
     return this.current !== null;
   }
 
-  /** Runs a whole pass. */
+  /** Runs a complete pass without interruption. */
   runPass(): void {
     this.begin();
     this.advance(Infinity);
   }
 
-  /** Begins a pass over the jobs that wait now. */
+  /** Begins a pass over the jobs that are waiting now; `advance` runs it. */
   begin(): void {
     const now = this.eventLoop.now();
     this.guarantees.mark(this.table.jobs.values());
@@ -136,12 +137,15 @@
     this.current = new PlacementPass(now, cluster, queue, lowestLevel);
   }
 
-  /** Goes on with the pass until `deadline`, on the controller's clock; true once it is over. */
+  /**
+   * Continues the pass until it is finished or the time `deadline` (on the controller's clock) is reached.
+   * At least one job is processed per call. Returns whether the pass is finished.
+   */
   advance(deadline: number): boolean {
     const pass = this.current;
     if (pass === null) return true;
     const now = this.eventLoop.now();
-    // Heartbeats may have come since: machines that must not be used any more are left out.
+    // Heartbeats may have arrived since the last call, so machines may have become unschedulable.
     if (pass.isStarted()) pass.resume(now, (machine) => this.isSchedulable(machine, now));
     while (!pass.isFinished()) {
       const queued = pass.take();
--- a/src/controller/placement/placers/blocked-reason.ts
+++ b/src/controller/placement/placers/blocked-reason.ts
@@ -1,7 +1,7 @@
-/** Why a job waits, as its users are told. */
+/** The reason shown to users for why a job is waiting. */
 import type { Job } from '../../model/entities.js';
 
-/** Sets why the job waits; empty: nothing keeps it from being placed. */
+/** Sets the reason why the job is waiting; the empty string means that there is none to report. */
 export function setBlockedReason(job: Job, reason: string): void {
   if (job.blockedReason === reason) return;
   job.blockedReason = reason;
--- a/src/controller/placement/service-cancellation.test.ts
+++ b/src/controller/placement/service-cancellation.test.ts
@@ -60,9 +60,9 @@
     assertCancelled(cluster, job);
   });
 
-  for (const { condition, recovers: recovers } of [
+  for (const { condition, recovers } of [
     { condition: 'once its unresponsive machine is heard again', recovers: true },
-    { condition: 'with the worker lease of a machine that stays unresponsive', returns: false },
+    { condition: 'with the worker lease of a machine that stays unresponsive', recovers: false },
   ])
     it(`ends ${condition}`, () => {
       const cluster = serviceCluster(workersAlike(1));
