--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -1,4 +1,4 @@
-/** Placement of gangs: all tasks at once, or a reservation for them. */
+/** Placement of gangs: starts all tasks of a gang at once, or reserves machines for them. */
 import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import { setBlockedReason } from './blocked-reason.js';
@@ -10,16 +10,16 @@
 import type { TeamUsage } from '../../workers/team-usage.js';
 import { addTasks, zoneAllowance, zoneChoices, type TasksByZone } from '../capacity/zones.js';
 
-/** An image fetch that is no longer than this is made at once, in heartbeat intervals. */
+/** A gang does not wait to avoid an image fetch of at most this length, in heartbeat intervals. */
 const SHORT_FETCH_INTERVALS = 2;
 
 /**
- * Waiting has to take less than this share of a fetch: fetches take their nominal time give or take a
- * third.
+ * A gang waits for machines that have its image only if the wait is shorter than this fraction of the
+ * fetch time. The margin is needed because fetches differ from their nominal time by up to a third.
  */
 const MAX_WAIT_TO_FETCH_RATIO = 0.7;
 
-/** What the placement of gangs relies on. */
+/** Dependencies of `GangPlacer`. */
 export interface GangPlacerParts {
   settings: Pick<Settings, 'heartbeatIntervalMs' | 'startObjectiveMs'>;
   teamUsage: Pick<TeamUsage, 'allowance'>;
@@ -29,11 +29,11 @@
   reservations: Pick<GangReservations, 'drop' | 'find' | 'reserve'>;
 }
 
-/** Starts gangs that fit, and reserves machines for those that don't. */
+/** Starts gangs that fit now, and reserves machines for the others. */
 export class GangPlacer {
   constructor(private readonly parts: GangPlacerParts) {}
 
-  /** Starts the gang or, where it does not fit or better machines come free soon, reserves machines. */
+  /** Starts the gang, or reserves machines if it does not fit or better machines will be free soon. */
   place(pass: PlacementPass, job: Job): void {
     const { reservations, teamUsage } = this.parts;
     const { tasks } = job.spec;
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Whether to wait though the gang fits, for machines that have its image and are free before a fetch
-   * on the picked ones would end.
+   * Returns whether a gang that fits now should wait nevertheless, because it can run earlier on machines
+   * that will be free soon than on the picked ones, which have to fetch its image.
    */
   private worthWaiting(pass: PlacementPass, job: Job, picked: readonly Candidate[]): boolean {
     const { estimator, reservations, settings } = this.parts;
@@ -85,13 +85,16 @@
     const waitMs = readyAt - pass.now;
     const objectiveMs = settings.startObjectiveMs(job.spec.class);
     const timeToObjectiveMs = objectiveMs === null ? 0 : objectiveMs - (pass.now - job.submittedAt);
-    // Waiting meets the objective and fetching does not, or waiting is clearly shorter.
+    // Wait if only waiting meets the start objective, or if waiting is clearly shorter than the fetch.
     if (fetchMs > timeToObjectiveMs && waitMs < timeToObjectiveMs) return true;
     return waitMs < fetchMs * MAX_WAIT_TO_FETCH_RATIO;
   }
 }
 
-/** The best machines for all of the gang's tasks, in one zone where one is named; `null`: too few. */
+/**
+ * Picks machines for all of the gang's tasks, in the order of `candidates`; within `zone` unless it is null.
+ * Returns null if they have too little capacity.
+ */
 export function pickForGang(
   { spec }: Job,
   candidates: readonly Candidate[],
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -1,4 +1,4 @@
-/** Reservations of gangs that cannot start yet: recorded until the gang starts or ends (m03 R2). */
+/** Reservations of gangs that cannot start yet, recorded until the gang starts or ends (m03 R2). */
 import type { EventLoop } from '../../runtime/event-loop.js';
 import type { GangReservation } from '../../model/job.js';
 import type { Assignment, Job } from '../../model/entities.js';
@@ -18,38 +18,39 @@
 } from '../search/reservation-candidate-finder.js';
 import { spreadAllowance, zoneChoices } from '../capacity/zones.js';
 
-/** Prefix of the keys of recorded reservations; the job's id follows. */
+/** Prefix of the keys of reservation records; the job id follows it. */
 const KEY_PREFIX = 'h/';
 
-/** Work is preempted this long before a gang's reservation should be filled, in heartbeat intervals. */
+/** Minimum lead of preemption before a reservation is expected to be filled, in heartbeat intervals. */
 const PREEMPTION_LEAD_INTERVALS = 3;
 
-/** Time allowed for the victims to save their checkpoints, as a ratio to the longest save. */
+/** Time allowed for the victims to save their checkpoints, as a multiple of the longest save time. */
 const SAVE_MARGIN = 1.5;
 
-/** The key of the record of the machines that a gang has reserved. */
+/** Returns the key of the record that holds a gang's reservation. */
 export function reservationKey(jobId: string): string {
   return `${KEY_PREFIX}${jobId}`;
 }
 
-/** The machines that a gang reserves, and what is to be preempted for it. */
+/** The capacity that a gang reserves, and the tasks to preempt for it. */
 export interface GangCapacity {
-  /** One for each task, as far as there are. */
+  /** One entry per task; fewer if there are not enough machines. A machine may occur several times. */
   capacities: FreeCapacity[];
-  /** When all of them should have free capacity; `Infinity`: never. */
+  /** When all of them are expected to have free capacity; `Infinity` if that is never expected. */
   fillAt: number;
-  /** When the gang could run there, image fetches included. */
+  /** When the gang is expected to run there, after all image fetches. */
   readyAt: number;
+  /** The tasks to preempt. */
   victims: readonly Assignment[];
 }
 
-/** One candidate for each task, as far as there are, and when all should have free capacity. */
+/** At most one candidate per task, and when all of the gang is expected to have free capacity. */
 interface GangCandidates {
   candidates: ReservationCandidate[];
   fillAt: number;
 }
 
-/** What reservations rely on. */
+/** Dependencies of `GangReservations`. */
 export interface GangReservationParts {
   eventLoop: Pick<EventLoop, 'log' | 'now'>;
   settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
@@ -59,11 +60,11 @@
   preemptor: Pick<Preemptor, 'preemptAll'>;
 }
 
-/** Finds and keeps the machines that waiting gangs reserve. */
+/** Finds machines for waiting gangs to reserve, and records the reservations. */
 export class GangReservations {
   constructor(private readonly parts: GangReservationParts) {}
 
-  /** Restores the recorded reservations after a failover, and deletes those of jobs that are gone. */
+  /** Restores the recorded reservations after a failover, and deletes those of unknown jobs. */
   load({ jobs }: Pick<JobTable, 'jobs'>): void {
     const { eventLoop, records } = this.parts;
     for (const { key, value } of records.list(KEY_PREFIX)) {
@@ -81,14 +82,17 @@
     }
   }
 
-  /** Gives up what the gang has reserved. */
+  /** Removes the gang's reservation and its record. */
   drop(job: Job): void {
     if (job.reservation === null) return;
     job.reservation = null;
     this.parts.records.set(reservationKey(job.spec.id), undefined, 'deferrable');
   }
 
-  /** Claims capacity for the gang against lower ranks, and preempts work once the gang is about to fit. */
+  /**
+   * Claims capacity for the gang, which lower-ranked jobs may not use in this pass, and preempts tasks once
+   * the whole gang is about to fit.
+   */
   reserve(pass: PlacementPass, job: Job): void {
     const { preemptor, settings } = this.parts;
     const { tasks } = job.spec;
@@ -99,15 +103,16 @@
     const places = `${capacities.length} of ${tasks} places on ${machineCount} machines`;
     const hasWaitedLong = pass.now - job.waitingSince > longWaitMs;
     setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${places}` : '');
-    // Preemption pays only if the whole gang can start then, and soon: until what else it waits for has
-    // ended, the work may go on.
+    // Preempting is useful only if it lets the whole gang start soon. While the gang also waits for other
+    // tasks to end, the victims may keep running.
     const fillsSoon = fillAt - pass.now <= this.preemptionLeadMs(victims);
     if (capacities.length === tasks && fillsSoon) preemptor.preemptAll(victims, job);
   }
 
   /**
-   * How long before a gang's reservation should be filled work is preempted for it. The victims' saves
-   * are no reason to put it off: where heartbeats come often, a save takes many heartbeat intervals.
+   * Returns how long before a reservation is expected to be filled its victims are preempted. The time
+   * includes the saves of their checkpoints: with short heartbeat intervals a save takes many of them, and
+   * a lead in heartbeat intervals alone would never be reached.
    */
   private preemptionLeadMs(victims: readonly Assignment[]): number {
     const { heartbeatIntervalMs } = this.parts.settings;
@@ -119,8 +124,9 @@
   }
 
   /**
-   * The machines for the gang: those it has reserved already, or after a while the best that there are by
-   * now. Searching for them is what costs most in a pass.
+   * Returns the machines for the gang: those of its reservation, or the result of a new search if the
+   * reservation is too old or unusable. Results are reused because the search is the most expensive part
+   * of a pass.
    */
   find(pass: PlacementPass, job: Job): GangCapacity {
     const reservedCapacity = this.findReserved(pass, job.reservation);
@@ -130,7 +136,7 @@
     return gangCapacity;
   }
 
-  /** `null`: nothing is reserved, some of it cannot be used, or it is time for another search. */
+  /** Returns null if nothing is reserved, a reserved machine is unusable, or a new search is due. */
   private findReserved(
     pass: PlacementPass,
     reservation: GangReservation | null,
@@ -162,7 +168,7 @@
     };
   }
 
-  /** Of the zones that the gang may be in, the one with the most candidates, then the soonest. */
+  /** Searches each zone choice; the one with the most candidates wins, then the one filled earliest. */
   private bestCandidates(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
     let best: GangCandidates = { candidates: [], fillAt: Infinity };
--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -1,4 +1,4 @@
-/** Placement of tasks that start one by one: those of job arrays, and replicas of services. */
+/** Placement of tasks that start independently: tasks of job arrays and replicas of services. */
 import type { Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { CandidateFinder } from '../search/candidate-finder.js';
@@ -15,10 +15,10 @@
 import type { TeamUsage } from '../../workers/team-usage.js';
 import { addTasks, tasksByZone, zoneAllowance, type TasksByZone } from '../capacity/zones.js';
 
-/** Tasks of one job for which work is preempted in one pass. */
+/** Maximum number of tasks of one job for which other tasks are preempted in one pass. */
 const MAX_PREEMPTING_TASKS = 8;
 
-/** What the placement of independent tasks relies on. */
+/** Dependencies of `IndependentTaskPlacer`. */
 export interface IndependentTaskPlacerParts {
   settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
   teamUsage: Pick<TeamUsage, 'allowance'>;
@@ -29,7 +29,7 @@
   preemptor: Pick<Preemptor, 'preemptAll'>;
 }
 
-/** Places tasks that start one by one, and preempts work for them where it may. */
+/** Places tasks that start independently, and preempts other tasks for them if their job may do so. */
 export class IndependentTaskPlacer {
   constructor(private readonly parts: IndependentTaskPlacerParts) {}
 
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Whether the job has time. It yields machines where it would fetch its image to jobs that need not:
-   * it has its turn there after all others in the same pass. So nothing stands idle for it; and its
-   * patience ends well before its start deadline.
+   * Returns whether the next start deadline is far enough away for the job to prefer machines that have its
+   * image. Such a job tries the other machines at the end of the same pass, after jobs that may have their
+   * image there, so no machine stays idle because of it. The preference ends well before the deadline.
    */
   private canWaitForImage(job: Job, now: number): boolean {
     const waitedMs = now - job.submittedAt;
@@ -65,7 +65,7 @@
     );
   }
 
-  /** Starts tasks where they fit; returns how many of those wanted fit nowhere. */
+  /** Starts at most `maxTasks` tasks; returns how many of them did not fit. */
   private start(pass: PlacementPass, job: Job, maxTasks: number, warmOnly: boolean): number {
     const { spec } = job;
     const isZoneLimited = spec.singleZone || spec.spread;
@@ -87,7 +87,7 @@
     return unplaced;
   }
 
-  /** Whether work may be preempted for the job, and the last search for it is long enough ago. */
+  /** Returns whether the job may preempt tasks, and its last search for victims is long enough ago. */
   private mayPreempt(pass: PlacementPass, job: Job): boolean {
     const { settings } = this.parts;
     const refreshMs = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Preempts work for the job's tasks one by one, so that work inside a guarantee need not wait for what
-   * others run on borrowed capacity.
+   * Preempts victims for each of the job's tasks separately, so that, for instance, a job covered by its
+   * team's guarantee does not wait for tasks that other teams run on borrowed capacity.
    */
   private preemptForTasks(pass: PlacementPass, job: Job, tasks: number): void {
     const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
--- a/src/controller/placement/placers/task-starter.ts
+++ b/src/controller/placement/placers/task-starter.ts
@@ -1,15 +1,15 @@
-/** Assignment of tasks to machines, under attempt numbers that are unique over all terms. */
+/** Assignment of tasks to machines, with attempt numbers that are unique across all terms. */
 import type { Job } from '../../model/entities.js';
 import type { Workers } from '../../workers/workers.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 
-/** Attempt numbers of one term. */
+/** Number of attempt numbers available in one term. */
 const ATTEMPTS_PER_TERM = 2 ** 22;
 
-/** What assigns tasks to machines. */
+/** Assigns tasks to machines in the current term. */
 export type TaskAssigner = Pick<Workers, 'assign' | 'term'>;
 
-/** Starts tasks and numbers their attempts. The term makes the numbers unique over all leaders. */
+/** Starts tasks and numbers their attempts. The numbers contain the term, so no two leaders share one. */
 export class TaskStarter {
   private attempts = 0;
 
@@ -19,14 +19,17 @@
     private readonly attemptsExhausted: () => void,
   ) {}
 
-  /** A new attempt number, for a gang as a whole or for tasks that start one by one. */
+  /** Returns a new attempt number, for a whole gang or for tasks that start independently. */
   nextAttempt(): number {
     this.attempts++;
     if (this.attempts >= ATTEMPTS_PER_TERM) this.attemptsExhausted();
     return this.workers.term * ATTEMPTS_PER_TERM + this.attempts;
   }
 
-  /** Starts `count` pending tasks of the job on a machine. `attempt`: for a gang, whose tasks share one. */
+  /**
+   * Starts up to `count` pending tasks of the job on a machine. For a gang, whose tasks share one attempt
+   * number, `attempt` is that number.
+   */
   start(job: Job, capacity: FreeCapacity, count: number, attempt?: number): void {
     capacity.forecast = null;
     for (let started = 0; started < count; started++) {
