--- a/src/controller/placement/preemption/capacity-plan.ts
+++ b/src/controller/placement/preemption/capacity-plan.ts
@@ -1,32 +1,36 @@
-/** When and how a machine can have free capacity for one more task. */
+/** Plans of when and how a machine gets free capacity for one more task. */
 import type { Assignment, Job } from '../../model/entities.js';
 
-/** How a machine gets free capacity for one task. */
+/** A plan of how a machine gets free capacity for one task. */
 export interface CapacityPlan {
-  /** From when on the task fits, on the controller's clock. */
+  /** When the task is expected to fit, on the controller's clock. */
   fillAt: number;
-  /** What has to be preempted for it. */
+  /** The tasks to preempt. */
   victims: readonly Assignment[];
-  /** Work that preempting the victims would lose. */
+  /** Cost of preempting the victims, in ms of run time; see `PreemptionPolicy.lostWorkMs`. */
   lostWorkMs: number;
-  /** The capacity comes from tasks that are being stopped already. */
+  /** Whether the plan uses capacity of tasks that are already being stopped. */
   hasStopping: boolean;
 }
 
-/** For whom capacity is searched. */
+/** A search for capacity for one job. */
 export interface CapacitySearch {
+  /** Time of the search, on the controller's clock. */
   now: number;
   job: Job;
-  /** Only capacity for which tasks are being stopped or would be preempted, none that is waited for. */
+  /**
+   * Whether to consider only capacity of tasks that are being stopped or would be preempted, and not
+   * capacity of tasks that end without being stopped.
+   */
   onlyByPreemption: boolean;
 }
 
-/** How much sooner a job has to start for each millisecond of work that is lost for it. */
+/** Preemption must let a job start at least this many ms earlier for each ms of work that it loses. */
 export const LOST_WORK_WEIGHT = 0.15;
 
 const NO_VICTIMS: readonly Assignment[] = [];
 
-/** A plan by which nothing more has to be preempted. */
+/** Creates a plan that preempts no further tasks. */
 export function planWithoutVictims(fillAt: number, hasStopping = false): CapacityPlan {
   return { fillAt, victims: NO_VICTIMS, lostWorkMs: 0, hasStopping };
 }
--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -1,4 +1,4 @@
-/** Plans for when a machine has free capacity for a task, by itself or by preemption. */
+/** Planning of when a machine has free capacity for a task, with or without preemption. */
 import type { Settings } from '../../settings/settings.js';
 import type { Assignment } from '../../model/entities.js';
 import type { ResourceRequest } from '../../model/resource-request.js';
@@ -15,10 +15,13 @@
 import type { PreemptionPolicy } from './preemption-policy.js';
 import { VictimSelector } from './victim-selector.js';
 
-/** How many tasks that may not be preempted are waited for on a machine while others are preempted. */
+/**
+ * Maximum number of tasks per machine that a plan with preemption waits for because the job may not preempt
+ * them.
+ */
 const MAX_AWAITED_TASKS = 4;
 
-/** Finds out when machines should have free capacity, and what to preempt for it. */
+/** Plans when machines will have free capacity, and which tasks to preempt for it. */
 export class CapacityPlanner {
   private readonly hypothetical = new HypotheticalCapacity();
   private readonly victimSelector: VictimSelector;
@@ -31,16 +34,22 @@
     this.victimSelector = new VictimSelector(settings, policy, this.hypothetical);
   }
 
-  /** Whether tasks are being stopped on the machine, or might be for the job. Cheap: it is asked first. */
+  /**
+   * Returns whether tasks on the machine are being stopped or might be preempted for the job. This is a
+   * cheap check to make before `plan`.
+   */
   mayFreeCapacity({ job, now }: CapacitySearch, capacity: FreeCapacity): boolean {
     const forecast = this.forecaster.forecast(capacity, now);
     return forecast.hasStopping || this.policy.mightPreempt(job, forecast);
   }
 
   /**
-   * When the machine should have capacity for one more of the job's tasks, by itself or by preemption;
-   * `null`: never. `plannedTasks`: tasks of the job that are to go there already; `plannedVictims`:
-   * tasks that are to be preempted for them.
+   * Plans when the machine will have capacity for one more of the job's tasks, with or without preemption.
+   * @param search - the job, the time and the restrictions of the search
+   * @param capacity - the free capacity of the machine
+   * @param plannedTasks - number of the job's tasks that are already planned for the machine
+   * @param plannedVictims - tasks that are already planned to be preempted for the job
+   * @returns the plan, or null if the machine is not expected to have the capacity at any time
    */
   plan(
     search: CapacitySearch,
@@ -55,7 +64,7 @@
     if (hypothetical.fits(job.spec)) return planWithoutVictims(now);
     const forecast = this.forecaster.forecast(capacity, now);
     const waitingPlan = this.planByWaiting(forecast, job.spec);
-    // Soon free, by itself or because it was stopped: nothing more needs stopping.
+    // Enough tasks end within a heartbeat interval, so no other task has to be stopped.
     if (waitingPlan === null || waitingPlan.fillAt - now < this.settings.heartbeatIntervalMs)
       return waitingPlan;
     const fillAtByWaiting = waitingPlan.fillAt;
@@ -69,7 +78,10 @@
     return this.planByPreemption(search, forecast, plannedVictims, stoppedAt, fillAtByWaiting);
   }
 
-  /** The plan to wait until enough tasks have ended by themselves; `null`: there are never enough. */
+  /**
+   * Plans to wait until enough tasks have ended without further preemption. Returns null if that is never
+   * expected.
+   */
   private planByWaiting(forecast: MachineForecast, request: ResourceRequest): CapacityPlan | null {
     let hasStopping = false;
     for (const { assignment, endsAt } of forecast.expectedEnds) {
@@ -81,7 +93,7 @@
     return null;
   }
 
-  /** Releases what is being stopped, or will be for the job; returns when all of that has ended. */
+  /** Releases tasks that are being stopped or are planned victims; returns when all of them will have ended. */
   private releaseStopping(
     forecast: MachineForecast,
     plannedVictims: Set<Assignment>,
@@ -101,8 +113,8 @@
   }
 
   /**
-   * The plan to preempt work, unless waiting until `naturalFillAt` costs less. Tasks that may not be
-   * preempted are waited for, as few as will do, and the rest is preempted.
+   * Plans to preempt tasks, unless waiting until `fillAtByWaiting` costs less. If the request does not fit
+   * by preemption alone, the plan also waits for tasks that the job may not preempt, as few as possible.
    */
   private planByPreemption(
     search: CapacitySearch,
--- a/src/controller/placement/preemption/machine-forecaster.ts
+++ b/src/controller/placement/preemption/machine-forecaster.ts
@@ -4,14 +4,14 @@
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import type { PreemptionPolicy } from './preemption-policy.js';
 
-/** Makes the forecast of a machine once in a pass, and again after tasks were started there. */
+/** Makes one forecast per machine and pass, and a new one after tasks were started on the machine. */
 export class MachineForecaster {
   constructor(
     private readonly estimator: Pick<DurationEstimator, 'remainingMs'>,
     private readonly policy: Pick<PreemptionPolicy, 'latestEligibleStart'>,
   ) {}
 
-  /** The forecast of the machine, kept with its free capacity. */
+  /** Returns the machine's forecast, which is cached in `capacity.forecast`. */
   forecast(capacity: FreeCapacity, now: number): MachineForecast {
     capacity.forecast ??= this.make(capacity, now);
     return capacity.forecast;
--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -1,11 +1,11 @@
-/** Which tasks may be preempted for a job, in which order, and what that loses. */
+/** Policy of preemption: which tasks a job may preempt, in which order, and how much work that loses. */
 import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
 import type { ExpectedEnd, MachineForecast } from '../capacity/machine-forecast.js';
 import type { TeamUsage } from '../../workers/team-usage.js';
 
-/** Most that a task with checkpoints loses, as a multiple of the time of a save. */
+/** Upper bound of the run time that a task with checkpoints is assumed to lose, in checkpoint save times. */
 const MAX_LOST_SAVE_MULTIPLE = 2;
 
 /** The rules of preemption (PROTOCOL, "Preemption"; m03 §7). */
@@ -16,31 +16,37 @@
     private readonly teamUsage: Pick<TeamUsage, 'borrows'>,
   ) {}
 
-  /** Tasks assigned later than this are too young to be preempted. */
+  /** Returns the latest time of assignment at which a task is old enough now to be preempted. */
   latestEligibleStart(now: number): number {
     return now - this.settings.get('placement.victim.age.s') * 1000;
   }
 
-  /** Whether any task of a machine might be preempted for the job. Cheap: it is asked first. */
+  /** Returns whether the job might preempt any task in the forecast; a cheap check before `mayPreempt`. */
   mightPreempt(job: Job, forecast: MachineForecast): boolean {
     return forecast.lowestLevel < job.level || (job.guaranteed && forecast.hasUnguaranteed);
   }
 
-  /** Whether the job may preempt the task: by its priority, or by its guarantee against borrowed capacity. */
+  /**
+   * Returns whether the job may preempt the task, either because of its higher priority or because it is
+   * covered by its team's guarantee and the task runs on capacity borrowed by another team.
+   */
   mayPreempt(job: Job, now: number, task: Assignment): boolean {
     const owner = task.job;
     if (owner === null || owner.gangRestarting || owner.terminalState !== null) return false;
-    // All replicas of a service are needed: nothing says otherwise.
+    // A service needs all of its replicas, since a job cannot state that fewer are enough.
     if (owner.spec.kind === 'service') return false;
     if (now - task.assignedAt < this.settings.get('placement.victim.age.s') * 1000) return false;
     const isOtherTeam = task.team !== job.spec.team;
-    // Work inside its team's guarantee never yields to another team (m03 §7).
+    // A job covered by its team's guarantee is never preempted for another team (m03 §7).
     if (owner.guaranteed && isOtherTeam) return false;
     if (owner.level < job.level) return true;
     return job.guaranteed && isOtherTeam && !owner.guaranteed && this.teamUsage.borrows(task);
   }
 
-  /** Puts those to preempt first first: on borrowed capacity before others, then the newest (m03 §7). */
+  /**
+   * Sorts tasks in the order of preemption: tasks on borrowed capacity first, and among equal ones the most
+   * recently assigned first (m03 §7).
+   */
   sortVictims(ends: ExpectedEnd[]): void {
     ends.sort(
       ({ assignment: first }, { assignment: second }) =>
@@ -49,7 +55,10 @@
     );
   }
 
-  /** What preempting a task costs: its run since the last checkpoint, and starting it again. */
+  /**
+   * Estimates the cost of preempting a task, in ms: the run time lost since its last checkpoint, and the
+   * time that it takes to start again.
+   */
   lostWorkMs(task: Assignment, now: number): number {
     if (task.job === null || task.state === 'fetching' || task.state === null) return 0;
     const { spec } = task.job;
@@ -60,7 +69,7 @@
       spec.checkpointIntervalS > 0
         ? Math.min(elapsedMs, spec.checkpointSaveS * MAX_LOST_SAVE_MULTIPLE * 1000)
         : elapsedMs;
-    // A gang has to find its places once more.
+    // A preempted gang must also wait for machines for all of its tasks again.
     return lostMs + restartMs + (spec.kind === 'gang' ? this.estimator.runMs(spec) : 0);
   }
 }
--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -1,26 +1,30 @@
-/** Preemption of tasks, and its limit. */
+/** Preemption of tasks, limited to a share of all tasks per worker lease. */
 import type { EventLoop } from '../../runtime/event-loop.js';
 import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
 
-/** Tasks that may be preempted within a worker lease, however few there are in all. */
+/** Number of tasks that may be preempted within a worker lease, however few tasks are assigned in all. */
 const MIN_LIMIT = 4;
 
-/** What stops tasks on their workers. */
+/** Stops tasks on their workers. */
 export type TaskStopper = Pick<Workers, 'assignedCount' | 'stop' | 'stopJob'>;
 
-/** Tells what preempting a task loses. */
+/** Estimates the cost of preempting a task. */
 export interface PreemptionCost {
   lostWorkMs(assignment: Assignment, now: number): number;
 }
 
-/** Preempts tasks for jobs that go before them, at most a share of all tasks within a worker lease. */
+/**
+ * Preempts tasks for jobs that take precedence, up to a share of all assigned tasks within any worker
+ * lease.
+ */
 export class Preemptor {
-  /** Tasks preempted in this term. */
+  /** Number of tasks preempted in this term. */
   count = 0;
-  /** When tasks were preempted within the last worker lease. */
+  /** Times of the preemptions within the last worker lease. */
   private recentTimes: number[] = [];
+  /** When throttling was last logged. */
   private throttleLoggedAt = -Infinity;
 
   constructor(
@@ -30,7 +34,10 @@
     private readonly cost: PreemptionCost,
   ) {}
 
-  /** Preempts all of the victims or, where the limit does not allow that, none; returns whether it has. */
+  /**
+   * Preempts all of the victims, or none if that would exceed the limit. Returns whether the victims were
+   * preempted; true if there are none.
+   */
   preemptAll(victims: readonly Assignment[], preempting: Job): boolean {
     if (victims.length === 0) return true;
     const now = this.eventLoop.now();
@@ -60,7 +67,7 @@
         victims: victims.map((victim) => victim.jobId),
         lostTaskSeconds: Math.round(lostWorkMs / 1000),
       },
-      'preemption throttled: the job waits; raise placement.preempt.share to let it through',
+      'preemption limit reached, so the job keeps waiting; placement.preempt.share sets the limit',
     );
   }
 
@@ -79,7 +86,7 @@
         machine: victim.machine.id,
         preemptingJob: preempting.spec.id,
       },
-      'preempted',
+      'task preempted',
     );
     if (job.spec.kind === 'gang') this.workers.stopJob(job, victim.checkpointSaveS, 'preempted');
     else this.workers.stop(victim, victim.checkpointSaveS, 'preempted');
--- a/src/controller/placement/preemption/victim-selector.ts
+++ b/src/controller/placement/preemption/victim-selector.ts
@@ -1,4 +1,4 @@
-/** Selection of the tasks on one machine to preempt for a job. */
+/** Selection of tasks to preempt on one machine for a job. */
 import type { Settings } from '../../settings/settings.js';
 import type { Assignment } from '../../model/entities.js';
 import type { ResourceRequest } from '../../model/resource-request.js';
@@ -7,23 +7,24 @@
 import type { CapacityPlan, CapacitySearch } from './capacity-plan.js';
 import type { PreemptionPolicy } from './preemption-policy.js';
 
-/** The tasks of a machine that are not being stopped, by whether the job may preempt them. */
+/** The tasks of a machine that keep running, divided by whether the job may preempt them. */
 export interface TasksByEligibility {
+  /** Tasks that the job may preempt. */
   eligible: ExpectedEnd[];
-  /** Earliest end first. */
+  /** Tasks that the job may not preempt, in order of their expected ends. */
   others: ExpectedEnd[];
 }
 
-/** Selects victims, as few as will do. */
+/** Selects victims, and drops those that the selection turns out not to need. */
 export class VictimSelector {
   constructor(
     private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
     private readonly policy: Pick<PreemptionPolicy, 'lostWorkMs' | 'mayPreempt'>,
-    /** What the machine under search would have free. */
+    /** Free capacity that the machine would have without some of its tasks; the caller sets it up. */
     private readonly hypothetical: HypotheticalCapacity,
   ) {}
 
-  /** Which of the tasks that go on the job may preempt. */
+  /** Divides the tasks that are neither being stopped nor planned victims by whether the job may preempt them. */
   split(
     { now, job }: CapacitySearch,
     forecast: MachineForecast,
@@ -40,9 +41,9 @@
   }
 
   /**
-   * A plan by which eligible tasks that have not ended by `freeAt` are preempted, in the order given,
-   * until the request fits; `null`: it would not fit without all of them. The hypothetical capacity is
-   * afterwards as before.
+   * Plans to preempt eligible tasks in the given order until the request fits. Tasks expected to end by
+   * `freeAt` count as free and are not preempted. Returns null if the request would not fit even without
+   * all eligible tasks. The hypothetical capacity is restored before returning.
    */
   select(
     request: ResourceRequest,
@@ -61,7 +62,7 @@
       victims.push(assignment);
       hypothetical.release(assignment.request);
       released.push(assignment.request);
-      // Its worker hears of the preemption, and then it saves.
+      // The worker gets the stop command within a heartbeat interval; then the task saves a checkpoint.
       fillAt = Math.max(fillAt, stopDeliveredAt + assignment.checkpointSaveS * 1000);
     }
     const fits = hypothetical.fits(request);
@@ -75,7 +76,7 @@
     return { fillAt, victims, lostWorkMs, hasStopping: false };
   }
 
-  /** Releases the tasks that have ended by themselves by then; returns what they take. */
+  /** Releases the tasks expected to end by `freeAt`; returns their requests. */
   private releaseEnded(eligible: readonly ExpectedEnd[], freeAt: number): ResourceRequest[] {
     const released: ResourceRequest[] = [];
     for (const { assignment, endsAt } of eligible) {
@@ -86,7 +87,7 @@
     return released;
   }
 
-  /** Spares victims that later ones have made needless. */
+  /** Removes victims that are not needed because of victims selected after them. */
   private spareUnneededVictims(
     request: ResourceRequest,
     victims: Assignment[],
