--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -12,28 +12,28 @@
 /** A machine where tasks of a job can start now. */
 export interface Candidate {
   capacity: FreeCapacity;
-  /** How many tasks can start there. */
+  /** Number of tasks that can start there. */
   count: number;
-  /** Lower is better. */
+  /** Time of the image fetch plus penalties, in seconds; lower is better. */
   score: number;
 }
 
-/** What is the same for all machines in a search for one job. */
+/** Values of a search for one job that are the same for all machines. */
 interface CandidateSearch {
   job: Job;
   now: number;
   request: ResourceRequest;
-  /** Only machines that have the job's image, or fetch it already. */
+  /** Whether to consider only machines that have the job's image or are already fetching it. */
   warmOnly: boolean;
-  /** Share of the time until a reservation is filled that work beneath it may take. */
+  /** Fraction of the time until a claim is filled within which a backfilling task must be expected to end. */
   backfillRatio: number;
-  /** What the tasks take in the machine's record. */
+  /** Space that the tasks take in the machine's record. */
   record: RecordSpace;
-  /** When a task should end that needs no image fetch. */
+  /** When a task that needs no image fetch is expected to end, on the controller's clock. */
   endsAtWithoutFetch: number;
 }
 
-/** Finds the machines where tasks of a job can start now. */
+/** Finds machines where tasks of a job can start now. */
 export class CandidateFinder {
   constructor(
     private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
@@ -41,8 +41,9 @@
   ) {}
 
   /**
-   * Machines where tasks of the job can start now, the best first: those with its image, of little use
-   * to others, and with the tightest fit (bin packing; m03 §6, R1).
+   * Returns the machines where tasks of the job can start now, best first. Preferred are machines that have
+   * its image, are less useful to other jobs, and are left with little free capacity (bin packing; m03 §6,
+   * R1). If `warmOnly` is set, machines that would have to fetch the image are left out.
    */
   find(pass: PlacementPass, job: Job, warmOnly = false): Candidate[] {
     const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
@@ -87,7 +88,7 @@
     };
   }
 
-  /** `null`: no task of the job can start there beside the claims of others. */
+  /** Returns null if no task of the job can start there, given the claims of other jobs. */
   private evaluate(search: CandidateSearch, capacity: FreeCapacity): Candidate | null {
     const { job, now, record, backfillRatio } = search;
     const { machine } = capacity;
--- a/src/controller/placement/search/machine-penalty.ts
+++ b/src/controller/placement/search/machine-penalty.ts
@@ -1,26 +1,29 @@
 /**
- * Scoring of machines for a job, beside the fetch of its image. Among machines where tasks can start now
- * a penalty counts like as many seconds of a fetch.
+ * Penalties of machines for a job, which are added to the time of its image fetch there. When tasks can
+ * start now, one point of penalty weighs as much as one second of fetch time.
  */
 import type { Job } from '../../model/entities.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
 
-/** For work without GPUs on a machine that has some. */
+/** Penalty of a machine with GPUs for a job that needs none. */
 const UNUSED_GPUS_PENALTY = 30;
 
-/** For repeatable work on an on-demand machine, or a replica of a service on a spot one. */
+/**
+ * For jobs that may use spot machines: penalty of an on-demand machine for an array or gang, and of a spot
+ * machine for a service.
+ */
 const MARKET_PENALTY = 15;
 
-/** For a machine on which tasks of the job have failed. */
+/** Penalty of a machine on which tasks of the job have failed. */
 const FAILURE_PENALTY = 60;
 
-/** For a gang on headroom of another class. */
+/** Penalty of a machine for a gang that would use headroom kept for another class. */
 const INTRUSION_PENALTY = 25;
 
-/** For the whole machine being left over: tight fits come first. */
+/** Penalty per share of the machine that would stay free beside one task, so that tight fits are preferred. */
 const LEFTOVER_PENALTY = 10;
 
-/** What speaks against a machine for the job; lower is better. */
+/** Returns the penalty of a machine for the job; lower is better. */
 export function machinePenalty(job: Job, capacity: FreeCapacity): number {
   const { spec } = job;
   const { machine } = capacity;
@@ -28,7 +31,7 @@
   if (type === null) return Infinity;
   let penalty = 0;
   if (spec.gpus === 0 && type.gpus > 0) penalty += UNUSED_GPUS_PENALTY;
-  // Spot machines are for work that can be done again; a replica is down with each interruption.
+  // Arrays and gangs can repeat interrupted tasks; a service replica is down during each interruption.
   if (spec.spot && machine.spot === job.isService) penalty += MARKET_PENALTY;
   if (job.failedMachines.has(machine.id)) penalty += FAILURE_PENALTY;
   if (spec.kind === 'gang' && capacity.intrudesOnHeadroom(spec)) penalty += INTRUSION_PENALTY;
--- a/src/controller/placement/search/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -1,20 +1,20 @@
-/** The order in which machines take replicas of a service. */
+/** The order in which the replicas of a service are distributed over machines. */
 import type { Job } from '../../model/entities.js';
 import type { Candidate } from './candidate-finder.js';
 
-/** A machine that can take replicas, and what decides between it and others. */
+/** A machine that can take replicas, with the values by which it is compared with others. */
 interface SpreadCandidate extends Candidate {
-  /** The image has to be fetched there. */
+  /** Whether the image has to be fetched there. */
   needsFetch: boolean;
-  /** Replicas of the service that are on the machine already. */
+  /** Number of replicas of the service on the machine. */
   replicas: number;
 }
 
 /**
- * Offers places for a service's replicas one at a time, the best first, so that the loss of a machine or
- * of a zone takes few replicas. Spreading costs no image fetch, except that no machine gets more than
- * half of the replicas while another has capacity. A machine whose place is not taken when it is offered
- * is not offered again.
+ * Yields a machine for one replica of a service at a time, best first, so that the failure of a machine or
+ * a zone affects few replicas. Machines that have the image come before better spreading, except that a
+ * machine with at least half of the replicas comes after all others. If the caller starts no replica on a
+ * yielded machine, that machine is not yielded again.
  */
 export function* spreadReplicas(job: Job, candidates: readonly Candidate[]): Generator<Candidate> {
   const { machines, zones } = countReplicas(job);
@@ -44,7 +44,7 @@
   }
 }
 
-/** Counts the service's replicas by machine and by zone, those included that are not proven gone. */
+/** Counts the service's replicas by machine and zone, including replicas that are not proven gone. */
 function countReplicas(job: Job): { machines: Map<string, number>; zones: Map<string, number> } {
   const machines = new Map<string, number>();
   const zones = new Map<string, number>();
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -1,4 +1,4 @@
-/** Search for the machines that a waiting job reserves, and for the work to preempt for it. */
+/** Search for machines for a waiting job to reserve, and for tasks to preempt for it. */
 import type { Settings } from '../../settings/settings.js';
 import type { Assignment } from '../../model/entities.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
@@ -13,36 +13,38 @@
 import type { PreemptionPolicy } from '../preemption/preemption-policy.js';
 import { addTasks, type TasksByZone } from '../capacity/zones.js';
 
-/** A machine for one task, and how it gets capacity for it. */
+/** A machine for one task, with the plan by which it gets capacity. */
 export interface ReservationCandidate extends CapacityPlan {
   capacity: FreeCapacity;
 }
 
-/** For what machines are searched. */
+/** A search for machines that a job may reserve. */
 export interface ReservationSearch extends CapacitySearch {
+  /** The machines to search. */
   capacities: FreeCapacity[];
-  /** Tasks to find a machine for. */
+  /** Number of tasks to find a machine for. */
   count: number;
-  /** How many more tasks of the job a zone may take; absent where zones don't matter. */
+  /** Returns how many more tasks of the job a zone may take; absent if zones are not limited. */
   zoneAllowance?: (zone: string, tasksInZone: number) => number;
-  /** Decides between machines that are alike otherwise; lower is better. */
+  /** Returns a machine's penalty, which decides between machines of about equal cost; lower is better. */
   penalty: (capacity: FreeCapacity) => number;
 }
 
-/** What a search has found so far. */
+/** Intermediate results of a search. */
 interface SearchProgress {
-  /** Tasks that are to go to each machine. */
+  /** Number of tasks planned for each machine. */
   plannedTasks: Map<FreeCapacity, number>;
-  /** Tasks that are to be preempted. */
+  /** Tasks to be preempted. */
   plannedVictims: Set<Assignment>;
+  /** Number of tasks planned for each zone. */
   zones: TasksByZone;
-  /** Machines that the job has reserved already, by name. */
+  /** Names of the machines that the job has already reserved. */
   reserved: Set<string>;
 }
 
 /**
- * Finds the machines to reserve for a job, and the work to preempt for it. Machines are weighed by when
- * the task could start there, its image fetch included, and by the work that would be lost.
+ * Finds machines to reserve for a job, and tasks to preempt for it. The cost of a machine is the time at
+ * which the task could run there, including its image fetch, plus the weighted loss of preempted work.
  */
 export class ReservationCandidateFinder {
   private readonly forecaster: MachineForecaster;
@@ -57,7 +59,7 @@
     this.planner = new CapacityPlanner(settings, this.forecaster, policy);
   }
 
-  /** One machine for each task, best first; fewer where no more can have capacity at all. */
+  /** Returns one machine per task, best first; fewer if no other machine is expected to get capacity. */
   find(search: ReservationSearch): ReservationCandidate[] {
     const { capacities } = search;
     const candidates: ReservationCandidate[] = [];
@@ -85,7 +87,7 @@
     return candidates;
   }
 
-  /** Index of the cheapest machine whose zone may take one more task; -1: there is none. */
+  /** Returns the index of the cheapest machine whose zone may take one more task, or -1 if there is none. */
   private cheapestIndex(
     search: ReservationSearch,
     costs: Float64Array,
@@ -108,12 +110,12 @@
     return bestIndex;
   }
 
-  /** How much later a machine that the job has reserved may be than another, and still be kept. */
+  /** How much later than another machine a reserved one may be ready without losing its reservation, in ms. */
   private get stickinessMs(): number {
     return this.settings.heartbeatIntervalMs * this.settings.get('placement.hold.kept.ratio');
   }
 
-  /** When the task could start there, plus what that loses, in milliseconds; `Infinity`: never. */
+  /** Returns the cost of a machine for one more task, in ms; `Infinity` if it cannot be used. */
   private cost(
     search: ReservationSearch,
     capacity: FreeCapacity | undefined,
@@ -126,8 +128,8 @@
     if (plan === null) return Infinity;
     if (search.onlyByPreemption && plan.victims.length === 0 && !plan.hasStopping) return Infinity;
     const { machine } = capacity;
-    // Reservations last: a reserved machine is left only for a clearly better one; where work is being
-    // preempted for it, its save would be in vain.
+    // A reserved machine is replaced only by a clearly better one. The longest save is added because tasks
+    // may already be saving checkpoints there for this job, which would be useless on another machine.
     const reservedBonusMs = reserved.has(machine.id)
       ? this.stickinessMs + this.forecaster.forecast(capacity, search.now).longestSaveMs
       : 0;
