--- a/src/controller/placement/guarantees.test.ts
+++ b/src/controller/placement/guarantees.test.ts
@@ -5,8 +5,8 @@
 import { batchCluster } from '../../../test/placement-cluster.js';
 import { Guarantees } from './guarantees.js';
 
-describe('work inside a guarantee', () => {
-  it('does not wait for capacity that other teams borrow', () => {
+describe("placement of a job covered by its team's guarantee", () => {
+  it('starts all tasks although other teams have borrowed the capacity', () => {
     const owned = fc.record({
       kind: fc.constantFrom('array', 'gang'),
       tasks: fc.integer({ min: 1, max: 4 }),
@@ -45,13 +45,13 @@
 describe('Guarantees', () => {
   const team = { name: 'red', guaranteedCpus: 0, guaranteedGpus: 4, maxCpus: 0, maxGpus: 6 };
 
-  it('marks the jobs inside the guarantee of their team, earlier ones first', () => {
+  it('marks jobs covered by the guarantee of their team in order of submission', () => {
     const first = gpuJob({ gpus: 3, tasks: 1 }, 0);
     const second = gpuJob({ gpus: 2, tasks: 1 }, 1);
     const third = gpuJob({ gpus: 1, tasks: 1 }, 2);
     new Guarantees([team]).mark([third, second, first]);
     assert.ok(first.guaranteed);
     assert.ok(!second.guaranteed);
-    assert.ok(!third.guaranteed, 'the guarantee is used up by the one before');
+    assert.ok(!third.guaranteed, 'the earlier jobs use up the guarantee');
   });
 });
--- a/src/controller/placement/image-affinity.test.ts
+++ b/src/controller/placement/image-affinity.test.ts
@@ -2,10 +2,10 @@
 import { describe, it } from 'node:test';
 import { batchCluster } from '../../../test/placement-cluster.js';
 
-describe('a job array without its image on the free machine', () => {
-  // Fleet days: every array task took the next free place anywhere, and a third of all GPUs waited
-  // for images that the next machine had.
-  it('leaves the machine to one that has its image there, if it has time', () => {
+describe('placement of a job array whose image is not on the free machine', () => {
+  // Guards against array tasks that start on the first free machine regardless of images: in simulated
+  // days of a large fleet a third of all GPUs then waited for images that another machine had.
+  it('lets a job whose image is there go first if the start deadline is far away', () => {
     const cluster = batchCluster();
     cluster.run(3);
     const array = { deadlineS: 50_000, estimatedRunS: 500 };
@@ -18,13 +18,13 @@
     assert.ok(cluster.complete('req-x'));
     cluster.run(4);
     assert.deepEqual([cluster.taskCount('req-first'), cluster.taskCount('req-second')], [0, 1]);
-    // Nobody else wants the next one: nothing stands idle for the image.
+    // No other job waits for the next machine that is freed, so it does not stay idle.
     assert.ok(cluster.complete('req-x'));
     cluster.run(4);
     assert.equal(cluster.taskCount('req-first'), 1);
   });
 
-  it('takes its turn by rank, if its time is short', () => {
+  it('takes the machine in order of rank if the start deadline is close', () => {
     const cluster = batchCluster();
     cluster.run(3);
     const array = { deadlineS: 50_000, estimatedRunS: 500 };
--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -5,18 +5,18 @@
 import { NegativeSearchCache } from './pass/negative-search-cache.js';
 import type { Placement } from './placement.js';
 
-/** Remembers no search: each is made anew. */
+/** Records no failed search, so that every search is made. */
 class NoOpSearchCache extends NegativeSearchCache {
   override addNoCapacity(): void {
-    // Nothing is remembered.
+    // Records nothing.
   }
 
   override addNoVictims(): void {
-    // Nothing is remembered.
+    // Records nothing.
   }
 }
 
-/** A pass that looks at every machine for every job. */
+/** Runs a pass that searches all machines for every job. */
 function runPassWithoutCache(placement: Placement): void {
   placement.begin();
   const { current } = placement as unknown as { current: Record<string, unknown> };
@@ -26,7 +26,7 @@
 }
 
 describe('a placement pass', () => {
-  it('decides like one that does not remember its failed searches', () => {
+  it('makes the same decisions as a pass without the cache of failed searches', () => {
     const anyJob = fc.record({
       kind: fc.constantFrom<'array' | 'gang'>('array', 'gang'),
       team: fc.constantFrom('owner', 'guest'),
--- a/src/controller/placement/pass/negative-search-cache.test.ts
+++ b/src/controller/placement/pass/negative-search-cache.test.ts
@@ -5,7 +5,7 @@
 describe('NegativeSearchCache', () => {
   const request = { cpus: 2, gpus: 1, memoryGb: 4 };
 
-  it('knows that no larger request fits on the same kinds of machines, until cleared', () => {
+  it('reports no capacity for requests at least as large on the same machine kinds, until cleared', () => {
     const cache = new NegativeSearchCache();
     cache.addNoCapacity({ request: request, kinds: '0' });
     assert.ok(cache.hasNoCapacity({ request: { ...request, cpus: 3 }, kinds: '0' }));
@@ -15,7 +15,7 @@
     assert.ok(!cache.hasNoCapacity({ request: request, kinds: '0' }));
   });
 
-  it('knows that there are no victims only for jobs that may preempt no more', () => {
+  it('reports no victims only for jobs that may not preempt more than the failed one', () => {
     const cache = new NegativeSearchCache();
     const query = { request: request, kinds: '0', team: 'red', guaranteed: false, level: 1 };
     cache.addNoVictims(query);
--- a/src/controller/placement/pass/placement-pass.test.ts
+++ b/src/controller/placement/pass/placement-pass.test.ts
@@ -9,7 +9,7 @@
 } from '../../../../test/placement-fixtures.js';
 
 describe('PlacementPass', () => {
-  it('takes jobs by rank, and requeued ones after all others', () => {
+  it('takes jobs in order of rank, and requeued jobs last', () => {
     const [first, second] = [
       queued(gpuJob({ id: 'req-1' }), 1),
       queued(gpuJob({ id: 'req-2' }), 2),
@@ -23,7 +23,7 @@
     assert.ok(pass.isFinished());
   });
 
-  it('forgets what it knew of the machines when it resumes after an interruption', () => {
+  it('resets forecasts and schedulability of the machines when it resumes after an interruption', () => {
     const pass = passOver([bigMachine(), bigMachine('n-2')]);
     const capacity = capacityIn(pass, 'n-1');
     capacity.forecast = {
--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -15,7 +15,7 @@
 
 let jobCount = 0;
 
-/** A job whose id comes after those of all jobs before. */
+/** Creates a job with a higher id than all jobs created before. */
 function submitted(part: Partial<JobSpec>, submittedAt: number): Job {
   return gpuJob({ id: `req-${jobCount++}`, ...part }, submittedAt);
 }
@@ -25,13 +25,13 @@
   return compareRank(queuedJob(a, rankSettings, now), queuedJob(b, rankSettings, now));
 }
 
-/** Compares two jobs by their turn in a pass. */
+/** Compares two jobs by their position in the queue of a pass. */
 function compareTurns(a: Job, b: Job, now: number): number {
   return compareQueued(queuedJob(a, settings, now), queuedJob(b, settings, now));
 }
 
 describe('rank', () => {
-  it('orders by priority, then submission, then id', () => {
+  it('orders jobs by priority, then submission time, then id', () => {
     const low = submitted({ priority: 'low' }, 0);
     const high = submitted({ priority: 'high' }, 5000);
     const later = submitted({ priority: 'high' }, 6000);
@@ -40,7 +40,7 @@
     assert.deepEqual(sorted, [high, later, twin, low]);
   });
 
-  it('is a total order, and lets a job that has waited long go before higher priorities', () => {
+  it('is a total order, and puts a job that has waited long before newer jobs of higher priority', () => {
     const anyJob = fc.record({
       priority: fc.constantFrom<Priority>('low', 'normal', 'high', 'production'),
       submittedAt: fc.nat(1_000_000),
@@ -77,26 +77,27 @@
     ...settings,
     startDeadlines: () => [10_000, 60_000],
   };
-  it('follows the next deadline that the job can meet, and puts a late job behind the others', () => {
+  it('uses the next deadline that the job can meet, and puts a job that missed one after others', () => {
     const old = submitted({}, 0);
     const young = submitted({}, 5000);
     assert.ok(compareByRank(old, young, settingsWithDeadlines, 0) < 0);
     assert.ok(compareByRank(old, young, settingsWithDeadlines, 10_001) > 0);
     assert.ok(
       compareByRank(old, young, settingsWithDeadlines, 100_000) < 0,
-      'both late: submission decides',
+      'both jobs missed all deadlines, so the submission time decides',
     );
     const muchLater = submitted({}, 400_000);
     assert.ok(
       compareByRank(old, muchLater, settingsWithDeadlines, 400_000) < 0,
-      'late work does not starve',
+      'a job that missed its deadlines does not starve',
     );
   });
 });
 
-describe('turns in a pass', () => {
-  // Rough day, caroni: gangs of two teams stopped each other in turn, the victim always first again.
-  it('come to a gang before its victim, for as long as its preemption is recent', () => {
+describe('order of the queue of a pass', () => {
+  // Guards against gangs of two teams that preempt each other repeatedly: a preempted gang used to be
+  // placed before the gang that preempted it. Seen in a simulated day with many failures.
+  it('puts a gang before its victim while the preemption is recent', () => {
     const victim = submitted({}, 0);
     victim.preemptionCount = 1;
     const gang = submitted({}, 5000);
--- a/src/controller/placement/placers/blocked-reason.test.ts
+++ b/src/controller/placement/placers/blocked-reason.test.ts
@@ -4,7 +4,7 @@
 import { setBlockedReason } from './blocked-reason.js';
 
 describe('setBlockedReason', () => {
-  it('marks the progress of the job as changed only where the reason differs', () => {
+  it('marks the progress of the job as changed only if the reason differs', () => {
     const job = gpuJob();
     job.progressChanged = false;
     setBlockedReason(job, '');
--- a/src/controller/placement/placers/gang-placer.test.ts
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -39,7 +39,7 @@
     return calls;
   };
 
-  it('starts a gang that fits whole, reserves machines for one that does not, and blocks one beyond its limit', () => {
+  it('starts a gang that fits, reserves machines for one that does not, and blocks one over its team limit', () => {
     const gang = gpuJob({ kind: 'gang', tasks: 3 });
     const candidatesFor = (count: number) => (pass: PlacementPass) => [
       candidate(capacityIn(pass, 'n-1'), count),
@@ -50,7 +50,7 @@
     assert.equal(gang.blockedReason, "its team's limit is used up");
   });
 
-  it('picks half of a spread gang in each zone, and nothing where one zone has too few places', () => {
+  it('puts half of a spread gang into each zone, and returns null if the zone has too little capacity', () => {
     const pass = passOver([bigMachine('n-1', 'a'), bigMachine('n-2', 'b')]);
     const candidates = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 4));
     const picked = pickForGang(gpuJob({ tasks: 4, spread: true }), candidates, null);
--- a/src/controller/placement/placers/gang-reservations.test.ts
+++ b/src/controller/placement/placers/gang-reservations.test.ts
@@ -40,14 +40,14 @@
     preemptor: { preemptAll: () => true },
   });
 
-  it('are restored after a failover, and deleted for jobs that are gone', () => {
+  it('restores reservations after a failover, and deletes those of unknown jobs', () => {
     const gang = gpuJob({ kind: 'gang' });
     reservations.load({ jobs: new Map([['req-1', gang]]) });
     assert.deepEqual(gang.reservation?.machines, ['n-1']);
     assert.deepEqual([...writtenRecords], [['h/req-gone', undefined]]);
   });
 
-  it('claim capacity, last for a while without another search, and can be dropped', () => {
+  it('claims capacity, reuses a recent reservation without another search, and drops it', () => {
     const gang = gpuJob({ kind: 'gang', tasks: 2 });
     const pass = passOver([bigMachine(), bigMachine('n-2')]);
     reservations.reserve(pass, gang);
@@ -64,7 +64,7 @@
   const { heartbeatIntervalMs } = defaultSettings;
   const SAVE_S = 20;
 
-  /** How many tasks are preempted where the gang's reservation should be filled after the time given. */
+  /** Returns how many tasks are preempted if the reservation is expected to be filled in `fillMs`. */
   function preemptedFor(fillMs: number): number {
     let preempted = 0;
     const victim = { ...runningAssignment(gpuJob(), bigMachine()), checkpointSaveS: SAVE_S };
@@ -90,14 +90,14 @@
     return preempted;
   }
 
-  // Where heartbeats come every second, a save takes many heartbeat intervals: gangs then waited for
-  // capacity that nobody was told to free.
-  it('does not wait for checkpoint saves that begin only with the preemption', () => {
+  // With heartbeats every second, a checkpoint save takes many heartbeat intervals. Gangs then waited for
+  // capacity without preempting the tasks that occupied it.
+  it('is not delayed by the time that the victims need to save their checkpoints', () => {
     assert.ok(SAVE_S * 1000 > 3 * heartbeatIntervalMs);
     assert.equal(preemptedFor(heartbeatIntervalMs + SAVE_S * 1000), 1);
   });
 
-  it('waits while other work keeps the gang from starting soon', () => {
+  it('is delayed while other tasks keep the gang from starting soon', () => {
     assert.equal(preemptedFor(heartbeatIntervalMs + 2 * SAVE_S * 1000), 0);
   });
 });
--- a/src/controller/placement/placers/independent-task-placer.test.ts
+++ b/src/controller/placement/placers/independent-task-placer.test.ts
@@ -13,7 +13,7 @@
 import { resourceRequestOf } from '../../model/resource-request.js';
 
 describe('IndependentTaskPlacer', () => {
-  it('starts what fits, reports the rest as a shortage, and claims capacity freed by preemption', () => {
+  it('starts tasks that fit, reports the others as a shortage, and claims capacity freed by preemption', () => {
     const pass = passOver([bigMachine()], [], 0);
     const capacity = capacityIn(pass, 'n-1');
     const started: number[] = [];
--- a/src/controller/placement/placers/task-starter.test.ts
+++ b/src/controller/placement/placers/task-starter.test.ts
@@ -4,7 +4,7 @@
 import { TaskStarter } from './task-starter.js';
 
 describe('TaskStarter', () => {
-  it('starts the lowest pending tasks of a gang under one attempt that no other term has', () => {
+  it('starts the lowest pending tasks of a gang with one attempt number that is unique to the term', () => {
     const started: number[][] = [];
     const starter = new TaskStarter(
       { term: 3, assign: (_, task, attempt) => started.push([task, attempt]) },
--- a/src/controller/placement/preemption/preemptor.test.ts
+++ b/src/controller/placement/preemption/preemptor.test.ts
@@ -5,7 +5,7 @@
 import { Preemptor } from './preemptor.js';
 
 describe('Preemptor', () => {
-  it('preempts all victims or none, and gives the preempting job the first turn', () => {
+  it('preempts all victims or none, and gives the preempting job precedence', () => {
     const stopped: string[] = [];
     const preemptor = new Preemptor(
       { log: silentLogger, now: () => 100 },
--- a/src/controller/placement/preemption/victim-selector.test.ts
+++ b/src/controller/placement/preemption/victim-selector.test.ts
@@ -14,7 +14,7 @@
 const NOW = 1000;
 const HEARTBEAT_MS = 100;
 
-/** A task that takes so many of the machine's four GPUs, and saves for 3 s when it is stopped. */
+/** Creates a task that takes `gpus` of the machine's four GPUs and needs 3 s to save its checkpoint. */
 function task(gpus: number, endsAt: number): ExpectedEnd {
   const assignment = runningAssignment(gpuJob(), bigMachine());
   return { assignment: { ...assignment, request: { cpus: 1, gpus, memoryGb: 1 } }, endsAt };
@@ -36,7 +36,7 @@
 }
 
 describe('VictimSelector', () => {
-  it('preempts in the given order until the request fits, and waits for the saves', () => {
+  it('preempts tasks in the given order until the request fits, and includes their save times', () => {
     const [first, second, third] = [task(1, 9000), task(1, 9000), task(2, 9000)];
     const { select } = setUp([first, second, third]);
     assert.deepEqual(select(2, NOW), {
@@ -45,25 +45,25 @@
     });
   });
 
-  it('spares victims that a later, larger one makes needless', () => {
+  it('drops victims that are not needed because of a later, larger one', () => {
     const [small, large] = [task(1, 9000), task(3, 9000)];
     const { select } = setUp([small, large]);
     assert.deepEqual(select(3, NOW)?.victims, [large.assignment]);
   });
 
-  it('counts on tasks that will have ended by themselves', () => {
+  it('does not preempt tasks that are expected to end in time', () => {
     const [ending, running] = [task(2, 1500), task(2, 9000)];
     const { select } = setUp([ending, running]);
     const plan = select(4, 1500);
     assert.deepEqual(plan?.victims, [running.assignment]);
   });
 
-  it('finds no plan where the request would not fit without all of the tasks', () => {
+  it('returns null if the request does not fit even without all eligible tasks', () => {
     const { select } = setUp([task(2, 9000), task(1, 9000)]);
     assert.equal(select(5, NOW), null);
   });
 
-  it('leaves the hypothetical capacity as it was', () => {
+  it('restores the hypothetical capacity', () => {
     const { hypothetical, select } = setUp([task(2, 1500), task(2, 9000)]);
     const before = structuredClone(hypothetical);
     select(4, 1500);
@@ -71,7 +71,7 @@
     assert.deepEqual(structuredClone(hypothetical), before);
   });
 
-  it('splits tasks by the policy, and leaves out those that are stopped or planned to be', () => {
+  it('splits tasks by the policy, and leaves out stopping tasks and planned victims', () => {
     const [eligible, other, planned] = [task(1, 1), task(2, 2), task(1, 3)];
     const stopping = task(1, 4);
     stopping.assignment.stop = {
--- a/src/controller/placement/replica-placement.test.ts
+++ b/src/controller/placement/replica-placement.test.ts
@@ -5,7 +5,7 @@
 const largestCount = (counts: Map<string, number>): number => Math.max(...counts.values());
 
 describe('placement of replicas', () => {
-  it('uses as many machines as there are', () => {
+  it('puts each replica on its own machine if there are enough machines', () => {
     const cluster = serviceCluster(workersAlike(5));
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
@@ -13,7 +13,7 @@
     assert.equal(cluster.tasksByMachine(job).size, 4);
   });
 
-  it('uses all zones alike, though one has more machines', () => {
+  it('divides replicas evenly between zones with different numbers of machines', () => {
     const cluster = serviceCluster([
       ...workersAlike(6, { zone: 'a' }),
       ...workersAlike(2, { zone: 'b' }),
@@ -27,7 +27,7 @@
     assert.equal(cluster.tasksByMachine(job).size, 4);
   });
 
-  it('replaces a lost replica where fewest of the service are, by machine and zone', () => {
+  it('replaces a lost replica where machine and zone have the fewest replicas of the service', () => {
     const cluster = serviceCluster([
       ...workersAlike(3, { zone: 'a', images: ['i'] }),
       ...workersAlike(2, { zone: 'b', images: ['i'] }),
@@ -41,10 +41,13 @@
     cluster.run(4);
     assert.equal(job.runningCount, 4);
     assert.ok(largestCount(cluster.tasksByMachine(job)) <= 2);
-    assert.ok(!cluster.tasksByMachine(job).has(lost), 'not where it has just failed');
+    assert.ok(
+      !cluster.tasksByMachine(job).has(lost),
+      'the replica is not replaced on the machine where it has just failed',
+    );
   });
 
-  it('puts at most half of the replicas on the only machine that has the image', () => {
+  it('puts at most half of the replicas on the only machine with the image', () => {
     const cluster = serviceCluster([{ images: ['i'] }, ...workersAlike(4)]);
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
@@ -52,14 +55,14 @@
     assert.ok(largestCount(cluster.tasksByMachine(job)) <= 2);
   });
 
-  it('puts all replicas on one machine where no other has capacity', () => {
+  it('puts all replicas on one machine if no other has capacity', () => {
     const cluster = serviceCluster(workersAlike(1));
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
     assert.equal(job.runningCount, 4);
   });
 
-  it('keeps to one zone where the job asks for it', () => {
+  it('puts all replicas into one zone if the job requires a single zone', () => {
     const cluster = serviceCluster([
       ...workersAlike(3, { zone: 'a' }),
       ...workersAlike(3, { zone: 'b' }),
@@ -73,7 +76,7 @@
     assert.equal(zones.size, 1);
   });
 
-  it('prefers on-demand machines for a service that may use spot machines', () => {
+  it('prefers on-demand machines even if the service may use spot machines', () => {
     const cluster = serviceCluster([...workersAlike(2, { spot: true }), ...workersAlike(2)]);
     const job = cluster.add({ tasks: 2 });
     cluster.run(6);
--- a/src/controller/placement/search/candidate-finder.test.ts
+++ b/src/controller/placement/search/candidate-finder.test.ts
@@ -14,7 +14,7 @@
 describe('CandidateFinder', () => {
   const finder = new CandidateFinder(defaultSettings, new DurationEstimator());
 
-  it('puts machines with the image first, and leaves out the others on request', () => {
+  it('puts machines with the image first, and leaves out the others if only warm ones are wanted', () => {
     const warm = bigMachine('n-2');
     warm.recordImageUse('i', 1);
     const pass = passOver([bigMachine(), warm]);
@@ -24,7 +24,7 @@
     assert.deepEqual(ids(finder.find(pass, gpuJob(), true)), ['n-2']);
   });
 
-  it('remembers a request that fits on no machine', () => {
+  it('records a request that fits on no machine as a failed search', () => {
     const pass = passOver([bigMachine()]);
     capacityIn(pass, 'n-1').unschedulable = true;
     assert.deepEqual(finder.find(pass, gpuJob()), []);
--- a/src/controller/placement/search/machine-penalty.test.ts
+++ b/src/controller/placement/search/machine-penalty.test.ts
@@ -4,7 +4,7 @@
 import { machinePenalty } from './machine-penalty.js';
 
 describe('machinePenalty', () => {
-  it('is lower for tight fits, and for machines on which the job has not failed', () => {
+  it('is lower for tight fits and for machines on which the job has not failed', () => {
     const capacity = capacityOf();
     const job = gpuJob({ gpus: 1, spot: false });
     const tight = machinePenalty(gpuJob({ gpus: 4, spot: false }), capacity);
@@ -15,7 +15,7 @@
     assert.equal(machinePenalty(gpuJob({ gpus: 0, cpus: 16, spot: false }), capacity), 30);
   });
 
-  it('is higher for a service than for repeatable work on a spot machine', () => {
+  it('is higher for a service than for an array on a spot machine', () => {
     const spot = bigMachine();
     spot.spot = true;
     const capacity = capacityOf(spot);
--- a/src/controller/placement/search/replica-spread.test.ts
+++ b/src/controller/placement/search/replica-spread.test.ts
@@ -11,7 +11,7 @@
 import { spreadReplicas } from './replica-spread.js';
 
 describe('spreadReplicas', () => {
-  it('offers a machine without a replica before one that has some', () => {
+  it('yields a machine without a replica before one that has some', () => {
     const service = gpuJob({ kind: 'service', tasks: 4 });
     const pass = passOver([bigMachine(), bigMachine('n-2')]);
     runningAssignment(service, capacityIn(pass, 'n-1').machine);
@@ -19,7 +19,7 @@
     const order: string[] = [];
     for (const { capacity } of spreadReplicas(service, candidates)) {
       order.push(capacity.machine.id);
-      // The place is used: what is offered next depends on it.
+      // A replica starts on the yielded machine, which the order of the next ones takes into account.
       service.pending.pop();
     }
     assert.deepEqual(order, ['n-2', 'n-1', 'n-2', 'n-1']);
--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -13,7 +13,7 @@
 import { ReservationCandidateFinder } from './reservation-candidate-finder.js';
 import { TeamUsage } from '../../workers/team-usage.js';
 
-/** A task of the team that has been running on the machine since time 0. */
+/** Adds a task of the team to the machine that has been running since time 0. */
 function runOn(
   machine: Machine,
   team: string,
@@ -34,9 +34,10 @@
 }
 
 describe('ReservationCandidateFinder', () => {
-  // Fleet day restart: most machines ran one task within its team's guarantee beside borrowed ones;
-  // reservations took them for machines that had to be waited for whole.
-  it('waits for work that may not be preempted, and preempts what would run longer', () => {
+  // Guards against reservations that wait for all tasks of a machine because one of them may not be
+  // preempted. In simulated days with restarts, most machines ran a task covered by its team's guarantee
+  // beside tasks on borrowed capacity.
+  it('waits for a task that may not be preempted, and preempts others that would run longer', () => {
     const estimator = new DurationEstimator();
     const policy = new PreemptionPolicy(defaultSettings, estimator, new TeamUsage([]));
     const finder = new ReservationCandidateFinder(defaultSettings, estimator, policy);
--- a/src/controller/placement/service-cancellation.test.ts
+++ b/src/controller/placement/service-cancellation.test.ts
@@ -9,7 +9,7 @@
 } from '../../../test/placement-cluster.js';
 import type { Job } from '../model/entities.js';
 
-describe('a cancelled service', () => {
+describe('cancellation of a service', () => {
   const assertCancelled = (cluster: PlacementCluster, job: Job): void => {
     cluster.table.markCancelled(job.spec.id);
     cluster.run(3);
@@ -19,14 +19,14 @@
     assert.equal(job.status().state, 'cancelled');
   };
 
-  it('ends where it was waiting for capacity', () => {
+  it('ends a service that waits for capacity', () => {
     const cluster = serviceCluster([]);
     const job = cluster.add({ tasks: 2 });
     cluster.run(2);
     assertCancelled(cluster, job);
   });
 
-  it('ends where its image was being fetched', () => {
+  it('ends a service whose image is being fetched', () => {
     const cluster = serviceCluster(workersAlike(2));
     const job = cluster.add({ tasks: 2 });
     cluster.run(2);
@@ -36,7 +36,7 @@
     assertCancelled(cluster, job);
   });
 
-  it('ends where it was running, and nothing of it starts again', () => {
+  it('ends a running service, and none of its replicas starts again', () => {
     const cluster = serviceCluster(workersAlike(2));
     const job = cluster.add({ tasks: 2 });
     cluster.run(6);
@@ -46,7 +46,7 @@
     assert.equal(cluster.tasksByMachine(job).size, 0);
   });
 
-  it('ends where a replica was migrating', () => {
+  it('ends a service of which a replica is migrating', () => {
     const cluster = serviceCluster([{ spot: true, images: ['i'] }]);
     const job = cluster.add({ tasks: 2 });
     cluster.run(3);
@@ -61,10 +61,10 @@
   });
 
   for (const { condition, recovers } of [
-    { condition: 'once its unresponsive machine is heard again', recovers: true },
-    { condition: 'with the worker lease of a machine that stays unresponsive', recovers: false },
+    { condition: 'when its unresponsive machine sends heartbeats again', recovers: true },
+    { condition: 'when the worker lease of its unresponsive machine has expired', recovers: false },
   ])
-    it(`ends ${condition}`, () => {
+    it(`ends a service ${condition}`, () => {
       const cluster = serviceCluster(workersAlike(1));
       const job = cluster.add({ tasks: 2 });
       cluster.run(6);
@@ -73,7 +73,7 @@
       cluster.run(5);
       cluster.table.markCancelled(job.spec.id);
       cluster.run(2);
-      assert.equal(cluster.workers.assignedCount, 2, 'not proven gone');
+      assert.equal(cluster.workers.assignedCount, 2, 'the replicas are not proven gone yet');
       if (recovers) worker.unresponsive = false;
       cluster.run(recovers ? 3 : serviceSettings.workerLeaseExpiryMs / STEP_MS);
       assert.equal(cluster.workers.assignedCount, 0);
--- a/src/controller/placement/service-preemption.test.ts
+++ b/src/controller/placement/service-preemption.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test';
 import { STEP_MS, serviceCluster, workersAlike } from '../../../test/placement-cluster.js';
 
-describe('preemption and services', () => {
-  it('never preempts a replica, whatever its priority', () => {
+describe('preemption that involves services', () => {
+  it('never preempts a replica, not even of a low-priority service', () => {
     const cluster = serviceCluster(workersAlike(2));
     const service = cluster.add({ tasks: 2, cpus: 6, priority: 'low', team: 'guest' });
     cluster.run(20);
@@ -22,7 +22,7 @@
     assert.equal(gang.runningCount + array.runningCount, 0);
   });
 
-  it('preempts lower-ranked work for a replica that fits nowhere', () => {
+  it('preempts a task of lower priority for a replica that fits on no machine', () => {
     const cluster = serviceCluster(workersAlike(1));
     const array = cluster.add({
       kind: 'array',
@@ -38,7 +38,7 @@
     assert.equal(service.runningCount, 1);
   });
 
-  it('preempts nothing on a machine on which the service has just failed', () => {
+  it('preempts no task on a machine where a replica of the service has just failed', () => {
     const cluster = serviceCluster([{ images: ['i'] }]);
     const service = cluster.add({ tasks: 1 });
     cluster.run(3);
@@ -67,6 +67,6 @@
       cluster.step();
     }
     cluster.run(20);
-    assert.equal(service.runningCount, 1, 'in the end it runs there all the same');
+    assert.equal(service.runningCount, 1, 'the service runs on the machine again after the pause');
   });
 });
--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -8,8 +8,8 @@
   workersAlike,
 } from '../../../test/placement-cluster.js';
 
-describe('restarts of replicas', () => {
-  it('never complete a service, though all its replicas end as done again and again', () => {
+describe('restart of service replicas', () => {
+  it('does not complete a service, even if all its replicas end as done repeatedly', () => {
     const cluster = serviceCluster(workersAlike(6));
     const job = cluster.add({ tasks: 2 });
     cluster.run(5);
@@ -24,7 +24,7 @@
     assert.ok(!job.isComplete);
   });
 
-  it('try every machine before one on which a replica has ended is tried again', () => {
+  it('tries all other machines before it reuses one on which a replica has ended', () => {
     const cluster = serviceCluster(workersAlike(3, { images: ['i'] }));
     const job = cluster.add({ tasks: 1 });
     const other = cluster.add({ tasks: 3 });
@@ -37,10 +37,10 @@
       cluster.run(2);
     }
     assert.equal(triedMachines.size, 3);
-    assert.equal(other.runningCount, 3, 'other services stay');
+    assert.equal(other.runningCount, 3, 'the replicas of other services keep running');
   });
 
-  it('on the only machine come after pauses that grow to a bound', () => {
+  it('waits before reusing the only machine, with pauses that grow up to a limit', () => {
     const cluster = serviceCluster(workersAlike(1, { images: ['i'] }));
     const job = cluster.add({ tasks: 1 });
     const longestPauseMs = 2 * serviceSettings.workerLeaseMs;
@@ -61,7 +61,7 @@
     assert.equal(previousPauseMs, longestPauseMs);
   });
 
-  it('of a team at its limit wait until the lost replica is proven gone', () => {
+  it('waits until the lost replica is proven gone if the team is at its limit', () => {
     const cluster = serviceCluster(workersAlike(3));
     const job = cluster.add({ team: 'owner', tasks: OWNER_GPUS, gpus: 1 });
     cluster.run(6);
