--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -12,7 +12,9 @@
 /** A search for tasks to preempt. */
 export interface VictimQuery extends CapacityQuery {
   team: string;
+  /** Whether the job is covered by its team's guarantee. */
   guaranteed: boolean;
+  /** Priority level of the job. */
   level: number;
 }
 
@@ -52,7 +54,8 @@
 
   /**
    * Returns whether a recorded failure shows that no task on machines of these kinds can be preempted for
-   * the request. The failed query must be of the same team, with the same `guaranteed` and the same or a higher level.
+   * the request. The failed query must have the same team and `guaranteed`, and the same or a higher level,
+   * because a job of higher level may preempt more tasks.
    */
   hasNoVictims({ request, kinds, team, guaranteed, level }: VictimQuery): boolean {
     return this.failedVictimQueries.some(
--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -77,7 +77,7 @@
     ...settings,
     startDeadlines: () => [10_000, 60_000],
   };
-  it('uses the next deadline that the job can meet, and puts a job that missed one after others', () => {
+  it('ranks by the next deadline that can be met, and puts a job that missed one after others', () => {
     const old = submitted({}, 0);
     const young = submitted({}, 5000);
     assert.ok(compareByRank(old, young, settingsWithDeadlines, 0) < 0);
@@ -96,7 +96,7 @@
 
 describe('order of the queue of a pass', () => {
   // Guards against gangs of two teams that preempt each other repeatedly: a preempted gang used to be
-  // placed before the gang that preempted it. Seen in a simulated day with many failures.
+  // placed before the gang that preempted it. Seen in the test day "rough" (caroni).
   it('puts a gang before its victim while the preemption is recent', () => {
     const victim = submitted({}, 0);
     victim.preemptionCount = 1;
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -17,8 +17,8 @@
 /**
  * Returns the rank of a job as a virtual submission time: when a job of the lowest priority without start
  * deadlines would have to be submitted to get the same rank. All jobs age at the same rate, so the order of
- * two jobs rarely changes while they wait. Every job eventually ranks
- * before all jobs submitted later, so no job starves.
+ * two jobs rarely changes while they wait. Every job eventually ranks before all newly submitted jobs, so no
+ * job starves.
  *
  * Within a priority, jobs with earlier start deadlines go first. When a job misses a deadline, it is ranked
  * by its next one; when it misses the last one, its rank is lowered by a fixed amount. Each of these steps
@@ -48,7 +48,7 @@
   job: Job;
   /** Result of `rankTime`; the lower value goes first. */
   rank: number;
-  /** Whether tasks were preempted for the job within the last worker lease, and some of it still waits. */
+  /** Whether tasks were preempted for the job within the last worker lease and not all of its tasks have started. */
   hasPreempted: boolean;
   /**
    * Whether this is the second entry of the job in the pass, in which its tasks may also start on machines
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -44,9 +44,11 @@
   victims: readonly Assignment[];
 }
 
-/** At most one candidate per task, and when all of the gang is expected to have free capacity. */
+/** The candidates found for a gang. */
 interface GangCandidates {
+  /** One per task; fewer if there are not enough machines. */
   candidates: ReservationCandidate[];
+  /** When all of them are expected to have free capacity; `Infinity` if there are too few. */
   fillAt: number;
 }
 
@@ -136,7 +138,10 @@
     return gangCapacity;
   }
 
-  /** Returns null if nothing is reserved, a reserved machine is unusable, or a new search is due. */
+  /**
+   * Returns the capacity of the reservation, or null if there is none, one of its machines is unusable, or a
+   * new search is due.
+   */
   private findReserved(
     pass: PlacementPass,
     reservation: GangReservation | null,
@@ -168,7 +173,10 @@
     };
   }
 
-  /** Searches each zone choice; the one with the most candidates wins, then the one filled earliest. */
+  /**
+   * Searches the zones in which the gang may run, separately if it needs a single zone. Returns the result
+   * with the most candidates; among equal ones, that which is filled earliest.
+   */
   private bestCandidates(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
     let best: GangCandidates = { candidates: [], fillAt: Infinity };
--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Preempts victims for each of the job's tasks separately, so that, for instance, a job covered by its
-   * team's guarantee does not wait for tasks that other teams run on borrowed capacity.
+   * Preempts victims for the job's tasks, one task at a time, so that a job covered by its team's guarantee
+   * does not wait for tasks that other teams run on borrowed capacity.
    */
   private preemptForTasks(pass: PlacementPass, job: Job, tasks: number): void {
     const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -64,7 +64,8 @@
     if (hypothetical.fits(job.spec)) return planWithoutVictims(now);
     const forecast = this.forecaster.forecast(capacity, now);
     const waitingPlan = this.planByWaiting(forecast, job.spec);
-    // Enough tasks end within a heartbeat interval, so no other task has to be stopped.
+    // Preemption does not help if the request never fits (null): not even the end of all tasks that ever
+    // end is enough. It is not needed if enough tasks end within a heartbeat interval.
     if (waitingPlan === null || waitingPlan.fillAt - now < this.settings.heartbeatIntervalMs)
       return waitingPlan;
     const fillAtByWaiting = waitingPlan.fillAt;
--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
 
-/** Number of tasks that may be preempted within a worker lease, however few tasks are assigned in all. */
+/** Lower bound of the number of tasks that may be preempted within a worker lease. */
 const MIN_LIMIT = 4;
 
 /** Stops tasks on their workers. */
@@ -24,7 +24,7 @@
   count = 0;
   /** Times of the preemptions within the last worker lease. */
   private recentTimes: number[] = [];
-  /** When throttling was last logged. */
+  /** When it was last logged that the limit is reached. */
   private throttleLoggedAt = -Infinity;
 
   constructor(
@@ -35,8 +35,8 @@
   ) {}
 
   /**
-   * Preempts all of the victims, or none if that would exceed the limit. Returns whether the victims were
-   * preempted; true if there are none.
+   * Preempts all of the victims, or none if that would exceed the limit. Returns false only in the latter
+   * case.
    */
   preemptAll(victims: readonly Assignment[], preempting: Job): boolean {
     if (victims.length === 0) return true;
@@ -67,7 +67,7 @@
         victims: victims.map((victim) => victim.jobId),
         lostTaskSeconds: Math.round(lostWorkMs / 1000),
       },
-      'preemption limit reached, so the job keeps waiting; placement.preempt.share sets the limit',
+      'preemption limit reached, so the job keeps waiting; a higher placement.preempt.share raises the limit',
     );
   }
 
--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -25,7 +25,7 @@
   request: ResourceRequest;
   /** Whether to consider only machines that have the job's image or are already fetching it. */
   warmOnly: boolean;
-  /** Fraction of the time until a claim is filled within which a backfilling task must be expected to end. */
+  /** A backfilling task must be expected to end within this fraction of the time until a claim is filled. */
   backfillRatio: number;
   /** Space that the tasks take in the machine's record. */
   record: RecordSpace;
--- a/src/controller/placement/search/replica-spread.test.ts
+++ b/src/controller/placement/search/replica-spread.test.ts
@@ -19,7 +19,7 @@
     const order: string[] = [];
     for (const { capacity } of spreadReplicas(service, candidates)) {
       order.push(capacity.machine.id);
-      // A replica starts on the yielded machine, which the order of the next ones takes into account.
+      // Simulates the start of a replica, which changes the order of the machines yielded next.
       service.pending.pop();
     }
     assert.deepEqual(order, ['n-2', 'n-1', 'n-2', 'n-1']);
--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -35,7 +35,7 @@
 
 describe('ReservationCandidateFinder', () => {
   // Guards against reservations that wait for all tasks of a machine because one of them may not be
-  // preempted. In simulated days with restarts, most machines ran a task covered by its team's guarantee
+  // preempted. In the fleet test day "restart", most machines ran a task covered by its team's guarantee
   // beside tasks on borrowed capacity.
   it('waits for a task that may not be preempted, and preempts others that would run longer', () => {
     const estimator = new DurationEstimator();
