--- a/src/controller/placement/guarantees.test.ts
+++ b/src/controller/placement/guarantees.test.ts
@@ -5,8 +5,8 @@
 import { batchCluster } from '../../../test/placement-cluster.js';
 import { Guarantees } from './guarantees.js';
 
-describe('work inside a guarantee', () => {
-  it('does not wait for capacity that other teams borrow', () => {
+describe("placement of a job covered by its team's guarantee", () => {
+  it('starts all tasks although other teams have borrowed the capacity', () => {
     const owned = fc.record({
       kind: fc.constantFrom('array', 'gang'),
       tasks: fc.integer({ min: 1, max: 4 }),
@@ -19,20 +19,24 @@
       priority: fc.constantFrom('normal', 'high', 'critical'),
     });
     fc.assert(
-      fc.property(fc.array(borrowed, { minLength: 1, maxLength: 4 }), owned, (guests, owner) => {
-        const cluster = batchCluster();
-        cluster.run(3);
-        for (const g of guests)
-          cluster.add({
-            ...g,
-            priority: g.priority === 'critical' ? 'production' : g.priority,
-          });
-        cluster.run(20);
-        const id = `req-${cluster.table.jobs.size}`;
-        cluster.add({ ...owner, id, team: 'owner' });
-        cluster.run(30);
-        assert.equal(cluster.taskCount(id), owner.tasks);
-      }),
+      fc.property(
+        fc.array(borrowed, { minLength: 1, maxLength: 4 }),
+        owned,
+        (guestJobs, ownerJob) => {
+          const cluster = batchCluster();
+          cluster.run(3);
+          for (const guestJob of guestJobs)
+            cluster.add({
+              ...guestJob,
+              priority: guestJob.priority === 'critical' ? 'production' : guestJob.priority,
+            });
+          cluster.run(20);
+          const id = `req-${cluster.table.jobs.size}`;
+          cluster.add({ ...ownerJob, id, team: 'owner' });
+          cluster.run(30);
+          assert.equal(cluster.taskCount(id), ownerJob.tasks);
+        },
+      ),
       { seed: 6, numRuns: 60 },
     );
   });
@@ -41,13 +45,13 @@
 describe('Guarantees', () => {
   const team = { name: 'red', guaranteedCpus: 0, guaranteedGpus: 4, maxCpus: 0, maxGpus: 6 };
 
-  it('marks the jobs inside the guarantee of their team, earlier ones first', () => {
+  it('marks jobs covered by the guarantee of their team in order of submission', () => {
     const first = gpuJob({ gpus: 3, tasks: 1 }, 0);
     const second = gpuJob({ gpus: 2, tasks: 1 }, 1);
     const third = gpuJob({ gpus: 1, tasks: 1 }, 2);
     new Guarantees([team]).mark([third, second, first]);
     assert.ok(first.guaranteed);
     assert.ok(!second.guaranteed);
-    assert.ok(!third.guaranteed, 'the guarantee is used up by the one before');
+    assert.ok(!third.guaranteed, 'the earlier jobs use up the guarantee');
   });
 });
--- a/src/controller/placement/negative-searches.test.ts
+++ b/src/controller/placement/negative-searches.test.ts
@@ -5,28 +5,28 @@
 import { NegativeSearchCache } from './pass/negative-search-cache.js';
 import type { Placement } from './placement.js';
 
-/** Remembers no search: each is made anew. */
-class ForgetfulSearchCache extends NegativeSearchCache {
+/** Records no failed search, so that every search is made. */
+class NoOpSearchCache extends NegativeSearchCache {
   override addNoCapacity(): void {
-    // Nothing is remembered.
+    // Records nothing.
   }
 
   override addNoVictims(): void {
-    // Nothing is remembered.
+    // Records nothing.
   }
 }
 
-/** A pass that looks at every machine for every job. */
-function forgetfulPass(placement: Placement): void {
+/** Runs a pass that searches all machines for every job. */
+function runPassWithoutCache(placement: Placement): void {
   placement.begin();
   const { current } = placement as unknown as { current: Record<string, unknown> };
   assert.ok(current['negativeSearches'] instanceof NegativeSearchCache);
-  Object.assign(current, { negativeSearches: new ForgetfulSearchCache() });
+  Object.assign(current, { negativeSearches: new NoOpSearchCache() });
   placement.advance(Infinity);
 }
 
 describe('a placement pass', () => {
-  it('decides like one that does not remember its failed searches', () => {
+  it('makes the same decisions as a pass without the cache of failed searches', () => {
     const anyJob = fc.record({
       kind: fc.constantFrom<'array' | 'gang'>('array', 'gang'),
       team: fc.constantFrom('owner', 'guest'),
@@ -38,20 +38,20 @@
       deadlineS: fc.constantFrom(null, 600, 5000),
     });
     const steps = fc.array(
-      fc.record({ jobs: fc.array(anyJob, { maxLength: 4 }), ends: fc.nat(20) }),
+      fc.record({ jobs: fc.array(anyJob, { maxLength: 4 }), completedJobNumber: fc.nat(20) }),
       { minLength: 4, maxLength: 12 },
     );
     fc.assert(
-      fc.property(steps, (played) => {
-        const both = [batchCluster(), batchCluster(forgetfulPass)];
-        for (const { jobs, ends } of played) {
-          for (const cluster of both) {
+      fc.property(steps, (generatedSteps) => {
+        const clusters = [batchCluster(), batchCluster(runPassWithoutCache)];
+        for (const { jobs, completedJobNumber } of generatedSteps) {
+          for (const cluster of clusters) {
             for (const job of jobs) cluster.add(job);
             cluster.run(2);
-            cluster.complete(`req-${ends}`);
+            cluster.complete(`req-${completedJobNumber}`);
             cluster.step();
           }
-          assert.deepEqual(both[0]?.describe(), both[1]?.describe());
+          assert.deepEqual(clusters[0]?.describe(), clusters[1]?.describe());
         }
       }),
       { seed: 8, numRuns: 80 },
--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -15,49 +15,52 @@
 
 let jobCount = 0;
 
-/** A job whose id comes after those of all jobs before. */
-function submitted(part: Partial<JobSpec>, at: number): Job {
-  return gpuJob({ id: `req-${jobCount++}`, ...part }, at);
+/** Creates a job with a higher id than all jobs created before. */
+function submitted(part: Partial<JobSpec>, submittedAt: number): Job {
+  return gpuJob({ id: `req-${jobCount++}`, ...part }, submittedAt);
 }
 
 /** Compares two jobs by rank. */
-function rank(a: Job, b: Job, by: RankSettings, now: number): number {
-  return compareRank(queuedJob(a, by, now), queuedJob(b, by, now));
+function compareByRank(a: Job, b: Job, rankSettings: RankSettings, now: number): number {
+  return compareRank(queuedJob(a, rankSettings, now), queuedJob(b, rankSettings, now));
 }
 
-/** Compares two jobs by their turn in a pass. */
-function turn(a: Job, b: Job, now: number): number {
+/** Compares two jobs by their position in the queue of a pass. */
+function compareTurns(a: Job, b: Job, now: number): number {
   return compareQueued(queuedJob(a, settings, now), queuedJob(b, settings, now));
 }
 
 describe('rank', () => {
-  it('orders by priority, then submission, then id', () => {
+  it('orders jobs by priority, then submission time, then id', () => {
     const low = submitted({ priority: 'low' }, 0);
     const high = submitted({ priority: 'high' }, 5000);
     const later = submitted({ priority: 'high' }, 6000);
     const twin = submitted({ priority: 'high' }, 6000);
-    const sorted = [twin, later, low, high].sort((a, b) => rank(a, b, settings, 0));
+    const sorted = [twin, later, low, high].sort((a, b) => compareByRank(a, b, settings, 0));
     assert.deepEqual(sorted, [high, later, twin, low]);
   });
 
-  it('is a total order, and lets a job that has waited long go before higher priorities', () => {
+  it('is a total order, and puts a job that has waited long before newer jobs of higher priority', () => {
     const anyJob = fc.record({
       priority: fc.constantFrom<Priority>('low', 'normal', 'high', 'production'),
-      at: fc.nat(1_000_000),
+      submittedAt: fc.nat(1_000_000),
       preemptions: fc.nat(3),
     });
     fc.assert(
       fc.property(fc.array(anyJob, { minLength: 3, maxLength: 3 }), (list) => {
-        const [a, b, c] = list.map(({ priority, at, preemptions }) => {
-          const job = submitted({ priority }, at);
+        const [a, b, c] = list.map(({ priority, submittedAt, preemptions }) => {
+          const job = submitted({ priority }, submittedAt);
           job.preemptionCount = preemptions;
           return job;
         });
         if (a === undefined || b === undefined || c === undefined) return;
-        assert.notEqual(rank(a, b, settings, 0), 0);
-        assert.equal(Math.sign(rank(a, b, settings, 0)), -Math.sign(rank(b, a, settings, 0)));
-        if (rank(a, b, settings, 0) < 0 && rank(b, c, settings, 0) < 0)
-          assert.ok(rank(a, c, settings, 0) < 0);
+        assert.notEqual(compareByRank(a, b, settings, 0), 0);
+        assert.equal(
+          Math.sign(compareByRank(a, b, settings, 0)),
+          -Math.sign(compareByRank(b, a, settings, 0)),
+        );
+        if (compareByRank(a, b, settings, 0) < 0 && compareByRank(b, c, settings, 0) < 0)
+          assert.ok(compareByRank(a, c, settings, 0) < 0);
       }),
       { seed: 4 },
     );
@@ -70,26 +73,36 @@
 });
 
 describe('rank with start deadlines', () => {
-  const withDeadlines: RankSettings = { ...settings, startDeadlines: () => [10_000, 60_000] };
-  it('follows the next deadline that the job can meet, and puts a late job behind the others', () => {
+  const settingsWithDeadlines: RankSettings = {
+    ...settings,
+    startDeadlines: () => [10_000, 60_000],
+  };
+  it('ranks by the next deadline that can be met, and puts a job that missed one after others', () => {
     const old = submitted({}, 0);
     const young = submitted({}, 5000);
-    assert.ok(rank(old, young, withDeadlines, 0) < 0);
-    assert.ok(rank(old, young, withDeadlines, 10_001) > 0);
-    assert.ok(rank(old, young, withDeadlines, 100_000) < 0, 'both late: submission decides');
+    assert.ok(compareByRank(old, young, settingsWithDeadlines, 0) < 0);
+    assert.ok(compareByRank(old, young, settingsWithDeadlines, 10_001) > 0);
+    assert.ok(
+      compareByRank(old, young, settingsWithDeadlines, 100_000) < 0,
+      'both jobs missed all deadlines, so the submission time decides',
+    );
     const muchLater = submitted({}, 400_000);
-    assert.ok(rank(old, muchLater, withDeadlines, 400_000) < 0, 'late work does not starve');
+    assert.ok(
+      compareByRank(old, muchLater, settingsWithDeadlines, 400_000) < 0,
+      'a job that missed its deadlines does not starve',
+    );
   });
 });
 
-describe('turns in a pass', () => {
-  // Rough day, caroni: gangs of two teams stopped each other in turn, the victim always first again.
-  it('come to a gang before its victim, for as long as its preemption is recent', () => {
+describe('order of the queue of a pass', () => {
+  // Guards against gangs of two teams that preempt each other repeatedly: a preempted gang used to be
+  // placed before the gang that preempted it. Seen in the test day "rough" (caroni).
+  it('puts a gang before its victim while the preemption is recent', () => {
     const victim = submitted({}, 0);
     victim.preemptionCount = 1;
     const gang = submitted({}, 5000);
     gang.preemptionClaimUntil = 30_000;
-    assert.ok(turn(gang, victim, 20_000) < 0);
-    assert.ok(turn(gang, victim, 40_000) > 0);
+    assert.ok(compareTurns(gang, victim, 20_000) < 0);
+    assert.ok(compareTurns(gang, victim, 40_000) > 0);
   });
 });
--- a/src/controller/placement/placers/gang-placer.test.ts
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -14,17 +14,21 @@
 import type { PlacementPass } from '../pass/placement-pass.js';
 
 describe('GangPlacer', () => {
-  const place = (gang: Job, allowance: number, found: (pass: PlacementPass) => Candidate[]) => {
+  const place = (
+    gang: Job,
+    allowance: number,
+    findCandidates: (pass: PlacementPass) => Candidate[],
+  ) => {
     const pass = passOver([bigMachine()]);
     const calls: string[] = [];
     new GangPlacer({
       settings: defaultSettings,
       teamUsage: { allowance: () => allowance },
       estimator: { fetchMs: () => 0 },
-      candidateFinder: { find: () => found(pass) },
+      candidateFinder: { find: () => findCandidates(pass) },
       taskStarter: {
         nextAttempt: () => 8,
-        start: (_job, _capacity, n, at) => calls.push(`${n}@${at}`),
+        start: (_job, _capacity, count, attempt) => calls.push(`${count}@${attempt}`),
       },
       reservations: {
         drop: () => calls.push('drop'),
@@ -35,25 +39,25 @@
     return calls;
   };
 
-  it('starts a gang that fits whole, reserves machines for one that does not, and blocks one beyond its limit', () => {
+  it('starts a gang that fits, reserves machines for one that does not, and blocks one over its team limit', () => {
     const gang = gpuJob({ kind: 'gang', tasks: 3 });
-    const fits = (count: number) => (pass: PlacementPass) => [
+    const candidatesFor = (count: number) => (pass: PlacementPass) => [
       candidate(capacityIn(pass, 'n-1'), count),
     ];
-    assert.deepEqual(place(gang, 3, fits(4)), ['3@8', 'drop']);
-    assert.deepEqual(place(gang, 3, fits(2)), ['reserve']);
-    assert.deepEqual(place(gang, 2, fits(4)), ['drop']);
+    assert.deepEqual(place(gang, 3, candidatesFor(4)), ['3@8', 'drop']);
+    assert.deepEqual(place(gang, 3, candidatesFor(2)), ['reserve']);
+    assert.deepEqual(place(gang, 2, candidatesFor(4)), ['drop']);
     assert.equal(gang.blockedReason, "its team's limit is used up");
   });
 
-  it('picks half of a spread gang in each zone, and nothing where one zone has too few places', () => {
+  it('puts half of a spread gang into each zone, and returns null if the zone has too little capacity', () => {
     const pass = passOver([bigMachine('n-1', 'a'), bigMachine('n-2', 'b')]);
-    const found = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 4));
-    const picked = pickForGang(gpuJob({ tasks: 4, spread: true }), found, null);
+    const candidates = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 4));
+    const picked = pickForGang(gpuJob({ tasks: 4, spread: true }), candidates, null);
     assert.deepEqual(
       picked?.map(({ count }) => count),
       [2, 2],
     );
-    assert.equal(pickForGang(gpuJob({ tasks: 5 }), found, 'a'), null);
+    assert.equal(pickForGang(gpuJob({ tasks: 5 }), candidates, 'a'), null);
   });
 });
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -1,4 +1,4 @@
-/** Reservations of gangs that cannot start yet: recorded until the gang starts or ends (m03 R2). */
+/** Reservations of gangs that cannot start yet, recorded until the gang starts or ends (m03 R2). */
 import type { EventLoop } from '../../runtime/event-loop.js';
 import type { GangReservation } from '../../model/job.js';
 import type { Assignment, Job } from '../../model/entities.js';
@@ -18,38 +18,41 @@
 } from '../search/reservation-candidate-finder.js';
 import { spreadAllowance, zoneChoices } from '../capacity/zones.js';
 
-/** Prefix of the keys of recorded reservations; the job's id follows. */
+/** Prefix of the keys of reservation records; the job id follows it. */
 const KEY_PREFIX = 'h/';
 
-/** Work is preempted this long before a gang's reservation should be filled, in heartbeat intervals. */
-const PREEMPTION_LEAD = 3;
+/** Minimum lead of preemption before a reservation is expected to be filled, in heartbeat intervals. */
+const PREEMPTION_LEAD_INTERVALS = 3;
 
-/** Time allowed for the victims to save their checkpoints, as a ratio to the longest save. */
+/** Time allowed for the victims to save their checkpoints, as a multiple of the longest save time. */
 const SAVE_MARGIN = 1.5;
 
-/** The key of the record of the machines that a gang has reserved. */
+/** Returns the key of the record that holds a gang's reservation. */
 export function reservationKey(jobId: string): string {
   return `${KEY_PREFIX}${jobId}`;
 }
 
-/** The machines that a gang reserves, and what is to be preempted for it. */
+/** The capacity that a gang reserves, and the tasks to preempt for it. */
 export interface GangCapacity {
-  /** One for each task, as far as there are. */
+  /** One entry per task; fewer if there are not enough machines. A machine may occur several times. */
   capacities: FreeCapacity[];
-  /** When all of them should have free capacity; `Infinity`: never. */
+  /** When all of them are expected to have free capacity; `Infinity` if that is never expected. */
   fillAt: number;
-  /** When the gang could run there, image fetches included. */
+  /** When the gang is expected to run there, after all image fetches. */
   readyAt: number;
+  /** The tasks to preempt. */
   victims: readonly Assignment[];
 }
 
-/** One candidate for each task, as far as there are, and when all should have free capacity. */
+/** The candidates found for a gang. */
 interface GangCandidates {
+  /** One per task; fewer if there are not enough machines. */
   candidates: ReservationCandidate[];
+  /** When all of them are expected to have free capacity; `Infinity` if there are too few. */
   fillAt: number;
 }
 
-/** What reservations rely on. */
+/** Dependencies of `GangReservations`. */
 export interface GangReservationParts {
   eventLoop: Pick<EventLoop, 'log' | 'now'>;
   settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>;
@@ -59,11 +62,11 @@
   preemptor: Pick<Preemptor, 'preemptAll'>;
 }
 
-/** Finds and keeps the machines that waiting gangs reserve. */
+/** Finds machines for waiting gangs to reserve, and records the reservations. */
 export class GangReservations {
   constructor(private readonly parts: GangReservationParts) {}
 
-  /** Restores the recorded reservations after a failover, and deletes those of jobs that are gone. */
+  /** Restores the recorded reservations after a failover, and deletes those of unknown jobs. */
   load({ jobs }: Pick<JobTable, 'jobs'>): void {
     const { eventLoop, records } = this.parts;
     for (const { key, value } of records.list(KEY_PREFIX)) {
@@ -81,57 +84,68 @@
     }
   }
 
-  /** Gives up what the gang has reserved. */
+  /** Removes the gang's reservation and its record. */
   drop(job: Job): void {
     if (job.reservation === null) return;
     job.reservation = null;
     this.parts.records.set(reservationKey(job.spec.id), undefined, 'deferrable');
   }
 
-  /** Claims capacity for the gang against lower ranks, and preempts work once the gang is about to fit. */
+  /**
+   * Claims capacity for the gang, which lower-ranked jobs may not use in this pass, and preempts tasks once
+   * the whole gang is about to fit.
+   */
   reserve(pass: PlacementPass, job: Job): void {
     const { preemptor, settings } = this.parts;
     const { tasks } = job.spec;
     const { capacities, fillAt, victims } = this.find(pass, job);
     for (const capacity of capacities) capacity.claimForTask(resourceRequestOf(job.spec), fillAt);
-    const patienceMs = settings.get('placement.cannot.fill.s') * 1000;
-    const machines = new Set(capacities).size;
-    const places = `${capacities.length} of ${tasks} places on ${machines} machines`;
-    const isLate = pass.now - job.waitingSince > patienceMs;
-    setBlockedReason(job, isLate ? `cannot fill yet: holds ${places}` : '');
-    // Preemption pays only if the whole gang can start then, and soon: until what else it waits for has
-    // ended, the work may go on.
-    const soon = fillAt - pass.now <= this.preemptionLeadMs(victims);
-    if (capacities.length === tasks && soon) preemptor.preemptAll(victims, job);
+    const longWaitMs = settings.get('placement.cannot.fill.s') * 1000;
+    const machineCount = new Set(capacities).size;
+    const places = `${capacities.length} of ${tasks} places on ${machineCount} machines`;
+    const hasWaitedLong = pass.now - job.waitingSince > longWaitMs;
+    setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${places}` : '');
+    // Preempting is useful only if it lets the whole gang start soon. While the gang also waits for other
+    // tasks to end, the victims may keep running.
+    const fillsSoon = fillAt - pass.now <= this.preemptionLeadMs(victims);
+    if (capacities.length === tasks && fillsSoon) preemptor.preemptAll(victims, job);
   }
 
   /**
-   * How long before a gang's reservation should be filled work is preempted for it. The victims' saves
-   * are no reason to put it off: where heartbeats come often, a save takes many heartbeat intervals.
+   * Returns how long before a reservation is expected to be filled its victims are preempted. The time
+   * includes the saves of their checkpoints: with short heartbeat intervals a save takes many of them, and
+   * a lead in heartbeat intervals alone would never be reached.
    */
   private preemptionLeadMs(victims: readonly Assignment[]): number {
     const { heartbeatIntervalMs } = this.parts.settings;
     const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.checkpointSaveS)) * 1000;
     return Math.max(
-      heartbeatIntervalMs * PREEMPTION_LEAD,
+      heartbeatIntervalMs * PREEMPTION_LEAD_INTERVALS,
       heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN,
     );
   }
 
   /**
-   * The machines for the gang: those it has reserved already, or after a while the best that there are by
-   * now. Searching for them is what costs most in a pass.
+   * Returns the machines for the gang: those of its reservation, or the result of a new search if the
+   * reservation is too old or unusable. Results are reused because the search is the most expensive part
+   * of a pass.
    */
   find(pass: PlacementPass, job: Job): GangCapacity {
-    const reserved = this.reserved(pass, job.reservation);
-    if (reserved !== null) return reserved;
-    const found = this.search(pass, job);
-    this.keep(pass, job, found);
-    return found;
+    const reservedCapacity = this.findReserved(pass, job.reservation);
+    if (reservedCapacity !== null) return reservedCapacity;
+    const gangCapacity = this.search(pass, job);
+    this.store(pass, job, gangCapacity);
+    return gangCapacity;
   }
 
-  /** `null`: nothing is reserved, some of it cannot be used, or it is time for another search. */
-  private reserved(pass: PlacementPass, reservation: GangReservation | null): GangCapacity | null {
+  /**
+   * Returns the capacity of the reservation, or null if there is none, one of its machines is unusable, or a
+   * new search is due.
+   */
+  private findReserved(
+    pass: PlacementPass,
+    reservation: GangReservation | null,
+  ): GangCapacity | null {
     const { settings } = this.parts;
     const refreshMs = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
     if (reservation === null || pass.now - reservation.searchedAt >= refreshMs) return null;
@@ -159,7 +173,10 @@
     };
   }
 
-  /** Of the zones that the gang may be in, the one with the most candidates, then the soonest. */
+  /**
+   * Searches the zones in which the gang may run, separately if it needs a single zone. Returns the result
+   * with the most candidates; among equal ones, that which is filled earliest.
+   */
   private bestCandidates(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
     let best: GangCandidates = { candidates: [], fillAt: Infinity };
@@ -171,7 +188,9 @@
         count: spec.tasks,
         onlyByPreemption: false,
         ...(spec.spread
-          ? { zoneAllowance: (_: string, there: number) => spreadAllowance(spec, there) }
+          ? {
+              zoneAllowance: (_: string, tasksInZone: number) => spreadAllowance(spec, tasksInZone),
+            }
           : {}),
         penalty: (capacity) => machinePenalty(job, capacity),
       });
@@ -179,16 +198,17 @@
       const fillAt = isComplete
         ? Math.max(...candidates.map((candidate) => candidate.fillAt))
         : Infinity;
-      const more = candidates.length - best.candidates.length;
-      if (more > 0 || (more === 0 && fillAt < best.fillAt)) best = { candidates, fillAt };
+      const additionalCandidates = candidates.length - best.candidates.length;
+      if (additionalCandidates > 0 || (additionalCandidates === 0 && fillAt < best.fillAt))
+        best = { candidates, fillAt };
     }
     return best;
   }
 
-  private keep(pass: PlacementPass, job: Job, found: GangCapacity): void {
+  private store(pass: PlacementPass, job: Job, gangCapacity: GangCapacity): void {
     const { eventLoop, records } = this.parts;
-    const { fillAt, readyAt, victims } = found;
-    const machines = found.capacities.map((capacity) => capacity.machine.id);
+    const { fillAt, readyAt, victims } = gangCapacity;
+    const machines = gangCapacity.capacities.map((capacity) => capacity.machine.id);
     if (job.reservation?.machines.join() !== machines.join())
       records.set(reservationKey(job.spec.id), machines, 'deferrable');
     const reservedAt = job.reservation?.reservedAt ?? pass.now;
--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -1,27 +1,31 @@
-/** Preemption of tasks, and its limit. */
+/** Preemption of tasks, limited to a share of all tasks per worker lease. */
 import type { EventLoop } from '../../runtime/event-loop.js';
 import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
 
-/** Tasks that may be preempted within a worker lease, however few there are in all. */
+/** Lower bound of the number of tasks that may be preempted within a worker lease. */
 const MIN_LIMIT = 4;
 
-/** What stops tasks on their workers. */
+/** Stops tasks on their workers. */
 export type TaskStopper = Pick<Workers, 'assignedCount' | 'stop' | 'stopJob'>;
 
-/** Tells what preempting a task loses. */
+/** Estimates the cost of preempting a task. */
 export interface PreemptionCost {
   lostWorkMs(assignment: Assignment, now: number): number;
 }
 
-/** Preempts tasks for jobs that go before them, at most a share of all tasks within a worker lease. */
+/**
+ * Preempts tasks for jobs that take precedence, up to a share of all assigned tasks within any worker
+ * lease.
+ */
 export class Preemptor {
-  /** Tasks preempted in this term. */
+  /** Number of tasks preempted in this term. */
   count = 0;
-  /** When tasks were preempted within the last worker lease. */
+  /** Times of the preemptions within the last worker lease. */
   private recentTimes: number[] = [];
-  private throttledAt = -Infinity;
+  /** When it was last logged that the limit is reached. */
+  private throttleLoggedAt = -Infinity;
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'log' | 'now'>,
@@ -30,16 +34,20 @@
     private readonly cost: PreemptionCost,
   ) {}
 
-  /** Preempts all of the victims or, where the limit does not allow that, none; returns whether it has. */
+  /**
+   * Preempts all of the victims, or none if that would exceed the limit. Returns false only in the latter
+   * case.
+   */
   preemptAll(victims: readonly Assignment[], preempting: Job): boolean {
     if (victims.length === 0) return true;
     const now = this.eventLoop.now();
     const { workerLeaseMs } = this.settings;
-    this.recentTimes = this.recentTimes.filter((at) => now - at < workerLeaseMs);
+    this.recentTimes = this.recentTimes.filter((preemptedAt) => now - preemptedAt < workerLeaseMs);
     const share = this.settings.get('placement.preempt.share');
     const limit = Math.max(MIN_LIMIT, share * this.workers.assignedCount);
     if (this.recentTimes.length + victims.length > limit) {
-      if (now - this.throttledAt > workerLeaseMs) this.logThrottled(victims, preempting, limit);
+      if (now - this.throttleLoggedAt > workerLeaseMs)
+        this.logThrottled(victims, preempting, limit);
       return false;
     }
     for (const victim of victims) this.preempt(victim, preempting);
@@ -48,7 +56,7 @@
 
   private logThrottled(victims: readonly Assignment[], preempting: Job, limit: number): void {
     const now = this.eventLoop.now();
-    this.throttledAt = now;
+    this.throttleLoggedAt = now;
     const lostWorkMs = victims.reduce((sum, victim) => sum + this.cost.lostWorkMs(victim, now), 0);
     this.eventLoop.log.warn(
       {
@@ -59,7 +67,7 @@
         victims: victims.map((victim) => victim.jobId),
         lostTaskSeconds: Math.round(lostWorkMs / 1000),
       },
-      'preemption throttled: the job waits; raise placement.preempt.share to let it through',
+      'preemption limit reached, so the job keeps waiting; a higher placement.preempt.share raises the limit',
     );
   }
 
@@ -78,7 +86,7 @@
         machine: victim.machine.id,
         preemptingJob: preempting.spec.id,
       },
-      'preempted',
+      'task preempted',
     );
     if (job.spec.kind === 'gang') this.workers.stopJob(job, victim.checkpointSaveS, 'preempted');
     else this.workers.stop(victim, victim.checkpointSaveS, 'preempted');
--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -12,28 +12,28 @@
 /** A machine where tasks of a job can start now. */
 export interface Candidate {
   capacity: FreeCapacity;
-  /** How many tasks can start there. */
+  /** Number of tasks that can start there. */
   count: number;
-  /** Lower is better. */
+  /** Time of the image fetch plus penalties, in seconds; lower is better. */
   score: number;
 }
 
-/** What is the same for all machines in a search for one job. */
+/** Values of a search for one job that are the same for all machines. */
 interface CandidateSearch {
   job: Job;
   now: number;
   request: ResourceRequest;
-  /** Only machines that have the job's image, or fetch it already. */
+  /** Whether to consider only machines that have the job's image or are already fetching it. */
   warmOnly: boolean;
-  /** Share of the time until a reservation is filled that work beneath it may take. */
+  /** A backfilling task must be expected to end within this fraction of the time until a claim is filled. */
   backfillRatio: number;
-  /** What the tasks take in the machine's record. */
+  /** Space that the tasks take in the machine's record. */
   record: RecordSpace;
-  /** When a task should end that needs no image fetch. */
-  endsAt: number;
+  /** When a task that needs no image fetch is expected to end, on the controller's clock. */
+  endsAtWithoutFetch: number;
 }
 
-/** Finds the machines where tasks of a job can start now. */
+/** Finds machines where tasks of a job can start now. */
 export class CandidateFinder {
   constructor(
     private readonly settings: Pick<Settings, 'get' | 'heartbeatIntervalMs'>,
@@ -41,8 +41,9 @@
   ) {}
 
   /**
-   * Machines where tasks of the job can start now, the best first: those with its image, of little use
-   * to others, and with the tightest fit (bin packing; m03 §6, R1).
+   * Returns the machines where tasks of the job can start now, best first. Preferred are machines that have
+   * its image, are less useful to other jobs, and are left with little free capacity (bin packing; m03 §6,
+   * R1). If `warmOnly` is set, machines that would have to fetch the image are left out.
    */
   find(pass: PlacementPass, job: Job, warmOnly = false): Candidate[] {
     const kinds = pass.cluster.ofKindsAllowedFor(job.spec);
@@ -50,17 +51,17 @@
     const query = { request, kinds: machineKindsKey(kinds) };
     if (pass.negativeSearches.hasNoCapacity(query)) return [];
     const search = this.searchFor(pass, job, request, warmOnly);
-    const found: Candidate[] = [];
+    const candidates: Candidate[] = [];
     let fitsAnywhere = false;
     for (const capacities of kinds)
       for (const capacity of capacities) {
         if (!capacity.fitsIgnoringClaims(request)) continue;
         fitsAnywhere = true;
-        const candidate = this.examine(search, capacity);
-        if (candidate !== null) found.push(candidate);
+        const candidate = this.evaluate(search, capacity);
+        if (candidate !== null) candidates.push(candidate);
       }
     if (!fitsAnywhere) pass.negativeSearches.addNoCapacity(query);
-    return found.sort((a, b) => a.score - b.score || a.capacity.index - b.capacity.index);
+    return candidates.sort((a, b) => a.score - b.score || a.capacity.index - b.capacity.index);
   }
 
   private searchFor(
@@ -82,19 +83,20 @@
         request,
         checkpointSaveS: spec.checkpointSaveS,
       }),
-      endsAt: pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimator.runMs(spec),
+      endsAtWithoutFetch:
+        pass.now + this.settings.heartbeatIntervalMs / 2 + this.estimator.runMs(spec),
     };
   }
 
-  /** `null`: no task of the job can start there beside the claims of others. */
-  private examine(search: CandidateSearch, capacity: FreeCapacity): Candidate | null {
+  /** Returns null if no task of the job can start there, given the claims of other jobs. */
+  private evaluate(search: CandidateSearch, capacity: FreeCapacity): Candidate | null {
     const { job, now, record, backfillRatio } = search;
     const { machine } = capacity;
     if (job.avoids(machine.id, now)) return null;
     if (search.warmOnly && this.estimator.needsFetch(job.spec, machine)) return null;
     const fetchMs = this.estimator.fetchMs(job.spec, machine, now);
     const { spec, level } = job;
-    const endsAt = search.endsAt + fetchMs;
+    const endsAt = search.endsAtWithoutFetch + fetchMs;
     const count = capacity.countFitting({ spec, level, endsAt, backfillRatio, now, record });
     if (count <= 0) return null;
     return { capacity, count, score: fetchMs / 1000 + machinePenalty(job, capacity) };
--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -13,7 +13,7 @@
 import { ReservationCandidateFinder } from './reservation-candidate-finder.js';
 import { TeamUsage } from '../../workers/team-usage.js';
 
-/** A task of the team that has been running on the machine since time 0. */
+/** Adds a task of the team to the machine that has been running since time 0. */
 function runOn(
   machine: Machine,
   team: string,
@@ -34,24 +34,27 @@
 }
 
 describe('ReservationCandidateFinder', () => {
-  // Fleet day restart: most machines ran one task within its team's guarantee beside borrowed ones;
-  // reservations took them for machines that had to be waited for whole.
-  it('waits for work that may not be preempted, and preempts what would run longer', () => {
+  // Guards against reservations that wait for all tasks of a machine because one of them may not be
+  // preempted. In the fleet test day "restart", most machines ran a task covered by its team's guarantee
+  // beside tasks on borrowed capacity.
+  it('waits for a task that may not be preempted, and preempts others that would run longer', () => {
     const estimator = new DurationEstimator();
     const policy = new PreemptionPolicy(defaultSettings, estimator, new TeamUsage([]));
     const finder = new ReservationCandidateFinder(defaultSettings, estimator, policy);
     const machine = bigMachine();
-    const kept = runOn(machine, 'other', 80, true);
-    const borrowed = [runOn(machine, 'red', 900), runOn(machine, 'red', 900)];
-    const brief = runOn(machine, 'red', 70);
+    const guaranteedTask = runOn(machine, 'other', 80, true);
+    const borrowingTasks = [runOn(machine, 'red', 900), runOn(machine, 'red', 900)];
+    const endingSoon = runOn(machine, 'red', 70);
     const now = 60_000;
     const gang = gpuJob({ id: 'req-gang', kind: 'gang', priority: 'high', gpus: 4, tasks: 1 }, now);
     const [candidate] = finder.find({
       ...{ now, job: gang, capacities: [capacityOf(machine)], count: 1 },
       ...{ onlyByPreemption: false, penalty: () => 0 },
     });
-    assert.deepEqual(new Set(candidate?.victims), new Set(borrowed));
-    assert.ok(!candidate?.victims.includes(brief) && !candidate?.victims.includes(kept));
-    assert.equal(candidate?.fillAt, now + estimator.remainingMs(kept, now));
+    assert.deepEqual(new Set(candidate?.victims), new Set(borrowingTasks));
+    assert.ok(
+      !candidate?.victims.includes(endingSoon) && !candidate?.victims.includes(guaranteedTask),
+    );
+    assert.equal(candidate?.fillAt, now + estimator.remainingMs(guaranteedTask, now));
   });
 });
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -1,4 +1,4 @@
-/** Search for the machines that a waiting job reserves, and for the work to preempt for it. */
+/** Search for machines for a waiting job to reserve, and for tasks to preempt for it. */
 import type { Settings } from '../../settings/settings.js';
 import type { Assignment } from '../../model/entities.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
@@ -13,36 +13,38 @@
 import type { PreemptionPolicy } from '../preemption/preemption-policy.js';
 import { addTasks, type TasksByZone } from '../capacity/zones.js';
 
-/** A machine for one task, and how it gets capacity for it. */
+/** A machine for one task, with the plan by which it gets capacity. */
 export interface ReservationCandidate extends CapacityPlan {
   capacity: FreeCapacity;
 }
 
-/** For what machines are searched. */
+/** A search for machines that a job may reserve. */
 export interface ReservationSearch extends CapacitySearch {
+  /** The machines to search. */
   capacities: FreeCapacity[];
-  /** Tasks to find a machine for. */
+  /** Number of tasks to find a machine for. */
   count: number;
-  /** How many more tasks of the job a zone may take; absent where zones don't matter. */
-  zoneAllowance?: (zone: string, there: number) => number;
-  /** Decides between machines that are alike otherwise; lower is better. */
+  /** Returns how many more tasks of the job a zone may take; absent if zones are not limited. */
+  zoneAllowance?: (zone: string, tasksInZone: number) => number;
+  /** Returns a machine's penalty, which decides between machines of about equal cost; lower is better. */
   penalty: (capacity: FreeCapacity) => number;
 }
 
-/** What a search has found so far. */
+/** Intermediate results of a search. */
 interface SearchProgress {
-  /** Tasks that are to go to each machine. */
+  /** Number of tasks planned for each machine. */
   plannedTasks: Map<FreeCapacity, number>;
-  /** Tasks that are to be preempted. */
+  /** Tasks to be preempted. */
   plannedVictims: Set<Assignment>;
+  /** Number of tasks planned for each zone. */
   zones: TasksByZone;
-  /** Machines that the job has reserved already, by name. */
+  /** Names of the machines that the job has already reserved. */
   reserved: Set<string>;
 }
 
 /**
- * Finds the machines to reserve for a job, and the work to preempt for it. Machines are weighed by when
- * the task could start there, its image fetch included, and by the work that would be lost.
+ * Finds machines to reserve for a job, and tasks to preempt for it. The cost of a machine is the time at
+ * which the task could run there, including its image fetch, plus the weighted loss of preempted work.
  */
 export class ReservationCandidateFinder {
   private readonly forecaster: MachineForecaster;
@@ -57,10 +59,10 @@
     this.planner = new CapacityPlanner(settings, this.forecaster, policy);
   }
 
-  /** One machine for each task, best first; fewer where no more can have capacity at all. */
+  /** Returns one machine per task, best first; fewer if no other machine is expected to get capacity. */
   find(search: ReservationSearch): ReservationCandidate[] {
     const { capacities } = search;
-    const found: ReservationCandidate[] = [];
+    const candidates: ReservationCandidate[] = [];
     const progress: SearchProgress = {
       plannedTasks: new Map(),
       plannedVictims: new Set(),
@@ -69,25 +71,29 @@
     };
     const costs = new Float64Array(capacities.length);
     for (let i = 0; i < costs.length; i++) costs[i] = this.cost(search, capacities[i], 0, progress);
-    while (found.length < search.count) {
-      const best = this.cheapest(search, costs, progress.zones);
-      const capacity = capacities[best];
+    while (candidates.length < search.count) {
+      const bestIndex = this.cheapestIndex(search, costs, progress.zones);
+      const capacity = capacities[bestIndex];
       if (capacity === undefined) break;
       const plannedTasks = progress.plannedTasks.get(capacity) ?? 0;
       const plan = this.planner.plan(search, capacity, plannedTasks, progress.plannedVictims);
       if (plan === null) break;
-      found.push({ ...plan, capacity });
+      candidates.push({ ...plan, capacity });
       for (const victim of plan.victims) progress.plannedVictims.add(victim);
       progress.plannedTasks.set(capacity, plannedTasks + 1);
       addTasks(progress.zones, capacity.machine.zone, 1);
-      costs[best] = this.cost(search, capacity, plannedTasks + 1, progress);
+      costs[bestIndex] = this.cost(search, capacity, plannedTasks + 1, progress);
     }
-    return found;
+    return candidates;
   }
 
-  /** Index of the cheapest machine whose zone may take one more task; -1: there is none. */
-  private cheapest(search: ReservationSearch, costs: Float64Array, zones: TasksByZone): number {
-    let best = -1;
+  /** Returns the index of the cheapest machine whose zone may take one more task, or -1 if there is none. */
+  private cheapestIndex(
+    search: ReservationSearch,
+    costs: Float64Array,
+    zones: TasksByZone,
+  ): number {
+    let bestIndex = -1;
     let bestCost = Infinity;
     for (let i = 0; i < costs.length; i++) {
       const cost = costs[i] ?? Infinity;
@@ -98,18 +104,18 @@
         search.zoneAllowance(zone, zones.get(zone) ?? 0) <= 0
       )
         continue;
-      best = i;
+      bestIndex = i;
       bestCost = cost;
     }
-    return best;
+    return bestIndex;
   }
 
-  /** How much later a machine that the job has reserved may be than another, and still be kept. */
+  /** How much later than another machine a reserved one may be ready without losing its reservation, in ms. */
   private get stickinessMs(): number {
     return this.settings.heartbeatIntervalMs * this.settings.get('placement.hold.kept.ratio');
   }
 
-  /** When the task could start there, plus what that loses, in milliseconds; `Infinity`: never. */
+  /** Returns the cost of a machine for one more task, in ms; `Infinity` if it cannot be used. */
   private cost(
     search: ReservationSearch,
     capacity: FreeCapacity | undefined,
@@ -122,14 +128,18 @@
     if (plan === null) return Infinity;
     if (search.onlyByPreemption && plan.victims.length === 0 && !plan.hasStopping) return Infinity;
     const { machine } = capacity;
-    // Reservations last: a reserved machine is left only for a clearly better one; where work is being
-    // preempted for it, its save would be in vain.
-    const keptMs = reserved.has(machine.id)
+    // A reserved machine is replaced only by a clearly better one. The longest save is added because tasks
+    // may already be saving checkpoints there for this job, which would be useless on another machine.
+    const reservedBonusMs = reserved.has(machine.id)
       ? this.stickinessMs + this.forecaster.forecast(capacity, search.now).longestSaveMs
       : 0;
     const fetchMs = this.estimator.fetchMs(search.job.spec, machine, search.now);
     return (
-      plan.fillAt + fetchMs - keptMs + LOST_WORK_WEIGHT * plan.lostWorkMs + search.penalty(capacity)
+      plan.fillAt +
+      fetchMs -
+      reservedBonusMs +
+      LOST_WORK_WEIGHT * plan.lostWorkMs +
+      search.penalty(capacity)
     );
   }
 }
--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -8,74 +8,77 @@
   workersAlike,
 } from '../../../test/placement-cluster.js';
 
-describe('restarts of replicas', () => {
-  it('never complete a service, though all its replicas end as done again and again', () => {
+describe('restart of service replicas', () => {
+  it('does not complete a service, even if all its replicas end as done repeatedly', () => {
     const cluster = serviceCluster(workersAlike(6));
     const job = cluster.add({ tasks: 2 });
     cluster.run(5);
     for (let round = 0; round < 3; round++) {
       for (const id of cluster.tasksByMachine(job).keys()) cluster.exit(job, 'done', id);
       cluster.run(5);
-      const answer = job.status();
-      assert.equal(answer.state, 'running');
-      assert.equal(answer.done, 0);
+      const status = job.status();
+      assert.equal(status.state, 'running');
+      assert.equal(status.done, 0);
       assert.equal(job.runningCount, 2);
     }
     assert.ok(!job.isComplete);
   });
 
-  it('try every machine before one on which a replica has ended is tried again', () => {
+  it('tries all other machines before it reuses one on which a replica has ended', () => {
     const cluster = serviceCluster(workersAlike(3, { images: ['i'] }));
     const job = cluster.add({ tasks: 1 });
     const other = cluster.add({ tasks: 3 });
     cluster.run(3);
-    const seen = new Set<string>();
+    const triedMachines = new Set<string>();
     for (let i = 0; i < 3; i++) {
       const [id = ''] = cluster.tasksByMachine(job).keys();
-      seen.add(id);
+      triedMachines.add(id);
       cluster.exit(job, 'error', id);
       cluster.run(2);
     }
-    assert.equal(seen.size, 3);
-    assert.equal(other.runningCount, 3, 'other services stay');
+    assert.equal(triedMachines.size, 3);
+    assert.equal(other.runningCount, 3, 'the replicas of other services keep running');
   });
 
-  it('on the only machine come after pauses that grow to a bound', () => {
+  it('waits before reusing the only machine, with pauses that grow up to a limit', () => {
     const cluster = serviceCluster(workersAlike(1, { images: ['i'] }));
     const job = cluster.add({ tasks: 1 });
-    const longest = 2 * serviceSettings.workerLeaseMs;
-    let last = 0;
+    const longestPauseMs = 2 * serviceSettings.workerLeaseMs;
+    let previousPauseMs = 0;
     for (let i = 0; i < 6; i++) {
-      for (let s = 0; s <= longest / STEP_MS && cluster.tasksByMachine(job).size === 0; s++)
+      for (let s = 0; s <= longestPauseMs / STEP_MS && cluster.tasksByMachine(job).size === 0; s++)
         cluster.step();
       cluster.exit(job, 'other', 'n-0');
       cluster.step();
-      const pause = (job.avoidedMachines.get('n-0')?.until ?? 0) - cluster.now;
-      assert.ok(pause > last || pause === longest, `pause ${pause} ms after ${last} ms`);
-      assert.ok(pause <= longest);
-      last = pause;
+      const pauseMs = (job.avoidedMachines.get('n-0')?.until ?? 0) - cluster.now;
+      assert.ok(
+        pauseMs > previousPauseMs || pauseMs === longestPauseMs,
+        `pause ${pauseMs} ms after ${previousPauseMs} ms`,
+      );
+      assert.ok(pauseMs <= longestPauseMs);
+      previousPauseMs = pauseMs;
     }
-    assert.equal(last, longest);
+    assert.equal(previousPauseMs, longestPauseMs);
   });
 
-  it('of a team at its limit wait until the lost replica is proven gone', () => {
+  it('waits until the lost replica is proven gone if the team is at its limit', () => {
     const cluster = serviceCluster(workersAlike(3));
     const job = cluster.add({ team: 'owner', tasks: OWNER_GPUS, gpus: 1 });
     cluster.run(6);
     assert.equal(job.runningCount, OWNER_GPUS);
-    const later = cluster.add({ team: 'owner', tasks: 1, gpus: 1 });
+    const laterJob = cluster.add({ team: 'owner', tasks: 1, gpus: 1 });
     const [lost = ''] = cluster.tasksByMachine(job).keys();
-    const there = cluster.tasksByMachine(job).get(lost) ?? 0;
+    const replicasOnLostMachine = cluster.tasksByMachine(job).get(lost) ?? 0;
     cluster.worker(lost).unresponsive = true;
     for (let i = 0; i < serviceSettings.workerLeaseExpiryMs / STEP_MS + 10; i++) {
       cluster.step();
       assert.ok(cluster.workers.assignedCount <= OWNER_GPUS);
     }
-    assert.ok(there > 0);
+    assert.ok(replicasOnLostMachine > 0);
     assert.equal(job.runningCount, OWNER_GPUS);
-    assert.equal(later.runningCount, 0);
+    assert.equal(laterJob.runningCount, 0);
     cluster.table.markCancelled(job.spec.id);
     cluster.run(8);
-    assert.equal(later.runningCount, 1);
+    assert.equal(laterJob.runningCount, 1);
   });
 });
