--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -24,7 +24,7 @@
    * jobs arrive: users retry after an error within about that time. `now`: steady clock, milliseconds.
    */
   constructor(
-    private readonly memoryMs: number,
+    private readonly decayTimeConstantMs: number,
     private readonly minQuietMs: number,
     now: number,
   ) {
@@ -42,7 +42,8 @@
       this.newestSubmission = Math.max(this.newestSubmission, submittedAt);
     }
     if (arrived === 0) return;
-    const decayed = this.decayingCount * Math.exp((this.lastJobAt - now) / this.memoryMs);
+    const decayed =
+      this.decayingCount * Math.exp((this.lastJobAt - now) / this.decayTimeConstantMs);
     this.decayingCount = decayed + arrived;
     this.jobCount += arrived;
     this.lastJobAt = now;
@@ -57,7 +58,7 @@
   /** Whether no job has arrived for much longer than the mean gap between two. */
   haveStopped(now: number): boolean {
     if (this.jobCount < MIN_JOBS) return false;
-    const meanGapMs = this.memoryMs / this.decayingCount;
+    const meanGapMs = this.decayTimeConstantMs / this.decayingCount;
     return now - this.quietSince > Math.max(this.minQuietMs, meanGapMs * STOPPED_AFTER_GAPS);
   }
 }
