--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -25,7 +25,7 @@
    */
   constructor(
     private readonly decayTimeConstantMs: number,
-    private readonly minQuietMs: number,
+    private readonly minStopDelayMs: number,
     now: number,
   ) {
     this.lastJobAt = now;
@@ -59,6 +59,6 @@
   haveStopped(now: number): boolean {
     if (this.jobCount < MIN_JOBS) return false;
     const meanGapMs = this.decayTimeConstantMs / this.decayingCount;
-    return now - this.quietSince > Math.max(this.minQuietMs, meanGapMs * STOPPED_AFTER_GAPS);
+    return now - this.quietSince > Math.max(this.minStopDelayMs, meanGapMs * STOPPED_AFTER_GAPS);
   }
 }
