--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -16,7 +16,7 @@
   private jobCount = 0;
   private lastJobAt: number;
   /** Start of the quiet period: the last job, or the end of the last interruption. */
-  private quietSince: number;
+  private noArrivalSince: number;
   private newestSubmission = -Infinity;
 
   /**
@@ -29,7 +29,7 @@
     now: number,
   ) {
     this.lastJobAt = now;
-    this.quietSince = now;
+    this.noArrivalSince = now;
   }
 
   /** Takes the submission times of all unfinished jobs; those submitted since the last call are counted. */
@@ -47,18 +47,20 @@
     this.decayingCount = decayed + arrived;
     this.jobCount += arrived;
     this.lastJobAt = now;
-    this.quietSince = now;
+    this.noArrivalSince = now;
   }
 
   /** No job could arrive for a while (an outage, a pause of this process): the quiet period starts anew. */
   noteInterruption(now: number): void {
-    this.quietSince = now;
+    this.noArrivalSince = now;
   }
 
   /** Whether no job has arrived for much longer than the mean gap between two. */
   haveStopped(now: number): boolean {
     if (this.jobCount < MIN_JOBS) return false;
     const meanGapMs = this.decayTimeConstantMs / this.decayingCount;
-    return now - this.quietSince > Math.max(this.minStopDelayMs, meanGapMs * STOPPED_AFTER_GAPS);
+    return (
+      now - this.noArrivalSince > Math.max(this.minStopDelayMs, meanGapMs * STOPPED_AFTER_GAPS)
+    );
   }
 }
