--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -17,7 +17,7 @@
   private lastJobAt: number;
   /** Start of the quiet period: the last job, or the end of the last interruption. */
   private noArrivalSince: number;
-  private newestSubmission = -Infinity;
+  private newestSubmittedAt = -Infinity;
 
   /**
    * `memoryMs`: time constant of the decay. `minQuietMs`: shortest quiet period that counts, however often
@@ -34,12 +34,12 @@
 
   /** Takes the submission times of all unfinished jobs; those submitted since the last call are counted. */
   observe(submissionTimes: Iterable<number>, now: number): void {
-    const newestBefore = this.newestSubmission;
+    const newestBefore = this.newestSubmittedAt;
     let arrived = 0;
     for (const submittedAt of submissionTimes) {
       if (submittedAt <= newestBefore) continue;
       arrived++;
-      this.newestSubmission = Math.max(this.newestSubmission, submittedAt);
+      this.newestSubmittedAt = Math.max(this.newestSubmittedAt, submittedAt);
     }
     if (arrived === 0) return;
     const decayed =
