--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -34,10 +34,10 @@
 
   /** Takes the submission times of all unfinished jobs; those submitted since the last call are counted. */
   observe(submissionTimes: Iterable<number>, now: number): void {
-    const newestBefore = this.newestSubmittedAt;
+    const previousNewestSubmittedAt = this.newestSubmittedAt;
     let arrived = 0;
     for (const submittedAt of submissionTimes) {
-      if (submittedAt <= newestBefore) continue;
+      if (submittedAt <= previousNewestSubmittedAt) continue;
       arrived++;
       this.newestSubmittedAt = Math.max(this.newestSubmittedAt, submittedAt);
     }
