--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -35,17 +35,17 @@
   /** Takes the submission times of all unfinished jobs; those submitted since the last call are counted. */
   observe(submissionTimes: Iterable<number>, now: number): void {
     const previousNewestSubmittedAt = this.newestSubmittedAt;
-    let arrived = 0;
+    let newJobs = 0;
     for (const submittedAt of submissionTimes) {
       if (submittedAt <= previousNewestSubmittedAt) continue;
-      arrived++;
+      newJobs++;
       this.newestSubmittedAt = Math.max(this.newestSubmittedAt, submittedAt);
     }
-    if (arrived === 0) return;
+    if (newJobs === 0) return;
     const decayed =
       this.decayingCount * Math.exp((this.lastJobAt - now) / this.decayTimeConstantMs);
-    this.decayingCount = decayed + arrived;
-    this.jobCount += arrived;
+    this.decayingCount = decayed + newJobs;
+    this.jobCount += newJobs;
     this.lastJobAt = now;
     this.noArrivalSince = now;
   }
