--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -3,12 +3,12 @@
 import { ArrivalMonitor } from './arrival-monitor.js';
 
 const MEMORY_MS = 120_000;
-const MIN_QUIET_MS = 20_000;
+const MIN_STOP_DELAY_MS = 20_000;
 const GAP_MS = 4000;
 
 /** A monitor that has seen a job every `gapMs` for `forMs`, and when the last of them arrived. */
 function observed(gapMs: number, forMs: number): { arrivals: ArrivalMonitor; lastAt: number } {
-  const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_QUIET_MS, 0);
+  const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_STOP_DELAY_MS, 0);
   let lastAt = 0;
   for (let at = gapMs; at <= forMs; at += gapMs) {
     arrivals.observe([at], at);
@@ -28,8 +28,8 @@
 
   it('reports no stop before users would have retried, however frequent jobs were', () => {
     const { arrivals, lastAt } = observed(100, 60_000);
-    assert.ok(!arrivals.haveStopped(lastAt + MIN_QUIET_MS));
-    assert.ok(arrivals.haveStopped(lastAt + MIN_QUIET_MS + 1));
+    assert.ok(!arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS));
+    assert.ok(arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS + 1));
   });
 
   // No job can arrive during an outage, so its quiet says nothing.
@@ -42,7 +42,7 @@
   });
 
   it('reports no stop before several jobs have arrived, and counts each job once', () => {
-    const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_QUIET_MS, 0);
+    const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_STOP_DELAY_MS, 0);
     for (let at = 0; at < 100_000; at += 1000) arrivals.observe([1, 2, 3], at);
     assert.ok(!arrivals.haveStopped(1_000_000));
   });
