--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -43,7 +43,7 @@
 
   it('reports no stop before several jobs have arrived, and counts each job once', () => {
     const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_STOP_DELAY_MS, 0);
-    for (let at = 0; at < 100_000; at += 1000) arrivals.observe([1, 2, 3], at);
+    for (let now = 0; now < 100_000; now += 1000) arrivals.observe([1, 2, 3], now);
     assert.ok(!arrivals.haveStopped(1_000_000));
   });
 });
