--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -10,9 +10,9 @@
 function observed(gapMs: number, forMs: number): { arrivals: ArrivalMonitor; lastAt: number } {
   const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_STOP_DELAY_MS, 0);
   let lastAt = 0;
-  for (let at = gapMs; at <= forMs; at += gapMs) {
-    arrivals.observe([at], at);
-    lastAt = at;
+  for (let arrivedAt = gapMs; arrivedAt <= forMs; arrivedAt += gapMs) {
+    arrivals.observe([arrivedAt], arrivedAt);
+    lastAt = arrivedAt;
   }
   return { arrivals, lastAt };
 }
