--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -7,7 +7,10 @@
 const GAP_MS = 4000;
 
 /** A monitor that has seen a job every `gapMs` for `forMs`, and when the last of them arrived. */
-function observed(gapMs: number, forMs: number): { arrivals: ArrivalMonitor; lastAt: number } {
+function monitorAfterArrivals(
+  gapMs: number,
+  forMs: number,
+): { arrivals: ArrivalMonitor; lastAt: number } {
   const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_STOP_DELAY_MS, 0);
   let lastAt = 0;
   for (let arrivedAt = gapMs; arrivedAt <= forMs; arrivedAt += gapMs) {
@@ -19,7 +22,7 @@
 
 describe('ArrivalMonitor', () => {
   it('reports a stop after many mean gaps without a job, and its end with the next job', () => {
-    const { arrivals, lastAt } = observed(GAP_MS, 400_000);
+    const { arrivals, lastAt } = monitorAfterArrivals(GAP_MS, 400_000);
     assert.ok(!arrivals.haveStopped(lastAt + 5 * GAP_MS));
     assert.ok(arrivals.haveStopped(lastAt + 15 * GAP_MS));
     arrivals.observe([lastAt + 16 * GAP_MS], lastAt + 16 * GAP_MS);
@@ -27,14 +30,14 @@
   });
 
   it('reports no stop before users would have retried, however frequent jobs were', () => {
-    const { arrivals, lastAt } = observed(100, 60_000);
+    const { arrivals, lastAt } = monitorAfterArrivals(100, 60_000);
     assert.ok(!arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS));
     assert.ok(arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS + 1));
   });
 
   // No job can arrive during an outage, so its quiet says nothing.
   it('counts the quiet period only from the end of an interruption', () => {
-    const { arrivals, lastAt } = observed(GAP_MS, 400_000);
+    const { arrivals, lastAt } = monitorAfterArrivals(GAP_MS, 400_000);
     const resumedAt = lastAt + 60_000;
     arrivals.noteInterruption(resumedAt);
     assert.ok(!arrivals.haveStopped(resumedAt + GAP_MS));
