--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -70,23 +70,23 @@
 
   /** A long list needs more tokens than the bucket holds, so each page waits for its own token. */
   private listPage(
-    found: ListedMachine[],
+    machines: ListedMachine[],
     after: string,
     done: (result: ListResult) => void,
   ): void {
     if (!this.tokens.tryTake()) {
       const waitMs = Math.max(MIN_TOKEN_WAIT_MS, this.tokens.waitMs());
-      this.eventLoop.after(waitMs, 'list-token', () => this.listPage(found, after, done));
+      this.eventLoop.after(waitMs, 'list-token', () => this.listPage(machines, after, done));
       return;
     }
     const path = `/machines?limit=${LIST_PAGE_SIZE}${after === '' ? '' : `&from=${after}`}`;
     this.call('list-response', 'GET', path, undefined, (reply) => {
       const page = this.readPage(reply);
       if (page.kind === 'failed') return done(page);
-      found.push(...page.machines);
-      const last = found.at(-1);
-      if (page.more && last !== undefined) return this.listPage(found, last.id, done);
-      done({ kind: 'listed', machines: found });
+      machines.push(...page.machines);
+      const last = machines.at(-1);
+      if (page.more && last !== undefined) return this.listPage(machines, last.id, done);
+      done({ kind: 'listed', machines: machines });
     });
   }
 
