--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -84,8 +84,9 @@
       const page = this.readPage(reply);
       if (page.kind === 'failed') return done(page);
       machines.push(...page.machines);
-      const last = machines.at(-1);
-      if (page.more && last !== undefined) return this.listPage(machines, last.id, done);
+      const lastMachine = machines.at(-1);
+      if (page.more && lastMachine !== undefined)
+        return this.listPage(machines, lastMachine.id, done);
       done({ kind: 'listed', machines: machines });
     });
   }
