--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -71,15 +71,15 @@
   /** A long list needs more tokens than the bucket holds, so each page waits for its own token. */
   private listPage(
     machines: ListedMachine[],
-    after: string,
+    afterId: string,
     done: (result: ListResult) => void,
   ): void {
     if (!this.tokens.tryTake()) {
       const waitMs = Math.max(MIN_TOKEN_WAIT_MS, this.tokens.waitMs());
-      this.eventLoop.after(waitMs, 'list-token', () => this.listPage(machines, after, done));
+      this.eventLoop.after(waitMs, 'list-token', () => this.listPage(machines, afterId, done));
       return;
     }
-    const path = `/machines?limit=${LIST_PAGE_SIZE}${after === '' ? '' : `&from=${after}`}`;
+    const path = `/machines?limit=${LIST_PAGE_SIZE}${afterId === '' ? '' : `&from=${afterId}`}`;
     this.call('list-response', 'GET', path, undefined, (reply) => {
       const page = this.readPage(reply);
       if (page.kind === 'failed') return done(page);
