--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -144,7 +144,7 @@
   }
 
   private call(
-    command: string,
+    eventName: string,
     method: 'GET' | 'POST',
     path: string,
     body: unknown,
@@ -155,7 +155,7 @@
     this.eventLoop.runtime.call(
       { to, method, path, ...content, timeoutMs: CALL_TIMEOUT_MS },
       (reply) => {
-        this.eventLoop.post(command, () => {
+        this.eventLoop.post(eventName, () => {
           if (reply.status === STATUS_TOO_MANY_REQUESTS) this.tokens.pauseFor(RATE_LIMIT_PAUSE_MS);
           done(reply);
         });
