--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -151,9 +151,9 @@
     done: (reply: Reply) => void,
   ): void {
     const to = this.settings.platform.cloudAddr;
-    const content = body === undefined ? {} : { body };
+    const optionalBody = body === undefined ? {} : { body };
     this.eventLoop.runtime.call(
-      { to, method, path, ...content, timeoutMs: CALL_TIMEOUT_MS },
+      { to, method, path, ...optionalBody, timeoutMs: CALL_TIMEOUT_MS },
       (reply) => {
         this.eventLoop.post(eventName, () => {
           if (reply.status === STATUS_TOO_MANY_REQUESTS) this.tokens.pauseFor(RATE_LIMIT_PAUSE_MS);
