--- a/src/controller/fleet/cloud-client.test.ts
+++ b/src/controller/fleet/cloud-client.test.ts
@@ -39,11 +39,11 @@
     assert.deepEqual(results.map(listedIds), [['n-1', 'n-2']]);
   });
 
-  for (const [what, status, body] of [
+  for (const [problem, status, body] of [
     ['is refused', 503, undefined],
     ['is malformed', 200, 'malformed'],
   ] as const)
-    it(`reports a failed list when a page ${what}`, () => {
+    it(`reports a failed list when a page ${problem}`, () => {
       const results: ListResult[] = [];
       cloud.listMachines((result) => results.push(result));
       runtime.answer(200, page('n-1', true));
