--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -122,13 +122,15 @@
 
   /** Releases unresponsive machines so that their service replicas can start elsewhere (invariant 5). */
   private releaseUnresponsive(machines: readonly Machine[]): void {
-    const ids = machines.map((machine) => machine.id).filter((id) => !this.scaleIn.isReleasing(id));
-    if (ids.length === 0 || !this.context.mayActAsLeader()) return;
+    const machineIds = machines
+      .map((machine) => machine.id)
+      .filter((id) => !this.scaleIn.isReleasing(id));
+    if (machineIds.length === 0 || !this.context.mayActAsLeader()) return;
     this.eventLoop.log.info(
-      { machines: ids },
+      { machines: machineIds },
       'unresponsive machines with replicas selected for release',
     );
-    this.scaleIn.release(ids, 'unresponsive with replicas');
+    this.scaleIn.release(machineIds, 'unresponsive with replicas');
   }
 
   /** Machines that have been launched and are not up yet. */
