--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -110,8 +110,8 @@
 
   /** There has been no unfinished job for so long that idle machines only cost money. */
   private noWork(now: number): boolean {
-    const emptyMs = this.settings.workerLeaseMs * this.settings.get('fleet.empty.ratio');
-    return now - this.lastWorkAt > emptyMs;
+    const noWorkLimitMs = this.settings.workerLeaseMs * this.settings.get('fleet.empty.ratio');
+    return now - this.lastWorkAt > noWorkLimitMs;
   }
 
   private releaseUnused(now: number, workload: Omit<WorkloadState, 'scaleOutRefused'>): void {
