--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -98,8 +98,8 @@
   }
 
   private observeArrivals(now: number): void {
-    const pauseMs = this.settings.leaderLeaseMs * INTERRUPTION_LEASES;
-    if (now - this.steppedAt > pauseMs) this.arrivals.noteInterruption(now);
+    const interruptionMs = this.settings.leaderLeaseMs * INTERRUPTION_LEASES;
+    if (now - this.steppedAt > interruptionMs) this.arrivals.noteInterruption(now);
     this.steppedAt = now;
     this.arrivals.observe(this.submissionTimes(), now);
   }
