--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -45,7 +45,7 @@
   /** When the last step saw an unfinished job. */
   private lastWorkAt: number;
   private readonly arrivals: ArrivalMonitor;
-  private steppedAt = -Infinity;
+  private lastStepAt = -Infinity;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -99,8 +99,8 @@
 
   private observeArrivals(now: number): void {
     const interruptionMs = this.settings.leaderLeaseMs * INTERRUPTION_LEASES;
-    if (now - this.steppedAt > interruptionMs) this.arrivals.noteInterruption(now);
-    this.steppedAt = now;
+    if (now - this.lastStepAt > interruptionMs) this.arrivals.noteInterruption(now);
+    this.lastStepAt = now;
     this.arrivals.observe(this.submissionTimes(), now);
   }
 
