--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -39,7 +39,7 @@
   private readonly bootingMachines: BootingMachines = new Map();
   private readonly scaleIn: ScaleIn;
   private readonly inventory: MachineInventory;
-  private readonly unused: UnusedMachines;
+  private readonly unusedMachines: UnusedMachines;
   private readonly scaleOut: ScaleOut;
   private readonly unresponsiveReplicaHosts: UnresponsiveReplicaHosts;
   /** When the last step saw an unfinished job. */
@@ -64,7 +64,10 @@
       ...shared,
       scaleIn: this.scaleIn,
     });
-    this.unused = new UnusedMachines(eventLoop, settings, { ...shared, scaleIn: this.scaleIn });
+    this.unusedMachines = new UnusedMachines(eventLoop, settings, {
+      ...shared,
+      scaleIn: this.scaleIn,
+    });
     this.scaleOut = new ScaleOut(eventLoop, settings, shared);
     this.unresponsiveReplicaHosts = new UnresponsiveReplicaHosts(
       eventLoop,
@@ -116,7 +119,7 @@
 
   private releaseUnused(now: number, workload: Omit<WorkloadState, 'scaleOutRefused'>): void {
     const scaleOutRefused = this.scaleOut.capacityRefused(now);
-    const machineIds = this.unused.find(now, { ...workload, scaleOutRefused });
+    const machineIds = this.unusedMachines.find(now, { ...workload, scaleOutRefused });
     if (machineIds.length > 0) this.scaleIn.release(machineIds, 'unused');
   }
 
