--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -54,9 +54,10 @@
   ) {
     const { workers } = context;
     this.lastWorkAt = eventLoop.now();
-    const memoryMs = settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio');
+    const decayTimeConstantMs =
+      settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio');
     const minQuietMs = settings.workerLeaseMs * MIN_QUIET_LEASES;
-    this.arrivals = new ArrivalMonitor(memoryMs, minQuietMs, eventLoop.now());
+    this.arrivals = new ArrivalMonitor(decayTimeConstantMs, minQuietMs, eventLoop.now());
     const cloud = new CloudClient(eventLoop, settings);
     const shared = { ...context, cloud, booting: this.bootingMachines };
     this.scaleIn = new ScaleIn(eventLoop, settings, shared);
