--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -56,8 +56,8 @@
     this.lastWorkAt = eventLoop.now();
     const decayTimeConstantMs =
       settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio');
-    const minQuietMs = settings.workerLeaseMs * MIN_QUIET_LEASES;
-    this.arrivals = new ArrivalMonitor(decayTimeConstantMs, minQuietMs, eventLoop.now());
+    const minStopDelayMs = settings.workerLeaseMs * MIN_QUIET_LEASES;
+    this.arrivals = new ArrivalMonitor(decayTimeConstantMs, minStopDelayMs, eventLoop.now());
     const cloud = new CloudClient(eventLoop, settings);
     const shared = { ...context, cloud, booting: this.bootingMachines };
     this.scaleIn = new ScaleIn(eventLoop, settings, shared);
