--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -21,7 +21,7 @@
 /** Steps further apart than this many leader leases count as an interruption, which hides arrivals. */
 const INTERRUPTION_LEASES = 2;
 /** Shortest quiet period that counts, in worker leases: users retry a failed submission within it. */
-const MIN_QUIET_LEASES = 2;
+const MIN_STOP_DELAY_LEASES = 2;
 
 /** Parts of the leader that the fleet depends on. */
 export interface FleetContext {
@@ -56,7 +56,7 @@
     this.lastWorkAt = eventLoop.now();
     const decayTimeConstantMs =
       settings.workerLeaseMs * settings.get('placement.reserve.memory.ratio');
-    const minStopDelayMs = settings.workerLeaseMs * MIN_QUIET_LEASES;
+    const minStopDelayMs = settings.workerLeaseMs * MIN_STOP_DELAY_LEASES;
     this.arrivals = new ArrivalMonitor(decayTimeConstantMs, minStopDelayMs, eventLoop.now());
     const cloud = new CloudClient(eventLoop, settings);
     const shared = { ...context, cloud, booting: this.bootingMachines };
