--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -59,17 +59,17 @@
     const minStopDelayMs = settings.workerLeaseMs * MIN_STOP_DELAY_LEASES;
     this.arrivals = new ArrivalMonitor(decayTimeConstantMs, minStopDelayMs, eventLoop.now());
     const cloud = new CloudClient(eventLoop, settings);
-    const shared = { ...context, cloud, booting: this.bootingMachines };
-    this.scaleIn = new ScaleIn(eventLoop, settings, shared);
+    const sharedContext = { ...context, cloud, booting: this.bootingMachines };
+    this.scaleIn = new ScaleIn(eventLoop, settings, sharedContext);
     this.inventory = new MachineInventory(eventLoop, settings, {
-      ...shared,
+      ...sharedContext,
       scaleIn: this.scaleIn,
     });
     this.unusedMachines = new UnusedMachines(eventLoop, settings, {
-      ...shared,
+      ...sharedContext,
       scaleIn: this.scaleIn,
     });
-    this.scaleOut = new ScaleOut(eventLoop, settings, shared);
+    this.scaleOut = new ScaleOut(eventLoop, settings, sharedContext);
     this.unresponsiveReplicaHosts = new UnresponsiveReplicaHosts(
       eventLoop,
       settings,
