--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -75,8 +75,8 @@
         1,
         Math.ceil((runningByClass.get(spec.class) ?? 0) * this.settings.ratio),
       );
-      const fitting = countFitting(spec, machines, tasks);
-      if (fitting < tasks) demands.push({ spec, tasks: tasks - fitting });
+      const fittingTasks = countFitting(spec, machines, tasks);
+      if (fittingTasks < tasks) demands.push({ spec, tasks: tasks - fittingTasks });
     }
     return demands;
   }
