--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -32,12 +32,12 @@
 
 /** Number of tasks of the job that fit on all machines, counted up to `limit`. */
 function countFitting(spec: JobSpec, machines: readonly Machine[], limit: number): number {
-  let fitting = 0;
+  let fittingTotal = 0;
   for (const machine of machines) {
-    fitting += fittingTasks(spec, machine);
-    if (fitting >= limit) break;
+    fittingTotal += fittingTasks(spec, machine);
+    if (fittingTotal >= limit) break;
   }
-  return fitting;
+  return fittingTotal;
 }
 
 /** Remembers job classes and demands capacity ahead of their next jobs. */
