--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -31,7 +31,7 @@
 }
 
 /** Number of tasks of the job that fit on all machines, counted up to `limit`. */
-function countFitting(spec: JobSpec, machines: readonly Machine[], limit: number): number {
+function countFittingOnAll(spec: JobSpec, machines: readonly Machine[], limit: number): number {
   let fittingTotal = 0;
   for (const machine of machines) {
     fittingTotal += fittingTasks(spec, machine);
@@ -75,7 +75,7 @@
         1,
         Math.ceil((runningByClass.get(spec.class) ?? 0) * this.settings.ratio),
       );
-      const fittingTasks = countFitting(spec, machines, tasks);
+      const fittingTasks = countFittingOnAll(spec, machines, tasks);
       if (fittingTasks < tasks) demands.push({ spec, tasks: tasks - fittingTasks });
     }
     return demands;
