--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -19,7 +19,7 @@
 }
 
 /** Number of tasks of the job that fit into the machine's free capacity. */
-function fittingTasks(spec: JobSpec, machine: Machine): number {
+function countFittingOnMachine(spec: JobSpec, machine: Machine): number {
   const { type, zone, spot } = machine;
   if (type === null || !isAllowed(spec, { type, zone, spot })) return 0;
   return countFittingTasks(
@@ -34,7 +34,7 @@
 function countFittingOnAll(spec: JobSpec, machines: readonly Machine[], limit: number): number {
   let fittingTotal = 0;
   for (const machine of machines) {
-    fittingTotal += fittingTasks(spec, machine);
+    fittingTotal += countFittingOnMachine(spec, machine);
     if (fittingTotal >= limit) break;
   }
   return fittingTotal;
