--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -84,8 +84,8 @@
 
   private applyEntry(entry: ListedMachine, now: number): void {
     const { workers, scaleIn } = this.context;
-    const known = workers.machines.get(entry.id);
-    if (known !== undefined) this.update(known, entry, now);
+    const knownMachine = workers.machines.get(entry.id);
+    if (knownMachine !== undefined) this.update(knownMachine, entry, now);
     else if (entry.state === 'failed') scaleIn.release([entry.id], 'failed');
     else this.addBooting(entry, now);
   }
