--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -104,9 +104,9 @@
   ): void {
     const { booting } = this.context;
     const running = state === 'running';
-    const known = booting.get(id);
-    if (known !== undefined) {
-      known.listedAsRunning ||= running;
+    const bootingMachine = booting.get(id);
+    if (bootingMachine !== undefined) {
+      bootingMachine.listedAsRunning ||= running;
       return;
     }
     const type = this.context.types()?.find((offered) => offered.name === name);
