--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -99,7 +99,7 @@
   }
 
   private addBooting(
-    { id, type: name, zone, spot, ageS, state }: ListedMachine,
+    { id, type: typeName, zone, spot, ageS, state }: ListedMachine,
     now: number,
   ): void {
     const { booting } = this.context;
@@ -109,7 +109,7 @@
       bootingMachine.listedAsRunning ||= running;
       return;
     }
-    const type = this.context.types()?.find((offered) => offered.name === name);
+    const type = this.context.types()?.find((offered) => offered.name === typeName);
     if (type === undefined) return;
     booting.set(id, {
       type,
