--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -103,10 +103,10 @@
     now: number,
   ): void {
     const { booting } = this.context;
-    const running = state === 'running';
+    const isRunning = state === 'running';
     const bootingMachine = booting.get(id);
     if (bootingMachine !== undefined) {
-      bootingMachine.listedAsRunning ||= running;
+      bootingMachine.listedAsRunning ||= isRunning;
       return;
     }
     const type = this.context.types()?.find((offered) => offered.name === typeName);
@@ -115,7 +115,7 @@
       type,
       zone,
       spot,
-      listedAsRunning: running,
+      listedAsRunning: isRunning,
       requestedAt: now - ageS * 1000,
       knownSince: now,
     });
