--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -109,7 +109,7 @@
       bootingMachine.listedAsRunning ||= isRunning;
       return;
     }
-    const type = this.context.types()?.find((offered) => offered.name === typeName);
+    const type = this.context.types()?.find((offeredType) => offeredType.name === typeName);
     if (type === undefined) return;
     booting.set(id, {
       type,
