--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -124,10 +124,10 @@
   /** A listed machine stays listed until it is gone, but a list may be older than the one before it. */
   private markAbsent(listedIds: ReadonlySet<string>, now: number): void {
     const listDelayMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
-    const absentMs = listDelayMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
+    const absentAfterMs = listDelayMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
     for (const machine of this.context.workers.machines.values()) {
       if (listedIds.has(machine.id) || machine.cloudStateAt === -Infinity) continue;
-      if (now - machine.cloudStateAt > absentMs) machine.cloudState = 'absent';
+      if (now - machine.cloudStateAt > absentAfterMs) machine.cloudState = 'absent';
     }
   }
 }
