--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -123,8 +123,8 @@
 
   /** A listed machine stays listed until it is gone, but a list may be older than the one before it. */
   private markAbsent(listedIds: ReadonlySet<string>, now: number): void {
-    const listDelayMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
-    const absentAfterMs = listDelayMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
+    const listStalenessMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
+    const absentAfterMs = listStalenessMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
     for (const machine of this.context.workers.machines.values()) {
       if (listedIds.has(machine.id) || machine.cloudStateAt === -Infinity) continue;
       if (now - machine.cloudStateAt > absentAfterMs) machine.cloudState = 'absent';
