--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -31,7 +31,7 @@
   /** Whether a list has been read in this term. */
   synced = false;
   private reading = false;
-  private readAt = -Infinity;
+  private lastReadAt = -Infinity;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -46,7 +46,7 @@
 
   /** Reads the list when it is due. */
   step(now: number): void {
-    if (!this.reading && now - this.readAt >= this.intervalMs) this.read();
+    if (!this.reading && now - this.lastReadAt >= this.intervalMs) this.read();
   }
 
   private get intervalMs(): number {
@@ -63,10 +63,10 @@
     this.context.cloud.listMachines((result) => {
       this.reading = false;
       if (result.kind === 'failed') {
-        this.readAt = this.eventLoop.now() - RETRY_LAG_SHARE * this.lagMs;
+        this.lastReadAt = this.eventLoop.now() - RETRY_LAG_SHARE * this.lagMs;
         return;
       }
-      this.readAt = this.eventLoop.now();
+      this.lastReadAt = this.eventLoop.now();
       if (this.context.mayActAsLeader()) this.apply(result.machines);
     });
   }
