--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -30,7 +30,7 @@
 export class MachineInventory {
   /** Whether a list has been read in this term. */
   synced = false;
-  private reading = false;
+  private readInProgress = false;
   private lastReadAt = -Infinity;
 
   constructor(
@@ -46,7 +46,7 @@
 
   /** Reads the list when it is due. */
   step(now: number): void {
-    if (!this.reading && now - this.lastReadAt >= this.intervalMs) this.read();
+    if (!this.readInProgress && now - this.lastReadAt >= this.intervalMs) this.read();
   }
 
   private get intervalMs(): number {
@@ -59,9 +59,9 @@
   }
 
   private read(): void {
-    this.reading = true;
+    this.readInProgress = true;
     this.context.cloud.listMachines((result) => {
-      this.reading = false;
+      this.readInProgress = false;
       if (result.kind === 'failed') {
         this.lastReadAt = this.eventLoop.now() - RETRY_LAG_SHARE * this.lagMs;
         return;
