--- a/src/controller/fleet/machine-inventory.test.ts
+++ b/src/controller/fleet/machine-inventory.test.ts
@@ -8,7 +8,7 @@
   function read(entries: Partial<ListedMachine>[], known: string[], releasing: string[] = []) {
     const { runtime, eventLoop, workers, booting } = fleetFixture();
     for (const id of known) workers.add(id);
-    const released: string[] = [];
+    const releasedIds: string[] = [];
     const machines = entries.map((entry): ListedMachine => ({
       ...{ id: 'n-1', addr: 'x:1', type: 'plain', zone: 'a', spot: false, ageS: 2 },
       ...{ state: 'running', ...entry },
@@ -21,11 +21,11 @@
       },
       scaleIn: {
         isReleasing: (id) => releasing.includes(id),
-        release: (ids) => void released.push(...ids),
+        release: (ids) => void releasedIds.push(...ids),
       },
     });
     inventory.step(0);
-    return { runtime, inventory, workers, booting, released };
+    return { runtime, inventory, workers, booting, released: releasedIds };
   }
 
   it('updates known machines, releases failed ones and expects the others to boot', () => {
