--- a/src/controller/fleet/machine-inventory.test.ts
+++ b/src/controller/fleet/machine-inventory.test.ts
@@ -5,7 +5,7 @@
 import { MachineInventory } from './machine-inventory.js';
 
 describe('MachineInventory', () => {
-  function read(entries: Partial<ListedMachine>[], known: string[], releasing: string[] = []) {
+  function read(entries: Partial<ListedMachine>[], known: string[], releasingIds: string[] = []) {
     const { runtime, eventLoop, workers, booting } = fleetFixture();
     for (const id of known) workers.add(id);
     const releasedIds: string[] = [];
@@ -20,7 +20,7 @@
         listIntervalMs: () => 0,
       },
       scaleIn: {
-        isReleasing: (id) => releasing.includes(id),
+        isReleasing: (id) => releasingIds.includes(id),
         release: (ids) => void releasedIds.push(...ids),
       },
     });
