--- a/src/controller/fleet/machine-inventory.test.ts
+++ b/src/controller/fleet/machine-inventory.test.ts
@@ -5,9 +5,13 @@
 import { MachineInventory } from './machine-inventory.js';
 
 describe('MachineInventory', () => {
-  function read(entries: Partial<ListedMachine>[], known: string[], releasingIds: string[] = []) {
+  function read(
+    entries: Partial<ListedMachine>[],
+    knownIds: string[],
+    releasingIds: string[] = [],
+  ) {
     const { runtime, eventLoop, workers, booting } = fleetFixture();
-    for (const id of known) workers.add(id);
+    for (const id of knownIds) workers.add(id);
     const releasedIds: string[] = [];
     const machines = entries.map((entry): ListedMachine => ({
       ...{ id: 'n-1', addr: 'x:1', type: 'plain', zone: 'a', spot: false, ageS: 2 },
