--- a/src/controller/fleet/machine-inventory.test.ts
+++ b/src/controller/fleet/machine-inventory.test.ts
@@ -5,7 +5,7 @@
 import { MachineInventory } from './machine-inventory.js';
 
 describe('MachineInventory', () => {
-  function read(
+  function readList(
     entries: Partial<ListedMachine>[],
     knownIds: string[],
     releasingIds: string[] = [],
@@ -33,7 +33,7 @@
   }
 
   it('updates known machines, releases failed ones and expects the others to boot', () => {
-    const { inventory, workers, booting, released } = read(
+    const { inventory, workers, booting, released } = readList(
       [{ id: 'n-1' }, { id: 'n-2', state: 'failed' }, { id: 'n-3' }, { id: 'n-4' }],
       ['n-1'],
       ['n-4'],
@@ -49,7 +49,7 @@
   });
 
   it('marks a machine as absent only when it has not been listed for long', () => {
-    const { runtime, inventory, workers } = read([], ['n-1']);
+    const { runtime, inventory, workers } = readList([], ['n-1']);
     const machine = workers.machines.get('n-1');
     assert.equal(machine?.cloudState, 'running');
     runtime.advance(listLagMs * 4 + settings.heartbeatIntervalMs + 1);
