--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -41,9 +41,9 @@
   /** Reads the stored catalogue, or asks the cloud if there is none. */
   load(): void {
     this.client.budget.requestTokens.forceTake();
-    this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
-      if (got.kind === 'ok' && got.value !== null && this.knownTypes === null)
-        this.update(got.value.value);
+    this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (result) => {
+      if (result.kind === 'ok' && result.value !== null && this.knownTypes === null)
+        this.update(result.value.value);
       if (this.knownTypes === null) this.askCloud();
     });
   }
