--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -59,13 +59,13 @@
   /** Stores the catalogue, for nodes that start while the cloud is unavailable. */
   publish(term: CatalogueWriter): void {
     this.client.budget.requestTokens.forceTake();
-    this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (got) => {
-      if (got.kind === 'failed' || term.closed) return;
-      if (got.value !== null && this.knownTypes === null) this.update(got.value.value);
+    this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (result) => {
+      if (result.kind === 'failed' || term.closed) return;
+      if (result.value !== null && this.knownTypes === null) this.update(result.value.value);
       if (this.knownTypes === null) return;
       const value = writeCatalogue(this.knownTypes);
-      if (JSON.stringify(got.value?.value) === JSON.stringify(value)) return;
-      const version = got.value?.version ?? 0;
+      if (JSON.stringify(result.value?.value) === JSON.stringify(value)) return;
+      const version = result.value?.version ?? 0;
       term.records.transact(
         [{ key: CATALOGUE_KEY, version }],
         [{ put: CATALOGUE_KEY, value }],
