--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -80,10 +80,10 @@
       { to, method: 'GET', path: '/catalog', timeoutMs: CLOUD_TIMEOUT_MS },
       (reply) => {
         this.eventLoop.post('catalogue', () => {
-          const before = JSON.stringify(this.knownTypes);
+          const previousTypesJson = JSON.stringify(this.knownTypes);
           if (reply.status === 200) this.update(reply.body);
           if (this.knownTypes === null) this.retryLoad();
-          else if (JSON.stringify(this.knownTypes) !== before) this.publishChange();
+          else if (JSON.stringify(this.knownTypes) !== previousTypesJson) this.publishChange();
         });
       },
     );
