--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -23,7 +23,7 @@
 /** The machine types as this node knows them. */
 export class MachineTypeCatalogue {
   private knownTypes: MachineType[] | null = null;
-  private knownAt = -Infinity;
+  private lastRefreshAt = -Infinity;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -51,8 +51,8 @@
   /** Asks the cloud again if the types were read too long ago. */
   refreshIfDue(): void {
     const refreshMs = this.settings.workerLeaseMs * REFRESH_LEASES;
-    if (this.knownTypes === null || this.eventLoop.now() - this.knownAt <= refreshMs) return;
-    this.knownAt = this.eventLoop.now();
+    if (this.knownTypes === null || this.eventLoop.now() - this.lastRefreshAt <= refreshMs) return;
+    this.lastRefreshAt = this.eventLoop.now();
     this.askCloud();
   }
 
@@ -102,7 +102,7 @@
   private update(body: unknown): void {
     try {
       this.knownTypes = readCatalogue(body);
-      this.knownAt = this.eventLoop.now();
+      this.lastRefreshAt = this.eventLoop.now();
     } catch (err) {
       this.eventLoop.log.warn({ err }, 'malformed machine type catalogue');
     }
