--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -44,7 +44,7 @@
     this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (result) => {
       if (result.kind === 'ok' && result.value !== null && this.knownTypes === null)
         this.update(result.value.value);
-      if (this.knownTypes === null) this.askCloud();
+      if (this.knownTypes === null) this.readFromCloud();
     });
   }
 
@@ -53,7 +53,7 @@
     const refreshMs = this.settings.workerLeaseMs * REFRESH_LEASES;
     if (this.knownTypes === null || this.eventLoop.now() - this.lastRefreshAt <= refreshMs) return;
     this.lastRefreshAt = this.eventLoop.now();
-    this.askCloud();
+    this.readFromCloud();
   }
 
   /** Stores the catalogue, for nodes that start while the cloud is unavailable. */
@@ -74,7 +74,7 @@
     });
   }
 
-  private askCloud(): void {
+  private readFromCloud(): void {
     const to = this.settings.platform.cloudAddr;
     this.eventLoop.runtime.call(
       { to, method: 'GET', path: '/catalog', timeoutMs: CLOUD_TIMEOUT_MS },
