--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -6,7 +6,7 @@
 import { readCatalogue, writeCatalogue, type MachineType } from '../wire/cloud.js';
 
 const CATALOGUE_KEY = 'catalogue';
-const STATE_TIMEOUT_MS = 1500;
+const STATE_STORE_TIMEOUT_MS = 1500;
 const CLOUD_TIMEOUT_MS = 3000;
 /** Delay before a retry; jitter adds up to as much again. */
 const RETRY_DELAY_MS = 500;
@@ -41,7 +41,7 @@
   /** Reads the stored catalogue, or asks the cloud if there is none. */
   load(): void {
     this.client.budget.requestTokens.forceTake();
-    this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (result) => {
+    this.client.read(CATALOGUE_KEY, STATE_STORE_TIMEOUT_MS, (result) => {
       if (result.kind === 'ok' && result.value !== null && this.knownTypes === null)
         this.update(result.value.value);
       if (this.knownTypes === null) this.readFromCloud();
@@ -59,7 +59,7 @@
   /** Stores the catalogue, for nodes that start while the cloud is unavailable. */
   publish(term: CatalogueWriter): void {
     this.client.budget.requestTokens.forceTake();
-    this.client.read(CATALOGUE_KEY, STATE_TIMEOUT_MS, (result) => {
+    this.client.read(CATALOGUE_KEY, STATE_STORE_TIMEOUT_MS, (result) => {
       if (result.kind === 'failed' || term.closed) return;
       if (result.value !== null && this.knownTypes === null) this.update(result.value.value);
       if (this.knownTypes === null) return;
