--- a/src/controller/fleet/machine-type-catalogue.test.ts
+++ b/src/controller/fleet/machine-type-catalogue.test.ts
@@ -16,7 +16,7 @@
     const { runtime, eventLoop } = fleetFixture();
     const client = {
       budget: { requestTokens: { forceTake: () => undefined } },
-      read: (_key: string, _timeoutMs: number, done: (got: unknown) => void) =>
+      read: (_key: string, _timeoutMs: number, done: (result: unknown) => void) =>
         done({ kind: 'ok', value: null }),
     };
     const catalogue = new MachineTypeCatalogue(
