--- a/src/controller/fleet/machine-type-catalogue.test.ts
+++ b/src/controller/fleet/machine-type-catalogue.test.ts
@@ -12,7 +12,7 @@
   const body = { models: [{ name: 'plain', cores: 8, mem_gb: 64, halls: ['a'] }] };
 
   /** A catalogue that has found nothing stored and asks the cloud. */
-  function load() {
+  function loadCatalogue() {
     const { runtime, eventLoop } = fleetFixture();
     const client = {
       budget: { requestTokens: { forceTake: () => undefined } },
@@ -30,7 +30,7 @@
   }
 
   it('asks the cloud until it answers, and again when the types are too old', () => {
-    const { runtime, catalogue } = load();
+    const { runtime, catalogue } = loadCatalogue();
     runtime.answer(503);
     assert.equal(catalogue.types, null);
     runtime.advance(1000);
@@ -45,7 +45,7 @@
   });
 
   it('keeps the known types when the cloud sends a malformed response', () => {
-    const { runtime, catalogue } = load();
+    const { runtime, catalogue } = loadCatalogue();
     runtime.answer(200, body);
     runtime.advance(REFRESH_MS);
     catalogue.refreshIfDue();
