--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -7,7 +7,7 @@
 /** Largest number of machines in one release request. */
 const MAX_MACHINES_PER_REQUEST = 100;
 const RETRY_MS = 1000;
-const TOKEN_WAIT_MS = 500;
+const TOKEN_RETRY_MS = 500;
 /** The cloud's list may show a released machine for this many times its lag, plus a margin. */
 const FORGET_LAGS = 4;
 const FORGET_MARGIN_MS = 5000;
@@ -55,7 +55,7 @@
   private send(batch: string[], reason: string): void {
     if (!this.context.mayActAsLeader()) return this.sendLater(RETRY_MS, batch, reason);
     if (!this.context.cloud.acquireReleaseToken())
-      return this.sendLater(TOKEN_WAIT_MS, batch, reason);
+      return this.sendLater(TOKEN_RETRY_MS, batch, reason);
     this.context.cloud.release(batch, (confirmed) => {
       if (confirmed) this.onReleased(batch, reason);
       else this.sendLater(RETRY_MS, batch, reason);
