--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -10,7 +10,7 @@
 const TOKEN_RETRY_MS = 500;
 /** The cloud's list may show a released machine for this many times its lag, plus a margin. */
 const RELEASED_LISTED_LAGS = 4;
-const FORGET_MARGIN_MS = 5000;
+const RELEASED_LISTED_MARGIN_MS = 5000;
 
 /** Parts of the leader that scaling in depends on. */
 export interface ScaleInContext {
@@ -74,7 +74,7 @@
     }
     const { listLagS } = this.settings.platform.cloudLimits;
     this.eventLoop.after(
-      listLagS * 1000 * RELEASED_LISTED_LAGS + FORGET_MARGIN_MS,
+      listLagS * 1000 * RELEASED_LISTED_LAGS + RELEASED_LISTED_MARGIN_MS,
       'forget-released',
       () => {
         for (const id of batch) this.releasingIds.delete(id);
