--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -28,11 +28,11 @@
 
   /** The cloud has launched fewer machines than requested. After `some` the pause is the shortest again. */
   recordShortage(kind: MachineKind, now: number, some: boolean): void {
-    const before = this.pauses.get(machineKindKey(kind));
+    const previous = this.pauses.get(machineKindKey(kind));
     const durationMs =
-      before === undefined || some
+      previous === undefined || some
         ? this.firstPauseMs
-        : Math.min(before.durationMs * 2, this.firstPauseMs * MAX_PAUSE_FACTOR);
+        : Math.min(previous.durationMs * 2, this.firstPauseMs * MAX_PAUSE_FACTOR);
     this.pauses.set(machineKindKey(kind), { until: now + durationMs, durationMs });
   }
 
