--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -27,10 +27,10 @@
   }
 
   /** The cloud has launched fewer machines than requested. After `some` the pause is the shortest again. */
-  recordShortage(kind: MachineKind, now: number, some: boolean): void {
+  recordShortage(kind: MachineKind, now: number, someLaunched: boolean): void {
     const previous = this.pauses.get(machineKindKey(kind));
     const durationMs =
-      previous === undefined || some
+      previous === undefined || someLaunched
         ? this.firstPauseMs
         : Math.min(previous.durationMs * 2, this.firstPauseMs * MAX_PAUSE_FACTOR);
     this.pauses.set(machineKindKey(kind), { until: now + durationMs, durationMs });
