--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -85,15 +85,15 @@
   offers: readonly InstanceOffer[],
 ): InstanceOffer | null {
   const request = resourceRequestOf(demand.spec);
-  let best: InstanceOffer | null = null;
+  let cheapest: InstanceOffer | null = null;
   let bestPrice = Infinity;
   for (const offer of offers) {
     const price = weightedPrice(demand, request, offer);
     if (price === null || price >= bestPrice) continue;
-    best = offer;
+    cheapest = offer;
     bestPrice = price;
   }
-  return best;
+  return cheapest;
 }
 
 /** Collects the launches of one plan. */
