--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -86,12 +86,12 @@
 ): InstanceOffer | null {
   const request = resourceRequestOf(demand.spec);
   let cheapest: InstanceOffer | null = null;
-  let bestPrice = Infinity;
+  let lowestPrice = Infinity;
   for (const offer of offers) {
     const price = weightedPrice(demand, request, offer);
-    if (price === null || price >= bestPrice) continue;
+    if (price === null || price >= lowestPrice) continue;
     cheapest = offer;
-    bestPrice = price;
+    lowestPrice = price;
   }
   return cheapest;
 }
