--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -67,13 +67,16 @@
   const { spec, tasks } = demand;
   const { type, spot } = offer.kind;
   if (!isAllowed(spec, offer.kind)) return null;
-  const fitting = Math.min(tasks, countFittingTasks(request, type.cpus, type.gpus, type.memoryGb));
-  if (fitting < 1) return null;
+  const fittingTasks = Math.min(
+    tasks,
+    countFittingTasks(request, type.cpus, type.gpus, type.memoryGb),
+  );
+  if (fittingTasks < 1) return null;
   // A service replica is down whenever its spot machine is interrupted, so spot is not cheaper for it.
   const atSpotPrice = spot && spec.kind !== 'service';
   const unusedGpus = request.gpus === 0 && type.gpus > 0;
   const price =
-    ((atSpotPrice ? type.spotPrice : type.price) / fitting) *
+    ((atSpotPrice ? type.spotPrice : type.price) / fittingTasks) *
     (unusedGpus ? UNUSED_GPU_PRICE_FACTOR : 1);
   const zoneWeight = spec.spread ? SPREAD_ZONE_WEIGHT : ZONE_WEIGHT;
   return price * (1 + offer.machinesInZone * zoneWeight);
