--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -130,12 +130,13 @@
 
   /** Takes capacity of the booting and planned machines; returns how many of the tasks fit there. */
   private takeExisting({ spec, tasks }: CapacityDemand, request: ResourceRequest): number {
-    let taken = 0;
+    let takenTasks = 0;
     for (const machine of this.machines) {
-      if (taken === tasks) break;
-      if (isAllowed(spec, machine.kind)) taken += takeCapacity(machine, request, tasks - taken);
+      if (takenTasks === tasks) break;
+      if (isAllowed(spec, machine.kind))
+        takenTasks += takeCapacity(machine, request, tasks - takenTasks);
     }
-    return taken;
+    return takenTasks;
   }
 
   /** Adds one machine of the offer's kind; false if the plan has no place for another launch. */
