--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -118,7 +118,7 @@
   add(demand: CapacityDemand): void {
     const { spec } = demand;
     const request = resourceRequestOf(spec);
-    let tasks = demand.tasks - this.takeExisting(demand, request);
+    let tasks = demand.tasks - this.takeExistingCapacity(demand, request);
     while (tasks > 0) {
       const offer = cheapestOffer({ spec, tasks }, this.offers);
       if (offer === null || !this.addMachine(offer)) return;
@@ -129,7 +129,7 @@
   }
 
   /** Takes capacity of the booting and planned machines; returns how many of the tasks fit there. */
-  private takeExisting({ spec, tasks }: CapacityDemand, request: ResourceRequest): number {
+  private takeExistingCapacity({ spec, tasks }: CapacityDemand, request: ResourceRequest): number {
     let takenTasks = 0;
     for (const machine of this.machines) {
       if (takenTasks === tasks) break;
