--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -48,11 +48,14 @@
 
 /** Takes capacity for as many of the tasks as fit; returns how many. */
 function takeCapacity(free: FreeCapacity, request: ResourceRequest, tasks: number): number {
-  const taken = Math.min(tasks, countFittingTasks(request, free.cpus, free.gpus, free.memoryGb));
-  free.cpus -= request.cpus * taken;
-  free.gpus -= request.gpus * taken;
-  free.memoryGb -= request.memoryGb * taken;
-  return taken;
+  const takenTasks = Math.min(
+    tasks,
+    countFittingTasks(request, free.cpus, free.gpus, free.memoryGb),
+  );
+  free.cpus -= request.cpus * takenTasks;
+  free.gpus -= request.gpus * takenTasks;
+  free.memoryGb -= request.memoryGb * takenTasks;
+  return takenTasks;
 }
 
 /**
