--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -121,13 +121,13 @@
   add(demand: CapacityDemand): void {
     const { spec } = demand;
     const request = resourceRequestOf(spec);
-    let tasks = demand.tasks - this.takeExistingCapacity(demand, request);
-    while (tasks > 0) {
-      const offer = cheapestOffer({ spec, tasks }, this.offers);
+    let remainingTasks = demand.tasks - this.takeExistingCapacity(demand, request);
+    while (remainingTasks > 0) {
+      const offer = cheapestOffer({ spec, tasks: remainingTasks }, this.offers);
       if (offer === null || !this.addMachine(offer)) return;
       const machine = emptyMachine(offer.kind);
       this.machines.push(machine);
-      tasks -= takeCapacity(machine, request, tasks);
+      remainingTasks -= takeCapacity(machine, request, remainingTasks);
     }
   }
 
