--- a/src/controller/fleet/scale-out-plan.test.ts
+++ b/src/controller/fleet/scale-out-plan.test.ts
@@ -14,8 +14,8 @@
 const gpuType = machineType('gpu', 4, 2);
 
 /** Demand for tasks with 4 CPUs that may use spot machines. */
-function demand(tasks: number, part: Partial<JobSpec> = {}): CapacityDemand {
-  return { spec: arraySpec({ cpus: 4, ...part }), tasks };
+function demand(tasks: number, overrides: Partial<JobSpec> = {}): CapacityDemand {
+  return { spec: arraySpec({ cpus: 4, ...overrides }), tasks };
 }
 
 /** Every kind of the types, in zones without machines. */
