--- a/src/controller/fleet/scale-out-plan.test.ts
+++ b/src/controller/fleet/scale-out-plan.test.ts
@@ -39,11 +39,11 @@
   });
 
   it('takes the zone with fewer machines for a job that asks to be spread', () => {
-    const all = offers(plainType).map((offer) => ({
+    const allOffers = offers(plainType).map((offer) => ({
       ...offer,
       machinesInZone: offer.kind.zone === 'a' ? 5 : 1,
     }));
-    assert.equal(cheapestOffer(demand(2, { spread: true }), all)?.kind.zone, 'b');
+    assert.equal(cheapestOffer(demand(2, { spread: true }), allOffers)?.kind.zone, 'b');
   });
 });
 
