--- a/src/controller/fleet/scale-out-plan.test.ts
+++ b/src/controller/fleet/scale-out-plan.test.ts
@@ -29,13 +29,13 @@
 
 describe('cheapestOffer', () => {
   it('takes the cheapest kind that the tasks may use', () => {
-    const all = offers(plainType, gpuType);
-    assert.deepEqual(cheapestOffer(demand(2), all)?.kind, {
+    const allOffers = offers(plainType, gpuType);
+    assert.deepEqual(cheapestOffer(demand(2), allOffers)?.kind, {
       ...{ type: plainType, zone: 'a', spot: true },
     });
-    assert.equal(cheapestOffer(demand(2, { spot: false }), all)?.kind.spot, false);
-    assert.equal(cheapestOffer(demand(2, { gpus: 1 }), all)?.kind.type.name, 'gpu');
-    assert.equal(cheapestOffer(demand(2, { gpus: 5 }), all), null);
+    assert.equal(cheapestOffer(demand(2, { spot: false }), allOffers)?.kind.spot, false);
+    assert.equal(cheapestOffer(demand(2, { gpus: 1 }), allOffers)?.kind.type.name, 'gpu');
+    assert.equal(cheapestOffer(demand(2, { gpus: 5 }), allOffers), null);
   });
 
   it('takes the zone with fewer machines for a job that asks to be spread', () => {
