--- a/src/controller/fleet/scale-out-plan.test.ts
+++ b/src/controller/fleet/scale-out-plan.test.ts
@@ -48,18 +48,18 @@
 });
 
 describe('planScaleOut', () => {
-  const counts = (demands: CapacityDemand[], bootingMachines: number): number[] => {
+  const launchCounts = (demands: CapacityDemand[], bootingMachines: number): number[] => {
     const kind = { type: plainType, zone: 'a', spot: true };
     const booting = Array.from({ length: bootingMachines }, () => kind);
     return planScaleOut(demands, booting, offers(plainType)).map(({ count }) => count);
   };
 
   it('launches only what the booting machines cannot hold', () => {
-    assert.deepEqual(counts([demand(4)], 2), []);
-    assert.deepEqual(counts([demand(4)], 1), [1]);
+    assert.deepEqual(launchCounts([demand(4)], 2), []);
+    assert.deepEqual(launchCounts([demand(4)], 1), [1]);
   });
 
   it('makes at most four launches of fifty machines', () => {
-    assert.deepEqual(counts([demand(1000, { zone: 'a' })], 0), [50, 50, 50, 50]);
+    assert.deepEqual(launchCounts([demand(1000, { zone: 'a' })], 0), [50, 50, 50, 50]);
   });
 });
