--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -113,9 +113,9 @@
   private countByZone(): Map<string, number> {
     const { booting, workers } = this.context;
     const counts = new Map<string, number>();
-    const count = (zone: string): unknown => counts.set(zone, (counts.get(zone) ?? 0) + 1);
-    for (const machine of booting.values()) count(machine.zone);
-    for (const machine of workers.machines.values()) count(machine.zone);
+    const increment = (zone: string): unknown => counts.set(zone, (counts.get(zone) ?? 0) + 1);
+    for (const machine of booting.values()) increment(machine.zone);
+    for (const machine of workers.machines.values()) increment(machine.zone);
     return counts;
   }
 
