--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -76,11 +76,11 @@
   }
 
   private waitingDemand(now: number): CapacityDemand[] {
-    const patienceMs =
+    const minWaitMs =
       this.settings.heartbeatIntervalMs * this.settings.get('fleet.rent.wait.ratio');
     const demands: CapacityDemand[] = [];
     for (const { job, tasks } of this.context.placement.shortages)
-      if (now - job.waitingSince >= patienceMs) demands.push({ spec: job.spec, tasks });
+      if (now - job.waitingSince >= minWaitMs) demands.push({ spec: job.spec, tasks });
     return demands;
   }
 
