--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -98,7 +98,7 @@
 
   /** The kinds of machines that may be launched now, with the number of machines in their zone. */
   private offers(types: readonly MachineType[], now: number): InstanceOffer[] {
-    const machinesByZone = this.countByZone();
+    const machinesByZone = this.countMachinesByZone();
     const offers: InstanceOffer[] = [];
     for (const type of types)
       for (const zone of type.zones)
@@ -110,7 +110,7 @@
     return offers;
   }
 
-  private countByZone(): Map<string, number> {
+  private countMachinesByZone(): Map<string, number> {
     const { booting, workers } = this.context;
     const counts = new Map<string, number>();
     const increment = (zone: string): unknown => counts.set(zone, (counts.get(zone) ?? 0) + 1);
