--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -101,8 +101,8 @@
   }
 
   private forgetProbeAnswers(now: number): void {
-    for (const [id, at] of this.probeAnsweredAt)
-      if (now - at > this.settings.workerLeaseMs) this.probeAnsweredAt.delete(id);
+    for (const [id, answeredAt] of this.probeAnsweredAt)
+      if (now - answeredAt > this.settings.workerLeaseMs) this.probeAnsweredAt.delete(id);
   }
 
   /** Whether a release would bring replicas back clearly sooner without harm to a gang that still runs. */
