--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -85,7 +85,7 @@
     // Many unresponsive machines point to a fault of the network, possibly of this node's own.
     if (this.workers.overdueShare(0, false) > share) return 0;
     this.selectionTimes = this.selectionTimes.filter(
-      (at) => now - at < this.settings.workerLeaseMs,
+      (selectedAt) => now - selectedAt < this.settings.workerLeaseMs,
     );
     return Math.ceil(this.workers.machines.size * share) - this.selectionTimes.length;
   }
