--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -108,8 +108,8 @@
   /** Whether a release would bring replicas back clearly sooner without harm to a gang that still runs. */
   private isWorthReleasing(machine: Machine, now: number): boolean {
     if (machine.releasing || machine.agentEpoch < machine.lowestValidAgentEpoch) return false;
-    const leaseLeftMs = machine.leaseRenewedAt + this.settings.workerLeaseExpiryMs - now;
-    if (leaseLeftMs < this.settings.heartbeatIntervalMs) return false;
+    const remainingLeaseMs = machine.leaseRenewedAt + this.settings.workerLeaseExpiryMs - now;
+    if (remainingLeaseMs < this.settings.heartbeatIntervalMs) return false;
     const assignments = [...machine.assignments.values()].filter((a) => a.phase !== 'ended');
     return assignments.some(isReplica) && !assignments.some(isMemberOfRunningGang);
   }
