--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -42,7 +42,7 @@
   private readonly eventLoop: EventLoop;
   readonly table: JobTable;
   readonly workers: Workers;
-  private readonly hosts: UnresponsiveReplicaHosts;
+  private readonly replicaHosts: UnresponsiveReplicaHosts;
 
   constructor() {
     const runtime: Runtime = {
@@ -82,7 +82,7 @@
       findMachineType: () => undefined,
       ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
     });
-    this.hosts = new UnresponsiveReplicaHosts(
+    this.replicaHosts = new UnresponsiveReplicaHosts(
       this.eventLoop,
       settings,
       this.workers,
@@ -147,7 +147,7 @@
         if (!this.unresponsive.has(id) && leaderAnswers) this.sendHeartbeat(id);
       this.workers.setAnswering(leaderAnswers, STEP_MS);
       this.workers.expireLeases();
-      this.hosts.step(this.now);
+      this.replicaHosts.step(this.now);
       this.runDue();
     }
   }
