--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -96,7 +96,7 @@
     this.run(2);
   }
 
-  get ids(): string[] {
+  get machineIds(): string[] {
     return Array.from({ length: MACHINES }, (_, i) => `n-${i}`);
   }
 
@@ -143,7 +143,7 @@
   run(seconds: number, leaderAnswers = true): void {
     for (let i = 0; i < seconds; i++) {
       this.now += STEP_MS;
-      for (const id of this.ids)
+      for (const id of this.machineIds)
         if (!this.unresponsive.has(id) && leaderAnswers) this.sendHeartbeat(id);
       this.workers.setAnswering(leaderAnswers, STEP_MS);
       this.workers.expireLeases();
@@ -251,7 +251,8 @@
   it('is kept when too many machines are unresponsive, since the network may be at fault', () => {
     const cluster = new Cluster();
     cluster.place({}, ['n-0']);
-    for (const id of cluster.ids.slice(0, MACHINES * maxShare + 1)) cluster.unresponsive.add(id);
+    for (const id of cluster.machineIds.slice(0, MACHINES * maxShare + 1))
+      cluster.unresponsive.add(id);
     cluster.run(RELEASED_WITHIN_S);
     assert.deepEqual(cluster.released, []);
   });
@@ -277,7 +278,7 @@
 
   it('are released only up to a share of all machines within a lease', () => {
     const cluster = new Cluster();
-    cluster.place({}, cluster.ids);
+    cluster.place({}, cluster.machineIds);
     for (let i = 0; i < MACHINES; i++) {
       // One after the other, so that never many are unresponsive at a time.
       cluster.unresponsive.add(`n-${i}`);
