--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -103,9 +103,9 @@
   private call(call: Call, done: (reply: Reply) => void): void {
     if (call.path !== '/inspect') return;
     this.probed.push(call.to);
-    const answers = this.answeringProbes.has(call.to) || !this.unresponsive.has(call.to);
-    const reply: Reply = { status: answers ? 200 : 0, body: null };
-    this.replies.push({ at: this.now + (answers ? 0 : call.timeoutMs), done, reply });
+    const isAnswered = this.answeringProbes.has(call.to) || !this.unresponsive.has(call.to);
+    const reply: Reply = { status: isAnswered ? 200 : 0, body: null };
+    this.replies.push({ at: this.now + (isAnswered ? 0 : call.timeoutMs), done, reply });
   }
 
   /** Starts a job with one task on each of the machines. */
