--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -109,10 +109,10 @@
   }
 
   /** Starts a job with one task on each of the machines. */
-  place(part: Partial<JobSpec>, machines: string[]): Job {
+  place(overrides: Partial<JobSpec>, machines: string[]): Job {
     const spec = arraySpec({
       ...{ id: `req-${this.table.jobs.size}`, kind: 'service', priority: 'production' },
-      ...{ tasks: machines.length, estimatedRunS: 0, ...part },
+      ...{ tasks: machines.length, estimatedRunS: 0, ...overrides },
     });
     this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
     const job = this.table.jobs.get(spec.id) ?? assert.fail();
