--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -109,7 +109,7 @@
   }
 
   /** Starts a job with one task on each of the machines. */
-  place(overrides: Partial<JobSpec>, machines: string[]): Job {
+  startJob(overrides: Partial<JobSpec>, machines: string[]): Job {
     const spec = arraySpec({
       ...{ id: `req-${this.table.jobs.size}`, kind: 'service', priority: 'production' },
       ...{ tasks: machines.length, estimatedRunS: 0, ...overrides },
@@ -185,7 +185,7 @@
 describe('an unresponsive machine with service replicas', () => {
   it('is released well before its lease expires', () => {
     const cluster = new Cluster();
-    const job = cluster.place({}, ['n-0', 'n-1']);
+    const job = cluster.startJob({}, ['n-0', 'n-1']);
     cluster.unresponsive.add('n-0');
     cluster.run(settings.platform.workers.heartbeatIntervalS);
     assert.deepEqual(cluster.released, [], 'not for one late heartbeat');
@@ -198,7 +198,7 @@
 
   it('is kept while it answers probes', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
+    cluster.startJob({}, ['n-0']);
     cluster.unresponsive.add('n-0');
     cluster.answeringProbes.add('n-0');
     cluster.run(RELEASED_WITHIN_S);
@@ -208,7 +208,7 @@
 
   it('is kept if its heartbeat arrives during the probe', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
+    cluster.startJob({}, ['n-0']);
     cluster.unresponsive.add('n-0');
     while (cluster.probed.length === 0) cluster.run(1);
     cluster.unresponsive.delete('n-0');
@@ -218,8 +218,8 @@
 
   it('is kept while a gang with a member there goes on, since it may merely be partitioned', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
-    const gang = cluster.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
+    cluster.startJob({}, ['n-0']);
+    const gang = cluster.startJob({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
     cluster.unresponsive.add('n-0');
     cluster.run(RELEASED_WITHIN_S);
     assert.deepEqual(cluster.probed, []);
@@ -230,8 +230,8 @@
 
   it('is kept when its lease is about to expire anyway', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
-    const gang = cluster.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
+    cluster.startJob({}, ['n-0']);
+    const gang = cluster.startJob({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
     cluster.unresponsive.add('n-0');
     cluster.run(settings.platform.workers.leaseS - 1);
     cluster.exitTask(gang, 'n-1');
@@ -241,7 +241,7 @@
 
   it('is kept when its services have been cancelled', () => {
     const cluster = new Cluster();
-    const job = cluster.place({}, ['n-0']);
+    const job = cluster.startJob({}, ['n-0']);
     cluster.unresponsive.add('n-0');
     cluster.table.markCancelled(job.spec.id);
     cluster.run(RELEASED_WITHIN_S);
@@ -250,7 +250,7 @@
 
   it('is kept when too many machines are unresponsive, since the network may be at fault', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
+    cluster.startJob({}, ['n-0']);
     for (const id of cluster.machineIds.slice(0, MACHINES * maxShare + 1))
       cluster.unresponsive.add(id);
     cluster.run(RELEASED_WITHIN_S);
@@ -259,7 +259,7 @@
 
   it('is kept when the leader itself has not answered heartbeats', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
+    cluster.startJob({}, ['n-0']);
     cluster.unresponsive.add('n-0');
     cluster.run(RELEASED_WITHIN_S, false);
     cluster.run(settings.platform.workers.heartbeatIntervalS);
@@ -270,7 +270,7 @@
 describe('unresponsive machines', () => {
   it('are neither probed nor released without replicas', () => {
     const cluster = new Cluster();
-    cluster.place({ kind: 'array', estimatedRunS: 900 }, ['n-0']);
+    cluster.startJob({ kind: 'array', estimatedRunS: 900 }, ['n-0']);
     cluster.unresponsive.add('n-0').add('n-1');
     cluster.run(RELEASED_WITHIN_S);
     assert.deepEqual([cluster.probed, cluster.released], [[], []]);
@@ -278,7 +278,7 @@
 
   it('are released only up to a share of all machines within a lease', () => {
     const cluster = new Cluster();
-    cluster.place({}, cluster.machineIds);
+    cluster.startJob({}, cluster.machineIds);
     for (let i = 0; i < MACHINES; i++) {
       // One after the other, so that never many are unresponsive at a time.
       cluster.unresponsive.add(`n-${i}`);
