--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -21,8 +21,8 @@
 const STEP_MS = 1000;
 const settings = new Settings(standalonePlatform(), defaultProperties());
 const maxShare = settings.get('fleet.replicas.silent.share');
-const nothing = (): void => undefined;
-const silentLog: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
+const noOp = (): void => undefined;
+const silentLog: Logger = { info: noOp, debug: noOp, warn: noOp, error: noOp };
 
 /** Machines whose workers send heartbeats unless they are unresponsive; records probes and releases. */
 class Cluster {
@@ -53,11 +53,11 @@
       defer: (run) => this.deferred.push(run),
       startTimer: (ms, run) => {
         this.timers.push({ at: this.now + ms, run });
-        return { cancel: nothing };
+        return { cancel: noOp };
       },
       call: (call, done) => this.call(call, done),
       hasSpareConnection: () => true,
-      sendPeer: nothing,
+      sendPeer: noOp,
     };
     this.eventLoop = new EventLoop(runtime, silentLog);
     const records = immediateRecords();
@@ -68,19 +68,19 @@
       records,
       {
         ...{
-          onIncompleteGang: nothing,
-          onJobAdded: nothing,
-          onTasksPending: nothing,
-          onCompletionRecorded: nothing,
-          onTerminalState: nothing,
+          onIncompleteGang: noOp,
+          onJobAdded: noOp,
+          onTasksPending: noOp,
+          onCompletionRecorded: noOp,
+          onTerminalState: noOp,
         },
-        onRecordRemoved: nothing,
+        onRecordRemoved: noOp,
         onJobTerminated: (job) => this.workers.jobTerminated(job),
       },
     );
     this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
       findMachineType: () => undefined,
-      ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
+      ...{ higherTermSeen: noOp, placementInputChanged: noOp, taskCompleted: noOp },
     });
     this.replicaHosts = new UnresponsiveReplicaHosts(
       this.eventLoop,
