--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -38,7 +38,7 @@
   private readonly taskStatuses = new Map<string, TaskStatus[]>();
   private readonly replies: { at: number; done: (reply: Reply) => void; reply: Reply }[] = [];
   private readonly deferred: (() => void)[] = [];
-  private readonly timers: { at: number; run: () => void }[] = [];
+  private readonly timers: { dueAt: number; run: () => void }[] = [];
   private readonly eventLoop: EventLoop;
   readonly table: JobTable;
   readonly workers: Workers;
@@ -52,7 +52,7 @@
       random: () => 0.5,
       defer: (run) => this.deferred.push(run),
       startTimer: (ms, run) => {
-        this.timers.push({ at: this.now + ms, run });
+        this.timers.push({ dueAt: this.now + ms, run });
         return { cancel: noOp };
       },
       call: (call, done) => this.call(call, done),
@@ -167,7 +167,7 @@
       else this.replies.push(pending);
     this.runDeferred();
     for (const timer of this.timers.splice(0))
-      if (timer.at <= this.now) timer.run();
+      if (timer.dueAt <= this.now) timer.run();
       else this.timers.push(timer);
     this.runDeferred();
   }
