--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -36,7 +36,7 @@
   readonly released: string[] = [];
   /** What the heartbeat of each machine tells of its tasks. */
   private readonly taskStatuses = new Map<string, TaskStatus[]>();
-  private readonly replies: { at: number; done: (reply: Reply) => void; reply: Reply }[] = [];
+  private readonly replies: { dueAt: number; done: (reply: Reply) => void; reply: Reply }[] = [];
   private readonly deferred: (() => void)[] = [];
   private readonly timers: { dueAt: number; run: () => void }[] = [];
   private readonly eventLoop: EventLoop;
@@ -105,7 +105,7 @@
     this.probed.push(call.to);
     const isAnswered = this.answeringProbes.has(call.to) || !this.unresponsive.has(call.to);
     const reply: Reply = { status: isAnswered ? 200 : 0, body: null };
-    this.replies.push({ at: this.now + (isAnswered ? 0 : call.timeoutMs), done, reply });
+    this.replies.push({ dueAt: this.now + (isAnswered ? 0 : call.timeoutMs), done, reply });
   }
 
   /** Starts a job with one task on each of the machines. */
@@ -163,7 +163,7 @@
   /** Delivers replies and runs timers that are due. */
   private runDue(): void {
     for (const pending of this.replies.splice(0))
-      if (pending.at <= this.now) pending.done(pending.reply);
+      if (pending.dueAt <= this.now) pending.done(pending.reply);
       else this.replies.push(pending);
     this.runDeferred();
     for (const timer of this.timers.splice(0))
