--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -61,21 +61,21 @@
     const unresponsiveMs =
       this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
     const idleMs = this.idleLimitMs(now, workload);
-    const found = this.findFailedBoots(now, unresponsiveMs);
+    const machineIds = this.findFailedBoots(now, unresponsiveMs);
     const idleCounts = this.countIdleByKind();
     for (const machine of [...this.context.workers.machines.values()]) {
       if (this.context.scaleIn.isReleasing(machine.id)) continue;
-      if (machine.cloudState === 'failed') found.push(machine.id);
+      if (machine.cloudState === 'failed') machineIds.push(machine.id);
       else if (this.isUnresponsive(machine, unresponsiveMs)) {
-        if (this.releasesUnresponsive(machine, now, unresponsiveMs)) found.push(machine.id);
+        if (this.releasesUnresponsive(machine, now, unresponsiveMs)) machineIds.push(machine.id);
       } else if (
         !machine.isBusy &&
         now - machine.idleSince > idleLimitMs(machine, idleMs, workload)
       ) {
-        if (this.releasesIdle(machine, idleCounts, workload.noWork)) found.push(machine.id);
+        if (this.releasesIdle(machine, idleCounts, workload.noWork)) machineIds.push(machine.id);
       }
     }
-    return found;
+    return machineIds;
   }
 
   /**
