--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -85,7 +85,7 @@
    */
   private findFailedBoots(now: number, unresponsiveMs: number): string[] {
     const { booting, workers } = this.context;
-    const found: string[] = [];
+    const machineIds: string[] = [];
     const bootRatio = this.settings.get('fleet.boot.ratio');
     for (const [id, machine] of booting) {
       if (workers.machines.get(id)?.lastHeartbeatAt !== undefined) {
@@ -98,10 +98,10 @@
         : now - machine.requestedAt > bootLimitMs;
       if (!late) continue;
       booting.delete(id);
-      found.push(id);
+      machineIds.push(id);
       this.eventLoop.log.info({ machine: id }, 'machine failed to boot in time');
     }
-    return found;
+    return machineIds;
   }
 
   /**
