--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -93,10 +93,10 @@
         continue;
       }
       const bootLimitMs = machine.type.bootS * bootRatio * 1000;
-      const late = machine.listedAsRunning
+      const isOverdue = machine.listedAsRunning
         ? now - machine.knownSince > unresponsiveMs
         : now - machine.requestedAt > bootLimitMs;
-      if (!late) continue;
+      if (!isOverdue) continue;
       booting.delete(id);
       machineIds.push(id);
       this.eventLoop.log.info({ machine: id }, 'machine failed to boot in time');
