--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -60,7 +60,7 @@
   find(now: number, workload: WorkloadState): string[] {
     const unresponsiveMs =
       this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
-    const idleMs = this.idleLimitMs(now, workload);
+    const defaultIdleLimitMs = this.idleLimitMs(now, workload);
     const machineIds = this.findFailedBoots(now, unresponsiveMs);
     const idleCounts = this.countIdleByKind();
     for (const machine of [...this.context.workers.machines.values()]) {
@@ -70,7 +70,7 @@
         if (this.releasesUnresponsive(machine, now, unresponsiveMs)) machineIds.push(machine.id);
       } else if (
         !machine.isBusy &&
-        now - machine.idleSince > idleLimitMs(machine, idleMs, workload)
+        now - machine.idleSince > idleLimitMs(machine, defaultIdleLimitMs, workload)
       ) {
         if (this.releasesIdle(machine, idleCounts, workload.noWork)) machineIds.push(machine.id);
       }
