--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -60,7 +60,7 @@
   find(now: number, workload: WorkloadState): string[] {
     const unresponsiveMs =
       this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
-    const defaultIdleLimitMs = this.idleLimitMs(now, workload);
+    const defaultIdleLimitMs = this.defaultIdleLimitMs(now, workload);
     const machineIds = this.findFailedBoots(now, unresponsiveMs);
     const idleCounts = this.countIdleByKind();
     for (const machine of [...this.context.workers.machines.values()]) {
@@ -108,7 +108,7 @@
    * How long a machine may be idle. While a gang has long lacked capacity and the cloud refuses machines,
    * idle ones may use up the quota that the gang needs. Not sooner: a released machine's images are lost.
    */
-  private idleLimitMs(now: number, workload: WorkloadState): number {
+  private defaultIdleLimitMs(now: number, workload: WorkloadState): number {
     if (workload.noWork) return 0;
     const idleMs = this.settings.workerLeaseMs * this.settings.get('fleet.idle.ratio');
     const longWaitMs = this.settings.get('placement.cannot.fill.s') * 1000;
