--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -39,7 +39,7 @@
 }
 
 /** Once jobs have stopped arriving, a machine is kept no longer than a new one would take to boot. */
-function idleLimitMs(
+function machineIdleLimitMs(
   machine: Machine,
   defaultMs: number,
   { arrivalsStopped }: WorkloadState,
@@ -70,7 +70,7 @@
         if (this.releasesUnresponsive(machine, now, unresponsiveMs)) machineIds.push(machine.id);
       } else if (
         !machine.isBusy &&
-        now - machine.idleSince > idleLimitMs(machine, defaultIdleLimitMs, workload)
+        now - machine.idleSince > machineIdleLimitMs(machine, defaultIdleLimitMs, workload)
       ) {
         if (this.releasesIdle(machine, idleCounts, workload.noWork)) machineIds.push(machine.id);
       }
