--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -8,7 +8,7 @@
 import type { ScaleIn } from './scale-in.js';
 
 /** Factor on the idle limit while idle machines may block the launch of machines for a waiting gang. */
-const STUCK_IDLE_FACTOR = 1 / 8;
+const BLOCKED_GANG_IDLE_FACTOR = 1 / 8;
 /** Idle machines of a kind, at least, for one of them to be released: the last would be launched again. */
 const MIN_IDLE_OF_KIND = 2;
 
@@ -115,7 +115,7 @@
     const gangBlocked =
       workload.scaleOutRefused &&
       this.context.placement.shortages.some(({ job }) => now - job.waitingSince > longWaitMs);
-    return gangBlocked ? idleMs * STUCK_IDLE_FACTOR : idleMs;
+    return gangBlocked ? idleMs * BLOCKED_GANG_IDLE_FACTOR : idleMs;
   }
 
   private countIdleByKind(): Map<string, number> {
