--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -34,7 +34,7 @@
 }
 
 /** Machines with the same key stand in for one another when idle. */
-function idleKey(machine: Machine): string {
+function typeAndMarketKey(machine: Machine): string {
   return `${machine.typeName} ${machine.spot ? 1 : 0}`;
 }
 
@@ -123,7 +123,7 @@
     const counts = new Map<string, number>();
     for (const machine of workers.machines.values()) {
       if (machine.isBusy || machine.releasing || !workers.isAlive(machine)) continue;
-      const key = idleKey(machine);
+      const key = typeAndMarketKey(machine);
       counts.set(key, (counts.get(key) ?? 0) + 1);
     }
     return counts;
@@ -151,7 +151,7 @@
     idleCounts: Map<string, number>,
     noWork: boolean,
   ): boolean {
-    const key = idleKey(machine);
+    const key = typeAndMarketKey(machine);
     const idleCount = idleCounts.get(key) ?? 0;
     if (idleCount < MIN_IDLE_OF_KIND && !noWork) return false;
     idleCounts.set(key, idleCount - 1);
