--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -72,7 +72,8 @@
         !machine.isBusy &&
         now - machine.idleSince > machineIdleLimitMs(machine, defaultIdleLimitMs, workload)
       ) {
-        if (this.releasesIdle(machine, idleCounts, workload.noWork)) machineIds.push(machine.id);
+        if (this.shouldReleaseIdle(machine, idleCounts, workload.noWork))
+          machineIds.push(machine.id);
       }
     }
     return machineIds;
@@ -146,7 +147,7 @@
   }
 
   /** Whether an idle machine is to be released: only if another of its kind stays, or there is no work. */
-  private releasesIdle(
+  private shouldReleaseIdle(
     machine: Machine,
     idleCounts: Map<string, number>,
     noWork: boolean,
