--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -67,7 +67,8 @@
       if (this.context.scaleIn.isReleasing(machine.id)) continue;
       if (machine.cloudState === 'failed') machineIds.push(machine.id);
       else if (this.isUnresponsive(machine, unresponsiveMs)) {
-        if (this.releasesUnresponsive(machine, now, unresponsiveMs)) machineIds.push(machine.id);
+        if (this.shouldReleaseUnresponsive(machine, now, unresponsiveMs))
+          machineIds.push(machine.id);
       } else if (
         !machine.isBusy &&
         now - machine.idleSince > machineIdleLimitMs(machine, defaultIdleLimitMs, workload)
@@ -136,7 +137,7 @@
   }
 
   /** Whether an unresponsive machine is to be released; one that no longer exists is removed instead. */
-  private releasesUnresponsive(machine: Machine, now: number, limitMs: number): boolean {
+  private shouldReleaseUnresponsive(machine: Machine, now: number, limitMs: number): boolean {
     if (machine.cloudState === 'absent' || machine.cloudStateAt === -Infinity) {
       // The machine no longer exists, and its worker's lease has expired (invariant 5).
       if (now - machine.firstSeenAt > limitMs * 2) this.context.workers.removeMachine(machine);
