--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -26,21 +26,21 @@
     });
   });
 
-  const launched = { type: plainType, zone: 'a', spot: false, requestedAt: -Infinity };
+  const bootingMachine = { type: plainType, zone: 'a', spot: false, requestedAt: -Infinity };
 
   it('finds machines that failed, did not boot in time or are unresponsive', () => {
     workers.add('failed').cloudState = 'failed';
     workers.add('unresponsive');
     workers.unresponsive.set('unresponsive', unresponsiveLimitMs + 1);
     workers.add('up');
-    booting.set('late', { ...launched, knownSince: 0, listedAsRunning: false });
+    booting.set('late', { ...bootingMachine, knownSince: 0, listedAsRunning: false });
     assert.deepEqual(unused.find(0, steady), ['late', 'failed', 'unresponsive']);
     assert.equal(booting.size, 0);
   });
 
   // A new leader reads the list before the workers have found it: those without a record were released.
   it('gives a machine that is listed as running time to find this leader', () => {
-    booting.set('partitioned', { ...launched, knownSince: 0, listedAsRunning: true });
+    booting.set('partitioned', { ...bootingMachine, knownSince: 0, listedAsRunning: true });
     assert.deepEqual(unused.find(unresponsiveLimitMs, steady), []);
     assert.deepEqual(unused.find(unresponsiveLimitMs + 1, steady), ['partitioned']);
   });
