--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -58,8 +58,8 @@
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
     assert.deepEqual(unused.find(idleLimitMs, steady), []);
     assert.deepEqual(unused.find(idleLimitMs + 1, steady), ['n-1', 'n-2']);
-    const rest = unused.find(idleLimitMs + 1, { ...steady, noWork: true });
-    assert.ok(rest.includes('n-3'));
+    const remaining = unused.find(idleLimitMs + 1, { ...steady, noWork: true });
+    assert.ok(remaining.includes('n-3'));
   });
 
   // Kept for jobs that do not come, they would cost as much as busy ones.
