--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -71,12 +71,12 @@
         this.classes.delete(spec.class);
         continue;
       }
-      const tasks = Math.max(
+      const expectedTasks = Math.max(
         1,
         Math.ceil((runningByClass.get(spec.class) ?? 0) * this.settings.ratio),
       );
-      const fittingTasks = countFittingOnAll(spec, machines, tasks);
-      if (fittingTasks < tasks) demands.push({ spec, tasks: tasks - fittingTasks });
+      const fittingTasks = countFittingOnAll(spec, machines, expectedTasks);
+      if (fittingTasks < expectedTasks) demands.push({ spec, tasks: expectedTasks - fittingTasks });
     }
     return demands;
   }
