--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { ArrivalMonitor } from './arrival-monitor.js';
 
-const MEMORY_MS = 120_000;
+const DECAY_TIME_CONSTANT_MS = 120_000;
 const MIN_STOP_DELAY_MS = 20_000;
 const GAP_MS = 4000;
 
@@ -11,7 +11,7 @@
   gapMs: number,
   forMs: number,
 ): { arrivals: ArrivalMonitor; lastAt: number } {
-  const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_STOP_DELAY_MS, 0);
+  const arrivals = new ArrivalMonitor(DECAY_TIME_CONSTANT_MS, MIN_STOP_DELAY_MS, 0);
   let lastAt = 0;
   for (let arrivedAt = gapMs; arrivedAt <= forMs; arrivedAt += gapMs) {
     arrivals.observe([arrivedAt], arrivedAt);
@@ -45,7 +45,7 @@
   });
 
   it('reports no stop before several jobs have arrived, and counts each job once', () => {
-    const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_STOP_DELAY_MS, 0);
+    const arrivals = new ArrivalMonitor(DECAY_TIME_CONSTANT_MS, MIN_STOP_DELAY_MS, 0);
     for (let now = 0; now < 100_000; now += 1000) arrivals.observe([1, 2, 3], now);
     assert.ok(!arrivals.haveStopped(1_000_000));
   });
