--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -6,7 +6,7 @@
 const MIN_STOP_DELAY_MS = 20_000;
 const GAP_MS = 4000;
 
-/** A monitor that has seen a job every `gapMs` for `forMs`, and when the last of them arrived. */
+/** Returns a monitor that has observed a job every `gapMs` for `forMs`, and the time of the last arrival. */
 function monitorAfterArrivals(
   gapMs: number,
   forMs: number,
@@ -21,7 +21,7 @@
 }
 
 describe('ArrivalMonitor', () => {
-  it('reports a stop after many mean gaps without a job, and its end with the next job', () => {
+  it('reports a stop after many mean gaps without a job, until the next job arrives', () => {
     const { arrivals, lastAt } = monitorAfterArrivals(GAP_MS, 400_000);
     assert.ok(!arrivals.haveStopped(lastAt + 5 * GAP_MS));
     assert.ok(arrivals.haveStopped(lastAt + 15 * GAP_MS));
@@ -29,14 +29,14 @@
     assert.ok(!arrivals.haveStopped(lastAt + 17 * GAP_MS));
   });
 
-  it('reports no stop before users would have retried, however frequent jobs were', () => {
+  it('reports no stop within the shortest delay, in which users retry, however frequent jobs were', () => {
     const { arrivals, lastAt } = monitorAfterArrivals(100, 60_000);
     assert.ok(!arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS));
     assert.ok(arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS + 1));
   });
 
-  // No job can arrive during an outage, so its quiet says nothing.
-  it('counts the quiet period only from the end of an interruption', () => {
+  // No job can arrive during an outage, so the lack of jobs is no sign that arrivals have stopped.
+  it('measures the time without jobs only from the end of an interruption', () => {
     const { arrivals, lastAt } = monitorAfterArrivals(GAP_MS, 400_000);
     const resumedAt = lastAt + 60_000;
     arrivals.noteInterruption(resumedAt);
--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -3,25 +3,27 @@
  * afterwards they only cost money.
  */
 
-/** Arrivals count as stopped after this many times the mean gap between two jobs. */
+/** Arrivals count as stopped once no job has arrived for this many times the mean gap between two jobs. */
 const STOPPED_AFTER_GAPS = 12;
 
-/** Jobs that have to arrive before the mean gap is meaningful. */
+/** Number of jobs that have to arrive before the mean gap is meaningful. */
 const MIN_JOBS = 8;
 
 /** Estimates the mean gap between two jobs from an exponentially decaying count. */
 export class ArrivalMonitor {
-  /** The decaying count, as of the last job. */
+  /** Number of jobs with exponentially decreasing weight, as of the last arrival. */
   private decayingCount = 0;
   private jobCount = 0;
   private lastJobAt: number;
-  /** Start of the quiet period: the last job, or the end of the last interruption. */
+  /** Start of the current gap between arrivals: the last arrival, or the end of a later interruption. */
   private noArrivalSince: number;
   private newestSubmittedAt = -Infinity;
 
   /**
-   * `memoryMs`: time constant of the decay. `minQuietMs`: shortest quiet period that counts, however often
-   * jobs arrive: users retry after an error within about that time. `now`: steady clock, milliseconds.
+   * @param decayTimeConstantMs - time constant of the exponential decay
+   * @param minStopDelayMs - shortest time without a job after which arrivals can count as stopped, however
+   *   often jobs arrived before: users retry after an error within about this time
+   * @param now - current time of the monotonic clock in ms
    */
   constructor(
     private readonly decayTimeConstantMs: number,
@@ -32,7 +34,7 @@
     this.noArrivalSince = now;
   }
 
-  /** Takes the submission times of all unfinished jobs; those submitted since the last call are counted. */
+  /** Counts the jobs submitted since the last call, given the submission times of all unfinished jobs. */
   observe(submissionTimes: Iterable<number>, now: number): void {
     const previousNewestSubmittedAt = this.newestSubmittedAt;
     let newJobs = 0;
@@ -50,12 +52,15 @@
     this.noArrivalSince = now;
   }
 
-  /** No job could arrive for a while (an outage, a pause of this process): the quiet period starts anew. */
+  /**
+   * Restarts the current gap after an interruption in which no job could arrive, such as an outage or a stall
+   * of this process.
+   */
   noteInterruption(now: number): void {
     this.noArrivalSince = now;
   }
 
-  /** Whether no job has arrived for much longer than the mean gap between two. */
+  /** Whether no job has arrived for much longer than the mean gap between two jobs. */
   haveStopped(now: number): boolean {
     if (this.jobCount < MIN_JOBS) return false;
     const meanGapMs = this.decayTimeConstantMs / this.decayingCount;
--- a/src/controller/fleet/booting-machines.ts
+++ b/src/controller/fleet/booting-machines.ts
@@ -1,13 +1,13 @@
-/** Machines that have been launched and are not up yet. */
+/** Machines that have been launched and have not sent a heartbeat to this leader yet. */
 import type { MachineKind } from '../placement/capacity/machine-kind.js';
 
-/** A booting machine as this leader knows it. Times are of the steady clock, in milliseconds. */
+/** A booting machine. Times are readings of the monotonic clock in ms. */
 export interface BootingMachine extends MachineKind {
-  /** When the launch was requested, for machines of another term by the age that the cloud lists. */
+  /** When the launch was requested; for machines of another term computed from the age in the cloud's list. */
   requestedAt: number;
-  /** When this leader learned of the machine. */
+  /** When this leader learned of the machine; for its own launches, when it requested them. */
   knownSince: number;
-  /** The cloud lists the machine as running, but no heartbeat has arrived. */
+  /** Whether the cloud lists the machine as running although no heartbeat has arrived. */
   listedAsRunning: boolean;
 }
 
