--- a/src/controller/fleet/cloud-client.test.ts
+++ b/src/controller/fleet/cloud-client.test.ts
@@ -51,8 +51,8 @@
       assert.deepEqual(results, [{ kind: 'failed' }]);
     });
 
-  // A list of several thousand machines needs more calls than the token bucket holds; it failed at the
-  // first page without a token, and nothing was launched then.
+  // A list of several thousand machines needs more calls than the token bucket holds. If the list fails at
+  // the first page without a token, no machine is launched.
   it('reads a list of any length within the rate limit and leaves calls for launches', () => {
     const pages = 24;
     const results: ListResult[] = [];
@@ -72,7 +72,7 @@
     assert.ok(cloud.listIntervalMs(100) < 1000);
   });
 
-  it('tells refused launches from those that may have been carried out', () => {
+  it('distinguishes refused launches from those that may have been carried out', () => {
     const results: LaunchResult[] = [];
     const request = { name: 't7-1', kind: { type: plainType, zone: 'a', spot: false }, count: 1 };
     for (const [status, body] of [
@@ -92,7 +92,7 @@
     ]);
   });
 
-  it('pauses all calls after the cloud has answered 429', () => {
+  it('provides no token for a while after the cloud has answered 429', () => {
     cloud.release(['n-1'], () => undefined);
     runtime.answer(429);
     assert.ok(!cloud.acquireReleaseToken());
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Client of the cloud's machine API, kept within the cloud's rate limit. */
+/** Client of the cloud's machine API that stays within the cloud's rate limit. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Reply } from '../runtime/runtime.js';
 import { TokenBucket } from '../runtime/token-bucket.js';
@@ -14,38 +14,42 @@
 
 const CALL_TIMEOUT_MS = 5000;
 const LIST_PAGE_SIZE = 500;
+/** Shortest delay before a page of the list that got no rate-limit token tries again. */
 const MIN_TOKEN_WAIT_MS = 5;
-/** Pause of all calls after the cloud has answered 429. */
+/** For this time after the cloud has answered 429, no rate-limit token is available. */
 const RATE_LIMIT_PAUSE_MS = 500;
-/** Share of the cloud's rate limit for the leader; the rest is for catalogue reads of the followers. */
+/** Share of the cloud's rate limit for the leader; the rest is left for catalogue reads by followers. */
 const LEADER_RATE_SHARE = 0.8;
-/** Largest share of the leader's calls that listing machines may take, however many there are. */
+/** Largest share of the leader's calls used for listing machines, however many machines there are. */
 const LIST_RATE_SHARE = 0.4;
-/** Share of the token bucket that launches leave for lists and releases. */
+/** Share of the token bucket's burst that launches leave for lists and releases. */
 const LAUNCH_TOKEN_RESERVE = 0.2;
 
 const STATUS_OK = 200;
 const STATUS_TOO_MANY_REQUESTS = 429;
 const STATUS_NO_RESPONSE = 0;
 
-/** Machines of one kind to launch; `name` makes retries idempotent. */
+/** Machines of one kind to launch. The cloud carries out each `name` only once, so retries are idempotent. */
 export interface LaunchRequest {
   name: string;
   kind: MachineKind;
   count: number;
 }
 
-/** Outcome of a launch request; an `unconfirmed` one may have been carried out. */
+/**
+ * Outcome of a launch request. An `unconfirmed` request got no response and may have been carried out. A
+ * malformed response counts as `refused`.
+ */
 export type LaunchResult =
   { kind: 'launched'; machineIds: string[] } | { kind: 'refused' } | { kind: 'unconfirmed' };
 
-/** Outcome of listing all machines; `failed` if any page could not be read. */
+/** Outcome of listing all machines: `failed` if any page could not be read. */
 export type ListResult = { kind: 'listed'; machines: ListedMachine[] } | { kind: 'failed' };
 
-/** Outcome of reading one page of the machine list. */
+/** Outcome of reading one page of the machine list; `more`: whether another page follows. */
 type PageResult = { kind: 'page'; machines: ListedMachine[]; more: boolean } | { kind: 'failed' };
 
-/** The leader's calls to the cloud. */
+/** Makes the leader's calls to the cloud. */
 export class CloudClient {
   private readonly tokens: TokenBucket;
 
@@ -62,13 +66,19 @@
     this.listPage([], '', done);
   }
 
-  /** Shortest time between two lists of `machineCount` machines that leaves calls for launches and releases. */
+  /**
+   * Shortest time in ms between two lists of `machineCount` machines that leaves enough calls for launches and
+   * releases.
+   */
   listIntervalMs(machineCount: number): number {
     const pages = Math.ceil(machineCount / LIST_PAGE_SIZE);
     return (pages * 1000) / (this.tokens.perSecond * LIST_RATE_SHARE);
   }
 
-  /** A long list needs more tokens than the bucket holds, so each page waits for its own token. */
+  /**
+   * Reads a page and all that follow. Each page waits until it gets a token, since a long list needs more
+   * tokens than the bucket holds.
+   */
   private listPage(
     machines: ListedMachine[],
     afterId: string,
@@ -96,17 +106,17 @@
     try {
       return { kind: 'page', ...readMachinePage(reply.body) };
     } catch (err) {
-      this.eventLoop.log.warn({ err }, 'malformed machine list');
+      this.eventLoop.log.warn({ err }, 'malformed page of the machine list from the cloud');
       return { kind: 'failed' };
     }
   }
 
-  /** Takes a rate-limit token for a release; false if there is none now. */
+  /** Takes a rate-limit token for a release. Returns false if none is available now. */
   acquireReleaseToken(): boolean {
     return this.tokens.tryTake();
   }
 
-  /** Releases machines. The caller has acquired the token. */
+  /** Sends a release request, for which the caller must have acquired a token. */
   release(machineIds: string[], done: (confirmed: boolean) => void): void {
     this.call(
       'release-response',
@@ -117,12 +127,15 @@
     );
   }
 
-  /** Takes a rate-limit token for a launch; false if there is none to spare now. */
+  /**
+   * Takes a rate-limit token for a launch. Returns false if none is available now beyond the reserve for lists
+   * and releases.
+   */
   acquireLaunchToken(): boolean {
     return this.tokens.tryTake(1, LAUNCH_TOKEN_RESERVE);
   }
 
-  /** Launches machines. The caller has acquired the token. */
+  /** Sends a launch request, for which the caller must have acquired a token. */
   launch(request: LaunchRequest, done: (result: LaunchResult) => void): void {
     const { name, kind, count } = request;
     const { type, zone, spot } = kind;
@@ -138,7 +151,7 @@
     try {
       return { kind: 'launched', machineIds: readLaunchedIds(reply.body) };
     } catch (err) {
-      this.eventLoop.log.warn({ err }, 'malformed response to a launch request');
+      this.eventLoop.log.warn({ err }, 'malformed response to a launch request from the cloud');
       return { kind: 'refused' };
     }
   }
--- a/src/controller/fleet/machine-inventory.test.ts
+++ b/src/controller/fleet/machine-inventory.test.ts
@@ -32,7 +32,7 @@
     return { runtime, inventory, workers, booting, released: releasedIds };
   }
 
-  it('updates known machines, releases failed ones and expects the others to boot', () => {
+  it('updates known machines, releases other failed ones and adds the rest as booting', () => {
     const { inventory, workers, booting, released } = readList(
       [{ id: 'n-1' }, { id: 'n-2', state: 'failed' }, { id: 'n-3' }, { id: 'n-4' }],
       ['n-1'],
@@ -48,7 +48,7 @@
     assert.deepEqual([...booting], [['n-3', expected]]);
   });
 
-  it('marks a machine as absent only when it has not been listed for long', () => {
+  it('marks a machine as absent only after it has been missing from the list for long', () => {
     const { runtime, inventory, workers } = readList([], ['n-1']);
     const machine = workers.machines.get('n-1');
     assert.equal(machine?.cloudState, 'running');
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -1,4 +1,4 @@
-/** The machine inventory: reads the cloud's list periodically and reconciles it with the known machines. */
+/** Machine inventory: periodically reads the cloud's list of machines and updates the known ones from it. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { ListedMachine, MachineType } from '../wire/cloud.js';
@@ -8,11 +8,14 @@
 import type { CloudClient } from './cloud-client.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** Heartbeat intervals between two lists, at least. */
+/** Smallest number of heartbeat intervals between two reads of the list. */
 const HEARTBEATS_PER_LIST = 2;
-/** After a failure the interval until the next attempt is shortened by this share of the list's lag. */
+/** After a failed read the next one starts earlier by this share of the list's lag. */
 const RETRY_LAG_SHARE = 0.7;
-/** A machine missing from the list counts as absent after this many times the list's lag or interval. */
+/**
+ * A machine missing from the list counts as absent after this many times the lag of the list, or the time
+ * between two lists that the rate limit requires, whichever is longer, plus a heartbeat interval.
+ */
 const ABSENT_LAGS = 4;
 
 /** Parts of the leader that the inventory depends on. */
@@ -22,15 +25,19 @@
   scaleIn: Pick<ScaleIn, 'isReleasing' | 'release'>;
   booting: BootingMachines;
   types(): MachineType[] | null;
-  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  /**
+   * Whether this node may act as leader: it holds the lease at the state store (invariant 1), and its recovered
+   * state includes every cancellation confirmed longer ago than the freshness bound (invariant 8).
+   */
   mayActAsLeader(): boolean;
 }
 
-/** Keeps the known machines in step with the cloud's list. */
+/** Reconciles the known and the booting machines with the cloud's list. */
 export class MachineInventory {
-  /** Whether a list has been read in this term. */
+  /** Whether a list has been read and applied in this term. */
   synced = false;
   private readInProgress = false;
+  /** When the last read ended; earlier by a share of the lag if it failed. */
   private lastReadAt = -Infinity;
 
   constructor(
@@ -39,12 +46,12 @@
     private readonly context: MachineInventoryContext,
   ) {}
 
-  /** How far the cloud's list may lag behind. */
+  /** Longest time in ms by which the cloud's list may be out of date. */
   private get lagMs(): number {
     return this.settings.platform.cloudLimits.listLagS * 1000;
   }
 
-  /** Reads the list when it is due. */
+  /** Starts reading the list if the next read is due and none is in progress. */
   step(now: number): void {
     if (!this.readInProgress && now - this.lastReadAt >= this.intervalMs) this.read();
   }
@@ -121,7 +128,11 @@
     });
   }
 
-  /** A listed machine stays listed until it is gone, but a list may be older than the one before it. */
+  /**
+   * Marks machines that have been missing from the list for long as absent. The cloud lists a machine as long
+   * as it exists, but a list can show an older state than the previous one, so a machine that is missing once
+   * may still exist.
+   */
   private markAbsent(listedIds: ReadonlySet<string>, now: number): void {
     const listStalenessMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
     const absentAfterMs = listStalenessMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
