--- a/src/controller/fleet/machine-type-catalogue.test.ts
+++ b/src/controller/fleet/machine-type-catalogue.test.ts
@@ -5,13 +5,13 @@
 import { readCatalogue } from '../wire/cloud.js';
 import { MachineTypeCatalogue } from './machine-type-catalogue.js';
 
-/** Just past the time after which the catalogue is refreshed. */
+/** Slightly longer than the time after which the catalogue is refreshed. */
 const REFRESH_MS = settings.workerLeaseMs * 3 + 1;
 
 describe('MachineTypeCatalogue', () => {
   const body = { models: [{ name: 'plain', cores: 8, mem_gb: 64, halls: ['a'] }] };
 
-  /** A catalogue that has found nothing stored and asks the cloud. */
+  /** Loads a catalogue while the state store has none, so that it asks the cloud. */
   function loadCatalogue() {
     const { runtime, eventLoop } = fleetFixture();
     const client = {
@@ -29,7 +29,7 @@
     return { runtime, catalogue };
   }
 
-  it('asks the cloud until it answers, and again when the types are too old', () => {
+  it('asks the cloud until it sends the types, and again when they are too old', () => {
     const { runtime, catalogue } = loadCatalogue();
     runtime.answer(503);
     assert.equal(catalogue.types, null);
--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -1,4 +1,7 @@
-/** The machine types that the cloud offers: read at the start, refreshed periodically, shared by the nodes. */
+/**
+ * The machine types that the cloud offers. Every controller reads them at startup and refreshes them
+ * periodically; the leader stores them in the state store for the others.
+ */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
@@ -8,37 +11,38 @@
 const CATALOGUE_KEY = 'catalogue';
 const STATE_STORE_TIMEOUT_MS = 1500;
 const CLOUD_TIMEOUT_MS = 3000;
-/** Delay before a retry; jitter adds up to as much again. */
+/** Shortest delay before a retry; random jitter adds up to the same time again. */
 const RETRY_DELAY_MS = 500;
-/** The catalogue is refreshed after this many worker leases. */
+/** The catalogue is read again when it is older than this many worker leases. */
 const REFRESH_LEASES = 3;
 
-/** The leader's term, as far as storing the catalogue needs it. */
+/** The part of the leader's term that is needed to store the catalogue. */
 export interface CatalogueWriter {
-  /** Whether the term is over. */
+  /** Whether the term has ended. */
   readonly closed: boolean;
   readonly records: Pick<RecordStore, 'transact'>;
 }
 
-/** The machine types as this node knows them. */
+/** Holds the machine types that this controller has read. */
 export class MachineTypeCatalogue {
   private knownTypes: MachineType[] | null = null;
+  /** When the types were last read, or when a refresh was last started if that is later. */
   private lastRefreshAt = -Infinity;
 
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
     private readonly client: Pick<StateStoreClient, 'read' | 'budget'>,
-    /** This node's term as leader, `null` unless it leads and has recovered the state. */
+    /** Returns this controller's term; null unless it is the leader and has recovered the state. */
     private readonly currentTerm: () => CatalogueWriter | null,
   ) {}
 
-  /** The machine types, `null` until they have been read. */
+  /** The machine types, or null until they have been read. */
   get types(): MachineType[] | null {
     return this.knownTypes;
   }
 
-  /** Reads the stored catalogue, or asks the cloud if there is none. */
+  /** Reads the catalogue from the state store or, if that has none, from the cloud. */
   load(): void {
     this.client.budget.requestTokens.forceTake();
     this.client.read(CATALOGUE_KEY, STATE_STORE_TIMEOUT_MS, (result) => {
@@ -48,7 +52,7 @@
     });
   }
 
-  /** Asks the cloud again if the types were read too long ago. */
+  /** Reads the types from the cloud again if they were read too long ago. */
   refreshIfDue(): void {
     const refreshMs = this.settings.workerLeaseMs * REFRESH_LEASES;
     if (this.knownTypes === null || this.eventLoop.now() - this.lastRefreshAt <= refreshMs) return;
@@ -56,7 +60,7 @@
     this.readFromCloud();
   }
 
-  /** Stores the catalogue, for nodes that start while the cloud is unavailable. */
+  /** Stores the catalogue in the state store, for controllers that start while the cloud is unavailable. */
   publish(term: CatalogueWriter): void {
     this.client.budget.requestTokens.forceTake();
     this.client.read(CATALOGUE_KEY, STATE_STORE_TIMEOUT_MS, (result) => {
@@ -104,7 +108,7 @@
       this.knownTypes = readCatalogue(body);
       this.lastRefreshAt = this.eventLoop.now();
     } catch (err) {
-      this.eventLoop.log.warn({ err }, 'malformed machine type catalogue');
+      this.eventLoop.log.warn({ err }, 'malformed catalogue of machine types');
     }
   }
 }
