--- a/src/controller/fleet/headroom.test.ts
+++ b/src/controller/fleet/headroom.test.ts
@@ -15,7 +15,7 @@
     return machine;
   }
 
-  it('demands capacity for what does not fit, for a while after the last job', () => {
+  it('demands capacity for expected tasks that do not fit, until the class is forgotten', () => {
     const headroom = new Headroom({ ratio: 0.5, retentionMs: 1000 });
     headroom.observeClass(spec, 0);
     const running = new Map([['c', 10]]);
@@ -27,7 +27,7 @@
     assert.deepEqual(headroom.demand(1000, [], running), []);
   });
 
-  it('demands nothing when the tasks fit on the machines', () => {
+  it('demands nothing when the expected tasks fit on the machines', () => {
     const headroom = new Headroom({ ratio: 0.5, retentionMs: 1000 });
     headroom.observeClass(spec, 0);
     assert.deepEqual(headroom.demand(0, [freeMachine()], new Map()), []);
--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -1,15 +1,18 @@
-/** Pre-provisioning: job classes seen lately should find free capacity for some more tasks. */
+/**
+ * Headroom: pre-provisions free capacity for some more tasks of each job class that has had unfinished jobs
+ * recently.
+ */
 import { isAllowed } from '../placement/capacity/machine-kind.js';
 import { resourceRequestOf, countFittingTasks } from '../model/resource-request.js';
 import type { JobSpec } from '../wire/jobs.js';
 import type { Machine } from '../model/entities.js';
 import type { CapacityDemand } from './scale-out-plan.js';
 
-/** How much free capacity is kept per class, and for how long after its last job. */
+/** How much free capacity is kept for each job class, and for how long after its last job. */
 export interface HeadroomSettings {
-  /** Tasks to keep capacity for, as a ratio to the class's running tasks; 0 turns headroom off. */
+  /** Tasks to keep capacity for, at least one, as a ratio to the class's running tasks; 0 turns headroom off. */
   ratio: number;
-  /** A class is forgotten this long after its last unfinished job. */
+  /** A class is forgotten this long after it last had an unfinished job. */
   retentionMs: number;
 }
 
@@ -18,7 +21,7 @@
   observedAt: number;
 }
 
-/** Number of tasks of the job that fit into the machine's free capacity. */
+/** Returns how many tasks of the job fit in the machine's free capacity. */
 function countFittingOnMachine(spec: JobSpec, machine: Machine): number {
   const { type, zone, spot } = machine;
   if (type === null || !isAllowed(spec, { type, zone, spot })) return 0;
@@ -30,7 +33,7 @@
   );
 }
 
-/** Number of tasks of the job that fit on all machines, counted up to `limit`. */
+/** Returns how many tasks of the job fit on all machines together; stops counting at `limit`. */
 function countFittingOnAll(spec: JobSpec, machines: readonly Machine[], limit: number): number {
   let fittingTotal = 0;
   for (const machine of machines) {
@@ -40,25 +43,28 @@
   return fittingTotal;
 }
 
-/** Remembers job classes and demands capacity ahead of their next jobs. */
+/** Remembers job classes and computes the demand for capacity ahead of their next jobs. */
 export class Headroom {
   private readonly classes = new Map<string, ObservedClass>();
 
   constructor(private readonly settings: HeadroomSettings) {}
 
-  /** Notes that a job of the class is unfinished. */
+  /** Records that the class of this job has an unfinished job at present. */
   observeClass(spec: JobSpec, now: number): void {
     this.classes.set(spec.class, { spec, observedAt: now });
   }
 
-  /** Whether any headroom is to be kept. */
+  /** Whether headroom is turned on. */
   get enabled(): boolean {
     return this.settings.ratio > 0;
   }
 
   /**
-   * Demand for the expected tasks that do not fit on the machines. `runningByClass` has the running tasks of
-   * each class.
+   * Returns the demand for those expected tasks that do not fit on the machines.
+   *
+   * @param now - current time of the monotonic clock in ms
+   * @param machines - machines whose free capacity counts
+   * @param runningByClass - number of running tasks of each job class
    */
   demand(
     now: number,
--- a/src/controller/fleet/scale-out-backoff.test.ts
+++ b/src/controller/fleet/scale-out-backoff.test.ts
@@ -6,7 +6,7 @@
 describe('ScaleOutBackoff', () => {
   const kind = { type: plainType, zone: 'a', spot: true };
 
-  it('doubles the pause of a refused kind up to eight times the first', () => {
+  it('doubles the pause of a refused kind of machine up to eight times the first pause', () => {
     const backoff = new ScaleOutBackoff(100);
     let now = 0;
     for (const pauseMs of [100, 200, 400, 800, 800]) {
@@ -19,7 +19,7 @@
     assert.ok(!backoff.anyPaused(now));
   });
 
-  it('starts again with the shortest pause when the cloud had some or all machines', () => {
+  it('starts again with the shortest pause after the cloud has launched some or all machines', () => {
     const backoff = new ScaleOutBackoff(100);
     backoff.recordShortage(kind, 0, false);
     backoff.recordShortage(kind, 0, false);
--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -1,32 +1,35 @@
-/** Backoff for kinds of machines that the cloud has no capacity for at present. */
+/** Backoff of launch requests for kinds of machines that the cloud cannot provide at present. */
 import type { MachineKind } from '../placement/capacity/machine-kind.js';
 
-/** Longest pause, as a multiple of the first. */
+/** Longest pause, as a multiple of the first one. */
 const MAX_PAUSE_FACTOR = 8;
 
-/** A kind of machine is not requested before `until` (steady clock, milliseconds). */
+/** Pause of the requests for one kind of machine; `until` is a time of the monotonic clock in ms. */
 interface Pause {
   until: number;
   durationMs: number;
 }
 
-/** A kind of machine as text, used as a key and in the log. */
+/** Returns the kind of machine as text that serves as a key and appears in the log. */
 export function machineKindKey(kind: MachineKind): string {
   return `${kind.type.name}/${kind.zone}/${kind.spot ? 'spot' : 'ordinary'}`;
 }
 
-/** Exponential backoff of launch requests, for each kind of machine. */
+/** Exponential backoff of launch requests, separate for each kind of machine. */
 export class ScaleOutBackoff {
   private readonly pauses = new Map<string, Pause>();
 
   constructor(private readonly firstPauseMs: number) {}
 
-  /** The cloud has launched all machines that were requested: ends the pause. */
+  /** Ends the pause of the kind, because the cloud has launched all machines that were requested. */
   recordSuccess(kind: MachineKind): void {
     this.pauses.delete(machineKindKey(kind));
   }
 
-  /** The cloud has launched fewer machines than requested. After `some` the pause is the shortest again. */
+  /**
+   * Starts a pause of the kind, because the cloud has launched fewer machines than requested. The pause is
+   * twice the previous one, up to a limit; if the cloud has launched some machines, it is the shortest again.
+   */
   recordShortage(kind: MachineKind, now: number, someLaunched: boolean): void {
     const previous = this.pauses.get(machineKindKey(kind));
     const durationMs =
--- a/src/controller/fleet/scale-out-plan.test.ts
+++ b/src/controller/fleet/scale-out-plan.test.ts
@@ -18,7 +18,7 @@
   return { spec: arraySpec({ cpus: 4, ...overrides }), tasks };
 }
 
-/** Every kind of the types, in zones without machines. */
+/** Offers of every kind of machine of the given types, in zones without machines. */
 function offers(...types: MachineType[]): InstanceOffer[] {
   return types.flatMap((type) =>
     type.zones.flatMap((zone) =>
@@ -28,7 +28,7 @@
 }
 
 describe('cheapestOffer', () => {
-  it('takes the cheapest kind that the tasks may use', () => {
+  it('chooses the cheapest kind of machine that the tasks may use', () => {
     const allOffers = offers(plainType, gpuType);
     assert.deepEqual(cheapestOffer(demand(2), allOffers)?.kind, {
       ...{ type: plainType, zone: 'a', spot: true },
@@ -38,7 +38,7 @@
     assert.equal(cheapestOffer(demand(2, { gpus: 5 }), allOffers), null);
   });
 
-  it('takes the zone with fewer machines for a job that asks to be spread', () => {
+  it('chooses the zone with fewer machines for a job that asks to be spread over zones', () => {
     const allOffers = offers(plainType).map((offer) => ({
       ...offer,
       machinesInZone: offer.kind.zone === 'a' ? 5 : 1,
@@ -54,12 +54,12 @@
     return planScaleOut(demands, booting, offers(plainType)).map(({ count }) => count);
   };
 
-  it('launches only what the booting machines cannot hold', () => {
+  it('launches machines only for tasks that do not fit on the booting ones', () => {
     assert.deepEqual(launchCounts([demand(4)], 2), []);
     assert.deepEqual(launchCounts([demand(4)], 1), [1]);
   });
 
-  it('makes at most four launches of fifty machines', () => {
+  it('plans at most four launches of fifty machines each', () => {
     assert.deepEqual(launchCounts([demand(1000, { zone: 'a' })], 0), [50, 50, 50, 50]);
   });
 });
--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -11,26 +11,26 @@
 const MAX_MACHINES_PER_LAUNCH = 50;
 /** Largest number of launch requests in one plan. */
 const MAX_LAUNCHES = 4;
-/** Price factor of a GPU machine for tasks without GPUs, which would keep the GPUs from other tasks. */
+/** Factor on the price of GPU machines for tasks without GPUs, which would block the GPUs for other tasks. */
 const UNUSED_GPU_PRICE_FACTOR = 3;
-/** Price increase per machine that the zone has already, for jobs that ask to be spread over zones. */
+/** Relative price increase per machine already in the zone, for jobs that ask to be spread over zones. */
 const SPREAD_ZONE_WEIGHT = 1;
-/** The same for other jobs: decides only between equal prices. */
+/** The same for other jobs: small, since it should decide only between equal prices. */
 const ZONE_WEIGHT = 1e-3;
 
-/** A number of tasks of one job that need capacity. */
+/** Tasks of one job that need capacity. */
 export interface CapacityDemand {
   spec: JobSpec;
   tasks: number;
 }
 
-/** A kind of machine that can be launched, and how many machines its zone has (booting ones included). */
+/** A kind of machine that can be launched, and the number of machines in its zone, including booting ones. */
 export interface InstanceOffer {
   kind: MachineKind;
   machinesInZone: number;
 }
 
-/** A number of machines of one kind to launch. */
+/** Machines of one kind to launch with one request. */
 export interface PlannedLaunch {
   kind: MachineKind;
   count: number;
@@ -46,7 +46,7 @@
   return { kind, cpus, gpus, memoryGb };
 }
 
-/** Takes capacity for as many of the tasks as fit; returns how many. */
+/** Takes capacity for as many of the tasks as fit, and returns their number. */
 function takeCapacity(free: FreeCapacity, request: ResourceRequest, tasks: number): number {
   const takenTasks = Math.min(
     tasks,
@@ -59,8 +59,8 @@
 }
 
 /**
- * Weighted price of the offer per task, `null` if no task fits. Of offers at the same price, that in the zone
- * with the fewest machines is cheapest.
+ * Returns the weighted price of the offer per task, or null if no task fits. Among offers at the same price,
+ * the one in the zone with the fewest machines has the lowest weighted price.
  */
 function weightedPrice(
   demand: CapacityDemand,
@@ -75,7 +75,8 @@
     countFittingTasks(request, type.cpus, type.gpus, type.memoryGb),
   );
   if (fittingTasks < 1) return null;
-  // A service replica is down whenever its spot machine is interrupted, so spot is not cheaper for it.
+  // An interrupted spot machine makes a service replica unavailable, so spot machines are not considered
+  // cheaper for services.
   const atSpotPrice = spot && spec.kind !== 'service';
   const unusedGpus = request.gpus === 0 && type.gpus > 0;
   const price =
@@ -85,7 +86,7 @@
   return price * (1 + offer.machinesInZone * zoneWeight);
 }
 
-/** The cheapest offer that fits a task of the demand, `null` if there is none. */
+/** Returns the cheapest offer on which a task of the demand fits, or null if there is none. */
 export function cheapestOffer(
   demand: CapacityDemand,
   offers: readonly InstanceOffer[],
@@ -102,12 +103,12 @@
   return cheapest;
 }
 
-/** Collects the launches of one plan. */
+/** Builds the list of launches for a sequence of demands. */
 class ScaleOutPlan {
   readonly launches: PlannedLaunch[] = [];
-  /** The launch of each kind that is not full yet. */
+  /** The latest launch of each kind, which takes further machines until it is full. */
   private readonly openLaunches = new Map<MachineKind, PlannedLaunch>();
-  /** Free capacity of the booting machines and of those planned so far. */
+  /** Free capacity of the booting machines and of the machines planned so far. */
   private readonly machines: FreeCapacity[];
 
   constructor(
@@ -117,7 +118,7 @@
     this.machines = booting.map(emptyMachine);
   }
 
-  /** Plans machines for the tasks that the booting and planned machines cannot hold. */
+  /** Plans machines for the tasks that do not fit on the booting and the planned machines. */
   add(demand: CapacityDemand): void {
     const { spec } = demand;
     const request = resourceRequestOf(spec);
@@ -131,7 +132,7 @@
     }
   }
 
-  /** Takes capacity of the booting and planned machines; returns how many of the tasks fit there. */
+  /** Takes capacity of the booting and the planned machines, and returns how many of the tasks fit there. */
   private takeExistingCapacity({ spec, tasks }: CapacityDemand, request: ResourceRequest): number {
     let takenTasks = 0;
     for (const machine of this.machines) {
@@ -142,7 +143,7 @@
     return takenTasks;
   }
 
-  /** Adds one machine of the offer's kind; false if the plan has no place for another launch. */
+  /** Adds one machine of the offer's kind. Returns false if that needs more launches than are allowed. */
   private addMachine(offer: InstanceOffer): boolean {
     let launch = this.openLaunches.get(offer.kind);
     if (launch === undefined || launch.count >= MAX_MACHINES_PER_LAUNCH) {
@@ -158,8 +159,8 @@
 }
 
 /**
- * Plans launches for the demands, in their order, beyond what the booting machines can hold. Increments
- * `machinesInZone` of the offers that it uses.
+ * Plans launches for the tasks that do not fit on the booting machines, in the order of the demands.
+ * Increments `machinesInZone` of an offer for each machine that it plans from it.
  */
 export function planScaleOut(
   demands: readonly CapacityDemand[],
--- a/src/controller/fleet/scale-out.test.ts
+++ b/src/controller/fleet/scale-out.test.ts
@@ -6,7 +6,7 @@
 import { ScaleOut } from './scale-out.js';
 
 describe('ScaleOut', () => {
-  it('retries an unconfirmed launch under the same name and backs off after a refusal', () => {
+  it('retries an unconfirmed launch under the same name and backs off when no machine is launched', () => {
     const { runtime, eventLoop, workers, booting } = fleetFixture();
     const scaleOut = new ScaleOut(eventLoop, settings, {
       ...{ workers, booting, mayActAsLeader: () => true },
--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scale out: launches machines for tasks that lack capacity. */
+/** Scale-out: launches machines for tasks that lack capacity. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { MachineKind } from '../placement/capacity/machine-kind.js';
@@ -17,24 +17,27 @@
   type PlannedLaunch,
 } from './scale-out-plan.js';
 
-/** Retries of a launch request that got no response. */
+/** Largest number of retries of a launch request that got no response. */
 const MAX_RETRIES = 3;
 
-/** Parts of the leader that scaling out depends on. */
+/** Parts of the leader that scale-out depends on. */
 export interface ScaleOutContext {
   workers: Pick<Workers, 'machines' | 'assignedCountByClass' | 'term' | 'isAlive'>;
   placement: Pick<Placement, 'shortages'>;
   cloud: Pick<CloudClient, 'acquireLaunchToken' | 'launch'>;
   booting: BootingMachines;
-  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  /**
+   * Whether this node may act as leader: it holds the lease at the state store (invariant 1), and its recovered
+   * state includes every cancellation confirmed longer ago than the freshness bound (invariant 8).
+   */
   mayActAsLeader(): boolean;
 }
 
-/** Launches machines for waiting tasks, and pre-provisions some for tasks that are expected. */
+/** Launches machines for waiting tasks, and pre-provisions machines for expected tasks. */
 export class ScaleOut {
   private readonly backoff: ScaleOutBackoff;
   private readonly headroom: Headroom;
-  /** Launch requests of this term; numbers their names. */
+  /** Number of launch requests made in this term, which is part of their names. */
   private launchCount = 0;
   private openRequests = 0;
 
@@ -50,22 +53,22 @@
     });
   }
 
-  /** Notes that a job of this kind is unfinished. */
+  /** Records that a job with this specification is unfinished, for the headroom of its class. */
   observeJob(spec: JobSpec, now: number): void {
     this.headroom.observeClass(spec, now);
   }
 
-  /** Whether a launch request has not been answered yet. */
+  /** Whether the outcome of any launch request is still open. */
   get hasOpenRequests(): boolean {
     return this.openRequests > 0;
   }
 
-  /** Whether the cloud has lately refused some kind of machine. */
+  /** Whether launches of any kind are paused because the cloud has launched fewer machines than requested. */
   capacityRefused(now: number): boolean {
     return this.backoff.anyPaused(now);
   }
 
-  /** Launches what is missing; with `preProvision` also for tasks that are only expected. */
+  /** Launches machines for waiting tasks and, with `preProvision`, for expected tasks. */
   step(now: number, types: readonly MachineType[], preProvision: boolean): void {
     const demands = this.waitingDemand(now);
     if (preProvision && this.headroom.enabled) demands.push(...this.expectedDemand(now));
@@ -96,7 +99,7 @@
     return this.headroom.demand(now, machines, workers.assignedCountByClass);
   }
 
-  /** The kinds of machines that may be launched now, with the number of machines in their zone. */
+  /** Returns the kinds of machines that may be launched now, with the number of machines in their zone. */
   private offers(types: readonly MachineType[], now: number): InstanceOffer[] {
     const machinesByZone = this.countMachinesByZone();
     const offers: InstanceOffer[] = [];
@@ -122,7 +125,8 @@
   private launch(planned: PlannedLaunch, now: number): void {
     if (!this.context.cloud.acquireLaunchToken()) return;
     this.launchCount++;
-    // Unique forever, since no other leader has this term; this makes retries idempotent (invariant 2).
+    // The name is unique, since no other leader has this term. Late copies of the request and retries
+    // therefore launch nothing more (invariant 2).
     const name = `t${this.context.workers.term}-${this.launchCount}`;
     this.openRequests++;
     this.send({ name, ...planned }, now, MAX_RETRIES);
@@ -131,7 +135,7 @@
   private send(request: LaunchRequest, requestedAt: number, retries: number): void {
     this.context.cloud.launch(request, (result) => {
       if (result.kind === 'unconfirmed' && retries > 0 && this.context.mayActAsLeader()) {
-        // A repeated name launches nothing twice.
+        // Safe even if the request was carried out: the cloud launches nothing twice for one name.
         this.send(request, requestedAt, retries - 1);
         return;
       }
