--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -1,7 +1,4 @@
-/**
- * The machine fleet: scales out for tasks without capacity, scales in by releasing machines that are not
- * needed any more.
- */
+/** Scales the machine fleet: launches machines for tasks without capacity and releases unused ones. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../model/entities.js';
@@ -18,9 +15,15 @@
 import { UnresponsiveReplicaHosts } from './unresponsive-replica-hosts.js';
 import { UnusedMachines, type WorkloadState } from './unused-machines.js';
 
-/** Steps further apart than this many leader leases count as an interruption, which hides arrivals. */
+/**
+ * If two steps are further apart than this many leader leases, the time between them counts as an
+ * interruption of the service, in which no job could arrive.
+ */
 const INTERRUPTION_LEASES = 2;
-/** Shortest quiet period that counts, in worker leases: users retry a failed submission within it. */
+/**
+ * Arrivals count as stopped no sooner than this many worker leases after the last one: users retry a failed
+ * submission within that time.
+ */
 const MIN_STOP_DELAY_LEASES = 2;
 
 /** Parts of the leader that the fleet depends on. */
@@ -28,13 +31,16 @@
   table: Pick<JobTable, 'jobs'>;
   workers: Workers;
   placement: Pick<Placement, 'shortages'>;
-  /** The machine types, `null` until they have been read. */
+  /** Returns the machine types, or null until they have been read. */
   types(): MachineType[] | null;
-  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  /**
+   * Whether this node may act as leader: it holds the lease at the state store (invariant 1), and its recovered
+   * state includes every cancellation confirmed longer ago than the freshness bound (invariant 8).
+   */
   mayActAsLeader(): boolean;
 }
 
-/** Scales the fleet during one leader's term. */
+/** Scales the fleet during one term of this node as leader. */
 export class Fleet {
   private readonly bootingMachines: BootingMachines = new Map();
   private readonly scaleIn: ScaleIn;
@@ -42,7 +48,7 @@
   private readonly unusedMachines: UnusedMachines;
   private readonly scaleOut: ScaleOut;
   private readonly unresponsiveReplicaHosts: UnresponsiveReplicaHosts;
-  /** When the last step saw an unfinished job. */
+  /** When a step last found an unfinished job; initially the start of the term. */
   private lastWorkAt: number;
   private readonly arrivals: ArrivalMonitor;
   private lastStepAt = -Infinity;
@@ -78,7 +84,7 @@
     );
   }
 
-  /** Runs one round of scaling, about once a second, unless this node may not act as leader. */
+  /** Runs one round of scaling if this node may act as leader; called about once a second. */
   step(): void {
     if (!this.context.mayActAsLeader()) return;
     const now = this.eventLoop.now();
@@ -112,7 +118,7 @@
     for (const job of this.context.table.jobs.values()) yield job.submittedAt;
   }
 
-  /** There has been no unfinished job for so long that idle machines only cost money. */
+  /** Whether there has been no unfinished job for so long that idle machines only cost money. */
   private noWork(now: number): boolean {
     const noWorkLimitMs = this.settings.workerLeaseMs * this.settings.get('fleet.empty.ratio');
     return now - this.lastWorkAt > noWorkLimitMs;
@@ -124,7 +130,10 @@
     if (machineIds.length > 0) this.scaleIn.release(machineIds, 'unused');
   }
 
-  /** Releases unresponsive machines so that their service replicas can start elsewhere (invariant 5). */
+  /**
+   * Releases unresponsive machines. Once the cloud has confirmed the release, their tasks are gone, and their
+   * service replicas can start elsewhere (invariant 5).
+   */
   private releaseUnresponsive(machines: readonly Machine[]): void {
     const machineIds = machines
       .map((machine) => machine.id)
@@ -137,7 +146,7 @@
     this.scaleIn.release(machineIds, 'unresponsive with replicas');
   }
 
-  /** Machines that have been launched and are not up yet. */
+  /** Number of machines that have been launched and have not sent a heartbeat yet. */
   get bootingCount(): number {
     return this.bootingMachines.size;
   }
--- a/src/controller/fleet/scale-in.test.ts
+++ b/src/controller/fleet/scale-in.test.ts
@@ -5,7 +5,7 @@
 import { ScaleIn } from './scale-in.js';
 
 describe('ScaleIn', () => {
-  it('retries a release until the cloud confirms it and remembers the machine for a while', () => {
+  it('retries a release until the cloud confirms it and remembers the machine while it may be listed', () => {
     const { runtime, eventLoop, workers } = fleetFixture();
     const machine = workers.add('n-1');
     const cloud = new CloudClient(eventLoop, settings);
@@ -27,7 +27,7 @@
     assert.ok(!scaleIn.isReleasing('n-1'));
   });
 
-  it('releases in batches of a hundred, and only while the node may act as leader', () => {
+  it('releases in batches of a hundred machines, and only while the node may act as leader', () => {
     const { runtime, eventLoop, workers } = fleetFixture();
     let mayAct = false;
     const scaleIn = new ScaleIn(eventLoop, settings, {
--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -1,4 +1,4 @@
-/** Scale in: releases machines at the cloud and retries until the cloud has confirmed it. */
+/** Scale-in: releases machines at the cloud and retries until the cloud has confirmed the release. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Workers } from '../workers/workers.js';
@@ -6,23 +6,28 @@
 
 /** Largest number of machines in one release request. */
 const MAX_MACHINES_PER_REQUEST = 100;
+/** Delay before the next attempt after a failed release, or while this node may not act as leader. */
 const RETRY_MS = 1000;
+/** Delay before the next attempt when no rate-limit token was available. */
 const TOKEN_RETRY_MS = 500;
-/** The cloud's list may show a released machine for this many times its lag, plus a margin. */
+/** The cloud's list may show a released machine for this many times the list's lag, plus the margin below. */
 const RELEASED_LISTED_LAGS = 4;
 const RELEASED_LISTED_MARGIN_MS = 5000;
 
-/** Parts of the leader that scaling in depends on. */
+/** Parts of the leader that scale-in depends on. */
 export interface ScaleInContext {
   workers: Pick<Workers, 'machines' | 'removeMachine'>;
   cloud: Pick<CloudClient, 'acquireReleaseToken' | 'release'>;
-  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  /**
+   * Whether this node may act as leader: it holds the lease at the state store (invariant 1), and its recovered
+   * state includes every cancellation confirmed longer ago than the freshness bound (invariant 8).
+   */
   mayActAsLeader(): boolean;
 }
 
-/** The machines that are being released. */
+/** Releases machines and remembers which are being released. */
 export class ScaleIn {
-  /** Ids of released machines, kept until the cloud's list cannot show them any more. */
+  /** Ids of machines that are being released, or were and may still be in the cloud's list. */
   private readonly releasingIds = new Set<string>();
 
   constructor(
@@ -31,14 +36,14 @@
     private readonly context: ScaleInContext,
   ) {}
 
-  /** Whether the machine is being released, or was so recently that the cloud may still list it. */
+  /** Whether the machine is being released, or was released so recently that the cloud may still list it. */
   isReleasing(id: string): boolean {
     return this.releasingIds.has(id);
   }
 
   /**
-   * Releases the machines; nothing is placed on them from now on. Their tasks count as gone only once the
-   * cloud has confirmed the release (invariant 5).
+   * Releases the machines. No task is placed on them from now on, but the tasks that they have count as gone
+   * only once the cloud has confirmed the release (invariant 5).
    */
   release(machineIds: readonly string[], reason: string): void {
     const batch = machineIds.slice(0, MAX_MACHINES_PER_REQUEST);
--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -38,7 +38,8 @@
     assert.equal(booting.size, 0);
   });
 
-  // A new leader reads the list before the workers have found it: those without a record were released.
+  // A new leader reads the cloud's list before all workers have found it. It must not release machines that
+  // run but have no record yet.
   it('gives a machine that is listed as running time to find this leader', () => {
     booting.set('partitioned', { ...bootingMachine, knownSince: 0, listedAsRunning: true });
     assert.deepEqual(unused.find(unresponsiveLimitMs, steady), []);
@@ -54,7 +55,7 @@
     assert.equal(workers.machines.size, 0);
   });
 
-  it('keeps one idle machine of a kind unless there is no work', () => {
+  it('keeps one idle machine of each type and market unless there is no work', () => {
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
     assert.deepEqual(unused.find(idleLimitMs, steady), []);
     assert.deepEqual(unused.find(idleLimitMs + 1, steady), ['n-1', 'n-2']);
@@ -62,7 +63,7 @@
     assert.ok(remaining.includes('n-3'));
   });
 
-  // Kept for jobs that do not come, they would cost as much as busy ones.
+  // Idle machines cost as much as busy ones, so they are not kept for jobs that no longer arrive.
   it('keeps idle machines no longer than a boot takes once arrivals have stopped', () => {
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
     const stopped = { ...steady, arrivalsStopped: true };
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -1,4 +1,4 @@
-/** Finds the machines that are not needed any more. */
+/** Finds the machines that are no longer needed or no longer usable. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
@@ -7,12 +7,15 @@
 import type { BootingMachines } from './booting-machines.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** Factor on the idle limit while idle machines may block the launch of machines for a waiting gang. */
+/** Factor on the idle limit while idle machines may use up the quota that a waiting gang needs. */
 const BLOCKED_GANG_IDLE_FACTOR = 1 / 8;
-/** Idle machines of a kind, at least, for one of them to be released: the last would be launched again. */
+/**
+ * An idle machine is released only if its type and market have at least this many idle machines: the last one
+ * would soon have to be launched again.
+ */
 const MIN_IDLE_OF_KIND = 2;
 
-/** Parts of the leader that the search depends on. */
+/** Parts of the leader that the search for unused machines depends on. */
 export interface UnusedMachinesContext {
   workers: Pick<
     Workers,
@@ -25,20 +28,23 @@
 
 /** State of the workload, which decides how long idle machines are kept. */
 export interface WorkloadState {
-  /** There has been no unfinished job for long. */
+  /** Whether there has been no unfinished job for a long time. */
   noWork: boolean;
-  /** The cloud has refused to launch some kind of machine. */
+  /** Whether the cloud has recently refused to launch machines of some kind. */
   scaleOutRefused: boolean;
-  /** No job has arrived for much longer than usual. */
+  /** Whether no job has arrived for much longer than the mean gap between two jobs. */
   arrivalsStopped: boolean;
 }
 
-/** Machines with the same key stand in for one another when idle. */
+/** Returns a key of the machine's type and market; idle machines with the same key are interchangeable. */
 function typeAndMarketKey(machine: Machine): string {
   return `${machine.typeName} ${machine.spot ? 1 : 0}`;
 }
 
-/** Once jobs have stopped arriving, a machine is kept no longer than a new one would take to boot. */
+/**
+ * Returns how long the machine may be idle. Once jobs have stopped arriving, that is no longer than a new
+ * machine of its type takes to boot.
+ */
 function machineIdleLimitMs(
   machine: Machine,
   defaultMs: number,
@@ -48,7 +54,7 @@
   return arrivalsStopped ? Math.min(defaultMs, bootMs) : defaultMs;
 }
 
-/** Finds machines that failed to boot, have failed, are unresponsive or idle. */
+/** Finds machines that did not boot in time, have failed, are unresponsive or have been idle for too long. */
 export class UnusedMachines {
   constructor(
     private readonly eventLoop: EventLoop,
@@ -56,7 +62,10 @@
     private readonly context: UnusedMachinesContext,
   ) {}
 
-  /** Ids of the machines to release. Removes those that are gone by themselves. */
+  /**
+   * Returns the ids of the machines to release. Unresponsive machines that the cloud no longer lists are
+   * removed from the known machines instead.
+   */
   find(now: number, workload: WorkloadState): string[] {
     const unresponsiveMs =
       this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
@@ -81,9 +90,9 @@
   }
 
   /**
-   * Booting machines that take too long. Those that have sent a heartbeat no longer count as booting. A
-   * machine that the cloud lists as running may not have found this leader yet, or may be partitioned: it
-   * gets the same time as an unresponsive one.
+   * Returns the ids of booting machines that take too long. Machines that have sent a heartbeat no longer count
+   * as booting. A machine that the cloud lists as running may not have found this leader yet or may be
+   * partitioned, so it gets as much time as an unresponsive one.
    */
   private findFailedBoots(now: number, unresponsiveMs: number): string[] {
     const { booting, workers } = this.context;
@@ -107,8 +116,9 @@
   }
 
   /**
-   * How long a machine may be idle. While a gang has long lacked capacity and the cloud refuses machines,
-   * idle ones may use up the quota that the gang needs. Not sooner: a released machine's images are lost.
+   * Returns how long a machine may be idle. The limit is reduced once a gang has lacked capacity for long and
+   * the cloud refuses to launch machines, because idle machines may use up the quota that the gang needs. It is
+   * not reduced earlier, because a released machine loses the images that it has cached.
    */
   private defaultIdleLimitMs(now: number, workload: WorkloadState): number {
     if (workload.noWork) return 0;
@@ -136,10 +146,11 @@
     return workers.unresponsiveMs(machine) > limitMs || workers.unacknowledgedMs(machine) > limitMs;
   }
 
-  /** Whether an unresponsive machine is to be released; one that no longer exists is removed instead. */
+  /** Whether to release an unresponsive machine. If it no longer exists, it is removed instead. */
   private shouldReleaseUnresponsive(machine: Machine, now: number, limitMs: number): boolean {
     if (machine.cloudState === 'absent' || machine.cloudStateAt === -Infinity) {
-      // The machine no longer exists, and its worker's lease has expired (invariant 5).
+      // The machine no longer exists, and its worker's lease has surely expired: its tasks are gone
+      // (invariant 5).
       if (now - machine.firstSeenAt > limitMs * 2) this.context.workers.removeMachine(machine);
       return false;
     }
@@ -147,7 +158,10 @@
     return true;
   }
 
-  /** Whether an idle machine is to be released: only if another of its kind stays, or there is no work. */
+  /**
+   * Whether to release an idle machine: only if another one of its type and market stays, or there is no work.
+   * Marks the machine as being released if so.
+   */
   private shouldReleaseIdle(
     machine: Machine,
     idleCounts: Map<string, number>,
