--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -24,17 +24,17 @@
 const noOp = (): void => undefined;
 const silentLog: Logger = { info: noOp, debug: noOp, warn: noOp, error: noOp };
 
-/** Machines whose workers send heartbeats unless they are unresponsive; records probes and releases. */
+/** Simulates machines that send heartbeats unless they are unresponsive; records probes and releases. */
 class Cluster {
   now = 0;
   private sequence = 0;
   readonly unresponsive = new Set<string>();
-  /** Unresponsive machines that still answer probes. */
+  /** Unresponsive machines that answer probes nevertheless. */
   readonly answeringProbes = new Set<string>();
   /** Machines in the order in which they were probed. */
   readonly probed: string[] = [];
   readonly released: string[] = [];
-  /** What the heartbeat of each machine tells of its tasks. */
+  /** The task statuses that the heartbeats of each machine contain. */
   private readonly taskStatuses = new Map<string, TaskStatus[]>();
   private readonly replies: { dueAt: number; done: (reply: Reply) => void; reply: Reply }[] = [];
   private readonly deferred: (() => void)[] = [];
@@ -133,7 +133,7 @@
     return job;
   }
 
-  /** The job's task on the machine exits by itself. */
+  /** Reports the job's task on the machine as exited because it lost its peers. */
   exitTask(job: Job, machine: string): void {
     for (const status of this.taskStatuses.get(machine) ?? [])
       if (status.name.startsWith(`${job.spec.id}/`))
@@ -177,21 +177,25 @@
   }
 }
 
-/** Longer than an unresponsive machine with replicas is kept, and well within the worker's lease. */
+/** Time within which an unresponsive machine with replicas is released; well within the worker's lease. */
 const RELEASED_WITHIN_S = Math.ceil(
   settings.platform.workers.heartbeatIntervalS * (settings.get('fleet.replicas.silent.ratio') + 1),
 );
 
 describe('an unresponsive machine with service replicas', () => {
-  it('is released well before its lease expires', () => {
+  it("is released well before the worker's lease expires", () => {
     const cluster = new Cluster();
     const job = cluster.startJob({}, ['n-0', 'n-1']);
     cluster.unresponsive.add('n-0');
     cluster.run(settings.platform.workers.heartbeatIntervalS);
-    assert.deepEqual(cluster.released, [], 'not for one late heartbeat');
+    assert.deepEqual(cluster.released, [], 'one late heartbeat is not enough');
     cluster.run(RELEASED_WITHIN_S);
     assert.deepEqual(cluster.released, ['n-0']);
-    assert.equal(job.runningCount, 2, 'its replica counts until the cloud has confirmed');
+    assert.equal(
+      job.runningCount,
+      2,
+      'its replica counts as running until the cloud has confirmed the release',
+    );
     cluster.workers.removeMachine(cluster.workers.getOrCreateMachine('n-0'));
     assert.ok(job.pending.has(0));
   });
@@ -216,7 +220,7 @@
     assert.deepEqual(cluster.released, []);
   });
 
-  it('is kept while a gang with a member there goes on, since it may merely be partitioned', () => {
+  it('is kept while a gang with a member on it is running, since it may only be partitioned', () => {
     const cluster = new Cluster();
     cluster.startJob({}, ['n-0']);
     const gang = cluster.startJob({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
@@ -228,7 +232,7 @@
     assert.deepEqual(cluster.released, ['n-0']);
   });
 
-  it('is kept when its lease is about to expire anyway', () => {
+  it("is kept when the worker's lease is about to expire anyway", () => {
     const cluster = new Cluster();
     cluster.startJob({}, ['n-0']);
     const gang = cluster.startJob({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
@@ -268,7 +272,7 @@
 });
 
 describe('unresponsive machines', () => {
-  it('are neither probed nor released without replicas', () => {
+  it('are neither probed nor released if they have no service replicas', () => {
     const cluster = new Cluster();
     cluster.startJob({ kind: 'array', estimatedRunS: 900 }, ['n-0']);
     cluster.unresponsive.add('n-0').add('n-1');
@@ -276,11 +280,11 @@
     assert.deepEqual([cluster.probed, cluster.released], [[], []]);
   });
 
-  it('are released only up to a share of all machines within a lease', () => {
+  it("are released only up to a share of all machines within a worker's lease", () => {
     const cluster = new Cluster();
     cluster.startJob({}, cluster.machineIds);
     for (let i = 0; i < MACHINES; i++) {
-      // One after the other, so that never many are unresponsive at a time.
+      // The machines become unresponsive one after another, so that few are unresponsive at a time.
       cluster.unresponsive.add(`n-${i}`);
       cluster.run(2);
       for (const id of cluster.released)
--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -1,13 +1,13 @@
-/** Early release of unresponsive machines, so that their service replicas can start elsewhere. */
+/** Releases unresponsive machines early so that their service replicas can start elsewhere. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Assignment, Machine } from '../model/entities.js';
 import type { Workers } from '../workers/workers.js';
 
-/** Timeout of a probe, as a ratio to the heartbeat interval. */
+/** Timeout of a probe, as a ratio of the heartbeat interval. */
 const PROBE_TIMEOUT_RATIO = 0.2;
 
-/** Machines selected within this ratio of the heartbeat interval are released with one request. */
+/** A release request waits for this ratio of the heartbeat interval to include further machines. */
 const BATCH_DELAY_RATIO = 0.01;
 
 /** Path of the request that probes a worker. */
@@ -16,18 +16,19 @@
 const STATUS_OK = 200;
 
 /**
- * Selects unresponsive machines whose service replicas should not wait for the worker's lease to expire.
- * Once the cloud has confirmed the release, everything on the machine is gone and the replicas may start
- * elsewhere (invariant 5). Each machine is probed first, since only its heartbeat may have been lost.
+ * Selects unresponsive machines for release, so that their service replicas need not wait until the worker's
+ * lease has expired. Once the cloud has confirmed the release, all tasks of the machine are gone, and the
+ * replicas may start elsewhere (invariant 5). A machine is probed before it is selected: it may be working
+ * while only its heartbeat was lost.
  */
 export class UnresponsiveReplicaHosts {
-  /** When machines were selected, over the last worker lease: limits their rate. */
+  /** Times of the selections within the last worker lease, whose number is limited. */
   private selectionTimes: number[] = [];
   /** Machines selected for the next release request. */
   private readonly selected: Machine[] = [];
   /** Ids of machines with a probe in flight. */
   private readonly probing = new Set<string>();
-  /** When machines last answered a probe, by id. */
+  /** Time of the last answered probe, by machine id. */
   private readonly probeAnsweredAt = new Map<string, number>();
 
   constructor(
@@ -37,7 +38,7 @@
     private readonly release: (machines: Machine[]) => void,
   ) {}
 
-  /** Probes the machines that may have to be released; called about once a second. */
+  /** Probes the machines that are candidates for release; called about once a second. */
   step(now: number): void {
     this.forgetProbeAnswers(now);
     if (this.releaseBudget(now) <= 0) return;
@@ -79,10 +80,10 @@
     });
   }
 
-  /** How many machines may still be selected now; at most 0 if none. */
+  /** Returns how many more machines may be selected now; 0 or less if none. */
   private releaseBudget(now: number): number {
     const share = this.settings.get('fleet.replicas.silent.share');
-    // Many unresponsive machines point to a fault of the network, possibly of this node's own.
+    // If many machines are unresponsive, the network is probably at fault, possibly at this node.
     if (this.workers.overdueShare(0, false) > share) return 0;
     this.selectionTimes = this.selectionTimes.filter(
       (selectedAt) => now - selectedAt < this.settings.workerLeaseMs,
@@ -105,7 +106,10 @@
       if (now - answeredAt > this.settings.workerLeaseMs) this.probeAnsweredAt.delete(id);
   }
 
-  /** Whether a release would bring replicas back clearly sooner without harm to a gang that still runs. */
+  /**
+   * Whether a release lets replicas restart clearly sooner than the expiry of the worker's lease would, without
+   * ending a gang that is still running.
+   */
   private isWorthReleasing(machine: Machine, now: number): boolean {
     if (machine.releasing || machine.agentEpoch < machine.lowestValidAgentEpoch) return false;
     const remainingLeaseMs = machine.leaseRenewedAt + this.settings.workerLeaseExpiryMs - now;
@@ -121,8 +125,8 @@
 }
 
 /**
- * Whether the task belongs to a gang that still runs on other machines too. If this machine hung or were
- * gone, the other members would exit; as long as they run, the machine may merely be partitioned.
+ * Whether the task belongs to a gang that is running on other machines too. If this machine had hung or
+ * failed, the other members would exit; while they run, the machine may only be partitioned from the leader.
  */
 function isMemberOfRunningGang({ job }: Assignment): boolean {
   return (
