--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -16,7 +16,7 @@
   private jobCount = 0;
   private lastJobAt: number;
   /** Start of the current gap between arrivals: the last arrival, or the end of a later interruption. */
-  private noArrivalSince: number;
+  private gapStart: number;
   private newestSubmittedAt = -Infinity;
 
   /**
@@ -31,7 +31,7 @@
     now: number,
   ) {
     this.lastJobAt = now;
-    this.noArrivalSince = now;
+    this.gapStart = now;
   }
 
   /** Counts the jobs submitted since the last call, given the submission times of all unfinished jobs. */
@@ -49,7 +49,7 @@
     this.decayingCount = decayed + newJobs;
     this.jobCount += newJobs;
     this.lastJobAt = now;
-    this.noArrivalSince = now;
+    this.gapStart = now;
   }
 
   /**
@@ -57,15 +57,13 @@
    * of this process.
    */
   noteInterruption(now: number): void {
-    this.noArrivalSince = now;
+    this.gapStart = now;
   }
 
   /** Whether no job has arrived for much longer than the mean gap between two jobs. */
   haveStopped(now: number): boolean {
     if (this.jobCount < MIN_JOBS) return false;
     const meanGapMs = this.decayTimeConstantMs / this.decayingCount;
-    return (
-      now - this.noArrivalSince > Math.max(this.minStopDelayMs, meanGapMs * STOPPED_AFTER_GAPS)
-    );
+    return now - this.gapStart > Math.max(this.minStopDelayMs, meanGapMs * STOPPED_AFTER_GAPS);
   }
 }
