--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -80,24 +80,26 @@
    * tokens than the bucket holds.
    */
   private listPage(
-    machines: ListedMachine[],
+    listedMachines: ListedMachine[],
     afterId: string,
     done: (result: ListResult) => void,
   ): void {
     if (!this.tokens.tryTake()) {
       const waitMs = Math.max(MIN_TOKEN_WAIT_MS, this.tokens.waitMs());
-      this.eventLoop.after(waitMs, 'list-token', () => this.listPage(machines, afterId, done));
+      this.eventLoop.after(waitMs, 'list-token', () =>
+        this.listPage(listedMachines, afterId, done),
+      );
       return;
     }
     const path = `/machines?limit=${LIST_PAGE_SIZE}${afterId === '' ? '' : `&from=${afterId}`}`;
     this.call('list-response', 'GET', path, undefined, (reply) => {
       const page = this.readPage(reply);
       if (page.kind === 'failed') return done(page);
-      machines.push(...page.machines);
-      const lastMachine = machines.at(-1);
+      listedMachines.push(...page.machines);
+      const lastMachine = listedMachines.at(-1);
       if (page.more && lastMachine !== undefined)
-        return this.listPage(machines, lastMachine.id, done);
-      done({ kind: 'listed', machines: machines });
+        return this.listPage(listedMachines, lastMachine.id, done);
+      done({ kind: 'listed', machines: listedMachines });
     });
   }
 
