--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -67,16 +67,16 @@
    * removed from the known machines instead.
    */
   find(now: number, workload: WorkloadState): string[] {
-    const unresponsiveMs =
+    const unresponsiveLimitMs =
       this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
     const defaultIdleLimitMs = this.defaultIdleLimitMs(now, workload);
-    const machineIds = this.findFailedBoots(now, unresponsiveMs);
+    const machineIds = this.findFailedBoots(now, unresponsiveLimitMs);
     const idleCounts = this.countIdleByKind();
     for (const machine of [...this.context.workers.machines.values()]) {
       if (this.context.scaleIn.isReleasing(machine.id)) continue;
       if (machine.cloudState === 'failed') machineIds.push(machine.id);
-      else if (this.isUnresponsive(machine, unresponsiveMs)) {
-        if (this.shouldReleaseUnresponsive(machine, now, unresponsiveMs))
+      else if (this.isUnresponsive(machine, unresponsiveLimitMs)) {
+        if (this.shouldReleaseUnresponsive(machine, now, unresponsiveLimitMs))
           machineIds.push(machine.id);
       } else if (
         !machine.isBusy &&
