--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -94,7 +94,7 @@
    * as booting. A machine that the cloud lists as running may not have found this leader yet or may be
    * partitioned, so it gets as much time as an unresponsive one.
    */
-  private findFailedBoots(now: number, unresponsiveMs: number): string[] {
+  private findFailedBoots(now: number, unresponsiveLimitMs: number): string[] {
     const { booting, workers } = this.context;
     const machineIds: string[] = [];
     const bootRatio = this.settings.get('fleet.boot.ratio');
@@ -105,7 +105,7 @@
       }
       const bootLimitMs = machine.type.bootS * bootRatio * 1000;
       const isOverdue = machine.listedAsRunning
-        ? now - machine.knownSince > unresponsiveMs
+        ? now - machine.knownSince > unresponsiveLimitMs
         : now - machine.requestedAt > bootLimitMs;
       if (!isOverdue) continue;
       booting.delete(id);
