--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -8,7 +8,7 @@
 import type { ScaleIn } from './scale-in.js';
 
 /** Factor on the idle limit while idle machines may use up the quota that a waiting gang needs. */
-const BLOCKED_GANG_IDLE_FACTOR = 1 / 8;
+const BLOCKED_JOB_IDLE_FACTOR = 1 / 8;
 /**
  * An idle machine is released only if its type and market have at least this many idle machines: the last one
  * would soon have to be launched again.
@@ -127,7 +127,7 @@
     const gangBlocked =
       workload.scaleOutRefused &&
       this.context.placement.shortages.some(({ job }) => now - job.waitingSince > longWaitMs);
-    return gangBlocked ? idleMs * BLOCKED_GANG_IDLE_FACTOR : idleMs;
+    return gangBlocked ? idleMs * BLOCKED_JOB_IDLE_FACTOR : idleMs;
   }
 
   private countIdleByKind(): Map<string, number> {
