--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -124,10 +124,10 @@
     if (workload.noWork) return 0;
     const idleMs = this.settings.workerLeaseMs * this.settings.get('fleet.idle.ratio');
     const longWaitMs = this.settings.get('placement.cannot.fill.s') * 1000;
-    const gangBlocked =
+    const jobBlocked =
       workload.scaleOutRefused &&
       this.context.placement.shortages.some(({ job }) => now - job.waitingSince > longWaitMs);
-    return gangBlocked ? idleMs * BLOCKED_JOB_IDLE_FACTOR : idleMs;
+    return jobBlocked ? idleMs * BLOCKED_JOB_IDLE_FACTOR : idleMs;
   }
 
   private countIdleByKind(): Map<string, number> {
