--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -60,7 +60,8 @@
   }
 
   /**
-   * Returns the demand for those expected tasks that do not fit on the machines.
+   * Returns the demand for those expected tasks that do not fit on the machines. Each class is expected to need
+   * capacity for a ratio of its running tasks, and for at least one task.
    *
    * @param now - current time of the monotonic clock in ms
    * @param machines - machines whose free capacity counts
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -129,9 +129,9 @@
   }
 
   /**
-   * Marks machines that have been missing from the list for long as absent. The cloud lists a machine as long
-   * as it exists, but a list can show an older state than the previous one, so a machine that is missing once
-   * may still exist.
+   * Marks machines as absent once they have been missing from the list for long. The cloud lists a machine as
+   * long as it exists, but a list can show an older state than the previous one, so a machine that is missing
+   * once may still exist.
    */
   private markAbsent(listedIds: ReadonlySet<string>, now: number): void {
     const listStalenessMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -7,7 +7,7 @@
 import type { BootingMachines } from './booting-machines.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** Factor on the idle limit while idle machines may use up the quota that a waiting gang needs. */
+/** Factor on the idle limit while idle machines may use up the cloud quota that a waiting job needs. */
 const BLOCKED_JOB_IDLE_FACTOR = 1 / 8;
 /**
  * An idle machine is released only if its type and market have at least this many idle machines: the last one
@@ -116,9 +116,9 @@
   }
 
   /**
-   * Returns how long a machine may be idle. The limit is reduced once a gang has lacked capacity for long and
-   * the cloud refuses to launch machines, because idle machines may use up the quota that the gang needs. It is
-   * not reduced earlier, because a released machine loses the images that it has cached.
+   * Returns how long a machine may be idle. The limit is reduced once a job has lacked capacity for long and
+   * the cloud refuses to launch machines, because idle machines may use up the quota that the job, for
+   * instance a gang, needs. It is not reduced earlier, because a released machine loses its cached images.
    */
   private defaultIdleLimitMs(now: number, workload: WorkloadState): number {
     if (workload.noWork) return 0;
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Whether to release an idle machine: only if another one of its type and market stays, or there is no work.
-   * Marks the machine as being released if so.
+   * Whether to release an idle machine: only if another idle one of its type and market stays, or there is
+   * no work. Marks the machine as being released if so.
    */
   private shouldReleaseIdle(
     machine: Machine,
