--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -2,39 +2,42 @@
 import { describe, it } from 'node:test';
 import { ArrivalMonitor } from './arrival-monitor.js';
 
-const MEMORY_MS = 120_000;
-const MIN_QUIET_MS = 20_000;
+const DECAY_TIME_CONSTANT_MS = 120_000;
+const MIN_STOP_DELAY_MS = 20_000;
 const GAP_MS = 4000;
 
-/** A monitor that has seen a job every `gapMs` for `forMs`, and when the last of them arrived. */
-function observed(gapMs: number, forMs: number): { arrivals: ArrivalMonitor; lastAt: number } {
-  const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_QUIET_MS, 0);
+/** Returns a monitor that has observed a job every `gapMs` for `forMs`, and the time of the last arrival. */
+function monitorAfterArrivals(
+  gapMs: number,
+  forMs: number,
+): { arrivals: ArrivalMonitor; lastAt: number } {
+  const arrivals = new ArrivalMonitor(DECAY_TIME_CONSTANT_MS, MIN_STOP_DELAY_MS, 0);
   let lastAt = 0;
-  for (let at = gapMs; at <= forMs; at += gapMs) {
-    arrivals.observe([at], at);
-    lastAt = at;
+  for (let arrivedAt = gapMs; arrivedAt <= forMs; arrivedAt += gapMs) {
+    arrivals.observe([arrivedAt], arrivedAt);
+    lastAt = arrivedAt;
   }
   return { arrivals, lastAt };
 }
 
 describe('ArrivalMonitor', () => {
-  it('reports a stop after many mean gaps without a job, and its end with the next job', () => {
-    const { arrivals, lastAt } = observed(GAP_MS, 400_000);
+  it('reports a stop after many mean gaps without a job, until the next job arrives', () => {
+    const { arrivals, lastAt } = monitorAfterArrivals(GAP_MS, 400_000);
     assert.ok(!arrivals.haveStopped(lastAt + 5 * GAP_MS));
     assert.ok(arrivals.haveStopped(lastAt + 15 * GAP_MS));
     arrivals.observe([lastAt + 16 * GAP_MS], lastAt + 16 * GAP_MS);
     assert.ok(!arrivals.haveStopped(lastAt + 17 * GAP_MS));
   });
 
-  it('reports no stop before users would have retried, however frequent jobs were', () => {
-    const { arrivals, lastAt } = observed(100, 60_000);
-    assert.ok(!arrivals.haveStopped(lastAt + MIN_QUIET_MS));
-    assert.ok(arrivals.haveStopped(lastAt + MIN_QUIET_MS + 1));
+  it('reports no stop within the shortest delay, in which users retry, however frequent jobs were', () => {
+    const { arrivals, lastAt } = monitorAfterArrivals(100, 60_000);
+    assert.ok(!arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS));
+    assert.ok(arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS + 1));
   });
 
-  // No job can arrive during an outage, so its quiet says nothing.
-  it('counts the quiet period only from the end of an interruption', () => {
-    const { arrivals, lastAt } = observed(GAP_MS, 400_000);
+  // No job can arrive during an outage, so the lack of jobs is no sign that arrivals have stopped.
+  it('measures the time without jobs only from the end of an interruption', () => {
+    const { arrivals, lastAt } = monitorAfterArrivals(GAP_MS, 400_000);
     const resumedAt = lastAt + 60_000;
     arrivals.noteInterruption(resumedAt);
     assert.ok(!arrivals.haveStopped(resumedAt + GAP_MS));
@@ -42,8 +45,8 @@
   });
 
   it('reports no stop before several jobs have arrived, and counts each job once', () => {
-    const arrivals = new ArrivalMonitor(MEMORY_MS, MIN_QUIET_MS, 0);
-    for (let at = 0; at < 100_000; at += 1000) arrivals.observe([1, 2, 3], at);
+    const arrivals = new ArrivalMonitor(DECAY_TIME_CONSTANT_MS, MIN_STOP_DELAY_MS, 0);
+    for (let now = 0; now < 100_000; now += 1000) arrivals.observe([1, 2, 3], now);
     assert.ok(!arrivals.haveStopped(1_000_000));
   });
 });
--- a/src/controller/fleet/machine-inventory.test.ts
+++ b/src/controller/fleet/machine-inventory.test.ts
@@ -5,10 +5,14 @@
 import { MachineInventory } from './machine-inventory.js';
 
 describe('MachineInventory', () => {
-  function read(entries: Partial<ListedMachine>[], known: string[], releasing: string[] = []) {
+  function readList(
+    entries: Partial<ListedMachine>[],
+    knownIds: string[],
+    releasingIds: string[] = [],
+  ) {
     const { runtime, eventLoop, workers, booting } = fleetFixture();
-    for (const id of known) workers.add(id);
-    const released: string[] = [];
+    for (const id of knownIds) workers.add(id);
+    const releasedIds: string[] = [];
     const machines = entries.map((entry): ListedMachine => ({
       ...{ id: 'n-1', addr: 'x:1', type: 'plain', zone: 'a', spot: false, ageS: 2 },
       ...{ state: 'running', ...entry },
@@ -20,16 +24,16 @@
         listIntervalMs: () => 0,
       },
       scaleIn: {
-        isReleasing: (id) => releasing.includes(id),
-        release: (ids) => void released.push(...ids),
+        isReleasing: (id) => releasingIds.includes(id),
+        release: (ids) => void releasedIds.push(...ids),
       },
     });
     inventory.step(0);
-    return { runtime, inventory, workers, booting, released };
+    return { runtime, inventory, workers, booting, released: releasedIds };
   }
 
-  it('updates known machines, releases failed ones and expects the others to boot', () => {
-    const { inventory, workers, booting, released } = read(
+  it('updates known machines, releases other failed ones and adds the rest as booting', () => {
+    const { inventory, workers, booting, released } = readList(
       [{ id: 'n-1' }, { id: 'n-2', state: 'failed' }, { id: 'n-3' }, { id: 'n-4' }],
       ['n-1'],
       ['n-4'],
@@ -44,8 +48,8 @@
     assert.deepEqual([...booting], [['n-3', expected]]);
   });
 
-  it('marks a machine as absent only when it has not been listed for long', () => {
-    const { runtime, inventory, workers } = read([], ['n-1']);
+  it('marks a machine as absent only after it has been missing from the list for long', () => {
+    const { runtime, inventory, workers } = readList([], ['n-1']);
     const machine = workers.machines.get('n-1');
     assert.equal(machine?.cloudState, 'running');
     runtime.advance(listLagMs * 4 + settings.heartbeatIntervalMs + 1);
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -1,4 +1,4 @@
-/** The machine inventory: reads the cloud's list periodically and reconciles it with the known machines. */
+/** Machine inventory: periodically reads the cloud's list of machines and updates the known ones from it. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { ListedMachine, MachineType } from '../wire/cloud.js';
@@ -8,11 +8,14 @@
 import type { CloudClient } from './cloud-client.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** Heartbeat intervals between two lists, at least. */
+/** Smallest number of heartbeat intervals between two reads of the list. */
 const HEARTBEATS_PER_LIST = 2;
-/** After a failure the interval until the next attempt is shortened by this share of the list's lag. */
+/** After a failed read the next one starts earlier by this share of the list's lag. */
 const RETRY_LAG_SHARE = 0.7;
-/** A machine missing from the list counts as absent after this many times the list's lag or interval. */
+/**
+ * A machine missing from the list counts as absent after this many times the lag of the list, or the time
+ * between two lists that the rate limit requires, whichever is longer, plus a heartbeat interval.
+ */
 const ABSENT_LAGS = 4;
 
 /** Parts of the leader that the inventory depends on. */
@@ -22,16 +25,20 @@
   scaleIn: Pick<ScaleIn, 'isReleasing' | 'release'>;
   booting: BootingMachines;
   types(): MachineType[] | null;
-  /** Whether this node holds the leader's lease with fresh state (invariants 1 and 8). */
+  /**
+   * Whether this node may act as leader: it holds the lease at the state store (invariant 1), and its recovered
+   * state includes every cancellation confirmed longer ago than the freshness bound (invariant 8).
+   */
   mayActAsLeader(): boolean;
 }
 
-/** Keeps the known machines in step with the cloud's list. */
+/** Reconciles the known and the booting machines with the cloud's list. */
 export class MachineInventory {
-  /** Whether a list has been read in this term. */
+  /** Whether a list has been read and applied in this term. */
   synced = false;
-  private reading = false;
-  private readAt = -Infinity;
+  private readInProgress = false;
+  /** When the last read ended; earlier by a share of the lag if it failed. */
+  private lastReadAt = -Infinity;
 
   constructor(
     private readonly eventLoop: EventLoop,
@@ -39,14 +46,14 @@
     private readonly context: MachineInventoryContext,
   ) {}
 
-  /** How far the cloud's list may lag behind. */
+  /** Longest time in ms by which the cloud's list may be out of date. */
   private get lagMs(): number {
     return this.settings.platform.cloudLimits.listLagS * 1000;
   }
 
-  /** Reads the list when it is due. */
+  /** Starts reading the list if the next read is due and none is in progress. */
   step(now: number): void {
-    if (!this.reading && now - this.readAt >= this.intervalMs) this.read();
+    if (!this.readInProgress && now - this.lastReadAt >= this.intervalMs) this.read();
   }
 
   private get intervalMs(): number {
@@ -59,14 +66,14 @@
   }
 
   private read(): void {
-    this.reading = true;
+    this.readInProgress = true;
     this.context.cloud.listMachines((result) => {
-      this.reading = false;
+      this.readInProgress = false;
       if (result.kind === 'failed') {
-        this.readAt = this.eventLoop.now() - RETRY_LAG_SHARE * this.lagMs;
+        this.lastReadAt = this.eventLoop.now() - RETRY_LAG_SHARE * this.lagMs;
         return;
       }
-      this.readAt = this.eventLoop.now();
+      this.lastReadAt = this.eventLoop.now();
       if (this.context.mayActAsLeader()) this.apply(result.machines);
     });
   }
@@ -84,8 +91,8 @@
 
   private applyEntry(entry: ListedMachine, now: number): void {
     const { workers, scaleIn } = this.context;
-    const known = workers.machines.get(entry.id);
-    if (known !== undefined) this.update(known, entry, now);
+    const knownMachine = workers.machines.get(entry.id);
+    if (knownMachine !== undefined) this.update(knownMachine, entry, now);
     else if (entry.state === 'failed') scaleIn.release([entry.id], 'failed');
     else this.addBooting(entry, now);
   }
@@ -99,35 +106,39 @@
   }
 
   private addBooting(
-    { id, type: name, zone, spot, ageS, state }: ListedMachine,
+    { id, type: typeName, zone, spot, ageS, state }: ListedMachine,
     now: number,
   ): void {
     const { booting } = this.context;
-    const running = state === 'running';
-    const known = booting.get(id);
-    if (known !== undefined) {
-      known.listedAsRunning ||= running;
+    const isRunning = state === 'running';
+    const bootingMachine = booting.get(id);
+    if (bootingMachine !== undefined) {
+      bootingMachine.listedAsRunning ||= isRunning;
       return;
     }
-    const type = this.context.types()?.find((offered) => offered.name === name);
+    const type = this.context.types()?.find((offeredType) => offeredType.name === typeName);
     if (type === undefined) return;
     booting.set(id, {
       type,
       zone,
       spot,
-      listedAsRunning: running,
+      listedAsRunning: isRunning,
       requestedAt: now - ageS * 1000,
       knownSince: now,
     });
   }
 
-  /** A listed machine stays listed until it is gone, but a list may be older than the one before it. */
+  /**
+   * Marks machines as absent once they have been missing from the list for long. The cloud lists a machine as
+   * long as it exists, but a list can show an older state than the previous one, so a machine that is missing
+   * once may still exist.
+   */
   private markAbsent(listedIds: ReadonlySet<string>, now: number): void {
-    const listDelayMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
-    const absentMs = listDelayMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
+    const listStalenessMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
+    const absentAfterMs = listStalenessMs * ABSENT_LAGS + this.settings.heartbeatIntervalMs;
     for (const machine of this.context.workers.machines.values()) {
       if (listedIds.has(machine.id) || machine.cloudStateAt === -Infinity) continue;
-      if (now - machine.cloudStateAt > absentMs) machine.cloudState = 'absent';
+      if (now - machine.cloudStateAt > absentAfterMs) machine.cloudState = 'absent';
     }
   }
 }
--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -21,28 +21,28 @@
 const STEP_MS = 1000;
 const settings = new Settings(standalonePlatform(), defaultProperties());
 const maxShare = settings.get('fleet.replicas.silent.share');
-const nothing = (): void => undefined;
-const silentLog: Logger = { info: nothing, debug: nothing, warn: nothing, error: nothing };
+const noOp = (): void => undefined;
+const silentLog: Logger = { info: noOp, debug: noOp, warn: noOp, error: noOp };
 
-/** Machines whose workers send heartbeats unless they are unresponsive; records probes and releases. */
+/** Simulates machines that send heartbeats unless they are unresponsive; records probes and releases. */
 class Cluster {
   now = 0;
   private sequence = 0;
   readonly unresponsive = new Set<string>();
-  /** Unresponsive machines that still answer probes. */
+  /** Unresponsive machines that answer probes nevertheless. */
   readonly answeringProbes = new Set<string>();
   /** Machines in the order in which they were probed. */
   readonly probed: string[] = [];
   readonly released: string[] = [];
-  /** What the heartbeat of each machine tells of its tasks. */
+  /** The task statuses that the heartbeats of each machine contain. */
   private readonly taskStatuses = new Map<string, TaskStatus[]>();
-  private readonly replies: { at: number; done: (reply: Reply) => void; reply: Reply }[] = [];
+  private readonly replies: { dueAt: number; done: (reply: Reply) => void; reply: Reply }[] = [];
   private readonly deferred: (() => void)[] = [];
-  private readonly timers: { at: number; run: () => void }[] = [];
+  private readonly timers: { dueAt: number; run: () => void }[] = [];
   private readonly eventLoop: EventLoop;
   readonly table: JobTable;
   readonly workers: Workers;
-  private readonly hosts: UnresponsiveReplicaHosts;
+  private readonly replicaHosts: UnresponsiveReplicaHosts;
 
   constructor() {
     const runtime: Runtime = {
@@ -52,12 +52,12 @@
       random: () => 0.5,
       defer: (run) => this.deferred.push(run),
       startTimer: (ms, run) => {
-        this.timers.push({ at: this.now + ms, run });
-        return { cancel: nothing };
+        this.timers.push({ dueAt: this.now + ms, run });
+        return { cancel: noOp };
       },
       call: (call, done) => this.call(call, done),
       hasSpareConnection: () => true,
-      sendPeer: nothing,
+      sendPeer: noOp,
     };
     this.eventLoop = new EventLoop(runtime, silentLog);
     const records = immediateRecords();
@@ -68,21 +68,21 @@
       records,
       {
         ...{
-          onIncompleteGang: nothing,
-          onJobAdded: nothing,
-          onTasksPending: nothing,
-          onCompletionRecorded: nothing,
-          onTerminalState: nothing,
+          onIncompleteGang: noOp,
+          onJobAdded: noOp,
+          onTasksPending: noOp,
+          onCompletionRecorded: noOp,
+          onTerminalState: noOp,
         },
-        onRecordRemoved: nothing,
+        onRecordRemoved: noOp,
         onJobTerminated: (job) => this.workers.jobTerminated(job),
       },
     );
     this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
       findMachineType: () => undefined,
-      ...{ higherTermSeen: nothing, placementInputChanged: nothing, taskCompleted: nothing },
+      ...{ higherTermSeen: noOp, placementInputChanged: noOp, taskCompleted: noOp },
     });
-    this.hosts = new UnresponsiveReplicaHosts(
+    this.replicaHosts = new UnresponsiveReplicaHosts(
       this.eventLoop,
       settings,
       this.workers,
@@ -96,23 +96,23 @@
     this.run(2);
   }
 
-  get ids(): string[] {
+  get machineIds(): string[] {
     return Array.from({ length: MACHINES }, (_, i) => `n-${i}`);
   }
 
   private call(call: Call, done: (reply: Reply) => void): void {
     if (call.path !== '/inspect') return;
     this.probed.push(call.to);
-    const answers = this.answeringProbes.has(call.to) || !this.unresponsive.has(call.to);
-    const reply: Reply = { status: answers ? 200 : 0, body: null };
-    this.replies.push({ at: this.now + (answers ? 0 : call.timeoutMs), done, reply });
+    const isAnswered = this.answeringProbes.has(call.to) || !this.unresponsive.has(call.to);
+    const reply: Reply = { status: isAnswered ? 200 : 0, body: null };
+    this.replies.push({ dueAt: this.now + (isAnswered ? 0 : call.timeoutMs), done, reply });
   }
 
   /** Starts a job with one task on each of the machines. */
-  place(part: Partial<JobSpec>, machines: string[]): Job {
+  startJob(overrides: Partial<JobSpec>, machines: string[]): Job {
     const spec = arraySpec({
       ...{ id: `req-${this.table.jobs.size}`, kind: 'service', priority: 'production' },
-      ...{ tasks: machines.length, estimatedRunS: 0, ...part },
+      ...{ tasks: machines.length, estimatedRunS: 0, ...overrides },
     });
     this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
     const job = this.table.jobs.get(spec.id) ?? assert.fail();
@@ -133,7 +133,7 @@
     return job;
   }
 
-  /** The job's task on the machine exits by itself. */
+  /** Reports the job's task on the machine as exited because it lost its peers. */
   exitTask(job: Job, machine: string): void {
     for (const status of this.taskStatuses.get(machine) ?? [])
       if (status.name.startsWith(`${job.spec.id}/`))
@@ -143,11 +143,11 @@
   run(seconds: number, leaderAnswers = true): void {
     for (let i = 0; i < seconds; i++) {
       this.now += STEP_MS;
-      for (const id of this.ids)
+      for (const id of this.machineIds)
         if (!this.unresponsive.has(id) && leaderAnswers) this.sendHeartbeat(id);
       this.workers.setAnswering(leaderAnswers, STEP_MS);
       this.workers.expireLeases();
-      this.hosts.step(this.now);
+      this.replicaHosts.step(this.now);
       this.runDue();
     }
   }
@@ -163,11 +163,11 @@
   /** Delivers replies and runs timers that are due. */
   private runDue(): void {
     for (const pending of this.replies.splice(0))
-      if (pending.at <= this.now) pending.done(pending.reply);
+      if (pending.dueAt <= this.now) pending.done(pending.reply);
       else this.replies.push(pending);
     this.runDeferred();
     for (const timer of this.timers.splice(0))
-      if (timer.at <= this.now) timer.run();
+      if (timer.dueAt <= this.now) timer.run();
       else this.timers.push(timer);
     this.runDeferred();
   }
@@ -177,28 +177,32 @@
   }
 }
 
-/** Longer than an unresponsive machine with replicas is kept, and well within the worker's lease. */
+/** Time within which an unresponsive machine with replicas is released; well within the worker's lease. */
 const RELEASED_WITHIN_S = Math.ceil(
   settings.platform.workers.heartbeatIntervalS * (settings.get('fleet.replicas.silent.ratio') + 1),
 );
 
 describe('an unresponsive machine with service replicas', () => {
-  it('is released well before its lease expires', () => {
+  it("is released well before the worker's lease expires", () => {
     const cluster = new Cluster();
-    const job = cluster.place({}, ['n-0', 'n-1']);
+    const job = cluster.startJob({}, ['n-0', 'n-1']);
     cluster.unresponsive.add('n-0');
     cluster.run(settings.platform.workers.heartbeatIntervalS);
-    assert.deepEqual(cluster.released, [], 'not for one late heartbeat');
+    assert.deepEqual(cluster.released, [], 'one late heartbeat is not enough');
     cluster.run(RELEASED_WITHIN_S);
     assert.deepEqual(cluster.released, ['n-0']);
-    assert.equal(job.runningCount, 2, 'its replica counts until the cloud has confirmed');
+    assert.equal(
+      job.runningCount,
+      2,
+      'its replica counts as running until the cloud has confirmed the release',
+    );
     cluster.workers.removeMachine(cluster.workers.getOrCreateMachine('n-0'));
     assert.ok(job.pending.has(0));
   });
 
   it('is kept while it answers probes', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
+    cluster.startJob({}, ['n-0']);
     cluster.unresponsive.add('n-0');
     cluster.answeringProbes.add('n-0');
     cluster.run(RELEASED_WITHIN_S);
@@ -208,7 +212,7 @@
 
   it('is kept if its heartbeat arrives during the probe', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
+    cluster.startJob({}, ['n-0']);
     cluster.unresponsive.add('n-0');
     while (cluster.probed.length === 0) cluster.run(1);
     cluster.unresponsive.delete('n-0');
@@ -216,10 +220,10 @@
     assert.deepEqual(cluster.released, []);
   });
 
-  it('is kept while a gang with a member there goes on, since it may merely be partitioned', () => {
+  it('is kept while a gang with a member on it is running, since it may only be partitioned', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
-    const gang = cluster.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
+    cluster.startJob({}, ['n-0']);
+    const gang = cluster.startJob({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
     cluster.unresponsive.add('n-0');
     cluster.run(RELEASED_WITHIN_S);
     assert.deepEqual(cluster.probed, []);
@@ -228,10 +232,10 @@
     assert.deepEqual(cluster.released, ['n-0']);
   });
 
-  it('is kept when its lease is about to expire anyway', () => {
+  it("is kept when the worker's lease is about to expire anyway", () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
-    const gang = cluster.place({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
+    cluster.startJob({}, ['n-0']);
+    const gang = cluster.startJob({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
     cluster.unresponsive.add('n-0');
     cluster.run(settings.platform.workers.leaseS - 1);
     cluster.exitTask(gang, 'n-1');
@@ -241,7 +245,7 @@
 
   it('is kept when its services have been cancelled', () => {
     const cluster = new Cluster();
-    const job = cluster.place({}, ['n-0']);
+    const job = cluster.startJob({}, ['n-0']);
     cluster.unresponsive.add('n-0');
     cluster.table.markCancelled(job.spec.id);
     cluster.run(RELEASED_WITHIN_S);
@@ -250,15 +254,16 @@
 
   it('is kept when too many machines are unresponsive, since the network may be at fault', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
-    for (const id of cluster.ids.slice(0, MACHINES * maxShare + 1)) cluster.unresponsive.add(id);
+    cluster.startJob({}, ['n-0']);
+    for (const id of cluster.machineIds.slice(0, MACHINES * maxShare + 1))
+      cluster.unresponsive.add(id);
     cluster.run(RELEASED_WITHIN_S);
     assert.deepEqual(cluster.released, []);
   });
 
   it('is kept when the leader itself has not answered heartbeats', () => {
     const cluster = new Cluster();
-    cluster.place({}, ['n-0']);
+    cluster.startJob({}, ['n-0']);
     cluster.unresponsive.add('n-0');
     cluster.run(RELEASED_WITHIN_S, false);
     cluster.run(settings.platform.workers.heartbeatIntervalS);
@@ -267,19 +272,19 @@
 });
 
 describe('unresponsive machines', () => {
-  it('are neither probed nor released without replicas', () => {
+  it('are neither probed nor released if they have no service replicas', () => {
     const cluster = new Cluster();
-    cluster.place({ kind: 'array', estimatedRunS: 900 }, ['n-0']);
+    cluster.startJob({ kind: 'array', estimatedRunS: 900 }, ['n-0']);
     cluster.unresponsive.add('n-0').add('n-1');
     cluster.run(RELEASED_WITHIN_S);
     assert.deepEqual([cluster.probed, cluster.released], [[], []]);
   });
 
-  it('are released only up to a share of all machines within a lease', () => {
+  it("are released only up to a share of all machines within a worker's lease", () => {
     const cluster = new Cluster();
-    cluster.place({}, cluster.ids);
+    cluster.startJob({}, cluster.machineIds);
     for (let i = 0; i < MACHINES; i++) {
-      // One after the other, so that never many are unresponsive at a time.
+      // The machines become unresponsive one after another, so that few are unresponsive at a time.
       cluster.unresponsive.add(`n-${i}`);
       cluster.run(2);
       for (const id of cluster.released)
--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -26,21 +26,22 @@
     });
   });
 
-  const launched = { type: plainType, zone: 'a', spot: false, requestedAt: -Infinity };
+  const bootingMachine = { type: plainType, zone: 'a', spot: false, requestedAt: -Infinity };
 
   it('finds machines that failed, did not boot in time or are unresponsive', () => {
     workers.add('failed').cloudState = 'failed';
     workers.add('unresponsive');
     workers.unresponsive.set('unresponsive', unresponsiveLimitMs + 1);
     workers.add('up');
-    booting.set('late', { ...launched, knownSince: 0, listedAsRunning: false });
+    booting.set('late', { ...bootingMachine, knownSince: 0, listedAsRunning: false });
     assert.deepEqual(unused.find(0, steady), ['late', 'failed', 'unresponsive']);
     assert.equal(booting.size, 0);
   });
 
-  // A new leader reads the list before the workers have found it: those without a record were released.
+  // A new leader reads the cloud's list before all workers have found it. It must not release machines that
+  // run but have no record yet.
   it('gives a machine that is listed as running time to find this leader', () => {
-    booting.set('partitioned', { ...launched, knownSince: 0, listedAsRunning: true });
+    booting.set('partitioned', { ...bootingMachine, knownSince: 0, listedAsRunning: true });
     assert.deepEqual(unused.find(unresponsiveLimitMs, steady), []);
     assert.deepEqual(unused.find(unresponsiveLimitMs + 1, steady), ['partitioned']);
   });
@@ -54,15 +55,15 @@
     assert.equal(workers.machines.size, 0);
   });
 
-  it('keeps one idle machine of a kind unless there is no work', () => {
+  it('keeps one idle machine of each type and market unless there is no work', () => {
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
     assert.deepEqual(unused.find(idleLimitMs, steady), []);
     assert.deepEqual(unused.find(idleLimitMs + 1, steady), ['n-1', 'n-2']);
-    const rest = unused.find(idleLimitMs + 1, { ...steady, noWork: true });
-    assert.ok(rest.includes('n-3'));
+    const remaining = unused.find(idleLimitMs + 1, { ...steady, noWork: true });
+    assert.ok(remaining.includes('n-3'));
   });
 
-  // Kept for jobs that do not come, they would cost as much as busy ones.
+  // Idle machines cost as much as busy ones, so they are not kept for jobs that no longer arrive.
   it('keeps idle machines no longer than a boot takes once arrivals have stopped', () => {
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
     const stopped = { ...steady, arrivalsStopped: true };
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -1,4 +1,4 @@
-/** Finds the machines that are not needed any more. */
+/** Finds the machines that are no longer needed or no longer usable. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
@@ -7,12 +7,15 @@
 import type { BootingMachines } from './booting-machines.js';
 import type { ScaleIn } from './scale-in.js';
 
-/** Factor on the idle limit while idle machines may block the launch of machines for a waiting gang. */
-const STUCK_IDLE_FACTOR = 1 / 8;
-/** Idle machines of a kind, at least, for one of them to be released: the last would be launched again. */
+/** Factor on the idle limit while idle machines may use up the cloud quota that a waiting job needs. */
+const BLOCKED_JOB_IDLE_FACTOR = 1 / 8;
+/**
+ * An idle machine is released only if its type and market have at least this many idle machines: the last one
+ * would soon have to be launched again.
+ */
 const MIN_IDLE_OF_KIND = 2;
 
-/** Parts of the leader that the search depends on. */
+/** Parts of the leader that the search for unused machines depends on. */
 export interface UnusedMachinesContext {
   workers: Pick<
     Workers,
@@ -25,21 +28,24 @@
 
 /** State of the workload, which decides how long idle machines are kept. */
 export interface WorkloadState {
-  /** There has been no unfinished job for long. */
+  /** Whether there has been no unfinished job for a long time. */
   noWork: boolean;
-  /** The cloud has refused to launch some kind of machine. */
+  /** Whether the cloud has recently refused to launch machines of some kind. */
   scaleOutRefused: boolean;
-  /** No job has arrived for much longer than usual. */
+  /** Whether no job has arrived for much longer than the mean gap between two jobs. */
   arrivalsStopped: boolean;
 }
 
-/** Machines with the same key stand in for one another when idle. */
-function idleKey(machine: Machine): string {
+/** Returns a key of the machine's type and market; idle machines with the same key are interchangeable. */
+function typeAndMarketKey(machine: Machine): string {
   return `${machine.typeName} ${machine.spot ? 1 : 0}`;
 }
 
-/** Once jobs have stopped arriving, a machine is kept no longer than a new one would take to boot. */
-function idleLimitMs(
+/**
+ * Returns how long the machine may be idle. Once jobs have stopped arriving, that is no longer than a new
+ * machine of its type takes to boot.
+ */
+function machineIdleLimitMs(
   machine: Machine,
   defaultMs: number,
   { arrivalsStopped }: WorkloadState,
@@ -48,7 +54,7 @@
   return arrivalsStopped ? Math.min(defaultMs, bootMs) : defaultMs;
 }
 
-/** Finds machines that failed to boot, have failed, are unresponsive or idle. */
+/** Finds machines that did not boot in time, have failed, are unresponsive or have been idle for too long. */
 export class UnusedMachines {
   constructor(
     private readonly eventLoop: EventLoop,
@@ -56,36 +62,41 @@
     private readonly context: UnusedMachinesContext,
   ) {}
 
-  /** Ids of the machines to release. Removes those that are gone by themselves. */
+  /**
+   * Returns the ids of the machines to release. Unresponsive machines that the cloud no longer lists are
+   * removed from the known machines instead.
+   */
   find(now: number, workload: WorkloadState): string[] {
-    const unresponsiveMs =
+    const unresponsiveLimitMs =
       this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
-    const idleMs = this.idleLimitMs(now, workload);
-    const found = this.findFailedBoots(now, unresponsiveMs);
+    const defaultIdleLimitMs = this.defaultIdleLimitMs(now, workload);
+    const machineIds = this.findFailedBoots(now, unresponsiveLimitMs);
     const idleCounts = this.countIdleByKind();
     for (const machine of [...this.context.workers.machines.values()]) {
       if (this.context.scaleIn.isReleasing(machine.id)) continue;
-      if (machine.cloudState === 'failed') found.push(machine.id);
-      else if (this.isUnresponsive(machine, unresponsiveMs)) {
-        if (this.releasesUnresponsive(machine, now, unresponsiveMs)) found.push(machine.id);
+      if (machine.cloudState === 'failed') machineIds.push(machine.id);
+      else if (this.isUnresponsive(machine, unresponsiveLimitMs)) {
+        if (this.shouldReleaseUnresponsive(machine, now, unresponsiveLimitMs))
+          machineIds.push(machine.id);
       } else if (
         !machine.isBusy &&
-        now - machine.idleSince > idleLimitMs(machine, idleMs, workload)
+        now - machine.idleSince > machineIdleLimitMs(machine, defaultIdleLimitMs, workload)
       ) {
-        if (this.releasesIdle(machine, idleCounts, workload.noWork)) found.push(machine.id);
+        if (this.shouldReleaseIdle(machine, idleCounts, workload.noWork))
+          machineIds.push(machine.id);
       }
     }
-    return found;
+    return machineIds;
   }
 
   /**
-   * Booting machines that take too long. Those that have sent a heartbeat no longer count as booting. A
-   * machine that the cloud lists as running may not have found this leader yet, or may be partitioned: it
-   * gets the same time as an unresponsive one.
+   * Returns the ids of booting machines that take too long. Machines that have sent a heartbeat no longer count
+   * as booting. A machine that the cloud lists as running may not have found this leader yet or may be
+   * partitioned, so it gets as much time as an unresponsive one.
    */
-  private findFailedBoots(now: number, unresponsiveMs: number): string[] {
+  private findFailedBoots(now: number, unresponsiveLimitMs: number): string[] {
     const { booting, workers } = this.context;
-    const found: string[] = [];
+    const machineIds: string[] = [];
     const bootRatio = this.settings.get('fleet.boot.ratio');
     for (const [id, machine] of booting) {
       if (workers.machines.get(id)?.lastHeartbeatAt !== undefined) {
@@ -93,29 +104,30 @@
         continue;
       }
       const bootLimitMs = machine.type.bootS * bootRatio * 1000;
-      const late = machine.listedAsRunning
-        ? now - machine.knownSince > unresponsiveMs
+      const isOverdue = machine.listedAsRunning
+        ? now - machine.knownSince > unresponsiveLimitMs
         : now - machine.requestedAt > bootLimitMs;
-      if (!late) continue;
+      if (!isOverdue) continue;
       booting.delete(id);
-      found.push(id);
+      machineIds.push(id);
       this.eventLoop.log.info({ machine: id }, 'machine failed to boot in time');
     }
-    return found;
+    return machineIds;
   }
 
   /**
-   * How long a machine may be idle. While a gang has long lacked capacity and the cloud refuses machines,
-   * idle ones may use up the quota that the gang needs. Not sooner: a released machine's images are lost.
+   * Returns how long a machine may be idle. The limit is reduced once a job has lacked capacity for long and
+   * the cloud refuses to launch machines, because idle machines may use up the quota that the job, for
+   * instance a gang, needs. It is not reduced earlier, because a released machine loses its cached images.
    */
-  private idleLimitMs(now: number, workload: WorkloadState): number {
+  private defaultIdleLimitMs(now: number, workload: WorkloadState): number {
     if (workload.noWork) return 0;
     const idleMs = this.settings.workerLeaseMs * this.settings.get('fleet.idle.ratio');
     const longWaitMs = this.settings.get('placement.cannot.fill.s') * 1000;
-    const gangBlocked =
+    const jobBlocked =
       workload.scaleOutRefused &&
       this.context.placement.shortages.some(({ job }) => now - job.waitingSince > longWaitMs);
-    return gangBlocked ? idleMs * STUCK_IDLE_FACTOR : idleMs;
+    return jobBlocked ? idleMs * BLOCKED_JOB_IDLE_FACTOR : idleMs;
   }
 
   private countIdleByKind(): Map<string, number> {
@@ -123,7 +135,7 @@
     const counts = new Map<string, number>();
     for (const machine of workers.machines.values()) {
       if (machine.isBusy || machine.releasing || !workers.isAlive(machine)) continue;
-      const key = idleKey(machine);
+      const key = typeAndMarketKey(machine);
       counts.set(key, (counts.get(key) ?? 0) + 1);
     }
     return counts;
@@ -134,10 +146,11 @@
     return workers.unresponsiveMs(machine) > limitMs || workers.unacknowledgedMs(machine) > limitMs;
   }
 
-  /** Whether an unresponsive machine is to be released; one that no longer exists is removed instead. */
-  private releasesUnresponsive(machine: Machine, now: number, limitMs: number): boolean {
+  /** Whether to release an unresponsive machine. If it no longer exists, it is removed instead. */
+  private shouldReleaseUnresponsive(machine: Machine, now: number, limitMs: number): boolean {
     if (machine.cloudState === 'absent' || machine.cloudStateAt === -Infinity) {
-      // The machine no longer exists, and its worker's lease has expired (invariant 5).
+      // The machine no longer exists, and its worker's lease has surely expired: its tasks are gone
+      // (invariant 5).
       if (now - machine.firstSeenAt > limitMs * 2) this.context.workers.removeMachine(machine);
       return false;
     }
@@ -145,13 +158,16 @@
     return true;
   }
 
-  /** Whether an idle machine is to be released: only if another of its kind stays, or there is no work. */
-  private releasesIdle(
+  /**
+   * Whether to release an idle machine: only if another idle one of its type and market stays, or there is
+   * no work. Marks the machine as being released if so.
+   */
+  private shouldReleaseIdle(
     machine: Machine,
     idleCounts: Map<string, number>,
     noWork: boolean,
   ): boolean {
-    const key = idleKey(machine);
+    const key = typeAndMarketKey(machine);
     const idleCount = idleCounts.get(key) ?? 0;
     if (idleCount < MIN_IDLE_OF_KIND && !noWork) return false;
     idleCounts.set(key, idleCount - 1);
