--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -45,15 +45,15 @@
 export class HttpClient {
   private readonly hosts = new Map<string, Host>();
   /** Idle connections to all hosts, the longest idle first. */
-  private readonly idle = new Set<Connection>();
+  private readonly idleConnections = new Set<Connection>();
 
   constructor(private readonly options: ClientOptions) {
     options.sockets.onExhausted(() => this.closeLongestIdle());
   }
 
   private closeLongestIdle(): boolean {
-    for (const connection of this.idle) {
-      this.idle.delete(connection);
+    for (const connection of this.idleConnections) {
+      this.idleConnections.delete(connection);
       connection.socket.destroy();
       return true;
     }
@@ -113,7 +113,7 @@
       const connection = this.takeIdle(host) ?? this.open(to, host);
       if (connection === null) return;
       host.waiting.shift();
-      this.idle.delete(connection);
+      this.idleConnections.delete(connection);
       connection.current = first;
       first.connection = connection;
       connection.socket.setTimeout(0);
@@ -150,7 +150,7 @@
     socket.on('timeout', () => socket.destroy());
     socket.on('close', () => {
       this.options.sockets.closed();
-      this.idle.delete(connection);
+      this.idleConnections.delete(connection);
       host.connections.delete(connection);
       host.idle = host.idle.filter((other) => other !== connection);
       const pending = connection.current;
@@ -178,7 +178,7 @@
       connection.socket.destroy();
     else {
       host.idle.push(connection);
-      this.idle.add(connection);
+      this.idleConnections.add(connection);
       connection.socket.setTimeout(this.options.idleTimeoutMs);
     }
     if (pending !== null) this.settle(pending, response, false);
