--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -61,8 +61,8 @@
   }
 
   /** Whether a request would find an idle connection. */
-  hasIdleConnection(to: string): boolean {
-    return (this.hosts.get(to)?.idle.length ?? 0) > 0;
+  hasIdleConnection(address: string): boolean {
+    return (this.hosts.get(address)?.idle.length ?? 0) > 0;
   }
 
   /** Sends a request once a connection is free. `done` gets `null` if there is no valid response in time. */
