--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -67,27 +67,27 @@
 
   /** Sends a request once a connection is free. `done` gets `null` if there is no valid response in time. */
   request(
-    to: string,
+    address: string,
     method: string,
     path: string,
     body: Buffer | null,
     timeoutMs: number,
     done: (response: HttpMessage | null) => void,
   ): void {
-    let host = this.hosts.get(to);
+    let host = this.hosts.get(address);
     if (host === undefined) {
       host = { connections: new Set(), idle: [], waiting: [] };
-      this.hosts.set(to, host);
+      this.hosts.set(address, host);
     }
     const pending: PendingRequest = {
-      bytes: formatRequest(method, to, path, body),
+      bytes: formatRequest(method, address, path, body),
       done,
       connection: null,
       settled: false,
       timer: setTimeout(() => this.settle(pending, null, true), timeoutMs),
     };
     host.waiting.push(pending);
-    this.advance(to, host);
+    this.advance(address, host);
   }
 
   private settle(
