--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -103,14 +103,14 @@
   }
 
   /** Sends the waiting requests for which there is a connection. */
-  private advance(to: string, host: Host): void {
+  private advance(address: string, host: Host): void {
     while (host.waiting.length > 0) {
       const first = host.waiting[0];
       if (first === undefined || first.settled) {
         host.waiting.shift();
         continue;
       }
-      const connection = this.takeIdle(host) ?? this.open(to, host);
+      const connection = this.takeIdle(host) ?? this.open(address, host);
       if (connection === null) return;
       host.waiting.shift();
       this.idleConnections.delete(connection);
@@ -119,7 +119,7 @@
       connection.socket.setTimeout(0);
       connection.socket.write(first.bytes);
     }
-    if (host.connections.size === 0) this.hosts.delete(to);
+    if (host.connections.size === 0) this.hosts.delete(address);
   }
 
   private takeIdle(host: Host): Connection | undefined {
