--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -129,10 +129,10 @@
     }
   }
 
-  private open(to: string, host: Host): Connection | null {
+  private open(address: string, host: Host): Connection | null {
     if (host.connections.size >= this.options.maxConnectionsPerHost) return null;
     const socket = net.connect({
-      ...splitAddress(to),
+      ...splitAddress(address),
       noDelay: true,
     });
     const connection: Connection = {
@@ -145,7 +145,7 @@
     };
     host.connections.add(connection);
     this.options.sockets.opened();
-    socket.on('data', (bytes) => this.receive(to, host, connection, bytes));
+    socket.on('data', (bytes) => this.receive(address, host, connection, bytes));
     socket.on('error', () => socket.destroy());
     socket.on('timeout', () => socket.destroy());
     socket.on('close', () => {
@@ -156,7 +156,7 @@
       const pending = connection.current;
       connection.current = null;
       if (pending !== null) this.settle(pending, null, false);
-      this.advance(to, host);
+      this.advance(address, host);
     });
     return connection;
   }
