--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -161,7 +161,7 @@
     return connection;
   }
 
-  private receive(to: string, host: Host, connection: Connection, bytes: Buffer): void {
+  private receive(address: string, host: Host, connection: Connection, bytes: Buffer): void {
     let response: HttpMessage | null;
     try {
       connection.parser.push(bytes);
@@ -182,6 +182,6 @@
       connection.socket.setTimeout(this.options.idleTimeoutMs);
     }
     if (pending !== null) this.settle(pending, response, false);
-    this.advance(to, host);
+    this.advance(address, host);
   }
 }
