--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -87,7 +87,7 @@
       timer: setTimeout(() => this.settle(pending, null, true), timeoutMs),
     };
     host.waiting.push(pending);
-    this.advance(address, host);
+    this.sendWaiting(address, host);
   }
 
   private settle(
@@ -103,7 +103,7 @@
   }
 
   /** Sends the waiting requests for which there is a connection. */
-  private advance(address: string, host: Host): void {
+  private sendWaiting(address: string, host: Host): void {
     while (host.waiting.length > 0) {
       const first = host.waiting[0];
       if (first === undefined || first.settled) {
@@ -156,7 +156,7 @@
       const pending = connection.current;
       connection.current = null;
       if (pending !== null) this.settle(pending, null, false);
-      this.advance(address, host);
+      this.sendWaiting(address, host);
     });
     return connection;
   }
@@ -182,6 +182,6 @@
       connection.socket.setTimeout(this.options.idleTimeoutMs);
     }
     if (pending !== null) this.settle(pending, response, false);
-    this.advance(address, host);
+    this.sendWaiting(address, host);
   }
 }
