--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -31,7 +31,7 @@
 interface Connection {
   socket: net.Socket;
   parser: HttpParser;
-  current: PendingRequest | null;
+  currentRequest: PendingRequest | null;
 }
 
 /** Connections to one address, and the requests that wait for one. */
@@ -114,7 +114,7 @@
       if (connection === null) return;
       host.waiting.shift();
       this.idleConnections.delete(connection);
-      connection.current = first;
+      connection.currentRequest = first;
       first.connection = connection;
       connection.socket.setTimeout(0);
       connection.socket.write(first.bytes);
@@ -141,7 +141,7 @@
         headBytes: 16 * 1024,
         bodyBytes: this.options.maxBodyBytes,
       }),
-      current: null,
+      currentRequest: null,
     };
     host.connections.add(connection);
     this.options.sockets.opened();
@@ -153,8 +153,8 @@
       this.idleConnections.delete(connection);
       host.connections.delete(connection);
       host.idle = host.idle.filter((other) => other !== connection);
-      const pending = connection.current;
-      connection.current = null;
+      const pending = connection.currentRequest;
+      connection.currentRequest = null;
       if (pending !== null) this.settle(pending, null, false);
       this.sendWaiting(address, host);
     });
@@ -171,8 +171,8 @@
       return;
     }
     if (response === null) return;
-    const pending = connection.current;
-    connection.current = null;
+    const pending = connection.currentRequest;
+    connection.currentRequest = null;
     // An unsolicited response would be taken for that of the next request.
     if (pending === null || !connection.parser.idle || !response.keepAlive)
       connection.socket.destroy();
