--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -35,7 +35,7 @@
 }
 
 /** Connections to one address, and the requests that wait for one. */
-interface Host {
+interface HostConnections {
   connections: Set<Connection>;
   idle: Connection[];
   waiting: PendingRequest[];
@@ -43,7 +43,7 @@
 
 /** HTTP/1.1 client on `net` with persistent connections. */
 export class HttpClient {
-  private readonly hosts = new Map<string, Host>();
+  private readonly hosts = new Map<string, HostConnections>();
   /** Idle connections to all hosts, the longest idle first. */
   private readonly idleConnections = new Set<Connection>();
 
@@ -103,7 +103,7 @@
   }
 
   /** Sends the waiting requests for which there is a connection. */
-  private sendWaiting(address: string, host: Host): void {
+  private sendWaiting(address: string, host: HostConnections): void {
     while (host.waiting.length > 0) {
       const first = host.waiting[0];
       if (first === undefined || first.settled) {
@@ -122,14 +122,14 @@
     if (host.connections.size === 0) this.hosts.delete(address);
   }
 
-  private takeIdle(host: Host): Connection | undefined {
+  private takeIdle(host: HostConnections): Connection | undefined {
     for (;;) {
       const connection = host.idle.pop();
       if (connection?.socket.destroyed !== true) return connection;
     }
   }
 
-  private open(address: string, host: Host): Connection | null {
+  private open(address: string, host: HostConnections): Connection | null {
     if (host.connections.size >= this.options.maxConnectionsPerHost) return null;
     const socket = net.connect({
       ...splitAddress(address),
@@ -161,7 +161,12 @@
     return connection;
   }
 
-  private receive(address: string, host: Host, connection: Connection, bytes: Buffer): void {
+  private receive(
+    address: string,
+    host: HostConnections,
+    connection: Connection,
+    bytes: Buffer,
+  ): void {
     let response: HttpMessage | null;
     try {
       connection.parser.push(bytes);
