--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -121,7 +121,7 @@
   }
 
   private readChunkSize(): StageResult {
-    const line = this.line(CHUNK_SIZE_LINE_BYTES);
+    const line = this.readLine(CHUNK_SIZE_LINE_BYTES);
     if (line === null) return 'incomplete';
     const size = line.split(';', 1)[0]?.trim() ?? '';
     if (!HEX.test(size)) throw new HttpError(400, 'bad chunk size');
@@ -140,7 +140,7 @@
   }
 
   private readChunkEnd(): StageResult {
-    const line = this.line(CHUNK_END_LINE_BYTES);
+    const line = this.readLine(CHUNK_END_LINE_BYTES);
     if (line === null) return 'incomplete';
     if (line !== '') throw new HttpError(400, 'bad chunk end');
     this.stage = 'chunk-size';
@@ -148,7 +148,7 @@
   }
 
   private readTrailer(): StageResult {
-    const line = this.line(this.limits.headBytes);
+    const line = this.readLine(this.limits.headBytes);
     if (line === null) return 'incomplete';
     return line === '' ? this.finish(Buffer.concat(this.chunks)) : 'advanced';
   }
@@ -162,7 +162,7 @@
   }
 
   /** The next line without its end, `null` while it is incomplete. */
-  private line(limit: number): string | null {
+  private readLine(limit: number): string | null {
     const end = this.data.indexOf('\r\n', Math.max(0, this.scannedBytes - 1));
     if (end < 0) {
       this.scannedBytes = this.data.length;
