--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -162,14 +162,14 @@
   }
 
   /** The next line without its end, `null` while it is incomplete. */
-  private readLine(limit: number): string | null {
+  private readLine(maxBytes: number): string | null {
     const end = this.data.indexOf('\r\n', Math.max(0, this.scannedBytes - 1));
     if (end < 0) {
       this.scannedBytes = this.data.length;
-      if (this.data.length > limit + 2) throw new HttpError(400, 'line too long');
+      if (this.data.length > maxBytes + 2) throw new HttpError(400, 'line too long');
       return null;
     }
-    if (end > limit) throw new HttpError(400, 'line too long');
+    if (end > maxBytes) throw new HttpError(400, 'line too long');
     return this.cut(end + 2).toString('latin1', 0, end);
   }
 
