--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -108,7 +108,7 @@
         return this.readHead();
       case 'sized':
         if (this.data.length < this.bytesNeeded) return 'incomplete';
-        return this.finish(this.cut(this.bytesNeeded));
+        return this.finish(this.takeBytes(this.bytesNeeded));
       case 'chunk-size':
         return this.readChunkSize();
       case 'chunk':
@@ -134,7 +134,7 @@
 
   private readChunk(): StageResult {
     if (this.data.length < this.bytesNeeded) return 'incomplete';
-    this.chunks.push(this.cut(this.bytesNeeded));
+    this.chunks.push(this.takeBytes(this.bytesNeeded));
     this.stage = 'chunk-end';
     return 'advanced';
   }
@@ -154,7 +154,7 @@
   }
 
   /** Removes the first bytes from `data`. */
-  private cut(size: number): Buffer {
+  private takeBytes(size: number): Buffer {
     const part = this.data.subarray(0, size);
     this.data = this.data.length === size ? EMPTY : this.data.subarray(size);
     this.scannedBytes = 0;
@@ -170,7 +170,7 @@
       return null;
     }
     if (end > maxBytes) throw new HttpError(400, 'line too long');
-    return this.cut(end + 2).toString('latin1', 0, end);
+    return this.takeBytes(end + 2).toString('latin1', 0, end);
   }
 
   private finish(body: Buffer): HttpMessage {
@@ -196,7 +196,7 @@
 
   private headLines(): string[] | null {
     // Empty lines before a start line are allowed (RFC 9112, 2.2).
-    while (this.data.length >= 2 && this.data[0] === CR && this.data[1] === LF) this.cut(2);
+    while (this.data.length >= 2 && this.data[0] === CR && this.data[1] === LF) this.takeBytes(2);
     const end = this.data.indexOf('\r\n\r\n', Math.max(0, this.scannedBytes - 3));
     if (end < 0) {
       this.scannedBytes = this.data.length;
@@ -204,7 +204,7 @@
       return null;
     }
     if (end > this.limits.headBytes) throw new HttpError(431, 'head too large');
-    return this.cut(end + 4)
+    return this.takeBytes(end + 4)
       .toString('latin1', 0, end)
       .split('\r\n');
   }
