--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -67,7 +67,7 @@
 /** Parses the messages of one connection in one direction. */
 export class HttpParser {
   /** Bytes that have arrived and are not used yet. */
-  private data: Buffer = EMPTY;
+  private buffered: Buffer = EMPTY;
   private stage: Stage = 'head';
   private message: HttpMessage | null = null;
   /** Length of the body or of the chunk that is being read. */
@@ -85,12 +85,12 @@
 
   /** Whether nothing of the next message has arrived. */
   get idle(): boolean {
-    return this.stage === 'head' && this.data.length === 0;
+    return this.stage === 'head' && this.buffered.length === 0;
   }
 
   /** Takes bytes that have arrived. */
   push(bytes: Buffer): void {
-    this.data = this.data.length === 0 ? bytes : Buffer.concat([this.data, bytes]);
+    this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
   }
 
   /** The next complete message, `null` while more bytes are needed. Throws an `HttpError`. */
@@ -107,7 +107,7 @@
       case 'head':
         return this.readHead();
       case 'sized':
-        if (this.data.length < this.bytesNeeded) return 'incomplete';
+        if (this.buffered.length < this.bytesNeeded) return 'incomplete';
         return this.finish(this.takeBytes(this.bytesNeeded));
       case 'chunk-size':
         return this.readChunkSize();
@@ -133,7 +133,7 @@
   }
 
   private readChunk(): StageResult {
-    if (this.data.length < this.bytesNeeded) return 'incomplete';
+    if (this.buffered.length < this.bytesNeeded) return 'incomplete';
     this.chunks.push(this.takeBytes(this.bytesNeeded));
     this.stage = 'chunk-end';
     return 'advanced';
@@ -155,18 +155,18 @@
 
   /** Removes the first bytes from `data`. */
   private takeBytes(size: number): Buffer {
-    const part = this.data.subarray(0, size);
-    this.data = this.data.length === size ? EMPTY : this.data.subarray(size);
+    const part = this.buffered.subarray(0, size);
+    this.buffered = this.buffered.length === size ? EMPTY : this.buffered.subarray(size);
     this.scannedBytes = 0;
     return part;
   }
 
   /** The next line without its end, `null` while it is incomplete. */
   private readLine(maxBytes: number): string | null {
-    const end = this.data.indexOf('\r\n', Math.max(0, this.scannedBytes - 1));
+    const end = this.buffered.indexOf('\r\n', Math.max(0, this.scannedBytes - 1));
     if (end < 0) {
-      this.scannedBytes = this.data.length;
-      if (this.data.length > maxBytes + 2) throw new HttpError(400, 'line too long');
+      this.scannedBytes = this.buffered.length;
+      if (this.buffered.length > maxBytes + 2) throw new HttpError(400, 'line too long');
       return null;
     }
     if (end > maxBytes) throw new HttpError(400, 'line too long');
@@ -196,11 +196,12 @@
 
   private headLines(): string[] | null {
     // Empty lines before a start line are allowed (RFC 9112, 2.2).
-    while (this.data.length >= 2 && this.data[0] === CR && this.data[1] === LF) this.takeBytes(2);
-    const end = this.data.indexOf('\r\n\r\n', Math.max(0, this.scannedBytes - 3));
+    while (this.buffered.length >= 2 && this.buffered[0] === CR && this.buffered[1] === LF)
+      this.takeBytes(2);
+    const end = this.buffered.indexOf('\r\n\r\n', Math.max(0, this.scannedBytes - 3));
     if (end < 0) {
-      this.scannedBytes = this.data.length;
-      if (this.data.length > this.limits.headBytes) throw new HttpError(431, 'head too large');
+      this.scannedBytes = this.buffered.length;
+      if (this.buffered.length > this.limits.headBytes) throw new HttpError(431, 'head too large');
       return null;
     }
     if (end > this.limits.headBytes) throw new HttpError(431, 'head too large');
