--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -187,7 +187,7 @@
   private readHead(): StageResult {
     const lines = this.headLines();
     if (lines === null) return 'incomplete';
-    const message = this.startLine(lines[0] ?? '');
+    const message = this.parseStartLine(lines[0] ?? '');
     for (let i = 1; i < lines.length; i++) addHeader(message.headers, lines[i] ?? '');
     this.message = message;
     this.frame(message);
@@ -210,7 +210,7 @@
       .split('\r\n');
   }
 
-  private startLine(line: string): HttpMessage {
+  private parseStartLine(line: string): HttpMessage {
     const base = { headers: new Map<string, string>(), body: EMPTY, keepAlive: true };
     if (this.kind === 'request') {
       const match = /^([A-Z]{1,16}) (\/[\x21-\x7e]*) HTTP\/1\.([01])$/.exec(line);
