--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -185,7 +185,7 @@
   }
 
   private readHead(): StageResult {
-    const lines = this.headLines();
+    const lines = this.readHeadLines();
     if (lines === null) return 'incomplete';
     const message = this.parseStartLine(lines[0] ?? '');
     for (let i = 1; i < lines.length; i++) addHeader(message.headers, lines[i] ?? '');
@@ -194,7 +194,7 @@
     return 'advanced';
   }
 
-  private headLines(): string[] | null {
+  private readHeadLines(): string[] | null {
     // Empty lines before a start line are allowed (RFC 9112, 2.2).
     while (this.buffered.length >= 2 && this.buffered[0] === CR && this.buffered[1] === LF)
       this.takeBytes(2);
