--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -190,7 +190,7 @@
     const message = this.parseStartLine(lines[0] ?? '');
     for (let i = 1; i < lines.length; i++) addHeader(message.headers, lines[i] ?? '');
     this.message = message;
-    this.frame(message);
+    this.determineBodyFraming(message);
     return 'advanced';
   }
 
@@ -229,7 +229,7 @@
   }
 
   /** Determines how the body of the message is delimited. */
-  private frame(message: HttpMessage): void {
+  private determineBodyFraming(message: HttpMessage): void {
     const connection = message.headers.get('connection')?.toLowerCase() ?? '';
     if (connection.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
     const coding = message.headers.get('transfer-encoding')?.toLowerCase();
