--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -233,15 +233,16 @@
     const connection = message.headers.get('connection')?.toLowerCase() ?? '';
     if (connection.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
     const coding = message.headers.get('transfer-encoding')?.toLowerCase();
-    const length = message.headers.get('content-length');
+    const contentLength = message.headers.get('content-length');
     if (coding !== undefined) {
       if (coding !== 'chunked') throw new HttpError(501, 'unknown transfer coding');
-      if (length !== undefined) throw new HttpError(400, 'length and chunks');
+      if (contentLength !== undefined) throw new HttpError(400, 'length and chunks');
       this.stage = 'chunk-size';
       return;
     }
-    if (length !== undefined && !DECIMAL.test(length)) throw new HttpError(400, 'bad length');
-    this.bytesNeeded = length === undefined ? 0 : Number(length);
+    if (contentLength !== undefined && !DECIMAL.test(contentLength))
+      throw new HttpError(400, 'bad length');
+    this.bytesNeeded = contentLength === undefined ? 0 : Number(contentLength);
     if (this.bytesNeeded > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
     this.stage = 'sized';
   }
