--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -232,10 +232,10 @@
   private determineBodyFraming(message: HttpMessage): void {
     const connection = message.headers.get('connection')?.toLowerCase() ?? '';
     if (connection.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
-    const coding = message.headers.get('transfer-encoding')?.toLowerCase();
+    const transferCoding = message.headers.get('transfer-encoding')?.toLowerCase();
     const contentLength = message.headers.get('content-length');
-    if (coding !== undefined) {
-      if (coding !== 'chunked') throw new HttpError(501, 'unknown transfer coding');
+    if (transferCoding !== undefined) {
+      if (transferCoding !== 'chunked') throw new HttpError(501, 'unknown transfer coding');
       if (contentLength !== undefined) throw new HttpError(400, 'length and chunks');
       this.stage = 'chunk-size';
       return;
