--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -230,8 +230,8 @@
 
   /** Determines how the body of the message is delimited. */
   private determineBodyFraming(message: HttpMessage): void {
-    const connection = message.headers.get('connection')?.toLowerCase() ?? '';
-    if (connection.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
+    const connectionHeader = message.headers.get('connection')?.toLowerCase() ?? '';
+    if (connectionHeader.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
     const transferCoding = message.headers.get('transfer-encoding')?.toLowerCase();
     const contentLength = message.headers.get('content-length');
     if (transferCoding !== undefined) {
