--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -57,11 +57,12 @@
   if (!TOKEN.test(name)) throw new HttpError(400, 'bad header');
   const key = name.toLowerCase();
   const value = line.slice(colon + 1).trim();
-  const before = headers.get(key);
-  if (before === undefined || key === 'content-length') {
-    if (before !== undefined && before !== value) throw new HttpError(400, 'two lengths');
+  const previousValue = headers.get(key);
+  if (previousValue === undefined || key === 'content-length') {
+    if (previousValue !== undefined && previousValue !== value)
+      throw new HttpError(400, 'two lengths');
     headers.set(key, value);
-  } else headers.set(key, `${before}, ${value}`);
+  } else headers.set(key, `${previousValue}, ${value}`);
 }
 
 /** Parses the messages of one connection in one direction. */
