--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -28,9 +28,9 @@
 export class HttpError extends Error {
   constructor(
     readonly status: number,
-    text: string,
+    message: string,
   ) {
-    super(text);
+    super(message);
   }
 }
 
