--- a/src/controller/http/formatting.ts
+++ b/src/controller/http/formatting.ts
@@ -1,6 +1,6 @@
 /** Formatting of HTTP/1.1 requests and responses. */
 
-const EMPTY = Buffer.alloc(0);
+const EMPTY_BODY = Buffer.alloc(0);
 
 const reasonPhrases: Record<number, string> = {
   200: 'OK',
@@ -51,5 +51,5 @@
 ): Buffer {
   let head = `${method} ${path} HTTP/1.1\r\nHost: ${host}\r\n`;
   if (body !== null) head += `Content-Type: application/cbor\r\nContent-Length: ${body.length}\r\n`;
-  return Buffer.concat([Buffer.from(`${head}\r\n`, 'latin1'), body ?? EMPTY]);
+  return Buffer.concat([Buffer.from(`${head}\r\n`, 'latin1'), body ?? EMPTY_BODY]);
 }
