--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -52,7 +52,7 @@
     this.parser.push(bytes);
     // Without pipelining: a client that sends another request before the response has to wait.
     if (this.busy) this.socket.pause();
-    else this.advance();
+    else this.handleNextRequest();
   }
 
   private onSocketClosed(): void {
@@ -62,7 +62,7 @@
   }
 
   /** Handles the next request if it has arrived completely. */
-  private advance(): void {
+  private handleNextRequest(): void {
     if (this.busy || this.ended) return;
     let request: HttpMessage | null;
     try {
@@ -113,7 +113,7 @@
     }
     this.options.onIdleChange(true);
     this.socket.resume();
-    this.advance();
+    this.handleNextRequest();
   }
 
   /** Responds to a malformed request and closes the connection. */
