--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -68,7 +68,7 @@
     try {
       request = this.parser.next();
     } catch (error) {
-      this.refuse(error);
+      this.rejectMalformed(error);
       return;
     }
     this.setDeadline();
@@ -117,7 +117,7 @@
   }
 
   /** Responds to a malformed request and closes the connection. */
-  private refuse(error: unknown): void {
+  private rejectMalformed(error: unknown): void {
     const status = error instanceof HttpError ? error.status : 400;
     this.socket.write(formatResponse({ status, body: EMPTY_BODY }, true));
     this.finish();
