--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -108,7 +108,7 @@
     if (this.ended || this.socket.destroyed) return;
     this.socket.write(formatResponse(response, !keepAlive));
     if (!keepAlive) {
-      this.finish();
+      this.closeAfterWrites();
       return;
     }
     this.options.onIdleChange(true);
@@ -120,11 +120,11 @@
   private rejectMalformed(error: unknown): void {
     const status = error instanceof HttpError ? error.status : 400;
     this.socket.write(formatResponse({ status, body: EMPTY_BODY }, true));
-    this.finish();
+    this.closeAfterWrites();
   }
 
   /** Closes the connection after what has been written. */
-  private finish(): void {
+  private closeAfterWrites(): void {
     this.ended = true;
     this.socket.setTimeout(this.options.readTimeoutMs, () => this.socket.destroy());
     this.socket.end();
