--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -71,12 +71,12 @@
       this.rejectMalformed(error);
       return;
     }
-    this.setDeadline();
+    this.updateReadTimer();
     if (request !== null) this.handle(request);
   }
 
   /** Starts or stops the deadline for the rest of a partial request. */
-  private setDeadline(): void {
+  private updateReadTimer(): void {
     const isPartial = !this.busy && !this.parser.idle;
     if (isPartial && this.deadline === null)
       this.deadline = setTimeout(() => this.socket.destroy(), this.options.readTimeoutMs);
@@ -89,7 +89,7 @@
   private handle(request: HttpMessage): void {
     this.busy = true;
     this.options.onIdleChange(false);
-    this.setDeadline();
+    this.updateReadTimer();
     const idleMs = this.options.idleTimeoutMs(request.path);
     if (idleMs !== this.idleMs) {
       this.idleMs = idleMs;
