--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -33,7 +33,7 @@
   private ended = false;
   private idleMs: number;
   /** Runs while a request has arrived in part. */
-  private deadline: NodeJS.Timeout | null = null;
+  private readTimer: NodeJS.Timeout | null = null;
 
   constructor(
     private readonly socket: net.Socket,
@@ -58,7 +58,7 @@
   private onSocketClosed(): void {
     this.ended = true;
     this.options.onClose();
-    if (this.deadline !== null) clearTimeout(this.deadline);
+    if (this.readTimer !== null) clearTimeout(this.readTimer);
   }
 
   /** Handles the next request if it has arrived completely. */
@@ -78,11 +78,11 @@
   /** Starts or stops the deadline for the rest of a partial request. */
   private updateReadTimer(): void {
     const isPartial = !this.busy && !this.parser.idle;
-    if (isPartial && this.deadline === null)
-      this.deadline = setTimeout(() => this.socket.destroy(), this.options.readTimeoutMs);
-    if (!isPartial && this.deadline !== null) {
-      clearTimeout(this.deadline);
-      this.deadline = null;
+    if (isPartial && this.readTimer === null)
+      this.readTimer = setTimeout(() => this.socket.destroy(), this.options.readTimeoutMs);
+    if (!isPartial && this.readTimer !== null) {
+      clearTimeout(this.readTimer);
+      this.readTimer = null;
     }
   }
 
