--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -31,7 +31,7 @@
   private busy = false;
   /** Whether no further request is taken. */
   private ended = false;
-  private idleMs: number;
+  private idleTimeoutMs: number;
   /** Runs while a request has arrived in part. */
   private readTimer: NodeJS.Timeout | null = null;
 
@@ -40,8 +40,8 @@
     private readonly options: ConnectionOptions,
   ) {
     this.parser = new HttpParser('request', options.limits);
-    this.idleMs = options.idleTimeoutMs('');
-    socket.setTimeout(this.idleMs, () => socket.destroy());
+    this.idleTimeoutMs = options.idleTimeoutMs('');
+    socket.setTimeout(this.idleTimeoutMs, () => socket.destroy());
     socket.on('data', (bytes) => this.receive(bytes));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.onSocketClosed());
@@ -91,8 +91,8 @@
     this.options.onIdleChange(false);
     this.updateReadTimer();
     const idleMs = this.options.idleTimeoutMs(request.path);
-    if (idleMs !== this.idleMs) {
-      this.idleMs = idleMs;
+    if (idleMs !== this.idleTimeoutMs) {
+      this.idleTimeoutMs = idleMs;
       this.socket.setTimeout(idleMs);
     }
     let answered = false;
