--- a/src/controller/http/server.ts
+++ b/src/controller/http/server.ts
@@ -46,9 +46,9 @@
   }
 
   /** Starts to listen. `failed` gets errors of the listening socket. */
-  listen(done: () => void, failed: (err: Error) => void): void {
+  listen(onListening: () => void, failed: (err: Error) => void): void {
     this.server.on('error', failed);
-    this.server.listen(this.options.port, this.options.host, done);
+    this.server.listen(this.options.port, this.options.host, onListening);
   }
 
   /** Stops accepting connections. */
