--- a/src/controller/http/server.ts
+++ b/src/controller/http/server.ts
@@ -46,8 +46,8 @@
   }
 
   /** Starts to listen. `failed` gets errors of the listening socket. */
-  listen(onListening: () => void, failed: (err: Error) => void): void {
-    this.server.on('error', failed);
+  listen(onListening: () => void, onError: (err: Error) => void): void {
+    this.server.on('error', onError);
     this.server.listen(this.options.port, this.options.host, onListening);
   }
 
