--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -15,7 +15,7 @@
 const UNAVAILABLE_STATUS = 503;
 
 /** This node is late after a heartbeat interval divided by this. */
-const LATE_DIVISOR = 25;
+const HEDGE_DELAY_DIVISOR = 25;
 /** A peer is asked if the state store served it within a heartbeat interval divided by this. */
 const PEER_FRESHNESS_DIVISOR = 2;
 /** The peer has to reply within a heartbeat interval divided by this. */
@@ -55,7 +55,7 @@
   }
 
   private get lateMs(): number {
-    return this.context.settings.heartbeatIntervalMs / LATE_DIVISOR;
+    return this.context.settings.heartbeatIntervalMs / HEDGE_DELAY_DIVISOR;
   }
 
   private answeredLocally(response: ApiResponse): void {
