--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -50,11 +50,15 @@
 
   /** Answers the request; called once. */
   start(answerLocally: AnswerLocally): void {
-    this.lateTimer = this.context.eventLoop.after(this.lateMs, 'late', () => void this.askPeer());
+    this.lateTimer = this.context.eventLoop.after(
+      this.hedgeDelayMs,
+      'late',
+      () => void this.askPeer(),
+    );
     answerLocally(this.request, (response) => this.answeredLocally(response));
   }
 
-  private get lateMs(): number {
+  private get hedgeDelayMs(): number {
     return this.context.settings.heartbeatIntervalMs / HEDGE_DELAY_DIVISOR;
   }
 
@@ -71,7 +75,7 @@
   private askPeer(): boolean {
     if (this.isAnswered || this.isPeerAsked) return this.isPeerAsked;
     const { client, peers, settings } = this.context;
-    if (client.health.consecutiveFailures === 0 && client.health.stalledMs < this.lateMs)
+    if (client.health.consecutiveFailures === 0 && client.health.stalledMs < this.hedgeDelayMs)
       return false;
     const { heartbeatIntervalMs } = settings;
     const host = peers.hostServedByStateStore(heartbeatIntervalMs / PEER_FRESHNESS_DIVISOR);
