--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -40,7 +40,7 @@
   private isPeerAsked = false;
   /** This node's response where it can't answer; kept for the case that no peer can either. */
   private ownFailure: ApiResponse | null = null;
-  private lateTimer: Timer | null = null;
+  private hedgeTimer: Timer | null = null;
 
   constructor(
     private readonly context: HedgeContext,
@@ -50,7 +50,7 @@
 
   /** Answers the request; called once. */
   start(answerLocally: AnswerLocally): void {
-    this.lateTimer = this.context.eventLoop.after(
+    this.hedgeTimer = this.context.eventLoop.after(
       this.hedgeDelayMs,
       'late',
       () => void this.askPeer(),
@@ -96,7 +96,7 @@
   private answer(response: ApiResponse): void {
     if (this.isAnswered) return;
     this.isAnswered = true;
-    this.lateTimer?.cancel();
+    this.hedgeTimer?.cancel();
     this.respond(response);
   }
 }
