--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -55,14 +55,14 @@
       'late',
       () => void this.askPeer(),
     );
-    answerLocally(this.request, (response) => this.answeredLocally(response));
+    answerLocally(this.request, (response) => this.handleLocalResponse(response));
   }
 
   private get hedgeDelayMs(): number {
     return this.context.settings.heartbeatIntervalMs / HEDGE_DELAY_DIVISOR;
   }
 
-  private answeredLocally(response: ApiResponse): void {
+  private handleLocalResponse(response: ApiResponse): void {
     if (response.status !== UNAVAILABLE_STATUS) return this.answer(response);
     this.ownFailure = response;
     if (this.isPeerAsked) return;
