--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -83,11 +83,11 @@
     this.isPeerAsked = true;
     const { method, target, body } = this.request;
     const timeoutMs = heartbeatIntervalMs / PEER_TIMEOUT_DIVISOR;
-    peers.forward(host, method, target, body, timeoutMs, (reply) => this.peerReplied(reply));
+    peers.forward(host, method, target, body, timeoutMs, (reply) => this.handlePeerReply(reply));
     return true;
   }
 
-  private peerReplied(reply: ForwardedReply | null): void {
+  private handlePeerReply(reply: ForwardedReply | null): void {
     this.isPeerAsked = false;
     if (reply !== null && reply.status !== UNAVAILABLE_STATUS) this.answer(toApiResponse(reply));
     else if (this.ownFailure !== null) this.answer(this.ownFailure);
