--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -39,7 +39,7 @@
   private isAnswered = false;
   private isPeerAsked = false;
   /** This node's response where it can't answer; kept for the case that no peer can either. */
-  private ownFailure: ApiResponse | null = null;
+  private localFailure: ApiResponse | null = null;
   private hedgeTimer: Timer | null = null;
 
   constructor(
@@ -64,7 +64,7 @@
 
   private handleLocalResponse(response: ApiResponse): void {
     if (response.status !== UNAVAILABLE_STATUS) return this.answer(response);
-    this.ownFailure = response;
+    this.localFailure = response;
     if (this.isPeerAsked) return;
     // Not where only this node's rate share is used up: the peers' are for their own users.
     if (this.context.client.health.consecutiveFailures > 0 && this.askPeer()) return;
@@ -90,7 +90,7 @@
   private handlePeerReply(reply: ForwardedReply | null): void {
     this.isPeerAsked = false;
     if (reply !== null && reply.status !== UNAVAILABLE_STATUS) this.answer(toApiResponse(reply));
-    else if (this.ownFailure !== null) this.answer(this.ownFailure);
+    else if (this.localFailure !== null) this.answer(this.localFailure);
   }
 
   private answer(response: ApiResponse): void {
