--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -37,7 +37,7 @@
 /** One request, answered once: by this node or by a peer. */
 export class HedgedRequest {
   private isAnswered = false;
-  private isPeerAsked = false;
+  private isPeerReplyPending = false;
   /** This node's response where it can't answer; kept for the case that no peer can either. */
   private localFailure: ApiResponse | null = null;
   private hedgeTimer: Timer | null = null;
@@ -65,7 +65,7 @@
   private handleLocalResponse(response: ApiResponse): void {
     if (response.status !== UNAVAILABLE_STATUS) return this.answer(response);
     this.localFailure = response;
-    if (this.isPeerAsked) return;
+    if (this.isPeerReplyPending) return;
     // Not where only this node's rate share is used up: the peers' are for their own users.
     if (this.context.client.health.consecutiveFailures > 0 && this.askPeer()) return;
     this.answer(response);
@@ -73,14 +73,14 @@
 
   /** Asks a peer, if the state store seems to serve one and not this node; tells whether a reply is awaited. */
   private askPeer(): boolean {
-    if (this.isAnswered || this.isPeerAsked) return this.isPeerAsked;
+    if (this.isAnswered || this.isPeerReplyPending) return this.isPeerReplyPending;
     const { client, peers, settings } = this.context;
     if (client.health.consecutiveFailures === 0 && client.health.stalledMs < this.hedgeDelayMs)
       return false;
     const { heartbeatIntervalMs } = settings;
     const host = peers.hostServedByStateStore(heartbeatIntervalMs / PEER_FRESHNESS_DIVISOR);
     if (host === null) return false;
-    this.isPeerAsked = true;
+    this.isPeerReplyPending = true;
     const { method, target, body } = this.request;
     const timeoutMs = heartbeatIntervalMs / PEER_TIMEOUT_DIVISOR;
     peers.forward(host, method, target, body, timeoutMs, (reply) => this.handlePeerReply(reply));
@@ -88,7 +88,7 @@
   }
 
   private handlePeerReply(reply: ForwardedReply | null): void {
-    this.isPeerAsked = false;
+    this.isPeerReplyPending = false;
     if (reply !== null && reply.status !== UNAVAILABLE_STATUS) this.answer(toApiResponse(reply));
     else if (this.localFailure !== null) this.answer(this.localFailure);
   }
