--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -65,9 +65,9 @@
     else this.handle(request, respond);
   }
 
-  private count(route: string, { status }: ApiResponse, tookMs: number): void {
+  private count(route: string, { status }: ApiResponse, durationMs: number): void {
     const isKnown = status !== 404 || route === SUBMISSIONS_ROUTE;
-    this.context.metrics?.observeRequest(isKnown ? route : UNKNOWN_ROUTE, status, tookMs);
+    this.context.metrics?.observeRequest(isKnown ? route : UNKNOWN_ROUTE, status, durationMs);
   }
 
   private forwardToLeader(request: ApiRequest, respond: Respond): void {
