--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -66,8 +66,8 @@
   }
 
   private count(route: string, { status }: ApiResponse, durationMs: number): void {
-    const isKnown = status !== 404 || route === SUBMISSIONS_ROUTE;
-    this.context.metrics?.observeRequest(isKnown ? route : UNKNOWN_ROUTE, status, durationMs);
+    const isKnownPath = status !== 404 || route === SUBMISSIONS_ROUTE;
+    this.context.metrics?.observeRequest(isKnownPath ? route : UNKNOWN_ROUTE, status, durationMs);
   }
 
   private forwardToLeader(request: ApiRequest, respond: Respond): void {
