--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -57,8 +57,8 @@
 
   private dispatch(route: string, request: ApiRequest, respond: Respond): void {
     if (route === SUBMISSIONS_ROUTE)
-      new HedgedRequest(this.context, request, respond).start((localRequest, done) =>
-        this.handle(localRequest, done),
+      new HedgedRequest(this.context, request, respond).start((localRequest, respondLocally) =>
+        this.handle(localRequest, respondLocally),
       );
     else if (route === CLUSTER_ROUTE && this.context.role.currentTerm === null)
       this.forwardToLeader(request, respond);
