--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -9,7 +9,7 @@
 
 const HEARTBEAT_INTERVAL_MS = 1000;
 /** A twenty-fifth of the interval. */
-const LATE_MS = 40;
+const HEDGE_DELAY_MS = 40;
 
 const OK: ApiResponse = { status: 200, body: { state: 'queued' } };
 const UNAVAILABLE: ApiResponse = { status: 503, body: { error: 'not now' } };
@@ -65,7 +65,7 @@
   it('answers with the response of this node, without asking a peer, where it comes in time', () => {
     const { runtime, responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
     answerLocally(OK);
-    runtime.advance(LATE_MS);
+    runtime.advance(HEDGE_DELAY_MS);
     assert.deepEqual(responses, [OK]);
     assert.equal(forwarded.length, 0);
   });
@@ -107,8 +107,8 @@
     });
 
   it('asks a peer where this node is late and its calls stall, and answers with what comes first', () => {
-    const { runtime, responses, forwarded, answerLocally } = start({ stalledMs: LATE_MS });
-    runtime.advance(LATE_MS);
+    const { runtime, responses, forwarded, answerLocally } = start({ stalledMs: HEDGE_DELAY_MS });
+    runtime.advance(HEDGE_DELAY_MS);
     assert.equal(forwarded.length, 1);
     answerLocally(OK);
     forwarded[0]?.reply(peerReply(200, { state: 'running' }));
@@ -116,8 +116,8 @@
   });
 
   it('asks no peer where this node is late but its calls do not stall', () => {
-    const { runtime, forwarded } = start({ stalledMs: LATE_MS - 1 });
-    runtime.advance(LATE_MS);
+    const { runtime, forwarded } = start({ stalledMs: HEDGE_DELAY_MS - 1 });
+    runtime.advance(HEDGE_DELAY_MS);
     assert.equal(forwarded.length, 0);
   });
 });
