--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -82,11 +82,11 @@
     assert.deepEqual(responses, [OK]);
   });
 
-  const noHelp: [string, ForwardedReply | null][] = [
+  const failedReplies: [string, ForwardedReply | null][] = [
     ['does not reply', null],
     ['is unavailable too', peerReply(503)],
   ];
-  for (const [title, reply] of noHelp)
+  for (const [title, reply] of failedReplies)
     it(`answers with its own failure where the peer ${title}`, () => {
       const { responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
       answerLocally(UNAVAILABLE);
