--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -94,11 +94,11 @@
       assert.deepEqual(responses, [UNAVAILABLE]);
     });
 
-  const notAsked: [string, Situation][] = [
+  const casesWithoutForwarding: [string, Situation][] = [
     ['the state store serves this node, whose rate share is used up', { consecutiveFailures: 0 }],
     ['the state store serves no peer', { consecutiveFailures: 1, servedHost: null }],
   ];
-  for (const [title, situation] of notAsked)
+  for (const [title, situation] of casesWithoutForwarding)
     it(`answers with its own failure at once where ${title}`, () => {
       const { responses, forwarded, answerLocally } = start(situation);
       answerLocally(UNAVAILABLE);
