--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -18,7 +18,7 @@
   return { id: 1, status, body: encodeBody(body) };
 }
 
-interface Situation {
+interface StartOptions {
   /** Failures of the state store since its last success. */
   consecutiveFailures?: number;
   /** How long the oldest call to the state store has been waiting. */
@@ -28,7 +28,11 @@
 }
 
 /** A request that has been started and not been answered. */
-function start({ consecutiveFailures = 0, stalledMs = 0, servedHost = 'kiln-1' }: Situation = {}) {
+function start({
+  consecutiveFailures = 0,
+  stalledMs = 0,
+  servedHost = 'kiln-1',
+}: StartOptions = {}) {
   const runtime = new ManualRuntime();
   const responses: ApiResponse[] = [];
   const forwarded: { host: string; reply: (reply: ForwardedReply | null) => void }[] = [];
@@ -94,7 +98,7 @@
       assert.deepEqual(responses, [UNAVAILABLE]);
     });
 
-  const casesWithoutForwarding: [string, Situation][] = [
+  const casesWithoutForwarding: [string, StartOptions][] = [
     ['the state store serves this node, whose rate share is used up', { consecutiveFailures: 0 }],
     ['the state store serves no peer', { consecutiveFailures: 1, servedHost: null }],
   ];
