--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -102,9 +102,9 @@
     ['the state store serves this node, whose rate share is used up', { consecutiveFailures: 0 }],
     ['the state store serves no peer', { consecutiveFailures: 1, servedHost: null }],
   ];
-  for (const [title, situation] of casesWithoutForwarding)
+  for (const [title, startOptions] of casesWithoutForwarding)
     it(`answers with its own failure at once where ${title}`, () => {
-      const { responses, forwarded, answerLocally } = start(situation);
+      const { responses, forwarded, answerLocally } = start(startOptions);
       answerLocally(UNAVAILABLE);
       assert.deepEqual(responses, [UNAVAILABLE]);
       assert.equal(forwarded.length, 0);
