--- a/src/controller/api/router.test.ts
+++ b/src/controller/api/router.test.ts
@@ -21,12 +21,12 @@
   });
 
   function request(method: string, path: string, body: Buffer = NO_BODY): ApiResponse | undefined {
-    let answered: ApiResponse | undefined;
+    let receivedResponse: ApiResponse | undefined;
     controller.request(method, path, body, (response) => {
-      answered = response;
+      receivedResponse = response;
     });
     runtime.advance(0);
-    return answered;
+    return receivedResponse;
   }
 
   const cases: { title: string; request: [string, string, Buffer?]; expected: ApiResponse }[] = [
