--- a/src/controller/api/router.test.ts
+++ b/src/controller/api/router.test.ts
@@ -66,8 +66,8 @@
       expected: { status: 503, body: { error: 'starting' }, retryAfterS: 5 },
     },
   ];
-  for (const { title, request: sent, expected } of cases)
-    it(title, () => assert.deepEqual(request(...sent), expected));
+  for (const { title, request: requestArguments, expected } of cases)
+    it(title, () => assert.deepEqual(request(...requestArguments), expected));
 });
 
 describe('toApiResponse', () => {
