--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -33,16 +33,16 @@
             messages.map(([path, body]) => formatRequest('POST', 'h', path, Buffer.from(body))),
           );
           const parser = new HttpParser('request', limits);
-          const got: [string, Uint8Array][] = [];
+          const parsed: [string, Uint8Array][] = [];
           let at = 0;
           for (let i = 0; at < all.length; i++) {
             const size = 1 + (cuts[i % cuts.length] ?? 0);
             parser.push(all.subarray(at, at + size));
             at += size;
             for (let m = parser.next(); m !== null; m = parser.next())
-              got.push([m.path, new Uint8Array(m.body)]);
+              parsed.push([m.path, new Uint8Array(m.body)]);
           }
-          assert.deepEqual(got, messages);
+          assert.deepEqual(parsed, messages);
           assert.ok(parser.idle);
         },
       ),
