--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -34,11 +34,11 @@
           );
           const parser = new HttpParser('request', limits);
           const parsed: [string, Uint8Array][] = [];
-          let at = 0;
-          for (let i = 0; at < all.length; i++) {
+          let offset = 0;
+          for (let i = 0; offset < all.length; i++) {
             const size = 1 + (cuts[i % cuts.length] ?? 0);
-            parser.push(all.subarray(at, at + size));
-            at += size;
+            parser.push(all.subarray(offset, offset + size));
+            offset += size;
             for (let m = parser.next(); m !== null; m = parser.next())
               parsed.push([m.path, new Uint8Array(m.body)]);
           }
