--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -28,7 +28,7 @@
           maxLength: 4,
         }),
         fc.array(fc.nat(50), { minLength: 1 }),
-        (messages, cuts) => {
+        (messages, pieceSizes) => {
           const all = Buffer.concat(
             messages.map(([path, body]) => formatRequest('POST', 'h', path, Buffer.from(body))),
           );
@@ -36,7 +36,7 @@
           const parsed: [string, Uint8Array][] = [];
           let offset = 0;
           for (let i = 0; offset < all.length; i++) {
-            const size = 1 + (cuts[i % cuts.length] ?? 0);
+            const size = 1 + (pieceSizes[i % pieceSizes.length] ?? 0);
             parser.push(all.subarray(offset, offset + size));
             offset += size;
             for (let m = parser.next(); m !== null; m = parser.next())
