--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -106,6 +106,6 @@
     ['a too large head', `GET /x HTTP/1.1\r\nA: ${'x'.repeat(2000)}\r\n\r\n`, 431],
     ['a too large chunk', 'POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n', 413],
   ];
-  for (const [what, text, status] of rejected)
-    it(`rejects ${what} with status ${status}`, () => assert.equal(statusOf(text), status));
+  for (const [description, text, status] of rejected)
+    it(`rejects ${description} with status ${status}`, () => assert.equal(statusOf(text), status));
 });
