--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -35,10 +35,10 @@
   const raw = (text: string): Promise<string> =>
     new Promise((resolve) => {
       const socket = net.connect({ host: '127.0.0.1', port });
-      let got = '';
-      socket.on('data', (b) => (got += b.toString('latin1')));
+      let received = '';
+      socket.on('data', (b) => (received += b.toString('latin1')));
       socket.on('error', () => undefined);
-      socket.on('close', () => resolve(got));
+      socket.on('close', () => resolve(received));
       socket.write(text);
     });
 
