--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -32,7 +32,7 @@
   );
   after(() => server.close());
 
-  const raw = (text: string): Promise<string> =>
+  const sendRaw = (text: string): Promise<string> =>
     new Promise((resolve) => {
       const socket = net.connect({ host: '127.0.0.1', port });
       let received = '';
@@ -43,12 +43,15 @@
     });
 
   it('responds to malformed bytes with 400 and to a too large body with 413, and closes', async () => {
-    assert.match(await raw('\0\0\0\0\r\n\r\n'), /^HTTP\/1\.1 400 /);
-    assert.match(await raw('POST / HTTP/1.1\r\nContent-Length: 999\r\n\r\n'), /^HTTP\/1\.1 413 /);
+    assert.match(await sendRaw('\0\0\0\0\r\n\r\n'), /^HTTP\/1\.1 400 /);
+    assert.match(
+      await sendRaw('POST / HTTP/1.1\r\nContent-Length: 999\r\n\r\n'),
+      /^HTTP\/1\.1 413 /,
+    );
   });
 
   it('closes a connection whose request does not arrive completely in time', async () => {
-    assert.equal(await raw('POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab'), '');
+    assert.equal(await sendRaw('POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab'), '');
   });
 
   // With 885 workers at one node of 1200 sockets new connections were refused, those of workers too.
