--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -58,7 +58,7 @@
   it('closes the longest idle connections when the budget is exhausted, and serves new ones', async () => {
     const closed: number[] = [];
     const open: net.Socket[] = [];
-    const answered = (i: number): Promise<void> =>
+    const openAndRequest = (i: number): Promise<void> =>
       new Promise((resolve) => {
         const socket = net.connect({ host: '127.0.0.1', port });
         socket.on('error', () => undefined);
@@ -67,7 +67,7 @@
         socket.write('POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nx');
         open.push(socket);
       });
-    for (let i = 0; i < 23; i++) await answered(i);
+    for (let i = 0; i < 23; i++) await openAndRequest(i);
     assert.deepEqual(closed, [0, 1, 2]);
     for (const s of open) s.destroy();
   });
