--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -57,7 +57,7 @@
   // With 885 workers at one node of 1200 sockets new connections were refused, those of workers too.
   it('closes the longest idle connections when the budget is exhausted, and serves new ones', async () => {
     const closed: number[] = [];
-    const open: net.Socket[] = [];
+    const openSockets: net.Socket[] = [];
     const openAndRequest = (i: number): Promise<void> =>
       new Promise((resolve) => {
         const socket = net.connect({ host: '127.0.0.1', port });
@@ -65,11 +65,11 @@
         socket.on('close', () => closed.push(i));
         socket.on('data', () => resolve());
         socket.write('POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nx');
-        open.push(socket);
+        openSockets.push(socket);
       });
     for (let i = 0; i < 23; i++) await openAndRequest(i);
     assert.deepEqual(closed, [0, 1, 2]);
-    for (const s of open) s.destroy();
+    for (const s of openSockets) s.destroy();
   });
 
   it('reuses connections and reports a missing response as null', async () => {
