--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -94,9 +94,9 @@
     ]);
     assert.equal(await call('/silent', 'x', 50), null);
     assert.equal(await call('/', 'again', 1000), 'again');
-    const gone = await new Promise((resolve) => {
+    const unreachableResponse = await new Promise((resolve) => {
       client.request('127.0.0.1:9', 'GET', '/', null, 500, resolve);
     });
-    assert.equal(gone, null);
+    assert.equal(unreachableResponse, null);
   });
 });
