--- a/src/controller/peers/avro-validation.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -66,7 +66,7 @@
   }
 
   /** A zigzag integer of variable length; only those within the safe integers are exact. */
-  integer(): number {
+  readInteger(): number {
     let value = 0;
     for (let i = 0; i < MAX_INTEGER_BYTES; i++) {
       const byte = this.bytes[this.position++];
@@ -79,7 +79,7 @@
 
   /** The index of one of `count` choices. */
   choice(count: number): number {
-    const index = this.integer();
+    const index = this.readInteger();
     if (index < 0 || index >= count) throw new AvroEncodingError('unknown type or symbol');
     return index;
   }
@@ -101,11 +101,11 @@
       return reader.skip(DOUBLE_BYTES);
     case 'int':
     case 'long':
-      reader.integer();
+      reader.readInteger();
       return;
     case 'string':
     case 'bytes':
-      return reader.skip(reader.integer());
+      return reader.skip(reader.readInteger());
   }
 }
 
@@ -130,10 +130,10 @@
 /** Items come in blocks, each with its count, up to an empty one. Every item takes a byte or more. */
 function skipBlocks(reader: AvroReader, skipItem: () => void): void {
   for (;;) {
-    const announced = reader.integer();
+    const announced = reader.readInteger();
     if (announced === 0) return;
     // A negative count is followed by the block's size in bytes.
-    if (announced < 0) reader.integer();
+    if (announced < 0) reader.readInteger();
     const count = Math.abs(announced);
     if (count > reader.remaining) throw new AvroEncodingError('more items than bytes');
     for (let i = 0; i < count; i++) skipItem();
