--- a/src/controller/peers/avro-validation.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -78,7 +78,7 @@
   }
 
   /** The index of one of `count` choices. */
-  choice(count: number): number {
+  readIndex(count: number): number {
     const index = this.readInteger();
     if (index < 0 || index >= count) throw new AvroEncodingError('unknown type or symbol');
     return index;
@@ -87,7 +87,7 @@
 
 function skip(schema: Schema, reader: AvroReader): void {
   if (Array.isArray(schema)) {
-    const chosen = schema[reader.choice(schema.length)];
+    const chosen = schema[reader.readIndex(schema.length)];
     if (chosen !== undefined) skip(chosen, reader);
   } else if (typeof schema === 'string') skipPrimitive(schema, reader);
   else skipComplex(schema, reader);
@@ -115,7 +115,7 @@
       for (const field of schema.fields) skip(field.type, reader);
       return;
     case 'enum':
-      reader.choice(schema.symbols.length);
+      reader.readIndex(schema.symbols.length);
       return;
     case 'array':
       return skipBlocks(reader, () => skip(schema.items, reader));
