--- a/src/controller/peers/avro-validation.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -87,8 +87,8 @@
 
 function skip(schema: Schema, reader: AvroReader): void {
   if (Array.isArray(schema)) {
-    const chosen = schema[reader.readIndex(schema.length)];
-    if (chosen !== undefined) skip(chosen, reader);
+    const chosenSchema = schema[reader.readIndex(schema.length)];
+    if (chosenSchema !== undefined) skip(chosenSchema, reader);
   } else if (typeof schema === 'string') skipPrimitive(schema, reader);
   else skipComplex(schema, reader);
 }
