--- a/src/controller/peers/avro-validation.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -130,11 +130,11 @@
 /** Items come in blocks, each with its count, up to an empty one. Every item takes a byte or more. */
 function skipBlocks(reader: AvroReader, skipItem: () => void): void {
   for (;;) {
-    const announced = reader.readInteger();
-    if (announced === 0) return;
+    const encodedCount = reader.readInteger();
+    if (encodedCount === 0) return;
     // A negative count is followed by the block's size in bytes.
-    if (announced < 0) reader.readInteger();
-    const count = Math.abs(announced);
+    if (encodedCount < 0) reader.readInteger();
+    const count = Math.abs(encodedCount);
     if (count > reader.remaining) throw new AvroEncodingError('more items than bytes');
     for (let i = 0; i < count; i++) skipItem();
   }
