--- a/src/controller/peers/message-schema.ts
+++ b/src/controller/peers/message-schema.ts
@@ -6,8 +6,12 @@
 
 /** A record with the given fields, encoded in their order. */
 function record(name: string, fields: Record<string, Schema>): RecordSchema {
-  const inOrder = Object.entries(fields);
-  return { type: 'record', name, fields: inOrder.map(([field, type]) => ({ name: field, type })) };
+  const fieldEntries = Object.entries(fields);
+  return {
+    type: 'record',
+    name,
+    fields: fieldEntries.map(([field, type]) => ({ name: field, type })),
+  };
 }
 
 function arrayOf(items: Schema): Schema {
