--- a/src/controller/peers/peer-publisher.ts
+++ b/src/controller/peers/peer-publisher.ts
@@ -43,7 +43,7 @@
     const { endedJobs, acceptedJobs } = this;
     this.endedJobs = [];
     this.acceptedJobs = [];
-    const longest = Math.max(endedJobs.length, acceptedJobs.length, progress.length);
+    const mostItems = Math.max(endedJobs.length, acceptedJobs.length, progress.length);
     let start = 0;
     do {
       const end = start + MAX_ITEMS_PER_MESSAGE;
@@ -55,7 +55,7 @@
         progress: progress.slice(start, end),
       });
       start = end;
-    } while (start < longest);
+    } while (start < mostItems);
   }
 
   /** Sends one controller a message with nothing but the given parts. */
