--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -140,14 +140,14 @@
       this.statuses.record(status);
       this.events.statusReceived(status);
     }
-    if (request !== null) this.answer(request);
+    if (request !== null) this.answerForwardedRequest(request);
     if (reply !== null) this.forwarder.handleReply(reply);
     for (const id of message.accepted) this.events.jobAccepted(id);
     for (const end of message.finals) this.events.jobEnded(end.id, end.state);
     for (const progress of message.progress) this.events.jobProgressed(progress);
   }
 
-  private answer({ from, id, method, path, body }: ForwardedRequest): void {
+  private answerForwardedRequest({ from, id, method, path, body }: ForwardedRequest): void {
     this.events.requestForwarded(method, path, body, (status, answer) => {
       this.publisher.sendTo(from, { reply: { id, status, body: answer } });
     });
