--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -148,8 +148,8 @@
   }
 
   private answerForwardedRequest({ from, id, method, path, body }: ForwardedRequest): void {
-    this.events.requestForwarded(method, path, body, (status, answer) => {
-      this.publisher.sendTo(from, { reply: { id, status, body: answer } });
+    this.events.requestForwarded(method, path, body, (status, replyBody) => {
+      this.publisher.sendTo(from, { reply: { id, status, body: replyBody } });
     });
   }
 
