--- a/src/controller/peers/peer-connection.test.ts
+++ b/src/controller/peers/peer-connection.test.ts
@@ -6,7 +6,7 @@
 import { readPeerConnection } from './peer-connection.js';
 
 describe('readPeerConnection', () => {
-  const whole = encodeFrame(Buffer.from('news'));
+  const completeFrame = encodeFrame(Buffer.from('news'));
   let messages: string[] = [];
   let errors: string[] = [];
   const server = net.createServer((socket) => {
@@ -38,7 +38,7 @@
   }
 
   it('passes on complete messages', async () => {
-    await send(Buffer.concat([whole, whole]));
+    await send(Buffer.concat([completeFrame, completeFrame]));
     assert.deepEqual(messages, ['news', 'news']);
     assert.deepEqual(errors, []);
   });
@@ -46,7 +46,7 @@
   const failures = [
     {
       title: 'a message after a complete one is truncated',
-      bytes: Buffer.concat([whole, whole.subarray(0, 6)]),
+      bytes: Buffer.concat([completeFrame, completeFrame.subarray(0, 6)]),
       expected: { messages: ['news'], errors: ['TruncatedFrameError'] },
     },
     {
@@ -56,7 +56,7 @@
     },
     {
       title: "a frame's length is truncated",
-      bytes: whole.subarray(0, 2),
+      bytes: completeFrame.subarray(0, 2),
       expected: { messages: [], errors: ['TruncatedFrameError'] },
     },
   ];
@@ -64,7 +64,7 @@
     it(`reports one failure where ${title}, and reads the next connection`, async () => {
       await send(bytes);
       assert.deepEqual({ messages, errors }, expected);
-      await send(whole);
+      await send(completeFrame);
       assert.deepEqual(
         { messages, errors },
         {
