--- a/src/controller/peers/framing.test.ts
+++ b/src/controller/peers/framing.test.ts
@@ -10,11 +10,11 @@
       encodeFrame(encodePeerMessage(exampleMessage)),
       encodeFrame(encodePeerMessage(exampleMessage)),
     ]);
-    for (let cut = 1; cut < bytes.length; cut++) {
+    for (let splitAt = 1; splitAt < bytes.length; splitAt++) {
       const decoder = new FrameDecoder();
       const frames = [
-        ...decoder.push(bytes.subarray(0, cut)),
-        ...decoder.push(bytes.subarray(cut)),
+        ...decoder.push(bytes.subarray(0, splitAt)),
+        ...decoder.push(bytes.subarray(splitAt)),
       ];
       assert.equal(frames.length, 2);
       for (const frame of frames)
