--- a/src/controller/peers/message-codec.test.ts
+++ b/src/controller/peers/message-codec.test.ts
@@ -19,7 +19,7 @@
   // Older versions read these bytes, and their messages bear no version.
   it('writes the bytes that the version 6cbc17f wrote', () => {
     const message = { ...exampleMessage, reply: { id: 3, status: 200, body: Buffer.from('y') } };
-    const writtenHex = [
+    const expectedHex = [
       '020c6b696c6e2d3102780000000000002940000e000000000000f83f000000000000e03f',
       '020a7265712d310000020a7265712d3300',
       '020a7265712d32020204020a6572726f7202000000',
@@ -27,9 +27,9 @@
       '06474554242f7375626d697373696f6e732f7265712d310278',
       '020690030279',
     ].join('');
-    assert.equal(encodePeerMessage(message).toString('hex'), writtenHex);
+    assert.equal(encodePeerMessage(message).toString('hex'), expectedHex);
     assert.equal(
-      JSON.stringify(decodePeerMessage(Buffer.from(writtenHex, 'hex'))),
+      JSON.stringify(decodePeerMessage(Buffer.from(expectedHex, 'hex'))),
       JSON.stringify(message),
     );
   });
