--- a/src/controller/http/server.ts
+++ b/src/controller/http/server.ts
@@ -25,7 +25,7 @@
 export class HttpServer {
   private readonly server: net.Server;
   /** Connections without a request in progress, the longest idle first. */
-  private readonly idle = new Set<net.Socket>();
+  private readonly idleSockets = new Set<net.Socket>();
 
   constructor(
     private readonly options: ServerOptions,
@@ -37,8 +37,8 @@
   }
 
   private closeLongestIdle(): boolean {
-    for (const socket of this.idle) {
-      this.idle.delete(socket);
+    for (const socket of this.idleSockets) {
+      this.idleSockets.delete(socket);
       socket.destroy();
       return true;
     }
@@ -59,19 +59,19 @@
   private accept(socket: net.Socket): void {
     const { sockets, limits, readTimeoutMs, idleTimeoutMs } = this.options;
     sockets.opened();
-    this.idle.add(socket);
+    this.idleSockets.add(socket);
     new ServerConnection(socket, {
       limits,
       readTimeoutMs,
       idleTimeoutMs,
       handler: this.handler,
       onIdleChange: (idle) => {
-        if (idle) this.idle.add(socket);
-        else this.idle.delete(socket);
+        if (idle) this.idleSockets.add(socket);
+        else this.idleSockets.delete(socket);
       },
       onClose: () => {
         sockets.closed();
-        this.idle.delete(socket);
+        this.idleSockets.delete(socket);
       },
     });
   }
