--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -7,7 +7,7 @@
 const limits = { headBytes: 1024, bodyBytes: 4096 };
 
 /** Status with which the text is rejected, `null` if it is accepted. */
-function statusOf(text: string): number | null {
+function rejectionStatus(text: string): number | null {
   const parser = new HttpParser('request', limits);
   try {
     parser.push(Buffer.from(text, 'latin1'));
@@ -107,5 +107,6 @@
     ['a too large chunk', 'POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n', 413],
   ];
   for (const [description, text, status] of rejected)
-    it(`rejects ${description} with status ${status}`, () => assert.equal(statusOf(text), status));
+    it(`rejects ${description} with status ${status}`, () =>
+      assert.equal(rejectionStatus(text), status));
 });
