--- a/src/controller/http/socket-budget.ts
+++ b/src/controller/http/socket-budget.ts
@@ -5,7 +5,7 @@
  */
 export class SocketBudget {
   private count = 0;
-  private readonly closers: (() => boolean)[] = [];
+  private readonly idleClosers: (() => boolean)[] = [];
 
   constructor(private readonly limit: number) {}
 
@@ -24,13 +24,13 @@
    * Owners are asked in the order of their registration.
    */
   onExhausted(closeIdle: () => boolean): void {
-    this.closers.push(closeIdle);
+    this.idleClosers.push(closeIdle);
   }
 
   /** Counts a socket that has been opened. */
   opened(): void {
     this.count++;
-    if (this.count > this.limit) this.closers.some((closeIdle) => closeIdle());
+    if (this.count > this.limit) this.idleClosers.some((closeIdle) => closeIdle());
   }
 
   /** Counts a socket that has been closed. */
