--- a/src/controller/api/endpoints.ts
+++ b/src/controller/api/endpoints.ts
@@ -17,7 +17,7 @@
   serve: (body: Buffer, respond: Respond, query: URLSearchParams) => void;
 }
 
-function decodeRequest(body: Buffer): unknown {
+function decodeRequestBody(body: Buffer): unknown {
   try {
     return decodeBody(body);
   } catch (err) {
@@ -59,7 +59,7 @@
         HEARTBEAT_PATH,
         {
           method: 'POST',
-          serve: (body, respond) => heartbeat.handle(decodeRequest(body), respond),
+          serve: (body, respond) => heartbeat.handle(decodeRequestBody(body), respond),
         },
       ],
       ['/ready', { method: 'GET', serve: (_body, respond) => respond(this.readiness()) }],
@@ -73,7 +73,10 @@
       ['/metrics', { method: 'GET', serve: (_body, respond) => metrics.handle(respond) }],
       [
         '/submissions',
-        { method: 'POST', serve: (body, respond) => frontend.submit(decodeRequest(body), respond) },
+        {
+          method: 'POST',
+          serve: (body, respond) => frontend.submit(decodeRequestBody(body), respond),
+        },
       ],
     ]);
   }
