--- a/src/controller/api/api-context.ts
+++ b/src/controller/api/api-context.ts
@@ -1,4 +1,4 @@
-/** What the API needs of the rest of the controller. */
+/** The parts of the controller that the API uses. */
 import type { MachineTypeCatalogue } from '../fleet/machine-type-catalogue.js';
 import type { Frontend } from '../jobs/frontend.js';
 import type { LeaderRole } from '../leader/leader-role.js';
@@ -11,7 +11,7 @@
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from '../store/client.js';
 
-/** The parts of the controller that answer requests or tell which node can. */
+/** The parts of the controller that answer requests or determine which node answers them. */
 export interface ApiContext {
   readonly eventLoop: EventLoop;
   readonly settings: Settings;
@@ -22,8 +22,8 @@
   readonly frontend: Frontend;
   readonly catalogue: MachineTypeCatalogue;
   readonly readiness: Readiness;
-  /** Counts the heartbeats that this node has redirected to the leader. */
+  /** Rate of the heartbeats that this node redirects to the leader. */
   readonly redirectedHeartbeats: DecayingRate;
-  /** Loaded a little after the start; `null` until then. */
+  /** Null until the metrics module is loaded, some time after the start. */
   readonly metrics: MetricsSink | null;
 }
--- a/src/controller/api/api-request.ts
+++ b/src/controller/api/api-request.ts
@@ -1,9 +1,9 @@
-/** Requests to the API, whoever sent them. */
+/** Requests to the API, from clients and from peers. */
 
-/** One request. */
+/** A request to the API, independent of its transport. */
 export interface ApiRequest {
   method: string;
-  /** A path, and perhaps a query. */
+  /** The path, with the query if the request has one. */
   target: string;
   body: Buffer;
 }
--- a/src/controller/api/cluster-endpoint.ts
+++ b/src/controller/api/cluster-endpoint.ts
@@ -1,16 +1,16 @@
-/** The view of the cluster, which the leader answers. */
+/** The endpoint for the view of the cluster, which only the leader can give. */
 import type { Respond } from '../jobs/api-response.js';
 import { clusterView } from '../operators/cluster-view.js';
 import type { ApiContext } from './api-context.js';
 
-/** Wait that is asked of who finds no leader. */
+/** Retry-After in seconds of the 503 response while no leader is available. */
 const RETRY_AFTER_S = 1;
 
-/** Answers operators. */
+/** Answers operators' requests for the view of the cluster. */
 export class ClusterEndpoint {
   constructor(private readonly context: ApiContext) {}
 
-  /** Answers with the view; its list of machines begins after the one named. */
+  /** Responds with the view of the cluster, with only the machines whose ids come after `afterMachine`. */
   handle(afterMachine: string, respond: Respond): void {
     const { eventLoop, settings, role, catalogue } = this.context;
     const leaderTerm = role.recoveredTerm;
--- a/src/controller/api/endpoints.ts
+++ b/src/controller/api/endpoints.ts
@@ -1,4 +1,4 @@
-/** The paths of the API and what answers them on this node. */
+/** The paths of the API, and the endpoints that answer them on this node. */
 import type { ApiResponse, Respond } from '../jobs/api-response.js';
 import { decodeBody } from '../wire/cbor.js';
 import { WireError } from '../wire/fields.js';
@@ -7,13 +7,13 @@
 import { HEARTBEAT_PATH, HeartbeatEndpoint } from './heartbeat-endpoint.js';
 import { MetricsEndpoint } from './metrics-endpoint.js';
 
-/** Path of a job, or of its cancellation. */
+/** Matches the path of a job's status and that of its cancellation. */
 const JOB_PATH = /^\/submissions\/([^/]+)(\/abort)?$/;
 
-/** Answers requests of one method to one path. */
+/** Answers the requests to one path, which must have one method. */
 export interface Endpoint {
   method: 'GET' | 'POST';
-  /** `query`: the parameters of the request's target. */
+  /** Answers a request; `query` holds the query parameters of its target. */
   serve: (body: Buffer, respond: Respond, query: URLSearchParams) => void;
 }
 
@@ -25,16 +25,16 @@
   }
 }
 
-/** All endpoints of a node. */
+/** Finds the endpoint of a path. */
 export class Endpoints {
-  /** Those whose paths have no parameters. */
+  /** The endpoints whose paths have no parameters. */
   private readonly byPath: ReadonlyMap<string, Endpoint>;
 
   constructor(private readonly context: ApiContext) {
     this.byPath = this.createEndpoints();
   }
 
-  /** The endpoint of a path; `null`: there is no such path. */
+  /** Returns the endpoint of a path, or null if the API has no such path. */
   find(path: string): Endpoint | null {
     return this.byPath.get(path) ?? this.findJobEndpoint(path);
   }
--- a/src/controller/api/heartbeat-endpoint.ts
+++ b/src/controller/api/heartbeat-endpoint.ts
@@ -1,34 +1,39 @@
-/** Heartbeats of workers: answered by the leader, redirected by all other nodes. */
+/** Heartbeats of workers: the leader answers them, all other nodes redirect them to the leader. */
 import type { ApiResponse, Respond } from '../jobs/api-response.js';
 import { readHeartbeat } from '../wire/workers.js';
 import type { ApiContext } from './api-context.js';
 
-/** Where workers send their heartbeats. */
+/** Path to which workers send their heartbeats. */
 export const HEARTBEAT_PATH = '/v1/report';
 
-/** The worker tries again, here or at another node. */
+/** The response after which the worker sends its heartbeat again, to this or another node. */
 function unavailable(): ApiResponse {
   return { status: 503, body: {} };
 }
 
-/** Answers workers. */
+/** Answers the heartbeats of workers. */
 export class HeartbeatEndpoint {
   constructor(private readonly context: ApiContext) {}
 
-  /** Answers a heartbeat; throws a `WireError` where the decoded body is none. */
+  /**
+   * Answers a heartbeat. Throws a `WireError` if the body is not a valid heartbeat.
+   * @param body - The decoded body of the request.
+   */
   handle(body: unknown, respond: Respond): void {
     const heartbeat = readHeartbeat(body);
     const { role, catalogue } = this.context;
     const term = role.currentTerm;
     if (term === null) return this.redirect(respond);
-    // Elected, but the state is not recovered yet, or the lease has expired.
+    // This node is elected but may not answer: the state is not recovered yet, the lease has expired without
+    // an extension by all other controllers (invariant 1), or the job watch is older than the freshness
+    // bound (invariant 8).
     if (!role.mayAnswerWorkers || catalogue.types === null) return respond(unavailable());
     const response = term.components.workers.handleHeartbeat(heartbeat);
     const hasSteppedDown = role.currentTerm !== term;
     respond(response.status === 200 && !hasSteppedDown ? response : unavailable());
   }
 
-  /** Tells a worker where the leader is, if another node is known to lead. */
+  /** Responds with the leader's host if another node is known to be leader. */
   private redirect(respond: Respond): void {
     const { redirectedHeartbeats, leadership, settings } = this.context;
     redirectedHeartbeats.count(1);
--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -8,7 +8,7 @@
 import { HedgedRequest } from './hedged-request.js';
 
 const HEARTBEAT_INTERVAL_MS = 1000;
-/** A twenty-fifth of the interval. */
+/** Delay before a peer is asked: a twenty-fifth of the heartbeat interval. */
 const HEDGE_DELAY_MS = 40;
 
 const OK: ApiResponse = { status: 200, body: { state: 'queued' } };
@@ -19,15 +19,15 @@
 }
 
 interface StartOptions {
-  /** Failures of the state store since its last success. */
+  /** Number of failed calls to the state store since its last success. */
   consecutiveFailures?: number;
-  /** How long the oldest call to the state store has been waiting. */
+  /** How long the oldest call to the state store has been without a response. */
   stalledMs?: number;
-  /** The peer that the state store serves. */
+  /** Host of a peer that the state store serves, or null if it serves none. */
   servedHost?: string | null;
 }
 
-/** A request that has been started and not been answered. */
+/** Starts a request that this node has not answered yet. */
 function start({
   consecutiveFailures = 0,
   stalledMs = 0,
@@ -66,7 +66,7 @@
 }
 
 describe('HedgedRequest', () => {
-  it('answers with the response of this node, without asking a peer, where it comes in time', () => {
+  it('sends the response of this node and asks no peer if the response comes in time', () => {
     const { runtime, responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
     answerLocally(OK);
     runtime.advance(HEDGE_DELAY_MS);
@@ -74,7 +74,7 @@
     assert.equal(forwarded.length, 0);
   });
 
-  it('answers with the reply of the peer that is served, where the state store fails this node', () => {
+  it('responds with the reply of a peer if the state store serves the peer and fails this node', () => {
     const { responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
     answerLocally(UNAVAILABLE);
     assert.deepEqual(responses, []);
@@ -91,7 +91,7 @@
     ['is unavailable too', peerReply(503)],
   ];
   for (const [title, reply] of failedReplies)
-    it(`answers with its own failure where the peer ${title}`, () => {
+    it(`responds with this node's failure if the peer ${title}`, () => {
       const { responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
       answerLocally(UNAVAILABLE);
       forwarded[0]?.reply(reply);
@@ -103,14 +103,14 @@
     ['the state store serves no peer', { consecutiveFailures: 1, servedHost: null }],
   ];
   for (const [title, startOptions] of casesWithoutForwarding)
-    it(`answers with its own failure at once where ${title}`, () => {
+    it(`responds with this node's failure at once if ${title}`, () => {
       const { responses, forwarded, answerLocally } = start(startOptions);
       answerLocally(UNAVAILABLE);
       assert.deepEqual(responses, [UNAVAILABLE]);
       assert.equal(forwarded.length, 0);
     });
 
-  it('asks a peer where this node is late and its calls stall, and answers with what comes first', () => {
+  it('asks a peer if this node is late and its calls stall, and sends the first response', () => {
     const { runtime, responses, forwarded, answerLocally } = start({ stalledMs: HEDGE_DELAY_MS });
     runtime.advance(HEDGE_DELAY_MS);
     assert.equal(forwarded.length, 1);
@@ -119,7 +119,7 @@
     assert.deepEqual(responses, [OK]);
   });
 
-  it('asks no peer where this node is late but its calls do not stall', () => {
+  it('asks no peer if this node is late but its calls do not stall', () => {
     const { runtime, forwarded } = start({ stalledMs: HEDGE_DELAY_MS - 1 });
     runtime.advance(HEDGE_DELAY_MS);
     assert.equal(forwarded.length, 0);
--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -1,6 +1,7 @@
 /**
- * Requests of users that a peer answers where the state store serves the peer and not this node. The
- * peer is asked when this node has failed or is late, so that a network partition costs the user little.
+ * Hedging of users' requests: if the state store fails this node or does not respond in time, the request
+ * is also forwarded to a peer that the state store serves. During a network partition between this node and
+ * the state store, users then still get a response, with a short delay.
  */
 import type { ApiResponse, Respond } from '../jobs/api-response.js';
 import type { ForwardedReply } from '../peers/message.js';
@@ -14,17 +15,23 @@
 
 const UNAVAILABLE_STATUS = 503;
 
-/** This node is late after a heartbeat interval divided by this. */
+/**
+ * Delay after which a request without a response is forwarded to a peer: a heartbeat interval divided by
+ * this. The same delay is the shortest stall of a call to the state store that justifies forwarding.
+ */
 const HEDGE_DELAY_DIVISOR = 25;
-/** A peer is asked if the state store served it within a heartbeat interval divided by this. */
+/**
+ * Longest time since the state store last served a peer for the peer to be asked: a heartbeat interval
+ * divided by this.
+ */
 const PEER_FRESHNESS_DIVISOR = 2;
-/** The peer has to reply within a heartbeat interval divided by this. */
+/** Time-out of a request that is forwarded to a peer: a heartbeat interval divided by this. */
 const PEER_TIMEOUT_DIVISOR = 6;
 
 /** Answers a request on this node. */
 export type AnswerLocally = (request: ApiRequest, respond: Respond) => void;
 
-/** What the request needs of the rest of the controller. */
+/** The parts of the controller that a hedged request uses. */
 export interface HedgeContext {
   readonly eventLoop: Pick<EventLoop, 'after'>;
   readonly settings: Pick<Settings, 'heartbeatIntervalMs'>;
@@ -34,12 +41,14 @@
   readonly peers: Pick<Peers, 'forward' | 'hostServedByStateStore'>;
 }
 
-/** One request, answered once: by this node or by a peer. */
+/** One request, which gets exactly one response: that of this node or that of a peer. */
 export class HedgedRequest {
   private isAnswered = false;
+  /** Whether the request has been forwarded to a peer and neither a reply nor the time-out has come. */
   private isPeerReplyPending = false;
-  /** This node's response where it can't answer; kept for the case that no peer can either. */
+  /** This node's 503 response; sent if no peer gives a better one. */
   private localFailure: ApiResponse | null = null;
+  /** Forwards the request to a peer if this node has not responded within `hedgeDelayMs`. */
   private hedgeTimer: Timer | null = null;
 
   constructor(
@@ -48,7 +57,7 @@
     private readonly respond: Respond,
   ) {}
 
-  /** Answers the request; called once. */
+  /** Starts to answer the request on this node. Must be called only once. */
   start(answerLocally: AnswerLocally): void {
     this.hedgeTimer = this.context.eventLoop.after(
       this.hedgeDelayMs,
@@ -66,12 +75,16 @@
     if (response.status !== UNAVAILABLE_STATUS) return this.answer(response);
     this.localFailure = response;
     if (this.isPeerReplyPending) return;
-    // Not where only this node's rate share is used up: the peers' are for their own users.
+    // A 503 without a failed call means that only this node's share of the state store's request rate is
+    // used up. Then no peer is asked: the peers' shares are for requests of their own users.
     if (this.context.client.health.consecutiveFailures > 0 && this.askPeer()) return;
     this.answer(response);
   }
 
-  /** Asks a peer, if the state store seems to serve one and not this node; tells whether a reply is awaited. */
+  /**
+   * Forwards the request to a peer if calls of this node to the state store fail or stall and the state
+   * store has recently served the peer. Returns whether a peer's reply is pending.
+   */
   private askPeer(): boolean {
     if (this.isAnswered || this.isPeerReplyPending) return this.isPeerReplyPending;
     const { client, peers, settings } = this.context;
--- a/src/controller/api/metrics-endpoint.ts
+++ b/src/controller/api/metrics-endpoint.ts
@@ -1,17 +1,17 @@
-/** The metrics of this node, in the text format of Prometheus. */
+/** The endpoint for this node's metrics, in the text format of Prometheus. */
 import type { Respond } from '../jobs/api-response.js';
 import { setLeaderGauges, setNodeGauges } from '../operators/gauges.js';
 import type { ApiContext } from './api-context.js';
 
 const CONTENT_TYPE = 'text/plain; version=0.0.4';
-/** Wait that is asked of a scraper while the metrics are not loaded yet. */
+/** Retry-After in seconds of the response while the metrics module is not loaded yet. */
 const RETRY_AFTER_S = 5;
 
-/** Answers scrapers. */
+/** Answers requests of Prometheus scrapers. */
 export class MetricsEndpoint {
   constructor(private readonly context: ApiContext) {}
 
-  /** Answers with the metrics, whose gauges are set first. */
+  /** Updates the gauges and responds with all metrics. */
   handle(respond: Respond): void {
     const { metrics, role, peers, leadership } = this.context;
     if (metrics === null) {
--- a/src/controller/api/peer-response.ts
+++ b/src/controller/api/peer-response.ts
@@ -1,9 +1,9 @@
-/** Responses that a peer gave to forwarded requests. */
+/** Conversion of peers' replies to forwarded requests. */
 import type { ApiResponse } from '../jobs/api-response.js';
 import type { ForwardedReply } from '../peers/message.js';
 import { decodeBody } from '../wire/cbor.js';
 
-/** The response that a peer's reply carries; a 503 where its body can't be decoded. */
+/** Converts a peer's reply to a response; its status is 503 if the body of the reply can't be decoded. */
 export function toApiResponse({ status, body }: ForwardedReply): ApiResponse {
   if (body.length === 0) return { status };
   try {
--- a/src/controller/api/router.test.ts
+++ b/src/controller/api/router.test.ts
@@ -10,7 +10,7 @@
 
 const NO_BODY = Buffer.alloc(0);
 
-describe('the API of a node that has no leader and no state store', () => {
+describe('API of a node without leader and state store', () => {
   let runtime = new ManualRuntime();
   let controller: Controller;
 
@@ -31,37 +31,37 @@
 
   const cases: { title: string; request: [string, string, Buffer?]; expected: ApiResponse }[] = [
     {
-      title: 'answers 404 to an unknown path',
+      title: 'responds with 404 to an unknown path',
       request: ['GET', '/nothing'],
       expected: { status: 404, body: { error: 'no such path' } },
     },
     {
-      title: 'answers 405 with the allowed method',
+      title: 'responds with 405 and the allowed method to a request with another method',
       request: ['POST', '/ready'],
       expected: { status: 405, body: { error: 'method not allowed' }, allow: 'GET' },
     },
     {
-      title: 'answers 405 to a cancellation by GET',
+      title: 'responds with 405 to a cancellation by GET',
       request: ['GET', '/submissions/req-1/abort'],
       expected: { status: 405, body: { error: 'method not allowed' }, allow: 'POST' },
     },
     {
-      title: 'answers 400 to a body that is not CBOR',
+      title: 'responds with 400 to a body that is not CBOR',
       request: ['POST', '/v1/report', Buffer.from([0xff])],
       expected: { status: 400, body: { error: 'body: not CBOR' } },
     },
     {
-      title: 'is not ready',
+      title: 'responds with 503 to a readiness probe',
       request: ['GET', '/ready'],
       expected: { status: 503, body: { ready: false } },
     },
     {
-      title: 'has no view of the cluster',
+      title: 'responds with 503 to a request for the view of the cluster',
       request: ['GET', '/cluster?after=m-1'],
       expected: { status: 503, body: { error: 'no leader just now' }, retryAfterS: 1 },
     },
     {
-      title: 'has no metrics before they are loaded',
+      title: 'responds with 503 to a request for metrics before they are loaded',
       request: ['GET', '/metrics'],
       expected: { status: 503, body: { error: 'starting' }, retryAfterS: 5 },
     },
@@ -71,7 +71,7 @@
 });
 
 describe('toApiResponse', () => {
-  it('answers 503 where the body of a peer can not be decoded', () => {
+  it('returns status 503 if the body of a reply can not be decoded', () => {
     assert.deepEqual(toApiResponse({ id: 1, status: 200, body: Buffer.from([0xff]) }), {
       status: 503,
       body: { error: 'broken answer of a peer' },
--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -1,4 +1,4 @@
-/** Which node answers a request, and with which endpoint. */
+/** Routing of API requests: chooses the node and the endpoint that answer a request. */
 import type { ApiResponse, Respond } from '../jobs/api-response.js';
 import { WireError } from '../wire/fields.js';
 import type { ApiContext } from './api-context.js';
@@ -7,23 +7,23 @@
 import { HedgedRequest } from './hedged-request.js';
 import { toApiResponse } from './peer-response.js';
 
-/** The leader has to reply to a forwarded request within a heartbeat interval divided by this. */
+/** Time-out of a request that is forwarded to the leader: a heartbeat interval divided by this. */
 const LEADER_TIMEOUT_DIVISOR = 2;
 
-/** First segments of the paths that are not always answered here. */
+/** First path segments of the requests that another node may answer. */
 const SUBMISSIONS_ROUTE = 'submissions';
 const CLUSTER_ROUTE = 'cluster';
-/** Under which requests to unknown paths are counted. */
+/** Route label of requests to unknown paths in the metrics. */
 const UNKNOWN_ROUTE = 'other';
 
-/** The first segment of a target's path. */
+/** Returns the first segment of the target's path. */
 function routeOf(target: string): string {
   const [, firstSegment = ''] = target.split('/', 2);
   const [route = ''] = firstSegment.split('?', 1);
   return route;
 }
 
-/** Answers requests here, or has the node answer that can. */
+/** Answers requests with the endpoints of this node, or forwards them to a node that can answer. */
 export class Router {
   private readonly endpoints: Endpoints;
 
@@ -31,7 +31,7 @@
     this.endpoints = new Endpoints(context);
   }
 
-  /** Answers a request that has come to this node's API, and counts it. */
+  /** Answers a request that a client sent to this node's API, and records it in the metrics. */
   request(request: ApiRequest, respond: Respond): void {
     const { eventLoop } = this.context;
     eventLoop.post('request', () => {
@@ -44,7 +44,7 @@
     });
   }
 
-  /** Answers on this node, whoever asks. */
+  /** Answers a request of a client or of a peer on this node, without forwarding it. */
   handle(request: ApiRequest, respond: Respond): void {
     try {
       this.serve(request, respond);
