--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -5,14 +5,15 @@
 import { HttpParser, type HttpMessage } from './parser.js';
 import type { SocketBudget } from './socket-budget.js';
 
-/** Limits of the client. */
+/** Limits of an HTTP client. */
 export interface ClientOptions {
-  /** Budget that all owners of sockets share. */
+  /** Budget of open sockets that all clients and servers of the process share. */
   sockets: SocketBudget;
-  /** Largest number of connections to one address. */
+  /** Largest number of open connections to one address. */
   maxConnectionsPerHost: number;
-  /** An idle connection is closed after this time. */
+  /** Time after which an idle connection is closed. */
   idleTimeoutMs: number;
+  /** Largest response body that is accepted. */
   maxBodyBytes: number;
 }
 
@@ -21,30 +22,31 @@
   bytes: Buffer;
   done: (response: HttpMessage | null) => void;
   timer: NodeJS.Timeout;
-  /** The connection that it was sent on, `null` while it waits. */
+  /** The connection on which the request was sent, or null while it waits for one. */
   connection: Connection | null;
   /** Whether `done` has been called. */
   settled: boolean;
 }
 
-/** An open connection; it carries one request at a time. */
+/** A connection, which carries one request at a time. */
 interface Connection {
   socket: net.Socket;
   parser: HttpParser;
   currentRequest: PendingRequest | null;
 }
 
-/** Connections to one address, and the requests that wait for one. */
+/** The connections to one address, and the requests that wait for a connection to it. */
 interface HostConnections {
   connections: Set<Connection>;
   idle: Connection[];
   waiting: PendingRequest[];
 }
 
-/** HTTP/1.1 client on `net` with persistent connections. */
+/** HTTP/1.1 client with persistent connections. */
 export class HttpClient {
+  /** Connections by address. */
   private readonly hosts = new Map<string, HostConnections>();
-  /** Idle connections to all hosts, the longest idle first. */
+  /** Idle connections to all addresses, the longest idle first. */
   private readonly idleConnections = new Set<Connection>();
 
   constructor(private readonly options: ClientOptions) {
@@ -60,12 +62,15 @@
     return false;
   }
 
-  /** Whether a request would find an idle connection. */
+  /** Whether a connection to the address is idle, so that a request needs no new one. */
   hasIdleConnection(address: string): boolean {
     return (this.hosts.get(address)?.idle.length ?? 0) > 0;
   }
 
-  /** Sends a request once a connection is free. `done` gets `null` if there is no valid response in time. */
+  /**
+   * Sends a request as soon as a connection is available. `done` is called once, with null if no valid
+   * response has arrived within `timeoutMs`.
+   */
   request(
     address: string,
     method: string,
@@ -102,7 +107,7 @@
     pending.done(response);
   }
 
-  /** Sends the waiting requests for which there is a connection. */
+  /** Sends waiting requests, in order of arrival, until no connection is available. */
   private sendWaiting(address: string, host: HostConnections): void {
     while (host.waiting.length > 0) {
       const first = host.waiting[0];
@@ -178,7 +183,7 @@
     if (response === null) return;
     const pending = connection.currentRequest;
     connection.currentRequest = null;
-    // An unsolicited response would be taken for that of the next request.
+    // Bytes that no request has asked for would be read as the response to the next request.
     if (pending === null || !connection.parser.idle || !response.keepAlive)
       connection.socket.destroy();
     else {
--- a/src/controller/http/formatting.ts
+++ b/src/controller/http/formatting.ts
@@ -19,19 +19,19 @@
   504: 'Gateway Timeout',
 };
 
-/** A response to be sent. */
+/** A response to format. */
 export interface HttpResponse {
   status: number;
   body: Buffer;
-  /** Content type of the body; CBOR where it is absent. */
+  /** Content type of the body; application/cbor if absent. */
   contentType?: string;
-  /** Sent as whole seconds of at least 1. */
+  /** Seconds of the Retry-After header, rounded up to at least 1; without the header if absent. */
   retryAfterS?: number;
-  /** The allowed method, with status 405. */
+  /** Value of the Allow header: the method that the path allows, in responses with status 405. */
   allow?: string;
 }
 
-/** The bytes of a response. With `close` the connection ends after it. */
+/** Returns the bytes of a response; `close` adds the header that announces the end of the connection. */
 export function formatResponse(response: HttpResponse, close: boolean): Buffer {
   const { status, body, contentType, retryAfterS, allow } = response;
   let head = `HTTP/1.1 ${status} ${reasonPhrases[status] ?? 'Status'}\r\nContent-Length: ${body.length}\r\n`;
@@ -42,7 +42,7 @@
   return Buffer.concat([Buffer.from(`${head}\r\n`, 'latin1'), body]);
 }
 
-/** The bytes of a request. The body, if there is one, is CBOR. */
+/** Returns the bytes of a request. A body has to be encoded as CBOR; null sends none. */
 export function formatRequest(
   method: string,
   host: string,
--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -6,7 +6,7 @@
 
 const limits = { headBytes: 1024, bodyBytes: 4096 };
 
-/** Status with which the text is rejected, `null` if it is accepted. */
+/** Returns the status with which the parser rejects the text, or null if it accepts the text. */
 function rejectionStatus(text: string): number | null {
   const parser = new HttpParser('request', limits);
   try {
@@ -20,7 +20,7 @@
 }
 
 describe('HttpParser', () => {
-  it('reads messages however their bytes are split', () => {
+  it('parses messages whose bytes are split at arbitrary positions', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(fc.constantFrom('/a', '/b?x=1'), fc.uint8Array({ maxLength: 300 })), {
@@ -50,7 +50,7 @@
     );
   });
 
-  it('throws nothing but HttpError on arbitrary bytes', () => {
+  it('throws only HttpError on arbitrary bytes', () => {
     const pieces = fc.oneof(
       fc.uint8Array({ maxLength: 40 }).map((b) => Buffer.from(b)),
       fc
@@ -81,7 +81,7 @@
     );
   });
 
-  it('reads chunked bodies with extensions and trailers', () => {
+  it('parses a chunked body with extensions and a trailer', () => {
     const parser = new HttpParser('request', limits);
     parser.push(
       Buffer.from(
@@ -92,19 +92,27 @@
   });
 
   const rejected: [string, string, number][] = [
-    ['a bad request line', 'nonsense\r\n\r\n', 400],
-    ['an unknown version', 'GET /x HTTP/2.0\r\n\r\n', 400],
-    ['a bad header', 'GET /x HTTP/1.1\r\nbad header\r\n\r\n', 400],
-    ['a too large body', 'POST /x HTTP/1.1\r\nContent-Length: 5000\r\n\r\n', 413],
-    ['a negative length', 'POST /x HTTP/1.1\r\nContent-Length: -1\r\n\r\n', 400],
-    ['two lengths', 'POST /x HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n', 400],
+    ['a malformed request line', 'nonsense\r\n\r\n', 400],
+    ['an unsupported HTTP version', 'GET /x HTTP/2.0\r\n\r\n', 400],
+    ['a malformed header', 'GET /x HTTP/1.1\r\nbad header\r\n\r\n', 400],
+    ['a body above the limit', 'POST /x HTTP/1.1\r\nContent-Length: 5000\r\n\r\n', 413],
+    ['a negative Content-Length', 'POST /x HTTP/1.1\r\nContent-Length: -1\r\n\r\n', 400],
     [
-      'a length of a chunked body',
+      'two different Content-Length headers',
+      'POST /x HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n',
+      400,
+    ],
+    [
+      'a chunked body with a Content-Length',
       'POST /x HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n',
       400,
     ],
-    ['a too large head', `GET /x HTTP/1.1\r\nA: ${'x'.repeat(2000)}\r\n\r\n`, 431],
-    ['a too large chunk', 'POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n', 413],
+    ['a head above the limit', `GET /x HTTP/1.1\r\nA: ${'x'.repeat(2000)}\r\n\r\n`, 431],
+    [
+      'a chunk above the limit',
+      'POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n',
+      413,
+    ],
   ];
   for (const [description, text, status] of rejected)
     it(`rejects ${description} with status ${status}`, () =>
--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -1,38 +1,40 @@
-/** One connection of the HTTP server: its requests, one at a time, and its deadlines. */
+/** One connection of the HTTP server: handles its requests one at a time and applies its time-outs. */
 import type net from 'node:net';
 import { formatResponse, type HttpResponse } from './formatting.js';
 import { HttpError, HttpParser, type HttpMessage, type MessageLimits } from './parser.js';
 
-/** Handles a request. `respond` may be called later; only its first call counts. */
+/** Handles a request. `respond` may be called after the handler has returned; only its first call counts. */
 export type RequestHandler = (
   request: HttpMessage,
   respond: (response: HttpResponse) => void,
 ) => void;
 
-/** What a connection needs of its server. */
+/** Limits and callbacks of a server's connection. */
 export interface ConnectionOptions {
   limits: MessageLimits;
-  /** A request has to arrive completely within this time after its first byte. */
+  /** Longest time from the arrival of a request's first byte to that of its last. */
   readTimeoutMs: number;
-  /** Idle timeout of the connection, by the path of its last request ('' before the first). */
+  /** Returns the idle time-out for the path of the connection's last request ('' before the first request). */
   idleTimeoutMs: (path: string) => number;
   handler: RequestHandler;
-  /** Called when a request begins (`false`) and after its response (`true`). */
+  /** Called with false when the handling of a request begins and with true after its response. */
   onIdleChange: (idle: boolean) => void;
+  /** Called when the connection has been closed. */
   onClose: () => void;
 }
 
 const EMPTY_BODY = Buffer.alloc(0);
 
-/** Reads requests from a socket and writes their responses. */
+/** Reads requests from a socket and writes the responses to them. */
 export class ServerConnection {
   private readonly parser: HttpParser;
   /** Whether a request is being handled. */
   private busy = false;
-  /** Whether no further request is taken. */
+  /** Whether the connection is closed or being closed, so that no further request is read. */
   private ended = false;
+  /** The idle time-out that is set on the socket. */
   private idleTimeoutMs: number;
-  /** Runs while a request has arrived in part. */
+  /** Closes the connection after `readTimeoutMs`; null unless a request has arrived only in part. */
   private readTimer: NodeJS.Timeout | null = null;
 
   constructor(
@@ -50,7 +52,7 @@
   private receive(bytes: Buffer): void {
     if (this.ended) return;
     this.parser.push(bytes);
-    // Without pipelining: a client that sends another request before the response has to wait.
+    // Requests are not pipelined: bytes that arrive before the response are buffered and reading pauses.
     if (this.busy) this.socket.pause();
     else this.handleNextRequest();
   }
@@ -61,7 +63,7 @@
     if (this.readTimer !== null) clearTimeout(this.readTimer);
   }
 
-  /** Handles the next request if it has arrived completely. */
+  /** Handles the next request if all of it has arrived. */
   private handleNextRequest(): void {
     if (this.busy || this.ended) return;
     let request: HttpMessage | null;
@@ -75,7 +77,7 @@
     if (request !== null) this.handle(request);
   }
 
-  /** Starts or stops the deadline for the rest of a partial request. */
+  /** Starts the read timer when a request has arrived in part, and stops it when the request is complete. */
   private updateReadTimer(): void {
     const isPartial = !this.busy && !this.parser.idle;
     if (isPartial && this.readTimer === null)
@@ -123,7 +125,7 @@
     this.closeAfterWrites();
   }
 
-  /** Closes the connection after what has been written. */
+  /** Closes the connection once all written bytes are sent, or after `readTimeoutMs` without activity. */
   private closeAfterWrites(): void {
     this.ended = true;
     this.socket.setTimeout(this.options.readTimeoutMs, () => this.socket.destroy());
--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -42,7 +42,7 @@
       socket.write(text);
     });
 
-  it('responds to malformed bytes with 400 and to a too large body with 413, and closes', async () => {
+  it('responds with 400 to malformed bytes and with 413 to a body above the limit, and closes', async () => {
     assert.match(await sendRaw('\0\0\0\0\r\n\r\n'), /^HTTP\/1\.1 400 /);
     assert.match(
       await sendRaw('POST / HTTP/1.1\r\nContent-Length: 999\r\n\r\n'),
@@ -50,11 +50,12 @@
     );
   });
 
-  it('closes a connection whose request does not arrive completely in time', async () => {
+  it('closes a connection without a response if its request is incomplete at the time-out', async () => {
     assert.equal(await sendRaw('POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab'), '');
   });
 
-  // With 885 workers at one node of 1200 sockets new connections were refused, those of workers too.
+  // Guards against refused connections: with 885 workers at one node and a limit of 1200 sockets, the node
+  // refused new connections, workers' connections included.
   it('closes the longest idle connections when the budget is exhausted, and serves new ones', async () => {
     const closed: number[] = [];
     const openSockets: net.Socket[] = [];
@@ -72,7 +73,7 @@
     for (const s of openSockets) s.destroy();
   });
 
-  it('reuses connections and reports a missing response as null', async () => {
+  it('reuses a connection, and returns null for a time-out or an unreachable address', async () => {
     const client = new HttpClient({
       ...{
         sockets: new SocketBudget(10),
--- a/src/controller/http/server.ts
+++ b/src/controller/http/server.ts
@@ -6,25 +6,25 @@
 
 export type { RequestHandler } from './server-connection.js';
 
-/** Address and limits of a server. */
+/** Address and limits of an HTTP server. */
 export interface ServerOptions {
   host: string;
   port: number;
   limits: MessageLimits;
-  /** Budget that all owners of sockets share. */
+  /** Budget of open sockets that all clients and servers of the process share. */
   sockets: SocketBudget;
-  /** Largest number of connections; further ones are closed on arrival. */
+  /** Largest number of open connections; further connections are closed when they are accepted. */
   maxSockets: number;
-  /** A request has to arrive completely within this time after its first byte. */
+  /** Longest time from the arrival of a request's first byte to that of its last. */
   readTimeoutMs: number;
-  /** Idle timeout of a connection, by the path of its last request ('' before the first). */
+  /** Returns the idle time-out for the path of a connection's last request ('' before the first request). */
   idleTimeoutMs: (path: string) => number;
 }
 
-/** Serves HTTP/1.1 on `net`: one request at a time per connection, without pipelining. */
+/** HTTP/1.1 server that handles one request at a time per connection, without pipelining. */
 export class HttpServer {
   private readonly server: net.Server;
-  /** Connections without a request in progress, the longest idle first. */
+  /** Sockets on which no request is being handled, the longest idle first. */
   private readonly idleSockets = new Set<net.Socket>();
 
   constructor(
@@ -45,7 +45,7 @@
     return false;
   }
 
-  /** Starts to listen. `failed` gets errors of the listening socket. */
+  /** Starts to listen; `onError` is called with each error of the listening socket. */
   listen(onListening: () => void, onError: (err: Error) => void): void {
     this.server.on('error', onError);
     this.server.listen(this.options.port, this.options.host, onListening);
--- a/src/controller/http/socket-budget.ts
+++ b/src/controller/http/socket-budget.ts
@@ -1,7 +1,8 @@
 /**
  * Counts the open sockets of the process, whose number the platform limits. Servers and clients share the
- * budget by need: when it is exceeded an idle connection is closed, so that a new one can always be accepted.
- * Its peer opens another one when it has something to send.
+ * budget without fixed shares: if a new socket exceeds it, an idle connection is closed, so that a new
+ * connection can be accepted at any time. The other end of a closed connection reconnects when it next has
+ * something to send.
  */
 export class SocketBudget {
   private count = 0;
@@ -14,14 +15,15 @@
     return this.count;
   }
 
-  /** Whether the budget is used up: calls that have an alternative should not be made now. */
+  /** Whether the budget is used up, so that calls which can be replaced or delayed should not open sockets. */
   get exhausted(): boolean {
     return this.count >= this.limit;
   }
 
   /**
-   * Registers an owner of sockets. `closeIdle` closes one idle connection and returns whether there was any.
-   * Owners are asked in the order of their registration.
+   * Registers the server or client whose `closeIdle` closes its longest idle connection and returns whether
+   * it had one. When the budget is exceeded, the functions are called in the order of registration until one
+   * returns true.
    */
   onExhausted(closeIdle: () => boolean): void {
     this.idleClosers.push(closeIdle);
