--- a/src/controller/peers/avro-validation.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -1,16 +1,17 @@
 /**
- * Validates Avro's binary encoding before it is decoded. avsc allocates as many items as the bytes
- * announce, whatever their number, so a few bytes could take all memory of the process.
+ * Validation of Avro's binary encoding before decoding. The avsc library allocates arrays and maps of the
+ * encoded length without checking it against the size of the message, so a message of a few bytes could
+ * exhaust the memory of the process.
  */
 
 type PrimitiveSchema = 'null' | 'double' | 'int' | 'long' | 'string' | 'bytes';
 type ComplexSchema = RecordSchema | ArraySchema | MapSchema | EnumSchema;
 type SingleSchema = PrimitiveSchema | ComplexSchema;
 
-/** The schemas that messages are made of; a list is a union. */
+/** The subset of Avro schemas that messages use; a list of schemas is a union. */
 export type Schema = SingleSchema | SingleSchema[];
 
-/** Fields in the order of their encoding. */
+/** Schema of a record, with its fields in the order in which they are encoded. */
 export interface RecordSchema {
   type: 'record';
   name: string;
@@ -33,23 +34,26 @@
   symbols: string[];
 }
 
-/** Bytes that are not a value of their schema. */
+/** The bytes do not encode a value of the schema. */
 export class AvroEncodingError extends Error {
   override readonly name = 'AvroEncodingError';
 }
 
 const DOUBLE_BYTES = 8;
-/** Bytes of the longest integer, which has 64 bits, 7 in each byte. */
+/** Length of the longest encoded integer: 64 bits, 7 in each byte. */
 const MAX_INTEGER_BYTES = 10;
 
-/** Throws an `AvroEncodingError` unless the bytes are one whole value of the schema. */
+/** Throws an `AvroEncodingError` unless the bytes encode exactly one value of the schema. */
 export function validateAvroEncoding(schema: Schema, bytes: Buffer): void {
   const reader = new AvroReader(bytes);
   skip(schema, reader);
-  if (reader.remaining > 0) throw new AvroEncodingError('trailing bytes');
+  if (reader.remaining > 0)
+    throw new AvroEncodingError(
+      `trailing bytes: ${reader.remaining} of ${bytes.length} follow the value`,
+    );
 }
 
-/** Reads forward through the bytes, never past their end. */
+/** Reads the bytes in order and throws an `AvroEncodingError` rather than read past their end. */
 class AvroReader {
   private position = 0;
 
@@ -59,28 +63,38 @@
     return this.bytes.length - this.position;
   }
 
-  /** Skips bytes without reading them. */
+  /** Skips `count` bytes. */
   skip(count: number): void {
-    if (count < 0 || count > this.remaining) throw new AvroEncodingError('length out of range');
+    if (count < 0 || count > this.remaining)
+      throw new AvroEncodingError(
+        `length out of range: value of ${count} bytes, ${this.remaining} bytes left`,
+      );
     this.position += count;
   }
 
-  /** A zigzag integer of variable length; only those within the safe integers are exact. */
+  /**
+   * Reads an integer in Avro's variable-length zigzag encoding. The result is exact only if it is a safe
+   * integer.
+   */
   readInteger(): number {
     let value = 0;
     for (let i = 0; i < MAX_INTEGER_BYTES; i++) {
       const byte = this.bytes[this.position++];
-      if (byte === undefined) throw new AvroEncodingError('truncated');
+      if (byte === undefined)
+        throw new AvroEncodingError(`truncated integer at the end of ${this.bytes.length} bytes`);
       value += (byte & 0x7f) * 2 ** (7 * i);
       if (byte < 0x80) return value % 2 === 0 ? value / 2 : -(value + 1) / 2;
     }
-    throw new AvroEncodingError('integer too long');
+    throw new AvroEncodingError(`integer too long: more than ${MAX_INTEGER_BYTES} bytes`);
   }
 
-  /** The index of one of `count` choices. */
+  /** Reads the index of a union's type or an enum's symbol, of which there are `count`. */
   readIndex(count: number): number {
     const index = this.readInteger();
-    if (index < 0 || index >= count) throw new AvroEncodingError('unknown type or symbol');
+    if (index < 0 || index >= count)
+      throw new AvroEncodingError(
+        `unknown type or symbol: index ${index}, expected 0 to ${count - 1}`,
+      );
     return index;
   }
 }
@@ -127,15 +141,21 @@
   }
 }
 
-/** Items come in blocks, each with its count, up to an empty one. Every item takes a byte or more. */
+/**
+ * Skips the items of an array or a map. They are encoded in blocks, each with its item count; a block of 0
+ * items ends the list. Every item takes at least one byte, so a count above the remaining bytes is invalid.
+ */
 function skipBlocks(reader: AvroReader, skipItem: () => void): void {
   for (;;) {
     const encodedCount = reader.readInteger();
     if (encodedCount === 0) return;
-    // A negative count is followed by the block's size in bytes.
+    // After a negative count, the block's size in bytes is encoded.
     if (encodedCount < 0) reader.readInteger();
     const count = Math.abs(encodedCount);
-    if (count > reader.remaining) throw new AvroEncodingError('more items than bytes');
+    if (count > reader.remaining)
+      throw new AvroEncodingError(
+        `more items than bytes: block of ${count} items, ${reader.remaining} bytes left`,
+      );
     for (let i = 0; i < count; i++) skipItem();
   }
 }
--- a/src/controller/peers/framing.test.ts
+++ b/src/controller/peers/framing.test.ts
@@ -5,7 +5,7 @@
 import { decodePeerMessage, encodePeerMessage } from './message-codec.js';
 
 describe('FrameDecoder', () => {
-  it('reassembles two messages wherever their bytes are cut', () => {
+  it('decodes two frames whose bytes are split at any position', () => {
     const bytes = Buffer.concat([
       encodeFrame(encodePeerMessage(exampleMessage)),
       encodeFrame(encodePeerMessage(exampleMessage)),
@@ -22,7 +22,7 @@
     }
   });
 
-  it('throws on a frame longer than any message may be', () => {
+  it('throws on a frame above the length limit', () => {
     const decoder = new FrameDecoder();
     assert.throws(() => decoder.push(Buffer.from([255, 255, 255, 255])), FrameTooLargeError);
   });
--- a/src/controller/peers/framing.ts
+++ b/src/controller/peers/framing.ts
@@ -1,29 +1,29 @@
-/** Frames on a connection between controllers: the length in four bytes, big-endian, then one message. */
+/** Framing of messages between controllers: the message's length as four big-endian bytes, then the message. */
 
-/** Bytes of the longest message. */
+/** Length, in bytes, of the longest message that is accepted. */
 export const MAX_FRAME_BYTES = 256 * 1024;
-/** Bytes of a frame's length. */
+/** Size, in bytes, of the length at the start of a frame. */
 const LENGTH_BYTES = 4;
 
-/** A frame announces more bytes than any message may have. */
+/** The length of a frame is above `MAX_FRAME_BYTES`. */
 export class FrameTooLargeError extends Error {
   override readonly name = 'FrameTooLargeError';
 
   constructor(announcedBytes: number) {
-    super(`frame of ${announcedBytes} bytes`);
+    super(`frame too large: message of ${announcedBytes} bytes, limit ${MAX_FRAME_BYTES}`);
   }
 }
 
-/** A connection has ended within a frame. */
+/** A connection has ended before all bytes of a frame arrived. */
 export class TruncatedFrameError extends Error {
   override readonly name = 'TruncatedFrameError';
 
   constructor() {
-    super('connection ended within a frame');
+    super('truncated frame: the connection ended before all of its bytes arrived');
   }
 }
 
-/** The frame of one message. */
+/** Returns the frame of one message. */
 export function encodeFrame(message: Buffer): Buffer {
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + message.length);
   frame.writeUInt32BE(message.length, 0);
@@ -31,18 +31,18 @@
   return frame;
 }
 
-/** Reassembles the messages of one connection. */
+/** Decodes the frames that arrive on one connection. */
 export class FrameDecoder {
   private buffered: Buffer = Buffer.alloc(0);
 
-  /** A part of a frame has arrived, and its rest has not. */
+  /** Whether bytes of an incomplete frame have arrived. */
   get hasPartialFrame(): boolean {
     return this.buffered.length > 0;
   }
 
   /**
-   * Takes bytes as they arrive and returns the messages that are complete. Throws a
-   * `FrameTooLargeError` on a frame that is longer than any message may be.
+   * Adds bytes that have arrived and returns the messages that they complete. Throws a
+   * `FrameTooLargeError` if the length of a frame is above `MAX_FRAME_BYTES`.
    */
   push(bytes: Buffer): Buffer[] {
     this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
--- a/src/controller/peers/message-codec.test.ts
+++ b/src/controller/peers/message-codec.test.ts
@@ -10,14 +10,14 @@
 } from './message-codec.js';
 import { EMPTY_MESSAGE } from './message.js';
 
-/** The error says that the bytes can't be read, and is caused by their Avro encoding. */
+/** Whether the error reports an unreadable message and its cause is an Avro encoding error. */
 function isCausedByEncoding(err: unknown): boolean {
   return err instanceof UnreadablePeerMessageError && err.cause instanceof AvroEncodingError;
 }
 
 describe('encodePeerMessage', () => {
-  // Older versions read these bytes, and their messages bear no version.
-  it('writes the bytes that the version 6cbc17f wrote', () => {
+  // Controllers that run an older version have to read these bytes, and messages carry no version number.
+  it('returns the same bytes as version 6cbc17f', () => {
     const message = { ...exampleMessage, reply: { id: 3, status: 200, body: Buffer.from('y') } };
     const expectedHex = [
       '020c6b696c6e2d3102780000000000002940000e000000000000f83f000000000000e03f',
@@ -34,7 +34,7 @@
     );
   });
 
-  it('writes what decodePeerMessage reads, whatever the message', () => {
+  it('encodes arbitrary messages so that decodePeerMessage restores them', () => {
     const text = fc.string({ unit: 'binary', maxLength: 20 });
     const int = fc.integer({ min: -(2 ** 31), max: 2 ** 31 - 1 });
     const long = fc.maxSafeInteger();
@@ -63,7 +63,7 @@
 });
 
 describe('decodePeerMessage', () => {
-  it('throws nothing but UnreadablePeerMessageError on random bytes', () => {
+  it('throws only UnreadablePeerMessageError on random bytes', () => {
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 60 }), (bytes) => {
         try {
@@ -88,7 +88,7 @@
 
   it('throws on unknown types and symbols', () => {
     const empty = encodePeerMessage(EMPTY_MESSAGE);
-    // The first byte chooses among the types of the status.
+    // The first byte is the index of the status's type in its union.
     const unknownType = Buffer.concat([Buffer.from([4]), empty.subarray(1)]);
     assert.throws(() => decodePeerMessage(unknownType), /unknown/);
     const unknownSymbol = encodePeerMessage({
@@ -99,7 +99,8 @@
     assert.throws(() => decodePeerMessage(unknownSymbol), /unknown type or symbol/);
   });
 
-  // avsc alone allocates memory for all of them first: a few bytes ended the process.
+  // Guards against memory exhaustion: without validation, avsc allocates memory for all announced items
+  // first, so that a message of a few bytes ended the process.
   const counts = [
     [0xfe, 0xff, 0xff, 0xff, 0x0f],
     [0xff, 0xff, 0xff, 0xff, 0x0f, 2],
@@ -108,12 +109,12 @@
   for (const [field, prefix] of Object.entries({ finals: [0], accepted: [0, 0] }))
     for (const count of counts) {
       const hex = Buffer.from(count).toString('hex');
-      it(`throws at once where ${field} announces more items than bytes (count ${hex})`, () => {
+      it(`throws if ${field} announces more items than bytes (count ${hex})`, () => {
         assert.throws(() => decodePeerMessage(Buffer.from([...prefix, ...count])), /more items/);
       });
     }
 
-  it('throws on a text that is announced longer than the message', () => {
+  it('throws on a string whose announced length is above that of the message', () => {
     const longText = Buffer.from([2, 0xfe, 0xff, 0xff, 0xff, 0x0f]);
     assert.throws(() => decodePeerMessage(longText), /length/);
   });
--- a/src/controller/peers/message-codec.ts
+++ b/src/controller/peers/message-codec.ts
@@ -1,4 +1,4 @@
-/** Encodes and decodes the messages between controllers. */
+/** Encoding and decoding of the messages between controllers, in Avro's binary encoding. */
 import avsc from 'avsc';
 import { validateAvroEncoding } from './avro-validation.js';
 import { PEER_MESSAGE_SCHEMA } from './message-schema.js';
@@ -6,7 +6,7 @@
 
 const messageType = avsc.Type.forSchema(PEER_MESSAGE_SCHEMA);
 
-/** Bytes from another controller that are not one whole message; `cause` says what is wrong with them. */
+/** Bytes from another controller do not encode exactly one message; `cause` is the decoding error. */
 export class UnreadablePeerMessageError extends Error {
   override readonly name = 'UnreadablePeerMessageError';
 
@@ -16,15 +16,15 @@
   }
 }
 
-/** The bytes of a message. */
+/** Returns the encoded message. */
 export function encodePeerMessage(message: PeerMessage): Buffer {
   return messageType.toBuffer(message);
 }
 
-/** Reads a message; throws an `UnreadablePeerMessageError` on bytes that are not one whole message. */
+/** Decodes a message. Throws an `UnreadablePeerMessageError` unless the bytes encode exactly one message. */
 export function decodePeerMessage(bytes: Buffer): PeerMessage {
   try {
-    // Before avsc sees them: it allocates as many items as the bytes announce.
+    // Validated first, since avsc allocates arrays of the encoded length without checking the length.
     validateAvroEncoding(PEER_MESSAGE_SCHEMA, bytes);
     const message: unknown = messageType.fromBuffer(bytes);
     return message as PeerMessage;
--- a/src/controller/peers/message-schema.ts
+++ b/src/controller/peers/message-schema.ts
@@ -1,10 +1,11 @@
 /**
- * The Avro schema of the messages between controllers. Messages carry no version, and older versions
- * of the program read and write the same schema: no name, type or order in it can change.
+ * The Avro schema of the messages between controllers. Messages carry no version number, and controllers
+ * that still run an older version of the program use the same schema, so the names, types and order of
+ * its fields must not change.
  */
 import type { RecordSchema, Schema } from './avro-validation.js';
 
-/** A record with the given fields, encoded in their order. */
+/** Returns the schema of a record whose fields are encoded in the given order. */
 function record(name: string, fields: Record<string, Schema>): RecordSchema {
   const fieldEntries = Object.entries(fields);
   return {
@@ -60,7 +61,7 @@
   body: 'bytes',
 });
 
-/** The schema of a `PeerMessage`. */
+/** The Avro schema of a `PeerMessage`. */
 export const PEER_MESSAGE_SCHEMA: RecordSchema = record('PeerMessage', {
   status: optional(STATUS),
   finals: arrayOf(JOB_END),
--- a/src/controller/peers/message.ts
+++ b/src/controller/peers/message.ts
@@ -1,65 +1,68 @@
 /**
- * The messages that controllers send one another. Their property names are those of the wire schema
- * (`message-schema.ts`) and can't change.
+ * The messages that controllers send to each other. Their property names are the field names of the Avro
+ * schema in `message-schema.ts` and must not change.
  */
 import type { JobState, TerminalState } from '../wire/jobs.js';
 
 /**
- * What a controller says of itself. No invariant depends on it: it only saves requests to the state
- * store.
+ * Status of a controller, which it sends to its peers at regular intervals. No invariant depends on it; it
+ * only saves requests to the state store.
  */
 export interface PeerStatus {
   host: string;
-  /** Tells apart the processes of one host. */
+  /** Identifies the process, to distinguish it from other processes on the same host. */
   identity: string;
-  /** Milliseconds since the state store last served the sender; -1: never. */
+  /** Milliseconds since the state store last served the sender; -1 if it never has. */
   stateOkAgeMs: number;
-  /** Host of the leader as far as the sender knows; empty: none. */
+  /** Host of the leader that the sender knows; empty if it knows none. */
   leaderHost: string;
-  /** Term of that leader; 0: none. */
+  /** Term of that leader; 0 if the sender knows none. */
   term: number;
-  /** Puts and deletes a second that the sender would make at the state store. */
+  /** Rate at which the sender needs to write to the state store, in puts and deletes per second. */
   wantedWrites: number;
-  /** Workers' heartbeats a second that the sender has redirected to the leader. */
+  /** Rate at which the sender redirects workers' heartbeats to the leader, in heartbeats per second. */
   strayReports: number;
 }
 
-/** The end of a job. Terminal states never change, so they may be passed on and cached. */
+/** The terminal state of a job. It never changes, so it can be sent to peers and cached. */
 export interface JobEnd {
   id: string;
   state: TerminalState;
 }
 
-/** Counts of a job for display, as its leader knows them. */
+/** Progress of a job as the leader knows it, for responses to users. */
 export interface JobProgress {
   id: string;
   state: JobState;
+  /** Number of completed tasks. */
   done: number;
+  /** Number of running tasks. */
   running: number;
-  /** Runs that have ended, by cause. */
+  /** Number of runs that have ended, by cause. */
   exits: Record<string, number>;
-  /** Why the job does not start; empty: nothing is known to block it. */
+  /** Reason why the job does not start; empty if no reason is known. */
   blocked: string;
 }
 
-/** A user's request that the sender can't answer because the state store doesn't serve it. */
+/** A request that the receiver has to answer: a client's, or a leader's request for a lease grant. */
 export interface ForwardedRequest {
-  /** Host of the sender, which gets the reply. */
+  /** Host of the sender, to which the reply is sent. */
   from: string;
+  /** Unique among the sender's requests; the reply has the same id. */
   id: number;
   method: string;
   path: string;
   body: Buffer;
 }
 
-/** The reply to the forwarded request of the same id. */
+/** The reply to the forwarded request with the same id. */
 export interface ForwardedReply {
   id: number;
   status: number;
   body: Buffer;
 }
 
-/** All that one message may carry. */
+/** A message between controllers; each of its parts may be absent or empty. */
 export interface PeerMessage {
   status: PeerStatus | null;
   finals: JobEnd[];
@@ -70,7 +73,7 @@
   reply: ForwardedReply | null;
 }
 
-/** A message without content. */
+/** A message whose parts are all absent or empty. */
 export const EMPTY_MESSAGE: Readonly<PeerMessage> = {
   status: null,
   finals: [],
--- a/src/controller/peers/peer-connection.test.ts
+++ b/src/controller/peers/peer-connection.test.ts
@@ -26,7 +26,7 @@
     errors = [];
   });
 
-  /** Sends bytes on a connection of their own and ends it; returns once the other side has closed it. */
+  /** Sends bytes on a new connection and ends it; returns once the receiver has closed the connection. */
   async function send(bytes: Buffer): Promise<void> {
     const accepted = once(server, 'connection') as Promise<[net.Socket]>;
     const socket = net.connect((server.address() as net.AddressInfo).port, '127.0.0.1');
@@ -37,7 +37,7 @@
     await closed;
   }
 
-  it('passes on complete messages', async () => {
+  it('passes complete messages to the handler', async () => {
     await send(Buffer.concat([completeFrame, completeFrame]));
     assert.deepEqual(messages, ['news', 'news']);
     assert.deepEqual(errors, []);
@@ -45,7 +45,7 @@
 
   const failures = [
     {
-      title: 'a message after a complete one is truncated',
+      title: 'the frame after a complete one is truncated',
       bytes: Buffer.concat([completeFrame, completeFrame.subarray(0, 6)]),
       expected: { messages: ['news'], errors: ['TruncatedFrameError'] },
     },
@@ -61,7 +61,7 @@
     },
   ];
   for (const { title, bytes, expected } of failures)
-    it(`reports one failure where ${title}, and reads the next connection`, async () => {
+    it(`reports one failure if ${title}, and reads the next connection`, async () => {
       await send(bytes);
       assert.deepEqual({ messages, errors }, expected);
       await send(completeFrame);
--- a/src/controller/peers/peer-connection.ts
+++ b/src/controller/peers/peer-connection.ts
@@ -1,16 +1,19 @@
-/** The receiving end of a connection from another controller. */
+/** The receiving side of a connection from another controller. */
 import type net from 'node:net';
 import { FrameDecoder, TruncatedFrameError } from './framing.js';
 
-/** Takes what arrives on the connections from other controllers. */
+/** Handles frames and failures of connections from other controllers. */
 export interface PeerFrameHandler {
-  /** A complete frame; its message has not been decoded yet. */
+  /** Called with the message of each complete frame; the message is still encoded. */
   peerFrame(bytes: Buffer): void;
-  /** What arrived can't be read: the connection ends, or has ended, and its rest is dropped. */
+  /**
+   * Called at most once per connection, when a frame is too large or truncated. The connection is then closed
+   * and further bytes are discarded.
+   */
   peerConnectionFailed(err: Error): void;
 }
 
-/** Reads frames from a connection until it ends, and closes it then; never throws. */
+/** Reads frames from a connection until it ends or a frame can't be decoded, then closes it. Does not throw. */
 export function readPeerConnection(socket: net.Socket, handler: PeerFrameHandler): void {
   const decoder = new FrameDecoder();
   let failed = false;
--- a/src/controller/peers/peer-link.ts
+++ b/src/controller/peers/peer-link.ts
@@ -1,23 +1,26 @@
-/** The sending end of a connection to another controller. */
+/** The sending side of a connection to another controller. */
 import net from 'node:net';
 import { splitAddress } from '../runtime/address.js';
 
-/** Bytes that may wait for a slow peer; while there are more, frames to it are dropped. */
+/** Limit, in bytes, on the data buffered for a slow peer; above it, further frames are dropped. */
 const MAX_BACKLOG_BYTES = 256 * 1024;
 
-/** Connects when there is something to send, and again after a pause when the connection was lost. */
+/** Connects when a frame is to be sent, and reconnects for a later frame if the connection was lost. */
 export class PeerLink {
   private socket: net.Socket | null = null;
-  /** No connection is tried before then, on the steady clock. */
+  /** Earliest time of the next attempt to connect, on the monotonic clock in milliseconds. */
   private retryAt = 0;
 
-  /** `addr`: `host:port` of the peer; `retryMs`: the least time between two attempts to connect. */
+  /**
+   * @param addr - The `host:port` of the peer.
+   * @param retryMs - The shortest time between two attempts to connect, in milliseconds.
+   */
   constructor(
     private readonly addr: string,
     private readonly retryMs: number,
   ) {}
 
-  /** Sends a frame; it is dropped where the peer can't be reached or takes too little. */
+  /** Sends a frame. Drops it if the peer can't be reached or reads too slowly. */
   send(frame: Buffer): void {
     const socket = this.socket ?? this.connect();
     if (socket === null || socket.writableLength > MAX_BACKLOG_BYTES) return;
@@ -34,7 +37,7 @@
     socket.on('close', () => {
       if (this.socket === socket) this.socket = null;
     });
-    // The peer answers on a connection of its own: whatever arrives on this one is no peer's.
+    // Peers reply on the connections that they open themselves, so data on this one is not from a peer.
     socket.on('data', () => socket.destroy());
     return socket;
   }
--- a/src/controller/peers/peer-publisher.ts
+++ b/src/controller/peers/peer-publisher.ts
@@ -1,4 +1,4 @@
-/** Sends this controller's messages to the others. */
+/** Sending of messages to the other controllers. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { TerminalState } from '../wire/jobs.js';
 import { encodePeerMessage } from './message-codec.js';
@@ -10,35 +10,41 @@
   type PeerStatus,
 } from './message.js';
 
-/** Items of each kind that one message carries at most. */
+/** Largest number of entries in each list of one message. */
 const MAX_ITEMS_PER_MESSAGE = 200;
 
-/** Encodes and sends messages. Delivery is best effort: no invariant depends on a message. */
+/** Encodes and sends messages. Messages may be lost: no invariant depends on their delivery. */
 export class PeerPublisher {
   private endedJobs: JobEnd[] = [];
   private acceptedJobs: string[] = [];
   private announcementScheduled = false;
 
-  /** `announcementDelayMs`: how long an announcement waits for others to share its message. */
+  /**
+   * @param hosts - The hosts of all other controllers.
+   * @param announcementDelayMs - How long an announcement is delayed so that later ones share its message.
+   */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly hosts: readonly string[],
     private readonly announcementDelayMs: number,
   ) {}
 
-  /** Announces a job's end to all others. */
+  /** Announces the terminal state of a job to all other controllers. */
   announceJobEnd(id: string, state: TerminalState): void {
     this.endedJobs.push({ id, state });
     this.scheduleAnnouncement();
   }
 
-  /** Announces to all others that this controller has accepted a job. */
+  /** Announces to all other controllers that this one has accepted a job. */
   announceJobAccepted(id: string): void {
     this.acceptedJobs.push(id);
     this.scheduleAnnouncement();
   }
 
-  /** Sends the pending announcements to all others, with progress and a status, in as many messages as it takes. */
+  /**
+   * Sends the pending announcements, the progress of jobs and a status to all other controllers, in as many
+   * messages as `MAX_ITEMS_PER_MESSAGE` requires.
+   */
   publish(progress: readonly JobProgress[], status: PeerStatus | null): void {
     const { endedJobs, acceptedJobs } = this;
     this.endedJobs = [];
@@ -58,7 +64,7 @@
     } while (start < mostItems);
   }
 
-  /** Sends one controller a message with nothing but the given parts. */
+  /** Sends one controller a message that has only the given parts. */
   sendTo(host: string, parts: Partial<PeerMessage>): void {
     this.eventLoop.runtime.sendPeer(host, encodePeerMessage({ ...EMPTY_MESSAGE, ...parts }));
   }
--- a/src/controller/peers/peer-statuses.ts
+++ b/src/controller/peers/peer-statuses.ts
@@ -1,25 +1,25 @@
-/** What the other controllers have last said of themselves. */
+/** The latest statuses of the other controllers. */
 import type { PeerStatus } from './message.js';
 
 interface ReceivedStatus {
   status: PeerStatus;
-  /** When it arrived, on this node's steady clock. */
+  /** Time of arrival on this node's monotonic clock, in milliseconds. */
   receivedAt: number;
 }
 
-/** The latest status of each peer. */
+/** Stores the latest status of each peer. */
 export class PeerStatuses {
   private readonly latest = new Map<string, ReceivedStatus>();
 
-  /** `now`: the steady clock in milliseconds. */
+  /** @param now - Returns the time of the monotonic clock in milliseconds. */
   constructor(private readonly now: () => number) {}
 
-  /** Keeps a status that has just arrived. */
+  /** Stores a status that has just arrived. */
   record(status: PeerStatus): void {
     this.latest.set(status.host, { status, receivedAt: this.now() });
   }
 
-  /** The statuses that have arrived within `maxAgeMs`. */
+  /** Returns the statuses that arrived less than `maxAgeMs` ago. */
   recent(maxAgeMs: number): PeerStatus[] {
     const now = this.now();
     const received = [...this.latest.values()];
@@ -28,7 +28,10 @@
       .map(({ status }) => status);
   }
 
-  /** The peer that the state store served last, if within `maxAgeMs`. */
+  /**
+   * Returns the host of the peer that the state store served most recently, or null if it served no peer
+   * within the last `maxAgeMs`.
+   */
   hostServedByStateStore(maxAgeMs: number): string | null {
     let bestHost: string | null = null;
     let bestAgeMs = maxAgeMs;
@@ -41,7 +44,7 @@
     return bestHost;
   }
 
-  /** Time since the state store served the peer, as far as its status tells. */
+  /** Returns the time since the state store last served the peer, according to the peer's latest status. */
   private stateStoreAgeMs({ status, receivedAt }: ReceivedStatus): number {
     if (status.stateOkAgeMs < 0) return Infinity;
     return status.stateOkAgeMs + (this.now() - receivedAt);
--- a/src/controller/peers/peers.test.ts
+++ b/src/controller/peers/peers.test.ts
@@ -10,7 +10,7 @@
 
 const ignore = (): void => undefined;
 
-/** The exchange of one process with a single peer on `kiln-2`. */
+/** Creates the `Peers` of a controller whose only peer is on `kiln-2`. */
 function createPeers(runtime: Runtime): Peers {
   const options = { hosts: ['kiln-2'], statusIntervalMs: 1000, announcementDelayMs: 100 };
   return new Peers(new EventLoop(runtime, new FakeClock(0).log), options, () => exampleStatus, {
@@ -23,8 +23,9 @@
 }
 
 describe('Peers', () => {
-  // A process back in a fraction of a second numbered its requests from 1 again, as the one before.
-  it('numbers forwarded requests differently from the previous process on its host', () => {
+  // Guards against wrong replies: a process that was restarted within a fraction of a second used the same
+  // ids, from 1, as the process before it, to whose requests replies could still arrive.
+  it('assigns request ids that the previous process on its host has not used', () => {
     const ids: number[] = [];
     for (const seed of [1, 2]) {
       const peers = createPeers({
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -1,4 +1,4 @@
-/** The exchange of messages between the controllers of a deployment. */
+/** Exchange of messages between the controllers of a deployment. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { TerminalState } from '../wire/jobs.js';
@@ -8,22 +8,22 @@
 import { PeerStatuses } from './peer-statuses.js';
 import { RequestForwarder, type ReplyHandler } from './request-forwarder.js';
 
-/** Statuses in a heartbeat interval. */
+/** Number of statuses that a controller sends in one heartbeat interval. */
 const STATUSES_PER_HEARTBEAT = 3;
-/** Delays of an announcement in a heartbeat interval. */
+/** The delay of an announcement is a heartbeat interval divided by this. */
 const ANNOUNCEMENTS_PER_HEARTBEAT = 15;
 
-/** What is done with the messages of the other controllers. */
+/** Handlers of the messages of the other controllers. */
 export interface PeerEvents {
   /** A peer has accepted a job. */
   jobAccepted(id: string): void;
   /** A peer has sent its status. */
   statusReceived(status: PeerStatus): void;
-  /** A peer knows how a job ended. */
+  /** A peer has announced the terminal state of a job. */
   jobEnded(id: string, state: TerminalState): void;
-  /** The leader has sent new counts of a job. */
+  /** The leader has sent the new progress of a job. */
   jobProgressed(progress: JobProgress): void;
-  /** A peer has forwarded a request, which is answered here and not forwarded again. */
+  /** A peer has forwarded a request, which must be answered on this node and not be forwarded again. */
   requestForwarded(
     method: string,
     path: string,
@@ -32,17 +32,17 @@
   ): void;
 }
 
-/** Who the other controllers are, and how often they are told something. */
+/** The other controllers, and the intervals at which messages are sent to them. */
 export interface PeersOptions {
   /** Hosts of the other controllers. */
   hosts: readonly string[];
-  /** Time between two messages with this controller's status. */
+  /** Interval between two messages with this controller's status. */
   statusIntervalMs: number;
-  /** How long an announcement waits for others to share its message. */
+  /** How long an announcement is delayed so that later ones share its message. */
   announcementDelayMs: number;
 }
 
-/** The options that follow from the settings. */
+/** Derives the options from the settings. */
 export function peersOptions({ platform, heartbeatIntervalMs }: Settings): PeersOptions {
   return {
     hosts: platform.peers.map((peer) => peer.host),
@@ -52,17 +52,17 @@
 }
 
 /**
- * Publishes this controller's status and announcements to the others, and dispatches what they send.
- * No invariant depends on a message: each may be lost.
+ * Sends this controller's status and announcements to the other controllers, and passes their messages to
+ * the handlers. Messages may be lost: no invariant depends on their delivery.
  */
 export class Peers {
-  /** Messages that could not be read, since the process began. */
+  /** Number of messages and connections that were dropped as unreadable since the process started. */
   unreadableMessages = 0;
   private readonly statuses: PeerStatuses;
   private readonly publisher: PeerPublisher;
   private readonly forwarder: RequestForwarder;
 
-  /** `ownStatus`: what this controller says of itself, asked anew for each message. */
+  /** @param ownStatus - Returns the current status of this controller; called for each message that needs it. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly options: PeersOptions,
@@ -77,7 +77,7 @@
     );
   }
 
-  /** Begins to publish this controller's status at intervals. */
+  /** Starts to send this controller's status to the others at regular intervals. */
   start(): void {
     this.eventLoop.every(this.options.statusIntervalMs, 'peer-status', () =>
       this.publisher.publish([], this.ownStatus()),
@@ -86,22 +86,22 @@
 
   // ---- sending
 
-  /** Announces a job's end to the others, in one message with what follows within a moment. */
+  /** Announces the terminal state of a job to the others within `announcementDelayMs`. */
   announceJobEnd(id: string, state: TerminalState): void {
     this.publisher.announceJobEnd(id, state);
   }
 
-  /** Announces to the others that this controller has accepted a job. */
+  /** Announces to the others within `announcementDelayMs` that this controller has accepted a job. */
   announceJobAccepted(id: string): void {
     this.publisher.announceJobAccepted(id);
   }
 
-  /** Sends the others the counts of jobs, with all pending announcements. */
+  /** Sends the progress of jobs and all pending announcements to the others. */
   publishProgress(progress: readonly JobProgress[]): void {
     this.publisher.publish(progress, null);
   }
 
-  /** Has a peer answer a request; `done` gets `null` if no reply has come within the time-out. */
+  /** Forwards a request to the peer on `host`. `done` gets null if no reply arrives within `timeoutMs`. */
   forward(
     host: string,
     method: string,
@@ -116,7 +116,7 @@
 
   // ---- receiving
 
-  /** Takes a message of another controller; one that can't be read is dropped, logged and counted. */
+  /** Handles a message of another controller. Drops, logs and counts it if it can't be decoded. */
   receive(bytes: Buffer): void {
     let message: PeerMessage;
     try {
@@ -128,7 +128,7 @@
     this.dispatch(message);
   }
 
-  /** Logs and counts what came from another controller and can't be read. */
+  /** Logs and counts a message or a connection of another controller that was dropped as unreadable. */
   dropUnreadable(err: unknown): void {
     this.unreadableMessages++;
     this.eventLoop.log.warn({ err }, 'unreadable peer message dropped');
@@ -153,19 +153,22 @@
     });
   }
 
-  // ---- what the peers say of themselves
+  // ---- statuses of the peers
 
-  /** The peer that the state store served last, if within `maxAgeMs`. */
+  /**
+   * Returns the host of the peer that the state store served most recently, or null if it served no peer
+   * within the last `maxAgeMs`.
+   */
   hostServedByStateStore(maxAgeMs: number): string | null {
     return this.statuses.hostServedByStateStore(maxAgeMs);
   }
 
-  /** The state store has served some peer within `maxAgeMs`. */
+  /** Returns whether the state store has served a peer within the last `maxAgeMs`. */
   stateServedElsewhere(maxAgeMs: number): boolean {
     return this.hostServedByStateStore(maxAgeMs) !== null;
   }
 
-  /** The statuses that have arrived within `maxAgeMs`. */
+  /** Returns the statuses that arrived less than `maxAgeMs` ago. */
   recentStatuses(maxAgeMs: number): PeerStatus[] {
     return this.statuses.recent(maxAgeMs);
   }
--- a/src/controller/peers/request-forwarder.ts
+++ b/src/controller/peers/request-forwarder.ts
@@ -1,28 +1,29 @@
-/** Requests that a peer answers in this controller's place. */
+/** Forwarding of requests to a peer that answers them instead of this controller. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { ForwardedReply, ForwardedRequest } from './message.js';
 
-/** The id before the first forwarded request's is drawn from 0 up to here. */
+/** Request ids start above a random number between 0 and this. */
 const MAX_INITIAL_ID = 2 ** 48;
 
-/** Takes the peer's reply; `null`: none came in time. */
+/** Handles the peer's reply, or null if no reply arrived within the time-out. */
 export type ReplyHandler = (reply: ForwardedReply | null) => void;
 
-/** Numbers forwarded requests and gives each its reply or its time-out. */
+/** Assigns ids to forwarded requests and passes the matching reply, or the time-out, to each handler. */
 export class RequestForwarder {
   private readonly pendingReplies = new Map<number, ReplyHandler>();
   private lastId: number;
 
-  /** `send`: sends a request to the peer on a host. */
+  /** @param send - Sends a request to the peer on `host`. */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly send: (host: string, request: ForwardedRequest) => void,
   ) {
-    // The previous process on this host numbered requests too, and replies to it may still arrive.
+    // Ids start at a random number, since replies to requests of the previous process on this host may still
+    // arrive and must not match a request of this process.
     this.lastId = Math.floor(eventLoop.runtime.random() * MAX_INITIAL_ID);
   }
 
-  /** Has the peer on `host` answer a request; `done` is called once. */
+  /** Forwards a request to the peer on `host`. `done` is called once, with null after `timeoutMs`. */
   forward(
     host: string,
     request: Omit<ForwardedRequest, 'id'>,
@@ -40,7 +41,7 @@
     this.send(host, { ...request, id });
   }
 
-  /** Takes a reply; one to a request that is no longer pending is ignored. */
+  /** Handles a reply that has arrived. Ignores it if no request with its id is pending. */
   handleReply(reply: ForwardedReply): void {
     this.pendingReplies.get(reply.id)?.(reply);
   }
