--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -16,7 +16,7 @@
 const UNAVAILABLE_STATUS = 503;
 
 /**
- * Delay after which a request without a response is forwarded to a peer: a heartbeat interval divided by
+ * Delay after which a request without a response may be forwarded to a peer: a heartbeat interval divided by
  * this. The same delay is the shortest stall of a call to the state store that justifies forwarding.
  */
 const HEDGE_DELAY_DIVISOR = 25;
--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -261,7 +261,10 @@
     const contentLength = message.headers.get('content-length');
     if (transferCoding !== undefined) {
       if (transferCoding !== 'chunked')
-        throw new HttpError(501, `unsupported transfer coding "${transferCoding}": not "chunked"`);
+        throw new HttpError(
+          501,
+          `unsupported transfer coding "${transferCoding}": expected "chunked"`,
+        );
       if (contentLength !== undefined)
         throw new HttpError(400, `Content-Length ${contentLength} in a message with chunked body`);
       this.stage = 'chunk-size';
