--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -5,14 +5,15 @@
 import { HttpParser, type HttpMessage } from './parser.js';
 import type { SocketBudget } from './socket-budget.js';
 
-/** Limits of the client. */
+/** Limits of an HTTP client. */
 export interface ClientOptions {
-  /** Budget that all owners of sockets share. */
+  /** Budget of open sockets that all clients and servers of the process share. */
   sockets: SocketBudget;
-  /** Largest number of connections to one address. */
+  /** Largest number of open connections to one address. */
   maxConnectionsPerHost: number;
-  /** An idle connection is closed after this time. */
+  /** Time after which an idle connection is closed. */
   idleTimeoutMs: number;
+  /** Largest response body that is accepted. */
   maxBodyBytes: number;
 }
 
@@ -21,73 +22,77 @@
   bytes: Buffer;
   done: (response: HttpMessage | null) => void;
   timer: NodeJS.Timeout;
-  /** The connection that it was sent on, `null` while it waits. */
+  /** The connection on which the request was sent, or null while it waits for one. */
   connection: Connection | null;
   /** Whether `done` has been called. */
   settled: boolean;
 }
 
-/** An open connection; it carries one request at a time. */
+/** A connection, which carries one request at a time. */
 interface Connection {
   socket: net.Socket;
   parser: HttpParser;
-  current: PendingRequest | null;
+  currentRequest: PendingRequest | null;
 }
 
-/** Connections to one address, and the requests that wait for one. */
-interface Host {
+/** The connections to one address, and the requests that wait for a connection to it. */
+interface HostConnections {
   connections: Set<Connection>;
   idle: Connection[];
   waiting: PendingRequest[];
 }
 
-/** HTTP/1.1 client on `net` with persistent connections. */
+/** HTTP/1.1 client with persistent connections. */
 export class HttpClient {
-  private readonly hosts = new Map<string, Host>();
-  /** Idle connections to all hosts, the longest idle first. */
-  private readonly idle = new Set<Connection>();
+  /** Connections by address. */
+  private readonly hosts = new Map<string, HostConnections>();
+  /** Idle connections to all addresses, the longest idle first. */
+  private readonly idleConnections = new Set<Connection>();
 
   constructor(private readonly options: ClientOptions) {
     options.sockets.onExhausted(() => this.closeLongestIdle());
   }
 
   private closeLongestIdle(): boolean {
-    for (const connection of this.idle) {
-      this.idle.delete(connection);
+    for (const connection of this.idleConnections) {
+      this.idleConnections.delete(connection);
       connection.socket.destroy();
       return true;
     }
     return false;
   }
 
-  /** Whether a request would find an idle connection. */
-  hasIdleConnection(to: string): boolean {
-    return (this.hosts.get(to)?.idle.length ?? 0) > 0;
+  /** Whether a connection to the address is idle, so that a request needs no new one. */
+  hasIdleConnection(address: string): boolean {
+    return (this.hosts.get(address)?.idle.length ?? 0) > 0;
   }
 
-  /** Sends a request once a connection is free. `done` gets `null` if there is no valid response in time. */
+  /**
+   * Sends a request as soon as a connection is available. `done` is called once, with null if no valid
+   * response has arrived within `timeoutMs`.
+   */
   request(
-    to: string,
+    address: string,
     method: string,
     path: string,
     body: Buffer | null,
     timeoutMs: number,
     done: (response: HttpMessage | null) => void,
   ): void {
-    let host = this.hosts.get(to);
+    let host = this.hosts.get(address);
     if (host === undefined) {
       host = { connections: new Set(), idle: [], waiting: [] };
-      this.hosts.set(to, host);
+      this.hosts.set(address, host);
     }
     const pending: PendingRequest = {
-      bytes: formatRequest(method, to, path, body),
+      bytes: formatRequest(method, address, path, body),
       done,
       connection: null,
       settled: false,
       timer: setTimeout(() => this.settle(pending, null, true), timeoutMs),
     };
     host.waiting.push(pending);
-    this.advance(to, host);
+    this.sendWaiting(address, host);
   }
 
   private settle(
@@ -102,37 +107,37 @@
     pending.done(response);
   }
 
-  /** Sends the waiting requests for which there is a connection. */
-  private advance(to: string, host: Host): void {
+  /** Sends waiting requests, in order of arrival, until no connection is available. */
+  private sendWaiting(address: string, host: HostConnections): void {
     while (host.waiting.length > 0) {
       const first = host.waiting[0];
       if (first === undefined || first.settled) {
         host.waiting.shift();
         continue;
       }
-      const connection = this.takeIdle(host) ?? this.open(to, host);
+      const connection = this.takeIdle(host) ?? this.open(address, host);
       if (connection === null) return;
       host.waiting.shift();
-      this.idle.delete(connection);
-      connection.current = first;
+      this.idleConnections.delete(connection);
+      connection.currentRequest = first;
       first.connection = connection;
       connection.socket.setTimeout(0);
       connection.socket.write(first.bytes);
     }
-    if (host.connections.size === 0) this.hosts.delete(to);
+    if (host.connections.size === 0) this.hosts.delete(address);
   }
 
-  private takeIdle(host: Host): Connection | undefined {
+  private takeIdle(host: HostConnections): Connection | undefined {
     for (;;) {
       const connection = host.idle.pop();
       if (connection?.socket.destroyed !== true) return connection;
     }
   }
 
-  private open(to: string, host: Host): Connection | null {
+  private open(address: string, host: HostConnections): Connection | null {
     if (host.connections.size >= this.options.maxConnectionsPerHost) return null;
     const socket = net.connect({
-      ...splitAddress(to),
+      ...splitAddress(address),
       noDelay: true,
     });
     const connection: Connection = {
@@ -141,27 +146,32 @@
         headBytes: 16 * 1024,
         bodyBytes: this.options.maxBodyBytes,
       }),
-      current: null,
+      currentRequest: null,
     };
     host.connections.add(connection);
     this.options.sockets.opened();
-    socket.on('data', (bytes) => this.receive(to, host, connection, bytes));
+    socket.on('data', (bytes) => this.receive(address, host, connection, bytes));
     socket.on('error', () => socket.destroy());
     socket.on('timeout', () => socket.destroy());
     socket.on('close', () => {
       this.options.sockets.closed();
-      this.idle.delete(connection);
+      this.idleConnections.delete(connection);
       host.connections.delete(connection);
       host.idle = host.idle.filter((other) => other !== connection);
-      const pending = connection.current;
-      connection.current = null;
+      const pending = connection.currentRequest;
+      connection.currentRequest = null;
       if (pending !== null) this.settle(pending, null, false);
-      this.advance(to, host);
+      this.sendWaiting(address, host);
     });
     return connection;
   }
 
-  private receive(to: string, host: Host, connection: Connection, bytes: Buffer): void {
+  private receive(
+    address: string,
+    host: HostConnections,
+    connection: Connection,
+    bytes: Buffer,
+  ): void {
     let response: HttpMessage | null;
     try {
       connection.parser.push(bytes);
@@ -171,17 +181,17 @@
       return;
     }
     if (response === null) return;
-    const pending = connection.current;
-    connection.current = null;
-    // An unsolicited response would be taken for that of the next request.
+    const pending = connection.currentRequest;
+    connection.currentRequest = null;
+    // Bytes that no request has asked for would be read as the response to the next request.
     if (pending === null || !connection.parser.idle || !response.keepAlive)
       connection.socket.destroy();
     else {
       host.idle.push(connection);
-      this.idle.add(connection);
+      this.idleConnections.add(connection);
       connection.socket.setTimeout(this.options.idleTimeoutMs);
     }
     if (pending !== null) this.settle(pending, response, false);
-    this.advance(to, host);
+    this.sendWaiting(address, host);
   }
 }
--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -6,8 +6,8 @@
 
 const limits = { headBytes: 1024, bodyBytes: 4096 };
 
-/** Status with which the text is rejected, `null` if it is accepted. */
-function statusOf(text: string): number | null {
+/** Returns the status with which the parser rejects the text, or null if it accepts the text. */
+function rejectionStatus(text: string): number | null {
   const parser = new HttpParser('request', limits);
   try {
     parser.push(Buffer.from(text, 'latin1'));
@@ -20,7 +20,7 @@
 }
 
 describe('HttpParser', () => {
-  it('reads messages however their bytes are split', () => {
+  it('parses messages whose bytes are split at arbitrary positions', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(fc.constantFrom('/a', '/b?x=1'), fc.uint8Array({ maxLength: 300 })), {
@@ -28,21 +28,21 @@
           maxLength: 4,
         }),
         fc.array(fc.nat(50), { minLength: 1 }),
-        (messages, cuts) => {
+        (messages, pieceSizes) => {
           const all = Buffer.concat(
             messages.map(([path, body]) => formatRequest('POST', 'h', path, Buffer.from(body))),
           );
           const parser = new HttpParser('request', limits);
-          const got: [string, Uint8Array][] = [];
-          let at = 0;
-          for (let i = 0; at < all.length; i++) {
-            const size = 1 + (cuts[i % cuts.length] ?? 0);
-            parser.push(all.subarray(at, at + size));
-            at += size;
+          const parsed: [string, Uint8Array][] = [];
+          let offset = 0;
+          for (let i = 0; offset < all.length; i++) {
+            const size = 1 + (pieceSizes[i % pieceSizes.length] ?? 0);
+            parser.push(all.subarray(offset, offset + size));
+            offset += size;
             for (let m = parser.next(); m !== null; m = parser.next())
-              got.push([m.path, new Uint8Array(m.body)]);
+              parsed.push([m.path, new Uint8Array(m.body)]);
           }
-          assert.deepEqual(got, messages);
+          assert.deepEqual(parsed, messages);
           assert.ok(parser.idle);
         },
       ),
@@ -50,7 +50,7 @@
     );
   });
 
-  it('throws nothing but HttpError on arbitrary bytes', () => {
+  it('throws only HttpError on arbitrary bytes', () => {
     const pieces = fc.oneof(
       fc.uint8Array({ maxLength: 40 }).map((b) => Buffer.from(b)),
       fc
@@ -81,7 +81,7 @@
     );
   });
 
-  it('reads chunked bodies with extensions and trailers', () => {
+  it('parses a chunked body with extensions and a trailer', () => {
     const parser = new HttpParser('request', limits);
     parser.push(
       Buffer.from(
@@ -92,20 +92,29 @@
   });
 
   const rejected: [string, string, number][] = [
-    ['a bad request line', 'nonsense\r\n\r\n', 400],
-    ['an unknown version', 'GET /x HTTP/2.0\r\n\r\n', 400],
-    ['a bad header', 'GET /x HTTP/1.1\r\nbad header\r\n\r\n', 400],
-    ['a too large body', 'POST /x HTTP/1.1\r\nContent-Length: 5000\r\n\r\n', 413],
-    ['a negative length', 'POST /x HTTP/1.1\r\nContent-Length: -1\r\n\r\n', 400],
-    ['two lengths', 'POST /x HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n', 400],
+    ['a malformed request line', 'nonsense\r\n\r\n', 400],
+    ['an unsupported HTTP version', 'GET /x HTTP/2.0\r\n\r\n', 400],
+    ['a malformed header', 'GET /x HTTP/1.1\r\nbad header\r\n\r\n', 400],
+    ['a body above the limit', 'POST /x HTTP/1.1\r\nContent-Length: 5000\r\n\r\n', 413],
+    ['a negative Content-Length', 'POST /x HTTP/1.1\r\nContent-Length: -1\r\n\r\n', 400],
     [
-      'a length of a chunked body',
+      'two different Content-Length headers',
+      'POST /x HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n',
+      400,
+    ],
+    [
+      'a chunked body with a Content-Length',
       'POST /x HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n',
       400,
     ],
-    ['a too large head', `GET /x HTTP/1.1\r\nA: ${'x'.repeat(2000)}\r\n\r\n`, 431],
-    ['a too large chunk', 'POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n', 413],
+    ['a head above the limit', `GET /x HTTP/1.1\r\nA: ${'x'.repeat(2000)}\r\n\r\n`, 431],
+    [
+      'a chunk above the limit',
+      'POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n',
+      413,
+    ],
   ];
-  for (const [what, text, status] of rejected)
-    it(`rejects ${what} with status ${status}`, () => assert.equal(statusOf(text), status));
+  for (const [description, text, status] of rejected)
+    it(`rejects ${description} with status ${status}`, () =>
+      assert.equal(rejectionStatus(text), status));
 });
--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -1,36 +1,38 @@
 /**
- * Incremental HTTP/1.1 parser for requests and responses. It takes bytes as they arrive, however they are
- * split, and returns complete messages.
+ * Incremental HTTP/1.1 parser for requests and responses. It takes the bytes of a connection, split at any
+ * position, and returns complete messages.
  */
 
-/** A request or a response. */
+/** A parsed request or response. */
 export interface HttpMessage {
-  /** '' in a response. */
+  /** Empty in a response. */
   method: string;
-  /** Path and query; '' in a response. */
+  /** Path and query; empty in a response. */
   path: string;
   /** 0 in a request. */
   status: number;
-  /** By name in lower case. */
+  /** Values by header name in lower case. */
   headers: Map<string, string>;
   body: Buffer;
-  /** Whether the connection may carry another message. */
+  /** Whether the connection stays open for another message. */
   keepAlive: boolean;
 }
 
-/** Largest head and body that are accepted. */
+/** Limits on the size of a message. */
 export interface MessageLimits {
+  /** Longest head (start line and headers) that is accepted; also the longest trailer line. */
   headBytes: number;
+  /** Longest body that is accepted; of a chunked body, the sum of its chunks. */
   bodyBytes: number;
 }
 
-/** A message that is malformed or too large. `status` is that of the response that says so. */
+/** A message is malformed or too large. `status` is the status of the response to such a request. */
 export class HttpError extends Error {
   constructor(
     readonly status: number,
-    text: string,
+    message: string,
   ) {
-    super(text);
+    super(message);
   }
 }
 
@@ -41,41 +43,44 @@
 
 const CR = 13;
 const LF = 10;
-/** Longest line with a chunk's size and extensions. */
+/** Longest line, in bytes, that holds a chunk's size and extensions. */
 const CHUNK_SIZE_LINE_BYTES = 128;
+/** Limit, in bytes, on the line after a chunk's data, which has to be empty. */
 const CHUNK_END_LINE_BYTES = 2;
 
-/** The part of a message that is read next. */
+/** The part of a message that is parsed next; `sized` is a body with a Content-Length. */
 type Stage = 'head' | 'sized' | 'chunk-size' | 'chunk' | 'chunk-end' | 'trailer';
 
-/** Outcome of reading one stage: a complete message, the next stage, or a lack of bytes. */
+/** Result of parsing one stage: a complete message, progress to another stage or line, or too few bytes. */
 type StageResult = HttpMessage | 'advanced' | 'incomplete';
 
 function addHeader(headers: Map<string, string>, line: string): void {
   const colon = line.indexOf(':');
   const name = line.slice(0, Math.max(colon, 0));
-  if (!TOKEN.test(name)) throw new HttpError(400, 'bad header');
+  if (!TOKEN.test(name))
+    throw new HttpError(400, `malformed header line "${line}": expected "name: value"`);
   const key = name.toLowerCase();
   const value = line.slice(colon + 1).trim();
-  const before = headers.get(key);
-  if (before === undefined || key === 'content-length') {
-    if (before !== undefined && before !== value) throw new HttpError(400, 'two lengths');
+  const previousValue = headers.get(key);
+  if (previousValue === undefined || key === 'content-length') {
+    if (previousValue !== undefined && previousValue !== value)
+      throw new HttpError(400, `conflicting Content-Length headers: ${previousValue} and ${value}`);
     headers.set(key, value);
-  } else headers.set(key, `${before}, ${value}`);
+  } else headers.set(key, `${previousValue}, ${value}`);
 }
 
-/** Parses the messages of one connection in one direction. */
+/** Parses the messages that arrive on one connection. */
 export class HttpParser {
-  /** Bytes that have arrived and are not used yet. */
-  private data: Buffer = EMPTY;
+  /** Bytes that have arrived and are not parsed yet. */
+  private buffered: Buffer = EMPTY;
   private stage: Stage = 'head';
   private message: HttpMessage | null = null;
-  /** Length of the body or of the chunk that is being read. */
+  /** Length of the body or of the chunk that is parsed next. */
   private bytesNeeded = 0;
   private chunks: Buffer[] = [];
-  /** Length of all chunks so far. */
+  /** Sum of the announced lengths of the current message's chunks so far. */
   private chunkedBytes = 0;
-  /** Bytes of `data` that were searched for a line's end in vain. */
+  /** Bytes at the start of `buffered` that are known not to contain the line end that is searched for. */
   private scannedBytes = 0;
 
   constructor(
@@ -83,17 +88,20 @@
     private readonly limits: MessageLimits,
   ) {}
 
-  /** Whether nothing of the next message has arrived. */
+  /** Whether no byte of the next message has arrived. */
   get idle(): boolean {
-    return this.stage === 'head' && this.data.length === 0;
+    return this.stage === 'head' && this.buffered.length === 0;
   }
 
-  /** Takes bytes that have arrived. */
+  /** Adds bytes that have arrived. */
   push(bytes: Buffer): void {
-    this.data = this.data.length === 0 ? bytes : Buffer.concat([this.data, bytes]);
+    this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
   }
 
-  /** The next complete message, `null` while more bytes are needed. Throws an `HttpError`. */
+  /**
+   * Returns the next complete message, or null if more bytes are needed. Throws an `HttpError` if the
+   * message is malformed or too large.
+   */
   next(): HttpMessage | null {
     for (;;) {
       const result = this.readStage();
@@ -107,8 +115,8 @@
       case 'head':
         return this.readHead();
       case 'sized':
-        if (this.data.length < this.bytesNeeded) return 'incomplete';
-        return this.finish(this.cut(this.bytesNeeded));
+        if (this.buffered.length < this.bytesNeeded) return 'incomplete';
+        return this.finish(this.takeBytes(this.bytesNeeded));
       case 'chunk-size':
         return this.readChunkSize();
       case 'chunk':
@@ -121,61 +129,71 @@
   }
 
   private readChunkSize(): StageResult {
-    const line = this.line(CHUNK_SIZE_LINE_BYTES);
+    const line = this.readLine(CHUNK_SIZE_LINE_BYTES);
     if (line === null) return 'incomplete';
     const size = line.split(';', 1)[0]?.trim() ?? '';
-    if (!HEX.test(size)) throw new HttpError(400, 'bad chunk size');
+    if (!HEX.test(size))
+      throw new HttpError(400, `malformed chunk size "${size}": expected 1 to 8 hex digits`);
     this.bytesNeeded = parseInt(size, 16);
     this.chunkedBytes += this.bytesNeeded;
-    if (this.chunkedBytes > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    if (this.chunkedBytes > this.limits.bodyBytes)
+      throw new HttpError(
+        413,
+        `chunked body too large: at least ${this.chunkedBytes} bytes, limit ${this.limits.bodyBytes}`,
+      );
     this.stage = this.bytesNeeded === 0 ? 'trailer' : 'chunk';
     return 'advanced';
   }
 
   private readChunk(): StageResult {
-    if (this.data.length < this.bytesNeeded) return 'incomplete';
-    this.chunks.push(this.cut(this.bytesNeeded));
+    if (this.buffered.length < this.bytesNeeded) return 'incomplete';
+    this.chunks.push(this.takeBytes(this.bytesNeeded));
     this.stage = 'chunk-end';
     return 'advanced';
   }
 
   private readChunkEnd(): StageResult {
-    const line = this.line(CHUNK_END_LINE_BYTES);
+    const line = this.readLine(CHUNK_END_LINE_BYTES);
     if (line === null) return 'incomplete';
-    if (line !== '') throw new HttpError(400, 'bad chunk end');
+    if (line !== '')
+      throw new HttpError(400, `malformed chunk end "${line}": expected an empty line`);
     this.stage = 'chunk-size';
     return 'advanced';
   }
 
   private readTrailer(): StageResult {
-    const line = this.line(this.limits.headBytes);
+    const line = this.readLine(this.limits.headBytes);
     if (line === null) return 'incomplete';
     return line === '' ? this.finish(Buffer.concat(this.chunks)) : 'advanced';
   }
 
-  /** Removes the first bytes from `data`. */
-  private cut(size: number): Buffer {
-    const part = this.data.subarray(0, size);
-    this.data = this.data.length === size ? EMPTY : this.data.subarray(size);
+  /** Removes the first bytes from `buffered` and returns them. */
+  private takeBytes(size: number): Buffer {
+    const part = this.buffered.subarray(0, size);
+    this.buffered = this.buffered.length === size ? EMPTY : this.buffered.subarray(size);
     this.scannedBytes = 0;
     return part;
   }
 
-  /** The next line without its end, `null` while it is incomplete. */
-  private line(limit: number): string | null {
-    const end = this.data.indexOf('\r\n', Math.max(0, this.scannedBytes - 1));
+  /** Returns the next line without its line end, or null if its end has not arrived. */
+  private readLine(maxBytes: number): string | null {
+    const end = this.buffered.indexOf('\r\n', Math.max(0, this.scannedBytes - 1));
     if (end < 0) {
-      this.scannedBytes = this.data.length;
-      if (this.data.length > limit + 2) throw new HttpError(400, 'line too long');
+      this.scannedBytes = this.buffered.length;
+      if (this.buffered.length > maxBytes + 2)
+        throw new HttpError(
+          400,
+          `line too long: no line end in ${this.buffered.length} bytes, limit ${maxBytes}`,
+        );
       return null;
     }
-    if (end > limit) throw new HttpError(400, 'line too long');
-    return this.cut(end + 2).toString('latin1', 0, end);
+    if (end > maxBytes) throw new HttpError(400, `line too long: ${end} bytes, limit ${maxBytes}`);
+    return this.takeBytes(end + 2).toString('latin1', 0, end);
   }
 
   private finish(body: Buffer): HttpMessage {
     const message = this.message;
-    if (message === null) throw new HttpError(400, 'no head');
+    if (message === null) throw new HttpError(400, 'message body was read before its head');
     message.body = body;
     this.message = null;
     this.chunks = [];
@@ -185,35 +203,42 @@
   }
 
   private readHead(): StageResult {
-    const lines = this.headLines();
+    const lines = this.readHeadLines();
     if (lines === null) return 'incomplete';
-    const message = this.startLine(lines[0] ?? '');
+    const message = this.parseStartLine(lines[0] ?? '');
     for (let i = 1; i < lines.length; i++) addHeader(message.headers, lines[i] ?? '');
     this.message = message;
-    this.frame(message);
+    this.determineBodyFraming(message);
     return 'advanced';
   }
 
-  private headLines(): string[] | null {
-    // Empty lines before a start line are allowed (RFC 9112, 2.2).
-    while (this.data.length >= 2 && this.data[0] === CR && this.data[1] === LF) this.cut(2);
-    const end = this.data.indexOf('\r\n\r\n', Math.max(0, this.scannedBytes - 3));
+  private readHeadLines(): string[] | null {
+    // Empty lines before a start line are ignored (RFC 9112, section 2.2).
+    while (this.buffered.length >= 2 && this.buffered[0] === CR && this.buffered[1] === LF)
+      this.takeBytes(2);
+    const end = this.buffered.indexOf('\r\n\r\n', Math.max(0, this.scannedBytes - 3));
     if (end < 0) {
-      this.scannedBytes = this.data.length;
-      if (this.data.length > this.limits.headBytes) throw new HttpError(431, 'head too large');
+      this.scannedBytes = this.buffered.length;
+      if (this.buffered.length > this.limits.headBytes)
+        throw new HttpError(
+          431,
+          `head too large: no end in ${this.buffered.length} bytes, limit ${this.limits.headBytes}`,
+        );
       return null;
     }
-    if (end > this.limits.headBytes) throw new HttpError(431, 'head too large');
-    return this.cut(end + 4)
+    if (end > this.limits.headBytes)
+      throw new HttpError(431, `head too large: ${end} bytes, limit ${this.limits.headBytes}`);
+    return this.takeBytes(end + 4)
       .toString('latin1', 0, end)
       .split('\r\n');
   }
 
-  private startLine(line: string): HttpMessage {
+  private parseStartLine(line: string): HttpMessage {
     const base = { headers: new Map<string, string>(), body: EMPTY, keepAlive: true };
     if (this.kind === 'request') {
       const match = /^([A-Z]{1,16}) (\/[\x21-\x7e]*) HTTP\/1\.([01])$/.exec(line);
-      if (match === null) throw new HttpError(400, 'bad request line');
+      if (match === null)
+        throw new HttpError(400, `malformed request line "${line}": expected "GET /path HTTP/1.x"`);
       return {
         ...base,
         method: match[1] ?? '',
@@ -223,25 +248,39 @@
       };
     }
     const match = /^HTTP\/1\.([01]) (\d{3})(?: .*)?$/.exec(line);
-    if (match === null) throw new HttpError(400, 'bad status line');
+    if (match === null)
+      throw new HttpError(400, `malformed status line "${line}": expected "HTTP/1.x NNN"`);
     return { ...base, method: '', path: '', status: Number(match[2]), keepAlive: match[1] === '1' };
   }
 
-  /** Determines how the body of the message is delimited. */
-  private frame(message: HttpMessage): void {
-    const connection = message.headers.get('connection')?.toLowerCase() ?? '';
-    if (connection.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
-    const coding = message.headers.get('transfer-encoding')?.toLowerCase();
-    const length = message.headers.get('content-length');
-    if (coding !== undefined) {
-      if (coding !== 'chunked') throw new HttpError(501, 'unknown transfer coding');
-      if (length !== undefined) throw new HttpError(400, 'length and chunks');
+  /** Determines from the headers where the body ends and whether the connection stays open. */
+  private determineBodyFraming(message: HttpMessage): void {
+    const connectionHeader = message.headers.get('connection')?.toLowerCase() ?? '';
+    if (connectionHeader.split(/\s*,\s*/).includes('close')) message.keepAlive = false;
+    const transferCoding = message.headers.get('transfer-encoding')?.toLowerCase();
+    const contentLength = message.headers.get('content-length');
+    if (transferCoding !== undefined) {
+      if (transferCoding !== 'chunked')
+        throw new HttpError(
+          501,
+          `unsupported transfer coding "${transferCoding}": expected "chunked"`,
+        );
+      if (contentLength !== undefined)
+        throw new HttpError(400, `Content-Length ${contentLength} in a message with chunked body`);
       this.stage = 'chunk-size';
       return;
     }
-    if (length !== undefined && !DECIMAL.test(length)) throw new HttpError(400, 'bad length');
-    this.bytesNeeded = length === undefined ? 0 : Number(length);
-    if (this.bytesNeeded > this.limits.bodyBytes) throw new HttpError(413, 'body too large');
+    if (contentLength !== undefined && !DECIMAL.test(contentLength))
+      throw new HttpError(
+        400,
+        `malformed Content-Length "${contentLength}": expected 1 to 15 digits`,
+      );
+    this.bytesNeeded = contentLength === undefined ? 0 : Number(contentLength);
+    if (this.bytesNeeded > this.limits.bodyBytes)
+      throw new HttpError(
+        413,
+        `body too large: ${this.bytesNeeded} bytes, limit ${this.limits.bodyBytes}`,
+      );
     this.stage = 'sized';
   }
 }
--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -1,47 +1,49 @@
-/** One connection of the HTTP server: its requests, one at a time, and its deadlines. */
+/** One connection of the HTTP server: handles its requests one at a time and applies its time-outs. */
 import type net from 'node:net';
 import { formatResponse, type HttpResponse } from './formatting.js';
 import { HttpError, HttpParser, type HttpMessage, type MessageLimits } from './parser.js';
 
-/** Handles a request. `respond` may be called later; only its first call counts. */
+/** Handles a request. `respond` may be called after the handler has returned; only its first call counts. */
 export type RequestHandler = (
   request: HttpMessage,
   respond: (response: HttpResponse) => void,
 ) => void;
 
-/** What a connection needs of its server. */
+/** Limits and callbacks of a server's connection. */
 export interface ConnectionOptions {
   limits: MessageLimits;
-  /** A request has to arrive completely within this time after its first byte. */
+  /** Longest time from the arrival of a request's first byte to that of its last. */
   readTimeoutMs: number;
-  /** Idle timeout of the connection, by the path of its last request ('' before the first). */
+  /** Returns the idle time-out for the path of the connection's last request ('' before the first request). */
   idleTimeoutMs: (path: string) => number;
   handler: RequestHandler;
-  /** Called when a request begins (`false`) and after its response (`true`). */
+  /** Called with false when the handling of a request begins and with true after its response. */
   onIdleChange: (idle: boolean) => void;
+  /** Called when the connection has been closed. */
   onClose: () => void;
 }
 
 const EMPTY_BODY = Buffer.alloc(0);
 
-/** Reads requests from a socket and writes their responses. */
+/** Reads requests from a socket and writes the responses to them. */
 export class ServerConnection {
   private readonly parser: HttpParser;
   /** Whether a request is being handled. */
   private busy = false;
-  /** Whether no further request is taken. */
+  /** Whether the connection is closed or being closed, so that no further request is read. */
   private ended = false;
-  private idleMs: number;
-  /** Runs while a request has arrived in part. */
-  private deadline: NodeJS.Timeout | null = null;
+  /** The idle time-out that is set on the socket. */
+  private idleTimeoutMs: number;
+  /** Closes the connection after `readTimeoutMs`; null unless a request has arrived only in part. */
+  private readTimer: NodeJS.Timeout | null = null;
 
   constructor(
     private readonly socket: net.Socket,
     private readonly options: ConnectionOptions,
   ) {
     this.parser = new HttpParser('request', options.limits);
-    this.idleMs = options.idleTimeoutMs('');
-    socket.setTimeout(this.idleMs, () => socket.destroy());
+    this.idleTimeoutMs = options.idleTimeoutMs('');
+    socket.setTimeout(this.idleTimeoutMs, () => socket.destroy());
     socket.on('data', (bytes) => this.receive(bytes));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.onSocketClosed());
@@ -50,49 +52,49 @@
   private receive(bytes: Buffer): void {
     if (this.ended) return;
     this.parser.push(bytes);
-    // Without pipelining: a client that sends another request before the response has to wait.
+    // Requests are not pipelined: bytes that arrive before the response are buffered and reading pauses.
     if (this.busy) this.socket.pause();
-    else this.advance();
+    else this.handleNextRequest();
   }
 
   private onSocketClosed(): void {
     this.ended = true;
     this.options.onClose();
-    if (this.deadline !== null) clearTimeout(this.deadline);
+    if (this.readTimer !== null) clearTimeout(this.readTimer);
   }
 
-  /** Handles the next request if it has arrived completely. */
-  private advance(): void {
+  /** Handles the next request if all of it has arrived. */
+  private handleNextRequest(): void {
     if (this.busy || this.ended) return;
     let request: HttpMessage | null;
     try {
       request = this.parser.next();
     } catch (error) {
-      this.refuse(error);
+      this.rejectMalformed(error);
       return;
     }
-    this.setDeadline();
+    this.updateReadTimer();
     if (request !== null) this.handle(request);
   }
 
-  /** Starts or stops the deadline for the rest of a partial request. */
-  private setDeadline(): void {
+  /** Starts the read timer when a request has arrived in part, and stops it when the request is complete. */
+  private updateReadTimer(): void {
     const isPartial = !this.busy && !this.parser.idle;
-    if (isPartial && this.deadline === null)
-      this.deadline = setTimeout(() => this.socket.destroy(), this.options.readTimeoutMs);
-    if (!isPartial && this.deadline !== null) {
-      clearTimeout(this.deadline);
-      this.deadline = null;
+    if (isPartial && this.readTimer === null)
+      this.readTimer = setTimeout(() => this.socket.destroy(), this.options.readTimeoutMs);
+    if (!isPartial && this.readTimer !== null) {
+      clearTimeout(this.readTimer);
+      this.readTimer = null;
     }
   }
 
   private handle(request: HttpMessage): void {
     this.busy = true;
     this.options.onIdleChange(false);
-    this.setDeadline();
+    this.updateReadTimer();
     const idleMs = this.options.idleTimeoutMs(request.path);
-    if (idleMs !== this.idleMs) {
-      this.idleMs = idleMs;
+    if (idleMs !== this.idleTimeoutMs) {
+      this.idleTimeoutMs = idleMs;
       this.socket.setTimeout(idleMs);
     }
     let answered = false;
@@ -108,23 +110,23 @@
     if (this.ended || this.socket.destroyed) return;
     this.socket.write(formatResponse(response, !keepAlive));
     if (!keepAlive) {
-      this.finish();
+      this.closeAfterWrites();
       return;
     }
     this.options.onIdleChange(true);
     this.socket.resume();
-    this.advance();
+    this.handleNextRequest();
   }
 
   /** Responds to a malformed request and closes the connection. */
-  private refuse(error: unknown): void {
+  private rejectMalformed(error: unknown): void {
     const status = error instanceof HttpError ? error.status : 400;
     this.socket.write(formatResponse({ status, body: EMPTY_BODY }, true));
-    this.finish();
+    this.closeAfterWrites();
   }
 
-  /** Closes the connection after what has been written. */
-  private finish(): void {
+  /** Closes the connection once all written bytes are sent, or after `readTimeoutMs` without activity. */
+  private closeAfterWrites(): void {
     this.ended = true;
     this.socket.setTimeout(this.options.readTimeoutMs, () => this.socket.destroy());
     this.socket.end();
--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -32,44 +32,48 @@
   );
   after(() => server.close());
 
-  const raw = (text: string): Promise<string> =>
+  const sendRaw = (text: string): Promise<string> =>
     new Promise((resolve) => {
       const socket = net.connect({ host: '127.0.0.1', port });
-      let got = '';
-      socket.on('data', (b) => (got += b.toString('latin1')));
+      let received = '';
+      socket.on('data', (b) => (received += b.toString('latin1')));
       socket.on('error', () => undefined);
-      socket.on('close', () => resolve(got));
+      socket.on('close', () => resolve(received));
       socket.write(text);
     });
 
-  it('responds to malformed bytes with 400 and to a too large body with 413, and closes', async () => {
-    assert.match(await raw('\0\0\0\0\r\n\r\n'), /^HTTP\/1\.1 400 /);
-    assert.match(await raw('POST / HTTP/1.1\r\nContent-Length: 999\r\n\r\n'), /^HTTP\/1\.1 413 /);
+  it('responds with 400 to malformed bytes and with 413 to a body above the limit, and closes', async () => {
+    assert.match(await sendRaw('\0\0\0\0\r\n\r\n'), /^HTTP\/1\.1 400 /);
+    assert.match(
+      await sendRaw('POST / HTTP/1.1\r\nContent-Length: 999\r\n\r\n'),
+      /^HTTP\/1\.1 413 /,
+    );
   });
 
-  it('closes a connection whose request does not arrive completely in time', async () => {
-    assert.equal(await raw('POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab'), '');
+  it('closes a connection without a response if its request is incomplete at the time-out', async () => {
+    assert.equal(await sendRaw('POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab'), '');
   });
 
-  // With 885 workers at one node of 1200 sockets new connections were refused, those of workers too.
+  // Guards against refused connections: with 885 workers at one node and a limit of 1200 sockets, the node
+  // refused new connections, workers' connections included.
   it('closes the longest idle connections when the budget is exhausted, and serves new ones', async () => {
     const closed: number[] = [];
-    const open: net.Socket[] = [];
-    const answered = (i: number): Promise<void> =>
+    const openSockets: net.Socket[] = [];
+    const openAndRequest = (i: number): Promise<void> =>
       new Promise((resolve) => {
         const socket = net.connect({ host: '127.0.0.1', port });
         socket.on('error', () => undefined);
         socket.on('close', () => closed.push(i));
         socket.on('data', () => resolve());
         socket.write('POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nx');
-        open.push(socket);
+        openSockets.push(socket);
       });
-    for (let i = 0; i < 23; i++) await answered(i);
+    for (let i = 0; i < 23; i++) await openAndRequest(i);
     assert.deepEqual(closed, [0, 1, 2]);
-    for (const s of open) s.destroy();
+    for (const s of openSockets) s.destroy();
   });
 
-  it('reuses connections and reports a missing response as null', async () => {
+  it('reuses a connection, and returns null for a time-out or an unreachable address', async () => {
     const client = new HttpClient({
       ...{
         sockets: new SocketBudget(10),
@@ -91,9 +95,9 @@
     ]);
     assert.equal(await call('/silent', 'x', 50), null);
     assert.equal(await call('/', 'again', 1000), 'again');
-    const gone = await new Promise((resolve) => {
+    const unreachableResponse = await new Promise((resolve) => {
       client.request('127.0.0.1:9', 'GET', '/', null, 500, resolve);
     });
-    assert.equal(gone, null);
+    assert.equal(unreachableResponse, null);
   });
 });
--- a/src/controller/http/server.ts
+++ b/src/controller/http/server.ts
@@ -6,26 +6,26 @@
 
 export type { RequestHandler } from './server-connection.js';
 
-/** Address and limits of a server. */
+/** Address and limits of an HTTP server. */
 export interface ServerOptions {
   host: string;
   port: number;
   limits: MessageLimits;
-  /** Budget that all owners of sockets share. */
+  /** Budget of open sockets that all clients and servers of the process share. */
   sockets: SocketBudget;
-  /** Largest number of connections; further ones are closed on arrival. */
+  /** Largest number of open connections; further connections are closed when they are accepted. */
   maxSockets: number;
-  /** A request has to arrive completely within this time after its first byte. */
+  /** Longest time from the arrival of a request's first byte to that of its last. */
   readTimeoutMs: number;
-  /** Idle timeout of a connection, by the path of its last request ('' before the first). */
+  /** Returns the idle time-out for the path of a connection's last request ('' before the first request). */
   idleTimeoutMs: (path: string) => number;
 }
 
-/** Serves HTTP/1.1 on `net`: one request at a time per connection, without pipelining. */
+/** HTTP/1.1 server that handles one request at a time per connection, without pipelining. */
 export class HttpServer {
   private readonly server: net.Server;
-  /** Connections without a request in progress, the longest idle first. */
-  private readonly idle = new Set<net.Socket>();
+  /** Sockets on which no request is being handled, the longest idle first. */
+  private readonly idleSockets = new Set<net.Socket>();
 
   constructor(
     private readonly options: ServerOptions,
@@ -37,18 +37,18 @@
   }
 
   private closeLongestIdle(): boolean {
-    for (const socket of this.idle) {
-      this.idle.delete(socket);
+    for (const socket of this.idleSockets) {
+      this.idleSockets.delete(socket);
       socket.destroy();
       return true;
     }
     return false;
   }
 
-  /** Starts to listen. `failed` gets errors of the listening socket. */
-  listen(done: () => void, failed: (err: Error) => void): void {
-    this.server.on('error', failed);
-    this.server.listen(this.options.port, this.options.host, done);
+  /** Starts to listen; `onError` is called with each error of the listening socket. */
+  listen(onListening: () => void, onError: (err: Error) => void): void {
+    this.server.on('error', onError);
+    this.server.listen(this.options.port, this.options.host, onListening);
   }
 
   /** Stops accepting connections. */
@@ -59,19 +59,19 @@
   private accept(socket: net.Socket): void {
     const { sockets, limits, readTimeoutMs, idleTimeoutMs } = this.options;
     sockets.opened();
-    this.idle.add(socket);
+    this.idleSockets.add(socket);
     new ServerConnection(socket, {
       limits,
       readTimeoutMs,
       idleTimeoutMs,
       handler: this.handler,
       onIdleChange: (idle) => {
-        if (idle) this.idle.add(socket);
-        else this.idle.delete(socket);
+        if (idle) this.idleSockets.add(socket);
+        else this.idleSockets.delete(socket);
       },
       onClose: () => {
         sockets.closed();
-        this.idle.delete(socket);
+        this.idleSockets.delete(socket);
       },
     });
   }
