--- a/src/controller/settings/class-objectives.ts
+++ b/src/controller/settings/class-objectives.ts
@@ -16,9 +16,13 @@
   const byClass = new Map<string, ClassObjectives>();
   for (const objective of objectives) {
     if (objective.class === null) continue;
-    const ofClass = byClass.get(objective.class) ?? { starts: [], ends: [], deadlineFactors: [] };
-    byClass.set(objective.class, ofClass);
-    addObjective(ofClass, objective);
+    const classObjectives = byClass.get(objective.class) ?? {
+      starts: [],
+      ends: [],
+      deadlineFactors: [],
+    };
+    byClass.set(objective.class, classObjectives);
+    addObjective(classObjectives, objective);
   }
   return byClass;
 }
