--- a/src/controller/settings/class-objectives.ts
+++ b/src/controller/settings/class-objectives.ts
@@ -27,9 +27,9 @@
   return byClass;
 }
 
-function addObjective(ofClass: ClassObjectives, objective: Objective): void {
+function addObjective(classObjectives: ClassObjectives, objective: Objective): void {
   const { kind, withinS, deadlineFactor } = objective;
-  if (kind === 'wait' && withinS !== null) ofClass.starts.push(withinS * 1000);
-  if (kind === 'finished' && withinS !== null) ofClass.ends.push(withinS * 1000);
-  if (kind === 'deadline') ofClass.deadlineFactors.push(deadlineFactor);
+  if (kind === 'wait' && withinS !== null) classObjectives.starts.push(withinS * 1000);
+  if (kind === 'finished' && withinS !== null) classObjectives.ends.push(withinS * 1000);
+  if (kind === 'deadline') classObjectives.deadlineFactors.push(deadlineFactor);
 }
