--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -207,11 +207,11 @@
       `params.workers.lease_s: ${leaseS} is not above report_s ${heartbeatIntervalS}: every lease would run out`,
     );
   platform.teams.forEach((team, index) => checkTeam(team, `params.teams.${index}.`));
-  const names = [platform.host];
+  const hosts = [platform.host];
   platform.peers.forEach(({ host }, index) => {
-    if (names.includes(host))
+    if (hosts.includes(host))
       throw new SettingsError(`peers.${index}.host_name: ${host} is named twice`);
-    names.push(host);
+    hosts.push(host);
   });
 }
 
