--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -116,7 +116,8 @@
   const cloud = readTable(params, 'cloud', 'params.');
   const quota = readTable(params, 'quota', 'params.');
   const stateLimits = readStateLimits(state, 'params.state.');
-  const next = state['next'] === undefined ? {} : readTable(state, 'next', 'params.state.');
+  const upcomingState =
+    state['next'] === undefined ? {} : readTable(state, 'next', 'params.state.');
   return {
     host: readText(root, 'host_name', ''),
     zone: readText(root, 'site', ''),
@@ -134,7 +135,7 @@
     ),
     workers: readWorkers(workers, 'params.workers.'),
     stateLimits,
-    upcomingStateLimits: readStateLimits(next, 'params.state.next.', stateLimits),
+    upcomingStateLimits: readStateLimits(upcomingState, 'params.state.next.', stateLimits),
     cloudLimits: readCloudLimits(cloud, 'params.cloud.'),
     quota: readQuota(quota, 'params.quota.'),
   };
