--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -146,12 +146,12 @@
 }
 
 /** Limits that are absent from the table are those of `current`. */
-function readStateLimits(table: TomlTable, path: string, current?: StateLimits): StateLimits {
+function readStateLimits(table: TomlTable, path: string, fallbacks?: StateLimits): StateLimits {
   return {
-    rps: readNumber(table, 'rps', path, 1, current?.rps),
-    writeRps: readNumber(table, 'write_rps', path, 1, current?.writeRps),
-    valueKb: readNumber(table, 'value_kb', path, 1, current?.valueKb),
-    txnOps: readNumber(table, 'txn_ops', path, 2, current?.txnOps),
+    rps: readNumber(table, 'rps', path, 1, fallbacks?.rps),
+    writeRps: readNumber(table, 'write_rps', path, 1, fallbacks?.writeRps),
+    valueKb: readNumber(table, 'value_kb', path, 1, fallbacks?.valueKb),
+    txnOps: readNumber(table, 'txn_ops', path, 2, fallbacks?.txnOps),
   };
 }
 
