--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -166,12 +166,12 @@
 }
 
 function readObjective(table: TomlTable, path: string): Objective {
-  const { class: className, within_s: withinS, times } = table;
+  const { class: className, within_s: withinS, times: deadlineFactor } = table;
   return {
     kind: readText(table, 'kind', path),
     class: typeof className === 'string' ? className : null,
     withinS: typeof withinS === 'number' ? withinS : null,
-    deadlineFactor: typeof times === 'number' ? times : 1,
+    deadlineFactor: typeof deadlineFactor === 'number' ? deadlineFactor : 1,
   };
 }
 
