--- a/src/controller/settings/properties.ts
+++ b/src/controller/settings/properties.ts
@@ -9,12 +9,12 @@
 const FILE_HEADER =
   '# Settings of bitternvale that operators may tune. Values shown are the defaults.\n';
 
-const names = Object.keys(propertyDefinitions) as PropertyName[];
+const propertyNames = Object.keys(propertyDefinitions) as PropertyName[];
 
 /** The values that apply where the operators' file sets none. */
 export function defaultProperties(): Properties {
   return Object.fromEntries(
-    names.map((name) => [name, propertyDefinitions[name].default]),
+    propertyNames.map((name) => [name, propertyDefinitions[name].default]),
   ) as Properties;
 }
 
@@ -42,7 +42,7 @@
 
 /** The shipped file: every property with its default, bounds and description. */
 export function formatProperties(): string {
-  return FILE_HEADER + names.map(formatProperty).join('');
+  return FILE_HEADER + propertyNames.map(formatProperty).join('');
 }
 
 function formatProperty(name: PropertyName): string {
