--- a/src/controller/settings/properties.ts
+++ b/src/controller/settings/properties.ts
@@ -20,9 +20,9 @@
 
 /** Reads the operators' file. Throws a `SettingsError` that names the property at fault. */
 export function readProperties(source: string): Properties {
-  const given = parse(source) as Record<string, unknown>;
+  const entries = parse(source) as Record<string, unknown>;
   const properties = { ...defaultProperties() } as Record<string, number>;
-  for (const [name, value] of Object.entries(given)) properties[name] = readValue(name, value);
+  for (const [name, value] of Object.entries(entries)) properties[name] = readValue(name, value);
   return properties as Properties;
 }
 
