--- a/src/controller/settings/properties.ts
+++ b/src/controller/settings/properties.ts
@@ -26,10 +26,10 @@
   return properties as Properties;
 }
 
-function readValue(name: string, given: unknown): number {
+function readValue(name: string, rawValue: unknown): number {
   if (!isPropertyName(name)) throw new SettingsError(`${name}: unknown key`);
   const { min, max } = propertyDefinitions[name];
-  const text = typeof given === 'string' ? given.trim() : '';
+  const text = typeof rawValue === 'string' ? rawValue.trim() : '';
   const value = Number(text);
   if (text === '' || !Number.isFinite(value) || value < min || value > max)
     throw new SettingsError(`${name}: expected a number from ${min} to ${max}, got "${text}"`);
