--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -45,7 +45,7 @@
     const slackMs =
       cancelMs - this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT) - HEARTBEAT_RESPONSE_LIMIT_MS;
     this.maxWatchStalenessMs = slackMs * this.get('workers.view.ratio');
-    this.leaderLeaseMs = this.fittingLeaderLeaseMs();
+    this.leaderLeaseMs = this.computeLeaderLeaseMs();
     this.leaderRenewIntervalMs = this.leaderLeaseMs * this.get('leadership.renew.ratio');
     this.objectives = groupByClass(platform.objectives);
   }
@@ -55,7 +55,7 @@
    * leases. So where `cancel_s` leaves little time the leader's lease is shortened to fit, down to the
    * smallest ratio that is allowed; with less, throws a `SettingsError`.
    */
-  private fittingLeaderLeaseMs(): number {
+  private computeLeaderLeaseMs(): number {
     const { cancelDeadlineS, leaseS } = this.platform.workers;
     const wantedMs = this.workerLeaseMs * this.get('leadership.lease.ratio');
     const fittingMs = Math.round(
