--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -57,9 +57,9 @@
    */
   private computeLeaderLeaseMs(): number {
     const { cancelDeadlineS, leaseS } = this.platform.workers;
-    const wantedMs = this.workerLeaseMs * this.get('leadership.lease.ratio');
+    const configuredMs = this.workerLeaseMs * this.get('leadership.lease.ratio');
     const fittingMs = Math.round(
-      Math.min(wantedMs, this.maxWatchStalenessMs / MIN_STALENESS_LEASES),
+      Math.min(configuredMs, this.maxWatchStalenessMs / MIN_STALENESS_LEASES),
     );
     const minRatio = propertyDefinitions['leadership.lease.ratio'].min;
     if (fittingMs < this.workerLeaseMs * minRatio)
