--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -58,16 +58,16 @@
   private computeLeaderLeaseMs(): number {
     const { cancelDeadlineS, leaseS } = this.platform.workers;
     const configuredMs = this.workerLeaseMs * this.get('leadership.lease.ratio');
-    const fittingMs = Math.round(
+    const leaseMs = Math.round(
       Math.min(configuredMs, this.maxWatchStalenessMs / MIN_STALENESS_LEASES),
     );
     const minRatio = propertyDefinitions['leadership.lease.ratio'].min;
-    if (fittingMs < this.workerLeaseMs * minRatio)
+    if (leaseMs < this.workerLeaseMs * minRatio)
       throw new SettingsError(
         `params.workers.cancel_s: ${cancelDeadlineS} is too short for lease_s ${leaseS} and ` +
           `workers.view.ratio ${this.get('workers.view.ratio')}: cancelled tasks could outlast it`,
       );
-    return fittingMs;
+    return leaseMs;
   }
 
   /** The value of a property. */
