--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -42,9 +42,9 @@
     this.heartbeatIntervalMs = platform.workers.heartbeatIntervalS * 1000;
     this.workerLeaseMs = platform.workers.leaseS * 1000;
     const cancelMs = platform.workers.cancelDeadlineS * 1000 * (1 - 2 * MAX_CLOCK_DRIFT);
-    const slackMs =
+    const availableStalenessMs =
       cancelMs - this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT) - HEARTBEAT_RESPONSE_LIMIT_MS;
-    this.maxWatchStalenessMs = slackMs * this.get('workers.view.ratio');
+    this.maxWatchStalenessMs = availableStalenessMs * this.get('workers.view.ratio');
     this.leaderLeaseMs = this.computeLeaderLeaseMs();
     this.leaderRenewIntervalMs = this.leaderLeaseMs * this.get('leadership.renew.ratio');
     this.objectives = groupByClass(platform.objectives);
