--- a/src/controller/operators/api-client.ts
+++ b/src/controller/operators/api-client.ts
@@ -23,7 +23,7 @@
 }
 
 /** Sends one request to the controller at the address. Never rejects. */
-export function callApi(api: string, { method, path, body }: ApiRequest): Promise<ApiResult> {
+export function callApi(address: string, { method, path, body }: ApiRequest): Promise<ApiResult> {
   const client = new HttpClient({
     sockets: new SocketBudget(Infinity),
     maxConnectionsPerHost: 1,
@@ -32,16 +32,16 @@
   });
   const bytes = body === undefined ? null : encodeBody(body);
   return new Promise((resolve) => {
-    client.request(api, method, path, bytes, TIMEOUT_MS, (response) => {
+    client.request(address, method, path, bytes, TIMEOUT_MS, (response) => {
       if (response === null) {
-        resolve({ ok: false, text: `no answer from ${api}: is a controller running there?` });
+        resolve({ ok: false, text: `no answer from ${address}: is a controller running there?` });
         return;
       }
       try {
         const value = response.body.length > 0 ? decodeBody(response.body) : null;
-        resolve(describe(api, response.status, value, response.headers.get('retry-after')));
+        resolve(describe(address, response.status, value, response.headers.get('retry-after')));
       } catch {
-        resolve({ ok: false, text: `${api} gave an answer that is not of this service` });
+        resolve({ ok: false, text: `${address} gave an answer that is not of this service` });
       }
     });
   });
