--- a/src/controller/operators/api-client.ts
+++ b/src/controller/operators/api-client.ts
@@ -39,7 +39,7 @@
       }
       try {
         const value = response.body.length > 0 ? decodeBody(response.body) : null;
-        resolve(describe(address, response.status, value, response.headers.get('retry-after')));
+        resolve(toApiResult(address, response.status, value, response.headers.get('retry-after')));
       } catch {
         resolve({ ok: false, text: `${address} gave an answer that is not of this service` });
       }
@@ -47,7 +47,7 @@
   });
 }
 
-function describe(
+function toApiResult(
   api: string,
   status: number,
   body: unknown,
