--- a/src/controller/operators/api-client.ts
+++ b/src/controller/operators/api-client.ts
@@ -48,7 +48,7 @@
 }
 
 function toApiResult(
-  api: string,
+  address: string,
   status: number,
   body: unknown,
   retryAfter: string | undefined,
@@ -57,5 +57,5 @@
   const reason =
     isMap(body) && typeof body['error'] === 'string' ? body['error'] : 'no reason given';
   const retry = retryAfter === undefined ? '' : `; try again in ${retryAfter} s`;
-  return { ok: false, text: `${api} answered ${status}: ${reason}${retry}` };
+  return { ok: false, text: `${address} answered ${status}: ${reason}${retry}` };
 }
