--- a/src/controller/operators/api-client.ts
+++ b/src/controller/operators/api-client.ts
@@ -56,6 +56,6 @@
   if (status === 200 || status === 201) return { ok: true, text: JSON.stringify(body, null, 2) };
   const reason =
     isMap(body) && typeof body['error'] === 'string' ? body['error'] : 'no reason given';
-  const retry = retryAfter === undefined ? '' : `; try again in ${retryAfter} s`;
-  return { ok: false, text: `${address} answered ${status}: ${reason}${retry}` };
+  const retryHint = retryAfter === undefined ? '' : `; try again in ${retryAfter} s`;
+  return { ok: false, text: `${address} answered ${status}: ${reason}${retryHint}` };
 }
