--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -18,7 +18,7 @@
 interface Listing {
   entries: unknown[];
   /** Whether there are more entries. */
-  more: boolean;
+  truncated: boolean;
 }
 
 /** State of the leader that the view shows. */
@@ -62,14 +62,14 @@
     machine_count: machines.length,
     teams: teamsView(source),
     ...Object.fromEntries(names.map((name) => [name, lists[name].entries])),
-    cut: names.filter((name) => lists[name].more),
+    cut: names.filter((name) => lists[name].truncated),
     largest_placeable: source.types.map((type) => placeableView(source, machines, type)),
   };
 }
 
 /** The first entries of a list, each as the view shows it. */
 function listFirst<Entry>(all: readonly Entry[], view: (entry: Entry) => unknown): Listing {
-  return { entries: all.slice(0, MAX_LISTED).map(view), more: all.length > MAX_LISTED };
+  return { entries: all.slice(0, MAX_LISTED).map(view), truncated: all.length > MAX_LISTED };
 }
 
 function machinesView(source: ClusterViewSource, machines: readonly Machine[]): Listing {
