--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -50,7 +50,7 @@
     services: servicesView(jobs),
     lacking: shortagesView(source),
   };
-  const names = Object.keys(lists) as (keyof typeof lists)[];
+  const listNames = Object.keys(lists) as (keyof typeof lists)[];
   return {
     leader: source.settings.platform.host,
     term: source.term,
@@ -61,8 +61,8 @@
     booting: source.fleet.bootingCount,
     machine_count: machines.length,
     teams: teamsView(source),
-    ...Object.fromEntries(names.map((name) => [name, lists[name].entries])),
-    cut: names.filter((name) => lists[name].truncated),
+    ...Object.fromEntries(listNames.map((name) => [name, lists[name].entries])),
+    cut: listNames.filter((name) => lists[name].truncated),
     largest_placeable: source.types.map((type) => placeableView(source, machines, type)),
   };
 }
