--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -68,18 +68,18 @@
 }
 
 /** The first entries of a list, each as the view shows it. */
-function listFirst<Entry>(all: readonly Entry[], view: (entry: Entry) => unknown): Listing {
+function firstEntries<Entry>(all: readonly Entry[], view: (entry: Entry) => unknown): Listing {
   return { entries: all.slice(0, MAX_LISTED).map(view), truncated: all.length > MAX_LISTED };
 }
 
 function machinesView(source: ClusterViewSource, machines: readonly Machine[]): Listing {
   const rest = machines.filter(({ id }) => id > source.after);
   rest.sort((one, other) => (one.id < other.id ? -1 : 1));
-  return listFirst(rest, (machine) => machineView(source, machine));
+  return firstEntries(rest, (machine) => machineView(source, machine));
 }
 
 function shortagesView({ placement }: ClusterViewSource): Listing {
-  return listFirst(placement.shortages, ({ job, tasks }) => ({
+  return firstEntries(placement.shortages, ({ job, tasks }) => ({
     job: job.spec.id,
     class: job.spec.class,
     tasks,
@@ -124,7 +124,7 @@
   const secondsUntil = (at: number): number | null =>
     Number.isFinite(at) ? Math.round((at - source.now) / 100) / 10 : null;
   const reserving = jobs.filter((job) => job.reservation !== null);
-  return listFirst(reserving, (job) => ({
+  return firstEntries(reserving, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
     ...machineNames(job.reservation?.machines ?? []),
@@ -137,7 +137,7 @@
 function servicesView(jobs: Job[]): Listing {
   const services = jobs.filter((job) => job.isService);
   services.sort((one, other) => other.missingReplicas - one.missingReplicas);
-  return listFirst(services, (job) => ({
+  return firstEntries(services, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
     replicas: job.spec.tasks,
