--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -68,8 +68,11 @@
 }
 
 /** The first entries of a list, each as the view shows it. */
-function firstEntries<Entry>(all: readonly Entry[], view: (entry: Entry) => unknown): Listing {
-  return { entries: all.slice(0, MAX_LISTED).map(view), truncated: all.length > MAX_LISTED };
+function firstEntries<Entry>(entries: readonly Entry[], view: (entry: Entry) => unknown): Listing {
+  return {
+    entries: entries.slice(0, MAX_LISTED).map(view),
+    truncated: entries.length > MAX_LISTED,
+  };
 }
 
 function machinesView(source: ClusterViewSource, machines: readonly Machine[]): Listing {
