--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -68,9 +68,12 @@
 }
 
 /** The first entries of a list, each as the view shows it. */
-function firstEntries<Entry>(entries: readonly Entry[], view: (entry: Entry) => unknown): Listing {
+function firstEntries<Entry>(
+  entries: readonly Entry[],
+  toView: (entry: Entry) => unknown,
+): Listing {
   return {
-    entries: entries.slice(0, MAX_LISTED).map(view),
+    entries: entries.slice(0, MAX_LISTED).map(toView),
     truncated: entries.length > MAX_LISTED,
   };
 }
