--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -79,9 +79,9 @@
 }
 
 function machinesView(source: ClusterViewSource, machines: readonly Machine[]): Listing {
-  const rest = machines.filter(({ id }) => id > source.after);
-  rest.sort((one, other) => (one.id < other.id ? -1 : 1));
-  return firstEntries(rest, (machine) => machineView(source, machine));
+  const remaining = machines.filter(({ id }) => id > source.after);
+  remaining.sort((one, other) => (one.id < other.id ? -1 : 1));
+  return firstEntries(remaining, (machine) => machineView(source, machine));
 }
 
 function shortagesView({ placement }: ClusterViewSource): Listing {
