--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -80,7 +80,7 @@
 
 function machinesView(source: ClusterViewSource, machines: readonly Machine[]): Listing {
   const remaining = machines.filter(({ id }) => id > source.after);
-  remaining.sort((a, other) => (a.id < other.id ? -1 : 1));
+  remaining.sort((a, b) => (a.id < b.id ? -1 : 1));
   return firstEntries(remaining, (machine) => machineView(source, machine));
 }
 
