--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -142,7 +142,7 @@
 
 function servicesView(jobs: Job[]): Listing {
   const services = jobs.filter((job) => job.isService);
-  services.sort((a, other) => other.missingReplicas - a.missingReplicas);
+  services.sort((a, b) => b.missingReplicas - a.missingReplicas);
   return firstEntries(services, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
