--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -127,8 +127,8 @@
 
 function reservationsView(source: ClusterViewSource, jobs: Job[]): Listing {
   // Seconds from now to a tenth, `null` for never.
-  const secondsUntil = (at: number): number | null =>
-    Number.isFinite(at) ? Math.round((at - source.now) / 100) / 10 : null;
+  const secondsUntil = (time: number): number | null =>
+    Number.isFinite(time) ? Math.round((time - source.now) / 100) / 10 : null;
   const reserving = jobs.filter((job) => job.reservation !== null);
   return firstEntries(reserving, (job) => ({
     job: job.spec.id,
