--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -133,7 +133,7 @@
   return firstEntries(reserving, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
-    ...machineNames(job.reservation?.machines ?? []),
+    ...machineFields(job.reservation?.machines ?? []),
     held_s: -(secondsUntil(job.reservation?.reservedAt ?? source.now) ?? 0),
     fills_in_s: secondsUntil(job.reservation?.fillAt ?? Infinity),
     blocked: job.blockedReason,
@@ -148,7 +148,7 @@
     class: job.spec.class,
     replicas: job.spec.tasks,
     missing: job.missingReplicas,
-    ...machineNames(
+    ...machineFields(
       [...job.currentAssignments.values()].map((assignment) => assignment.machine.id),
     ),
     exits: job.exitCounts,
@@ -156,7 +156,7 @@
 }
 
 /** The first machines of one job, and how many there are. */
-function machineNames(names: readonly string[]): { machines: string[]; machine_count: number } {
+function machineFields(names: readonly string[]): { machines: string[]; machine_count: number } {
   return { machines: names.slice(0, MAX_MACHINES_OF_JOB), machine_count: names.length };
 }
 
