--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -156,8 +156,11 @@
 }
 
 /** The first machines of one job, and how many there are. */
-function machineFields(names: readonly string[]): { machines: string[]; machine_count: number } {
-  return { machines: names.slice(0, MAX_MACHINES_OF_JOB), machine_count: names.length };
+function machineFields(machineIds: readonly string[]): {
+  machines: string[];
+  machine_count: number;
+} {
+  return { machines: machineIds.slice(0, MAX_MACHINES_OF_JOB), machine_count: machineIds.length };
 }
 
 /** What could be placed at once on the machines of a type. */
