--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -129,8 +129,8 @@
   // Seconds from now to a tenth, `null` for never.
   const secondsUntil = (time: number): number | null =>
     Number.isFinite(time) ? Math.round((time - source.now) / 100) / 10 : null;
-  const reserving = jobs.filter((job) => job.reservation !== null);
-  return firstEntries(reserving, (job) => ({
+  const reservingJobs = jobs.filter((job) => job.reservation !== null);
+  return firstEntries(reservingJobs, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
     ...machineFields(job.reservation?.machines ?? []),
