--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -170,14 +170,14 @@
       machine.typeName === type.name && source.workers.isAlive(machine) && !machine.releasing,
   );
   const freeGpus = usable.map((machine) => type.gpus - machine.gpus);
-  const cpus = usable.map((machine) => type.cpus - machine.cpus);
+  const freeCpus = usable.map((machine) => type.cpus - machine.cpus);
   return {
     type: type.name,
     whole_machines: usable.filter((machine) => !machine.isBusy).length,
     gpus_on_one: Math.max(0, ...freeGpus),
-    cpus_on_one: Math.max(0, ...cpus),
+    cpus_on_one: Math.max(0, ...freeCpus),
     // Largest gang of tasks with one GPU, or with one CPU on machines without GPUs.
-    single_tasks: (type.gpus > 0 ? freeGpus : cpus).reduce(
+    single_tasks: (type.gpus > 0 ? freeGpus : freeCpus).reduce(
       (sum, free) => sum + countFitting(Math.max(0, free), 1),
       0,
     ),
