--- a/src/controller/operators/gauges.ts
+++ b/src/controller/operators/gauges.ts
@@ -39,10 +39,10 @@
 /** Sets the gauges that only the leader has. */
 export function setLeaderGauges(metrics: MetricsSink, leader: LeaderState): void {
   const jobs = [...leader.table.jobs.values()];
-  const reserving = jobs.filter((job) => job.reservation !== null);
+  const reservingJobs = jobs.filter((job) => job.reservation !== null);
   const services = jobs.filter((job) => job.isService);
   metrics.setGauge('jobs', 'Unfinished jobs.', jobs.length);
-  metrics.setGauge('holds', 'Gangs that hold room.', reserving.length);
+  metrics.setGauge('holds', 'Gangs that hold room.', reservingJobs.length);
   metrics.setGauge(
     'pending_tasks',
     'Tasks that wait for room.',
