--- a/src/controller/operators/readiness.ts
+++ b/src/controller/operators/readiness.ts
@@ -28,11 +28,11 @@
       this.wasReady = this.typesKnown() && Number.isFinite(this.health.sinceSuccessMs);
       return this.wasReady;
     }
-    const unservedMs = this.settings.leaderLeaseMs * UNSERVED_LEASE_SHARE;
+    const maxSinceSuccessMs = this.settings.leaderLeaseMs * UNSERVED_LEASE_SHARE;
     return (
-      this.health.sinceSuccessMs < unservedMs ||
+      this.health.sinceSuccessMs < maxSinceSuccessMs ||
       !this.health.isUnavailable ||
-      !this.peers.stateServedElsewhere(unservedMs)
+      !this.peers.stateServedElsewhere(maxSinceSuccessMs)
     );
   }
 }
