--- a/src/controller/operators/metrics.ts
+++ b/src/controller/operators/metrics.ts
@@ -17,7 +17,7 @@
     buckets: [0.002, 0.005, 0.01, 0.03, 0.1, 0.3, 1, 3],
     registers: [this.registry],
   });
-  private readonly passSeconds = new Histogram({
+  private readonly placementPassSeconds = new Histogram({
     name: 'bitternvale_placement_pass_seconds',
     help: 'Time that a placement pass takes.',
     buckets: [0.001, 0.003, 0.01, 0.03, 0.1, 0.3],
@@ -43,7 +43,7 @@
 
   /** Counts a placement pass that has ended. */
   observePlacementPass(durationMs: number): void {
-    this.passSeconds.observe(durationMs / 1000);
+    this.placementPassSeconds.observe(durationMs / 1000);
   }
 
   /** Sets the number of tasks preempted so far. */
