--- a/src/controller/node/node-runtime.ts
+++ b/src/controller/node/node-runtime.ts
@@ -30,7 +30,7 @@
 export class NodeRuntime implements Runtime {
   private readonly client: HttpClient;
   private readonly sockets: SocketBudget;
-  private readonly links = new Map<string, PeerLink>();
+  private readonly peerLinks = new Map<string, PeerLink>();
   readonly random: () => number;
   /** The monotonic clock counts from the start of the process. */
   readonly startedAt = 0;
@@ -45,7 +45,7 @@
       maxBodyBytes: MAX_RESPONSE_BYTES,
     });
     for (const { host, addr } of options.peers)
-      this.links.set(host, new PeerLink(addr, options.peerRetryMs));
+      this.peerLinks.set(host, new PeerLink(addr, options.peerRetryMs));
   }
 
   /** Monotonic clock in milliseconds. */
@@ -84,7 +84,7 @@
 
   /** Sends a message to a peer; it is dropped while the peer is slow or unreachable. */
   sendPeer(host: string, bytes: Buffer): void {
-    this.links.get(host)?.send(encodeFrame(bytes));
+    this.peerLinks.get(host)?.send(encodeFrame(bytes));
   }
 }
 
