--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -23,7 +23,7 @@
 export function run(settings: Settings): void {
   const { platform } = settings;
   const log = createLogger(readLogLevel(process.env['LOG_LEVEL']), platform.host);
-  boundHeap(platform.quota, log);
+  limitHeap(platform.quota, log);
   const seed = randomBytes(SEED_BYTES);
   const identity = `${platform.host}-${seed.toString('hex')}`;
   const maxSockets = platform.quota.maxSockets * settings.get('http.sockets.ratio');
@@ -45,7 +45,7 @@
 }
 
 /** Keeps the heap within the process's memory, or warns that it will not fit. */
-function boundHeap(quota: MemoryQuota, log: Logger): void {
+function limitHeap(quota: MemoryQuota, log: Logger): void {
   const warning = memoryWarning(quota);
   if (warning !== null) log.warn({}, warning);
   const budget = new HeapBudget(quota);
