--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -31,15 +31,15 @@
   const runtime = createRuntime(settings, sockets, seed);
   const controller = new Controller(runtime, log, settings, identity);
   logUncaughtErrors(log);
-  const exit = (err: Error): void => {
+  const exitOnListenError = (err: Error): void => {
     log.error({ err }, 'cannot listen');
     process.exit(1);
   };
   createApiServer(settings, sockets, controller).listen(
     () => log.info({ addr: platform.apiAddr, identity }, 'listening'),
-    exit,
+    exitOnListenError,
   );
-  listenToPeers(settings, controller, exit);
+  listenToPeers(settings, controller, exitOnListenError);
   controller.start();
   loadMetrics(settings, controller);
 }
