--- a/src/command-line/operator-commands.ts
+++ b/src/command-line/operator-commands.ts
@@ -38,8 +38,8 @@
     .command(name)
     .description(description)
     .requiredOption('--api <host:port>', 'API address of any controller')
-    .action(async (...given: unknown[]) => {
-      const command = given.at(-1) as Command;
+    .action(async (...actionArguments: unknown[]) => {
+      const command = actionArguments.at(-1) as Command;
       const { api } = command.opts<{ api: string }>();
       if (!API_ADDRESS.test(api)) throw new CommandError(`--api ${api}: expected HOST:PORT`);
       const result = await callApi(api, request(command.args[0] ?? ''));
