--- a/src/command-line/operator-commands.ts
+++ b/src/command-line/operator-commands.ts
@@ -32,7 +32,7 @@
   program: Command,
   name: string,
   description: string,
-  request: (argument: string) => ApiRequest,
+  buildRequest: (argument: string) => ApiRequest,
 ): Command {
   return program
     .command(name)
@@ -42,7 +42,7 @@
       const command = actionArguments.at(-1) as Command;
       const { api } = command.opts<{ api: string }>();
       if (!API_ADDRESS.test(api)) throw new CommandError(`--api ${api}: expected HOST:PORT`);
-      const result = await callApi(api, request(command.args[0] ?? ''));
+      const result = await callApi(api, buildRequest(command.args[0] ?? ''));
       if (!result.ok) throw new CommandError(result.text);
       process.stdout.write(`${result.text}\n`);
     });
