--- a/src/controller/wire/cbor.ts
+++ b/src/controller/wire/cbor.ts
@@ -1,7 +1,7 @@
 /** CBOR bodies. */
 import { decode, encode } from 'cborg';
 
-const STRICT = {
+const STRICT_OPTIONS = {
   allowUndefined: false,
   allowNaN: false,
   allowInfinity: false,
@@ -20,7 +20,7 @@
 
 /** Decodes a body. Throws on anything but one whole CBOR item of the kinds that the protocols use. */
 export function decodeBody(bytes: Uint8Array): unknown {
-  const value: unknown = decode(bytes, STRICT);
+  const value: unknown = decode(bytes, STRICT_OPTIONS);
   return value;
 }
 
