--- a/src/controller/wire/cloud.ts
+++ b/src/controller/wire/cloud.ts
@@ -49,7 +49,7 @@
 }
 
 function readMachineType(item: unknown): MachineType {
-  const fields = requireMaps(item, 'models');
+  const fields = requireItemMap(item, 'models');
   return {
     name: readText(fields, 'name'),
     cpus: readAmount(fields, 'cores'),
@@ -101,7 +101,7 @@
 }
 
 function readListedMachine(item: unknown): ListedMachine {
-  const fields = requireMaps(item, 'kilns');
+  const fields = requireItemMap(item, 'kilns');
   return {
     state: readMachineState(fields),
     id: readText(fields, 'id'),
@@ -121,7 +121,7 @@
 }
 
 /** An item of the list `name` as a map. */
-function requireMaps(item: unknown, name: string): Fields {
+function requireItemMap(item: unknown, name: string): Fields {
   if (!isMap(item)) throw new WireError(`${name}: expected maps`);
   return item;
 }
