--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -32,18 +32,18 @@
 /** Revisions, versions and lease ids stay far below 2^53 in the life of any deployment. */
 const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
 
-function fieldsOf(body: unknown): Fields {
+function requireStateMap(body: unknown): Fields {
   return requireMap(body, 'state');
 }
 
 /** Reads the revision of the state store at which a response was made. */
 export function readRevision(body: unknown): number {
-  return readSmallInt(fieldsOf(body), 'ledger', 0, MAX_INTEGER);
+  return readSmallInt(requireStateMap(body), 'ledger', 0, MAX_INTEGER);
 }
 
 /** Reads one key. */
 export function readKeyValue(body: unknown): KeyValue {
-  const map = fieldsOf(body);
+  const map = requireStateMap(body);
   return {
     key: readText(map, 'k'),
     value: map['value'],
@@ -61,7 +61,7 @@
 
 /** Reads one page of a range. */
 export function readRange(body: unknown): RangePage {
-  const map = fieldsOf(body);
+  const map = requireStateMap(body);
   return {
     items: readList(map, 'entries').map(readKeyValue),
     more: readOptionalBoolean(map, 'has_next'),
@@ -71,7 +71,7 @@
 
 /** Reads the keys whose conditions did not hold. */
 export function readFailedKeys(body: unknown): string[] {
-  return readTexts(fieldsOf(body), 'failed');
+  return readTexts(requireStateMap(body), 'failed');
 }
 
 /** Whether a response with status 400 says that the lease does not exist any more. */
@@ -81,7 +81,7 @@
 
 /** Reads the id of a lease. */
 export function readLeaseId(body: unknown): number {
-  return readSmallInt(fieldsOf(body), 'permit', 0, MAX_INTEGER);
+  return readSmallInt(requireStateMap(body), 'permit', 0, MAX_INTEGER);
 }
 
 /** The changes that one response to a watch reports, up to a revision. */
@@ -92,7 +92,7 @@
 
 /** Reads a response to a watch. */
 export function readWatchEvents(body: unknown): WatchEvents {
-  const map = fieldsOf(body);
+  const map = requireStateMap(body);
   return {
     events: readList(map, 'log').map(readWatchEvent),
     revision: readSmallInt(map, 'ledger', 0, MAX_INTEGER),
@@ -100,7 +100,7 @@
 }
 
 function readWatchEvent(item: unknown): WatchEvent {
-  const fields = fieldsOf(item);
+  const fields = requireStateMap(item);
   if (typeof fields['delete'] === 'string') return { kind: 'delete', key: fields['delete'] };
   return {
     kind: 'put',
