--- a/src/controller/wire/state-requests.ts
+++ b/src/controller/wire/state-requests.ts
@@ -25,8 +25,8 @@
   after: string | null,
   limit: number,
 ): StateRequest {
-  const from = after === null ? '' : `&from=${after}`;
-  return { method: 'GET', path: `/keys?starts=${prefix}${from}&limit=${limit}` };
+  const fromParameter = after === null ? '' : `&from=${after}`;
+  return { method: 'GET', path: `/keys?starts=${prefix}${fromParameter}&limit=${limit}` };
 }
 
 /** Waits for up to `holdMs` for changes of a prefix since a revision. */
