--- a/src/controller/wire/state-requests.ts
+++ b/src/controller/wire/state-requests.ts
@@ -31,8 +31,11 @@
 
 /** Waits for up to `holdMs` for changes of a prefix since a revision. */
 export function watchRequest(prefix: string, revision: number, holdMs: number): StateRequest {
-  const hold = Math.round(holdMs);
-  return { method: 'GET', path: `/follow?starts=${prefix}&from=${revision}&hold_ms=${hold}` };
+  const roundedHoldMs = Math.round(holdMs);
+  return {
+    method: 'GET',
+    path: `/follow?starts=${prefix}&from=${revision}&hold_ms=${roundedHoldMs}`,
+  };
 }
 
 /** Asks for a lease that lives for `ttlMs` without renewal. */
