--- a/src/controller/wire/workers.ts
+++ b/src/controller/wire/workers.ts
@@ -90,12 +90,12 @@
 
 /** The job and number in a task's name. Throws a `WireError` on any other text. */
 export function parseTaskName(name: string): { job: string; task: number } {
-  const slash = name.lastIndexOf('/');
-  const digits = name.slice(slash + 1);
-  if (slash <= 0 || !/^\d{1,6}$/.test(digits)) throw new WireError('duty: not a task');
+  const slashIndex = name.lastIndexOf('/');
+  const digits = name.slice(slashIndex + 1);
+  if (slashIndex <= 0 || !/^\d{1,6}$/.test(digits)) throw new WireError('duty: not a task');
   const task = Number(digits);
   if (task >= MAX_TASKS) throw new WireError('duty: not a task');
-  return { job: name.slice(0, slash), task };
+  return { job: name.slice(0, slashIndex), task };
 }
 
 /** Reads a heartbeat. */
