--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -38,35 +38,39 @@
 
 describe('platform settings', () => {
   const hosts = ['kiln-0', 'kiln-1'];
-  const text = (parts: Partial<PlatformOptions>): string =>
+  const tomlWith = (parts: Partial<PlatformOptions>): string =>
     platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...parts });
   const read = (source: string): Settings =>
     new Settings(readPlatform(source), defaultProperties());
   const team = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
 
   const contradictions: [string, string, RegExp][] = [
-    ['a lease below the heartbeat interval', text({ leaseS: 2 }), /^params\.workers\.lease_s: /],
-    ['a lease of one heartbeat interval', text({ leaseS: 3 }), /^params\.workers\.lease_s: /],
+    [
+      'a lease below the heartbeat interval',
+      tomlWith({ leaseS: 2 }),
+      /^params\.workers\.lease_s: /,
+    ],
+    ['a lease of one heartbeat interval', tomlWith({ leaseS: 3 }), /^params\.workers\.lease_s: /],
     [
       'too short a time to cancel tasks',
-      text({ cancelDeadlineS: 26 }),
+      tomlWith({ cancelDeadlineS: 26 }),
       /^params\.workers\.cancel_s: /,
     ],
-    ['a value size that fits no record', text({ valueKb: 0.5 }), /^params\.state\.value_kb: /],
-    ['a transaction size of one write', text({ txnOps: 1 }), /^params\.state\.txn_ops: /],
+    ['a value size that fits no record', tomlWith({ valueKb: 0.5 }), /^params\.state\.value_kb: /],
+    ['a transaction size of one write', tomlWith({ txnOps: 1 }), /^params\.state\.txn_ops: /],
     [
       'a cap of GPUs below the guarantee',
-      text({ teamsToml: team('gpus = 9\ngpus_max = 8') }),
+      tomlWith({ teamsToml: team('gpus = 9\ngpus_max = 8') }),
       /^params\.teams\.0\.gpus_max: /,
     ],
     [
       'a cap of processors below the guarantee',
-      text({ teamsToml: team('cpus = 9.0\ncpus_max = 8.0') }),
+      tomlWith({ teamsToml: team('cpus = 9.0\ncpus_max = 8.0') }),
       /^params\.teams\.0\.cpus_max: /,
     ],
     [
       'a peer with the name of the host',
-      text({}).replaceAll('kiln-1', 'kiln-0'),
+      tomlWith({}).replaceAll('kiln-1', 'kiln-0'),
       /^peers\.0\.host_name: /,
     ],
   ];
@@ -82,7 +86,7 @@
 
   it('accept a team without caps, caps equal to the guarantee, and unknown fields', () => {
     const teams = team('gpus = 9') + team('gpus = 8\ngpus_max = 8\nspare = "x"');
-    const source = text({ teamsToml: teams }).replace(
+    const source = tomlWith({ teamsToml: teams }).replace(
       '[params.quota]',
       '[params.quota]\nmagic = [1]',
     );
@@ -91,8 +95,8 @@
 
   // A deployment whose cancel_s leaves little time beside lease_s was refused, though a shorter lease fits it.
   it('shorten the leader lease where cancel_s leaves little time', () => {
-    const usualLeaseMs = read(text({})).leaderLeaseMs;
-    const short = read(text({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }));
+    const usualLeaseMs = read(tomlWith({})).leaderLeaseMs;
+    const short = read(tomlWith({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }));
     assert.equal(
       usualLeaseMs,
       defaultPlatformOptions.leaseS * 1000 * short.get('leadership.lease.ratio'),
@@ -106,7 +110,7 @@
   });
 
   it('lead to a warning where the heap may outgrow the memory of the process', () => {
-    const warning = (ramMb: number) => memoryWarning(readPlatform(text({ ramMb })).quota);
+    const warning = (ramMb: number) => memoryWarning(readPlatform(tomlWith({ ramMb })).quota);
     assert.equal(warning(146), null);
     assert.match(warning(100) ?? '', /^params\.quota\.ram_mb: 100 /);
   });
