--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -38,8 +38,8 @@
 
 describe('platform settings', () => {
   const hosts = ['kiln-0', 'kiln-1'];
-  const tomlWith = (parts: Partial<PlatformOptions>): string =>
-    platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...parts });
+  const tomlWith = (overrides: Partial<PlatformOptions>): string =>
+    platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...overrides });
   const read = (source: string): Settings =>
     new Settings(readPlatform(source), defaultProperties());
   const team = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
