--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -40,7 +40,7 @@
   const hosts = ['kiln-0', 'kiln-1'];
   const tomlWith = (overrides: Partial<PlatformOptions>): string =>
     platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...overrides });
-  const read = (source: string): Settings =>
+  const readSettings = (source: string): Settings =>
     new Settings(readPlatform(source), defaultProperties());
   const team = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
 
@@ -77,7 +77,7 @@
   for (const [what, source, line] of contradictions)
     it(`are refused with one line that names the field on ${what}`, () =>
       assert.throws(
-        () => read(source),
+        () => readSettings(source),
         (error) =>
           error instanceof SettingsError &&
           line.test(error.message) &&
@@ -90,13 +90,13 @@
       '[params.quota]',
       '[params.quota]\nmagic = [1]',
     );
-    assert.equal(read(`novelty = 1\n${source}`).platform.teams.length, 2);
+    assert.equal(readSettings(`novelty = 1\n${source}`).platform.teams.length, 2);
   });
 
   // A deployment whose cancel_s leaves little time beside lease_s was refused, though a shorter lease fits it.
   it('shorten the leader lease where cancel_s leaves little time', () => {
-    const usualLeaseMs = read(tomlWith({})).leaderLeaseMs;
-    const short = read(tomlWith({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }));
+    const usualLeaseMs = readSettings(tomlWith({})).leaderLeaseMs;
+    const short = readSettings(tomlWith({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }));
     assert.equal(
       usualLeaseMs,
       defaultPlatformOptions.leaseS * 1000 * short.get('leadership.lease.ratio'),
