--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -42,7 +42,7 @@
     platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...overrides });
   const readSettings = (source: string): Settings =>
     new Settings(readPlatform(source), defaultProperties());
-  const team = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
+  const teamToml = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
 
   const contradictions: [string, string, RegExp][] = [
     [
@@ -60,12 +60,12 @@
     ['a transaction size of one write', tomlWith({ txnOps: 1 }), /^params\.state\.txn_ops: /],
     [
       'a cap of GPUs below the guarantee',
-      tomlWith({ teamsToml: team('gpus = 9\ngpus_max = 8') }),
+      tomlWith({ teamsToml: teamToml('gpus = 9\ngpus_max = 8') }),
       /^params\.teams\.0\.gpus_max: /,
     ],
     [
       'a cap of processors below the guarantee',
-      tomlWith({ teamsToml: team('cpus = 9.0\ncpus_max = 8.0') }),
+      tomlWith({ teamsToml: teamToml('cpus = 9.0\ncpus_max = 8.0') }),
       /^params\.teams\.0\.cpus_max: /,
     ],
     [
@@ -85,7 +85,7 @@
       ));
 
   it('accept a team without caps, caps equal to the guarantee, and unknown fields', () => {
-    const teams = team('gpus = 9') + team('gpus = 8\ngpus_max = 8\nspare = "x"');
+    const teams = teamToml('gpus = 9') + teamToml('gpus = 8\ngpus_max = 8\nspare = "x"');
     const source = tomlWith({ teamsToml: teams }).replace(
       '[params.quota]',
       '[params.quota]\nmagic = [1]',
