--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -42,7 +42,7 @@
     platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...overrides });
   const readSettings = (source: string): Settings =>
     new Settings(readPlatform(source), defaultProperties());
-  const teamToml = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
+  const teamToml = (fields: string): string => `[[params.teams]]\nname = "red"\n${fields}\n`;
 
   const contradictions: [string, string, RegExp][] = [
     [
