--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -74,13 +74,13 @@
       /^peers\.0\.host_name: /,
     ],
   ];
-  for (const [what, source, line] of contradictions)
+  for (const [what, source, message] of contradictions)
     it(`are refused with one line that names the field on ${what}`, () =>
       assert.throws(
         () => readSettings(source),
         (error) =>
           error instanceof SettingsError &&
-          line.test(error.message) &&
+          message.test(error.message) &&
           !error.message.includes('\n'),
       ));
 
