--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -95,10 +95,10 @@
 
   // A deployment whose cancel_s leaves little time beside lease_s was refused, though a shorter lease fits it.
   it('shorten the leader lease where cancel_s leaves little time', () => {
-    const usualLeaseMs = readSettings(tomlWith({})).leaderLeaseMs;
+    const defaultLeaseMs = readSettings(tomlWith({})).leaderLeaseMs;
     const short = readSettings(tomlWith({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }));
     assert.equal(
-      usualLeaseMs,
+      defaultLeaseMs,
       defaultPlatformOptions.leaseS * 1000 * short.get('leadership.lease.ratio'),
     );
     assert.ok(short.leaderLeaseMs < 6000 * short.get('leadership.lease.ratio'));
