--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -96,15 +96,17 @@
   // A deployment whose cancel_s leaves little time beside lease_s was refused, though a shorter lease fits it.
   it('shorten the leader lease where cancel_s leaves little time', () => {
     const defaultLeaseMs = readSettings(tomlWith({})).leaderLeaseMs;
-    const short = readSettings(tomlWith({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }));
+    const shortCancel = readSettings(
+      tomlWith({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }),
+    );
     assert.equal(
       defaultLeaseMs,
-      defaultPlatformOptions.leaseS * 1000 * short.get('leadership.lease.ratio'),
+      defaultPlatformOptions.leaseS * 1000 * shortCancel.get('leadership.lease.ratio'),
     );
-    assert.ok(short.leaderLeaseMs < 6000 * short.get('leadership.lease.ratio'));
-    assert.ok(short.leaderLeaseMs * 2 <= short.maxWatchStalenessMs + 1);
+    assert.ok(shortCancel.leaderLeaseMs < 6000 * shortCancel.get('leadership.lease.ratio'));
+    assert.ok(shortCancel.leaderLeaseMs * 2 <= shortCancel.maxWatchStalenessMs + 1);
     assert.ok(
-      short.maxWatchStalenessMs + 6000 + 4000 < 12_000,
+      shortCancel.maxWatchStalenessMs + 6000 + 4000 < 12_000,
       'the bound on cancelled tasks still holds',
     );
   });
