--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -12,20 +12,20 @@
 after(() => rmSync(directory, { recursive: true }));
 
 /** Writes a file and returns its path. */
-function file(name: string, content: string): string {
+function writeTestFile(name: string, content: string): string {
   const path = join(directory, name);
   writeFileSync(path, content);
   return path;
 }
 
 const toml = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultPlatformOptions);
-const config = file('settings.toml', toml);
+const config = writeTestFile('settings.toml', toml);
 
 describe('loadSettings', () => {
   const absent = join(directory, 'absent.toml');
-  const invalid = file('invalid.toml', toml.replace(/^site .*/m, ''));
-  const short = file('short.toml', toml.replace(/^cancel_s .*/m, 'cancel_s = 26.0'));
-  const properties = file('invalid.properties', 'fleet.strikes = many');
+  const invalid = writeTestFile('invalid.toml', toml.replace(/^site .*/m, ''));
+  const short = writeTestFile('short.toml', toml.replace(/^cancel_s .*/m, 'cancel_s = 26.0'));
+  const properties = writeTestFile('invalid.properties', 'fleet.strikes = many');
   const cases: [string, Parameters<typeof loadSettings>[0], string][] = [
     ['the file that is absent', { config: absent }, `${absent}: ENOENT`],
     ['the file and the field', { config: invalid }, `${invalid}: site: expected a non-empty text`],
@@ -52,7 +52,7 @@
 
 describe('readJsonFile', () => {
   it('returns the value', () => {
-    assert.deepEqual(readJsonFile(file('job.json', '{"id":"req-1"}')), { id: 'req-1' });
+    assert.deepEqual(readJsonFile(writeTestFile('job.json', '{"id":"req-1"}')), { id: 'req-1' });
   });
 
   it('throws a CommandError that names a file that is not JSON', () => {
