--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -23,12 +23,16 @@
 
 describe('loadSettings', () => {
   const missingPath = join(directory, 'absent.toml');
-  const invalid = writeTestFile('invalid.toml', toml.replace(/^site .*/m, ''));
+  const invalidPath = writeTestFile('invalid.toml', toml.replace(/^site .*/m, ''));
   const short = writeTestFile('short.toml', toml.replace(/^cancel_s .*/m, 'cancel_s = 26.0'));
   const properties = writeTestFile('invalid.properties', 'fleet.strikes = many');
   const cases: [string, Parameters<typeof loadSettings>[0], string][] = [
     ['the file that is absent', { config: missingPath }, `${missingPath}: ENOENT`],
-    ['the file and the field', { config: invalid }, `${invalid}: site: expected a non-empty text`],
+    [
+      'the file and the field',
+      { config: invalidPath },
+      `${invalidPath}: site: expected a non-empty text`,
+    ],
     ['the property', { config, properties }, `${properties}: fleet.strikes: expected a number`],
     ['contradicting fields', { config: short }, 'params.workers.cancel_s: 26 is too short'],
   ];
