--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -24,7 +24,10 @@
 describe('loadSettings', () => {
   const missingPath = join(directory, 'absent.toml');
   const invalidPath = writeTestFile('invalid.toml', toml.replace(/^site .*/m, ''));
-  const short = writeTestFile('short.toml', toml.replace(/^cancel_s .*/m, 'cancel_s = 26.0'));
+  const shortCancelPath = writeTestFile(
+    'short.toml',
+    toml.replace(/^cancel_s .*/m, 'cancel_s = 26.0'),
+  );
   const properties = writeTestFile('invalid.properties', 'fleet.strikes = many');
   const cases: [string, Parameters<typeof loadSettings>[0], string][] = [
     ['the file that is absent', { config: missingPath }, `${missingPath}: ENOENT`],
@@ -34,7 +37,11 @@
       `${invalidPath}: site: expected a non-empty text`,
     ],
     ['the property', { config, properties }, `${properties}: fleet.strikes: expected a number`],
-    ['contradicting fields', { config: short }, 'params.workers.cancel_s: 26 is too short'],
+    [
+      'contradicting fields',
+      { config: shortCancelPath },
+      'params.workers.cancel_s: 26 is too short',
+    ],
   ];
   for (const [what, files, message] of cases)
     it(`throws a CommandError that names ${what}`, () =>
