--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -18,15 +18,15 @@
   return path;
 }
 
-const toml = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultPlatformOptions);
-const config = writeTestFile('settings.toml', toml);
+const platformSource = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultPlatformOptions);
+const config = writeTestFile('settings.toml', platformSource);
 
 describe('loadSettings', () => {
   const missingPath = join(directory, 'absent.toml');
-  const invalidPath = writeTestFile('invalid.toml', toml.replace(/^site .*/m, ''));
+  const invalidPath = writeTestFile('invalid.toml', platformSource.replace(/^site .*/m, ''));
   const shortCancelPath = writeTestFile(
     'short.toml',
-    toml.replace(/^cancel_s .*/m, 'cancel_s = 26.0'),
+    platformSource.replace(/^cancel_s .*/m, 'cancel_s = 26.0'),
   );
   const properties = writeTestFile('invalid.properties', 'fleet.strikes = many');
   const cases: [string, Parameters<typeof loadSettings>[0], string][] = [
