--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -19,7 +19,7 @@
 }
 
 const platformSource = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultPlatformOptions);
-const config = writeTestFile('settings.toml', platformSource);
+const configPath = writeTestFile('settings.toml', platformSource);
 
 describe('loadSettings', () => {
   const missingPath = join(directory, 'absent.toml');
@@ -36,7 +36,11 @@
       { config: invalidPath },
       `${invalidPath}: site: expected a non-empty text`,
     ],
-    ['the property', { config, properties }, `${properties}: fleet.strikes: expected a number`],
+    [
+      'the property',
+      { config: configPath, properties },
+      `${properties}: fleet.strikes: expected a number`,
+    ],
     [
       'contradicting fields',
       { config: shortCancelPath },
@@ -53,7 +57,7 @@
 
 describe('checkConfig', () => {
   it('prints what follows from the settings, one fact a line', () => {
-    const lines = checkConfig(loadSettings({ config })).split('\n');
+    const lines = checkConfig(loadSettings({ config: configPath })).split('\n');
     assert.equal(lines[0], 'host kiln-0, 1 peers, 0 teams');
     assert.match(lines[1] ?? '', /^leader lease \d+ ms, renewed every \d+ ms, used for \d+ ms$/);
     assert.equal(lines.length, 6);
@@ -67,6 +71,6 @@
   });
 
   it('throws a CommandError that names a file that is not JSON', () => {
-    assert.throws(() => readJsonFile(config), new CommandError(`${config}: not JSON`));
+    assert.throws(() => readJsonFile(configPath), new CommandError(`${configPath}: not JSON`));
   });
 });
