--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -65,10 +65,10 @@
 
   it('lists every machine over several responses', () => {
     const listedIds: string[] = [];
-    for (let more = true; more;) {
+    for (let hasMore = true; hasMore;) {
       const { machines, cut } = view(listedIds.at(-1) ?? '');
       listedIds.push(...machines.map(({ id }) => id));
-      more = cut.includes('machines');
+      hasMore = cut.includes('machines');
     }
     assert.deepEqual(listedIds, names);
   });
