--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -21,13 +21,13 @@
 
 describe('clusterView', () => {
   const settings = new Settings(standalonePlatform(), defaultProperties());
-  const names = Array.from(
+  const machineIds = Array.from(
     { length: MACHINES },
     (_, index) => `n-${String(index).padStart(6, '0')}`,
   );
 
   function source(after: string): ClusterViewSource {
-    const machines = new Map(names.map((id) => [id, new Machine(id, 0, settings)]));
+    const machines = new Map(machineIds.map((id) => [id, new Machine(id, 0, settings)]));
     const jobs = new Map<string, Job>();
     for (let index = 0; index < JOBS; index++) {
       const id = `req-${index}`;
@@ -35,7 +35,7 @@
       const job = new Job(arraySpec({ id, kind: isGang ? 'gang' : 'service' }), 0, 1, 0);
       if (isGang)
         job.reservation = {
-          ...{ machines: names.slice(0, 30), reservedAt: 0, searchedAt: 0 },
+          ...{ machines: machineIds.slice(0, 30), reservedAt: 0, searchedAt: 0 },
           ...{ fillAt: Infinity, readyAt: Infinity },
         };
       jobs.set(id, job);
@@ -70,6 +70,6 @@
       listedIds.push(...machines.map(({ id }) => id));
       hasMore = cut.includes('machines');
     }
-    assert.deepEqual(listedIds, names);
+    assert.deepEqual(listedIds, machineIds);
   });
 });
