--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -10,7 +10,7 @@
 const MACHINES = 4500;
 const JOBS = 400;
 /** Responses to users have at most this many bytes, counted as JSON (PROTOCOL). */
-const RESPONSE_BYTES = 64 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024;
 
 interface View {
   machines: { id: string }[];
@@ -57,7 +57,7 @@
   // Only the first 200 machines were listed, and nothing said that there were more.
   it('keeps within the size limit of a response and names the lists that are cut', () => {
     const first = view();
-    assert.ok(JSON.stringify(first).length < RESPONSE_BYTES);
+    assert.ok(JSON.stringify(first).length < MAX_RESPONSE_BYTES);
     assert.equal(first.machine_count, MACHINES);
     assert.equal(first.holds[0]?.machine_count, 30);
     assert.deepEqual(first.cut, ['machines', 'holds', 'services', 'lacking']);
