--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -7,7 +7,7 @@
 import { Settings } from '../settings/settings.js';
 import { clusterView, type ClusterViewSource } from './cluster-view.js';
 
-const MACHINES = 4500;
+const MACHINE_COUNT = 4500;
 const JOBS = 400;
 /** Responses to users have at most this many bytes, counted as JSON (PROTOCOL). */
 const MAX_RESPONSE_BYTES = 64 * 1024;
@@ -22,7 +22,7 @@
 describe('clusterView', () => {
   const settings = new Settings(standalonePlatform(), defaultProperties());
   const machineIds = Array.from(
-    { length: MACHINES },
+    { length: MACHINE_COUNT },
     (_, index) => `n-${String(index).padStart(6, '0')}`,
   );
 
@@ -58,7 +58,7 @@
   it('keeps within the size limit of a response and names the lists that are cut', () => {
     const first = view();
     assert.ok(JSON.stringify(first).length < MAX_RESPONSE_BYTES);
-    assert.equal(first.machine_count, MACHINES);
+    assert.equal(first.machine_count, MACHINE_COUNT);
     assert.equal(first.holds[0]?.machine_count, 30);
     assert.deepEqual(first.cut, ['machines', 'holds', 'services', 'lacking']);
   });
