--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -8,7 +8,7 @@
 import { clusterView, type ClusterViewSource } from './cluster-view.js';
 
 const MACHINE_COUNT = 4500;
-const JOBS = 400;
+const JOB_COUNT = 400;
 /** Responses to users have at most this many bytes, counted as JSON (PROTOCOL). */
 const MAX_RESPONSE_BYTES = 64 * 1024;
 
@@ -29,7 +29,7 @@
   function source(after: string): ClusterViewSource {
     const machines = new Map(machineIds.map((id) => [id, new Machine(id, 0, settings)]));
     const jobs = new Map<string, Job>();
-    for (let index = 0; index < JOBS; index++) {
+    for (let index = 0; index < JOB_COUNT; index++) {
       const id = `req-${index}`;
       const isGang = index % 2 === 0;
       const job = new Job(arraySpec({ id, kind: isGang ? 'gang' : 'service' }), 0, 1, 0);
