--- a/src/controller/wire/wire.test.ts
+++ b/src/controller/wire/wire.test.ts
@@ -17,8 +17,8 @@
         fc.property(
           fc.object({ maxDepth: 3 }),
           fc.constantFrom(...Object.keys(submission)),
-          (any, field) => {
-            for (const body of [any, { ...submission, [field]: any }]) {
+          (arbitraryValue, field) => {
+            for (const body of [arbitraryValue, { ...submission, [field]: arbitraryValue }]) {
               try {
                 read(body);
               } catch (err) {
