--- a/src/controller/wire/wire.test.ts
+++ b/src/controller/wire/wire.test.ts
@@ -11,7 +11,7 @@
 const readers = { readJobSpec, readHeartbeat, readCatalogue, readMachinePage };
 
 describe('readers of bodies', () => {
-  for (const [name, read] of Object.entries(readers))
+  for (const [name, readBody] of Object.entries(readers))
     it(`${name} returns a value or throws a WireError on any input`, () => {
       fc.assert(
         fc.property(
@@ -20,7 +20,7 @@
           (arbitraryValue, field) => {
             for (const body of [arbitraryValue, { ...submission, [field]: arbitraryValue }]) {
               try {
-                read(body);
+                readBody(body);
               } catch (err) {
                 assert.ok(err instanceof WireError, String(err));
               }
