--- a/src/controller/wire/cbor.test.ts
+++ b/src/controller/wire/cbor.test.ts
@@ -9,8 +9,8 @@
     ['NaN', Buffer.from('f97e00', 'hex')],
     ['an empty body', Buffer.alloc(0)],
   ];
-  for (const [what, bytes] of malformed)
-    it(`throws on ${what}`, () => assert.throws(() => decodeBody(bytes)));
+  for (const [defect, bytes] of malformed)
+    it(`throws on ${defect}`, () => assert.throws(() => decodeBody(bytes)));
 
   it('keeps integers up to 2^64', () => {
     const large = 2n ** 64n - 1n;
