--- a/src/controller/wire/cbor.test.ts
+++ b/src/controller/wire/cbor.test.ts
@@ -13,7 +13,7 @@
     it(`throws on ${defect}`, () => assert.throws(() => decodeBody(bytes)));
 
   it('keeps integers up to 2^64', () => {
-    const large = 2n ** 64n - 1n;
-    assert.deepEqual(decodeBody(encodeBody({ x: large })), { x: large });
+    const maxUint64 = 2n ** 64n - 1n;
+    assert.deepEqual(decodeBody(encodeBody({ x: maxUint64 })), { x: maxUint64 });
   });
 });
