--- a/src/controller/wire/workers.test.ts
+++ b/src/controller/wire/workers.test.ts
@@ -5,12 +5,12 @@
 
 describe('readHeartbeat', () => {
   it('keeps integers up to 2^64', () => {
-    const large = 2n ** 64n - 1n;
+    const maxUint64 = 2n ** 64n - 1n;
     const heartbeat = readHeartbeat({
       ...{ kiln: 'n-1', address: '10.0.0.1:1', model: 'g8', hall: 'a', loaners: false },
-      ...{ tenure: 1, tally: large, baton: 41, recall_s: null, duties: [] },
+      ...{ tenure: 1, tally: maxUint64, baton: 41, recall_s: null, duties: [] },
     });
-    assert.equal(heartbeat.sequence, large);
+    assert.equal(heartbeat.sequence, maxUint64);
   });
 });
 
