--- a/src/controller/wire/jobs.test.ts
+++ b/src/controller/wire/jobs.test.ts
@@ -80,11 +80,11 @@
       );
   });
 
-  const required = [
+  const requiredFields = [
     ...['id', 'shift', 'crew', 'shape', 'urgency', 'duties', 'cores', 'cards', 'mem_gb', 'recipe'],
     ...['pull_gb', 'same_place', 'scatter', 'loaners', 'expect_s', 'bookmark_s', 'stow_s'],
   ];
-  for (const name of required)
+  for (const name of requiredFields)
     it(`throws a WireError when ${name} is absent`, () =>
       assert.throws(() => readJobSpec({ ...submission, [name]: undefined }), WireError));
 
