--- a/src/controller/wire/jobs.test.ts
+++ b/src/controller/wire/jobs.test.ts
@@ -43,7 +43,7 @@
     assert.equal(spec.deadlineS, null);
   });
 
-  const invalid: [string, unknown][] = [
+  const invalidFields: [string, unknown][] = [
     ['id', 'job-1'],
     ['id', 'req-1/2'],
     ['id', 7],
@@ -72,7 +72,7 @@
     ['crew', ''],
   ];
   it('throws a WireError on a field of the wrong type or out of range', () => {
-    for (const [name, value] of invalid)
+    for (const [name, value] of invalidFields)
       assert.throws(
         () => readJobSpec({ ...submission, [name]: value }),
         WireError,
