--- a/src/launcher/application.test.ts
+++ b/src/launcher/application.test.ts
@@ -12,31 +12,31 @@
   const directory = mkdtempSync(join(tmpdir(), 'bitternvale-'));
   after(() => rmSync(directory, { recursive: true }));
 
-  function bundle(name: string, source: string): string {
+  function writeBundle(name: string, source: string): string {
     const file = join(directory, name);
     writeFileSync(file, source);
     return file;
   }
 
   it('is accepted for the bundle that it was made from', () => {
-    const file = bundle('same.cjs', 'module.exports = { answer: () => 42 };');
+    const file = writeBundle('same.cjs', 'module.exports = { answer: () => 42 };');
     writeFileSync(cachePath(file), createCache(file));
     assert.equal(compileApplication(file).cachedDataRejected, false);
   });
 
   // Each bundle has a source of its own: V8 compiles the same source only once in a process.
   it('is rejected for another bundle', () => {
-    const file = bundle('other.cjs', 'module.exports = {};');
+    const file = writeBundle('other.cjs', 'module.exports = {};');
     writeFileSync(cachePath(file), createCache(file));
     writeFileSync(file, 'module.exports = { longer: true };');
     assert.equal(compileApplication(file).cachedDataRejected, true);
   });
 
   it('is rejected where it is corrupt, and not needed where it is missing', () => {
-    const corrupt = bundle('corrupt.cjs', 'module.exports = { corrupt: true };');
+    const corrupt = writeBundle('corrupt.cjs', 'module.exports = { corrupt: true };');
     writeFileSync(cachePath(corrupt), Buffer.alloc(10));
     assert.equal(compileApplication(corrupt).cachedDataRejected, true);
-    const missing = bundle('missing.cjs', 'module.exports = { missing: true };');
+    const missing = writeBundle('missing.cjs', 'module.exports = { missing: true };');
     assert.equal(compileApplication(missing).cachedDataRejected, undefined);
   });
 
@@ -47,7 +47,7 @@
     const [node, ...words] = (deploy['run'] as string).split(' ');
     assert.equal(node, 'node');
     const options = words.slice(0, words.indexOf('target/main.cjs'));
-    const file = bundle('deployed.cjs', 'module.exports = { answer: () => 42 };');
+    const file = writeBundle('deployed.cjs', 'module.exports = { answer: () => 42 };');
     writeFileSync(cachePath(file), createCache(file));
     const check = `
       const { readFileSync } = require('node:fs');
