--- a/src/launcher/application.test.ts
+++ b/src/launcher/application.test.ts
@@ -44,9 +44,9 @@
   it('is accepted in a process that is started as deploy/service.toml says', () => {
     const root = fileURLToPath(new URL('../../', import.meta.url));
     const deploy = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
-    const [node, ...words] = (deploy['run'] as string).split(' ');
+    const [node, ...nodeArguments] = (deploy['run'] as string).split(' ');
     assert.equal(node, 'node');
-    const options = words.slice(0, words.indexOf('target/main.cjs'));
+    const options = nodeArguments.slice(0, nodeArguments.indexOf('target/main.cjs'));
     const file = writeBundle('deployed.cjs', 'module.exports = { answer: () => 42 };');
     writeFileSync(cachePath(file), createCache(file));
     const check = `
