--- a/src/launcher/application.test.ts
+++ b/src/launcher/application.test.ts
@@ -49,7 +49,7 @@
     const options = nodeArguments.slice(0, nodeArguments.indexOf('target/main.cjs'));
     const file = writeBundle('deployed.cjs', 'module.exports = { answer: () => 42 };');
     writeFileSync(cachePath(file), createCache(file));
-    const check = `
+    const childSource = `
       const { readFileSync } = require('node:fs');
       const { wrap } = require('node:module');
       const { Script } = require('node:vm');
@@ -57,7 +57,9 @@
       const cachedData = readFileSync(${JSON.stringify(cachePath(file))});
       const script = new Script(wrap(readFileSync(file, 'utf8')), { filename: file, cachedData });
       process.stdout.write(String(script.cachedDataRejected));`;
-    const { stdout } = spawnSync(process.execPath, [...options, '-e', check], { encoding: 'utf8' });
+    const { stdout } = spawnSync(process.execPath, [...options, '-e', childSource], {
+      encoding: 'utf8',
+    });
     assert.equal(stdout, 'false');
   });
 });
