--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -41,9 +41,11 @@
   ) {
     this.heartbeatIntervalMs = platform.workers.heartbeatIntervalS * 1000;
     this.workerLeaseMs = platform.workers.leaseS * 1000;
-    const cancelMs = platform.workers.cancelDeadlineS * 1000 * (1 - 2 * MAX_CLOCK_DRIFT);
+    const cancelDeadlineMs = platform.workers.cancelDeadlineS * 1000 * (1 - 2 * MAX_CLOCK_DRIFT);
     const availableStalenessMs =
-      cancelMs - this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT) - HEARTBEAT_RESPONSE_LIMIT_MS;
+      cancelDeadlineMs -
+      this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT) -
+      HEARTBEAT_RESPONSE_LIMIT_MS;
     this.maxWatchStalenessMs = availableStalenessMs * this.get('workers.view.ratio');
     this.leaderLeaseMs = this.computeLeaderLeaseMs();
     this.leaderRenewIntervalMs = this.leaderLeaseMs * this.get('leadership.renew.ratio');
