--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -28,8 +28,8 @@
     ['a text', 'fleet.strikes = many', /fleet\.strikes: expected a number/],
     ['a number out of range', 'fleet.strikes = 1e9', /fleet\.strikes: expected a number/],
   ];
-  for (const [what, source, message] of invalid)
-    it(`are refused with a SettingsError that names the key on ${what}`, () =>
+  for (const [defect, source, message] of invalid)
+    it(`are refused with a SettingsError that names the key on ${defect}`, () =>
       assert.throws(
         () => readProperties(source),
         (error) => error instanceof SettingsError && message.test(error.message),
