--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -74,8 +74,8 @@
       /^peers\.0\.host_name: /,
     ],
   ];
-  for (const [what, source, message] of contradictions)
-    it(`are refused with one line that names the field on ${what}`, () =>
+  for (const [contradiction, source, message] of contradictions)
+    it(`are refused with one line that names the field on ${contradiction}`, () =>
       assert.throws(
         () => readSettings(source),
         (error) =>
