--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -28,7 +28,7 @@
     'short.toml',
     platformSource.replace(/^cancel_s .*/m, 'cancel_s = 26.0'),
   );
-  const properties = writeTestFile('invalid.properties', 'fleet.strikes = many');
+  const invalidPropertiesPath = writeTestFile('invalid.properties', 'fleet.strikes = many');
   const cases: [string, Parameters<typeof loadSettings>[0], string][] = [
     ['the file that is absent', { config: missingPath }, `${missingPath}: ENOENT`],
     [
@@ -38,8 +38,8 @@
     ],
     [
       'the property',
-      { config: configPath, properties },
-      `${properties}: fleet.strikes: expected a number`,
+      { config: configPath, properties: invalidPropertiesPath },
+      `${invalidPropertiesPath}: fleet.strikes: expected a number`,
     ],
     [
       'contradicting fields',
