--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -47,8 +47,8 @@
       'params.workers.cancel_s: 26 is too short',
     ],
   ];
-  for (const [what, files, message] of cases)
-    it(`throws a CommandError that names ${what}`, () =>
+  for (const [namedItem, files, message] of cases)
+    it(`throws a CommandError that names ${namedItem}`, () =>
       assert.throws(
         () => loadSettings(files),
         (error) => error instanceof CommandError && error.message.startsWith(message),
