--- a/src/command-line/operator-commands.ts
+++ b/src/command-line/operator-commands.ts
@@ -21,9 +21,9 @@
     method: 'POST',
     path: `/submissions/${id}/abort`,
   })).argument('<id>');
-  addCommand(program, 'cluster', 'prints the cluster as its leader sees it', (after) => ({
+  addCommand(program, 'cluster', 'prints the cluster as its leader sees it', (afterMachine) => ({
     method: 'GET',
-    path: after === '' ? '/cluster' : `/cluster?after=${encodeURIComponent(after)}`,
+    path: afterMachine === '' ? '/cluster' : `/cluster?after=${encodeURIComponent(afterMachine)}`,
   })).argument('[after]', 'lists machines from the one after this name');
 }
 
