--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -120,13 +120,14 @@
     className: string,
     deadlineS: number | null,
   ): { starts: readonly number[]; ends: number[] } {
-    const objectives = this.objectives.get(className);
-    const ends = objectives === undefined ? [] : objectives.ends.slice();
+    const classObjectives = this.objectives.get(className);
+    const ends = classObjectives === undefined ? [] : classObjectives.ends.slice();
     if (deadlineS !== null) {
-      for (const factor of objectives?.deadlineFactors ?? []) ends.push(deadlineS * factor * 1000);
+      for (const factor of classObjectives?.deadlineFactors ?? [])
+        ends.push(deadlineS * factor * 1000);
       if (ends.length === 0) ends.push(deadlineS * 1000);
     }
-    return { starts: objectives?.starts ?? [], ends };
+    return { starts: classObjectives?.starts ?? [], ends };
   }
 
   /** A team's cap as a number to compare with: 0 in the settings means no cap. */
