--- a/src/controller/node/api-server.ts
+++ b/src/controller/node/api-server.ts
@@ -35,10 +35,10 @@
     idleTimeoutMs: (path: string) =>
       path === HEARTBEAT_PATH ? workerIdleTimeoutMs : USER_IDLE_TIMEOUT_MS,
   };
-  return new HttpServer(options, requestHandler(controller));
+  return new HttpServer(options, createRequestHandler(controller));
 }
 
-function requestHandler(controller: Controller): RequestHandler {
+function createRequestHandler(controller: Controller): RequestHandler {
   return ({ method, path, body }, respond) =>
     controller.request(method, path, body, (response) => respond(toHttpResponse(response)));
 }
