--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -34,7 +34,7 @@
     [
       'the file and the field',
       { config: invalidPath },
-      `${invalidPath}: site: expected a non-empty text`,
+      `${invalidPath}: site: expected a non-empty string`,
     ],
     [
       'the property',
--- a/src/controller/settings/class-objectives.ts
+++ b/src/controller/settings/class-objectives.ts
@@ -1,17 +1,17 @@
-/** Service-level objectives of job classes, as scheduling uses them. */
+/** Groups the platform's service-level objectives by job class. */
 import type { Objective } from './platform.js';
 
-/** What is expected of the jobs of one class. Times are in milliseconds since the submission. */
+/** Objectives for the jobs of one class. Times are in milliseconds since the submission of a job. */
 export interface ClassObjectives {
-  /** Tasks should start within these times. */
+  /** Tasks should start within each of these times. */
   readonly starts: number[];
-  /** Jobs should end within these times. */
+  /** Jobs should end within each of these times. */
   readonly ends: number[];
-  /** Jobs with a deadline should end within these multiples of it. */
+  /** Jobs with a deadline should end within each of these multiples of it. */
   readonly deadlineFactors: number[];
 }
 
-/** Groups the objectives that name a class by that class. Unknown kinds are left out. */
+/** Returns the objectives of each class. Ignores objectives without a class and those of unknown kinds. */
 export function groupByClass(objectives: readonly Objective[]): Map<string, ClassObjectives> {
   const byClass = new Map<string, ClassObjectives>();
   for (const objective of objectives) {
--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -1,4 +1,4 @@
-/** The settings that the platform hands to each controller as TOML. */
+/** Reads and checks the settings that the platform passes to each controller as TOML. */
 import { SettingsError } from './settings-error.js';
 import {
   parseToml,
@@ -10,29 +10,29 @@
   type TomlTable,
 } from './toml-fields.js';
 
-/** The platform's settings after all checks. Fields that this version does not know are ignored. */
+/** The platform's settings after validation. Fields that this version does not know are ignored. */
 export interface Platform {
-  /** Name of the host of this controller. */
+  /** Name of the host that this controller runs on. */
   host: string;
   /** Zone of the host. */
   zone: string;
   /** Address of the API for users, workers and operators. */
   apiAddr: string;
-  /** Address for messages of other controllers. */
+  /** Address on which this controller receives messages from the other controllers. */
   internalAddr: string;
-  /** The other controllers of the deployment, with their addresses for messages. */
+  /** The other controllers of the deployment, with the addresses on which they receive messages. */
   peers: { host: string; addr: string }[];
   /** Address of the cloud's machine API. */
   cloudAddr: string;
   /** Address of the state store. */
   stateStoreAddr: string;
-  /** Largest difference between the wall clocks of two hosts. */
+  /** Largest difference between the wall clocks of two hosts, in milliseconds. */
   clockBoundMs: number;
   teams: Team[];
   objectives: Objective[];
   workers: WorkerTimes;
   stateLimits: StateLimits;
-  /** Limits that the state store will have from some moment on, without notice. */
+  /** Limits to which the state store may switch at any time without notice. */
   upcomingStateLimits: StateLimits;
   cloudLimits: CloudLimits;
   quota: ProcessQuota;
@@ -42,18 +42,19 @@
 export interface WorkerTimes {
   /** Time between two heartbeats. */
   heartbeatIntervalS: number;
-  /** A worker without an answer ends its tasks this long after it sent the last answered heartbeat. */
+  /** A worker stops its tasks this long after it sent the last heartbeat that was answered. */
   leaseS: number;
-  /** A gang member waits this long for the others to fetch their image. */
+  /** How long a gang member that is ready to start waits for the other members to fetch their image. */
   gangFetchWaitS: number;
-  /** Time within which the other members of a gang notice that one has exited. */
+  /** Time within which the members of a gang detect that another member has exited. */
   gangPeerExitS: number;
-  /** Tasks of a cancelled job have to be gone after this time. */
+  /** Time after a cancellation within which the job's tasks must be gone. */
   cancelDeadlineS: number;
 }
 
-/** Limits of the state store: requests and writes per second, and the size of what is written. */
+/** Limits of the state store: rates, and sizes of values and transactions. */
 export interface StateLimits {
+  /** Requests per second. */
   rps: number;
   /** Puts and deletes per second. */
   writeRps: number;
@@ -67,11 +68,11 @@
 export interface CloudLimits {
   /** Requests per second. */
   rps: number;
-  /** The machine list may lag behind by this time. */
+  /** The machine list may be out of date by up to this many seconds. */
   listLagS: number;
 }
 
-/** Resources that the platform grants this process. */
+/** Resources that the platform grants to this process. */
 export interface ProcessQuota {
   cpus: number;
   ramMb: number;
@@ -79,13 +80,14 @@
   maxSockets: number;
 }
 
-/** A service-level objective. Kinds that this version does not know are kept and not used. */
+/** A service-level objective. Objectives of kinds that this version does not know are read but not used. */
 export interface Objective {
   kind: string;
-  /** The job class that it is for, `null` for all. */
+  /** The job class to which it applies; null for all classes. */
   class: string | null;
+  /** Time limit in seconds; null if the settings give none. */
   withinS: number | null;
-  /** For deadlines: the multiple of the deadline within which the job should end. */
+  /** For objectives about deadlines: the multiple of its deadline within which a job should end. */
   deadlineFactor: number;
 }
 
@@ -100,7 +102,7 @@
   maxGpus: number;
 }
 
-/** Reads the platform's settings. Throws a `SettingsError` that names the field at fault. */
+/** Reads the platform's settings. Throws a `SettingsError` that names the invalid field. */
 export function readPlatform(source: string): Platform {
   const platform = parsePlatform(source);
   checkConsistency(platform);
@@ -145,7 +147,7 @@
   return { host: readText(table, 'host_name', path), addr: readAddress(table, 'addr', path) };
 }
 
-/** Limits that are absent from the table are those of `current`. */
+/** Reads limits of the state store. Limits that are absent from the table are taken from `fallbacks`. */
 function readStateLimits(table: TomlTable, path: string, fallbacks?: StateLimits): StateLimits {
   return {
     rps: readNumber(table, 'rps', path, 1, fallbacks?.rps),
@@ -200,27 +202,33 @@
   };
 }
 
-/** Throws where values that are each in range contradict one another. */
+/** Throws a `SettingsError` if fields contradict one another although each is valid by itself. */
 function checkConsistency(platform: Platform): void {
   const { heartbeatIntervalS, leaseS } = platform.workers;
   if (leaseS <= heartbeatIntervalS)
     throw new SettingsError(
-      `params.workers.lease_s: ${leaseS} is not above report_s ${heartbeatIntervalS}: every lease would run out`,
+      `params.workers.lease_s: ${leaseS} is not greater than report_s ${heartbeatIntervalS}: every lease would expire before the next heartbeat`,
     );
   platform.teams.forEach((team, index) => checkTeam(team, `params.teams.${index}.`));
   const hosts = [platform.host];
   platform.peers.forEach(({ host }, index) => {
     if (hosts.includes(host))
-      throw new SettingsError(`peers.${index}.host_name: ${host} is named twice`);
+      throw new SettingsError(
+        `peers.${index}.host_name: ${host} is also the name of this host or of another peer`,
+      );
     hosts.push(host);
   });
 }
 
-/** Caps of a team are 0, which means none, or not below what it is guaranteed. */
+/** Throws a `SettingsError` if a cap of the team is below its guarantee. A cap of 0 means no cap. */
 function checkTeam(team: Team, path: string): void {
   const { guaranteedCpus, guaranteedGpus, maxCpus, maxGpus } = team;
   if (maxCpus > 0 && maxCpus < guaranteedCpus)
-    throw new SettingsError(`${path}cpus_max: ${maxCpus} is below cpus ${guaranteedCpus}`);
+    throw new SettingsError(
+      `${path}cpus_max: ${maxCpus} is below the guaranteed cpus ${guaranteedCpus}; 0 means no cap`,
+    );
   if (maxGpus > 0 && maxGpus < guaranteedGpus)
-    throw new SettingsError(`${path}gpus_max: ${maxGpus} is below gpus ${guaranteedGpus}`);
+    throw new SettingsError(
+      `${path}gpus_max: ${maxGpus} is below the guaranteed gpus ${guaranteedGpus}; 0 means no cap`,
+    );
 }
--- a/src/controller/settings/properties.ts
+++ b/src/controller/settings/properties.ts
@@ -1,4 +1,4 @@
-/** Reading and writing of the operators' properties file. */
+/** Reads and writes the operators' properties file. */
 import { parse } from 'dot-properties';
 import { propertyDefinitions, type PropertyName } from './property-definitions.js';
 import { SettingsError } from './settings-error.js';
@@ -11,14 +11,14 @@
 
 const propertyNames = Object.keys(propertyDefinitions) as PropertyName[];
 
-/** The values that apply where the operators' file sets none. */
+/** Returns the values of the properties that the operators' file does not set. */
 export function defaultProperties(): Properties {
   return Object.fromEntries(
     propertyNames.map((name) => [name, propertyDefinitions[name].default]),
   ) as Properties;
 }
 
-/** Reads the operators' file. Throws a `SettingsError` that names the property at fault. */
+/** Reads the operators' file. Throws a `SettingsError` that names an unknown or invalid property. */
 export function readProperties(source: string): Properties {
   const entries = parse(source) as Record<string, unknown>;
   const properties = { ...defaultProperties() } as Record<string, number>;
@@ -40,7 +40,7 @@
   return Object.hasOwn(propertyDefinitions, name);
 }
 
-/** The shipped file: every property with its default, bounds and description. */
+/** Returns the content of the shipped file: every property with its default, bounds and description. */
 export function formatProperties(): string {
   return FILE_HEADER + propertyNames.map(formatProperty).join('');
 }
--- a/src/controller/settings/property-definitions.ts
+++ b/src/controller/settings/property-definitions.ts
@@ -1,15 +1,16 @@
 /**
- * Default, bounds and description of each property that operators may tune. Nearly all are ratios to the
- * platform's settings, so that one file serves deployments of very different sizes.
+ * Default, bounds and description of each property that operators may tune. Most values are ratios to the
+ * platform's settings, so that the same file suits deployments of very different sizes.
  */
 
-/** One property: a number. */
+/** Definition of one property. The value of a property is a number. */
 export interface PropertyDefinition {
   default: number;
-  /** Smallest and largest value that is accepted. */
+  /** Smallest accepted value. */
   min: number;
+  /** Largest accepted value. */
   max: number;
-  /** One sentence, shown in the shipped file. */
+  /** One sentence that appears as a comment in the shipped file. */
   description: string;
 }
 
@@ -256,7 +257,7 @@
   },
 } satisfies Record<string, PropertyDefinition>;
 
-/** Name of a property. */
+/** Name of a property in the properties file. */
 export type PropertyName = keyof typeof definitions;
 
 /** The definition of each property, in the order of the shipped file. */
--- a/src/controller/settings/settings-error.ts
+++ b/src/controller/settings/settings-error.ts
@@ -1,2 +1,2 @@
-/** Settings that cannot be used. The message is one line that names the field or property at fault. */
+/** Thrown for invalid settings. The message is one line that names the invalid field or property. */
 export class SettingsError extends Error {}
--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -13,8 +13,8 @@
 import { SettingsError } from './settings-error.js';
 import { Settings } from './settings.js';
 
-describe('properties', () => {
-  it('are documented with their defaults in the shipped file', () => {
+describe('properties file', () => {
+  it('is shipped with the default and the description of every property', () => {
     const shipped = readFileSync(
       new URL('../../../deploy/bitternvale.properties', import.meta.url),
       'utf8',
@@ -25,11 +25,11 @@
 
   const invalid: [string, string, RegExp][] = [
     ['an unknown key', 'no.such.key = 1', /no\.such\.key: unknown key/],
-    ['a text', 'fleet.strikes = many', /fleet\.strikes: expected a number/],
+    ['a value that is not a number', 'fleet.strikes = many', /fleet\.strikes: expected a number/],
     ['a number out of range', 'fleet.strikes = 1e9', /fleet\.strikes: expected a number/],
   ];
   for (const [defect, source, message] of invalid)
-    it(`are refused with a SettingsError that names the key on ${defect}`, () =>
+    it(`with ${defect} is rejected with a SettingsError that names the key`, () =>
       assert.throws(
         () => readProperties(source),
         (error) => error instanceof SettingsError && message.test(error.message),
@@ -52,30 +52,34 @@
     ],
     ['a lease of one heartbeat interval', tomlWith({ leaseS: 3 }), /^params\.workers\.lease_s: /],
     [
-      'too short a time to cancel tasks',
+      'a cancel_s that is too short for the lease',
       tomlWith({ cancelDeadlineS: 26 }),
       /^params\.workers\.cancel_s: /,
     ],
-    ['a value size that fits no record', tomlWith({ valueKb: 0.5 }), /^params\.state\.value_kb: /],
-    ['a transaction size of one write', tomlWith({ txnOps: 1 }), /^params\.state\.txn_ops: /],
+    [
+      'a value size too small for any record',
+      tomlWith({ valueKb: 0.5 }),
+      /^params\.state\.value_kb: /,
+    ],
+    ['a transaction size limit of one write', tomlWith({ txnOps: 1 }), /^params\.state\.txn_ops: /],
     [
       'a cap of GPUs below the guarantee',
       tomlWith({ teamsToml: teamToml('gpus = 9\ngpus_max = 8') }),
       /^params\.teams\.0\.gpus_max: /,
     ],
     [
-      'a cap of processors below the guarantee',
+      'a cap of CPUs below the guarantee',
       tomlWith({ teamsToml: teamToml('cpus = 9.0\ncpus_max = 8.0') }),
       /^params\.teams\.0\.cpus_max: /,
     ],
     [
-      'a peer with the name of the host',
+      'a peer with the same name as the host',
       tomlWith({}).replaceAll('kiln-1', 'kiln-0'),
       /^peers\.0\.host_name: /,
     ],
   ];
   for (const [contradiction, source, message] of contradictions)
-    it(`are refused with one line that names the field on ${contradiction}`, () =>
+    it(`with ${contradiction} are rejected with one line that names the field`, () =>
       assert.throws(
         () => readSettings(source),
         (error) =>
@@ -93,8 +97,9 @@
     assert.equal(readSettings(`novelty = 1\n${source}`).platform.teams.length, 2);
   });
 
-  // A deployment whose cancel_s leaves little time beside lease_s was refused, though a shorter lease fits it.
-  it('shorten the leader lease where cancel_s leaves little time', () => {
+  // Guards against rejecting a deployment whose cancel_s is not much longer than its lease_s: with a shorter
+  // leader lease its settings are valid.
+  it('result in a shorter leader lease if cancel_s leaves little time', () => {
     const defaultLeaseMs = readSettings(tomlWith({})).leaderLeaseMs;
     const shortCancel = readSettings(
       tomlWith({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }),
@@ -107,11 +112,11 @@
     assert.ok(shortCancel.leaderLeaseMs * 2 <= shortCancel.maxWatchStalenessMs + 1);
     assert.ok(
       shortCancel.maxWatchStalenessMs + 6000 + 4000 < 12_000,
-      'the bound on cancelled tasks still holds',
+      'staleness, worker lease and response time limit add up to less than cancel_s',
     );
   });
 
-  it('lead to a warning where the heap may outgrow the memory of the process', () => {
+  it('cause a warning if the memory of the process is too small for the heap', () => {
     const warning = (ramMb: number) => memoryWarning(readPlatform(tomlWith({ ramMb })).quota);
     assert.equal(warning(146), null);
     assert.match(warning(100) ?? '', /^params\.quota\.ram_mb: 100 /);
--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -8,29 +8,31 @@
 /** Largest drift between the steady clocks of two hosts, as a ratio to the elapsed time (PROTOCOL). */
 export const MAX_CLOCK_DRIFT = 0.0005;
 
-/** A worker drops a heartbeat's response later than this after it has sent the heartbeat (PROTOCOL). */
+/** A worker ignores a response that arrives more than this time after it sent the heartbeat (PROTOCOL). */
 const HEARTBEAT_RESPONSE_LIMIT_MS = 4000;
 
-/** Duration of a follower's lease grant, as a ratio to the leader's lease. */
+/** Duration of a lease grant (see `Settings.leaseGrantMs`), as a ratio to the leader's lease. */
 const LEASE_GRANT_RATIO = 0.2;
 
-/** The tolerated watch staleness is at least this many leader leases. */
+/** Smallest value of `Settings.maxWatchStalenessMs`, in leader leases. */
 const MIN_STALENESS_LEASES = 2;
 
-/** The platform's settings, the operators' properties, and what is derived from both. */
+/** The platform's settings, the operators' properties, and the durations and limits derived from both. */
 export class Settings {
   /** Time between two heartbeats of a worker. */
   readonly heartbeatIntervalMs: number;
-  /** Nominal lease of a worker, without drift and margin; see `workerLeaseExpiryMs`. */
+  /** Nominal lease of a worker, without clock drift and margin; see `workerLeaseExpiryMs`. */
   readonly workerLeaseMs: number;
-  /** Nominal lease of the leader at the state store; see `usableLeaderLeaseMs`. */
+  /** Nominal lease of the leader at the state store, without drift and margin; see `usableLeaderLeaseMs`. */
   readonly leaderLeaseMs: number;
   /** Time between two renewals of the leader's lease. */
   readonly leaderRenewIntervalMs: number;
   /**
-   * Largest staleness of the leader's job watch with which it may answer a worker (F in invariant 8). A job
-   * cancelled in that time may keep its tasks for one more worker lease, so this, the lease and the time in
-   * which a stop takes effect add up to less than the time in which cancelled tasks have to be gone.
+   * Largest staleness of the leader's job watch with which it may answer a worker (F in invariant 8: whoever
+   * answers a worker knows every cancellation confirmed more than F ago). A worker that is answered without
+   * knowledge of a cancellation may run the job's tasks for one more worker lease. So this bound, the worker
+   * lease and the time until a stop takes effect (`HEARTBEAT_RESPONSE_LIMIT_MS`) add up to less than
+   * `cancel_s`, the time within which the tasks of a cancelled job must be gone.
    */
   readonly maxWatchStalenessMs: number;
   private readonly objectives: ReadonlyMap<string, ClassObjectives>;
@@ -53,9 +55,9 @@
   }
 
   /**
-   * The watch becomes fresh with each read, and a leader could not keep it fresh for less than two of its
-   * leases. So where `cancel_s` leaves little time the leader's lease is shortened to fit, down to the
-   * smallest ratio that is allowed; with less, throws a `SettingsError`.
+   * Returns the configured leader lease, shortened if `cancel_s` leaves little time for watch staleness. The
+   * watch becomes fresh only with each read, and a leader cannot keep its staleness below two leader leases.
+   * Throws a `SettingsError` if even the smallest allowed ratio to the worker lease is too long.
    */
   private computeLeaderLeaseMs(): number {
     const { cancelDeadlineS, leaseS } = this.platform.workers;
@@ -67,38 +69,47 @@
     if (leaseMs < this.workerLeaseMs * minRatio)
       throw new SettingsError(
         `params.workers.cancel_s: ${cancelDeadlineS} is too short for lease_s ${leaseS} and ` +
-          `workers.view.ratio ${this.get('workers.view.ratio')}: cancelled tasks could outlast it`,
+          `workers.view.ratio ${this.get('workers.view.ratio')}: cancelled tasks could run longer than cancel_s`,
       );
     return leaseMs;
   }
 
-  /** The value of a property. */
+  /** Returns the value of a property. */
   get(name: PropertyName): number {
     return this.properties[name];
   }
 
-  /** Largest value in bytes that the state store takes now and after its limits have changed. */
+  /** Largest value, in bytes, that the state store accepts under both its current and its upcoming limits. */
   get maxValueBytes(): number {
     const { stateLimits, upcomingStateLimits } = this.platform;
     return Math.min(stateLimits.valueKb, upcomingStateLimits.valueKb) * 1024;
   }
 
-  /** How long a follower's lease grant binds it not to act as leader (invariant 1). */
+  /**
+   * Duration of a lease grant: a follower's promise to the leader not to act as leader itself (invariant 1:
+   * beyond its lease, a leader may answer workers only while every other controller has made this promise).
+   */
   get leaseGrantMs(): number {
     return this.leaderLeaseMs * LEASE_GRANT_RATIO;
   }
 
-  /** How long the leader may rely on its lease, counted from when it sent the last renewal (invariant 1). */
+  /**
+   * How long the leader may act on its lease, counted from when it sent the last successful renewal. This is
+   * the lease less clock drift and a margin (invariant 1: the leader acts only within its lease).
+   */
   get usableLeaderLeaseMs(): number {
     return this.leaderLeaseMs * (1 - 2 * MAX_CLOCK_DRIFT - this.get('leadership.margin.ratio'));
   }
 
-  /** Time after a worker's last answered heartbeat by which its lease has surely expired (invariant 5). */
+  /**
+   * Time after a worker's last answered heartbeat at which its lease has expired even with the largest clock
+   * drift, plus a margin (invariant 5: its tasks are then gone).
+   */
   get workerLeaseExpiryMs(): number {
     return this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT + this.get('workers.lease.margin.ratio'));
   }
 
-  /** Wait within which tasks of the class should start, `null` if there is no such objective. */
+  /** Time since submission within which tasks of the class should start; null without such an objective. */
   startObjectiveMs(className: string): number | null {
     const objective = this.platform.objectives.find(
       (candidate) => candidate.kind === 'wait' && candidate.class === className,
@@ -106,15 +117,21 @@
     return objective?.withinS == null ? null : objective.withinS * 1000;
   }
 
-  /** Wait within which tasks inside a team's guarantee should start, `null` if there is no such objective. */
+  /**
+   * Time since submission within which tasks covered by their team's guarantee should start; null without
+   * such an objective.
+   */
   get guaranteeObjectiveMs(): number | null {
     const objective = this.platform.objectives.find(({ kind }) => kind === 'guarantee');
     return objective?.withinS == null ? null : objective.withinS * 1000;
   }
 
   /**
-   * Times since its submission, in milliseconds, within which a job's tasks should start and the job should
-   * end. `deadlineS`: the job's own deadline.
+   * Returns the objectives that apply to a job, as times since its submission in milliseconds: its tasks
+   * should start within each of `starts`, and the job should end within each of `ends`.
+   *
+   * @param className - The job's class.
+   * @param deadlineS - The job's own deadline in seconds since its submission; null if it has none.
    */
   objectivesFor(
     className: string,
@@ -130,7 +147,7 @@
     return { starts: classObjectives?.starts ?? [], ends };
   }
 
-  /** A team's cap as a number to compare with: 0 in the settings means no cap. */
+  /** Returns a team's cap for comparisons: Infinity if the settings give 0, which means no cap. */
   static effectiveCap(value: number): number {
     return value > 0 ? value : Infinity;
   }
