--- a/src/controller/operators/api-client.ts
+++ b/src/controller/operators/api-client.ts
@@ -1,10 +1,11 @@
-/** The operators' command line as a client of a controller's API. */
+/** API client of the operators' commands. */
 import { HttpClient } from '../http/client.js';
 import { SocketBudget } from '../http/socket-budget.js';
 import { decodeBody, encodeBody, isMap } from '../wire/cbor.js';
 
+/** Time limit for one request and its response. */
 const TIMEOUT_MS = 5000;
-/** The connection is not needed again, so it is closed soon. */
+/** Idle timeout of the connection; short, because a command sends only one request. */
 const IDLE_TIMEOUT_MS = 10;
 const MAX_RESPONSE_BYTES = 1024 * 1024;
 
@@ -16,13 +17,13 @@
   body?: unknown;
 }
 
-/** The response as text for a person: the body, or why there is none. */
+/** Result of a request, as text for the operator: the response body, or why the request failed. */
 export interface ApiResult {
   ok: boolean;
   text: string;
 }
 
-/** Sends one request to the controller at the address. Never rejects. */
+/** Sends one request to the controller at `address`. Never rejects: `ok` is false if the request failed. */
 export function callApi(address: string, { method, path, body }: ApiRequest): Promise<ApiResult> {
   const client = new HttpClient({
     sockets: new SocketBudget(Infinity),
@@ -34,14 +35,20 @@
   return new Promise((resolve) => {
     client.request(address, method, path, bytes, TIMEOUT_MS, (response) => {
       if (response === null) {
-        resolve({ ok: false, text: `no answer from ${address}: is a controller running there?` });
+        resolve({
+          ok: false,
+          text: `no response from ${address}: check that a controller is running there`,
+        });
         return;
       }
       try {
         const value = response.body.length > 0 ? decodeBody(response.body) : null;
         resolve(toApiResult(address, response.status, value, response.headers.get('retry-after')));
       } catch {
-        resolve({ ok: false, text: `${address} gave an answer that is not of this service` });
+        resolve({
+          ok: false,
+          text: `malformed response from ${address}: expected CBOR; is another service listening there?`,
+        });
       }
     });
   });
--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -9,7 +9,7 @@
 
 const MACHINE_COUNT = 4500;
 const JOB_COUNT = 400;
-/** Responses to users have at most this many bytes, counted as JSON (PROTOCOL). */
+/** Largest response to a user, in bytes of its JSON form (PROTOCOL). */
 const MAX_RESPONSE_BYTES = 64 * 1024;
 
 interface View {
@@ -54,8 +54,9 @@
 
   const view = (after = ''): View => clusterView(source(after)) as View;
 
-  // Only the first 200 machines were listed, and nothing said that there were more.
-  it('keeps within the size limit of a response and names the lists that are cut', () => {
+  // Guards against truncating a list without saying so: once, the response held only the first 200 machines
+  // and nothing showed that there were more.
+  it('stays within the response size limit and names the truncated lists', () => {
     const first = view();
     assert.ok(JSON.stringify(first).length < MAX_RESPONSE_BYTES);
     assert.equal(first.machine_count, MACHINE_COUNT);
@@ -63,7 +64,7 @@
     assert.deepEqual(first.cut, ['machines', 'holds', 'services', 'lacking']);
   });
 
-  it('lists every machine over several responses', () => {
+  it('lists all machines over several responses when `after` is the last listed id', () => {
     const listedIds: string[] = [];
     for (let hasMore = true; hasMore;) {
       const { machines, cut } = view(listedIds.at(-1) ?? '');
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -1,4 +1,4 @@
-/** The cluster as its leader sees it, for operators: the body of the response to `/cluster`. */
+/** Builds the response to `/cluster`: the state of the cluster as the leader knows it, for operators. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { Job, Machine } from '../model/entities.js';
 import type { JobTable } from '../jobs/job-table.js';
@@ -8,26 +8,29 @@
 import type { Workers } from '../workers/workers.js';
 import type { MachineType } from '../wire/cloud.js';
 
-/** Largest number of entries of each list: a response has to stay below 64 KiB. */
+/** Largest number of entries of each list, so that the response stays below 64 KiB. */
 const MAX_LISTED = 75;
 
-/** Largest number of machines that are named for one job. */
+/** Largest number of machines that are listed for one job. */
 const MAX_MACHINES_OF_JOB = 8;
 
-/** The first entries of a list. */
+/** A list in the response, truncated to `MAX_LISTED` entries. */
 interface Listing {
   entries: unknown[];
-  /** Whether there are more entries. */
+  /** Whether entries were left out. */
   truncated: boolean;
 }
 
-/** State of the leader that the view shows. */
+/** The leader's state from which the view is built. */
 export interface ClusterViewSource {
   settings: Settings;
   term: number;
-  /** Whether the leader holds its lease with fresh state (invariants 1 and 8). */
+  /**
+   * Whether the leader may act: it is within its lease (invariant 1: only then may it act), and its knowledge
+   * of cancellations is not older than the freshness bound (invariant 8).
+   */
   mayActAsLeader: boolean;
-  /** Steady clock, milliseconds. */
+  /** Current time on the leader's steady clock, in milliseconds. */
   now: number;
   types: MachineType[];
   table: Pick<JobTable, 'jobs'>;
@@ -36,11 +39,11 @@
   };
   placement: Pick<Placement, 'shortages'>;
   fleet: Pick<Fleet, 'bootingCount'>;
-  /** Only machines whose ids come after this one are listed. */
+  /** Only machines whose ids sort after this one are listed. */
   after: string;
 }
 
-/** The view. `cut` names the lists that have more entries than are shown. */
+/** Returns the response body. Its field `cut` names the lists that were truncated. */
 export function clusterView(source: ClusterViewSource): unknown {
   const machines = [...source.workers.machines.values()];
   const jobs = [...source.table.jobs.values()];
@@ -67,7 +70,7 @@
   };
 }
 
-/** The first entries of a list, each as the view shows it. */
+/** Converts the first `MAX_LISTED` entries with `toView`. */
 function firstEntries<Entry>(
   entries: readonly Entry[],
   toView: (entry: Entry) => unknown,
@@ -126,7 +129,7 @@
 }
 
 function reservationsView(source: ClusterViewSource, jobs: Job[]): Listing {
-  // Seconds from now to a tenth, `null` for never.
+  // Seconds from now until `time`, rounded to tenths; null if `time` is not finite.
   const secondsUntil = (time: number): number | null =>
     Number.isFinite(time) ? Math.round((time - source.now) / 100) / 10 : null;
   const reservingJobs = jobs.filter((job) => job.reservation !== null);
@@ -155,7 +158,7 @@
   }));
 }
 
-/** The first machines of one job, and how many there are. */
+/** The fields of the view that give a job's first machines and the number of all its machines. */
 function machineFields(machineIds: readonly string[]): {
   machines: string[];
   machine_count: number;
@@ -163,7 +166,7 @@
   return { machines: machineIds.slice(0, MAX_MACHINES_OF_JOB), machine_count: machineIds.length };
 }
 
-/** What could be placed at once on the machines of a type. */
+/** The largest requests that could be placed now on the machines of one type. */
 function placeableView(source: ClusterViewSource, machines: Machine[], type: MachineType): unknown {
   const usable = machines.filter(
     (machine) =>
@@ -176,7 +179,7 @@
     whole_machines: usable.filter((machine) => !machine.isBusy).length,
     gpus_on_one: Math.max(0, ...freeGpus),
     cpus_on_one: Math.max(0, ...freeCpus),
-    // Largest gang of tasks with one GPU, or with one CPU on machines without GPUs.
+    // Largest possible gang of tasks with one GPU each, or with one CPU each if the type has no GPUs.
     single_tasks: (type.gpus > 0 ? freeGpus : freeCpus).reduce(
       (sum, free) => sum + countFitting(Math.max(0, free), 1),
       0,
--- a/src/controller/operators/gauges.ts
+++ b/src/controller/operators/gauges.ts
@@ -1,4 +1,4 @@
-/** Gauges that are read from a controller's state when its metrics are scraped. */
+/** Sets gauges from a controller's state when its metrics are scraped. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Job } from '../model/entities.js';
@@ -6,7 +6,10 @@
 import type { Workers } from '../workers/workers.js';
 import type { Metrics } from './metrics.js';
 
-/** The part of `Metrics` that a controller uses; `Metrics` itself is loaded some time after the start. */
+/**
+ * The methods of `Metrics` that a controller calls. The controller depends on this type only, because the
+ * module of `Metrics` is loaded some time after the start.
+ */
 export type MetricsSink = Pick<
   Metrics,
   | 'observeRequest'
@@ -17,7 +20,7 @@
   | 'render'
 >;
 
-/** The leader's state that gauges are read from. */
+/** The leader's state from which gauges are set. */
 export interface LeaderState {
   table: Pick<JobTable, 'jobs'>;
   workers: Pick<Workers, 'machines'>;
@@ -29,14 +32,14 @@
   return jobs.reduce((total, job) => total + amount(job), 0);
 }
 
-/** Sets the gauges that every node has. */
+/** Sets the gauges that every node exports. */
 export function setNodeGauges(metrics: MetricsSink, leading: boolean, term: number): void {
   metrics.setGauge('leading', '1 on the leader.', leading ? 1 : 0);
   metrics.setGauge('term', 'Term of the leader known here.', term);
   metrics.setGauge('memory_bytes', 'Memory that the process holds.', process.memoryUsage.rss());
 }
 
-/** Sets the gauges that only the leader has. */
+/** Sets the gauges that only the leader exports. */
 export function setLeaderGauges(metrics: MetricsSink, leader: LeaderState): void {
   const jobs = [...leader.table.jobs.values()];
   const reservingJobs = jobs.filter((job) => job.reservation !== null);
--- a/src/controller/operators/metrics.ts
+++ b/src/controller/operators/metrics.ts
@@ -1,7 +1,7 @@
-/** The metrics of a controller in the text format of Prometheus. */
+/** Exports metrics of a controller in Prometheus text format. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 
-/** The metrics of one controller. */
+/** Counters, histograms and gauges of one controller. */
 export class Metrics {
   private readonly registry = new Registry();
   private readonly requestCount = new Counter({
@@ -35,30 +35,30 @@
   });
   private readonly gauges = new Map<string, Gauge>();
 
-  /** Counts a request that has been answered. */
+  /** Records an answered request with its status and duration. */
   observeRequest(route: string, status: number, durationMs: number): void {
     this.requestCount.inc({ route, status: String(status) });
     this.requestSeconds.observe({ route }, durationMs / 1000);
   }
 
-  /** Counts a placement pass that has ended. */
+  /** Records the duration of a completed placement pass. */
   observePlacementPass(durationMs: number): void {
     this.placementPassSeconds.observe(durationMs / 1000);
   }
 
-  /** Sets the number of tasks preempted so far. */
+  /** Sets the number of tasks preempted in the leader's current term. */
   setPreemptions(total: number): void {
     this.preemptedTasks.reset();
     this.preemptedTasks.inc(total);
   }
 
-  /** Sets the number of peers' messages dropped since the process began. */
+  /** Sets the number of unreadable peer messages dropped since the process started. */
   setUnreadableMessages(total: number): void {
     this.unreadableMessages.reset();
     this.unreadableMessages.inc(total);
   }
 
-  /** Sets a gauge, which is created with its first value. */
+  /** Sets a gauge; creates it on the first call with its name. */
   setGauge(name: string, help: string, value: number): void {
     let gauge = this.gauges.get(name);
     if (gauge === undefined) {
@@ -68,7 +68,7 @@
     gauge.set(value);
   }
 
-  /** All metrics in the text format. */
+  /** Returns all metrics in Prometheus text format. */
   render(): Promise<string> {
     return this.registry.metrics();
   }
--- a/src/controller/operators/readiness.test.ts
+++ b/src/controller/operators/readiness.test.ts
@@ -15,7 +15,7 @@
     return { state, readiness };
   }
 
-  it('is unready until the machine types are known and the state store has served the node', () => {
+  it('is unready until it knows the machine types and the state store has served the node', () => {
     const { state, readiness } = setUp();
     assert.ok(!readiness.ready);
     state.typesKnown = true;
--- a/src/controller/operators/readiness.ts
+++ b/src/controller/operators/readiness.ts
@@ -1,18 +1,21 @@
-/** Whether the load balancer should send users to this node. */
+/** Decides whether the load balancer should send users' requests to this node. */
 import type { Peers } from '../peers/peers.js';
 import type { Settings } from '../settings/settings.js';
 import type { CallHealth } from '../store/call-health.js';
 
-/** After this share of the leader's lease without a success at the state store the peers are consulted. */
+/**
+ * Largest time since the state store last served a node for it to count as served, as a ratio to the leader's
+ * lease. It applies to this node and to its peers.
+ */
 const UNSERVED_LEASE_SHARE = 0.4;
 
 /**
- * A node becomes ready once it knows the machine types and the state store has served it. Later it is unready
- * only while the state store serves other nodes and not this one: in an outage for all, taking every node from
- * the load balancer would only make it worse.
+ * Readiness of this node. It becomes ready once it knows the machine types and the state store has served one
+ * of its calls. After that it is unready only while the state store serves other nodes but not this one: if
+ * the store serves no node, removing all nodes from the load balancer would only make the outage worse.
  */
 export class Readiness {
-  /** Whether the node has been ready once. */
+  /** Whether the node has been ready before. */
   private wasReady = false;
 
   constructor(
@@ -22,7 +25,7 @@
     private readonly typesKnown: () => boolean,
   ) {}
 
-  /** The answer to a readiness probe. */
+  /** Whether a readiness probe succeeds now. */
   get ready(): boolean {
     if (!this.wasReady) {
       this.wasReady = this.typesKnown() && Number.isFinite(this.health.sinceSuccessMs);
