--- a/src/command-line/check-config.ts
+++ b/src/command-line/check-config.ts
@@ -1,8 +1,8 @@
-/** The report of `check-config`: what follows from the settings. */
+/** Report of the command `check-config`: durations and sizes derived from the settings. */
 import { oldGenerationMb } from '../controller/runtime/heap-budget.js';
 import type { Settings } from '../controller/settings/settings.js';
 
-/** The report, one fact a line. */
+/** Returns the report, with one fact per line. */
 export function checkConfig(settings: Settings): string {
   const { host, peers, teams, quota } = settings.platform;
   const usableLeaseMs = Math.round(settings.usableLeaderLeaseMs);
--- a/src/command-line/command-error.ts
+++ b/src/command-line/command-error.ts
@@ -1,2 +1,2 @@
-/** A command cannot be carried out. The message is one line for the operator; the program ends with status 1. */
+/** Thrown when a command fails. The message is one line for the operator; the program exits with status 1. */
 export class CommandError extends Error {}
--- a/src/command-line/input-files.ts
+++ b/src/command-line/input-files.ts
@@ -1,4 +1,4 @@
-/** The files that commands read: settings of the platform, properties of the operators, jobs. */
+/** Reads the files passed to commands: the platform's settings, the operators' properties, and jobs. */
 import { readFileSync } from 'node:fs';
 import { readPlatform } from '../controller/settings/platform.js';
 import { defaultProperties, readProperties } from '../controller/settings/properties.js';
@@ -6,14 +6,17 @@
 import { Settings } from '../controller/settings/settings.js';
 import { CommandError } from './command-error.js';
 
-/** Paths of the settings files, as the options give them. */
+/** Paths of the settings files, from the command-line options. */
 export interface SettingsFiles {
   config: string;
-  /** Defaults apply where it is absent. */
+  /** If absent, all properties have their defaults. */
   properties?: string;
 }
 
-/** Reads and checks both settings files. Throws a `CommandError` that names the file and the field at fault. */
+/**
+ * Reads and checks both settings files. Throws a `CommandError` that names a file that cannot be read, or an
+ * invalid field and its file. If fields contradict one another, the message names only the field.
+ */
 export function loadSettings(files: SettingsFiles): Settings {
   const platform = readSettingsFile(files.config, readPlatform);
   const properties =
@@ -28,13 +31,13 @@
   }
 }
 
-/** Reads a JSON file. Throws a `CommandError` that names it. */
+/** Reads a JSON file. Throws a `CommandError` that names the file if it cannot be read or is not JSON. */
 export function readJsonFile(file: string): unknown {
   const source = readTextFile(file);
   try {
     return JSON.parse(source) as unknown;
   } catch (error) {
-    throw new CommandError(`${file}: not JSON`, { cause: error });
+    throw new CommandError(`${file}: not valid JSON`, { cause: error });
   }
 }
 
--- a/src/command-line/operator-commands.ts
+++ b/src/command-line/operator-commands.ts
@@ -1,4 +1,4 @@
-/** Commands for operators: each sends one request to the API of a running controller. */
+/** Commands for operators. Each sends one request to the API of a running controller. */
 import type { Command } from 'commander';
 import { callApi, type ApiRequest } from '../controller/operators/api-client.js';
 import { CommandError } from './command-error.js';
@@ -27,7 +27,7 @@
   })).argument('[after]', 'lists machines from the one after this name');
 }
 
-/** Adds a command; `request` makes its request from the first argument, '' where that is absent. */
+/** Adds a command. `buildRequest` gets the command's first argument, or '' if there is none. */
 function addCommand(
   program: Command,
   name: string,
@@ -41,7 +41,7 @@
     .action(async (...actionArguments: unknown[]) => {
       const command = actionArguments.at(-1) as Command;
       const { api } = command.opts<{ api: string }>();
-      if (!API_ADDRESS.test(api)) throw new CommandError(`--api ${api}: expected HOST:PORT`);
+      if (!API_ADDRESS.test(api)) throw new CommandError(`--api ${api}: expected <host>:<port>`);
       const result = await callApi(api, buildRequest(command.args[0] ?? ''));
       if (!result.ok) throw new CommandError(result.text);
       process.stdout.write(`${result.text}\n`);
--- a/src/command-line/program.ts
+++ b/src/command-line/program.ts
@@ -1,4 +1,4 @@
-/** The command line: its options and commands. */
+/** Defines the options and commands of the command line. */
 import { Command } from 'commander';
 import { run } from '../controller/node/run.js';
 import { formatProperties } from '../controller/settings/properties.js';
@@ -9,7 +9,7 @@
 
 const VERSION = '0.1.0';
 
-/** The program without a subcommand runs one controller. */
+/** Creates the program. Without a subcommand it runs one controller. */
 export function createProgram(): Command {
   const program = new Command('bitternvale')
     .description('A cluster scheduler. Without a subcommand: runs one controller.')
@@ -17,14 +17,16 @@
     .option('--properties <file>', "operators' settings (Java-style properties)")
     .option('--config <file>', 'settings of the platform (TOML)')
     .action((files: Partial<SettingsFiles>) => {
-      run(loadSettings(requireConfig(files, '--config FILE is needed; see --help')));
+      run(loadSettings(requireConfig(files, 'missing option --config <file>; see --help')));
     });
   program
     .command('check-config')
     .description('checks both settings files and prints what follows from them')
     .action((_: unknown, command: Command) => {
       const files: Partial<SettingsFiles> = command.optsWithGlobals();
-      const settings = loadSettings(requireConfig(files, 'check-config needs --config FILE'));
+      const settings = loadSettings(
+        requireConfig(files, 'check-config: missing option --config <file>'),
+      );
       process.stdout.write(checkConfig(settings));
     });
   program
--- a/src/controller/node/api-server.ts
+++ b/src/controller/node/api-server.ts
@@ -1,4 +1,4 @@
-/** Serves the API of a controller over HTTP. */
+/** HTTP server of a controller's API. */
 import { HEARTBEAT_PATH } from '../api/heartbeat-endpoint.js';
 import { encodeResponseBody } from '../api/response-body.js';
 import type { Controller } from '../controller.js';
@@ -9,16 +9,18 @@
 import { splitAddress } from '../runtime/address.js';
 import type { Settings } from '../settings/settings.js';
 
+/** Largest request line and headers of a request. */
 const MAX_HEAD_BYTES = 16 * 1024;
+/** Largest body of a request. */
 const MAX_BODY_BYTES = 64 * 1024;
-/** A request has to arrive whole within this time. */
+/** Time within which a request must arrive completely. */
 const READ_TIMEOUT_MS = 10_000;
-/** A user's connection without requests is closed after this time. */
+/** Idle timeout of a connection whose last request was not a heartbeat. */
 const USER_IDLE_TIMEOUT_MS = 60_000;
-/** A worker's connection without heartbeats is closed after so many intervals of them. */
+/** Idle timeout of a worker's connection, in heartbeat intervals. */
 const WORKER_IDLE_HEARTBEATS = 2.5;
 
-/** The server of the API; it does not listen yet. */
+/** Creates the API server. It does not accept connections until `listen` is called. */
 export function createApiServer(
   settings: Settings,
   sockets: SocketBudget,
--- a/src/controller/node/logger.ts
+++ b/src/controller/node/logger.ts
@@ -1,20 +1,20 @@
-/** The log of a controller in production. */
+/** Logging of a controller in production. */
 import pino from 'pino';
 import type { Logger } from '../runtime/runtime.js';
 
 const LOG_LEVELS = ['error', 'info', 'debug'] as const;
 
-/** How much is logged: lines of this level and above. */
+/** The lowest level of the lines that are logged. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** The level that the environment variable LOG_LEVEL names; `info` where it names none. */
+/** Reads the environment variable LOG_LEVEL; returns `info` if it is not set or not the name of a level. */
 export function readLogLevel(value: string | undefined): LogLevel {
   return LOG_LEVELS.find((level) => level === value) ?? 'info';
 }
 
 /**
- * Logs JSON lines on standard error. They are written synchronously, so none is lost when the process is
- * killed. `host` is a field of every line.
+ * Creates a logger that writes JSON lines to standard error. It writes synchronously, so that no line is lost
+ * when the process is killed. Each line has the field `host`.
  */
 export function createLogger(level: LogLevel, host: string): Logger {
   return pino(
--- a/src/controller/node/node-runtime.ts
+++ b/src/controller/node/node-runtime.ts
@@ -1,4 +1,4 @@
-/** The runtime of a controller in production: Node's clocks, timers and sockets. */
+/** Runtime of a controller in production, with Node's clocks, timers and sockets. */
 import { HttpClient } from '../http/client.js';
 import type { HttpMessage } from '../http/parser.js';
 import type { SocketBudget } from '../http/socket-budget.js';
@@ -7,32 +7,32 @@
 import { decodeBody, encodeBody } from '../wire/cbor.js';
 import type { Call, Reply, Runtime, Timer } from '../runtime/runtime.js';
 
-/** Most connections to one address. */
+/** Largest number of connections to one address. */
 const MAX_CONNECTIONS_PER_HOST = 12;
-/** An unused connection is closed after this time. */
+/** Idle timeout of an outgoing connection. */
 const CONNECTION_IDLE_MS = 30_000;
-/** Largest response body that is read. */
+/** Largest response body that is accepted. */
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-/** What a `NodeRuntime` is made of. */
+/** Options of a `NodeRuntime`. */
 export interface NodeRuntimeOptions {
-  /** Shared with the servers of the process. */
+  /** The socket budget that the runtime shares with the servers of the process. */
   sockets: SocketBudget;
-  /** Uniform in [0, 1). */
+  /** Returns random numbers that are uniformly distributed in [0, 1). */
   random: () => number;
-  /** The other controllers, with the addresses that they listen on for peers. */
+  /** The other controllers, with the addresses on which they accept peer connections. */
   peers: { host: string; addr: string }[];
-  /** Least time between two attempts to connect to a peer. */
+  /** Shortest time between two attempts to connect to a peer. */
   peerRetryMs: number;
 }
 
-/** Implements the runtime with Node's event loop; it lives as long as the process. */
+/** Implements `Runtime` with Node's event loop. One instance serves the whole life of the process. */
 export class NodeRuntime implements Runtime {
   private readonly client: HttpClient;
   private readonly sockets: SocketBudget;
   private readonly peerLinks = new Map<string, PeerLink>();
   readonly random: () => number;
-  /** The monotonic clock counts from the start of the process. */
+  /** 0, because the monotonic clock (`performance.now`) counts from the start of the process. */
   readonly startedAt = 0;
 
   constructor(options: NodeRuntimeOptions) {
@@ -48,17 +48,17 @@
       this.peerLinks.set(host, new PeerLink(addr, options.peerRetryMs));
   }
 
-  /** Monotonic clock in milliseconds. */
+  /** Returns the time on the monotonic clock, in milliseconds. */
   now(): number {
     return performance.now();
   }
 
-  /** Milliseconds since the Unix epoch. */
+  /** Returns the milliseconds since the Unix epoch. */
   wallClock(): number {
     return Date.now();
   }
 
-  /** Runs `fn` once the present I/O events have been handled. */
+  /** Runs `fn` after the I/O events that are already pending have been handled. */
   defer(fn: () => void): void {
     setImmediate(fn);
   }
@@ -69,7 +69,7 @@
     return { cancel: () => clearTimeout(timeout) };
   }
 
-  /** Sends a request. A response that is no CBOR counts as none: status 0. */
+  /** Sends a request. A response whose body is not valid CBOR counts as no response, which is status 0. */
   call(call: Call, done: (reply: Reply) => void): void {
     const body = call.body === undefined ? null : encodeBody(call.body);
     this.client.request(call.to, call.method, call.path, body, call.timeoutMs, (response) =>
@@ -77,12 +77,12 @@
     );
   }
 
-  /** Sockets are not scarce, or a connection to the address is idle. */
+  /** Whether the socket budget is not exhausted, or there is an idle connection to the address. */
   hasSpareConnection(to: string): boolean {
     return !this.sockets.exhausted || this.client.hasIdleConnection(to);
   }
 
-  /** Sends a message to a peer; it is dropped while the peer is slow or unreachable. */
+  /** Sends a message to a peer. The message is dropped if the peer is slow or unreachable. */
   sendPeer(host: string, bytes: Buffer): void {
     this.peerLinks.get(host)?.send(encodeFrame(bytes));
   }
@@ -94,7 +94,7 @@
   try {
     return { status, body: body.length > 0 ? decodeBody(body) : null };
   } catch {
-    // Whether the request was carried out is as unknown as without response.
+    // As without a response, it is unknown whether the request was carried out.
     return NO_REPLY;
   }
 }
--- a/src/controller/node/peer-server.ts
+++ b/src/controller/node/peer-server.ts
@@ -1,16 +1,16 @@
-/** Takes the connections from other controllers. */
+/** Accepts connections from the other controllers. */
 import net from 'node:net';
 import type { Controller } from '../controller.js';
 import { readPeerConnection } from '../peers/peer-connection.js';
 import { splitAddress } from '../runtime/address.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Share of the sockets that peers may open. */
+/** Share of the process's socket limit that connections from peers may use. */
 const SOCKETS_SHARE = 0.02;
-/** Sockets that peers may open at least. */
+/** Smallest limit on connections from peers, for processes whose socket limit is low. */
 const MIN_SOCKETS = 8;
 
-/** Listens for the other controllers; `onError` is told where that fails. */
+/** Listens for connections from the other controllers; `onError` receives errors of the listening socket. */
 export function listenToPeers(
   { platform }: Settings,
   controller: Controller,
--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -1,4 +1,4 @@
-/** Starts a controller on this machine. */
+/** Starts a controller in this process. */
 import { randomBytes } from 'node:crypto';
 import { Controller } from '../controller.js';
 import { SocketBudget } from '../http/socket-budget.js';
@@ -11,15 +11,19 @@
 import { NodeRuntime } from './node-runtime.js';
 import { listenToPeers } from './peer-server.js';
 
-/** Random bytes that seed the process and tell it apart from the others of its host. */
+/**
+ * Number of random bytes that seed the process's random numbers and, as part of its identity, distinguish it
+ * from other processes on the same host.
+ */
 const SEED_BYTES = 8;
+/** Time between two adjustments of V8's heap growth factor; see `HeapBudget`. */
 const HEAP_CHECK_INTERVAL_MS = 1000;
-/** Attempts to connect to a peer in a heartbeat interval, at most. */
+/** Largest number of attempts to connect to a peer per heartbeat interval. */
 const PEER_ATTEMPTS_PER_HEARTBEAT = 3;
-/** The metrics' library is loaded after so many heartbeat intervals, so that the start is short. */
+/** Delay before the metrics library is loaded, in heartbeat intervals; it keeps the start-up short. */
 const METRICS_DELAY_HEARTBEATS = 3;
 
-/** Starts a controller; it runs until the process is killed. */
+/** Starts a controller, which runs until the process is killed. */
 export function run(settings: Settings): void {
   const { platform } = settings;
   const log = createLogger(readLogLevel(process.env['LOG_LEVEL']), platform.host);
@@ -32,7 +36,7 @@
   const controller = new Controller(runtime, log, settings, identity);
   logUncaughtErrors(log);
   const exitOnListenError = (err: Error): void => {
-    log.error({ err }, 'cannot listen');
+    log.error({ err }, 'cannot listen for connections');
     process.exit(1);
   };
   createApiServer(settings, sockets, controller).listen(
@@ -44,7 +48,7 @@
   loadMetrics(settings, controller);
 }
 
-/** Keeps the heap within the process's memory, or warns that it will not fit. */
+/** Keeps the heap within the memory quota; logs a warning if the quota is too small for a leader. */
 function limitHeap(quota: MemoryQuota, log: Logger): void {
   const warning = memoryWarning(quota);
   if (warning !== null) log.warn({}, warning);
@@ -62,7 +66,7 @@
   });
 }
 
-/** The fault of one connection must not end the process. */
+/** Logs uncaught errors instead of exiting: an error on one connection must not end the process. */
 function logUncaughtErrors(log: Logger): void {
   process.on('uncaughtException', (err) => log.error({ err }, 'uncaught exception'));
   process.on('unhandledRejection', (err) => log.error({ err }, 'unhandled rejection'));
--- a/src/launcher/application.ts
+++ b/src/launcher/application.ts
@@ -1,17 +1,17 @@
-/** Compiles the bundled application, from its code cache where that is valid. */
+/** Compiles and runs the bundled application, using its V8 code cache if that is valid. */
 import { readFileSync } from 'node:fs';
 import Module, { createRequire } from 'node:module';
 import { dirname } from 'node:path';
 import { setFlagsFromString } from 'node:v8';
 import { Script } from 'node:vm';
 
-/** The bundle, beside the launcher. */
+/** Name of the bundle, which is in the same directory as the launcher. */
 export const APPLICATION_FILE = 'application.cjs';
 
-/** Suffix of a bundle's code cache file. */
+/** Suffix that is appended to a bundle's name to get the name of its code cache file. */
 const CACHE_SUFFIX = '.cache';
 
-/** A CommonJS module as `Module.wrap` makes it. */
+/** The function that `Module.wrap` makes of the source of a CommonJS module. */
 type ModuleFunction = (
   exports: object,
   require: NodeJS.Require,
@@ -20,7 +20,7 @@
   directory: string,
 ) => void;
 
-/** Path of the code cache of a bundle. */
+/** Returns the path of a bundle's code cache. */
 export function cachePath(file: string): string {
   return file + CACHE_SUFFIX;
 }
@@ -29,12 +29,15 @@
   try {
     return readFileSync(cachePath(file));
   } catch {
-    // The cache only saves time: the program also starts without it.
+    // The cache only makes the start faster: the program also starts without it.
     return undefined;
   }
 }
 
-/** Compiles a bundle. V8 refuses a cache made by another version, with other flags or of another source. */
+/**
+ * Compiles a bundle, using its code cache if it has one. V8 rejects a cache that was made by another version
+ * of V8, with other flags or from another source, and then compiles the source.
+ */
 export function compileApplication(file: string): Script {
   const cachedData = readCache(file);
   return new Script(Module.wrap(readFileSync(file, 'utf8')), {
@@ -43,7 +46,7 @@
   });
 }
 
-/** Runs a bundle as a CommonJS module of its own. */
+/** Runs a bundle as a CommonJS module. */
 export function loadApplication(file: string): void {
   const moduleFunction = compileApplication(file).runInThisContext() as ModuleFunction;
   const module = { exports: {} };
@@ -51,8 +54,8 @@
 }
 
 /**
- * The code cache of a bundle, with every function compiled. V8 accepts a cache only under the flags
- * that were set when it was made, so lazy compilation is on again by then.
+ * Creates the code cache of a bundle, with every function compiled. V8 accepts a cache only if the same flags
+ * are set as when it was made, so lazy compilation is switched on again before the cache is made.
  */
 export function createCache(file: string): Buffer {
   setFlagsFromString('--no-lazy');
--- a/src/launcher/build-cache.ts
+++ b/src/launcher/build-cache.ts
@@ -1,4 +1,4 @@
-/** Build step: writes the code cache beside the bundled application. */
+/** Build step that writes the code cache of the bundled application next to the bundle. */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { APPLICATION_FILE, cachePath, createCache } from './application.js';
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-/** Entry point of the program: runs the command line and reports its errors. */
+/** Entry point: runs the command line and prints the message of a failed command. */
 import { CommandError } from './command-line/command-error.js';
 import { createProgram } from './command-line/program.js';
 
