--- a/src/controller/wire/cbor.ts
+++ b/src/controller/wire/cbor.ts
@@ -1,6 +1,7 @@
-/** CBOR bodies. */
+/** Encodes and decodes CBOR bodies. */
 import { decode, encode } from 'cborg';
 
+/** Decoder options that reject values which the protocols do not use. */
 const STRICT_OPTIONS = {
   allowUndefined: false,
   allowNaN: false,
@@ -9,22 +10,25 @@
   useMaps: false,
 };
 
-/** A CBOR map with texts as keys. */
+/** A decoded CBOR map with string keys. */
 export type Fields = Record<string, unknown>;
 
-/** The CBOR encoding of a value. */
+/** Encodes a value as CBOR. */
 export function encodeBody(value: unknown): Buffer {
   const bytes = encode(value);
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
 
-/** Decodes a body. Throws on anything but one whole CBOR item of the kinds that the protocols use. */
+/**
+ * Decodes a body that consists of exactly one CBOR item. Throws if the item is incomplete, if more bytes
+ * follow it, or if it contains anything that the protocols do not use (see `STRICT_OPTIONS`).
+ */
 export function decodeBody(bytes: Uint8Array): unknown {
   const value: unknown = decode(bytes, STRICT_OPTIONS);
   return value;
 }
 
-/** Whether a decoded value is a map. */
+/** Returns whether a decoded value is a map. */
 export function isMap(value: unknown): value is Fields {
   return (
     typeof value === 'object' &&
@@ -34,7 +38,7 @@
   );
 }
 
-/** Whether a decoded value is a list. */
+/** Returns whether a decoded value is a list. */
 export function isList(value: unknown): value is unknown[] {
   return Array.isArray(value);
 }
--- a/src/controller/wire/cloud.ts
+++ b/src/controller/wire/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud's protocol: machine types, the machine list, launches and releases. */
+/** Bodies of the cloud's protocol: machine types, the machine list, launches and releases. */
 import { isMap, type Fields } from './cbor.js';
 import {
   readAmount,
@@ -17,21 +17,21 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Disk space for images. */
+  /** Disk space for cached images. */
   cacheGb: number;
-  /** Speed at which a machine fetches images. */
+  /** Rate at which a machine fetches images. */
   fetchGbPerS: number;
   /** Price per hour. */
   price: number;
   /** Price per hour of a spot machine. */
   spotPrice: number;
-  /** Nominal time from the launch until the machine runs. */
+  /** Nominal time from the launch of a machine until it runs. */
   bootS: number;
   /** The zones in which the type is offered. */
   zones: string[];
 }
 
-/** A launched machine as the cloud lists it. */
+/** An entry of the cloud's machine list. */
 export interface ListedMachine {
   id: string;
   addr: string;
@@ -43,7 +43,7 @@
   ageS: number;
 }
 
-/** Reads the machine types. */
+/** Reads the response that lists the machine types. */
 export function readCatalogue(body: unknown): MachineType[] {
   return readList(requireMap(body, 'catalogue'), 'models').map(readMachineType);
 }
@@ -64,7 +64,7 @@
   };
 }
 
-/** The catalogue as the controllers store it at the state store: in the cloud's own form. */
+/** Encodes machine types for the state store, in the form in which the cloud lists them. */
 export function writeCatalogue(types: MachineType[]): Fields {
   return { models: types.map(writeMachineType) };
 }
@@ -91,7 +91,7 @@
   more: boolean;
 }
 
-/** Reads one page of the machine list. */
+/** Reads a response with one page of the machine list. */
 export function readMachinePage(body: unknown): MachinePage {
   const fields = requireMap(body, 'machines');
   return {
@@ -120,20 +120,20 @@
   return state;
 }
 
-/** An item of the list `name` as a map. */
+/** Returns an item of the list `name` as a map; throws a `WireError` if it is not a map. */
 function requireItemMap(item: unknown, name: string): Fields {
   if (!isMap(item)) throw new WireError(`${name}: expected maps`);
   return item;
 }
 
-/** Reads the ids of the machines that were launched. */
+/** Reads the response to a launch request: the ids of the launched machines. */
 export function readLaunchedIds(body: unknown): string[] {
   return readTexts(requireMap(body, 'rented'), 'kilns');
 }
 
-/** Machines of one kind to launch. */
+/** A launch of machines of one type in one zone, either all spot machines or none. */
 export interface MachineLaunch {
-  /** A request with the same name launches nothing twice. */
+  /** Name of the launch. The cloud does not launch machines again for a repeated name. */
   name: string;
   type: string;
   zone: string;
@@ -141,12 +141,12 @@
   count: number;
 }
 
-/** The body of a request to launch machines. */
+/** Encodes the body of a launch request. */
 export function writeLaunchRequest({ name, type, zone, spot, count }: MachineLaunch): Fields {
   return { hire: name, model: type, hall: zone, loaners: spot, how_many: count };
 }
 
-/** The body of a request to release machines. */
+/** Encodes the body of a request to release machines. */
 export function writeReleaseRequest(machineIds: string[]): Fields {
   return { kilns: machineIds };
 }
--- a/src/controller/wire/fields.ts
+++ b/src/controller/wire/fields.ts
@@ -1,29 +1,33 @@
-/** Typed access to the fields of decoded maps. Each function throws a `WireError` that names the field. */
+/**
+ * Typed access to the fields of decoded maps. Each function throws a `WireError` that names the field if the
+ * field is invalid or, except for optional fields, absent.
+ */
 import { isMap, type Fields } from './cbor.js';
 
-/** A body that does not follow the protocol. The message names the field by its name on the wire. */
+/** Thrown for a body that does not follow the protocol. The message gives the field's name on the wire. */
 export class WireError extends Error {}
 
 /**
- * An integer below 2^64. Those past 2^53 arrive as bigints and stay so: comparisons between numbers and
- * bigints are exact in JavaScript, so only the rare large integer costs more.
+ * An integer from 0 to below 2^64. Integers from 2^53 on, which a number cannot hold exactly, are decoded as
+ * bigints and kept as such. Nearly all integers are smaller and remain numbers, which are cheaper; JavaScript
+ * compares numbers with bigints exactly.
  */
 export type Int = number | bigint;
 
-/** The body as a map; `name` says in the error what was expected to be one. */
+/** Returns the body as a map. If it is not a map, the error calls it `name`. */
 export function requireMap(body: unknown, name: string): Fields {
   if (!isMap(body)) throw new WireError(`${name}: expected a map`);
   return body;
 }
 
-/** A text. */
+/** Reads a string. */
 export function readText(map: Fields, name: string): string {
   const value = map[name];
   if (typeof value !== 'string') throw new WireError(`${name}: expected text`);
   return value;
 }
 
-/** A finite number from 0 to `max`. */
+/** Reads a finite number from 0 to `max`. */
 export function readAmount(map: Fields, name: string, max = 1e12): number {
   const value = map[name];
   if (typeof value !== 'number' || !Number.isFinite(value) || value < 0 || value > max)
@@ -31,13 +35,13 @@
   return value;
 }
 
-/** A number as `readAmount` reads it, `null` where it is absent. */
+/** Reads an optional number as `readAmount` does; returns null if it is absent or null. */
 export function readOptionalAmount(map: Fields, name: string): number | null {
   const value = map[name];
   return value === undefined || value === null ? null : readAmount(map, name);
 }
 
-/** An integer from 0 to below 2^64. */
+/** Reads an integer from 0 to below 2^64. */
 export function readInt(map: Fields, name: string): Int {
   const value = map[name];
   if (typeof value === 'bigint' && value >= 0n && value < 1n << 64n) return value;
@@ -45,7 +49,7 @@
   throw new WireError(`${name}: expected a whole number`);
 }
 
-/** An integer in a range that a number holds exactly. */
+/** Reads an integer from `min` to `max`; both bounds must be integers that a number holds exactly. */
 export function readSmallInt(map: Fields, name: string, min: number, max: number): number {
   const value = map[name];
   if (typeof value !== 'number' || !Number.isSafeInteger(value) || value < min || value > max)
@@ -53,27 +57,27 @@
   return value;
 }
 
-/** True or false. */
+/** Reads a boolean. */
 export function readBoolean(map: Fields, name: string): boolean {
   const value = map[name];
   if (typeof value !== 'boolean') throw new WireError(`${name}: expected true or false`);
   return value;
 }
 
-/** True or false, false where it is absent. */
+/** Reads an optional boolean; returns false if it is absent or null. */
 export function readOptionalBoolean(map: Fields, name: string): boolean {
   const value = map[name];
   return value === undefined || value === null ? false : readBoolean(map, name);
 }
 
-/** A list of anything. */
+/** Reads a list whose items may have any type. */
 export function readList(map: Fields, name: string): unknown[] {
   const value = map[name];
   if (!Array.isArray(value)) throw new WireError(`${name}: expected a list`);
   return value;
 }
 
-/** A list of texts. */
+/** Reads a list of strings. */
 export function readTexts(map: Fields, name: string): string[] {
   return readList(map, name).map((item) => {
     if (typeof item !== 'string') throw new WireError(`${name}: expected texts`);
@@ -81,7 +85,7 @@
   });
 }
 
-/** A list of texts, `null` where it is absent. */
+/** Reads an optional list of strings; returns null if it is absent or null. */
 export function readOptionalTexts(map: Fields, name: string): string[] | null {
   const value = map[name];
   return value === undefined || value === null ? null : readTexts(map, name);
--- a/src/controller/wire/jobs.test.ts
+++ b/src/controller/wire/jobs.test.ts
@@ -27,12 +27,12 @@
 };
 
 describe('readJobSpec', () => {
-  it('reads a submission that writeJobSpec writes back unchanged', () => {
+  it('reads a submission so that writeJobSpec restores it unchanged', () => {
     assert.deepEqual(writeJobSpec(readJobSpec(submission)), submission);
   });
 
   for (const shape of ['batch', 'gang', 'standing'])
-    it(`reads the job kind "${shape}" that writeJobSpec writes back`, () =>
+    it(`reads the job kind "${shape}" so that writeJobSpec restores it`, () =>
       assert.equal(writeJobSpec(readJobSpec({ ...submission, shape }))['shape'], shape));
 
   it('reads absent optional fields as null and ignores unknown fields', () => {
@@ -71,7 +71,7 @@
     ['due_s', 'soon'],
     ['crew', ''],
   ];
-  it('throws a WireError on a field of the wrong type or out of range', () => {
+  it('throws a WireError for a field of the wrong type or out of range', () => {
     for (const [name, value] of invalidFields)
       assert.throws(
         () => readJobSpec({ ...submission, [name]: value }),
@@ -88,13 +88,13 @@
     it(`throws a WireError when ${name} is absent`, () =>
       assert.throws(() => readJobSpec({ ...submission, [name]: undefined }), WireError));
 
-  it('throws a WireError on a body that is not a map', () => {
+  it('throws a WireError for a body that is not a map', () => {
     for (const body of [null, [], 'text', 5]) assert.throws(() => readJobSpec(body), WireError);
   });
 });
 
 describe('writeJobStatus', () => {
-  it('uses the state names of the protocol', () => {
+  it('writes the state names of the protocol', () => {
     assert.deepEqual(writeJobStatus({ id: 'req-1', state: 'cancelled' }), {
       id: 'req-1',
       status: 'aborted',
--- a/src/controller/wire/jobs.ts
+++ b/src/controller/wire/jobs.ts
@@ -1,4 +1,4 @@
-/** The users' protocol: submissions, and what is told of jobs. */
+/** Bodies of the users' protocol: submissions and job statuses. */
 import { isMap, type Fields } from './cbor.js';
 import {
   readAmount,
@@ -11,13 +11,16 @@
   WireError,
 } from './fields.js';
 
-/** `service`: replicas that run until the job is cancelled; each is replaced when it is lost. */
+/**
+ * Kind of a job. The tasks of a `service` are replicas, which run until the job is cancelled; a lost replica
+ * is replaced.
+ */
 export type JobKind = 'array' | 'gang' | 'service';
-/** Priority classes, the highest first. */
+/** Priority class of a job, listed from the highest to the lowest. */
 export type Priority = 'production' | 'high' | 'normal' | 'low';
-/** State of a job as users see it. */
+/** State of a job as reported to users. */
 export type JobState = 'queued' | 'running' | 'done' | 'cancelled';
-/** State of a job that has ended; it never changes. */
+/** State of a job that has ended. A terminal state never changes. */
 export type TerminalState = 'done' | 'cancelled';
 
 /** A job as it was submitted. */
@@ -34,29 +37,30 @@
   memoryGb: number;
   image: string;
   imageGb: number;
-  /** Machine types that the tasks may use, `null` for all. */
+  /** Machine types that the tasks may use; null for all types. */
   types: string[] | null;
-  /** The only zone that the tasks may use, `null` for all. */
+  /** The only zone that the tasks may use; null for all zones. */
   zone: string | null;
-  /** All tasks have to run in one zone. */
+  /** Whether all tasks must run in the same zone. */
   singleZone: boolean;
-  /** The tasks should be spread over zones. */
+  /** Whether the tasks should be spread over several zones. */
   spread: boolean;
-  /** The tasks may use spot machines. */
+  /** Whether the tasks may run on spot machines. */
   spot: boolean;
-  /** The owner's estimate of how long a task runs. */
+  /** The submitter's estimate of how long a task runs. */
   estimatedRunS: number;
-  /** Time between two checkpoints, 0 if the tasks save none while they run. */
+  /** Time between two checkpoints of a running task; 0 if tasks save none while they run. */
   checkpointIntervalS: number;
-  /** Time that a task takes to save a checkpoint when it is stopped, 0 if it saves none. */
+  /** Time that a task needs to save a checkpoint when it is stopped; 0 if it saves none. */
   checkpointSaveS: number;
-  /** Time since the submission within which the job should end. */
+  /** Time since the submission within which the job should end; null if it has no deadline. */
   deadlineS: number | null;
 }
 
 /** Largest number of tasks of a job. */
 export const MAX_TASKS = 100_000;
 const JOB_ID = /^req-[0-9A-Za-z._-]{1,64}$/;
+/** Largest length of a name in a submission: of a class, team, image or zone. */
 const MAX_NAME_LENGTH = 200;
 
 const kindsByName: Record<string, JobKind> = { batch: 'array', gang: 'gang', standing: 'service' };
@@ -80,12 +84,12 @@
   cancelled: 'aborted',
 };
 
-/** Whether a text is a job's id. */
+/** Returns whether a string has the form of a job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
 
-/** The value that `valuesByName` has for the text of the field. */
+/** Reads a field whose text must be a key of `valuesByName`; returns the value of that key. */
 function readOneOf<Value>(valuesByName: Record<string, Value>, map: Fields, field: string): Value {
   const name = readText(map, field);
   const value = Object.hasOwn(valuesByName, name) ? valuesByName[name] : undefined;
@@ -100,7 +104,10 @@
   return value;
 }
 
-/** Bounds that keep a job's record well below the largest value of the state store. */
+/**
+ * Largest number of machine types in a submission, and largest length of their names. These limits keep the
+ * record of a job far below the largest value that the state store accepts.
+ */
 const MAX_TYPES = 64;
 const MAX_TYPE_NAME_LENGTH = 64;
 
@@ -114,13 +121,13 @@
   return names;
 }
 
-/** The id of a submission whose other fields may be wrong, `null` if it has no valid id. */
+/** Reads only the id of a submission, whose other fields may be invalid; returns null without a valid id. */
 export function readJobId(body: unknown): string | null {
   const id = isMap(body) ? body['id'] : null;
   return typeof id === 'string' && isJobId(id) ? id : null;
 }
 
-/** Reads a submission. Throws a `WireError` that names the field at fault. */
+/** Reads a submission. Throws a `WireError` that names the invalid field. */
 export function readJobSpec(body: unknown): JobSpec {
   const fields = requireMap(body, 'body');
   const id = readText(fields, 'id');
@@ -152,7 +159,7 @@
   };
 }
 
-/** A job in the form of a submission, which is also the form of its record. */
+/** Encodes a job in the form of a submission, in which it is also recorded at the state store. */
 export function writeJobSpec(spec: JobSpec): Fields {
   return {
     id: spec.id,
@@ -178,21 +185,21 @@
   };
 }
 
-/** What users are told of a job. Counts are absent where the node does not know them. */
+/** Status of a job as reported to users. Fields that this node does not know are absent. */
 export interface JobStatus {
   id: string;
   state: JobState;
-  /** Tasks that are done. */
+  /** Number of completed tasks. */
   done?: number;
-  /** Tasks that are running. */
+  /** Number of running tasks. */
   running?: number;
-  /** Task exits so far, by cause. */
+  /** Number of task exits so far, by cause. */
   exits?: Record<string, number>;
-  /** Why a gang has not been able to fill its reservation. */
+  /** Why tasks of the job are waiting, for example because a gang cannot fill its reservation. */
   blocked?: string;
 }
 
-/** The body of a response about a job. */
+/** Encodes the body of a response with the status of a job. */
 export function writeJobStatus(status: JobStatus): Fields {
   const fields: Fields = { id: status.id, status: stateNames[status.state] };
   if (status.done !== undefined) fields['done'] = status.done;
--- a/src/controller/wire/state-requests.ts
+++ b/src/controller/wire/state-requests.ts
@@ -1,25 +1,28 @@
-/** The requests of the state store's protocol: methods, paths and bodies. */
+/** Requests of the state store's protocol: methods, paths and bodies. */
 import { writeTransaction, type Condition, type Write } from './state.js';
 
 /** A request to the state store. */
 export interface StateRequest {
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
-  /** Absent: no body. */
+  /** Body before its encoding; absent if the request has no body. */
   body?: unknown;
 }
 
-/** A compare-and-swap transaction. */
+/** Request to commit a transaction: all writes if every condition holds, otherwise none. */
 export function transactionRequest(conditions: Condition[], writes: Write[]): StateRequest {
   return { method: 'POST', path: '/multi', body: writeTransaction(conditions, writes) };
 }
 
-/** Reads one key. */
+/** Request to read one key. */
 export function readKeyRequest(key: string): StateRequest {
   return { method: 'GET', path: `/keys/${key}` };
 }
 
-/** Reads up to `limit` keys of a prefix, those behind `after`; null: from the first. */
+/**
+ * Request to read up to `limit` keys that start with `prefix`: those that sort after the key `after`, or the
+ * first ones if it is null.
+ */
 export function readRangeRequest(
   prefix: string,
   after: string | null,
@@ -29,7 +32,10 @@
   return { method: 'GET', path: `/keys?starts=${prefix}${fromParameter}&limit=${limit}` };
 }
 
-/** Waits for up to `holdMs` for changes of a prefix since a revision. */
+/**
+ * Request for the changes since `revision` of keys that start with `prefix`. The store responds at the first
+ * change, or after `holdMs` without one.
+ */
 export function watchRequest(prefix: string, revision: number, holdMs: number): StateRequest {
   const roundedHoldMs = Math.round(holdMs);
   return {
@@ -38,17 +44,17 @@
   };
 }
 
-/** Asks for a lease that lives for `ttlMs` without renewal. */
+/** Request for a lease that expires `ttlMs` after it was granted or last renewed. */
 export function grantLeaseRequest(ttlMs: number): StateRequest {
   return { method: 'POST', path: '/holds', body: { life_ms: ttlMs } };
 }
 
-/** Renews a lease. */
+/** Request to renew a lease. */
 export function renewLeaseRequest(lease: number): StateRequest {
   return { method: 'POST', path: `/holds/${lease}/extend`, body: {} };
 }
 
-/** Ends a lease, and deletes all keys that are bound to it. */
+/** Request to end a lease, which deletes all keys that are bound to it. */
 export function revokeLeaseRequest(lease: number): StateRequest {
   return { method: 'DELETE', path: `/holds/${lease}` };
 }
--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -1,4 +1,4 @@
-/** The protocol of the state store: keys, transactions, leases and watches. */
+/** Bodies of the state store's protocol: keys, transactions, leases and watches. */
 import { isMap, type Fields } from './cbor.js';
 import {
   readList,
@@ -9,39 +9,39 @@
   requireMap,
 } from './fields.js';
 
-/** A condition of a compare-and-swap transaction: the key has this version, or does not exist for 0. */
+/** Condition of a transaction: the key must have this version; version 0 means that it must not exist. */
 export interface Condition {
   key: string;
   version: number;
 }
 
-/** A write to one key. A put may bind the key to a lease, with which it is deleted. */
+/** A write to one key. A put may bind the key to a lease; the key is deleted when the lease ends. */
 export type Write = { put: string; value: unknown; lease?: number } | { delete: string };
 
-/** A key with its value and the version of the last write. */
+/** A key with its value and the version from its last write. */
 export interface KeyValue {
   key: string;
   value: unknown;
   version: number;
 }
 
-/** A change of a key that a watch reports. */
+/** A change of one key, reported by a watch. */
 export type WatchEvent =
   { kind: 'put'; key: string; value: unknown; version: number } | { kind: 'delete'; key: string };
 
-/** Revisions, versions and lease ids stay far below 2^53 in the life of any deployment. */
+/** Largest accepted revision, version or lease id. No deployment lives long enough to come near 2^53. */
 const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
 
 function requireStateMap(body: unknown): Fields {
   return requireMap(body, 'state');
 }
 
-/** Reads the revision of the state store at which a response was made. */
+/** Reads the revision of the state store at the time of a response. */
 export function readRevision(body: unknown): number {
   return readSmallInt(requireStateMap(body), 'ledger', 0, MAX_INTEGER);
 }
 
-/** Reads one key. */
+/** Reads a key with its value and version. */
 export function readKeyValue(body: unknown): KeyValue {
   const map = requireStateMap(body);
   return {
@@ -51,7 +51,7 @@
   };
 }
 
-/** One page of the keys of a range. */
+/** One page of the keys that start with a prefix. */
 export interface RangePage {
   items: KeyValue[];
   /** Whether another page follows. */
@@ -59,7 +59,7 @@
   revision: number;
 }
 
-/** Reads one page of a range. */
+/** Reads a response with one page of the keys that start with a prefix. */
 export function readRange(body: unknown): RangePage {
   const map = requireStateMap(body);
   return {
@@ -69,28 +69,28 @@
   };
 }
 
-/** Reads the keys whose conditions did not hold. */
+/** Reads the response to a rejected transaction: the keys whose conditions did not hold. */
 export function readFailedKeys(body: unknown): string[] {
   return readTexts(requireStateMap(body), 'failed');
 }
 
-/** Whether a response with status 400 says that the lease does not exist any more. */
+/** Returns whether the body of a response with status 400 says that the lease no longer exists. */
 export function isLeaseNotFound(body: unknown): boolean {
   return isMap(body) && body['error'] === 'no such lease';
 }
 
-/** Reads the id of a lease. */
+/** Reads the response to a lease request: the id of the lease. */
 export function readLeaseId(body: unknown): number {
   return readSmallInt(requireStateMap(body), 'permit', 0, MAX_INTEGER);
 }
 
-/** The changes that one response to a watch reports, up to a revision. */
+/** All changes up to `revision` that a response to a watch request reports. */
 export interface WatchEvents {
   events: WatchEvent[];
   revision: number;
 }
 
-/** Reads a response to a watch. */
+/** Reads a response to a watch request. */
 export function readWatchEvents(body: unknown): WatchEvents {
   const map = requireStateMap(body);
   return {
@@ -110,7 +110,7 @@
   };
 }
 
-/** The body of a compare-and-swap transaction. */
+/** Encodes the body of a transaction. */
 export function writeTransaction(conditions: Condition[], writes: Write[]): Fields {
   return { if: conditions.map(writeCondition), writes: writes.map(writeWrite) };
 }
--- a/src/controller/wire/wire.test.ts
+++ b/src/controller/wire/wire.test.ts
@@ -10,9 +10,9 @@
 const submission = writeJobSpec(arraySpec());
 const readers = { readJobSpec, readHeartbeat, readCatalogue, readMachinePage };
 
-describe('readers of bodies', () => {
+describe('body readers', () => {
   for (const [name, readBody] of Object.entries(readers))
-    it(`${name} returns a value or throws a WireError on any input`, () => {
+    it(`${name} returns a value or throws a WireError for any input`, () => {
       fc.assert(
         fc.property(
           fc.object({ maxDepth: 3 }),
--- a/src/controller/wire/workers.test.ts
+++ b/src/controller/wire/workers.test.ts
@@ -4,7 +4,7 @@
 import { parseTaskName, readHeartbeat, writeHeartbeatResponse } from './workers.js';
 
 describe('readHeartbeat', () => {
-  it('keeps integers up to 2^64', () => {
+  it('reads integers up to 2^64 - 1 without loss', () => {
     const maxUint64 = 2n ** 64n - 1n;
     const heartbeat = readHeartbeat({
       ...{ kiln: 'n-1', address: '10.0.0.1:1', model: 'g8', hall: 'a', loaners: false },
@@ -15,17 +15,17 @@
 });
 
 describe('parseTaskName', () => {
-  it('splits the name of a task', () => {
+  it('splits a task name into job id and task number', () => {
     assert.deepEqual(parseTaskName('req-000412/3'), { job: 'req-000412', task: 3 });
   });
 
   for (const name of ['req-1', 'req-1/', 'req-1/x', '/3', 'req-1/1000000'])
-    it(`throws a WireError on "${name}"`, () =>
+    it(`throws a WireError for "${name}"`, () =>
       assert.throws(() => parseTaskName(name), WireError));
 });
 
 describe('writeHeartbeatResponse', () => {
-  it('names commands as the protocol does', () => {
+  it('writes the command names of the protocol', () => {
     const stop = { op: 'stop', name: 'req-1/2', attempt: 3, graceS: 4 } as const;
     assert.deepEqual(writeHeartbeatResponse(41, [stop]), {
       baton: 41,
--- a/src/controller/wire/workers.ts
+++ b/src/controller/wire/workers.ts
@@ -1,4 +1,4 @@
-/** The workers' protocol: heartbeats, the commands in their responses, and direct commands. */
+/** Bodies of the workers' protocol: heartbeats, their responses with commands, and direct commands. */
 import { isMap, type Fields } from './cbor.js';
 import {
   readInt,
@@ -15,7 +15,7 @@
 
 /** State of a task on its machine. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-/** Why a task has exited. The names are also those in responses to users. */
+/** Why a task has exited. Responses to users use the same names. */
 export type ExitCause =
   | 'done'
   | 'stopped'
@@ -25,22 +25,22 @@
   | 'no_room'
   | 'busy'
   | 'unknown'
-  /** A cause that this version does not know; treated like an unexplained exit. */
+  /** A cause that this version does not know; such an exit is treated like an unexplained one. */
   | 'other';
 
 /** State of one task in a heartbeat. */
 export interface TaskStatus {
-  /** `job/number`; see `parseTaskName`. */
+  /** Job id and task number, separated by a slash; see `parseTaskName`. */
   name: string;
   attempt: Int;
   state: TaskState;
-  /** `null` until the task has exited. */
+  /** Null unless the task has exited. */
   cause: ExitCause | null;
-  /** The task has exited and saved a checkpoint. */
+  /** Whether the task has exited and saved a checkpoint. */
   checkpointSaved: boolean;
 }
 
-/** A heartbeat: what a worker tells of itself and its tasks. */
+/** A heartbeat: the state of a worker and of its tasks. */
 export interface Heartbeat {
   /** Id of the machine. */
   machine: string;
@@ -48,18 +48,21 @@
   type: string;
   zone: string;
   spot: boolean;
-  /** Epoch of the worker's agent: once it has advanced, tasks of earlier epochs are gone (invariant 5). */
+  /** Epoch of the worker's agent. Once it has advanced, tasks of earlier epochs are gone (invariant 5). */
   agentEpoch: number;
-  /** Increases with each heartbeat of the epoch. */
+  /** Number of the heartbeat, which increases with each heartbeat of the same epoch. */
   sequence: Int;
-  /** The highest fencing token that the worker has seen (invariant 6). */
+  /** The highest fencing token that the worker has seen. It rejects lower ones (invariant 6). */
   fencingToken: Int;
-  /** Time until the spot machine is interrupted, `null` without a notice. */
+  /** Time until the spot machine is interrupted; null if no interruption notice was given. */
   spotNoticeS: number | null;
   tasks: TaskStatus[];
 }
 
-/** What a worker is to do with a task. `name` is the task's name. */
+/**
+ * A command to a worker about the task with this name. After `stop` the task has `graceS` seconds to save a
+ * checkpoint. `forget` removes an exited task from the worker.
+ */
 export type WorkerCommand =
   | { op: 'start' | 'forget'; name: string; attempt: Int }
   | { op: 'stop'; name: string; attempt: Int; graceS: number };
@@ -83,12 +86,12 @@
 ]);
 const commandVerbs = { start: 'run', stop: 'stop', forget: 'clear' } as const;
 
-/** The name of a task towards the workers. */
+/** Returns the name of a task in the workers' protocol. */
 export function taskName(job: string, task: number): string {
   return `${job}/${task}`;
 }
 
-/** The job and number in a task's name. Throws a `WireError` on any other text. */
+/** Splits a task's name into job id and task number. Throws a `WireError` if it is not a task's name. */
 export function parseTaskName(name: string): { job: string; task: number } {
   const slashIndex = name.lastIndexOf('/');
   const digits = name.slice(slashIndex + 1);
@@ -138,12 +141,15 @@
   return fields;
 }
 
-/** The response to a heartbeat. */
+/** Encodes the response to a heartbeat. */
 export function writeHeartbeatResponse(fencingToken: number, commands: WorkerCommand[]): Fields {
   return { baton: fencingToken, orders: commands.map(writeCommand) };
 }
 
-/** Commands that are sent to a worker without waiting for its heartbeat (invariant 6). */
+/**
+ * Encodes commands that are sent to a worker without waiting for its next heartbeat. The worker accepts only
+ * fencing tokens that are not lower than the highest that it has seen (invariant 6).
+ */
 export function writeDirectCommands(
   fencingToken: number,
   agentEpoch: number,
