--- a/src/command-line/check-config.ts
+++ b/src/command-line/check-config.ts
@@ -1,4 +1,4 @@
-/** Report of the command `check-config`: durations and sizes derived from the settings. */
+/** Report of the command `check-config`: durations and limits derived from the settings. */
 import { oldGenerationMb } from '../controller/runtime/heap-budget.js';
 import type { Settings } from '../controller/settings/settings.js';
 
--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -14,16 +14,16 @@
 /** Duration of a lease grant (see `Settings.leaseGrantMs`), as a ratio to the leader's lease. */
 const LEASE_GRANT_RATIO = 0.2;
 
-/** Smallest value of `Settings.maxWatchStalenessMs`, in leader leases. */
+/** The leader's lease is shortened until `Settings.maxWatchStalenessMs` is at least this many leases. */
 const MIN_STALENESS_LEASES = 2;
 
 /** The platform's settings, the operators' properties, and the durations and limits derived from both. */
 export class Settings {
   /** Time between two heartbeats of a worker. */
   readonly heartbeatIntervalMs: number;
-  /** Nominal lease of a worker, without clock drift and margin; see `workerLeaseExpiryMs`. */
+  /** Nominal lease of a worker; `workerLeaseExpiryMs` adds clock drift and a margin. */
   readonly workerLeaseMs: number;
-  /** Nominal lease of the leader at the state store, without drift and margin; see `usableLeaderLeaseMs`. */
+  /** Nominal lease of the leader at the state store; `usableLeaderLeaseMs` deducts drift and a margin. */
   readonly leaderLeaseMs: number;
   /** Time between two renewals of the leader's lease. */
   readonly leaderRenewIntervalMs: number;
@@ -57,7 +57,7 @@
   /**
    * Returns the configured leader lease, shortened if `cancel_s` leaves little time for watch staleness. The
    * watch becomes fresh only with each read, and a leader cannot keep its staleness below two leader leases.
-   * Throws a `SettingsError` if even the smallest allowed ratio to the worker lease is too long.
+   * Throws a `SettingsError` if the lease would fall below the smallest allowed ratio to the worker lease.
    */
   private computeLeaderLeaseMs(): number {
     const { cancelDeadlineS, leaseS } = this.platform.workers;
@@ -79,7 +79,7 @@
     return this.properties[name];
   }
 
-  /** Largest value, in bytes, that the state store accepts under both its current and its upcoming limits. */
+  /** Size in bytes of the largest value that both the current and the upcoming limits of the store allow. */
   get maxValueBytes(): number {
     const { stateLimits, upcomingStateLimits } = this.platform;
     return Math.min(stateLimits.valueKb, upcomingStateLimits.valueKb) * 1024;
--- a/src/controller/wire/jobs.ts
+++ b/src/controller/wire/jobs.ts
@@ -121,7 +121,7 @@
   return names;
 }
 
-/** Reads only the id of a submission, whose other fields may be invalid; returns null without a valid id. */
+/** Reads the id of a submission whose other fields may be invalid; returns null if the id is not valid. */
 export function readJobId(body: unknown): string | null {
   const id = isMap(body) ? body['id'] : null;
   return typeof id === 'string' && isJobId(id) ? id : null;
@@ -185,7 +185,7 @@
   };
 }
 
-/** Status of a job as reported to users. Fields that this node does not know are absent. */
+/** Status of a job as reported to users. Optional fields are absent if this node does not know them. */
 export interface JobStatus {
   id: string;
   state: JobState;
