--- a/src/command-line/input-files.test.ts
+++ b/src/command-line/input-files.test.ts
@@ -12,28 +12,43 @@
 after(() => rmSync(directory, { recursive: true }));
 
 /** Writes a file and returns its path. */
-function file(name: string, content: string): string {
+function writeTestFile(name: string, content: string): string {
   const path = join(directory, name);
   writeFileSync(path, content);
   return path;
 }
 
-const toml = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultPlatformOptions);
-const config = file('settings.toml', toml);
+const platformSource = platformToml(['kiln-0', 'kiln-1'], 'kiln-0', defaultPlatformOptions);
+const configPath = writeTestFile('settings.toml', platformSource);
 
 describe('loadSettings', () => {
-  const absent = join(directory, 'absent.toml');
-  const invalid = file('invalid.toml', toml.replace(/^site .*/m, ''));
-  const short = file('short.toml', toml.replace(/^cancel_s .*/m, 'cancel_s = 26.0'));
-  const properties = file('invalid.properties', 'fleet.strikes = many');
+  const missingPath = join(directory, 'absent.toml');
+  const invalidPath = writeTestFile('invalid.toml', platformSource.replace(/^site .*/m, ''));
+  const shortCancelPath = writeTestFile(
+    'short.toml',
+    platformSource.replace(/^cancel_s .*/m, 'cancel_s = 26.0'),
+  );
+  const invalidPropertiesPath = writeTestFile('invalid.properties', 'fleet.strikes = many');
   const cases: [string, Parameters<typeof loadSettings>[0], string][] = [
-    ['the file that is absent', { config: absent }, `${absent}: ENOENT`],
-    ['the file and the field', { config: invalid }, `${invalid}: site: expected a non-empty text`],
-    ['the property', { config, properties }, `${properties}: fleet.strikes: expected a number`],
-    ['contradicting fields', { config: short }, 'params.workers.cancel_s: 26 is too short'],
+    ['a missing file', { config: missingPath }, `${missingPath}: ENOENT`],
+    [
+      'the file and the invalid field',
+      { config: invalidPath },
+      `${invalidPath}: site: expected a non-empty string`,
+    ],
+    [
+      'the file and the invalid property',
+      { config: configPath, properties: invalidPropertiesPath },
+      `${invalidPropertiesPath}: fleet.strikes: expected a number`,
+    ],
+    [
+      'a field that contradicts another one',
+      { config: shortCancelPath },
+      'params.workers.cancel_s: 26 is too short',
+    ],
   ];
-  for (const [what, files, message] of cases)
-    it(`throws a CommandError that names ${what}`, () =>
+  for (const [namedItem, files, message] of cases)
+    it(`throws a CommandError that names ${namedItem}`, () =>
       assert.throws(
         () => loadSettings(files),
         (error) => error instanceof CommandError && error.message.startsWith(message),
@@ -41,8 +56,8 @@
 });
 
 describe('checkConfig', () => {
-  it('prints what follows from the settings, one fact a line', () => {
-    const lines = checkConfig(loadSettings({ config })).split('\n');
+  it('reports values derived from the settings, one per line', () => {
+    const lines = checkConfig(loadSettings({ config: configPath })).split('\n');
     assert.equal(lines[0], 'host kiln-0, 1 peers, 0 teams');
     assert.match(lines[1] ?? '', /^leader lease \d+ ms, renewed every \d+ ms, used for \d+ ms$/);
     assert.equal(lines.length, 6);
@@ -51,11 +66,14 @@
 });
 
 describe('readJsonFile', () => {
-  it('returns the value', () => {
-    assert.deepEqual(readJsonFile(file('job.json', '{"id":"req-1"}')), { id: 'req-1' });
+  it('returns the parsed value', () => {
+    assert.deepEqual(readJsonFile(writeTestFile('job.json', '{"id":"req-1"}')), { id: 'req-1' });
   });
 
   it('throws a CommandError that names a file that is not JSON', () => {
-    assert.throws(() => readJsonFile(config), new CommandError(`${config}: not JSON`));
+    assert.throws(
+      () => readJsonFile(configPath),
+      new CommandError(`${configPath}: not valid JSON`),
+    );
   });
 });
--- a/src/command-line/operator-commands.ts
+++ b/src/command-line/operator-commands.ts
@@ -1,4 +1,4 @@
-/** Commands for operators: each sends one request to the API of a running controller. */
+/** Commands for operators. Each sends one request to the API of a running controller. */
 import type { Command } from 'commander';
 import { callApi, type ApiRequest } from '../controller/operators/api-client.js';
 import { CommandError } from './command-error.js';
@@ -21,28 +21,28 @@
     method: 'POST',
     path: `/submissions/${id}/abort`,
   })).argument('<id>');
-  addCommand(program, 'cluster', 'prints the cluster as its leader sees it', (after) => ({
+  addCommand(program, 'cluster', 'prints the cluster as its leader sees it', (afterMachine) => ({
     method: 'GET',
-    path: after === '' ? '/cluster' : `/cluster?after=${encodeURIComponent(after)}`,
+    path: afterMachine === '' ? '/cluster' : `/cluster?after=${encodeURIComponent(afterMachine)}`,
   })).argument('[after]', 'lists machines from the one after this name');
 }
 
-/** Adds a command; `request` makes its request from the first argument, '' where that is absent. */
+/** Adds a command. `buildRequest` gets the command's first argument, or '' if there is none. */
 function addCommand(
   program: Command,
   name: string,
   description: string,
-  request: (argument: string) => ApiRequest,
+  buildRequest: (argument: string) => ApiRequest,
 ): Command {
   return program
     .command(name)
     .description(description)
     .requiredOption('--api <host:port>', 'API address of any controller')
-    .action(async (...given: unknown[]) => {
-      const command = given.at(-1) as Command;
+    .action(async (...actionArguments: unknown[]) => {
+      const command = actionArguments.at(-1) as Command;
       const { api } = command.opts<{ api: string }>();
-      if (!API_ADDRESS.test(api)) throw new CommandError(`--api ${api}: expected HOST:PORT`);
-      const result = await callApi(api, request(command.args[0] ?? ''));
+      if (!API_ADDRESS.test(api)) throw new CommandError(`--api ${api}: expected <host>:<port>`);
+      const result = await callApi(api, buildRequest(command.args[0] ?? ''));
       if (!result.ok) throw new CommandError(result.text);
       process.stdout.write(`${result.text}\n`);
     });
--- a/src/controller/operators/api-client.ts
+++ b/src/controller/operators/api-client.ts
@@ -1,10 +1,11 @@
-/** The operators' command line as a client of a controller's API. */
+/** API client of the operators' commands. */
 import { HttpClient } from '../http/client.js';
 import { SocketBudget } from '../http/socket-budget.js';
 import { decodeBody, encodeBody, isMap } from '../wire/cbor.js';
 
+/** Time limit for one request and its response. */
 const TIMEOUT_MS = 5000;
-/** The connection is not needed again, so it is closed soon. */
+/** Idle timeout of the connection; short, because a command sends only one request. */
 const IDLE_TIMEOUT_MS = 10;
 const MAX_RESPONSE_BYTES = 1024 * 1024;
 
@@ -16,14 +17,14 @@
   body?: unknown;
 }
 
-/** The response as text for a person: the body, or why there is none. */
+/** Result of a request, as text for the operator: the response body, or why the request failed. */
 export interface ApiResult {
   ok: boolean;
   text: string;
 }
 
-/** Sends one request to the controller at the address. Never rejects. */
-export function callApi(api: string, { method, path, body }: ApiRequest): Promise<ApiResult> {
+/** Sends one request to the controller at `address`. Never rejects: `ok` is false if the request failed. */
+export function callApi(address: string, { method, path, body }: ApiRequest): Promise<ApiResult> {
   const client = new HttpClient({
     sockets: new SocketBudget(Infinity),
     maxConnectionsPerHost: 1,
@@ -32,23 +33,29 @@
   });
   const bytes = body === undefined ? null : encodeBody(body);
   return new Promise((resolve) => {
-    client.request(api, method, path, bytes, TIMEOUT_MS, (response) => {
+    client.request(address, method, path, bytes, TIMEOUT_MS, (response) => {
       if (response === null) {
-        resolve({ ok: false, text: `no answer from ${api}: is a controller running there?` });
+        resolve({
+          ok: false,
+          text: `no response from ${address}: check that a controller is running there`,
+        });
         return;
       }
       try {
         const value = response.body.length > 0 ? decodeBody(response.body) : null;
-        resolve(describe(api, response.status, value, response.headers.get('retry-after')));
+        resolve(toApiResult(address, response.status, value, response.headers.get('retry-after')));
       } catch {
-        resolve({ ok: false, text: `${api} gave an answer that is not of this service` });
+        resolve({
+          ok: false,
+          text: `malformed response from ${address}: expected CBOR; is another service listening there?`,
+        });
       }
     });
   });
 }
 
-function describe(
-  api: string,
+function toApiResult(
+  address: string,
   status: number,
   body: unknown,
   retryAfter: string | undefined,
@@ -56,6 +63,6 @@
   if (status === 200 || status === 201) return { ok: true, text: JSON.stringify(body, null, 2) };
   const reason =
     isMap(body) && typeof body['error'] === 'string' ? body['error'] : 'no reason given';
-  const retry = retryAfter === undefined ? '' : `; try again in ${retryAfter} s`;
-  return { ok: false, text: `${api} answered ${status}: ${reason}${retry}` };
+  const retryHint = retryAfter === undefined ? '' : `; try again in ${retryAfter} s`;
+  return { ok: false, text: `${address} answered ${status}: ${reason}${retryHint}` };
 }
--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -7,10 +7,10 @@
 import { Settings } from '../settings/settings.js';
 import { clusterView, type ClusterViewSource } from './cluster-view.js';
 
-const MACHINES = 4500;
-const JOBS = 400;
-/** Responses to users have at most this many bytes, counted as JSON (PROTOCOL). */
-const RESPONSE_BYTES = 64 * 1024;
+const MACHINE_COUNT = 4500;
+const JOB_COUNT = 400;
+/** Largest response to a user, in bytes of its JSON form (PROTOCOL). */
+const MAX_RESPONSE_BYTES = 64 * 1024;
 
 interface View {
   machines: { id: string }[];
@@ -21,21 +21,21 @@
 
 describe('clusterView', () => {
   const settings = new Settings(standalonePlatform(), defaultProperties());
-  const names = Array.from(
-    { length: MACHINES },
+  const machineIds = Array.from(
+    { length: MACHINE_COUNT },
     (_, index) => `n-${String(index).padStart(6, '0')}`,
   );
 
   function source(after: string): ClusterViewSource {
-    const machines = new Map(names.map((id) => [id, new Machine(id, 0, settings)]));
+    const machines = new Map(machineIds.map((id) => [id, new Machine(id, 0, settings)]));
     const jobs = new Map<string, Job>();
-    for (let index = 0; index < JOBS; index++) {
+    for (let index = 0; index < JOB_COUNT; index++) {
       const id = `req-${index}`;
       const isGang = index % 2 === 0;
       const job = new Job(arraySpec({ id, kind: isGang ? 'gang' : 'service' }), 0, 1, 0);
       if (isGang)
         job.reservation = {
-          ...{ machines: names.slice(0, 30), reservedAt: 0, searchedAt: 0 },
+          ...{ machines: machineIds.slice(0, 30), reservedAt: 0, searchedAt: 0 },
           ...{ fillAt: Infinity, readyAt: Infinity },
         };
       jobs.set(id, job);
@@ -54,22 +54,23 @@
 
   const view = (after = ''): View => clusterView(source(after)) as View;
 
-  // Only the first 200 machines were listed, and nothing said that there were more.
-  it('keeps within the size limit of a response and names the lists that are cut', () => {
+  // Guards against truncating a list without saying so: once, the response held only the first 200 machines
+  // and nothing showed that there were more.
+  it('stays within the response size limit and names the truncated lists', () => {
     const first = view();
-    assert.ok(JSON.stringify(first).length < RESPONSE_BYTES);
-    assert.equal(first.machine_count, MACHINES);
+    assert.ok(JSON.stringify(first).length < MAX_RESPONSE_BYTES);
+    assert.equal(first.machine_count, MACHINE_COUNT);
     assert.equal(first.holds[0]?.machine_count, 30);
     assert.deepEqual(first.cut, ['machines', 'holds', 'services', 'lacking']);
   });
 
-  it('lists every machine over several responses', () => {
+  it('lists all machines over several responses when `after` is the last listed id', () => {
     const listedIds: string[] = [];
-    for (let more = true; more;) {
+    for (let hasMore = true; hasMore;) {
       const { machines, cut } = view(listedIds.at(-1) ?? '');
       listedIds.push(...machines.map(({ id }) => id));
-      more = cut.includes('machines');
+      hasMore = cut.includes('machines');
     }
-    assert.deepEqual(listedIds, names);
+    assert.deepEqual(listedIds, machineIds);
   });
 });
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -1,4 +1,4 @@
-/** The cluster as its leader sees it, for operators: the body of the response to `/cluster`. */
+/** Builds the response to `/cluster`: the state of the cluster as the leader knows it, for operators. */
 import type { Fleet } from '../fleet/fleet.js';
 import type { Job, Machine } from '../model/entities.js';
 import type { JobTable } from '../jobs/job-table.js';
@@ -8,26 +8,29 @@
 import type { Workers } from '../workers/workers.js';
 import type { MachineType } from '../wire/cloud.js';
 
-/** Largest number of entries of each list: a response has to stay below 64 KiB. */
+/** Largest number of entries of each list, so that the response stays below 64 KiB. */
 const MAX_LISTED = 75;
 
-/** Largest number of machines that are named for one job. */
+/** Largest number of machines that are listed for one job. */
 const MAX_MACHINES_OF_JOB = 8;
 
-/** The first entries of a list. */
+/** A list in the response, truncated to `MAX_LISTED` entries. */
 interface Listing {
   entries: unknown[];
-  /** Whether there are more entries. */
-  more: boolean;
+  /** Whether entries were left out. */
+  truncated: boolean;
 }
 
-/** State of the leader that the view shows. */
+/** The leader's state from which the view is built. */
 export interface ClusterViewSource {
   settings: Settings;
   term: number;
-  /** Whether the leader holds its lease with fresh state (invariants 1 and 8). */
+  /**
+   * Whether the leader may act: it is within its lease (invariant 1: only then may it act), and its knowledge
+   * of cancellations is not older than the freshness bound (invariant 8).
+   */
   mayActAsLeader: boolean;
-  /** Steady clock, milliseconds. */
+  /** Current time on the leader's steady clock, in milliseconds. */
   now: number;
   types: MachineType[];
   table: Pick<JobTable, 'jobs'>;
@@ -36,11 +39,11 @@
   };
   placement: Pick<Placement, 'shortages'>;
   fleet: Pick<Fleet, 'bootingCount'>;
-  /** Only machines whose ids come after this one are listed. */
+  /** Only machines whose ids sort after this one are listed. */
   after: string;
 }
 
-/** The view. `cut` names the lists that have more entries than are shown. */
+/** Returns the response body. Its field `cut` names the lists that were truncated. */
 export function clusterView(source: ClusterViewSource): unknown {
   const machines = [...source.workers.machines.values()];
   const jobs = [...source.table.jobs.values()];
@@ -50,7 +53,7 @@
     services: servicesView(jobs),
     lacking: shortagesView(source),
   };
-  const names = Object.keys(lists) as (keyof typeof lists)[];
+  const listNames = Object.keys(lists) as (keyof typeof lists)[];
   return {
     leader: source.settings.platform.host,
     term: source.term,
@@ -61,25 +64,31 @@
     booting: source.fleet.bootingCount,
     machine_count: machines.length,
     teams: teamsView(source),
-    ...Object.fromEntries(names.map((name) => [name, lists[name].entries])),
-    cut: names.filter((name) => lists[name].more),
+    ...Object.fromEntries(listNames.map((name) => [name, lists[name].entries])),
+    cut: listNames.filter((name) => lists[name].truncated),
     largest_placeable: source.types.map((type) => placeableView(source, machines, type)),
   };
 }
 
-/** The first entries of a list, each as the view shows it. */
-function listFirst<Entry>(all: readonly Entry[], view: (entry: Entry) => unknown): Listing {
-  return { entries: all.slice(0, MAX_LISTED).map(view), more: all.length > MAX_LISTED };
+/** Converts the first `MAX_LISTED` entries with `toView`. */
+function firstEntries<Entry>(
+  entries: readonly Entry[],
+  toView: (entry: Entry) => unknown,
+): Listing {
+  return {
+    entries: entries.slice(0, MAX_LISTED).map(toView),
+    truncated: entries.length > MAX_LISTED,
+  };
 }
 
 function machinesView(source: ClusterViewSource, machines: readonly Machine[]): Listing {
-  const rest = machines.filter(({ id }) => id > source.after);
-  rest.sort((one, other) => (one.id < other.id ? -1 : 1));
-  return listFirst(rest, (machine) => machineView(source, machine));
+  const remaining = machines.filter(({ id }) => id > source.after);
+  remaining.sort((a, b) => (a.id < b.id ? -1 : 1));
+  return firstEntries(remaining, (machine) => machineView(source, machine));
 }
 
 function shortagesView({ placement }: ClusterViewSource): Listing {
-  return listFirst(placement.shortages, ({ job, tasks }) => ({
+  return firstEntries(placement.shortages, ({ job, tasks }) => ({
     job: job.spec.id,
     class: job.spec.class,
     tasks,
@@ -120,14 +129,14 @@
 }
 
 function reservationsView(source: ClusterViewSource, jobs: Job[]): Listing {
-  // Seconds from now to a tenth, `null` for never.
-  const secondsUntil = (at: number): number | null =>
-    Number.isFinite(at) ? Math.round((at - source.now) / 100) / 10 : null;
-  const reserving = jobs.filter((job) => job.reservation !== null);
-  return listFirst(reserving, (job) => ({
+  // Seconds from now until `time`, rounded to tenths; null if `time` is not finite.
+  const secondsUntil = (time: number): number | null =>
+    Number.isFinite(time) ? Math.round((time - source.now) / 100) / 10 : null;
+  const reservingJobs = jobs.filter((job) => job.reservation !== null);
+  return firstEntries(reservingJobs, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
-    ...machineNames(job.reservation?.machines ?? []),
+    ...machineFields(job.reservation?.machines ?? []),
     held_s: -(secondsUntil(job.reservation?.reservedAt ?? source.now) ?? 0),
     fills_in_s: secondsUntil(job.reservation?.fillAt ?? Infinity),
     blocked: job.blockedReason,
@@ -136,39 +145,42 @@
 
 function servicesView(jobs: Job[]): Listing {
   const services = jobs.filter((job) => job.isService);
-  services.sort((one, other) => other.missingReplicas - one.missingReplicas);
-  return listFirst(services, (job) => ({
+  services.sort((a, b) => b.missingReplicas - a.missingReplicas);
+  return firstEntries(services, (job) => ({
     job: job.spec.id,
     class: job.spec.class,
     replicas: job.spec.tasks,
     missing: job.missingReplicas,
-    ...machineNames(
+    ...machineFields(
       [...job.currentAssignments.values()].map((assignment) => assignment.machine.id),
     ),
     exits: job.exitCounts,
   }));
 }
 
-/** The first machines of one job, and how many there are. */
-function machineNames(names: readonly string[]): { machines: string[]; machine_count: number } {
-  return { machines: names.slice(0, MAX_MACHINES_OF_JOB), machine_count: names.length };
+/** The fields of the view that give a job's first machines and the number of all its machines. */
+function machineFields(machineIds: readonly string[]): {
+  machines: string[];
+  machine_count: number;
+} {
+  return { machines: machineIds.slice(0, MAX_MACHINES_OF_JOB), machine_count: machineIds.length };
 }
 
-/** What could be placed at once on the machines of a type. */
+/** The largest requests that could be placed now on the machines of one type. */
 function placeableView(source: ClusterViewSource, machines: Machine[], type: MachineType): unknown {
   const usable = machines.filter(
     (machine) =>
       machine.typeName === type.name && source.workers.isAlive(machine) && !machine.releasing,
   );
-  const gpus = usable.map((machine) => type.gpus - machine.gpus);
-  const cpus = usable.map((machine) => type.cpus - machine.cpus);
+  const freeGpus = usable.map((machine) => type.gpus - machine.gpus);
+  const freeCpus = usable.map((machine) => type.cpus - machine.cpus);
   return {
     type: type.name,
     whole_machines: usable.filter((machine) => !machine.isBusy).length,
-    gpus_on_one: Math.max(0, ...gpus),
-    cpus_on_one: Math.max(0, ...cpus),
-    // Largest gang of tasks with one GPU, or with one CPU on machines without GPUs.
-    single_tasks: (type.gpus > 0 ? gpus : cpus).reduce(
+    gpus_on_one: Math.max(0, ...freeGpus),
+    cpus_on_one: Math.max(0, ...freeCpus),
+    // Largest possible gang of tasks with one GPU each, or with one CPU each if the type has no GPUs.
+    single_tasks: (type.gpus > 0 ? freeGpus : freeCpus).reduce(
       (sum, free) => sum + countFitting(Math.max(0, free), 1),
       0,
     ),
--- a/src/controller/settings/class-objectives.ts
+++ b/src/controller/settings/class-objectives.ts
@@ -1,31 +1,35 @@
-/** Service-level objectives of job classes, as scheduling uses them. */
+/** Groups the platform's service-level objectives by job class. */
 import type { Objective } from './platform.js';
 
-/** What is expected of the jobs of one class. Times are in milliseconds since the submission. */
+/** Objectives for the jobs of one class. Times are in milliseconds since the submission of a job. */
 export interface ClassObjectives {
-  /** Tasks should start within these times. */
+  /** Tasks should start within each of these times. */
   readonly starts: number[];
-  /** Jobs should end within these times. */
+  /** Jobs should end within each of these times. */
   readonly ends: number[];
-  /** Jobs with a deadline should end within these multiples of it. */
+  /** Jobs with a deadline should end within each of these multiples of it. */
   readonly deadlineFactors: number[];
 }
 
-/** Groups the objectives that name a class by that class. Unknown kinds are left out. */
+/** Returns the objectives of each class. Ignores objectives without a class and those of unknown kinds. */
 export function groupByClass(objectives: readonly Objective[]): Map<string, ClassObjectives> {
   const byClass = new Map<string, ClassObjectives>();
   for (const objective of objectives) {
     if (objective.class === null) continue;
-    const ofClass = byClass.get(objective.class) ?? { starts: [], ends: [], deadlineFactors: [] };
-    byClass.set(objective.class, ofClass);
-    addObjective(ofClass, objective);
+    const classObjectives = byClass.get(objective.class) ?? {
+      starts: [],
+      ends: [],
+      deadlineFactors: [],
+    };
+    byClass.set(objective.class, classObjectives);
+    addObjective(classObjectives, objective);
   }
   return byClass;
 }
 
-function addObjective(ofClass: ClassObjectives, objective: Objective): void {
+function addObjective(classObjectives: ClassObjectives, objective: Objective): void {
   const { kind, withinS, deadlineFactor } = objective;
-  if (kind === 'wait' && withinS !== null) ofClass.starts.push(withinS * 1000);
-  if (kind === 'finished' && withinS !== null) ofClass.ends.push(withinS * 1000);
-  if (kind === 'deadline') ofClass.deadlineFactors.push(deadlineFactor);
+  if (kind === 'wait' && withinS !== null) classObjectives.starts.push(withinS * 1000);
+  if (kind === 'finished' && withinS !== null) classObjectives.ends.push(withinS * 1000);
+  if (kind === 'deadline') classObjectives.deadlineFactors.push(deadlineFactor);
 }
--- a/src/controller/settings/properties.ts
+++ b/src/controller/settings/properties.ts
@@ -1,4 +1,4 @@
-/** Reading and writing of the operators' properties file. */
+/** Reads and writes the operators' properties file. */
 import { parse } from 'dot-properties';
 import { propertyDefinitions, type PropertyName } from './property-definitions.js';
 import { SettingsError } from './settings-error.js';
@@ -9,27 +9,27 @@
 const FILE_HEADER =
   '# Settings of bitternvale that operators may tune. Values shown are the defaults.\n';
 
-const names = Object.keys(propertyDefinitions) as PropertyName[];
+const propertyNames = Object.keys(propertyDefinitions) as PropertyName[];
 
-/** The values that apply where the operators' file sets none. */
+/** Returns the values of the properties that the operators' file does not set. */
 export function defaultProperties(): Properties {
   return Object.fromEntries(
-    names.map((name) => [name, propertyDefinitions[name].default]),
+    propertyNames.map((name) => [name, propertyDefinitions[name].default]),
   ) as Properties;
 }
 
-/** Reads the operators' file. Throws a `SettingsError` that names the property at fault. */
+/** Reads the operators' file. Throws a `SettingsError` that names an unknown or invalid property. */
 export function readProperties(source: string): Properties {
-  const given = parse(source) as Record<string, unknown>;
+  const entries = parse(source) as Record<string, unknown>;
   const properties = { ...defaultProperties() } as Record<string, number>;
-  for (const [name, value] of Object.entries(given)) properties[name] = readValue(name, value);
+  for (const [name, value] of Object.entries(entries)) properties[name] = readValue(name, value);
   return properties as Properties;
 }
 
-function readValue(name: string, given: unknown): number {
+function readValue(name: string, rawValue: unknown): number {
   if (!isPropertyName(name)) throw new SettingsError(`${name}: unknown key`);
   const { min, max } = propertyDefinitions[name];
-  const text = typeof given === 'string' ? given.trim() : '';
+  const text = typeof rawValue === 'string' ? rawValue.trim() : '';
   const value = Number(text);
   if (text === '' || !Number.isFinite(value) || value < min || value > max)
     throw new SettingsError(`${name}: expected a number from ${min} to ${max}, got "${text}"`);
@@ -40,9 +40,9 @@
   return Object.hasOwn(propertyDefinitions, name);
 }
 
-/** The shipped file: every property with its default, bounds and description. */
+/** Returns the content of the shipped file: every property with its default, bounds and description. */
 export function formatProperties(): string {
-  return FILE_HEADER + names.map(formatProperty).join('');
+  return FILE_HEADER + propertyNames.map(formatProperty).join('');
 }
 
 function formatProperty(name: PropertyName): string {
--- a/src/controller/settings/settings.test.ts
+++ b/src/controller/settings/settings.test.ts
@@ -13,8 +13,8 @@
 import { SettingsError } from './settings-error.js';
 import { Settings } from './settings.js';
 
-describe('properties', () => {
-  it('are documented with their defaults in the shipped file', () => {
+describe('properties file', () => {
+  it('is shipped with the default and the description of every property', () => {
     const shipped = readFileSync(
       new URL('../../../deploy/bitternvale.properties', import.meta.url),
       'utf8',
@@ -25,11 +25,11 @@
 
   const invalid: [string, string, RegExp][] = [
     ['an unknown key', 'no.such.key = 1', /no\.such\.key: unknown key/],
-    ['a text', 'fleet.strikes = many', /fleet\.strikes: expected a number/],
+    ['a value that is not a number', 'fleet.strikes = many', /fleet\.strikes: expected a number/],
     ['a number out of range', 'fleet.strikes = 1e9', /fleet\.strikes: expected a number/],
   ];
-  for (const [what, source, message] of invalid)
-    it(`are refused with a SettingsError that names the key on ${what}`, () =>
+  for (const [defect, source, message] of invalid)
+    it(`with ${defect} is rejected with a SettingsError that names the key`, () =>
       assert.throws(
         () => readProperties(source),
         (error) => error instanceof SettingsError && message.test(error.message),
@@ -38,75 +38,86 @@
 
 describe('platform settings', () => {
   const hosts = ['kiln-0', 'kiln-1'];
-  const text = (parts: Partial<PlatformOptions>): string =>
-    platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...parts });
-  const read = (source: string): Settings =>
+  const tomlWith = (overrides: Partial<PlatformOptions>): string =>
+    platformToml(hosts, 'kiln-0', { ...defaultPlatformOptions, ...overrides });
+  const readSettings = (source: string): Settings =>
     new Settings(readPlatform(source), defaultProperties());
-  const team = (amounts: string): string => `[[params.teams]]\nname = "red"\n${amounts}\n`;
+  const teamToml = (fields: string): string => `[[params.teams]]\nname = "red"\n${fields}\n`;
 
   const contradictions: [string, string, RegExp][] = [
-    ['a lease below the heartbeat interval', text({ leaseS: 2 }), /^params\.workers\.lease_s: /],
-    ['a lease of one heartbeat interval', text({ leaseS: 3 }), /^params\.workers\.lease_s: /],
     [
-      'too short a time to cancel tasks',
-      text({ cancelDeadlineS: 26 }),
+      'a lease below the heartbeat interval',
+      tomlWith({ leaseS: 2 }),
+      /^params\.workers\.lease_s: /,
+    ],
+    ['a lease of one heartbeat interval', tomlWith({ leaseS: 3 }), /^params\.workers\.lease_s: /],
+    [
+      'a cancel_s that is too short for the lease',
+      tomlWith({ cancelDeadlineS: 26 }),
       /^params\.workers\.cancel_s: /,
     ],
-    ['a value size that fits no record', text({ valueKb: 0.5 }), /^params\.state\.value_kb: /],
-    ['a transaction size of one write', text({ txnOps: 1 }), /^params\.state\.txn_ops: /],
+    [
+      'a value size too small for any record',
+      tomlWith({ valueKb: 0.5 }),
+      /^params\.state\.value_kb: /,
+    ],
+    ['a transaction size limit of one write', tomlWith({ txnOps: 1 }), /^params\.state\.txn_ops: /],
     [
       'a cap of GPUs below the guarantee',
-      text({ teamsToml: team('gpus = 9\ngpus_max = 8') }),
+      tomlWith({ teamsToml: teamToml('gpus = 9\ngpus_max = 8') }),
       /^params\.teams\.0\.gpus_max: /,
     ],
     [
-      'a cap of processors below the guarantee',
-      text({ teamsToml: team('cpus = 9.0\ncpus_max = 8.0') }),
+      'a cap of CPUs below the guarantee',
+      tomlWith({ teamsToml: teamToml('cpus = 9.0\ncpus_max = 8.0') }),
       /^params\.teams\.0\.cpus_max: /,
     ],
     [
-      'a peer with the name of the host',
-      text({}).replaceAll('kiln-1', 'kiln-0'),
+      'a peer with the same name as the host',
+      tomlWith({}).replaceAll('kiln-1', 'kiln-0'),
       /^peers\.0\.host_name: /,
     ],
   ];
-  for (const [what, source, line] of contradictions)
-    it(`are refused with one line that names the field on ${what}`, () =>
+  for (const [contradiction, source, message] of contradictions)
+    it(`with ${contradiction} are rejected with one line that names the field`, () =>
       assert.throws(
-        () => read(source),
+        () => readSettings(source),
         (error) =>
           error instanceof SettingsError &&
-          line.test(error.message) &&
+          message.test(error.message) &&
           !error.message.includes('\n'),
       ));
 
   it('accept a team without caps, caps equal to the guarantee, and unknown fields', () => {
-    const teams = team('gpus = 9') + team('gpus = 8\ngpus_max = 8\nspare = "x"');
-    const source = text({ teamsToml: teams }).replace(
+    const teams = teamToml('gpus = 9') + teamToml('gpus = 8\ngpus_max = 8\nspare = "x"');
+    const source = tomlWith({ teamsToml: teams }).replace(
       '[params.quota]',
       '[params.quota]\nmagic = [1]',
     );
-    assert.equal(read(`novelty = 1\n${source}`).platform.teams.length, 2);
+    assert.equal(readSettings(`novelty = 1\n${source}`).platform.teams.length, 2);
   });
 
-  // A deployment whose cancel_s leaves little time beside lease_s was refused, though a shorter lease fits it.
-  it('shorten the leader lease where cancel_s leaves little time', () => {
-    const usualLeaseMs = read(text({})).leaderLeaseMs;
-    const short = read(text({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }));
+  // Guards against rejecting a deployment whose cancel_s is not much longer than its lease_s: with a shorter
+  // leader lease its settings are valid.
+  it('result in a shorter leader lease if cancel_s leaves little time', () => {
+    const defaultLeaseMs = readSettings(tomlWith({})).leaderLeaseMs;
+    const shortCancel = readSettings(
+      tomlWith({ leaseS: 6, cancelDeadlineS: 12, heartbeatIntervalS: 1 }),
+    );
     assert.equal(
-      usualLeaseMs,
-      defaultPlatformOptions.leaseS * 1000 * short.get('leadership.lease.ratio'),
+      defaultLeaseMs,
+      defaultPlatformOptions.leaseS * 1000 * shortCancel.get('leadership.lease.ratio'),
     );
-    assert.ok(short.leaderLeaseMs < 6000 * short.get('leadership.lease.ratio'));
-    assert.ok(short.leaderLeaseMs * 2 <= short.maxWatchStalenessMs + 1);
+    assert.ok(shortCancel.leaderLeaseMs < 6000 * shortCancel.get('leadership.lease.ratio'));
+    assert.ok(shortCancel.leaderLeaseMs * 2 <= shortCancel.maxWatchStalenessMs + 1);
     assert.ok(
-      short.maxWatchStalenessMs + 6000 + 4000 < 12_000,
-      'the bound on cancelled tasks still holds',
+      shortCancel.maxWatchStalenessMs + 6000 + 4000 < 12_000,
+      'staleness, worker lease and response time limit add up to less than cancel_s',
     );
   });
 
-  it('lead to a warning where the heap may outgrow the memory of the process', () => {
-    const warning = (ramMb: number) => memoryWarning(readPlatform(text({ ramMb })).quota);
+  it('cause a warning if the memory of the process is too small for the heap', () => {
+    const warning = (ramMb: number) => memoryWarning(readPlatform(tomlWith({ ramMb })).quota);
     assert.equal(warning(146), null);
     assert.match(warning(100) ?? '', /^params\.quota\.ram_mb: 100 /);
   });
--- a/src/controller/wire/wire.test.ts
+++ b/src/controller/wire/wire.test.ts
@@ -10,17 +10,17 @@
 const submission = writeJobSpec(arraySpec());
 const readers = { readJobSpec, readHeartbeat, readCatalogue, readMachinePage };
 
-describe('readers of bodies', () => {
-  for (const [name, read] of Object.entries(readers))
-    it(`${name} returns a value or throws a WireError on any input`, () => {
+describe('body readers', () => {
+  for (const [name, readBody] of Object.entries(readers))
+    it(`${name} returns a value or throws a WireError for any input`, () => {
       fc.assert(
         fc.property(
           fc.object({ maxDepth: 3 }),
           fc.constantFrom(...Object.keys(submission)),
-          (any, field) => {
-            for (const body of [any, { ...submission, [field]: any }]) {
+          (arbitraryValue, field) => {
+            for (const body of [arbitraryValue, { ...submission, [field]: arbitraryValue }]) {
               try {
-                read(body);
+                readBody(body);
               } catch (err) {
                 assert.ok(err instanceof WireError, String(err));
               }
--- a/src/launcher/application.test.ts
+++ b/src/launcher/application.test.ts
@@ -12,44 +12,45 @@
   const directory = mkdtempSync(join(tmpdir(), 'bitternvale-'));
   after(() => rmSync(directory, { recursive: true }));
 
-  function bundle(name: string, source: string): string {
+  function writeBundle(name: string, source: string): string {
     const file = join(directory, name);
     writeFileSync(file, source);
     return file;
   }
 
-  it('is accepted for the bundle that it was made from', () => {
-    const file = bundle('same.cjs', 'module.exports = { answer: () => 42 };');
+  it('is accepted for the bundle from which it was made', () => {
+    const file = writeBundle('same.cjs', 'module.exports = { answer: () => 42 };');
     writeFileSync(cachePath(file), createCache(file));
     assert.equal(compileApplication(file).cachedDataRejected, false);
   });
 
-  // Each bundle has a source of its own: V8 compiles the same source only once in a process.
+  // Each test uses a different source, because V8 compiles the same source only once per process.
   it('is rejected for another bundle', () => {
-    const file = bundle('other.cjs', 'module.exports = {};');
+    const file = writeBundle('other.cjs', 'module.exports = {};');
     writeFileSync(cachePath(file), createCache(file));
     writeFileSync(file, 'module.exports = { longer: true };');
     assert.equal(compileApplication(file).cachedDataRejected, true);
   });
 
-  it('is rejected where it is corrupt, and not needed where it is missing', () => {
-    const corrupt = bundle('corrupt.cjs', 'module.exports = { corrupt: true };');
+  it('is rejected if it is corrupt, and may be missing', () => {
+    const corrupt = writeBundle('corrupt.cjs', 'module.exports = { corrupt: true };');
     writeFileSync(cachePath(corrupt), Buffer.alloc(10));
     assert.equal(compileApplication(corrupt).cachedDataRejected, true);
-    const missing = bundle('missing.cjs', 'module.exports = { missing: true };');
+    const missing = writeBundle('missing.cjs', 'module.exports = { missing: true };');
     assert.equal(compileApplication(missing).cachedDataRejected, undefined);
   });
 
-  // The cache was refused without a word where `run` set flags of V8 that the build did not set.
-  it('is accepted in a process that is started as deploy/service.toml says', () => {
+  // Guards against a `run` command in deploy/service.toml that sets V8 flags which the build does not set: V8
+  // then rejects the cache without reporting it.
+  it('is accepted in a process started with the options of deploy/service.toml', () => {
     const root = fileURLToPath(new URL('../../', import.meta.url));
     const deploy = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
-    const [node, ...words] = (deploy['run'] as string).split(' ');
+    const [node, ...nodeArguments] = (deploy['run'] as string).split(' ');
     assert.equal(node, 'node');
-    const options = words.slice(0, words.indexOf('target/main.cjs'));
-    const file = bundle('deployed.cjs', 'module.exports = { answer: () => 42 };');
+    const options = nodeArguments.slice(0, nodeArguments.indexOf('target/main.cjs'));
+    const file = writeBundle('deployed.cjs', 'module.exports = { answer: () => 42 };');
     writeFileSync(cachePath(file), createCache(file));
-    const check = `
+    const childSource = `
       const { readFileSync } = require('node:fs');
       const { wrap } = require('node:module');
       const { Script } = require('node:vm');
@@ -57,7 +58,9 @@
       const cachedData = readFileSync(${JSON.stringify(cachePath(file))});
       const script = new Script(wrap(readFileSync(file, 'utf8')), { filename: file, cachedData });
       process.stdout.write(String(script.cachedDataRejected));`;
-    const { stdout } = spawnSync(process.execPath, [...options, '-e', check], { encoding: 'utf8' });
+    const { stdout } = spawnSync(process.execPath, [...options, '-e', childSource], {
+      encoding: 'utf8',
+    });
     assert.equal(stdout, 'false');
   });
 });
