--- a/src/controller/store/call-health.ts
+++ b/src/controller/store/call-health.ts
@@ -17,9 +17,9 @@
 
   /** A call is sent. Returns the number to end it with. */
   startCall(): number {
-    const call = ++this.lastCall;
-    this.openCalls.set(call, this.now());
-    return call;
+    const callId = ++this.lastCall;
+    this.openCalls.set(callId, this.now());
+    return callId;
   }
 
   /** The call has a response, or has timed out. */
