--- a/src/controller/store/call-health.ts
+++ b/src/controller/store/call-health.ts
@@ -23,8 +23,8 @@
   }
 
   /** The call has a response, or has timed out. */
-  endCall(call: number): void {
-    this.openCalls.delete(call);
+  endCall(callId: number): void {
+    this.openCalls.delete(callId);
   }
 
   /** The store has carried out a call or a watch, or has rejected it for a reason of its own. */
