--- a/src/controller/store/call-health.ts
+++ b/src/controller/store/call-health.ts
@@ -10,14 +10,14 @@
   private failures = 0;
   /** By call, when it was sent. Only calls without an outcome; the oldest comes first. */
   private readonly openCalls = new Map<number, number>();
-  private lastCall = 0;
+  private lastCallId = 0;
 
   /** `now`: monotonic clock in milliseconds. */
   constructor(private readonly now: () => number) {}
 
   /** A call is sent. Returns the number to end it with. */
   startCall(): number {
-    const callId = ++this.lastCall;
+    const callId = ++this.lastCallId;
     this.openCalls.set(callId, this.now());
     return callId;
   }
