--- a/src/controller/store/call-health.ts
+++ b/src/controller/store/call-health.ts
@@ -9,7 +9,7 @@
   private failedAt = -Infinity;
   private failures = 0;
   /** By call, when it was sent. Only calls without an outcome; the oldest comes first. */
-  private readonly openCalls = new Map<number, number>();
+  private readonly sentAtByOpenCall = new Map<number, number>();
   private lastCallId = 0;
 
   /** `now`: monotonic clock in milliseconds. */
@@ -18,13 +18,13 @@
   /** A call is sent. Returns the number to end it with. */
   startCall(): number {
     const callId = ++this.lastCallId;
-    this.openCalls.set(callId, this.now());
+    this.sentAtByOpenCall.set(callId, this.now());
     return callId;
   }
 
   /** The call has a response, or has timed out. */
   endCall(callId: number): void {
-    this.openCalls.delete(callId);
+    this.sentAtByOpenCall.delete(callId);
   }
 
   /** The store has carried out a call or a watch, or has rejected it for a reason of its own. */
@@ -56,7 +56,7 @@
 
   /** For how long the store has left a call without response while it served no other. */
   get stalledMs(): number {
-    const oldest = this.openCalls.values().next();
+    const oldest = this.sentAtByOpenCall.values().next();
     if (oldest.done === true || this.succeededAt >= oldest.value) return 0;
     return this.now() - oldest.value;
   }
