--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -172,11 +172,11 @@
     timeoutMs: number,
     done: (reply: Reply) => void,
   ): void {
-    const openCall = operation === 'watch' ? null : this.health.startCall();
+    const callId = operation === 'watch' ? null : this.health.startCall();
     const call = { to: this.settings.platform.stateStoreAddr, timeoutMs, ...request };
     this.eventLoop.runtime.call(call, (reply) => {
       this.eventLoop.post(operation, () => {
-        if (openCall !== null) this.health.endCall(openCall);
+        if (callId !== null) this.health.endCall(callId);
         this.recordOutcome(reply);
         done(reply);
       });
