--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -137,9 +137,9 @@
   }
 
   /** Renews a lease for its whole time to live. */
-  renewLease(lease: number, timeoutMs: number, done: (outcome: RenewalOutcome) => void): void {
+  renewLease(leaseId: number, timeoutMs: number, done: (outcome: RenewalOutcome) => void): void {
     this.budget.requestTokens.forceTake();
-    this.call('renew-lease', renewLeaseRequest(lease), timeoutMs, (reply) => {
+    this.call('renew-lease', renewLeaseRequest(leaseId), timeoutMs, (reply) => {
       if (reply.status === OK) done('ok');
       else done(reply.status === NOT_FOUND ? 'expired' : 'failed');
     });
