--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -146,9 +146,9 @@
   }
 
   /** Revokes a lease, which deletes all keys that are bound to it. */
-  revokeLease(lease: number, timeoutMs: number, done: () => void): void {
+  revokeLease(leaseId: number, timeoutMs: number, done: () => void): void {
     this.budget.requestTokens.forceTake();
-    this.call('revoke-lease', revokeLeaseRequest(lease), timeoutMs, done);
+    this.call('revoke-lease', revokeLeaseRequest(leaseId), timeoutMs, done);
   }
 
   /** Waits for up to `holdMs` for changes of a prefix since a revision. */
