--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -120,8 +120,8 @@
         if (range.kind === 'failed') return done(range);
         for (const item of range.value.items) items.push(item);
         revision ??= range.value.revision;
-        const last = range.value.items.at(-1);
-        if (range.value.more && last !== undefined) readAfter(last.key);
+        const lastItem = range.value.items.at(-1);
+        if (range.value.more && lastItem !== undefined) readAfter(lastItem.key);
         else done({ kind: 'ok', value: { items, revision } });
       });
     };
