--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -58,8 +58,8 @@
     ['a missing response', 0, null, { kind: 'unknown' }],
     ['a malformed response', 200, { ledger: 'seven' }, { kind: 'unknown' }],
   ];
-  for (const [what, status, body, expected] of transactionResults)
-    it(`transact reports ${what} as ${expected.kind}`, () => {
+  for (const [response, status, body, expected] of transactionResults)
+    it(`transact reports ${response} as ${expected.kind}`, () => {
       let result: TransactionResult | undefined;
       client.transact([], [], 1000, (outcome) => (result = outcome));
       runtime.answer(status, body);
