--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -85,8 +85,8 @@
     ['a malformed response', 200, { k: 'lead' }, { kind: 'failed' }],
     ['a missing response', 0, null, { kind: 'failed' }],
   ];
-  for (const [what, status, body, expected] of readResults)
-    it(`read reports ${what} as ${expected.kind}`, () => {
+  for (const [response, status, body, expected] of readResults)
+    it(`read reports ${response} as ${expected.kind}`, () => {
       let result: ReadResult<unknown> | undefined;
       client.read('lead', 1000, (outcome) => (result = outcome));
       assert.equal(runtime.answer(status, body).path, '/keys/lead');
