--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -68,10 +68,10 @@
 
   it('transact halves the sizes that are written after a transaction was rejected', () => {
     const { limits } = client.budget;
-    const before = limits.maxValueSize;
+    const sizeBefore = limits.maxValueSize;
     client.transact([], [], 1000, () => undefined);
     runtime.answer(400, { error: 'too large' });
-    assert.equal(limits.maxValueSize, before / 2);
+    assert.equal(limits.maxValueSize, sizeBefore / 2);
   });
 
   const readResults: [string, number, unknown, ReadResult<unknown>][] = [
