--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -99,8 +99,11 @@
     const entry = (k: string) => ({ k, value: 0, stamp: 1 });
     const firstResponse = { entries: [entry('page/0')], has_next: true, ledger: 5 };
     assert.equal(runtime.answer(200, firstResponse).path, '/keys?starts=page/&limit=1000');
-    const second = { entries: [entry('page/1')], has_next: false, ledger: 9 };
-    assert.equal(runtime.answer(200, second).path, '/keys?starts=page/&from=page/0&limit=1000');
+    const secondResponse = { entries: [entry('page/1')], has_next: false, ledger: 9 };
+    assert.equal(
+      runtime.answer(200, secondResponse).path,
+      '/keys?starts=page/&from=page/0&limit=1000',
+    );
     assert.ok(result?.kind === 'ok');
     assert.deepEqual(
       result.value.items.map(({ key }) => key),
