--- a/src/controller/store/batch.ts
+++ b/src/controller/store/batch.ts
@@ -36,9 +36,9 @@
 
   /** Whether an entry of this size keeps the transaction within the limits. */
   fits(entry: Entry, size: number): boolean {
-    const conditions = this.conditions.length + entry.conditions.length;
+    const conditionCount = this.conditions.length + entry.conditions.length;
     return (
-      conditions <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
+      conditionCount <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.writes.length + entry.writes.length <= this.maxWrites &&
       this.size + size <= MAX_TRANSACTION_SIZE &&
       // Two entries on one key would share their outcome: the second waits for the next batch.
