--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -92,12 +92,12 @@
     }
   }
 
-  private fits(writes: number, conditions: number, size: number): boolean {
+  private fits(writeCount: number, conditions: number, size: number): boolean {
     return (
-      this.writes + writes <= this.maxWrites &&
+      this.writes + writeCount <= this.maxWrites &&
       this.conditions.length + conditions <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.size + size <= MAX_TRANSACTION_SIZE &&
-      this.context.client.budget.writeTokens.waitMs(writes, tokenReserve.records) === 0
+      this.context.client.budget.writeTokens.waitMs(writeCount, tokenReserve.records) === 0
     );
   }
 
