--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -92,10 +92,10 @@
     }
   }
 
-  private fits(writeCount: number, conditions: number, size: number): boolean {
+  private fits(writeCount: number, conditionCount: number, size: number): boolean {
     return (
       this.writes + writeCount <= this.maxWrites &&
-      this.conditions.length + conditions <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
+      this.conditions.length + conditionCount <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.size + size <= MAX_TRANSACTION_SIZE &&
       this.context.client.budget.writeTokens.waitMs(writeCount, tokenReserve.records) === 0
     );
