--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -28,7 +28,7 @@
   private readonly pages = new Set<Page>();
   private readonly entries = new Set<RecordEntry>();
   private readonly transactions: PendingTransaction[] = [];
-  private writes = 0;
+  private writeCount = 0;
   private size = FRAME_SIZE;
 
   /** `fencingCondition`: the leader's key is still its own. */
@@ -42,7 +42,7 @@
 
   /** Nothing has been added. */
   get isEmpty(): boolean {
-    return this.writes === 0;
+    return this.writeCount === 0;
   }
 
   /** Whether the entry has been added. */
@@ -68,7 +68,7 @@
 
   private addPage(page: Page): void {
     this.pages.add(page);
-    this.writes++;
+    this.writeCount++;
     this.size += page.size;
     this.conditions.push({ key: page.key, version: page.version });
     this.context.client.budget.writeTokens.forceTake(1);
@@ -86,7 +86,7 @@
       queue.shift();
       this.transactions.push(transaction);
       client.budget.writeTokens.forceTake(writes.length);
-      this.writes += writes.length;
+      this.writeCount += writes.length;
       this.size += size;
       this.conditions.push(...conditions);
     }
@@ -94,7 +94,7 @@
 
   private fits(writeCount: number, conditionCount: number, size: number): boolean {
     return (
-      this.writes + writeCount <= this.maxWrites &&
+      this.writeCount + writeCount <= this.maxWrites &&
       this.conditions.length + conditionCount <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.size + size <= MAX_TRANSACTION_SIZE &&
       this.context.client.budget.writeTokens.waitMs(writeCount, tokenReserve.records) === 0
