--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -82,7 +82,7 @@
   private addDeferrable(builder: CommitBuilder, isDue: boolean, now: number): void {
     const { pending, settings } = this.context;
     if (isDue) this.deferrableDueAt = now + settings.get('placement.hold.record.s') * 1000;
-    const mayAddPage = isDue && (this.hasAllUrgent(builder) || this.haveWaitedLong(now));
+    const mayAddPage = isDue && (this.hasAllUrgent(builder) || this.isDeferralTooLong(now));
     if (mayAddPage) this.deferrablePagesAt = now;
     for (const entry of pending.deferrable) if (!this.tryAdd(builder, entry, mayAddPage)) break;
   }
@@ -92,7 +92,7 @@
     return true;
   }
 
-  private haveWaitedLong(now: number): boolean {
+  private isDeferralTooLong(now: number): boolean {
     const maxDeferralMs = this.context.settings.workerLeaseMs * MAX_DEFERRAL_RATIO;
     return now - this.deferrablePagesAt > maxDeferralMs;
   }
