--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -82,12 +82,12 @@
   private addDeferrable(builder: CommitBuilder, isDue: boolean, now: number): void {
     const { pending, settings } = this.context;
     if (isDue) this.deferrableDueAt = now + settings.get('placement.hold.record.s') * 1000;
-    const mayAddPage = isDue && (this.hasAllUrgent(builder) || this.isDeferralTooLong(now));
+    const mayAddPage = isDue && (this.containsAllUrgent(builder) || this.isDeferralTooLong(now));
     if (mayAddPage) this.deferrablePagesAt = now;
     for (const entry of pending.deferrable) if (!this.tryAdd(builder, entry, mayAddPage)) break;
   }
 
-  private hasAllUrgent(builder: CommitBuilder): boolean {
+  private containsAllUrgent(builder: CommitBuilder): boolean {
     for (const entry of this.context.pending.urgent) if (!builder.has(entry)) return false;
     return true;
   }
