--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -116,8 +116,8 @@
     failedKeys: ReadonlySet<string>,
   ): void {
     for (const transaction of transactions.reverse()) {
-      const hasFailed = transaction.conditions.some(({ key }) => failedKeys.has(key));
-      if (hasFailed) transaction.done('conflict');
+      const conditionFailed = transaction.conditions.some(({ key }) => failedKeys.has(key));
+      if (conditionFailed) transaction.done('conflict');
       else this.context.transactions.unshift(transaction);
     }
   }
