--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -162,14 +162,14 @@
     result: TransactionResult & { kind: 'conflict' },
   ): void {
     const failedKeys = new Set(result.failedKeys);
-    const others: QueuedEntry[] = [];
+    const unaffected: QueuedEntry[] = [];
     for (const entry of entries) {
       if (entry.conditions.some(({ key }) => failedKeys.has(key))) entry.done(result);
-      else others.push(entry);
+      else unaffected.push(entry);
     }
     // The store has named no key of any entry.
-    this.oneByOne = others.length === entries.length;
-    this.requeue(others);
+    this.oneByOne = unaffected.length === entries.length;
+    this.requeue(unaffected);
   }
 
   private requeue(entries: QueuedEntry[]): void {
