--- a/src/controller/store/limits.ts
+++ b/src/controller/store/limits.ts
@@ -73,7 +73,9 @@
     const now = this.now();
     const { rps, writeRps } = this.platform.upcomingStateLimits;
     if (rps >= this.rates.rps && writeRps >= this.rates.writeRps) return false;
-    this.rateRefusals = this.rateRefusals.filter((at) => now - at < REFUSAL_WINDOW_MS);
+    this.rateRefusals = this.rateRefusals.filter(
+      (refusedAt) => now - refusedAt < REFUSAL_WINDOW_MS,
+    );
     this.rateRefusals.push(now);
     if (this.rateRefusals.length < REFUSALS_FOR_UPCOMING_RATES) return false;
     this.rates = {
