--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -45,7 +45,7 @@
 
   /** The page that the entry's newest value should go to. */
   targetPage(entry: RecordEntry): Page {
-    if (this.openPage !== null && this.openPageTakes(this.openPage, entry)) return this.openPage;
+    if (this.openPage !== null && this.openPageAccepts(this.openPage, entry)) return this.openPage;
     this.openPage = this.reusablePage(entry) ?? this.addPage();
     return this.openPage;
   }
@@ -58,7 +58,7 @@
     );
   }
 
-  private openPageTakes(openPage: Page, entry: RecordEntry): boolean {
+  private openPageAccepts(openPage: Page, entry: RecordEntry): boolean {
     if (openPage.versionUnknown) return false;
     const isPresent = entry.page === openPage;
     const size = isPresent ? openPage.size : openPage.size + entry.size;
