--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -60,10 +60,10 @@
 
   private openPageAccepts(openPage: Page, entry: RecordEntry): boolean {
     if (openPage.versionUnknown) return false;
-    const isPresent = entry.page === openPage;
-    const size = isPresent ? openPage.size : openPage.size + entry.size;
+    const isInOpenPage = entry.page === openPage;
+    const size = isInOpenPage ? openPage.size : openPage.size + entry.size;
     if (size <= this.fillSize || openPage.entries.size === 0) return true;
-    return isPresent && openPage.entries.size === 1;
+    return isInOpenPage && openPage.entries.size === 1;
   }
 
   private addPage(): Page {
