--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -100,7 +100,7 @@
       // After no response the same condition is sent again: of the two copies only one can succeed,
       // and if it is the first, the second fails on this page and the page is read.
       if (failedKeys.has(page.key)) page.versionUnknown = true;
-      if (result.kind === 'unknown') pages.markPerhapsWritten(page, keys);
+      if (result.kind === 'unknown') pages.markPossiblyWritten(page, keys);
     }
     pending.putBack(sent.entries, sent.callbacks);
     this.settleTransactions(sent.transactions, failedKeys);
--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -89,7 +89,7 @@
   }
 
   /** A write of the page with these keys had no response: it may have been carried out. */
-  markPerhapsWritten(page: Page, keys: ReadonlySet<string>): void {
+  markPossiblyWritten(page: Page, keys: ReadonlySet<string>): void {
     for (const key of keys) {
       const entry = this.entries.get(key);
       if (entry === undefined || page.storedKeys.has(key)) continue;
@@ -100,7 +100,7 @@
 
   /** The page has been written with these keys and no others. */
   markWritten(page: Page, keys: ReadonlySet<string>, version: number): void {
-    this.markPerhapsWritten(page, keys);
+    this.markPossiblyWritten(page, keys);
     page.version = version;
     this.forgetOverwritten(page, keys);
     for (const key of keys) {
