--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -102,7 +102,7 @@
   markWritten(page: Page, keys: ReadonlySet<string>, version: number): void {
     this.markPossiblyWritten(page, keys);
     page.version = version;
-    this.forgetOverwritten(page, keys);
+    this.removeOverwrittenKeys(page, keys);
     for (const key of keys) {
       const entry = this.entries.get(key);
       if (entry === undefined) continue;
@@ -112,7 +112,7 @@
   }
 
   /** The stored copy no longer has the keys that were not written. */
-  private forgetOverwritten(page: Page, keys: ReadonlySet<string>): void {
+  private removeOverwrittenKeys(page: Page, keys: ReadonlySet<string>): void {
     for (const key of page.storedKeys) {
       if (keys.has(key)) continue;
       page.storedKeys.delete(key);
