--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -45,7 +45,7 @@
   }
 
   /** Calls back once the entry's present value, or a newer one, is stored. */
-  whenStored(entry: RecordEntry, callback: StoredCallback): void {
+  addStoredCallback(entry: RecordEntry, callback: StoredCallback): void {
     const callbacks = this.callbacks.get(entry);
     if (callbacks === undefined) this.callbacks.set(entry, [callback]);
     else callbacks.push(callback);
--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -102,7 +102,7 @@
   set(key: string, value: unknown, priority: WritePriority, stored?: StoredCallback): void {
     const entry = this.pages.set(key, value);
     if (entry === null || (!entry.dirty && !entry.inFlight)) return stored?.();
-    if (stored !== undefined) this.pending.whenStored(entry, stored);
+    if (stored !== undefined) this.pending.addStoredCallback(entry, stored);
     if (entry.dirty) this.pending.add(entry, priority);
   }
 
