--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -102,7 +102,7 @@
       if (failedKeys.has(page.key)) page.versionUnknown = true;
       if (result.kind === 'unknown') pages.markPossiblyWritten(page, keys);
     }
-    pending.putBack(sent.entries, sent.callbacks);
+    pending.requeue(sent.entries, sent.callbacks);
     this.settleTransactions(sent.transactions, failedKeys);
     this.hooks.onFailed();
     if (result.kind === 'conflict') return;
--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -78,7 +78,7 @@
   }
 
   /** What was sent may not be stored: it is urgent again, with the callbacks that waited for it first. */
-  putBack(entries: readonly RecordEntry[], sent: StoredCallbacks): void {
+  requeue(entries: readonly RecordEntry[], sent: StoredCallbacks): void {
     for (const entry of entries) {
       entry.dirty = true;
       this.urgent.add(entry);
