--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -71,9 +71,9 @@
       for (const callback of sent.get(entry) ?? []) callback();
       if (entry.dirty) continue;
       // Set again while in flight, to the same value: that is stored now, too.
-      const later = this.callbacks.get(entry);
+      const newerCallbacks = this.callbacks.get(entry);
       this.callbacks.delete(entry);
-      for (const callback of later ?? []) callback();
+      for (const callback of newerCallbacks ?? []) callback();
     }
   }
 
