--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -66,9 +66,9 @@
   }
 
   /** What was sent is stored: calls back. */
-  markStored(entries: readonly RecordEntry[], sent: StoredCallbacks): void {
+  markStored(entries: readonly RecordEntry[], sentCallbacks: StoredCallbacks): void {
     for (const entry of entries) {
-      for (const callback of sent.get(entry) ?? []) callback();
+      for (const callback of sentCallbacks.get(entry) ?? []) callback();
       if (entry.dirty) continue;
       // Set again while in flight, to the same value: that is stored now, too.
       const newerCallbacks = this.callbacks.get(entry);
