--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -53,16 +53,16 @@
 
   /** The entries are sent with their present values. Returns the callbacks that wait for these. */
   markSent(entries: readonly RecordEntry[]): StoredCallbacks {
-    const sent: StoredCallbacks = new Map();
+    const sentCallbacks: StoredCallbacks = new Map();
     for (const entry of entries) {
       this.remove(entry);
       entry.dirty = false;
       entry.inFlight = true;
       const callbacks = this.callbacks.get(entry);
-      if (callbacks !== undefined) sent.set(entry, callbacks);
+      if (callbacks !== undefined) sentCallbacks.set(entry, callbacks);
       this.callbacks.delete(entry);
     }
-    return sent;
+    return sentCallbacks;
   }
 
   /** What was sent is stored: calls back. */
