--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -78,11 +78,11 @@
   }
 
   /** What was sent may not be stored: it is urgent again, with the callbacks that waited for it first. */
-  requeue(entries: readonly RecordEntry[], sent: StoredCallbacks): void {
+  requeue(entries: readonly RecordEntry[], sentCallbacks: StoredCallbacks): void {
     for (const entry of entries) {
       entry.dirty = true;
       this.urgent.add(entry);
-      const callbacks = sent.get(entry);
+      const callbacks = sentCallbacks.get(entry);
       if (callbacks === undefined) continue;
       this.callbacks.set(entry, [...callbacks, ...(this.callbacks.get(entry) ?? [])]);
     }
