--- a/src/controller/store/rate-budget.ts
+++ b/src/controller/store/rate-budget.ts
@@ -77,10 +77,10 @@
   }
 
   /** Sets this node's share of the writes by its demand and by those that peers have told lately. */
-  updateWriteShare(heard: readonly WriteDemand[]): void {
+  updateWriteShare(reportedDemands: readonly WriteDemand[]): void {
     const { peers } = this.settings.platform;
     const limit = this.limits.current.writeRps * this.usableRatio;
-    const peerDemands = peers.map((_, index) => heard[index] ?? null);
+    const peerDemands = peers.map((_, index) => reportedDemands[index] ?? null);
     const followersShare = this.settings.get('state.followers.writes.ratio');
     const rate = limit * writeShare(this.writeDemand, peerDemands, followersShare, limit);
     this.writeTokens.setRate(rate, Math.max(rate, MIN_WRITE_BURST));
