--- a/src/controller/store/rate-budget.test.ts
+++ b/src/controller/store/rate-budget.test.ts
@@ -6,7 +6,7 @@
 import { RateBudget } from './rate-budget.js';
 
 const HOSTS = ['kiln-0', 'kiln-1', 'kiln-2'];
-const FOLLOWERS = HOSTS.length - 1;
+const FOLLOWER_COUNT = HOSTS.length - 1;
 
 describe('RateBudget', () => {
   const platform = platformOf(HOSTS, 'kiln-0', defaultPlatformOptions);
@@ -25,7 +25,7 @@
     budget.setRole(true);
     const leaderRate = budget.requestTokens.perSecond;
     const usable = platform.stateLimits.rps * usableRatio;
-    assert.ok(Math.abs(leaderRate + FOLLOWERS * followerRate - usable) < 1e-9);
+    assert.ok(Math.abs(leaderRate + FOLLOWER_COUNT * followerRate - usable) < 1e-9);
     assert.ok(leaderRate > followerRate);
   });
 
