--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -151,11 +151,11 @@
   /** The owner flushes after each batch of events; the timer sees to it that there is one. */
   private flushLater(delayMs: number): void {
     const waitMs = Math.max(MIN_TIMER_MS, delayMs);
-    const at = this.eventLoop.now() + waitMs;
-    if (at >= this.timerAt) return;
-    this.timerAt = at;
+    const flushAt = this.eventLoop.now() + waitMs;
+    if (flushAt >= this.timerAt) return;
+    this.timerAt = flushAt;
     this.eventLoop.after(waitMs, 'flush-records', () => {
-      if (this.timerAt === at) this.timerAt = Infinity;
+      if (this.timerAt === flushAt) this.timerAt = Infinity;
     });
   }
 }
