--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -99,10 +99,10 @@
    * Sets the newest value of a key; `undefined` deletes it. `stored` is called once that or a newer
    * value is stored: at once where it is already.
    */
-  set(key: string, value: unknown, priority: WritePriority, stored?: StoredCallback): void {
+  set(key: string, value: unknown, priority: WritePriority, onStored?: StoredCallback): void {
     const entry = this.pages.set(key, value);
-    if (entry === null || (!entry.dirty && !entry.inFlight)) return stored?.();
-    if (stored !== undefined) this.pending.addStoredCallback(entry, stored);
+    if (entry === null || (!entry.dirty && !entry.inFlight)) return onStored?.();
+    if (onStored !== undefined) this.pending.addStoredCallback(entry, onStored);
     if (entry.dirty) this.pending.add(entry, priority);
   }
 
