--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -123,14 +123,14 @@
     if (!this.options.leaseAllowsWrites()) return this.flushLater(NO_LEASE_RETRY_MS);
     const { pauseUntil } = this.sender;
     if (now < pauseUntil) return this.flushLater(pauseUntil - now);
-    const due = this.planner.due(now);
-    if (!due.pages && this.transactions.length === 0)
+    const dueWrites = this.planner.due(now);
+    if (!dueWrites.pages && this.transactions.length === 0)
       return this.flushLater(this.planner.nextPagesDueAt - now);
     const waitMs = this.tokensWaitMs;
     if (waitMs > 0) return this.flushLater(waitMs);
     const page = this.pageOfUnknownVersion();
     if (page !== null) return this.sender.rereadPage(page);
-    const commit = this.planner.plan(due, this.options.fencingCondition);
+    const commit = this.planner.plan(dueWrites, this.options.fencingCondition);
     if (commit === null) this.flushLater(NO_TOKENS_RETRY_MS);
     else this.sender.send(commit);
   }
