--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -37,7 +37,7 @@
       this.histories.set(`k/${i}`, { values: [undefined], storedIndex: 0 });
   }
 
-  play(steps: number): void {
+  run(steps: number): void {
     for (let step = 0; step < steps; step++) {
       for (let i = 0; i < this.keyCount / 4; i++) this.setRandom(`${step}.${i}`);
       this.store.run(this.random() * 300);
@@ -84,7 +84,7 @@
       fc.assert(
         fc.property(fc.nat(1e9), (seed) => {
           const check = new HistoryCheck(seed, limits, keyCount, maxLength);
-          check.play(60);
+          check.run(60);
           callbacks += check.callbacks;
         }),
         { seed: 8, numRuns: 60 },
