--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -45,12 +45,12 @@
     }
   }
 
-  private setRandom(name: string): void {
+  private setRandom(valuePrefix: string): void {
     const key = `k/${Math.floor(this.random() * this.keyCount)}`;
     const history = this.histories.get(key);
     assert.ok(history !== undefined);
     const length = Math.floor(this.random() * this.maxLength);
-    const value = this.random() < 0.3 ? undefined : `${name} ${'"'.repeat(length)}`;
+    const value = this.random() < 0.3 ? undefined : `${valuePrefix} ${'"'.repeat(length)}`;
     const index = history.values.push(value) - 1;
     const priority = this.random() < 0.7 ? 'urgent' : 'deferrable';
     this.store.records.set(key, value, priority, () => {
