--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -60,12 +60,12 @@
   }
 
   private assertFoundByNextLeader(): void {
-    const found = recordsOf(this.store.electLeader());
+    const storedRecords = recordsOf(this.store.electLeader());
     for (const [key, history] of this.histories) {
-      const index = history.values.lastIndexOf(found.get(key));
+      const index = history.values.lastIndexOf(storedRecords.get(key));
       assert.ok(index >= history.storedIndex, `${key}: ${index} instead of ${history.storedIndex}`);
       // What the new leader has found is what counts from now on.
-      history.values.push(found.get(key));
+      history.values.push(storedRecords.get(key));
       history.storedIndex = history.values.length - 1;
     }
   }
