--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -109,8 +109,8 @@
     }
     store.run(20_000);
     assert.ok(store.sizeRefusals > 0 && store.sizeRefusals < 10, `${store.sizeRefusals} refused`);
-    const found = recordsOf(store.electLeader());
-    for (const [key, value] of last) assert.deepEqual(found.get(key), value, key);
+    const storedRecords = recordsOf(store.electLeader());
+    for (const [key, value] of last) assert.deepEqual(storedRecords.get(key), value, key);
   });
 
   it('reads a record above the limits, and writes it again once it is smaller', () => {
