--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -130,9 +130,9 @@
     assert.equal(stored, 1, 'the large one has to wait, the others need not');
     next.set('k/large', 'now it fits', 'urgent', () => stored++);
     store.run(2000);
-    const found = recordsOf(store.electLeader());
-    assert.equal(found.get('k/large'), 'now it fits');
-    assert.equal(found.get('k/1'), 'small');
+    const storedRecords = recordsOf(store.electLeader());
+    assert.equal(storedRecords.get('k/large'), 'now it fits');
+    assert.equal(storedRecords.get('k/1'), 'small');
     assert.equal(store.sizeRefusals, 0);
   });
 
