--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -96,13 +96,13 @@
   it('splits what it writes and loses nothing when the limits of the state store fall', () => {
     const store = new UnreliableStateStore(3, 0);
     const random = seededRandom(3);
-    const last = new Map<string, unknown>();
+    const lastValues = new Map<string, unknown>();
     for (let step = 0; step < 300; step++) {
       if (step === 100) store.limits = { ...stateLimits, valueKb: 2, txnOps: 4 };
       for (let i = 0; i < 6; i++) {
         const key = `k/${Math.floor(random() * 60)}`;
         const value = [step, i, 'x'.repeat(Math.floor(random() * 700))];
-        last.set(key, value);
+        lastValues.set(key, value);
         store.records.set(key, value, random() < 0.5 ? 'urgent' : 'deferrable');
       }
       store.run(100);
@@ -110,7 +110,7 @@
     store.run(20_000);
     assert.ok(store.sizeRefusals > 0 && store.sizeRefusals < 10, `${store.sizeRefusals} refused`);
     const storedRecords = recordsOf(store.electLeader());
-    for (const [key, value] of last) assert.deepEqual(storedRecords.get(key), value, key);
+    for (const [key, value] of lastValues) assert.deepEqual(storedRecords.get(key), value, key);
   });
 
   it('reads a record above the limits, and writes it again once it is smaller', () => {
