--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -123,12 +123,12 @@
     store.knownLimits = store.limitsKnownAs(stateLimits, store.limits);
     const nextLeaderRecords = store.electLeader();
     assert.equal(recordsOf(nextLeaderRecords).get('k/large'), large);
-    let stored = 0;
-    nextLeaderRecords.set('k/large', `${large}z`, 'urgent', () => stored++);
-    nextLeaderRecords.set('k/1', 'small', 'urgent', () => stored++);
+    let storedCount = 0;
+    nextLeaderRecords.set('k/large', `${large}z`, 'urgent', () => storedCount++);
+    nextLeaderRecords.set('k/1', 'small', 'urgent', () => storedCount++);
     store.run(2000);
-    assert.equal(stored, 1, 'the large one has to wait, the others need not');
-    nextLeaderRecords.set('k/large', 'now it fits', 'urgent', () => stored++);
+    assert.equal(storedCount, 1, 'the large one has to wait, the others need not');
+    nextLeaderRecords.set('k/large', 'now it fits', 'urgent', () => storedCount++);
     store.run(2000);
     const storedRecords = recordsOf(store.electLeader());
     assert.equal(storedRecords.get('k/large'), 'now it fits');
