--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -151,17 +151,17 @@
 
   it('commits many small records with few writes, and uses pages again', () => {
     const store = new UnreliableStateStore(1, 0);
-    let stored = 0;
+    let storedCount = 0;
     const before = store.writesReceived;
     for (let second = 0; second < 100; second++) {
       for (let i = 0; i < 30; i++) {
         const key = `k/${(second * 37 + i * 11) % 400}`;
-        store.records.set(key, ['x'.repeat(100), second, i], 'urgent', () => stored++);
+        store.records.set(key, ['x'.repeat(100), second, i], 'urgent', () => storedCount++);
         store.run(1000 / 30);
       }
     }
     store.run(2000);
-    assert.equal(stored, 3000);
+    assert.equal(storedCount, 3000);
     const writes = store.writesReceived - before;
     assert.ok(writes <= 100 * 30 * 0.6, `${writes} writes`);
     const pages = [...store.items.keys()].filter((key) => key.startsWith(PAGE_PREFIX)).length;
