--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -152,7 +152,7 @@
   it('commits many small records with few writes, and uses pages again', () => {
     const store = new UnreliableStateStore(1, 0);
     let storedCount = 0;
-    const before = store.writesReceived;
+    const writesBefore = store.writesReceived;
     for (let second = 0; second < 100; second++) {
       for (let i = 0; i < 30; i++) {
         const key = `k/${(second * 37 + i * 11) % 400}`;
@@ -162,7 +162,7 @@
     }
     store.run(2000);
     assert.equal(storedCount, 3000);
-    const writes = store.writesReceived - before;
+    const writes = store.writesReceived - writesBefore;
     assert.ok(writes <= 100 * 30 * 0.6, `${writes} writes`);
     const pages = [...store.items.keys()].filter((key) => key.startsWith(PAGE_PREFIX)).length;
     assert.ok(pages < 40, `${pages} pages for 400 records of 130 bytes`);
