--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -78,8 +78,8 @@
     ['large', stateLimits, 12, 3000],
     ['small', { ...stateLimits, valueKb: 2, txnOps: 4 }, 60, 700],
   ];
-  for (const [what, limits, keyCount, maxLength] of sizes)
-    it(`leaves what was called stored, or something newer, to the next leader: ${what} values`, () => {
+  for (const [valueSizes, limits, keyCount, maxLength] of sizes)
+    it(`leaves what was called stored, or something newer, to the next leader: ${valueSizes} values`, () => {
       let callbacks = 0;
       fc.assert(
         fc.property(fc.nat(1e9), (seed) => {
