--- a/src/controller/store/group-commit.test.ts
+++ b/src/controller/store/group-commit.test.ts
@@ -30,8 +30,8 @@
   });
 
   /** Adds comparisons of so many keys, the first of them with this number, in one batch of events. */
-  function addComparisons(first: number, count: number): void {
-    for (let i = first; i < first + count; i++)
+  function addComparisons(firstNumber: number, count: number): void {
+    for (let i = firstNumber; i < firstNumber + count; i++)
       groupCommit.add({
         conditions: [{ key: `final/req-${i}`, version: 0 }],
         writes: [],
