--- a/src/controller/store/page-table.test.ts
+++ b/src/controller/store/page-table.test.ts
@@ -32,7 +32,7 @@
     const target = page ?? table.allocator.targetPage(entry);
     moveToPage(entry, target);
     entry.dirty = false;
-    const keys = new Set([...target.entries].map((present) => present.key));
+    const keys = new Set([...target.entries].map((pageEntry) => pageEntry.key));
     table.markWritten(target, keys, target.version + 1);
     return target;
   }
