--- a/src/controller/store/page-table.test.ts
+++ b/src/controller/store/page-table.test.ts
@@ -49,13 +49,13 @@
     assert.equal(reversed.entries.get('k')?.json, '"new"');
   });
 
-  const malformed: [string, unknown][] = [
+  const malformedValues: [string, unknown][] = [
     ['no map', 'text'],
     ['no sequence number', { entries: [] }],
     ['no list', { seq: 1, entries: 'k' }],
     ['a value that is no text', storedPage(1, 'k', 5 as unknown as string)],
   ];
-  for (const [what, value] of malformed)
+  for (const [what, value] of malformedValues)
     it(`counts a page with ${what} as empty, and keeps its version`, () => {
       table.load([{ key: 'page/4', value, version: 9 }]);
       assert.equal(table.entries.size, 0);
