--- a/src/controller/store/page-table.test.ts
+++ b/src/controller/store/page-table.test.ts
@@ -55,8 +55,8 @@
     ['no list', { seq: 1, entries: 'k' }],
     ['a value that is no text', storedPage(1, 'k', 5 as unknown as string)],
   ];
-  for (const [what, value] of malformedValues)
-    it(`counts a page with ${what} as empty, and keeps its version`, () => {
+  for (const [fault, value] of malformedValues)
+    it(`counts a page with ${fault} as empty, and keeps its version`, () => {
       table.load([{ key: 'page/4', value, version: 9 }]);
       assert.equal(table.entries.size, 0);
       assert.equal(table.pages.get('page/4')?.version, 9);
