--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -34,8 +34,10 @@
       maxLength: 7,
     });
     fc.assert(
-      fc.property(rates, fc.nat(6), fc.boolean(), (writeRates, leader, areUnknown) => {
-        const demands = writeRates.map((rate, i) => demand(i === leader % writeRates.length, rate));
+      fc.property(rates, fc.nat(6), fc.boolean(), (writeRates, leaderIndex, areUnknown) => {
+        const demands = writeRates.map((rate, i) =>
+          demand(i === leaderIndex % writeRates.length, rate),
+        );
         const sum = demands.reduce((total, own, i) => {
           const peers = demands.filter((_, j) => j !== i);
           return total + shareOf(own, areUnknown ? peers.map(() => null) : peers);
