--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -34,13 +34,13 @@
       maxLength: 7,
     });
     fc.assert(
-      fc.property(rates, fc.nat(6), fc.boolean(), (writeRates, leaderIndex, areUnknown) => {
+      fc.property(rates, fc.nat(6), fc.boolean(), (writeRates, leaderIndex, demandsUnknown) => {
         const demands = writeRates.map((rate, i) =>
           demand(i === leaderIndex % writeRates.length, rate),
         );
         const sum = demands.reduce((total, own, i) => {
           const peers = demands.filter((_, j) => j !== i);
-          return total + shareOf(own, areUnknown ? peers.map(() => null) : peers);
+          return total + shareOf(own, demandsUnknown ? peers.map(() => null) : peers);
         }, 0);
         assert.ok(sum <= 1 + 1e-9, `${sum}`);
       }),
