--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -16,9 +16,9 @@
 
 describe('writeShare', () => {
   it('is fixed by role where no demand of a peer is known', () => {
-    const unknown = [null, null, null, null];
-    assert.ok(Math.abs(shareOf(demand(true, 50), unknown) - 0.7) < 1e-9);
-    assert.ok(Math.abs(shareOf(demand(false, 50), unknown) - 0.075) < 1e-9);
+    const unknownDemands = [null, null, null, null];
+    assert.ok(Math.abs(shareOf(demand(true, 50), unknownDemands) - 0.7) < 1e-9);
+    assert.ok(Math.abs(shareOf(demand(false, 50), unknownDemands) - 0.075) < 1e-9);
     assert.equal(shareOf(demand(true, 0), []), 1);
   });
 
