--- a/src/controller/store/page-codec.ts
+++ b/src/controller/store/page-codec.ts
@@ -26,9 +26,9 @@
 
 /** The value that is written for a page. */
 export function encodePage(page: Page, sequence: number): unknown {
-  const entries: (string | null)[] = [];
-  for (const entry of page.entries) entries.push(entry.key, entry.json);
-  return { seq: sequence, entries };
+  const keysAndJson: (string | null)[] = [];
+  for (const entry of page.entries) keysAndJson.push(entry.key, entry.json);
+  return { seq: sequence, entries: keysAndJson };
 }
 
 /** Reads a page's value; what its list contains is for the caller to check. */
