--- a/src/controller/runtime/token-bucket.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -9,7 +9,7 @@
  */
 export class TokenBucket {
   /** Tokens at `refilledAt`; negative after `forceTake`. */
-  private available: number;
+  private tokens: number;
   private refilledAt: number;
   private pausedUntil = 0;
 
@@ -19,7 +19,7 @@
     private ratePerS: number,
     private burst: number,
   ) {
-    this.available = burst;
+    this.tokens = burst;
     this.refilledAt = now();
   }
 
@@ -28,7 +28,7 @@
     this.refill();
     this.ratePerS = ratePerS;
     this.burst = burst;
-    this.available = Math.min(this.available, burst);
+    this.tokens = Math.min(this.tokens, burst);
   }
 
   /** The rate at which tokens are added. */
@@ -40,28 +40,28 @@
   tryTake(count = 1, reserve = 0): boolean {
     this.refill();
     if (this.now() < this.pausedUntil) return false;
-    if (this.available - count < reserve * this.burst) return false;
-    this.available -= count;
+    if (this.tokens - count < reserve * this.burst) return false;
+    this.tokens -= count;
     return true;
   }
 
   /** Takes tokens for a call that must go out in any case (a lease renewal): later callers pay. */
   forceTake(count = 1): void {
     this.refill();
-    this.available -= count;
+    this.tokens -= count;
   }
 
   /** The service has refused for its rate, so it counts more than this bucket does. */
   pauseFor(pauseMs: number): void {
     this.refill();
-    this.available = Math.min(this.available, 0);
+    this.tokens = Math.min(this.tokens, 0);
     this.pausedUntil = this.now() + pauseMs;
   }
 
   /** Milliseconds until `tryTake` with the same arguments can succeed; 0: now. */
   waitMs(count = 1, reserve = 0): number {
     this.refill();
-    const missing = count + reserve * this.burst - this.available;
+    const missing = count + reserve * this.burst - this.tokens;
     const refillMs = missing <= 0 ? 0 : (missing / this.ratePerS) * MS_PER_S;
     return Math.max(refillMs, this.pausedUntil - this.now(), 0);
   }
@@ -69,7 +69,7 @@
   private refill(): void {
     const now = this.now();
     const added = ((now - this.refilledAt) / MS_PER_S) * this.ratePerS;
-    this.available = Math.min(this.burst, this.available + added);
+    this.tokens = Math.min(this.burst, this.tokens + added);
     this.refilledAt = now;
   }
 }
