--- a/src/controller/runtime/token-bucket.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -61,8 +61,8 @@
   /** Milliseconds until `tryTake` with the same arguments can succeed; 0: now. */
   waitMs(count = 1, reserve = 0): number {
     this.refill();
-    const missing = count + reserve * this.burst - this.tokens;
-    const refillMs = missing <= 0 ? 0 : (missing / this.ratePerS) * MS_PER_S;
+    const missingTokens = count + reserve * this.burst - this.tokens;
+    const refillMs = missingTokens <= 0 ? 0 : (missingTokens / this.ratePerS) * MS_PER_S;
     return Math.max(refillMs, this.pausedUntil - this.now(), 0);
   }
 
