--- a/src/controller/runtime/token-bucket.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -68,8 +68,8 @@
 
   private refill(): void {
     const now = this.now();
-    const added = ((now - this.refilledAt) / MS_PER_S) * this.ratePerS;
-    this.tokens = Math.min(this.burst, this.tokens + added);
+    const addedTokens = ((now - this.refilledAt) / MS_PER_S) * this.ratePerS;
+    this.tokens = Math.min(this.burst, this.tokens + addedTokens);
     this.refilledAt = now;
   }
 }
