--- a/src/controller/runtime/decaying-rate.ts
+++ b/src/controller/runtime/decaying-rate.ts
@@ -5,14 +5,14 @@
 /** Exponentially decaying rate: what was counted loses its weight with a fixed time constant. */
 export class DecayingRate {
   private decayedSum = 0;
-  private decayedAt: number;
+  private updatedAt: number;
 
   /** `now`: monotonic clock in milliseconds. */
   constructor(
     private readonly now: () => number,
     private readonly timeConstantMs: number,
   ) {
-    this.decayedAt = now();
+    this.updatedAt = now();
   }
 
   /** Adds to what is counted. */
@@ -29,7 +29,7 @@
 
   private decay(): void {
     const now = this.now();
-    this.decayedSum *= Math.exp((this.decayedAt - now) / this.timeConstantMs);
-    this.decayedAt = now;
+    this.decayedSum *= Math.exp((this.updatedAt - now) / this.timeConstantMs);
+    this.updatedAt = now;
   }
 }
