--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -26,7 +26,7 @@
   load(items: readonly KeyValue[]): void {
     const newestSequence = new Map<string, number>();
     for (const item of items) {
-      const page = this.page(item.key);
+      const page = this.findOrAddPage(item.key);
       page.version = item.version;
       this.allocator.skipPageNumber(pageNumber(item.key));
       const stored = decodePage(item.value);
@@ -54,7 +54,7 @@
     }
   }
 
-  private page(key: string): Page {
+  private findOrAddPage(key: string): Page {
     let page = this.pages.get(key);
     if (page === undefined) {
       page = newPage(key);
