--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -44,7 +44,7 @@
       const json = keysAndJson[i + 1];
       if (typeof key !== 'string' || (json !== null && typeof json !== 'string')) continue;
       page.storedKeys.add(key);
-      const entry = this.entry(key);
+      const entry = this.findOrAddEntry(key);
       entry.storedCopies++;
       if (sequence <= (newestSequence.get(key) ?? -1)) continue;
       newestSequence.set(key, sequence);
@@ -63,7 +63,7 @@
     return page;
   }
 
-  private entry(key: string): RecordEntry {
+  private findOrAddEntry(key: string): RecordEntry {
     let entry = this.entries.get(key);
     if (entry === undefined) {
       entry = newEntry(key);
@@ -75,7 +75,7 @@
   /** Sets a value; `undefined` deletes. Returns null if the key to be deleted has no record. */
   set(key: string, value: unknown): RecordEntry | null {
     if (value === undefined && !this.entries.has(key)) return null;
-    const entry = this.entry(key);
+    const entry = this.findOrAddEntry(key);
     const json = value === undefined ? null : JSON.stringify(value);
     if (entry.page !== null && json === entry.json) return entry;
     setJson(entry, json);
