--- a/src/controller/runtime/address.ts
+++ b/src/controller/runtime/address.ts
@@ -1,6 +1,6 @@
 /** Addresses of the form `host:port`. */
 
-/** A host and its port, as `net` takes them. */
+/** A host and a port, in the form that `net.connect` expects. */
 export interface Address {
   host: string;
   port: number;
--- a/src/controller/runtime/decaying-rate.test.ts
+++ b/src/controller/runtime/decaying-rate.test.ts
@@ -5,7 +5,7 @@
 const TIME_CONSTANT_MS = 3000;
 
 describe('DecayingRate', () => {
-  it('tends to the rate of what is counted evenly', () => {
+  it('converges to the rate of evenly spaced events', () => {
     let now = 0;
     const rate = new DecayingRate(() => now, TIME_CONSTANT_MS);
     for (; now < 30_000; now += 100) rate.count(2);
--- a/src/controller/runtime/decaying-rate.ts
+++ b/src/controller/runtime/decaying-rate.ts
@@ -1,13 +1,16 @@
-/** An estimate of the present rate of something that is counted. */
+/** Estimates the current rate of counted events. */
 
 const MS_PER_S = 1000;
 
-/** Exponentially decaying rate: what was counted loses its weight with a fixed time constant. */
+/** Exponentially decaying rate: the weight of each count decays with a fixed time constant. */
 export class DecayingRate {
   private decayedSum = 0;
   private updatedAt: number;
 
-  /** `now`: monotonic clock in milliseconds. */
+  /**
+   * @param now - monotonic clock in milliseconds
+   * @param timeConstantMs - time in which the weight of a count decays to 1/e
+   */
   constructor(
     private readonly now: () => number,
     private readonly timeConstantMs: number,
@@ -15,13 +18,13 @@
     this.updatedAt = now();
   }
 
-  /** Adds to what is counted. */
+  /** Counts `amount` events at the current time. */
   count(amount: number): void {
     this.decay();
     this.decayedSum += amount;
   }
 
-  /** The rate now. */
+  /** Estimated current rate in events per second. */
   get perSecond(): number {
     this.decay();
     return (this.decayedSum / this.timeConstantMs) * MS_PER_S;
--- a/src/controller/runtime/event-loop.test.ts
+++ b/src/controller/runtime/event-loop.test.ts
@@ -12,18 +12,18 @@
     handled = [];
   });
 
-  it('handles events in their order, and runs the hooks after each batch', () => {
+  it('handles events in the order of posting, and runs the hooks after each batch', () => {
     const eventLoop = new EventLoop(runtime, silentLogger, 2);
     eventLoop.onBatchEnd(() => handled.push('first hook'));
     eventLoop.onBatchEnd(() => handled.push('second hook'));
     for (const name of ['a', 'b', 'c']) eventLoop.post(name, () => handled.push(name));
-    assert.deepEqual(handled, [], 'nothing is handled within post');
+    assert.deepEqual(handled, [], 'post handles no event itself');
     runtime.advance(0);
     const hooks = ['first hook', 'second hook'];
     assert.deepEqual(handled, ['a', 'b', ...hooks, 'c', ...hooks]);
   });
 
-  it('logs a handler that throws, and goes on with the next event', () => {
+  it('logs the error of a handler that throws, and handles the next event', () => {
     const errors: object[] = [];
     const log = { ...silentLogger, error: (fields: object) => errors.push(fields) };
     const eventLoop = new EventLoop(runtime, log);
@@ -47,7 +47,7 @@
     assert.deepEqual(handled, ['kept']);
   });
 
-  it('posts a repeated event once in each interval', () => {
+  it('posts a periodic event once in each interval', () => {
     const eventLoop = new EventLoop(runtime, silentLogger);
     eventLoop.every(10, 'tick', () => handled.push(`tick at ${eventLoop.now()}`));
     for (let i = 0; i < 6; i++) runtime.advance(5);
--- a/src/controller/runtime/event-loop.ts
+++ b/src/controller/runtime/event-loop.ts
@@ -1,22 +1,22 @@
-/** The event loop of a controller: the single queue in which everything that happens is handled. */
+/** The event loop of a controller: a single queue of all events, which are handled one at a time. */
 import type { Logger, Runtime, Timer } from './runtime.js';
 
 type Handler = () => void;
 
 interface QueuedEvent {
-  /** Names the event in the log when its handler fails. */
+  /** Identifies the event in the log if its handler fails. */
   name: string;
   handle: Handler;
 }
 
-/** Events that are handled before the hooks at the end of a batch run. */
+/** Largest number of events that are handled before the batch-end hooks run. */
 const DEFAULT_BATCH_LIMIT = 64;
 
 /**
- * Serialises all access to a controller's state. Everything that happens (a request, a reply, a
- * timer) is an event in one queue. Events are handled in batches; what follows from a whole batch
- * (group commit, a placement pass) runs once after it. Given the same events and the same runtime,
- * a controller behaves the same: the simulation and the behaviour digest rely on that.
+ * Serialises all access to a controller's state. Each request, reply and timer is an event in one
+ * queue. Events are handled in batches; work that depends on a whole batch (group commit, a placement
+ * pass) runs once after it. Given the same events and the same runtime, a controller behaves
+ * identically: the simulation and the behaviour digest rely on this.
  */
 export class EventLoop {
   private queue: QueuedEvent[] = [];
@@ -35,18 +35,18 @@
     return this.runtime.now();
   }
 
-  /** Queues an event behind those that wait already. */
+  /** Queues an event behind those that are already queued. */
   post(name: string, handle: Handler): void {
     this.queue.push({ name, handle });
     this.schedule();
   }
 
-  /** Queues an event after `delayMs`; cancelling the timer has no effect once it is queued. */
+  /** Queues an event after `delayMs`. Cancelling the timer has no effect once the event is queued. */
   after(delayMs: number, name: string, handle: Handler): Timer {
     return this.runtime.startTimer(delayMs, () => this.post(name, handle));
   }
 
-  /** Queues an event every `intervalMs`, counted from when the one before was handled. */
+  /** Queues an event periodically. Each interval starts when the previous event is handled. */
   every(intervalMs: number, name: string, handle: Handler): void {
     const startNext = (): void => {
       this.after(intervalMs, name, () => {
@@ -76,7 +76,7 @@
     if (this.queue.length > 0) this.schedule();
   }
 
-  /** A fault in one handler must not end the process and with it everybody's requests. */
+  /** Logs an exception of a handler, so that it does not end the process and fail all open requests. */
   private handleSafely(name: string, handle: Handler): void {
     try {
       handle();
--- a/src/controller/runtime/random.ts
+++ b/src/controller/runtime/random.ts
@@ -3,7 +3,7 @@
 
 const UINT32_RANGE = 2 ** 32;
 
-/** A generator of numbers uniform in [0, 1); equal seeds give equal sequences. */
+/** Returns a generator of numbers uniform in [0, 1). Equal seeds give equal sequences. */
 export function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => (generator.next() >>> 0) / UINT32_RANGE;
--- a/src/controller/runtime/runtime.ts
+++ b/src/controller/runtime/runtime.ts
@@ -1,19 +1,19 @@
 /**
- * What a controller needs from the process that runs it: clocks, timers, random numbers, network and
- * log. `node/` implements it with Node.js; the tests and the simulation implement it with virtual time.
+ * Interfaces of the process that a controller depends on: clocks, timers, random numbers, network and
+ * log. `node/` implements them with Node.js; the tests and the simulation use virtual time.
  */
 
 /** A timer that has been started. */
 export interface Timer {
-  /** Stops the timer; without effect once it has fired. */
+  /** Stops the timer. This has no effect once it has fired. */
   cancel(): void;
 }
 
 /** The response to a call. */
 export interface Reply {
-  /** HTTP status. 0: no response, so the request may have been carried out, or may be yet. */
+  /** HTTP status, or 0 without a response: the request may have been carried out, or may be later. */
   status: number;
-  /** The decoded body, or null where there is none. */
+  /** The decoded body, or null if there is none. */
   body: unknown;
 }
 
@@ -23,38 +23,38 @@
   to: string;
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
-  /** Encoded as CBOR; absent: no body. */
+  /** Sent encoded as CBOR. If undefined, the request has no body. */
   body?: unknown;
-  /** After this time without a response the reply has status 0. */
+  /** Time without a response after which the call ends with status 0. */
   timeoutMs: number;
 }
 
 /** Clocks, timers, random numbers and network of one controller process. */
 export interface Runtime {
-  /** When this process started, or a moment before, on the monotonic clock. */
+  /** Lower bound of the time at which this process started, on the monotonic clock. */
   readonly startedAt: number;
-  /** Monotonic clock in milliseconds; its origin has no meaning outside this process. */
+  /** Monotonic clock in milliseconds. Its origin is arbitrary, so values are local to this process. */
   now(): number;
-  /** Milliseconds since the Unix epoch; may be set, so use it only for what is recorded or shown. */
+  /** Milliseconds since the Unix epoch. The clock may be set, so use it only to record or display times. */
   wallClock(): number;
   /** A random number, uniform in [0, 1). */
   random(): number;
-  /** Runs `fn` once the events that wait already have been handled. */
+  /** Runs `fn` after the process has handled the events that are already pending. */
   defer(fn: () => void): void;
   /** Runs `fn` once after `delayMs`. */
   startTimer(delayMs: number, fn: () => void): Timer;
-  /** Sends a request; `done` is called exactly once, at the time-out at the latest. */
+  /** Sends a request. Calls `done` exactly once: with the reply, or at the time-out. */
   call(call: Call, done: (reply: Reply) => void): void;
   /**
-   * Whether a call to the address that could be omitted may be made: sockets are not scarce, or a
-   * connection to it is open.
+   * Returns whether a dispensable call to the address may be made: either sockets are not scarce, or
+   * an idle connection to the address is open.
    */
   hasSpareConnection(to: string): boolean;
-  /** Sends a frame to another controller, best effort: it may be lost. */
+  /** Sends a frame to another controller without confirmation; it may be lost. */
   sendPeer(host: string, frame: Buffer): void;
 }
 
-/** Structured log: each line has fields and a fixed text. */
+/** Structured log. Each line consists of fields and a fixed text. */
 export interface Logger {
   info(fields: object, text: string): void;
   debug(fields: object, text: string): void;
--- a/src/controller/runtime/token-bucket.test.ts
+++ b/src/controller/runtime/token-bucket.test.ts
@@ -11,7 +11,7 @@
     bucket = new TokenBucket(() => now, 10, 20);
   });
 
-  it('allows a burst, and then calls at its rate', () => {
+  it('allows a burst, and then limits calls to the rate', () => {
     for (let i = 0; i < 20; i++) assert.ok(bucket.tryTake());
     assert.ok(!bucket.tryTake());
     assert.equal(bucket.waitMs(), 100);
@@ -28,14 +28,14 @@
     assert.ok(bucket.tryTake());
   });
 
-  it('lets later callers pay for tokens that were taken by force', () => {
+  it('makes later callers wait after forceTake has taken more tokens than there were', () => {
     bucket.forceTake(25);
     assert.equal(bucket.waitMs(), 600);
     now += 600;
     assert.ok(bucket.tryTake());
   });
 
-  it('gives no token during a pause, and starts empty after it', () => {
+  it('grants no token during a pause, which starts with an empty bucket', () => {
     bucket.pauseFor(50);
     assert.equal(bucket.waitMs(), 100);
     now += 49;
@@ -45,7 +45,7 @@
     assert.ok(!bucket.tryTake());
   });
 
-  it('keeps what it holds, up to the new burst, when the rate changes', () => {
+  it('keeps its tokens, up to the new burst, when the rate changes', () => {
     bucket.setRate(100, 5);
     assert.equal(bucket.perSecond, 100);
     assert.ok(bucket.tryTake(5));
--- a/src/controller/runtime/token-bucket.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -3,17 +3,23 @@
 const MS_PER_S = 1000;
 
 /**
- * Limits calls to `ratePerS` on average and `burst` at once. A caller of low priority leaves `reserve`
- * tokens (a ratio of the burst) to those above it, so that under load status polls go without
- * before submissions, and submissions before the leader's records and its lease.
+ * Limits calls to an average of `ratePerS` and a burst of `burst`. A caller of low priority leaves
+ * `reserve` tokens (a ratio of the burst) to callers of higher priority. Under load, status polls are
+ * therefore delayed before submissions, and submissions before the leader's records and its lease.
  */
 export class TokenBucket {
-  /** Tokens at `refilledAt`; negative after `forceTake`. */
+  /** Number of tokens at `refilledAt`. It can be negative after `forceTake`. */
   private tokens: number;
   private refilledAt: number;
   private pausedUntil = 0;
 
-  /** `now`: monotonic clock in milliseconds. The bucket starts full. */
+  /**
+   * Creates a full bucket.
+   *
+   * @param now - monotonic clock in milliseconds
+   * @param ratePerS - number of tokens that are added per second
+   * @param burst - largest number of tokens that the bucket holds
+   */
   constructor(
     private readonly now: () => number,
     private ratePerS: number,
@@ -23,7 +29,7 @@
     this.refilledAt = now();
   }
 
-  /** Changes rate and burst; the tokens that are there stay, up to the new burst. */
+  /** Changes rate and burst. The bucket keeps its tokens, up to the new burst. */
   setRate(ratePerS: number, burst: number): void {
     this.refill();
     this.ratePerS = ratePerS;
@@ -31,12 +37,15 @@
     this.tokens = Math.min(this.tokens, burst);
   }
 
-  /** The rate at which tokens are added. */
+  /** Number of tokens that are added per second. */
   get perSecond(): number {
     return this.ratePerS;
   }
 
-  /** Takes `count` tokens if that leaves `reserve` (a ratio of the burst); false: none were taken. */
+  /**
+   * Takes `count` tokens if at least `reserve` (a ratio of the burst) remains. Otherwise takes none and
+   * returns false.
+   */
   tryTake(count = 1, reserve = 0): boolean {
     this.refill();
     if (this.now() < this.pausedUntil) return false;
@@ -45,20 +54,26 @@
     return true;
   }
 
-  /** Takes tokens for a call that must go out in any case (a lease renewal): later callers pay. */
+  /**
+   * Takes tokens for a call that must not be delayed, such as a lease renewal, even if too few are
+   * available. Later callers wait until the deficit is refilled.
+   */
   forceTake(count = 1): void {
     this.refill();
     this.tokens -= count;
   }
 
-  /** The service has refused for its rate, so it counts more than this bucket does. */
+  /**
+   * Removes all tokens and grants none for `pauseMs`. To be called when the service has refused a call
+   * for its rate, because then it has counted more calls than this bucket.
+   */
   pauseFor(pauseMs: number): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
     this.pausedUntil = this.now() + pauseMs;
   }
 
-  /** Milliseconds until `tryTake` with the same arguments can succeed; 0: now. */
+  /** Returns the milliseconds until `tryTake` with the same arguments can succeed, or 0 if it can now. */
   waitMs(count = 1, reserve = 0): number {
     this.refill();
     const missingTokens = count + reserve * this.burst - this.tokens;
