--- a/src/controller/store/batch.ts
+++ b/src/controller/store/batch.ts
@@ -1,24 +1,30 @@
-/** Entries of several callers that share one transaction. */
+/** Combines entries of several callers into one transaction. */
 import type { Condition, Write } from '../wire/state.js';
 import type { TransactionResult } from './results.js';
 
-/** Writes of one caller, carried out all or none, if the conditions hold. */
+/** Writes of one caller. All are carried out if all conditions hold, and none otherwise. */
 export interface BatchEntry {
   conditions: Condition[];
   writes: Write[];
-  /** Called as the entry is sent: a later request needs an entry of its own. */
+  /** Called when the entry is sent. Requests that arrive later need a new entry. */
   onSent?: () => void;
   /** Called once with the outcome. */
   done: (result: TransactionResult) => void;
 }
 
-/** Size of a transaction, which leaves space for its frame below the store's 64 KiB. */
+/**
+ * Largest total size of the entries of a transaction, in the unit of `storedSize`. The rest of the
+ * store's limit of 64 KiB is for the encoding around the entries.
+ */
 const MAX_TRANSACTION_SIZE = 60 * 1024;
 
-/** The store takes so many conditions for each write of the largest transaction. */
+/**
+ * Limit on the conditions of a transaction, as a multiple of the largest number of writes that the store
+ * accepts in a transaction.
+ */
 export const MAX_CONDITIONS_PER_WRITE = 4;
 
-/** One transaction as it is gathered. */
+/** A transaction to which entries are added. */
 export class Batch<Entry extends BatchEntry> {
   readonly entries: Entry[] = [];
   readonly conditions: Condition[] = [];
@@ -26,27 +32,27 @@
   private readonly keys = new Set<string>();
   private size = 0;
 
-  /** `maxWrites`: the most writes that the store takes in one transaction. */
+  /** @param maxWrites - largest number of writes that the store accepts in a transaction */
   constructor(private readonly maxWrites: number) {}
 
-  /** No entry has been added. */
+  /** Whether no entry has been added. */
   get isEmpty(): boolean {
     return this.entries.length === 0;
   }
 
-  /** Whether an entry of this size keeps the transaction within the limits. */
+  /** Returns whether the transaction stays within the limits with an entry of this size. */
   fits(entry: Entry, size: number): boolean {
     const conditionCount = this.conditions.length + entry.conditions.length;
     return (
       conditionCount <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.writes.length + entry.writes.length <= this.maxWrites &&
       this.size + size <= MAX_TRANSACTION_SIZE &&
-      // Two entries on one key would share their outcome: the second waits for the next batch.
+      // Two entries with conditions on a key would share their outcome; the second needs another batch.
       !entry.conditions.some(({ key }) => this.keys.has(key))
     );
   }
 
-  /** Adds an entry that fits, or the first, whatever its size. */
+  /** Adds an entry. It must fit, unless it is the first: that one may have any size. */
   add(entry: Entry, size: number): void {
     this.entries.push(entry);
     this.conditions.push(...entry.conditions);
--- a/src/controller/store/call-health.ts
+++ b/src/controller/store/call-health.ts
@@ -1,60 +1,66 @@
-/** Whether the state store serves this node, judged by the outcomes of its calls. */
+/** Tracks whether the state store serves this node, based on the outcomes of the node's calls. */
 
-/** Consecutive failures after which the store counts as unavailable. */
+/** Number of consecutive failures after which the store is considered unavailable. */
 const UNAVAILABLE_AFTER_FAILURES = 2;
 
-/** Records when calls were sent, succeeded and failed. Watches are not calls: they wait by design. */
+/**
+ * Records when calls were sent, succeeded and failed. For watches it records only the outcomes, because a
+ * watch without a response is usually waiting for changes.
+ */
 export class CallHealth {
   private succeededAt = -Infinity;
   private failedAt = -Infinity;
   private failures = 0;
-  /** By call, when it was sent. Only calls without an outcome; the oldest comes first. */
+  /** By id, the time at which each call without an outcome was sent; the oldest call comes first. */
   private readonly sentAtByOpenCall = new Map<number, number>();
   private lastCallId = 0;
 
-  /** `now`: monotonic clock in milliseconds. */
+  /** @param now - monotonic clock in milliseconds */
   constructor(private readonly now: () => number) {}
 
-  /** A call is sent. Returns the number to end it with. */
+  /** Records that a call is sent. Returns its id for `endCall`. */
   startCall(): number {
     const callId = ++this.lastCallId;
     this.sentAtByOpenCall.set(callId, this.now());
     return callId;
   }
 
-  /** The call has a response, or has timed out. */
+  /** Records that a call has received its response or has timed out. */
   endCall(callId: number): void {
     this.sentAtByOpenCall.delete(callId);
   }
 
-  /** The store has carried out a call or a watch, or has rejected it for a reason of its own. */
+  /** Records that the store has carried out a call or a watch, or has rejected it for its content. */
   recordSuccess(): void {
     this.failures = 0;
     this.succeededAt = this.now();
   }
 
-  /** A call or a watch had no response, or the store did not serve it. */
+  /** Records that a call or a watch had no response, or that the store was unavailable (503). */
   recordFailure(): void {
     this.failures++;
     this.failedAt = this.now();
   }
 
-  /** Milliseconds since the store last served this node; Infinity: it never has. */
+  /** Milliseconds since the store last served this node; Infinity if it never has. */
   get sinceSuccessMs(): number {
     return this.now() - this.succeededAt;
   }
 
-  /** Failures since the last success. */
+  /** Number of failures since the last success. */
   get consecutiveFailures(): number {
     return this.failures;
   }
 
-  /** The last calls failed, so a call made now would most likely fail too. */
+  /** Whether the most recent calls failed, so that a new call would most likely fail too. */
   get isUnavailable(): boolean {
     return this.failures >= UNAVAILABLE_AFTER_FAILURES && this.failedAt > this.succeededAt;
   }
 
-  /** For how long the store has left a call without response while it served no other. */
+  /**
+   * Milliseconds since the oldest call without a response was sent; 0 if there is none, or if the store
+   * has served another call or a watch since.
+   */
   get stalledMs(): number {
     const oldest = this.sentAtByOpenCall.values().next();
     if (oldest.done === true || this.succeededAt >= oldest.value) return 0;
--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -28,19 +28,19 @@
   });
 
   describe('watch', () => {
-    /** How long after its end a watch without a response times out. */
+    /** Returns how long after its end a watch without a response times out. */
     function graceMs(leaseS: number, cancelS: number): number {
       const holdMs = 1000;
       createClient(leaseS, cancelS).watch('lead', 1, holdMs, () => undefined);
       return (runtime.calls.shift()?.call.timeoutMs ?? NaN) - holdMs;
     }
 
-    it('times out in proportion to the lease, at 22 s after 2 s', () => {
+    it('times out after a grace period proportional to the lease: 2 s for a lease of 22 s', () => {
       assert.equal(Math.round(graceMs(22, 50) / 10) * 10, 2000);
       assert.ok(graceMs(10, 35) < 1000);
     });
 
-    it('tells that changes were dropped', () => {
+    it('reports too-old if the store has dropped changes', () => {
       let kind: string | undefined;
       client.watch('live/', 1, 1000, (result) => (kind = result.kind));
       runtime.answer(410);
@@ -52,7 +52,7 @@
     ['a revision', 200, { ledger: 7 }, { kind: 'ok', revision: 7 }],
     ['failed conditions', 409, { failed: ['k'] }, { kind: 'conflict', failedKeys: ['k'] }],
     ['an expired lease', 400, { error: 'no such lease' }, { kind: 'lease-expired' }],
-    ['another fault', 400, { error: 'too large' }, { kind: 'too-large' }],
+    ['any other rejection', 400, { error: 'too large' }, { kind: 'too-large' }],
     ['an exceeded rate', 429, null, { kind: 'refused' }],
     ['an unavailable store', 503, null, { kind: 'refused' }],
     ['a missing response', 0, null, { kind: 'unknown' }],
@@ -66,7 +66,7 @@
       assert.deepEqual(result, expected);
     });
 
-  it('transact halves the sizes that are written after a transaction was rejected', () => {
+  it('transact halves the largest value size after a transaction was rejected', () => {
     const { limits } = client.budget;
     const sizeBefore = limits.maxValueSize;
     client.transact([], [], 1000, () => undefined);
@@ -93,7 +93,7 @@
       assert.deepEqual(result, expected);
     });
 
-  it('readPrefix goes on from the last key, and gives the revision of the first request', () => {
+  it('readPrefix continues after the last key, and returns the revision of the first response', () => {
     let result: ReadResult<{ items: { key: string }[]; revision: number }> | undefined;
     client.readPrefix('page/', 1000, (outcome) => (result = outcome));
     const entry = (k: string) => ({ k, value: 0, stamp: 1 });
@@ -132,7 +132,7 @@
       runtime.answer(status);
     }
 
-    it('is unavailable from the second consecutive failure until the next success', () => {
+    it('reports the store as unavailable from the second consecutive failure until the next success', () => {
       const { health } = client;
       read(0);
       assert.equal(health.isUnavailable, false);
@@ -147,7 +147,7 @@
       assert.equal(health.sinceSuccessMs, 30);
     });
 
-    it('counts a stall from the oldest call without response, watches left out', () => {
+    it('measures a stall from the oldest call without a response, and ignores watches', () => {
       client.watch('live/', 1, 1000, () => undefined);
       runtime.advance(100);
       assert.equal(client.health.stalledMs, 0);
@@ -156,7 +156,7 @@
       assert.equal(client.health.stalledMs, 40);
     });
 
-    it('pauses requests and writes after a refusal for the rate', () => {
+    it('pauses requests and writes after a response with status 429', () => {
       read(429);
       const { requestTokens, writeTokens } = client.budget;
       assert.ok(requestTokens.waitMs() > 0);
--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -38,37 +38,38 @@
 const TOO_MANY_REQUESTS = 429;
 const SERVICE_UNAVAILABLE = 503;
 
-/** Keys that are asked for in one request for all keys of a prefix. */
+/** Largest number of keys in one response when all keys with a prefix are read. */
 const KEYS_PER_REQUEST = 1000;
 
 /**
- * A watch without a response times out this ratio of the leader's lease after it was to end, so that a
- * lost response delays an election by little beside the workers' lease.
+ * Time after the end of a watch at which it times out without a response, as a ratio of the leader's
+ * lease. It bounds by how much a lost response delays an election, and is short compared with the
+ * workers' lease.
  */
 const WATCH_GRACE_RATIO = 0.7;
 
-/** Names of the calls in the event loop. */
+/** Kinds of calls. They name the events that handle the responses. */
 type Operation =
   'transact' | 'read' | 'read-prefix' | 'grant-lease' | 'renew-lease' | 'revoke-lease' | 'watch';
 
-/** Key-value pairs under a prefix. */
+/** All key-value pairs with a prefix. */
 export interface PrefixSnapshot {
   items: KeyValue[];
-  /** Revision of the first of the requests that it took: a watch from there misses nothing. */
+  /** Revision of the response to the first request. A watch from this revision misses no change. */
   revision: number;
 }
 
-/** Changes that a watch has reported. */
+/** Changes reported by one request of a watch. */
 export interface WatchedChanges {
   events: WatchEvent[];
-  /** Revision from which the next request of the watch goes on. */
+  /** Revision from which the next request of the watch continues. */
   revision: number;
 }
 
 /**
  * Makes calls to the state store and reads their responses. `transact` and `read` do not take request
- * tokens: their callers know the call's priority and take them first. All others are too rare or too
- * important to wait and take theirs in any case.
+ * tokens: their callers know the call's priority and take the tokens first. All other calls are too rare
+ * or too important to be delayed and take their tokens without waiting.
  */
 export class StateStoreClient {
   readonly budget: RateBudget;
@@ -83,7 +84,7 @@
     this.health = new CallHealth(now);
   }
 
-  /** Compare-and-swap: carries out all writes if all conditions hold, and none otherwise. */
+  /** Compare-and-swap transaction: carries out all writes if all conditions hold, and none otherwise. */
   transact(
     conditions: Condition[],
     writes: Write[],
@@ -96,7 +97,7 @@
     });
   }
 
-  /** Reads one key; null: it does not exist. */
+  /** Reads one key. The value is null if the key does not exist. */
   read(key: string, timeoutMs: number, done: (result: ReadResult<KeyValue | null>) => void): void {
     this.call('read', readKeyRequest(key), timeoutMs, (reply) => {
       if (reply.status === NOT_FOUND) done({ kind: 'ok', value: null });
@@ -104,7 +105,7 @@
     });
   }
 
-  /** Reads all keys of a prefix, in as many requests as it takes; each has the whole time-out. */
+  /** Reads all keys with a prefix in as many requests as needed. `timeoutMs` applies to each request. */
   readPrefix(
     prefix: string,
     timeoutMs: number,
@@ -128,7 +129,7 @@
     readAfter(null);
   }
 
-  /** Asks for a lease of `ttlMs`; gives its id. */
+  /** Requests a lease with a time to live of `ttlMs`. The value is its id. */
   grantLease(ttlMs: number, timeoutMs: number, done: (result: ReadResult<number>) => void): void {
     this.budget.requestTokens.forceTake();
     this.call('grant-lease', grantLeaseRequest(ttlMs), timeoutMs, (reply) => {
@@ -136,7 +137,7 @@
     });
   }
 
-  /** Renews a lease for its whole time to live. */
+  /** Renews a lease for its full time to live. */
   renewLease(leaseId: number, timeoutMs: number, done: (outcome: RenewalOutcome) => void): void {
     this.budget.requestTokens.forceTake();
     this.call('renew-lease', renewLeaseRequest(leaseId), timeoutMs, (reply) => {
@@ -151,7 +152,7 @@
     this.call('revoke-lease', revokeLeaseRequest(leaseId), timeoutMs, done);
   }
 
-  /** Waits for up to `holdMs` for changes of a prefix since a revision. */
+  /** Waits up to `holdMs` for changes after `revision` to keys with a prefix. */
   watch(
     prefix: string,
     revision: number,
@@ -209,7 +210,10 @@
     if (status !== BAD_REQUEST) return { kind: 'unknown' };
     if (isLeaseNotFound(body)) return { kind: 'lease-expired' };
     const { limits } = this.budget;
-    this.eventLoop.log.warn({ response: body, ...limits.current }, 'transaction rejected');
+    this.eventLoop.log.warn(
+      { response: body, ...limits.current },
+      'state store rejected a transaction',
+    );
     limits.recordSizeRefusal();
     return { kind: 'too-large' };
   }
--- a/src/controller/store/group-commit.test.ts
+++ b/src/controller/store/group-commit.test.ts
@@ -29,7 +29,7 @@
     groupCommit = new GroupCommit(eventLoop, client, options);
   });
 
-  /** Adds comparisons of so many keys, the first of them with this number, in one batch of events. */
+  /** Adds comparisons of `count` keys, numbered from `firstNumber`, in one batch of events. */
   function addComparisons(firstNumber: number, count: number): void {
     for (let i = firstNumber; i < firstNumber + count; i++)
       groupCommit.add({
@@ -42,7 +42,7 @@
     runtime.advance(0);
   }
 
-  it('delays a transaction that is not full until the least interval has passed', () => {
+  it('delays a transaction that is not full until the shortest interval has passed', () => {
     addComparisons(0, 1);
     assert.equal(runtime.calls.length, 1);
     runtime.answer(200, { ledger: 1 });
@@ -52,15 +52,15 @@
     assert.equal(runtime.calls.length, 1);
   });
 
-  // Status queries had so many transactions in an interval and no more, however many users asked.
-  it('sends a full transaction at once', () => {
+  // Guards against a fixed number of transactions per interval, which limited the rate of status queries.
+  it('sends a full transaction without waiting for the interval', () => {
     addComparisons(0, 1);
     runtime.answer(200, { ledger: 1 });
     addComparisons(1, conditionsPerTransaction);
     assert.equal(runtime.calls.length, 1);
   });
 
-  /** Adds one write for each key in one batch of events, and records the outcomes by key. */
+  /** Adds one entry with a write for each key in one batch of events. Returns the outcomes by key. */
   function addWrites(keys: string[]): Map<string, string> {
     const outcomes = new Map<string, string>();
     for (const key of keys)
@@ -75,13 +75,13 @@
     return outcomes;
   }
 
-  /** Answers the open transaction, and returns the keys that it writes. */
+  /** Responds to the transaction in flight, and returns the keys that it writes. */
   function answer(status: number, body: unknown): string[] {
     const { writes } = runtime.answer(status, body).body as { writes: { set: string }[] };
     return writes.map(({ set }) => set);
   }
 
-  it('tells an entry of its failed condition, and sends the others again', () => {
+  it('reports a conflict to the entry whose condition failed, and sends the others again', () => {
     const outcomes = addWrites(['a', 'b', 'c']);
     assert.deepEqual(answer(409, { failed: ['b'] }), ['a', 'b', 'c']);
     assert.deepEqual([...outcomes], [['b', 'conflict']]);
@@ -102,21 +102,21 @@
     assert.deepEqual(outcomes.get('c'), 'ok');
   });
 
-  it('puts two entries on one key into transactions of their own', () => {
+  it('puts two entries with conditions on the same key into separate transactions', () => {
     addWrites(['a', 'a']);
     assert.deepEqual(answer(200, { ledger: 1 }), ['a']);
     runtime.advance(minIntervalMs);
     assert.deepEqual(answer(409, { failed: ['a'] }), ['a']);
   });
 
-  it('refuses an entry that could not be sent in time', () => {
+  it('refuses an entry that could not be sent within the longest queueing time', () => {
     client.budget.requestTokens.pauseFor(maxQueueMs + 1);
     const isQueued = groupCommit.add({ conditions: [], writes: [], done: () => undefined });
     assert.equal(isQueued, false);
     assert.equal(client.budget.queuedWrites, 0);
   });
 
-  it('gives an entry up once its caller no longer waits for it', () => {
+  it('drops an entry that has been queued for longer than the longest queueing time', () => {
     addWrites(['a']);
     const outcomes = addWrites(['b']);
     assert.equal(client.budget.queuedWrites, 1);
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -1,44 +1,45 @@
-/** Group commit of the writes and comparisons that a node makes for its users. */
+/** Group commit of the writes and comparisons that a node makes on behalf of its users. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import { Batch, MAX_CONDITIONS_PER_WRITE, type BatchEntry } from './batch.js';
 import type { StateStoreClient } from './client.js';
 import { storedSize } from './page.js';
 import type { TransactionResult } from './results.js';
 
-/** Shortest timer until the next flush. */
+/** Shortest delay of the timer for the next flush, in milliseconds. */
 const MIN_TIMER_MS = 5;
 
 interface QueuedEntry extends BatchEntry {
-  /** When its caller has given up waiting for the outcome. */
+  /** Time at which the caller stops waiting for the entry to be sent. */
   expiresAt: number;
 }
 
-/** How a group commit shares the tokens with other callers, and how long it waits. */
+/** Priority of a group commit among the users of the rate budget, and its time limits. */
 export interface GroupCommitOptions {
-  /** Ratio of the burst that is left to calls of higher priority. */
+  /** Ratio of the burst that is reserved for calls of higher priority. */
   tokenReserve: number;
   /** Time-out of a transaction. */
   timeoutMs: number;
-  /** How long an entry may wait for its transaction to be sent. */
+  /** Longest time that an entry may wait to be sent. */
   maxQueueMs: number;
-  /** Least time between two transactions that are not full: so more entries share each. */
+  /** Shortest time from a transaction to the next one that is not full, so that more entries share it. */
   minIntervalMs: number;
 }
 
 /**
- * Puts the entries of many callers into one transaction, with at most one in flight. When it fails on
- * a condition, the entries concerned are told and the others go into the next without them.
+ * Combines the entries of many callers into transactions, of which at most one is in flight. If a
+ * transaction conflicts, the entries whose conditions failed are reported as conflicts, and the others
+ * are sent again in the next transaction.
  */
 export class GroupCommit {
   private queue: QueuedEntry[] = [];
-  /** Writes and conditions of the queued entries. */
+  /** Numbers of writes and conditions of the queued entries. */
   private queuedWrites = 0;
   private queuedConditions = 0;
   private nextFlushAt = 0;
   private inFlight = false;
-  /** Entries are sent one by one, to find out which of them makes a transaction fail. */
+  /** Whether entries are sent one by one, to find the one that makes a transaction fail. */
   private oneByOne = false;
-  /** A timer runs; the event that it posts ends a batch, and so leads to the next flush. */
+  /** Whether a timer is running. The event that it posts causes a batch, which ends with a flush. */
   private timerRunning = false;
 
   constructor(
@@ -49,7 +50,7 @@
     eventLoop.onBatchEnd(() => this.flush());
   }
 
-  /** Queues an entry. False: it could not be sent in time, so it was not queued. */
+  /** Queues an entry. Returns false, without queueing it, if it could not be sent within `maxQueueMs`. */
   add(entry: BatchEntry): boolean {
     const { maxQueueMs } = this.options;
     if (this.waitMs(entry.writes.length) > maxQueueMs) return false;
@@ -58,14 +59,14 @@
     return true;
   }
 
-  /** Counts an entry that has joined the queue (1) or left it (-1). */
+  /** Updates the counters for an entry that was added to the queue (1) or removed from it (-1). */
   private countQueued({ writes, conditions }: BatchEntry, sign: 1 | -1): void {
     this.queuedWrites += writes.length * sign;
     this.queuedConditions += conditions.length * sign;
     this.client.budget.queuedWrites += writes.length * sign;
   }
 
-  /** The queued entries fill a transaction: nothing is gained by waiting for more. */
+  /** Whether the queued entries fill a transaction, so that waiting for more has no benefit. */
   private get hasFullBatch(): boolean {
     const { txnOps } = this.client.budget.limits.current;
     return (
@@ -73,7 +74,7 @@
     );
   }
 
-  /** How long until there are tokens for an entry with so many writes, behind all that wait already. */
+  /** Returns the milliseconds until there are tokens for all queued writes and `writes` more. */
   waitMs(writes = 1): number {
     const { tokenReserve } = this.options;
     const { requestTokens, writeTokens } = this.client.budget;
@@ -95,7 +96,7 @@
     if (!batch.isEmpty) this.send(batch);
   }
 
-  /** Takes entries from the front of the queue, as many as limits and write tokens allow. */
+  /** Removes as many entries from the front of the queue as the limits and write tokens allow. */
   private takeBatch(): Batch<QueuedEntry> {
     const batch = new Batch<QueuedEntry>(this.client.budget.limits.current.txnOps);
     for (;;) {
@@ -132,7 +133,7 @@
     });
   }
 
-  /** Drops entries whose callers have given up: sending them would only delay those who still wait. */
+  /** Drops entries whose callers have stopped waiting: sending them would only delay the others. */
   private dropExpired(now: number): void {
     const expired = this.queue.filter((entry) => entry.expiresAt < now);
     if (expired.length === 0) return;
@@ -145,7 +146,7 @@
 
   private settle(entries: QueuedEntry[], result: TransactionResult): void {
     if (entries.length > 1 && result.kind === 'too-large') {
-      // One entry's fault must not fail all that share its transaction.
+      // A fault of one entry must not fail the others in the transaction.
       this.oneByOne = true;
       this.requeue(entries);
     } else if (entries.length > 1 && result.kind === 'conflict') {
@@ -156,7 +157,7 @@
     }
   }
 
-  /** Tells the entries whose conditions failed; the others go again. */
+  /** Reports the conflict to the entries whose conditions failed, and queues the others again. */
   private settleConflict(
     entries: QueuedEntry[],
     result: TransactionResult & { kind: 'conflict' },
@@ -167,7 +168,7 @@
       if (entry.conditions.some(({ key }) => failedKeys.has(key))) entry.done(result);
       else unaffected.push(entry);
     }
-    // The store has named no key of any entry.
+    // If the store has named no key of any entry, the conflicting entry is found by sending one by one.
     this.oneByOne = unaffected.length === entries.length;
     this.requeue(unaffected);
   }
