--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -1,4 +1,4 @@
-/** Gathers one transaction of the leader's records, within the limits of the state store. */
+/** Builds one transaction of the leader's records within the limits of the state store. */
 import type { Condition } from '../wire/state.js';
 import { MAX_CONDITIONS_PER_WRITE } from './batch.js';
 import { moveToPage, storedSize, type Page, type RecordEntry } from './page.js';
@@ -6,22 +6,25 @@
 import type { RecordStoreContext } from './record-store-context.js';
 import type { PendingTransaction } from './transaction-queue.js';
 
-/** Size of a transaction, which leaves space for its frame below the store's 64 KiB. */
+/**
+ * Largest size of a transaction, in the unit of `storedSize`. The rest of the store's limit of 64 KiB is
+ * for the encoding around the conditions and writes.
+ */
 const MAX_TRANSACTION_SIZE = 56 * 1024;
 
-/** Size of the fencing condition and of what surrounds the lists. */
+/** Upper bound of the size of the fencing condition and of the encoding around the lists. */
 const FRAME_SIZE = 512;
 
-/** What is written in one transaction. */
+/** Pages and transactions that are written together in one transaction of the state store. */
 export interface Commit {
   conditions: Condition[];
   pages: Page[];
-  /** Entries of the pages whose newest value is sent for the first time, or again. */
+  /** Entries of the pages whose newest value has not been sent yet, or is sent again after a failure. */
   entries: RecordEntry[];
   transactions: PendingTransaction[];
 }
 
-/** Adds pages and transactions to a commit for as long as limits and write tokens allow. */
+/** Adds pages and transactions to a commit while the limits and write tokens allow it. */
 export class CommitBuilder {
   private readonly maxWrites: number;
   private readonly conditions: Condition[];
@@ -31,7 +34,10 @@
   private writeCount = 0;
   private size = FRAME_SIZE;
 
-  /** `fencingCondition`: the leader's key is still its own. */
+  /**
+   * @param context - the parts of the record store
+   * @param fencingCondition - condition that the leader key is unchanged
+   */
   constructor(
     private readonly context: RecordStoreContext,
     fencingCondition: Condition,
@@ -40,17 +46,20 @@
     this.conditions = [fencingCondition];
   }
 
-  /** Nothing has been added. */
+  /** Whether nothing has been added. */
   get isEmpty(): boolean {
     return this.writeCount === 0;
   }
 
-  /** Whether the entry has been added. */
+  /** Returns whether the entry has been added. */
   has(entry: RecordEntry): boolean {
     return this.entries.has(entry);
   }
 
-  /** False: the entry does not fit. Without `mayAddPage` it may only join a page of the commit. */
+  /**
+   * Adds an entry, and its page if `mayAddPage` is true. Returns false if the entry does not fit, or if
+   * its page is not in the commit and may not be added.
+   */
   tryAddEntry(entry: RecordEntry, mayAddPage: boolean): boolean {
     const page = this.context.pages.allocator.targetPage(entry);
     const growth = entry.page === page ? 0 : entry.size;
@@ -74,7 +83,7 @@
     this.context.client.budget.writeTokens.forceTake(1);
   }
 
-  /** Takes transactions from the front of the queue, as many as fit. */
+  /** Moves as many transactions as fit from the front of the queue to the commit. */
   addTransactions(): void {
     const { client, transactions: queue } = this.context;
     for (;;) {
@@ -101,7 +110,7 @@
     );
   }
 
-  /** The commit. A page is written with the newest values of all its entries, so these are added. */
+  /** Returns the commit. A page is written with the newest values of all its entries, so all are added. */
   build(): Commit {
     for (const page of this.pages)
       for (const entry of page.entries) if (entry.dirty) this.entries.add(entry);
--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -1,36 +1,40 @@
-/** Decides when the leader's records are committed, and what goes into the next commit. */
+/** Decides when the leader's records are committed, and what the next commit contains. */
 import type { Condition } from '../wire/state.js';
 import { CommitBuilder, type Commit } from './commit-builder.js';
 import type { RecordEntry } from './page.js';
 import type { RecordStoreContext } from './record-store-context.js';
 
-/** For this ratio of a worker's lease, deferrable entries leave the writes to urgent ones. */
+/**
+ * Longest time for which deferrable entries get no pages of their own while urgent entries are waiting,
+ * as a ratio of the workers' lease.
+ */
 const MAX_DEFERRAL_RATIO = 0.25;
 
 /**
- * Ratio of the leader's writes that pages take while something urgent always waits; the rest is for the
- * ends of jobs, so that neither starves the other.
+ * Share of the leader's write rate that pages use while urgent entries are always waiting. The rest is
+ * for the transactions that end jobs, so that neither kind of write starves the other.
  */
 const PAGE_WRITES_RATIO = 0.45;
 
-/** What may be committed now, transactions aside. */
+/** The writes of records that may be committed now; transactions may be committed at any time. */
 export interface DueWrites {
+  /** Whether pages may be committed. */
   pages: boolean;
-  /** Deferrable entries may have pages of their own. */
+  /** Whether pages may be committed that have only deferrable entries to write. */
   deferrable: boolean;
 }
 
-/** Shares the writes between pages and transactions, and among entries by their priority. */
+/** Divides the writes between pages and transactions, and among entries by their priority. */
 export class CommitPlanner {
-  /** When the next pages may be committed, with urgent or with only deferrable entries. */
+  /** Earliest times of the next commit of pages: of any, and of those with only deferrable entries. */
   private pagesDueAt = 0;
   private deferrableDueAt = 0;
-  /** When deferrable entries last had pages of their own. */
+  /** Time of the last commit in which deferrable entries could have pages of their own. */
   private deferrablePagesAt = 0;
 
   constructor(private readonly context: RecordStoreContext) {}
 
-  /** What may be committed at `now`. */
+  /** Returns which records may be committed at `now`. */
   due(now: number): DueWrites {
     const { pending } = this.context;
     const deferrable = pending.deferrable.size > 0 && now >= this.deferrableDueAt;
@@ -38,23 +42,23 @@
     return { pages, deferrable };
   }
 
-  /** When the pages that wait now may be committed. */
+  /** Earliest time at which the pending entries may be committed. */
   get nextPagesDueAt(): number {
     if (this.context.pending.urgent.size > 0) return this.pagesDueAt;
     return Math.max(this.pagesDueAt, this.deferrableDueAt);
   }
 
-  /** Lets the next pages be committed without waiting for their part of the writes. */
+  /** Allows the next commit of pages immediately, regardless of their share of the write rate. */
   allowPagesNow(): void {
     this.pagesDueAt = 0;
   }
 
-  /** Least time between two commits of pages that keeps within their part of the writes. */
+  /** Shortest interval between commits of pages that keeps them within their share of the write rate. */
   private get minPageIntervalMs(): number {
     return 1000 / (this.context.client.budget.writeTokens.perSecond * PAGE_WRITES_RATIO);
   }
 
-  /** The next commit, or null where there are no write tokens for any part of it. */
+  /** Returns the next commit, or null if there are not enough write tokens for any part of it. */
   plan(due: DueWrites, fencingCondition: Condition): Commit | null {
     const now = this.context.eventLoop.now();
     const builder = new CommitBuilder(this.context, fencingCondition);
@@ -62,7 +66,7 @@
       this.pagesDueAt = now + this.minPageIntervalMs;
       this.addUrgent(builder);
     }
-    // Before what is deferrable: these are ends of jobs, for which users wait.
+    // Transactions end jobs, and users wait for them, so they precede deferrable entries.
     builder.addTransactions();
     if (due.pages) this.addDeferrable(builder, due.deferrable, now);
     return builder.isEmpty ? null : builder.build();
@@ -76,8 +80,8 @@
   }
 
   /**
-   * Where writes are scarce, deferrable entries join pages that are written anyway; they have pages of
-   * their own only when nothing urgent is left or they have waited for long.
+   * Adds deferrable entries. To save writes, they are added to pages that are written anyway. They get
+   * pages of their own only if no urgent entry is left or if they have waited too long.
    */
   private addDeferrable(builder: CommitBuilder, isDue: boolean, now: number): void {
     const { pending, settings } = this.context;
@@ -97,7 +101,7 @@
     return now - this.deferrablePagesAt > maxDeferralMs;
   }
 
-  /** False: the commit is full. */
+  /** Adds an entry, or skips it if it is oversized. Returns false if it does not fit in the commit. */
   private tryAdd(builder: CommitBuilder, entry: RecordEntry, mayAddPage: boolean): boolean {
     if (this.context.pages.allocator.fitsInPage(entry))
       return builder.tryAddEntry(entry, mayAddPage);
@@ -106,12 +110,16 @@
   }
 
   /**
-   * An entry that exceeds the store's limits was recorded by an earlier leader under other limits. What
-   * is stored stays, as an upper bound of what runs, until a value is set that fits.
+   * Skips an entry that exceeds the store's limits. An earlier leader recorded it under other limits. The
+   * stored value stays as an upper bound of the running tasks (invariant 4) until a value is set that
+   * fits.
    */
   private skipOversized(entry: RecordEntry): void {
     const { pending, eventLoop } = this.context;
     pending.remove(entry);
-    eventLoop.log.warn({ key: entry.key, size: entry.size }, 'record too large to be written');
+    eventLoop.log.warn(
+      { key: entry.key, size: entry.size },
+      'record exceeds the largest value size; not written',
+    );
   }
 }
--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -8,14 +8,15 @@
 import type { TransactionResult } from './results.js';
 import type { PendingTransaction } from './transaction-queue.js';
 
-/** How long nothing is sent after the store has refused a call, and after no response. */
+/** Pause in milliseconds after a refused commit or a failed read. */
 const REFUSED_PAUSE_MS = 100;
+/** Pause in milliseconds after any other failed commit, except one that conflicted. */
 const FAILED_PAUSE_MS = 20;
 
-/** Time-out of a commit or read, as a ratio of the leader's lease. */
+/** Time-out of a commit or a read, as a ratio of the leader's lease. */
 const TIMEOUT_RATIO = 1 / 4;
 
-/** A page as it was sent: the keys that its copy contains. */
+/** A page that was sent, and the keys that the sent copy contains. */
 interface SentPage {
   page: Page;
   keys: ReadonlySet<string>;
@@ -26,20 +27,20 @@
   callbacks: StoredCallbacks;
 }
 
-/** What the owner of a sender is told. */
+/** Callbacks to the owner of a sender. */
 export interface CommitSenderHooks {
-  /** Another leader holds the key `fencingKey`. */
+  /** Called when the condition on the leader key has failed, so this leader has lost the key. */
   onFenced(): void;
-  /** A commit was not carried out, or perhaps not; its parts are queued again. */
+  /** Called after a commit whose success is not confirmed. Its entries and transactions are queued again. */
   onFailed(): void;
 }
 
-/** Sends commits and settles them: at most one commit, or read of a page, is in flight. */
+/** Sends commits and handles their results. At most one commit or read of a page is in flight. */
 export class CommitSender {
   inFlight = false;
-  /** Nothing is to be sent before. */
+  /** Time before which nothing may be sent. */
   pauseUntil = 0;
-  /** Puts and deletes sent so far. */
+  /** Number of puts and deletes sent so far. */
   writesSent = 0;
   private closed = false;
 
@@ -49,7 +50,7 @@
     private readonly hooks: CommitSenderHooks,
   ) {}
 
-  /** Ignores all outcomes from now on. */
+  /** Ignores all results from now on. */
   close(): void {
     this.closed = true;
   }
@@ -58,7 +59,7 @@
     return this.context.settings.leaderLeaseMs * TIMEOUT_RATIO;
   }
 
-  /** Sends a commit; nothing may be in flight. */
+  /** Sends a commit. The caller ensures that nothing is in flight. */
   send(commit: Commit): void {
     const { client, pages, pending } = this.context;
     const sequence = pages.nextSequence();
@@ -97,8 +98,8 @@
     const { pages, pending, eventLoop } = this.context;
     const failedKeys = new Set(result.kind === 'conflict' ? result.failedKeys : []);
     for (const { page, keys } of sent.sentPages) {
-      // After no response the same condition is sent again: of the two copies only one can succeed,
-      // and if it is the first, the second fails on this page and the page is read.
+      // Without a response the page is sent again with the same version as its condition, so that only
+      // one of the two writes can succeed. If the first did, the second fails and the page is reread.
       if (failedKeys.has(page.key)) page.versionUnknown = true;
       if (result.kind === 'unknown') pages.markPossiblyWritten(page, keys);
     }
@@ -110,7 +111,7 @@
     this.pauseUntil = eventLoop.now() + pauseMs;
   }
 
-  /** Those whose own conditions failed are done; the others go again, in their order. */
+  /** Reports a conflict to transactions whose own conditions failed. Queues the others again, in order. */
   private settleTransactions(
     transactions: PendingTransaction[],
     failedKeys: ReadonlySet<string>,
@@ -122,7 +123,7 @@
     }
   }
 
-  /** Finds out which version of a page is stored, before it is written again. */
+  /** Reads the stored version of a page, which is needed before it can be written again. */
   rereadPage(page: Page): void {
     const { client, eventLoop } = this.context;
     this.inFlight = true;
--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -1,32 +1,32 @@
-/** Records that were set and are not stored yet, and who waits for them. */
+/** Records that were set and are not stored yet, with the callbacks to call once they are stored. */
 import type { RecordEntry } from './page.js';
 
 /**
- * How soon a record is written: `deferrable` may wait to be written together with others, `urgent` is
- * written as soon as there are tokens, and `immediate` before all others.
+ * How soon a record is written: a `deferrable` one may wait to be written together with others, an
+ * `urgent` one is written as soon as there are tokens, and an `immediate` one before all others.
  */
 export type WritePriority = 'deferrable' | 'urgent' | 'immediate';
 
 /** Called once a value, or a newer one of the same key, is stored. */
 export type StoredCallback = () => void;
 
-/** By entry, the callbacks that wait for the value that a commit writes. */
+/** By entry, the callbacks to call once the value that a commit writes is stored. */
 export type StoredCallbacks = Map<RecordEntry, StoredCallback[]>;
 
-/** Entries whose newest value has not been sent, by priority, with the callbacks that wait for them. */
+/** Entries whose newest value has not been sent, by priority, and the callbacks of entries not stored. */
 export class PendingWrites {
-  /** All that do not wait for others, the immediate ones included. */
+  /** All entries that are not deferrable, including the immediate ones. */
   readonly urgent = new Set<RecordEntry>();
   readonly immediate = new Set<RecordEntry>();
   readonly deferrable = new Set<RecordEntry>();
   private readonly callbacks: StoredCallbacks = new Map();
 
-  /** Number of entries that wait to be sent. */
+  /** Number of entries that are waiting to be sent. */
   get size(): number {
     return this.urgent.size + this.deferrable.size;
   }
 
-  /** Queues an entry. A priority is raised, but never lowered. */
+  /** Queues an entry. If it is queued already, its priority may be raised but is never lowered. */
   add(entry: RecordEntry, priority: WritePriority): void {
     if (priority === 'immediate') this.immediate.add(entry);
     if (priority === 'deferrable') {
@@ -37,21 +37,21 @@
     this.deferrable.delete(entry);
   }
 
-  /** Removes an entry that has been sent, or can't be. */
+  /** Removes an entry that has been sent or cannot be sent. */
   remove(entry: RecordEntry): void {
     this.urgent.delete(entry);
     this.immediate.delete(entry);
     this.deferrable.delete(entry);
   }
 
-  /** Calls back once the entry's present value, or a newer one, is stored. */
+  /** Adds a callback to call once the entry's current value or a newer one is stored. */
   addStoredCallback(entry: RecordEntry, callback: StoredCallback): void {
     const callbacks = this.callbacks.get(entry);
     if (callbacks === undefined) this.callbacks.set(entry, [callback]);
     else callbacks.push(callback);
   }
 
-  /** The entries are sent with their present values. Returns the callbacks that wait for these. */
+  /** Records that the entries are sent with their current values. Returns the callbacks of these values. */
   markSent(entries: readonly RecordEntry[]): StoredCallbacks {
     const sentCallbacks: StoredCallbacks = new Map();
     for (const entry of entries) {
@@ -65,19 +65,19 @@
     return sentCallbacks;
   }
 
-  /** What was sent is stored: calls back. */
+  /** Records that the sent values are stored, and calls their callbacks. */
   markStored(entries: readonly RecordEntry[], sentCallbacks: StoredCallbacks): void {
     for (const entry of entries) {
       for (const callback of sentCallbacks.get(entry) ?? []) callback();
       if (entry.dirty) continue;
-      // Set again while in flight, to the same value: that is stored now, too.
+      // Callbacks that were added for the same value while it was in flight are due as well.
       const newerCallbacks = this.callbacks.get(entry);
       this.callbacks.delete(entry);
       for (const callback of newerCallbacks ?? []) callback();
     }
   }
 
-  /** What was sent may not be stored: it is urgent again, with the callbacks that waited for it first. */
+  /** Queues sent entries again as urgent, since they may not be stored. Restores their callbacks. */
   requeue(entries: readonly RecordEntry[], sentCallbacks: StoredCallbacks): void {
     for (const entry of entries) {
       entry.dirty = true;
--- a/src/controller/store/record-store-context.ts
+++ b/src/controller/store/record-store-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the leader's record store share. */
+/** Objects that the parts of the leader's record store share. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { StateStoreClient } from './client.js';
@@ -6,7 +6,7 @@
 import type { PendingWrites } from './pending-writes.js';
 import type { TransactionQueue } from './transaction-queue.js';
 
-/** Records and queues of one leader's term, and the means to write them. */
+/** Records and queues of one leader's term, and the services needed to write them. */
 export interface RecordStoreContext {
   readonly eventLoop: EventLoop;
   readonly settings: Settings;
--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -7,18 +7,18 @@
 import { PAGE_PREFIX } from './page-codec.js';
 import type { RecordStore } from './record-store.js';
 
-/** What a new leader finds under `k/`. */
+/** Returns the records under `k/` that a new leader has loaded. */
 function recordsOf(records: RecordStore): Map<string, unknown> {
   return new Map([...records.list('k/')].map(({ key, value }) => [key, value]));
 }
 
-/** Values that were set for a key so far, and the index of the last that was called stored. */
+/** Values that were set for a key so far, and the index of the last one that was reported as stored. */
 interface History {
   values: unknown[];
   storedIndex: number;
 }
 
-/** Sets random values of random keys through an unreliable store, and elects leaders in between. */
+/** Sets random values of random keys in an unreliable store, and elects new leaders in between. */
 class HistoryCheck {
   callbacks = 0;
   private readonly store: UnreliableStateStore;
@@ -64,7 +64,7 @@
     for (const [key, history] of this.histories) {
       const index = history.values.lastIndexOf(storedRecords.get(key));
       assert.ok(index >= history.storedIndex, `${key}: ${index} instead of ${history.storedIndex}`);
-      // What the new leader has found is what counts from now on.
+      // Later checks start from the value that the new leader has loaded.
       history.values.push(storedRecords.get(key));
       history.storedIndex = history.values.length - 1;
     }
@@ -72,14 +72,14 @@
 }
 
 describe('RecordStore', () => {
-  // The second is the incident inc-7e8d: with small values a record was left out of its old page before
-  // the new one was written; the leader ended in between, and the tasks of a machine ran twice.
+  // The case of small values guards against incident inc-7e8d: a record was removed from its old page
+  // before its new page was written. The leader ended in between, and the tasks of a machine ran twice.
   const sizes: [string, StateLimits, number, number][] = [
     ['large', stateLimits, 12, 3000],
     ['small', { ...stateLimits, valueKb: 2, txnOps: 4 }, 60, 700],
   ];
   for (const [valueSizes, limits, keyCount, maxLength] of sizes)
-    it(`leaves what was called stored, or something newer, to the next leader: ${valueSizes} values`, () => {
+    it(`the next leader loads values reported as stored, or newer ones: ${valueSizes} values`, () => {
       let callbacks = 0;
       fc.assert(
         fc.property(fc.nat(1e9), (seed) => {
@@ -89,11 +89,11 @@
         }),
         { seed: 8, numRuns: 60 },
       );
-      assert.ok(callbacks > 1000, `${callbacks}`);
+      assert.ok(callbacks > 1000, `${callbacks} callbacks`);
     });
 
-  // The operators' change: the limits fall without notice, also in the middle of a commit.
-  it('splits what it writes and loses nothing when the limits of the state store fall', () => {
+  // The operators may lower the limits of the state store without notice, even during a commit.
+  it('splits its writes and loses no record when the limits of the state store are lowered', () => {
     const store = new UnreliableStateStore(3, 0);
     const random = seededRandom(3);
     const lastValues = new Map<string, unknown>();
@@ -113,7 +113,7 @@
     for (const [key, value] of lastValues) assert.deepEqual(storedRecords.get(key), value, key);
   });
 
-  it('reads a record above the limits, and writes it again once it is smaller', () => {
+  it('loads a record that exceeds the limits, and writes it again once it is small enough', () => {
     const store = new UnreliableStateStore(4, 0);
     const large = 'x'.repeat(6000);
     store.records.set('k/large', large, 'urgent');
@@ -127,7 +127,7 @@
     nextLeaderRecords.set('k/large', `${large}z`, 'urgent', () => storedCount++);
     nextLeaderRecords.set('k/1', 'small', 'urgent', () => storedCount++);
     store.run(2000);
-    assert.equal(storedCount, 1, 'the large one has to wait, the others need not');
+    assert.equal(storedCount, 1, 'only the small record has been stored');
     nextLeaderRecords.set('k/large', 'now it fits', 'urgent', () => storedCount++);
     store.run(2000);
     const storedRecords = recordsOf(store.electLeader());
@@ -136,7 +136,8 @@
     assert.equal(store.sizeRefusals, 0);
   });
 
-  // Incident: thousands of starts waited for writes, and a service's replicas among them.
+  // Guards against an incident in which the starts of a service's replicas waited for write tokens behind
+  // thousands of other starts.
   it('commits immediate records before urgent ones', () => {
     const store = new UnreliableStateStore(5, 0);
     const order: string[] = [];
@@ -146,10 +147,10 @@
     store.run(3000);
     assert.ok(order.length > 10);
     const index = order.indexOf('immediate');
-    assert.ok(index >= 0 && index < 10, `only after ${index}`);
+    assert.ok(index >= 0 && index < 10, `the immediate record was stored after ${index} others`);
   });
 
-  it('commits many small records with few writes, and uses pages again', () => {
+  it('commits many small records with few writes, and reuses pages', () => {
     const store = new UnreliableStateStore(1, 0);
     let storedCount = 0;
     const writesBefore = store.writesReceived;
--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -1,4 +1,4 @@
-/** The leader's write-ahead records: what it has decided is stored before it is acted upon. */
+/** The leader's write-ahead records: each decision is stored before it is carried out. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 import type { Condition, KeyValue, Write } from '../wire/state.js';
@@ -13,30 +13,30 @@
 
 export type { WritePriority } from './pending-writes.js';
 
-/** What binds a record store to the term of one leader. */
+/** Binds a record store to the term of one leader. */
 export interface RecordStoreOptions {
-  /** Key and version that every transaction is conditional on: the leader's own. */
+  /** Condition of every transaction: the leader key still has the version that this leader wrote. */
   fencingCondition: Condition;
   /** Whether the leader's lease allows it to write now. */
   leaseAllowsWrites: () => boolean;
-  /** Called when another leader holds the key. */
+  /** Called when the condition on the leader key has failed, so this leader has lost the key. */
   onFenced: () => void;
 }
 
-/** How soon it is tried again without a lease, and without write tokens. */
+/** Delays in milliseconds before the next attempt to write when the lease or write tokens are missing. */
 const NO_LEASE_RETRY_MS = 50;
 const NO_TOKENS_RETRY_MS = 10;
-/** Shortest timer until the next flush. */
+/** Shortest delay of the timer for the next flush, in milliseconds. */
 const MIN_TIMER_MS = 5;
 
 /**
  * The leader's records in the state store. Callers set the newest value of a key and are called back
- * once it, or a newer one, is stored. Records are packed into pages (page-table.ts). One transaction
- * is in flight at a time.
+ * once this value or a newer one is stored. Records are packed into pages (page-table.ts). At most one
+ * transaction is in flight.
  *
- * Invariant: every write is conditional on the leader's key and on the version of the page that it
- * replaces. So a copy that the network delivers late meets either another leader or a newer version,
- * and cannot replace a newer list of assignments by an older one.
+ * Invariant: every write is conditional on the leader key and on the version of the page that it
+ * replaces. A copy that the network delivers late therefore fails, because either the leader or the
+ * version has changed, and cannot replace a list of assignments by an older one.
  */
 export class RecordStore {
   private readonly pages: PageTable;
@@ -45,7 +45,7 @@
   private readonly planner: CommitPlanner;
   private readonly sender: CommitSender;
   private closed = false;
-  /** When the earliest timer of a flush ends. */
+  /** Time at which the earliest timer for a flush fires. */
   private timerAt = Infinity;
 
   constructor(
@@ -65,7 +65,7 @@
     });
   }
 
-  /** Ends the store with its term: nothing is sent and nobody is called back any more. */
+  /** Closes the store at the end of the term: from now on it sends nothing and calls no callbacks. */
   close(): void {
     if (this.closed) return;
     this.closed = true;
@@ -73,31 +73,31 @@
     this.transactions.close();
   }
 
-  /** Puts and deletes sent so far, for the metrics. */
+  /** Number of puts and deletes sent so far, for the metrics. */
   get writesSent(): number {
     return this.sender.writesSent;
   }
 
-  /** Takes over the pages that earlier leaders have stored. */
+  /** Loads the pages that earlier leaders have stored. */
   load(items: KeyValue[]): void {
     this.pages.load(items);
   }
 
-  /** Keys and values under a prefix, as they were loaded or set; changes meanwhile are not seen. */
+  /** Lists the newest values of all keys with a prefix. New keys are not seen during the iteration. */
   *list(prefix: string): Iterable<{ key: string; value: unknown }> {
     for (const { key, json } of [...this.pages.entries.values()])
       if (json !== null && key.startsWith(prefix))
         yield { key, value: JSON.parse(json) as unknown };
   }
 
-  /** Whether the key has a value. */
+  /** Returns whether the key has a value. */
   has(key: string): boolean {
     return this.pages.entries.get(key)?.json != null;
   }
 
   /**
-   * Sets the newest value of a key; `undefined` deletes it. `stored` is called once that or a newer
-   * value is stored: at once where it is already.
+   * Sets the newest value of a key; `undefined` deletes it. Calls `onStored` once this value or a newer
+   * one is stored, which may be immediately.
    */
   set(key: string, value: unknown, priority: WritePriority, onStored?: StoredCallback): void {
     const entry = this.pages.set(key, value);
@@ -106,17 +106,20 @@
     if (entry.dirty) this.pending.add(entry, priority);
   }
 
-  /** Writes keys that other nodes write too, all or none, if the conditions and the leader's hold. */
+  /**
+   * Writes keys that other nodes write too. All writes are carried out if the given conditions and the
+   * leader's own hold, and none otherwise.
+   */
   transact(conditions: Condition[], writes: Write[], done: PendingTransaction['done']): void {
     this.transactions.push({ conditions, writes, done });
   }
 
-  /** Number of entries and transactions that wait to be sent. */
+  /** Number of entries and transactions that are waiting to be sent. */
   get backlog(): number {
     return this.pending.size + this.transactions.length;
   }
 
-  /** Sends the next commit if one is due and allowed; otherwise starts a timer for when it may be. */
+  /** Sends the next commit if one is due and allowed. Otherwise starts a timer for the next attempt. */
   flush(): void {
     if (this.closed || this.sender.inFlight || this.backlog === 0) return;
     const now = this.eventLoop.now();
@@ -148,7 +151,7 @@
     return null;
   }
 
-  /** The owner flushes after each batch of events; the timer sees to it that there is one. */
+  /** Starts a timer whose event causes a batch; the owner calls `flush` after each batch of events. */
   private flushLater(delayMs: number): void {
     const waitMs = Math.max(MIN_TIMER_MS, delayMs);
     const flushAt = this.eventLoop.now() + waitMs;
--- a/src/controller/store/transaction-queue.ts
+++ b/src/controller/store/transaction-queue.ts
@@ -1,52 +1,52 @@
-/** The leader's transactions on keys that other nodes write too, in the order of their requests. */
+/** Queue of the leader's transactions on keys that other nodes write too. */
 import type { Condition, Write } from '../wire/state.js';
 import type { RateBudget } from './rate-budget.js';
 
-/** Whether a transaction was carried out, or one of its own conditions did not hold. */
+/** `ok`: the transaction was carried out. `conflict`: one of its own conditions did not hold. */
 export type TransactionOutcome = 'ok' | 'conflict';
 
-/** A compare-and-swap transaction that waits to be sent. */
+/** A compare-and-swap transaction that is waiting to be sent. */
 export interface PendingTransaction {
   conditions: Condition[];
   writes: Write[];
   done: (outcome: TransactionOutcome) => void;
 }
 
-/** First-in, first-out queue; its writes count as queued in the node's budget. */
+/** First-in, first-out queue. Its writes are included in the `queuedWrites` of the node's budget. */
 export class TransactionQueue {
   private readonly transactions: PendingTransaction[] = [];
 
   constructor(private readonly budget: Pick<RateBudget, 'queuedWrites'>) {}
 
-  /** Number of transactions that wait. */
+  /** Number of queued transactions. */
   get length(): number {
     return this.transactions.length;
   }
 
-  /** The transaction that is next to be sent. */
+  /** Returns the transaction at the front of the queue. */
   peek(): PendingTransaction | undefined {
     return this.transactions[0];
   }
 
-  /** Adds a transaction behind all others. */
+  /** Adds a transaction at the back of the queue. */
   push(transaction: PendingTransaction): void {
     this.transactions.push(transaction);
     this.budget.queuedWrites += transaction.writes.length;
   }
 
-  /** Removes the transaction that `peek` has returned. */
+  /** Removes the transaction at the front of the queue. */
   shift(): void {
     const transaction = this.transactions.shift();
     this.budget.queuedWrites -= transaction?.writes.length ?? 0;
   }
 
-  /** Puts a transaction that was not carried out before all others. */
+  /** Puts a transaction that was not carried out back at the front of the queue. */
   unshift(transaction: PendingTransaction): void {
     this.transactions.unshift(transaction);
     this.budget.queuedWrites += transaction.writes.length;
   }
 
-  /** Nothing is sent any more: the queued writes leave the budget. To be called once. */
+  /** Removes the queued writes from the budget when nothing is sent any more. Must be called only once. */
   close(): void {
     for (const { writes } of this.transactions) this.budget.queuedWrites -= writes.length;
   }
