--- a/src/controller/store/limits.test.ts
+++ b/src/controller/store/limits.test.ts
@@ -18,13 +18,13 @@
     return new StateStoreLimits(platform, () => now, RETRY_MS);
   }
 
-  it('keeps sizes within the smaller limits from the start, and rates from the third refusal', () => {
+  it('applies the smaller size limits from the start, and the lower rates from the third refusal', () => {
     const limits = limitsWith(upcomingStateLimits);
     assert.deepEqual(limits.current, { rps: 80, writeRps: 30, valueKb: 2, txnOps: 8 });
     const inForce = [1, 2, 3].map(() => limits.recordRateRefusal());
     assert.deepEqual(inForce, [false, false, true]);
     assert.equal(limits.current.writeRps, 21);
-    assert.equal(limits.recordRateRefusal(), false, 'there is nothing lower to go to');
+    assert.equal(limits.recordRateRefusal(), false, 'the lower rates apply already');
   });
 
   it('keeps the rates when refusals are far apart', () => {
@@ -37,7 +37,7 @@
     for (let i = 0; i < 10; i++) assert.equal(limits.recordRateRefusal(), false);
   });
 
-  it('halves sizes after a refusal for them, and tries larger ones after a while', () => {
+  it('halves sizes after a size refusal, and doubles them again after the retry time', () => {
     const limits = limitsWith(stateLimits);
     limits.recordSizeRefusal();
     limits.recordSizeRefusal();
--- a/src/controller/store/limits.ts
+++ b/src/controller/store/limits.ts
@@ -1,35 +1,40 @@
-/** The limits of the state store, and how a process learns that they have changed. */
+/** The limits of the state store, and the detection that they have changed. */
 import type { Platform, StateLimits } from '../settings/platform.js';
 
-/** So many rate refusals within the window show that the upcoming rates are in force. */
+/** Number of rate refusals within the window after which the upcoming rates are considered in force. */
 const REFUSALS_FOR_UPCOMING_RATES = 3;
 const REFUSAL_WINDOW_MS = 5000;
 
-/** No value or transaction is split further than this. */
+/** Smallest sizes of values and transactions that size refusals lead to. */
 const MIN_VALUE_KB = 1;
 const MIN_TRANSACTION_WRITES = 2;
+/** Largest number of times that the sizes are halved. */
 const MAX_HALVINGS = 6;
 
 const BYTES_PER_KB = 1024;
 
 /**
- * The state store's limits as far as this process knows them. Sizes are kept within the smaller of
- * the present and the upcoming limits from the start: that costs little, and what is written then
- * stays writable. Rates are used in full until the store refuses, for they are what is scarce.
+ * The limits of the state store that this process complies with. Sizes are kept within the smaller of the
+ * present and the upcoming limits from the start. This costs little, and values written before the limits
+ * fall can be written again afterwards. Rates are scarce, so they are used in full until the store refuses
+ * calls.
  */
 export class StateStoreLimits {
   private rates: { rps: number; writeRps: number };
-  /** When the store has refused for its rate lately. */
+  /** Times of the rate refusals within the window. */
   private rateRefusals: number[] = [];
-  /** How often sizes had been halved at `halvedAt`. */
+  /** Number of times that sizes had been halved at `halvedAt`. */
   private halvingCount = 0;
   private halvedAt = -Infinity;
 
-  /** `now`: monotonic clock in milliseconds. */
+  /**
+   * @param platform - the present and the upcoming limits
+   * @param now - monotonic clock in milliseconds
+   * @param retryMs - time without a size refusal after which reduced sizes are doubled again
+   */
   constructor(
     private readonly platform: Pick<Platform, 'stateLimits' | 'upcomingStateLimits'>,
     private readonly now: () => number,
-    /** After each such time without a size refusal twice the size is tried again. */
     private readonly retryMs: number,
   ) {
     const { rps, writeRps } = platform.stateLimits;
@@ -41,7 +46,7 @@
     return Math.max(0, this.halvingCount - doublings);
   }
 
-  /** The limits to keep to now. */
+  /** The limits that apply now. */
   get current(): StateLimits {
     const { stateLimits: present, upcomingStateLimits: upcoming } = this.platform;
     const divisor = 2 ** this.halvings;
@@ -60,15 +65,18 @@
   }
 
   /**
-   * The store has refused a value or a transaction, by what it says for its size: smaller ones follow.
-   * It may have found another fault; so after a while larger ones are tried again.
+   * Halves the sizes after the store has rejected a value or a transaction, presumably for its size. The
+   * store may have found another fault instead, so larger sizes are tried again after `retryMs`.
    */
   recordSizeRefusal(): void {
     this.halvingCount = Math.min(this.halvings + 1, MAX_HALVINGS);
     this.halvedAt = this.now();
   }
 
-  /** The store has refused a call for its rate. True: the upcoming, lower rates are in force from now on. */
+  /**
+   * Records that the store has refused a call for its rate. Returns true if the upcoming, lower rates
+   * apply from now on, and false if the rates have not changed.
+   */
   recordRateRefusal(): boolean {
     const now = this.now();
     const { rps, writeRps } = this.platform.upcomingStateLimits;
--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -2,48 +2,52 @@
 import { EMPTY_PAGE_SIZE, newPage, type Page, type RecordEntry } from './page.js';
 import { pageKey } from './page-codec.js';
 
+/** New entries fill a page to this ratio of the largest value, since small pages are cheap to rewrite. */
+const FILL_RATIO = 0.4;
 /**
- * How far new entries fill a page, as a ratio of the largest value. Small pages cost little to rewrite;
- * but where values are small themselves, each put should carry what it can.
+ * If the largest value is small, pages are filled further, so that each put carries as much as possible:
+ * up to `SMALL_VALUE_SIZE`, but no more than this ratio of the largest value.
  */
-const FILL_RATIO = 0.4;
 const SMALL_VALUE_FILL_RATIO = 0.8;
 const SMALL_VALUE_SIZE = 2048;
-/** A page is filled again once no more than this ratio of the size it is filled to is still in use. */
+/** A page is filled again if its size is at most this ratio of the size to which pages are filled. */
 const REUSE_RATIO = 0.25;
 
-/** The entries and pages among which the allocator chooses; it adds the pages that are new. */
+/** The entries, and the pages from which the allocator chooses and to which it adds new ones. */
 export interface AllocatedPages {
   readonly entries: ReadonlyMap<string, RecordEntry>;
   readonly pages: Map<string, Page>;
 }
 
 /**
- * Directs all entries that change to one page, the open page, so that a commit usually puts a single
- * value however many records it is about. Once the open page is full, a page that most of its entries
- * have left becomes the open page, with those that stayed, or else a new one.
+ * Assigns all changed entries to one page, the open page, so that a commit usually puts a single value
+ * regardless of the number of records. When the open page is full, it is replaced by a page from which
+ * most entries have moved away (the others stay in it), or by a new page if there is none.
  */
 export class PageAllocator {
   private openPage: Page | null = null;
   private nextPageNumber = 0;
 
-  /** `maxValueSize`: the largest value of the state store, which may become smaller. */
+  /**
+   * @param table - the entries and pages
+   * @param maxValueSize - returns the largest size of a value that may be written now; it may change
+   */
   constructor(
     private readonly table: AllocatedPages,
     private readonly maxValueSize: () => number,
   ) {}
 
-  /** Pages that are made from now on have higher numbers. */
+  /** Ensures that new pages get numbers higher than `number`. */
   skipPageNumber(number: number): void {
     if (number >= this.nextPageNumber) this.nextPageNumber = number + 1;
   }
 
-  /** Whether the entry can be written at all. */
+  /** Returns whether a page with only this entry is within the largest value size. */
   fitsInPage(entry: RecordEntry): boolean {
     return EMPTY_PAGE_SIZE + entry.size <= this.maxValueSize();
   }
 
-  /** The page that the entry's newest value should go to. */
+  /** Returns the page to which the entry's newest value should be written. */
   targetPage(entry: RecordEntry): Page {
     if (this.openPage !== null && this.openPageAccepts(this.openPage, entry)) return this.openPage;
     this.openPage = this.reusablePage(entry) ?? this.addPage();
@@ -80,7 +84,7 @@
     return isNearlyEmpty && emptiest.size + entry.size <= fillSize ? emptiest : null;
   }
 
-  /** Of the pages that may be written without the entries that have left them, the one with most space. */
+  /** Returns the smallest page, except the open one, that can be rewritten without losing a record. */
   private emptiestWritable(): Page | null {
     let emptiest: Page | null = null;
     for (const page of this.table.pages.values()) {
@@ -92,9 +96,9 @@
   }
 
   /**
-   * Whether the page's stored copy has the only surely stored value of an entry that has moved on: the
-   * write of its new page has not succeeded yet. If the page were written without the entry and the
-   * leader ended then, its successor would find the record nowhere.
+   * Returns whether the page's stored copy contains the last value known to be stored of an entry that has
+   * moved to another page, whose write has not succeeded yet. If the page were rewritten without the entry
+   * and the leader ended before the other write, the record would be lost to its successor.
    */
   private holdsLastDurableCopy(page: Page): boolean {
     for (const key of page.storedKeys) {
--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -5,11 +5,11 @@
 import { moveToPage, newEntry, newPage, setJson, type Page, type RecordEntry } from './page.js';
 
 /**
- * All records, and which page has the newest value of each. Values that were left behind in other pages
- * are told from newer ones by the sequence number of the commit that wrote the page.
+ * All records, and the page of the newest value of each. Other stored pages may still contain older
+ * values; the sequence numbers of the commits that wrote the pages show which value is the newest.
  *
- * Invariant (docs/incidents/inc-7e8d.md): whatever commits fail, the stored pages contain the newest
- * value of each record that was called stored, or a later one.
+ * Invariant (docs/incidents/inc-7e8d.md): whichever commits fail, the stored pages contain the newest
+ * value of each record that was reported as stored, or a later one.
  */
 export class PageTable {
   readonly entries = new Map<string, RecordEntry>();
@@ -17,12 +17,12 @@
   readonly allocator: PageAllocator;
   private sequence = 0;
 
-  /** `maxValueSize`: the largest value of the state store, which may become smaller. */
+  /** @param maxValueSize - returns the largest size of a value that may be written now; it may change */
   constructor(maxValueSize: () => number) {
     this.allocator = new PageAllocator(this, maxValueSize);
   }
 
-  /** Takes over all pages that are stored. Malformed ones count as empty. */
+  /** Loads all stored pages. A malformed page is treated as empty. */
   load(items: readonly KeyValue[]): void {
     const newestSequence = new Map<string, number>();
     for (const item of items) {
@@ -35,7 +35,7 @@
     for (const entry of this.entries.values()) this.dropIfObsolete(entry);
   }
 
-  /** `newestSequence`: by key, the highest sequence number among the pages that were loaded before. */
+  /** @param newestSequence - by key, the highest sequence number of the pages loaded before */
   private loadPage(page: Page, stored: StoredPage, newestSequence: Map<string, number>): void {
     const { sequence, keysAndJson } = stored;
     this.sequence = Math.max(this.sequence, sequence);
@@ -72,7 +72,7 @@
     return entry;
   }
 
-  /** Sets a value; `undefined` deletes. Returns null if the key to be deleted has no record. */
+  /** Sets a value; `undefined` deletes it. Returns null if the key to delete has no record. */
   set(key: string, value: unknown): RecordEntry | null {
     if (value === undefined && !this.entries.has(key)) return null;
     const entry = this.findOrAddEntry(key);
@@ -83,12 +83,12 @@
     return entry;
   }
 
-  /** The number of the next commit. */
+  /** Returns the sequence number for the next commit. */
   nextSequence(): number {
     return ++this.sequence;
   }
 
-  /** A write of the page with these keys had no response: it may have been carried out. */
+  /** Records that a write of the page with these keys had no response and may have been carried out. */
   markPossiblyWritten(page: Page, keys: ReadonlySet<string>): void {
     for (const key of keys) {
       const entry = this.entries.get(key);
@@ -98,7 +98,7 @@
     }
   }
 
-  /** The page has been written with these keys and no others. */
+  /** Records that the page has been written with exactly these keys. */
   markWritten(page: Page, keys: ReadonlySet<string>, version: number): void {
     this.markPossiblyWritten(page, keys);
     page.version = version;
@@ -111,7 +111,7 @@
     }
   }
 
-  /** The stored copy no longer has the keys that were not written. */
+  /** Removes all other keys from the page's stored keys, because the write has overwritten them. */
   private removeOverwrittenKeys(page: Page, keys: ReadonlySet<string>): void {
     for (const key of page.storedKeys) {
       if (keys.has(key)) continue;
@@ -123,7 +123,10 @@
     }
   }
 
-  /** A deletion has to stay on record for as long as some other page may have an older value. */
+  /**
+   * Drops a deletion that is stored, unless another page may contain an older value: until that page has
+   * been overwritten, a new leader needs the deletion to ignore the older value.
+   */
   private dropIfObsolete(entry: RecordEntry): void {
     const { page } = entry;
     if (entry.json !== null || page === null || entry.dirty || entry.inFlight) return;
--- a/src/controller/store/page.ts
+++ b/src/controller/store/page.ts
@@ -1,53 +1,53 @@
-/** The leader's records as they are held in memory: entries, and the pages that store them. */
+/** The leader's records in memory: entries, and the pages that store them. */
 
-/** One of the leader's records: a key and the newest value that was set. */
+/** One of the leader's records: a key and the newest value that was set for it. */
 export interface RecordEntry {
   readonly key: string;
-  /** The newest value as JSON; null: deleted. */
+  /** The newest value as JSON, or null for a deletion. */
   json: string | null;
-  /** Size in its page, as the state store counts it. */
+  /** Upper bound of the entry's size in its page, in the unit of `storedSize`. */
   size: number;
-  /** The page that has the newest value, or will have it. */
+  /** The page that contains the newest value, or will contain it once the value is written. */
   page: Page | null;
-  /** Number of pages whose stored copy may have a value of the key, whatever its age. */
+  /** Number of pages whose stored copy may contain any value of the key. */
   storedCopies: number;
-  /** The page whose stored copy has the newest value that is surely stored. */
+  /** The page whose stored copy contains the newest value that is known to be stored. */
   durablePage: Page | null;
-  /** The newest value has not been sent. */
+  /** Whether the newest value has not been sent. */
   dirty: boolean;
-  /** A value has been sent, and there is no response yet. */
+  /** Whether a value has been sent and its response is missing. */
   inFlight: boolean;
 }
 
-/** A value of the state store that holds many records. It is always written whole. */
+/** A value of the state store that contains many records. It is always written as a whole. */
 export interface Page {
   readonly key: string;
-  /** The entries whose newest value is in this page, or will be. */
+  /** The entries whose newest value is in this page, or will be once it is written. */
   readonly entries: Set<RecordEntry>;
-  /** Size of the page with its present entries, as the state store counts it. */
+  /** Upper bound of the page's size with its current entries, in the unit of `storedSize`. */
   size: number;
-  /** Version at the state store as far as known; 0: absent. */
+  /** Last known version at the state store; 0 if the page does not exist there. */
   version: number;
   /** Keys that the stored copy may contain. */
   readonly storedKeys: Set<string>;
-  /** A write of the page met another version: it is read before it is written again. */
+  /** Whether a write failed because of another version; the page must be reread before the next write. */
   versionUnknown: boolean;
 }
 
-/** Size of the JSON of a page without entries. */
+/** Upper bound of the size of the JSON of a page without entries. */
 export const EMPTY_PAGE_SIZE = 40;
 
-/** Size of the JSON of an entry beside its key and value. */
+/** Upper bound of the size of the JSON of an entry, excluding its key and value. */
 const ENTRY_OVERHEAD = 8;
 /** Size of the JSON of `null`. */
 const NULL_SIZE = 4;
 
-/** Size of a value in the unit in which the state store limits it: characters of its JSON. */
+/** Returns the size of a value in the unit of the state store's limits: characters of its JSON. */
 export function storedSize(value: unknown): number {
   return JSON.stringify(value).length;
 }
 
-/** An entry of which no value is known yet. */
+/** Returns a new entry without a value. */
 export function newEntry(key: string): RecordEntry {
   return {
     key,
@@ -61,7 +61,7 @@
   };
 }
 
-/** A page without entries that the state store does not have. */
+/** Returns a new page without entries that does not exist at the state store. */
 export function newPage(key: string): Page {
   return {
     key,
@@ -73,7 +73,7 @@
   };
 }
 
-/** Sets the entry's newest value, and keeps the size of its page. */
+/** Sets the entry's newest value, and updates the size of its page. */
 export function setJson(entry: RecordEntry, json: string | null): void {
   const valueSize = json === null ? NULL_SIZE : storedSize(json);
   const size = storedSize(entry.key) + valueSize + ENTRY_OVERHEAD;
@@ -82,7 +82,7 @@
   entry.json = json;
 }
 
-/** Makes `page` the one that has the entry's newest value. */
+/** Moves the entry to `page`, which will contain its newest value. */
 export function moveToPage(entry: RecordEntry, page: Page): void {
   if (entry.page === page) return;
   if (entry.page !== null) {
--- a/src/controller/store/rate-budget.test.ts
+++ b/src/controller/store/rate-budget.test.ts
@@ -20,7 +20,7 @@
     budget = new RateBudget(() => now, settings);
   });
 
-  it('gives leader and followers together the usable part of the requests', () => {
+  it('divides the usable rate of requests among the leader and the followers', () => {
     const followerRate = budget.requestTokens.perSecond;
     budget.setRole(true);
     const leaderRate = budget.requestTokens.perSecond;
@@ -29,7 +29,7 @@
     assert.ok(leaderRate > followerRate);
   });
 
-  it('takes more of the writes when peers are idle and it has writes to make', () => {
+  it('increases its share of the writes if it has demand and its peers are idle', () => {
     const fixedRate = budget.writeTokens.perSecond;
     budget.recordWrites(100);
     const idle = { isLeader: false, writesPerSecond: 0 };
@@ -38,7 +38,7 @@
     assert.ok(budget.writeTokens.perSecond <= platform.stateLimits.writeRps * usableRatio);
   });
 
-  it('demands the writes that it has made lately, and those that wait', () => {
+  it('includes recent and queued writes in its demand', () => {
     budget.recordWrites(30);
     assert.deepEqual(budget.writeDemand, { isLeader: false, writesPerSecond: 10 });
     budget.queuedWrites = 8;
--- a/src/controller/store/rate-budget.ts
+++ b/src/controller/store/rate-budget.ts
@@ -1,4 +1,4 @@
-/** This node's budget of calls to the state store, whose rate limits all controllers share. */
+/** This node's budget of calls to the state store. All controllers share the store's rate limits. */
 import { DecayingRate } from '../runtime/decaying-rate.js';
 import { TokenBucket } from '../runtime/token-bucket.js';
 import type { Settings } from '../settings/settings.js';
@@ -6,42 +6,48 @@
 import { writeShare, type WriteDemand } from './write-share.js';
 
 /**
- * The ratio of the burst that a call leaves to calls of higher priority: who goes without first when
- * tokens are scarce. Calls for the lease take theirs in any case (`TokenBucket.forceTake`).
+ * By kind of call, the ratio of the burst that is reserved for calls of higher priority. When tokens are
+ * scarce, the kinds with the largest reserve are delayed or refused first. Calls for the leader's lease
+ * take their tokens without waiting (`TokenBucket.forceTake`).
  */
 export const tokenReserve = {
   /** The leader's records. */
   records: 0.02,
   /** Submissions and cancellations. */
   submissions: 0.12,
-  /** Reads of how a job has ended. */
+  /** Reads of the final states of jobs. */
   reads: 0.2,
   /** Status queries. */
   polls: 0.3,
 } as const;
 
-/** Time constant of the measured rate of writes. */
+/** Time constant in milliseconds with which the measured rate of writes decays. */
 const WRITE_RATE_TIME_CONSTANT_MS = 3000;
-/** The time within which the writes that wait should be sent. */
+/** Time in seconds within which the queued writes should be sent. */
 const QUEUE_DRAIN_S = 2;
-/** A transaction takes the tokens of all its writes at once: the least burst that is useful. */
+/** Smallest burst of the write tokens: a transaction takes the tokens of all its writes at once. */
 const MIN_WRITE_BURST = 4;
-/** Nothing is sent for this time after the store has refused for its rate. */
+/** Time in milliseconds for which no tokens are granted after the store has refused a call for its rate. */
 const REFUSAL_PAUSE_MS = 100;
 
 /** Tokens for requests and for writes, refilled at this node's share of the store's rates. */
 export class RateBudget {
-  /** One for each request. */
+  /** Each request takes one token. */
   readonly requestTokens: TokenBucket;
-  /** One for each put or delete of a transaction. */
+  /** Each put or delete in a transaction takes one token. */
   readonly writeTokens: TokenBucket;
   readonly limits: StateStoreLimits;
-  /** Writes that wait for tokens; kept by the queues that hold them. */
+  /** Number of writes that wait for tokens. The queues that hold them update it. */
   queuedWrites = 0;
   private readonly writeRate: DecayingRate;
   private isLeader = false;
 
-  /** `now`: monotonic clock in milliseconds. The budget begins as that of a follower. */
+  /**
+   * Creates the budget of a follower.
+   *
+   * @param now - monotonic clock in milliseconds
+   * @param settings - limits of the store, shares and peers
+   */
   constructor(
     now: () => number,
     private readonly settings: Settings,
@@ -53,7 +59,7 @@
     this.setRole(false);
   }
 
-  /** Followers have equal parts of a fixed share of the requests; the leader has the rest. */
+  /** Sets the role. Followers split a fixed share of the requests evenly; the leader has the rest. */
   setRole(isLeader: boolean): void {
     const { peers } = this.settings.platform;
     const followersRatio = this.settings.get('state.followers.requests.ratio');
@@ -65,18 +71,18 @@
     this.updateWriteShare([]);
   }
 
-  /** The ratio of the store's limits that all controllers together may use. */
+  /** Ratio of the store's rate limits that all controllers together may use. */
   private get usableRatio(): number {
     return this.settings.get('state.headroom.ratio');
   }
 
-  /** What this node would write, to be told to the others. */
+  /** This node's demand for writes, which is reported to its peers. */
   get writeDemand(): WriteDemand {
     const writesPerSecond = this.writeRate.perSecond + this.queuedWrites / QUEUE_DRAIN_S;
     return { isLeader: this.isLeader, writesPerSecond };
   }
 
-  /** Sets this node's share of the writes by its demand and by those that peers have told lately. */
+  /** Sets this node's share of the writes by its own demand and the demands that peers reported recently. */
   updateWriteShare(reportedDemands: readonly WriteDemand[]): void {
     const { peers } = this.settings.platform;
     const limit = this.limits.current.writeRps * this.usableRatio;
@@ -86,12 +92,15 @@
     this.writeTokens.setRate(rate, Math.max(rate, MIN_WRITE_BURST));
   }
 
-  /** Counts writes that are sent, for the demand. */
+  /** Counts sent writes, from which the demand is estimated. */
   recordWrites(count: number): void {
     this.writeRate.count(count);
   }
 
-  /** The store has refused a call for its rate. True: its upcoming, lower rates are in force now. */
+  /**
+   * Pauses all calls after the store has refused one for its rate. Returns true if the store's upcoming,
+   * lower rates apply from now on.
+   */
   recordRateRefusal(): boolean {
     this.requestTokens.pauseFor(REFUSAL_PAUSE_MS);
     this.writeTokens.pauseFor(REFUSAL_PAUSE_MS);
--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -15,20 +15,20 @@
 }
 
 describe('writeShare', () => {
-  it('is fixed by role where no demand of a peer is known', () => {
+  it('is fixed by role if no demand of a peer is known', () => {
     const unknownDemands = [null, null, null, null];
     assert.ok(Math.abs(shareOf(demand(true, 50), unknownDemands) - 0.7) < 1e-9);
     assert.ok(Math.abs(shareOf(demand(false, 50), unknownDemands) - 0.075) < 1e-9);
     assert.equal(shareOf(demand(true, 0), []), 1);
   });
 
-  it('follows the demands that are known', () => {
+  it('depends on the known demands', () => {
     const idle = demand(false, 0);
     const share = shareOf(demand(false, 20), [demand(true, 5), idle, idle, idle]);
-    assert.ok(share > 0.6, `a node with all the submissions may use ${share}`);
+    assert.ok(share > 0.6, `the follower with most of the demand may use ${share}`);
   });
 
-  it('never adds up to more than 1, whether all demands are known or none', () => {
+  it('adds up to at most 1, whether all demands are known or none', () => {
     const rates = fc.array(fc.double({ min: 0, max: 100, noNaN: true }), {
       minLength: 1,
       maxLength: 7,
--- a/src/controller/store/write-share.ts
+++ b/src/controller/store/write-share.ts
@@ -1,23 +1,29 @@
-/** How the controllers share the state store's rate of writes. */
+/** Division of the state store's write rate among the controllers. */
 
-/** What a controller would write, as far as is known. */
+/** A controller's role, and the rate of writes that it would make without limits. */
 export interface WriteDemand {
   isLeader: boolean;
-  /** Puts and deletes that it would make a second. */
+  /** Number of puts and deletes that it would make per second. */
   writesPerSecond: number;
 }
 
-/** Ratio of its fixed share for which an idle controller counts: it may want to write at any time. */
+/**
+ * Ratio of a controller's fixed share that is added to its demand, so that an idle controller also has a
+ * share: it may have to write at any time.
+ */
 const IDLE_WEIGHT_RATIO = 0.15;
 
 /**
- * The share of the state store's writes that a controller may use, from 0 to 1. Each has a fixed share
- * by its role: `followersShare` is split evenly among the followers, the leader has the rest. Those
- * whose demands are known put their fixed shares together and split the sum by demand. A peer whose
- * demand is unknown (`null`) may use its fixed share in full; so the shares never add up to more than
- * 1, whoever has heard from whom.
+ * Returns the share of the state store's writes that a controller may use, from 0 to 1. Each controller
+ * has a fixed share by its role: `followersShare` is split evenly among the followers, and the leader has
+ * the rest. The fixed shares of the controllers with known demands are pooled and divided by demand. A
+ * peer whose demand is unknown (`null`) may use its full fixed share. The shares therefore add up to at
+ * most 1, regardless of which demands each controller knows.
  *
- * `writesPerSecondLimit`: the store's limit, by which shares are weighed against demands.
+ * @param own - the demand of this controller
+ * @param peers - the demands of all other controllers; null if unknown
+ * @param followersShare - the fixed share of all followers together
+ * @param writesPerSecondLimit - the store's limit, which converts shares to rates
  */
 export function writeShare(
   own: WriteDemand,
