--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -77,11 +77,11 @@
   }
 
   private reusablePage(entry: RecordEntry): Page | null {
-    const emptiest = this.emptiestWritable();
-    if (emptiest === null) return null;
+    const smallest = this.emptiestWritable();
+    if (smallest === null) return null;
     const { fillSize } = this;
-    const isNearlyEmpty = emptiest.size <= fillSize * REUSE_RATIO;
-    return isNearlyEmpty && emptiest.size + entry.size <= fillSize ? emptiest : null;
+    const isNearlyEmpty = smallest.size <= fillSize * REUSE_RATIO;
+    return isNearlyEmpty && smallest.size + entry.size <= fillSize ? smallest : null;
   }
 
   /** Returns the smallest page, except the open one, that can be rewritten without losing a record. */
