--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -86,13 +86,13 @@
 
   /** Returns the smallest page, except the open one, that can be rewritten without losing a record. */
   private emptiestWritable(): Page | null {
-    let emptiest: Page | null = null;
+    let smallest: Page | null = null;
     for (const page of this.table.pages.values()) {
       if (page.versionUnknown || page === this.openPage) continue;
-      if (emptiest !== null && page.size >= emptiest.size) continue;
-      if (!this.holdsLastDurableCopy(page)) emptiest = page;
+      if (smallest !== null && page.size >= smallest.size) continue;
+      if (!this.holdsLastDurableCopy(page)) smallest = page;
     }
-    return emptiest;
+    return smallest;
   }
 
   /**
