--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -77,7 +77,7 @@
   }
 
   private reusablePage(entry: RecordEntry): Page | null {
-    const smallest = this.emptiestWritable();
+    const smallest = this.smallestWritable();
     if (smallest === null) return null;
     const { fillSize } = this;
     const isNearlyEmpty = smallest.size <= fillSize * REUSE_RATIO;
@@ -85,7 +85,7 @@
   }
 
   /** Returns the smallest page, except the open one, that can be rewritten without losing a record. */
-  private emptiestWritable(): Page | null {
+  private smallestWritable(): Page | null {
     let smallest: Page | null = null;
     for (const page of this.table.pages.values()) {
       if (page.versionUnknown || page === this.openPage) continue;
