--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -59,16 +59,16 @@
   }
 
   /** Returns the next commit, or null if there are not enough write tokens for any part of it. */
-  plan(due: DueWrites, fencingCondition: Condition): Commit | null {
+  plan(dueWrites: DueWrites, fencingCondition: Condition): Commit | null {
     const now = this.context.eventLoop.now();
     const builder = new CommitBuilder(this.context, fencingCondition);
-    if (due.pages) {
+    if (dueWrites.pages) {
       this.pagesDueAt = now + this.minPageIntervalMs;
       this.addUrgent(builder);
     }
     // Transactions end jobs, and users wait for them, so they precede deferrable entries.
     builder.addTransactions();
-    if (due.pages) this.addDeferrable(builder, due.deferrable, now);
+    if (dueWrites.pages) this.addDeferrable(builder, dueWrites.deferrable, now);
     return builder.isEmpty ? null : builder.build();
   }
 
