--- a/src/controller/store/batch.ts
+++ b/src/controller/store/batch.ts
@@ -13,8 +13,8 @@
 }
 
 /**
- * Largest total size of the entries of a transaction, in the unit of `storedSize`. The rest of the
- * store's limit of 64 KiB is for the encoding around the entries.
+ * Largest total size of the entries of a transaction, in the unit of `storedSize`. It is below the store's
+ * limit of 64 KiB to leave space for the encoding.
  */
 const MAX_TRANSACTION_SIZE = 60 * 1024;
 
--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -7,8 +7,8 @@
 import type { PendingTransaction } from './transaction-queue.js';
 
 /**
- * Largest size of a transaction, in the unit of `storedSize`. The rest of the store's limit of 64 KiB is
- * for the encoding around the conditions and writes.
+ * Largest size of a transaction, in the unit of `storedSize`. It is below the store's limit of 64 KiB to
+ * leave space for the encoding.
  */
 const MAX_TRANSACTION_SIZE = 56 * 1024;
 
@@ -110,7 +110,10 @@
     );
   }
 
-  /** Returns the commit. A page is written with the newest values of all its entries, so all are added. */
+  /**
+   * Returns the commit. A page is written with the newest values of all its entries, so all entries with
+   * unsent values are added.
+   */
   build(): Commit {
     for (const page of this.pages)
       for (const entry of page.entries) if (entry.dirty) this.entries.add(entry);
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -74,7 +74,7 @@
     );
   }
 
-  /** Returns the milliseconds until there are tokens for all queued writes and `writes` more. */
+  /** Returns the milliseconds until there are tokens for an entry with `writes` writes after all queued ones. */
   waitMs(writes = 1): number {
     const { tokenReserve } = this.options;
     const { requestTokens, writeTokens } = this.client.budget;
--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -63,7 +63,10 @@
     const storedRecords = recordsOf(this.store.electLeader());
     for (const [key, history] of this.histories) {
       const index = history.values.lastIndexOf(storedRecords.get(key));
-      assert.ok(index >= history.storedIndex, `${key}: ${index} instead of ${history.storedIndex}`);
+      assert.ok(
+        index >= history.storedIndex,
+        `${key}: loaded ${index}, stored ${history.storedIndex}`,
+      );
       // Later checks start from the value that the new leader has loaded.
       history.values.push(storedRecords.get(key));
       history.storedIndex = history.values.length - 1;
@@ -108,7 +111,10 @@
       store.run(100);
     }
     store.run(20_000);
-    assert.ok(store.sizeRefusals > 0 && store.sizeRefusals < 10, `${store.sizeRefusals} refused`);
+    assert.ok(
+      store.sizeRefusals > 0 && store.sizeRefusals < 10,
+      `${store.sizeRefusals} size refusals`,
+    );
     const storedRecords = recordsOf(store.electLeader());
     for (const [key, value] of lastValues) assert.deepEqual(storedRecords.get(key), value, key);
   });
