--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -74,7 +74,7 @@
     );
   }
 
-  /** Returns the milliseconds until there are tokens for an entry with `writes` writes after all queued ones. */
+  /** Returns the milliseconds until there are tokens for another entry with this number of writes. */
   waitMs(writes = 1): number {
     const { tokenReserve } = this.options;
     const { requestTokens, writeTokens } = this.client.budget;
--- a/src/controller/store/page-codec.ts
+++ b/src/controller/store/page-codec.ts
@@ -18,7 +18,7 @@
 /** The stored value of a page. */
 export interface StoredPage {
   kind: 'page';
-  /** Number of the commit that wrote the page. If several pages contain a key, the latest commit is valid. */
+  /** Number of the commit that wrote the page. If several pages contain a key, the latest one is valid. */
   sequence: number;
   /** Alternating keys and values. Each value is JSON, or null for a deletion. */
   keysAndJson: readonly unknown[];
--- a/src/controller/store/page-table.test.ts
+++ b/src/controller/store/page-table.test.ts
@@ -37,7 +37,7 @@
     return target;
   }
 
-  it('loads the value of the latest commit if several pages contain a key, in any order of the pages', () => {
+  it('loads the value of the latest commit if several pages contain a key, in any order', () => {
     const newer = { key: 'page/0', value: storedPage(7, 'k', '"new"'), version: 2 };
     const older = { key: 'page/1', value: storedPage(3, 'k', '"old"', 'l', '1'), version: 1 };
     table.load([newer, older]);
--- a/src/controller/store/rate-budget.ts
+++ b/src/controller/store/rate-budget.ts
@@ -82,7 +82,7 @@
     return { isLeader: this.isLeader, writesPerSecond };
   }
 
-  /** Sets this node's share of the writes by its own demand and the demands that peers reported recently. */
+  /** Sets this node's share of the writes by its own demand and those that peers reported recently. */
   updateWriteShare(reportedDemands: readonly WriteDemand[]): void {
     const { peers } = this.settings.platform;
     const limit = this.limits.current.writeRps * this.usableRatio;
