--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -31,7 +31,7 @@
 export interface CommitSenderHooks {
   /** Called when the condition on the leader key has failed, so this leader has lost the key. */
   onFenced(): void;
-  /** Called after a commit that did not succeed for certain. Its contents have been queued again. */
+  /** Called after a commit that failed or may have failed. Its contents have been queued again. */
   onFailed(): void;
 }
 
