--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -1,4 +1,4 @@
-/** Gathers one transaction of the leader's records, within the limits of the state store. */
+/** Builds one transaction of the leader's records within the limits of the state store. */
 import type { Condition } from '../wire/state.js';
 import { MAX_CONDITIONS_PER_WRITE } from './batch.js';
 import { moveToPage, storedSize, type Page, type RecordEntry } from './page.js';
@@ -6,32 +6,38 @@
 import type { RecordStoreContext } from './record-store-context.js';
 import type { PendingTransaction } from './transaction-queue.js';
 
-/** Size of a transaction, which leaves space for its frame below the store's 64 KiB. */
+/**
+ * Largest size of a transaction, in the unit of `storedSize`. It is below the store's limit of 64 KiB to
+ * leave space for the encoding.
+ */
 const MAX_TRANSACTION_SIZE = 56 * 1024;
 
-/** Size of the fencing condition and of what surrounds the lists. */
+/** Upper bound of the size of the fencing condition and of the encoding around the lists. */
 const FRAME_SIZE = 512;
 
-/** What is written in one transaction. */
+/** Pages and transactions that are written together in one transaction of the state store. */
 export interface Commit {
   conditions: Condition[];
   pages: Page[];
-  /** Entries of the pages whose newest value is sent for the first time, or again. */
+  /** Entries of the pages whose newest value has not been sent yet, or is sent again after a failure. */
   entries: RecordEntry[];
   transactions: PendingTransaction[];
 }
 
-/** Adds pages and transactions to a commit for as long as limits and write tokens allow. */
+/** Adds pages and transactions to a commit while the limits and write tokens allow it. */
 export class CommitBuilder {
   private readonly maxWrites: number;
   private readonly conditions: Condition[];
   private readonly pages = new Set<Page>();
   private readonly entries = new Set<RecordEntry>();
   private readonly transactions: PendingTransaction[] = [];
-  private writes = 0;
+  private writeCount = 0;
   private size = FRAME_SIZE;
 
-  /** `fencingCondition`: the leader's key is still its own. */
+  /**
+   * @param context - the parts of the record store
+   * @param fencingCondition - condition that the leader key is unchanged
+   */
   constructor(
     private readonly context: RecordStoreContext,
     fencingCondition: Condition,
@@ -40,17 +46,20 @@
     this.conditions = [fencingCondition];
   }
 
-  /** Nothing has been added. */
+  /** Whether nothing has been added. */
   get isEmpty(): boolean {
-    return this.writes === 0;
+    return this.writeCount === 0;
   }
 
-  /** Whether the entry has been added. */
+  /** Returns whether the entry has been added. */
   has(entry: RecordEntry): boolean {
     return this.entries.has(entry);
   }
 
-  /** False: the entry does not fit. Without `mayAddPage` it may only join a page of the commit. */
+  /**
+   * Adds an entry, and its page if `mayAddPage` is true. Returns false if the entry does not fit, or if
+   * its page is not in the commit and may not be added.
+   */
   tryAddEntry(entry: RecordEntry, mayAddPage: boolean): boolean {
     const page = this.context.pages.allocator.targetPage(entry);
     const growth = entry.page === page ? 0 : entry.size;
@@ -68,13 +77,13 @@
 
   private addPage(page: Page): void {
     this.pages.add(page);
-    this.writes++;
+    this.writeCount++;
     this.size += page.size;
     this.conditions.push({ key: page.key, version: page.version });
     this.context.client.budget.writeTokens.forceTake(1);
   }
 
-  /** Takes transactions from the front of the queue, as many as fit. */
+  /** Moves as many transactions as fit from the front of the queue to the commit. */
   addTransactions(): void {
     const { client, transactions: queue } = this.context;
     for (;;) {
@@ -86,22 +95,25 @@
       queue.shift();
       this.transactions.push(transaction);
       client.budget.writeTokens.forceTake(writes.length);
-      this.writes += writes.length;
+      this.writeCount += writes.length;
       this.size += size;
       this.conditions.push(...conditions);
     }
   }
 
-  private fits(writes: number, conditions: number, size: number): boolean {
+  private fits(writeCount: number, conditionCount: number, size: number): boolean {
     return (
-      this.writes + writes <= this.maxWrites &&
-      this.conditions.length + conditions <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
+      this.writeCount + writeCount <= this.maxWrites &&
+      this.conditions.length + conditionCount <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.size + size <= MAX_TRANSACTION_SIZE &&
-      this.context.client.budget.writeTokens.waitMs(writes, tokenReserve.records) === 0
+      this.context.client.budget.writeTokens.waitMs(writeCount, tokenReserve.records) === 0
     );
   }
 
-  /** The commit. A page is written with the newest values of all its entries, so these are added. */
+  /**
+   * Returns the commit. A page is written with the newest values of all its entries, so all entries with
+   * unsent values are added.
+   */
   build(): Commit {
     for (const page of this.pages)
       for (const entry of page.entries) if (entry.dirty) this.entries.add(entry);
--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -5,11 +5,11 @@
 import { moveToPage, newEntry, newPage, setJson, type Page, type RecordEntry } from './page.js';
 
 /**
- * All records, and which page has the newest value of each. Values that were left behind in other pages
- * are told from newer ones by the sequence number of the commit that wrote the page.
+ * All records, and the page of the newest value of each. Other stored pages may still contain older
+ * values; the sequence numbers of the commits that wrote the pages show which value is the newest.
  *
- * Invariant (docs/incidents/inc-7e8d.md): whatever commits fail, the stored pages contain the newest
- * value of each record that was called stored, or a later one.
+ * Invariant (docs/incidents/inc-7e8d.md): whichever commits fail, the stored pages contain the newest
+ * value of each record that was reported as stored, or a later one.
  */
 export class PageTable {
   readonly entries = new Map<string, RecordEntry>();
@@ -17,16 +17,16 @@
   readonly allocator: PageAllocator;
   private sequence = 0;
 
-  /** `maxValueSize`: the largest value of the state store, which may become smaller. */
+  /** @param maxValueSize - returns the largest size of a value that may be written now; it may change */
   constructor(maxValueSize: () => number) {
     this.allocator = new PageAllocator(this, maxValueSize);
   }
 
-  /** Takes over all pages that are stored. Malformed ones count as empty. */
+  /** Loads all stored pages. A malformed page is treated as empty. */
   load(items: readonly KeyValue[]): void {
     const newestSequence = new Map<string, number>();
     for (const item of items) {
-      const page = this.page(item.key);
+      const page = this.findOrAddPage(item.key);
       page.version = item.version;
       this.allocator.skipPageNumber(pageNumber(item.key));
       const stored = decodePage(item.value);
@@ -35,7 +35,7 @@
     for (const entry of this.entries.values()) this.dropIfObsolete(entry);
   }
 
-  /** `newestSequence`: by key, the highest sequence number among the pages that were loaded before. */
+  /** @param newestSequence - by key, the highest sequence number of the pages loaded before */
   private loadPage(page: Page, stored: StoredPage, newestSequence: Map<string, number>): void {
     const { sequence, keysAndJson } = stored;
     this.sequence = Math.max(this.sequence, sequence);
@@ -44,7 +44,7 @@
       const json = keysAndJson[i + 1];
       if (typeof key !== 'string' || (json !== null && typeof json !== 'string')) continue;
       page.storedKeys.add(key);
-      const entry = this.entry(key);
+      const entry = this.findOrAddEntry(key);
       entry.storedCopies++;
       if (sequence <= (newestSequence.get(key) ?? -1)) continue;
       newestSequence.set(key, sequence);
@@ -54,7 +54,7 @@
     }
   }
 
-  private page(key: string): Page {
+  private findOrAddPage(key: string): Page {
     let page = this.pages.get(key);
     if (page === undefined) {
       page = newPage(key);
@@ -63,7 +63,7 @@
     return page;
   }
 
-  private entry(key: string): RecordEntry {
+  private findOrAddEntry(key: string): RecordEntry {
     let entry = this.entries.get(key);
     if (entry === undefined) {
       entry = newEntry(key);
@@ -72,10 +72,10 @@
     return entry;
   }
 
-  /** Sets a value; `undefined` deletes. Returns null if the key to be deleted has no record. */
+  /** Sets a value; `undefined` deletes it. Returns null if the key to delete has no record. */
   set(key: string, value: unknown): RecordEntry | null {
     if (value === undefined && !this.entries.has(key)) return null;
-    const entry = this.entry(key);
+    const entry = this.findOrAddEntry(key);
     const json = value === undefined ? null : JSON.stringify(value);
     if (entry.page !== null && json === entry.json) return entry;
     setJson(entry, json);
@@ -83,13 +83,13 @@
     return entry;
   }
 
-  /** The number of the next commit. */
+  /** Returns the sequence number for the next commit. */
   nextSequence(): number {
     return ++this.sequence;
   }
 
-  /** A write of the page with these keys had no response: it may have been carried out. */
-  markPerhapsWritten(page: Page, keys: ReadonlySet<string>): void {
+  /** Records that a write of the page with these keys had no response and may have been carried out. */
+  markPossiblyWritten(page: Page, keys: ReadonlySet<string>): void {
     for (const key of keys) {
       const entry = this.entries.get(key);
       if (entry === undefined || page.storedKeys.has(key)) continue;
@@ -98,11 +98,11 @@
     }
   }
 
-  /** The page has been written with these keys and no others. */
+  /** Records that the page has been written with exactly these keys. */
   markWritten(page: Page, keys: ReadonlySet<string>, version: number): void {
-    this.markPerhapsWritten(page, keys);
+    this.markPossiblyWritten(page, keys);
     page.version = version;
-    this.forgetOverwritten(page, keys);
+    this.removeOverwrittenKeys(page, keys);
     for (const key of keys) {
       const entry = this.entries.get(key);
       if (entry === undefined) continue;
@@ -111,8 +111,8 @@
     }
   }
 
-  /** The stored copy no longer has the keys that were not written. */
-  private forgetOverwritten(page: Page, keys: ReadonlySet<string>): void {
+  /** Removes all other keys from the page's stored keys, because the write has overwritten them. */
+  private removeOverwrittenKeys(page: Page, keys: ReadonlySet<string>): void {
     for (const key of page.storedKeys) {
       if (keys.has(key)) continue;
       page.storedKeys.delete(key);
@@ -123,7 +123,10 @@
     }
   }
 
-  /** A deletion has to stay on record for as long as some other page may have an older value. */
+  /**
+   * Drops a deletion that is stored, unless another page may contain an older value: until that page has
+   * been overwritten, a new leader needs the deletion to ignore the older value.
+   */
   private dropIfObsolete(entry: RecordEntry): void {
     const { page } = entry;
     if (entry.json !== null || page === null || entry.dirty || entry.inFlight) return;
--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -1,32 +1,32 @@
-/** Records that were set and are not stored yet, and who waits for them. */
+/** Records that were set and are not stored yet, with the callbacks to call once they are stored. */
 import type { RecordEntry } from './page.js';
 
 /**
- * How soon a record is written: `deferrable` may wait to be written together with others, `urgent` is
- * written as soon as there are tokens, and `immediate` before all others.
+ * How soon a record is written: a `deferrable` one may wait to be written together with others, an
+ * `urgent` one is written as soon as there are tokens, and an `immediate` one before all others.
  */
 export type WritePriority = 'deferrable' | 'urgent' | 'immediate';
 
 /** Called once a value, or a newer one of the same key, is stored. */
 export type StoredCallback = () => void;
 
-/** By entry, the callbacks that wait for the value that a commit writes. */
+/** By entry, the callbacks to call once the value that a commit writes is stored. */
 export type StoredCallbacks = Map<RecordEntry, StoredCallback[]>;
 
-/** Entries whose newest value has not been sent, by priority, with the callbacks that wait for them. */
+/** Entries whose newest value has not been sent, by priority, and the callbacks of entries not stored. */
 export class PendingWrites {
-  /** All that do not wait for others, the immediate ones included. */
+  /** All entries that are not deferrable, including the immediate ones. */
   readonly urgent = new Set<RecordEntry>();
   readonly immediate = new Set<RecordEntry>();
   readonly deferrable = new Set<RecordEntry>();
   private readonly callbacks: StoredCallbacks = new Map();
 
-  /** Number of entries that wait to be sent. */
+  /** Number of entries that are waiting to be sent. */
   get size(): number {
     return this.urgent.size + this.deferrable.size;
   }
 
-  /** Queues an entry. A priority is raised, but never lowered. */
+  /** Queues an entry. If it is queued already, its priority may be raised but is never lowered. */
   add(entry: RecordEntry, priority: WritePriority): void {
     if (priority === 'immediate') this.immediate.add(entry);
     if (priority === 'deferrable') {
@@ -37,52 +37,52 @@
     this.deferrable.delete(entry);
   }
 
-  /** Removes an entry that has been sent, or can't be. */
+  /** Removes an entry that has been sent or cannot be sent. */
   remove(entry: RecordEntry): void {
     this.urgent.delete(entry);
     this.immediate.delete(entry);
     this.deferrable.delete(entry);
   }
 
-  /** Calls back once the entry's present value, or a newer one, is stored. */
-  whenStored(entry: RecordEntry, callback: StoredCallback): void {
+  /** Adds a callback to call once the entry's current value or a newer one is stored. */
+  addStoredCallback(entry: RecordEntry, callback: StoredCallback): void {
     const callbacks = this.callbacks.get(entry);
     if (callbacks === undefined) this.callbacks.set(entry, [callback]);
     else callbacks.push(callback);
   }
 
-  /** The entries are sent with their present values. Returns the callbacks that wait for these. */
+  /** Records that the entries are sent with their current values. Returns the callbacks of these values. */
   markSent(entries: readonly RecordEntry[]): StoredCallbacks {
-    const sent: StoredCallbacks = new Map();
+    const sentCallbacks: StoredCallbacks = new Map();
     for (const entry of entries) {
       this.remove(entry);
       entry.dirty = false;
       entry.inFlight = true;
       const callbacks = this.callbacks.get(entry);
-      if (callbacks !== undefined) sent.set(entry, callbacks);
+      if (callbacks !== undefined) sentCallbacks.set(entry, callbacks);
       this.callbacks.delete(entry);
     }
-    return sent;
+    return sentCallbacks;
   }
 
-  /** What was sent is stored: calls back. */
-  markStored(entries: readonly RecordEntry[], sent: StoredCallbacks): void {
+  /** Records that the sent values are stored, and calls their callbacks. */
+  markStored(entries: readonly RecordEntry[], sentCallbacks: StoredCallbacks): void {
     for (const entry of entries) {
-      for (const callback of sent.get(entry) ?? []) callback();
+      for (const callback of sentCallbacks.get(entry) ?? []) callback();
       if (entry.dirty) continue;
-      // Set again while in flight, to the same value: that is stored now, too.
-      const later = this.callbacks.get(entry);
+      // Callbacks that were added for the same value while it was in flight are due as well.
+      const newerCallbacks = this.callbacks.get(entry);
       this.callbacks.delete(entry);
-      for (const callback of later ?? []) callback();
+      for (const callback of newerCallbacks ?? []) callback();
     }
   }
 
-  /** What was sent may not be stored: it is urgent again, with the callbacks that waited for it first. */
-  putBack(entries: readonly RecordEntry[], sent: StoredCallbacks): void {
+  /** Queues sent entries again as urgent, since they may not be stored. Restores their callbacks. */
+  requeue(entries: readonly RecordEntry[], sentCallbacks: StoredCallbacks): void {
     for (const entry of entries) {
       entry.dirty = true;
       this.urgent.add(entry);
-      const callbacks = sent.get(entry);
+      const callbacks = sentCallbacks.get(entry);
       if (callbacks === undefined) continue;
       this.callbacks.set(entry, [...callbacks, ...(this.callbacks.get(entry) ?? [])]);
     }
--- a/src/controller/store/rate-budget.test.ts
+++ b/src/controller/store/rate-budget.test.ts
@@ -6,7 +6,7 @@
 import { RateBudget } from './rate-budget.js';
 
 const HOSTS = ['kiln-0', 'kiln-1', 'kiln-2'];
-const FOLLOWERS = HOSTS.length - 1;
+const FOLLOWER_COUNT = HOSTS.length - 1;
 
 describe('RateBudget', () => {
   const platform = platformOf(HOSTS, 'kiln-0', defaultPlatformOptions);
@@ -20,16 +20,16 @@
     budget = new RateBudget(() => now, settings);
   });
 
-  it('gives leader and followers together the usable part of the requests', () => {
+  it('divides the usable rate of requests among the leader and the followers', () => {
     const followerRate = budget.requestTokens.perSecond;
     budget.setRole(true);
     const leaderRate = budget.requestTokens.perSecond;
     const usable = platform.stateLimits.rps * usableRatio;
-    assert.ok(Math.abs(leaderRate + FOLLOWERS * followerRate - usable) < 1e-9);
+    assert.ok(Math.abs(leaderRate + FOLLOWER_COUNT * followerRate - usable) < 1e-9);
     assert.ok(leaderRate > followerRate);
   });
 
-  it('takes more of the writes when peers are idle and it has writes to make', () => {
+  it('increases its share of the writes if it has demand and its peers are idle', () => {
     const fixedRate = budget.writeTokens.perSecond;
     budget.recordWrites(100);
     const idle = { isLeader: false, writesPerSecond: 0 };
@@ -38,7 +38,7 @@
     assert.ok(budget.writeTokens.perSecond <= platform.stateLimits.writeRps * usableRatio);
   });
 
-  it('demands the writes that it has made lately, and those that wait', () => {
+  it('includes recent and queued writes in its demand', () => {
     budget.recordWrites(30);
     assert.deepEqual(budget.writeDemand, { isLeader: false, writesPerSecond: 10 });
     budget.queuedWrites = 8;
--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -7,18 +7,18 @@
 import { PAGE_PREFIX } from './page-codec.js';
 import type { RecordStore } from './record-store.js';
 
-/** What a new leader finds under `k/`. */
+/** Returns the records under `k/` that a new leader has loaded. */
 function recordsOf(records: RecordStore): Map<string, unknown> {
   return new Map([...records.list('k/')].map(({ key, value }) => [key, value]));
 }
 
-/** Values that were set for a key so far, and the index of the last that was called stored. */
+/** Values that were set for a key so far, and the index of the last one that was reported as stored. */
 interface History {
   values: unknown[];
   storedIndex: number;
 }
 
-/** Sets random values of random keys through an unreliable store, and elects leaders in between. */
+/** Sets random values of random keys in an unreliable store, and elects new leaders in between. */
 class HistoryCheck {
   callbacks = 0;
   private readonly store: UnreliableStateStore;
@@ -37,7 +37,7 @@
       this.histories.set(`k/${i}`, { values: [undefined], storedIndex: 0 });
   }
 
-  play(steps: number): void {
+  run(steps: number): void {
     for (let step = 0; step < steps; step++) {
       for (let i = 0; i < this.keyCount / 4; i++) this.setRandom(`${step}.${i}`);
       this.store.run(this.random() * 300);
@@ -45,12 +45,12 @@
     }
   }
 
-  private setRandom(name: string): void {
+  private setRandom(valuePrefix: string): void {
     const key = `k/${Math.floor(this.random() * this.keyCount)}`;
     const history = this.histories.get(key);
     assert.ok(history !== undefined);
     const length = Math.floor(this.random() * this.maxLength);
-    const value = this.random() < 0.3 ? undefined : `${name} ${'"'.repeat(length)}`;
+    const value = this.random() < 0.3 ? undefined : `${valuePrefix} ${'"'.repeat(length)}`;
     const index = history.values.push(value) - 1;
     const priority = this.random() < 0.7 ? 'urgent' : 'deferrable';
     this.store.records.set(key, value, priority, () => {
@@ -60,60 +60,66 @@
   }
 
   private assertFoundByNextLeader(): void {
-    const found = recordsOf(this.store.electLeader());
+    const storedRecords = recordsOf(this.store.electLeader());
     for (const [key, history] of this.histories) {
-      const index = history.values.lastIndexOf(found.get(key));
-      assert.ok(index >= history.storedIndex, `${key}: ${index} instead of ${history.storedIndex}`);
-      // What the new leader has found is what counts from now on.
-      history.values.push(found.get(key));
+      const index = history.values.lastIndexOf(storedRecords.get(key));
+      assert.ok(
+        index >= history.storedIndex,
+        `${key}: loaded ${index}, stored ${history.storedIndex}`,
+      );
+      // Later checks start from the value that the new leader has loaded.
+      history.values.push(storedRecords.get(key));
       history.storedIndex = history.values.length - 1;
     }
   }
 }
 
 describe('RecordStore', () => {
-  // The second is the incident inc-7e8d: with small values a record was left out of its old page before
-  // the new one was written; the leader ended in between, and the tasks of a machine ran twice.
+  // The case of small values guards against incident inc-7e8d: a record was removed from its old page
+  // before its new page was written. The leader ended in between, and the tasks of a machine ran twice.
   const sizes: [string, StateLimits, number, number][] = [
     ['large', stateLimits, 12, 3000],
     ['small', { ...stateLimits, valueKb: 2, txnOps: 4 }, 60, 700],
   ];
-  for (const [what, limits, keyCount, maxLength] of sizes)
-    it(`leaves what was called stored, or something newer, to the next leader: ${what} values`, () => {
+  for (const [valueSizes, limits, keyCount, maxLength] of sizes)
+    it(`the next leader loads values reported as stored, or newer ones: ${valueSizes} values`, () => {
       let callbacks = 0;
       fc.assert(
         fc.property(fc.nat(1e9), (seed) => {
           const check = new HistoryCheck(seed, limits, keyCount, maxLength);
-          check.play(60);
+          check.run(60);
           callbacks += check.callbacks;
         }),
         { seed: 8, numRuns: 60 },
       );
-      assert.ok(callbacks > 1000, `${callbacks}`);
+      assert.ok(callbacks > 1000, `${callbacks} callbacks`);
     });
 
-  // The operators' change: the limits fall without notice, also in the middle of a commit.
-  it('splits what it writes and loses nothing when the limits of the state store fall', () => {
+  // The operators may lower the limits of the state store without notice, even during a commit.
+  it('splits its writes and loses no record when the limits of the state store are lowered', () => {
     const store = new UnreliableStateStore(3, 0);
     const random = seededRandom(3);
-    const last = new Map<string, unknown>();
+    const lastValues = new Map<string, unknown>();
     for (let step = 0; step < 300; step++) {
       if (step === 100) store.limits = { ...stateLimits, valueKb: 2, txnOps: 4 };
       for (let i = 0; i < 6; i++) {
         const key = `k/${Math.floor(random() * 60)}`;
         const value = [step, i, 'x'.repeat(Math.floor(random() * 700))];
-        last.set(key, value);
+        lastValues.set(key, value);
         store.records.set(key, value, random() < 0.5 ? 'urgent' : 'deferrable');
       }
       store.run(100);
     }
     store.run(20_000);
-    assert.ok(store.sizeRefusals > 0 && store.sizeRefusals < 10, `${store.sizeRefusals} refused`);
-    const found = recordsOf(store.electLeader());
-    for (const [key, value] of last) assert.deepEqual(found.get(key), value, key);
+    assert.ok(
+      store.sizeRefusals > 0 && store.sizeRefusals < 10,
+      `${store.sizeRefusals} size refusals`,
+    );
+    const storedRecords = recordsOf(store.electLeader());
+    for (const [key, value] of lastValues) assert.deepEqual(storedRecords.get(key), value, key);
   });
 
-  it('reads a record above the limits, and writes it again once it is smaller', () => {
+  it('loads a record that exceeds the limits, and writes it again once it is small enough', () => {
     const store = new UnreliableStateStore(4, 0);
     const large = 'x'.repeat(6000);
     store.records.set('k/large', large, 'urgent');
@@ -121,22 +127,23 @@
     store.run(2000);
     store.limits = { ...stateLimits, valueKb: 2, txnOps: 8 };
     store.knownLimits = store.limitsKnownAs(stateLimits, store.limits);
-    const next = store.electLeader();
-    assert.equal(recordsOf(next).get('k/large'), large);
-    let stored = 0;
-    next.set('k/large', `${large}z`, 'urgent', () => stored++);
-    next.set('k/1', 'small', 'urgent', () => stored++);
+    const nextLeaderRecords = store.electLeader();
+    assert.equal(recordsOf(nextLeaderRecords).get('k/large'), large);
+    let storedCount = 0;
+    nextLeaderRecords.set('k/large', `${large}z`, 'urgent', () => storedCount++);
+    nextLeaderRecords.set('k/1', 'small', 'urgent', () => storedCount++);
     store.run(2000);
-    assert.equal(stored, 1, 'the large one has to wait, the others need not');
-    next.set('k/large', 'now it fits', 'urgent', () => stored++);
+    assert.equal(storedCount, 1, 'only the small record has been stored');
+    nextLeaderRecords.set('k/large', 'now it fits', 'urgent', () => storedCount++);
     store.run(2000);
-    const found = recordsOf(store.electLeader());
-    assert.equal(found.get('k/large'), 'now it fits');
-    assert.equal(found.get('k/1'), 'small');
+    const storedRecords = recordsOf(store.electLeader());
+    assert.equal(storedRecords.get('k/large'), 'now it fits');
+    assert.equal(storedRecords.get('k/1'), 'small');
     assert.equal(store.sizeRefusals, 0);
   });
 
-  // Incident: thousands of starts waited for writes, and a service's replicas among them.
+  // Guards against an incident in which the starts of a service's replicas waited for write tokens behind
+  // thousands of other starts.
   it('commits immediate records before urgent ones', () => {
     const store = new UnreliableStateStore(5, 0);
     const order: string[] = [];
@@ -146,23 +153,23 @@
     store.run(3000);
     assert.ok(order.length > 10);
     const index = order.indexOf('immediate');
-    assert.ok(index >= 0 && index < 10, `only after ${index}`);
+    assert.ok(index >= 0 && index < 10, `the immediate record was stored after ${index} others`);
   });
 
-  it('commits many small records with few writes, and uses pages again', () => {
+  it('commits many small records with few writes, and reuses pages', () => {
     const store = new UnreliableStateStore(1, 0);
-    let stored = 0;
-    const before = store.writesReceived;
+    let storedCount = 0;
+    const writesBefore = store.writesReceived;
     for (let second = 0; second < 100; second++) {
       for (let i = 0; i < 30; i++) {
         const key = `k/${(second * 37 + i * 11) % 400}`;
-        store.records.set(key, ['x'.repeat(100), second, i], 'urgent', () => stored++);
+        store.records.set(key, ['x'.repeat(100), second, i], 'urgent', () => storedCount++);
         store.run(1000 / 30);
       }
     }
     store.run(2000);
-    assert.equal(stored, 3000);
-    const writes = store.writesReceived - before;
+    assert.equal(storedCount, 3000);
+    const writes = store.writesReceived - writesBefore;
     assert.ok(writes <= 100 * 30 * 0.6, `${writes} writes`);
     const pages = [...store.items.keys()].filter((key) => key.startsWith(PAGE_PREFIX)).length;
     assert.ok(pages < 40, `${pages} pages for 400 records of 130 bytes`);
--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -15,30 +15,32 @@
 }
 
 describe('writeShare', () => {
-  it('is fixed by role where no demand of a peer is known', () => {
-    const unknown = [null, null, null, null];
-    assert.ok(Math.abs(shareOf(demand(true, 50), unknown) - 0.7) < 1e-9);
-    assert.ok(Math.abs(shareOf(demand(false, 50), unknown) - 0.075) < 1e-9);
+  it('is fixed by role if no demand of a peer is known', () => {
+    const unknownDemands = [null, null, null, null];
+    assert.ok(Math.abs(shareOf(demand(true, 50), unknownDemands) - 0.7) < 1e-9);
+    assert.ok(Math.abs(shareOf(demand(false, 50), unknownDemands) - 0.075) < 1e-9);
     assert.equal(shareOf(demand(true, 0), []), 1);
   });
 
-  it('follows the demands that are known', () => {
+  it('depends on the known demands', () => {
     const idle = demand(false, 0);
     const share = shareOf(demand(false, 20), [demand(true, 5), idle, idle, idle]);
-    assert.ok(share > 0.6, `a node with all the submissions may use ${share}`);
+    assert.ok(share > 0.6, `the follower with most of the demand may use ${share}`);
   });
 
-  it('never adds up to more than 1, whether all demands are known or none', () => {
+  it('adds up to at most 1, whether all demands are known or none', () => {
     const rates = fc.array(fc.double({ min: 0, max: 100, noNaN: true }), {
       minLength: 1,
       maxLength: 7,
     });
     fc.assert(
-      fc.property(rates, fc.nat(6), fc.boolean(), (wanted, leader, areUnknown) => {
-        const demands = wanted.map((rate, i) => demand(i === leader % wanted.length, rate));
+      fc.property(rates, fc.nat(6), fc.boolean(), (writeRates, leaderIndex, demandsUnknown) => {
+        const demands = writeRates.map((rate, i) =>
+          demand(i === leaderIndex % writeRates.length, rate),
+        );
         const sum = demands.reduce((total, own, i) => {
           const peers = demands.filter((_, j) => j !== i);
-          return total + shareOf(own, areUnknown ? peers.map(() => null) : peers);
+          return total + shareOf(own, demandsUnknown ? peers.map(() => null) : peers);
         }, 0);
         assert.ok(sum <= 1 + 1e-9, `${sum}`);
       }),
