--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -8,7 +8,7 @@
 import type { RuleContext } from './rule-context.js';
 
 /** Faults over, a job counts as forgotten after this time without any response. */
-const UNANSWERED_MS = 75_000;
+const MAX_UNANSWERED_MS = 75_000;
 
 const CHANGES: readonly VisibleChange[] = ['accepted', 'done', 'cancelled'];
 
@@ -106,7 +106,7 @@
     const { faultsEndedAt } = this.context;
     if (faultsEndedAt === null || job.unansweredSince === null) return;
     const from = Math.max(faultsEndedAt, job.unansweredSince);
-    if (this.context.now() - from > UNANSWERED_MS)
+    if (this.context.now() - from > MAX_UNANSWERED_MS)
       this.context.violated('forgotten', `${job.spec.id} unanswered`);
   }
 }
