--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -36,11 +36,11 @@
       if (status === 200) this.context.violated('invented', id);
       return;
     }
-    const known = visibleStateOf(job);
+    const stateBefore = visibleStateOf(job);
     this.judge(job, status, state, submission, before);
     const now = visibleStateOf(job);
     for (const change of CHANGES)
-      if (now[change] && !known[change])
+      if (now[change] && !stateBefore[change])
         for (const listener of this.onVisibleChange) listener(id, change);
   }
 
