--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -38,9 +38,9 @@
     }
     const stateBefore = visibleStateOf(job);
     this.judge(job, status, state, submission, before);
-    const now = visibleStateOf(job);
+    const stateAfter = visibleStateOf(job);
     for (const change of CHANGES)
-      if (now[change] && !stateBefore[change])
+      if (stateAfter[change] && !stateBefore[change])
         for (const listener of this.onVisibleChange) listener(id, change);
   }
 
