--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -29,7 +29,7 @@
     status: number,
     state: string,
     submission: boolean,
-    before: VisibleState,
+    stateWhenSent: VisibleState,
   ): void {
     const job = this.context.jobs.get(id);
     if (job === undefined) {
@@ -37,7 +37,7 @@
       return;
     }
     const stateBefore = visibleStateOf(job);
-    this.judge(job, status, state, submission, before);
+    this.judge(job, status, state, submission, stateWhenSent);
     const stateAfter = visibleStateOf(job);
     for (const change of CHANGES)
       if (stateAfter[change] && !stateBefore[change])
