--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -49,10 +49,10 @@
     status: number,
     state: string,
     submission: boolean,
-    before: VisibleState,
+    stateWhenSent: VisibleState,
   ): void {
-    if (before.accepted) this.judgeAccepted(job.spec.id, status, submission);
-    if (status === 200 || status === 201) return this.judgeState(job, state, before);
+    if (stateWhenSent.accepted) this.judgeAccepted(job.spec.id, status, submission);
+    if (status === 200 || status === 201) return this.judgeState(job, state, stateWhenSent);
     if (job.accepted) job.unansweredSince ??= this.context.now();
     this.checkAnswered(job);
   }
