--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -64,13 +64,14 @@
       this.context.violated('forgotten', `${id} ${status}`);
   }
 
-  private judgeState(job: ObservedJob, state: string, before: VisibleState): void {
+  private judgeState(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
     job.unansweredSince = null;
     job.accepted = true;
     if (state === 'done') this.judgeDone(job);
-    else this.judgeNotDone(job, state, before);
+    else this.judgeNotDone(job, state, stateWhenSent);
     if (state === 'aborted') this.judgeCancelled(job);
-    else if (before.cancelled && state !== 'done') this.wentBack(job, `cancelled, then ${state}`);
+    else if (stateWhenSent.cancelled && state !== 'done')
+      this.wentBack(job, `cancelled, then ${state}`);
   }
 
   private judgeDone(job: ObservedJob): void {
