--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -81,8 +81,8 @@
     job.reportedDone = true;
   }
 
-  private judgeNotDone(job: ObservedJob, state: string, before: VisibleState): void {
-    if (before.done || (job.reportedDone && state === 'aborted'))
+  private judgeNotDone(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
+    if (stateWhenSent.done || (job.reportedDone && state === 'aborted'))
       this.wentBack(job, `done, then ${state}`);
   }
 
