--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -37,14 +37,14 @@
       return;
     }
     const stateBefore = visibleStateOf(job);
-    this.judge(job, status, state, submission, stateWhenSent);
+    this.checkResponse(job, status, state, submission, stateWhenSent);
     const stateAfter = visibleStateOf(job);
     for (const change of CHANGES)
       if (stateAfter[change] && !stateBefore[change])
         for (const listener of this.onVisibleChange) listener(id, change);
   }
 
-  private judge(
+  private checkResponse(
     job: ObservedJob,
     status: number,
     state: string,
