--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -51,14 +51,14 @@
     submission: boolean,
     stateWhenSent: VisibleState,
   ): void {
-    if (stateWhenSent.accepted) this.judgeAccepted(job.spec.id, status, submission);
+    if (stateWhenSent.accepted) this.checkAcceptedJob(job.spec.id, status, submission);
     if (status === 200 || status === 201) return this.judgeState(job, state, stateWhenSent);
     if (job.accepted) job.unansweredSince ??= this.context.now();
     this.checkAnswered(job);
   }
 
   /** What was accepted is not unknown, and its submission is not refused when it is repeated. */
-  private judgeAccepted(id: string, status: number, submission: boolean): void {
+  private checkAcceptedJob(id: string, status: number, submission: boolean): void {
     if (status === 404) this.context.violated('forgotten', `${id} 404`);
     if (submission && (status === 400 || status === 422))
       this.context.violated('forgotten', `${id} ${status}`);
