--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -52,7 +52,7 @@
     stateWhenSent: VisibleState,
   ): void {
     if (stateWhenSent.accepted) this.checkAcceptedJob(job.spec.id, status, submission);
-    if (status === 200 || status === 201) return this.judgeState(job, state, stateWhenSent);
+    if (status === 200 || status === 201) return this.checkReportedState(job, state, stateWhenSent);
     if (job.accepted) job.unansweredSince ??= this.context.now();
     this.checkAnswered(job);
   }
@@ -64,7 +64,7 @@
       this.context.violated('forgotten', `${id} ${status}`);
   }
 
-  private judgeState(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
+  private checkReportedState(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
     job.unansweredSince = null;
     job.accepted = true;
     if (state === 'done') this.judgeDone(job);
