--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -67,14 +67,14 @@
   private checkReportedState(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
     job.unansweredSince = null;
     job.accepted = true;
-    if (state === 'done') this.judgeDone(job);
+    if (state === 'done') this.checkReportedDone(job);
     else this.judgeNotDone(job, state, stateWhenSent);
     if (state === 'aborted') this.judgeCancelled(job);
     else if (stateWhenSent.cancelled && state !== 'done')
       this.wentBack(job, `cancelled, then ${state}`);
   }
 
-  private judgeDone(job: ObservedJob): void {
+  private checkReportedDone(job: ObservedJob): void {
     const { id, tasks } = job.spec;
     if (job.completedTasks.size < tasks) this.context.violated('not_done', id);
     if (job.cancelledAt !== null) this.wentBack(job, 'cancelled, then done');
