--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -68,7 +68,7 @@
     job.unansweredSince = null;
     job.accepted = true;
     if (state === 'done') this.checkReportedDone(job);
-    else this.judgeNotDone(job, state, stateWhenSent);
+    else this.checkReportedNotDone(job, state, stateWhenSent);
     if (state === 'aborted') this.judgeCancelled(job);
     else if (stateWhenSent.cancelled && state !== 'done')
       this.wentBack(job, `cancelled, then ${state}`);
@@ -81,7 +81,7 @@
     job.reportedDone = true;
   }
 
-  private judgeNotDone(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
+  private checkReportedNotDone(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
     if (stateWhenSent.done || (job.reportedDone && state === 'aborted'))
       this.wentBack(job, `done, then ${state}`);
   }
