--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -69,7 +69,7 @@
     job.accepted = true;
     if (state === 'done') this.checkReportedDone(job);
     else this.checkReportedNotDone(job, state, stateWhenSent);
-    if (state === 'aborted') this.judgeCancelled(job);
+    if (state === 'aborted') this.checkReportedCancelled(job);
     else if (stateWhenSent.cancelled && state !== 'done')
       this.wentBack(job, `cancelled, then ${state}`);
   }
@@ -86,7 +86,7 @@
       this.wentBack(job, `done, then ${state}`);
   }
 
-  private judgeCancelled(job: ObservedJob): void {
+  private checkReportedCancelled(job: ObservedJob): void {
     if (!job.cancelRequested) this.wentBack(job, 'cancelled by nobody');
     this.onCancelled(job);
     job.cancelledAt ??= this.context.now();
