--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -71,28 +71,28 @@
     else this.checkReportedNotDone(job, state, stateWhenSent);
     if (state === 'aborted') this.checkReportedCancelled(job);
     else if (stateWhenSent.cancelled && state !== 'done')
-      this.wentBack(job, `cancelled, then ${state}`);
+      this.reportReversal(job, `cancelled, then ${state}`);
   }
 
   private checkReportedDone(job: ObservedJob): void {
     const { id, tasks } = job.spec;
     if (job.completedTasks.size < tasks) this.context.violated('not_done', id);
-    if (job.cancelledAt !== null) this.wentBack(job, 'cancelled, then done');
+    if (job.cancelledAt !== null) this.reportReversal(job, 'cancelled, then done');
     job.reportedDone = true;
   }
 
   private checkReportedNotDone(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
     if (stateWhenSent.done || (job.reportedDone && state === 'aborted'))
-      this.wentBack(job, `done, then ${state}`);
+      this.reportReversal(job, `done, then ${state}`);
   }
 
   private checkReportedCancelled(job: ObservedJob): void {
-    if (!job.cancelRequested) this.wentBack(job, 'cancelled by nobody');
+    if (!job.cancelRequested) this.reportReversal(job, 'cancelled by nobody');
     this.onCancelled(job);
     job.cancelledAt ??= this.context.now();
   }
 
-  private wentBack(job: ObservedJob, how: string): void {
+  private reportReversal(job: ObservedJob, how: string): void {
     this.context.violated('went_back', `${job.spec.id} ${how}`);
   }
 
