--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -92,8 +92,8 @@
     job.cancelledAt ??= this.context.now();
   }
 
-  private reportReversal(job: ObservedJob, how: string): void {
-    this.context.violated('went_back', `${job.spec.id} ${how}`);
+  private reportReversal(job: ObservedJob, detail: string): void {
+    this.context.violated('went_back', `${job.spec.id} ${detail}`);
   }
 
   /** To be called as time passes. */
