--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -106,8 +106,8 @@
   private checkAnswered(job: ObservedJob): void {
     const { faultsEndedAt } = this.context;
     if (faultsEndedAt === null || job.unansweredSince === null) return;
-    const from = Math.max(faultsEndedAt, job.unansweredSince);
-    if (this.context.now() - from > MAX_UNANSWERED_MS)
+    const unansweredFrom = Math.max(faultsEndedAt, job.unansweredSince);
+    if (this.context.now() - unansweredFrom > MAX_UNANSWERED_MS)
       this.context.violated('forgotten', `${job.spec.id} unanswered`);
   }
 }
