--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -102,9 +102,9 @@
     status: number,
     state: string,
     submission: boolean,
-    before: VisibleState = this.visibleState(id),
+    stateWhenSent: VisibleState = this.visibleState(id),
   ): void {
-    this.responses.responseReceived(id, status, state, submission, before);
+    this.responses.responseReceived(id, status, state, submission, stateWhenSent);
   }
 
   /** A submission that can't run, or lacks a field, was accepted. */
