--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -57,8 +57,8 @@
     return this.context.faultsEndedAt;
   }
 
-  set faultsEndedAt(at: number | null) {
-    this.context.faultsEndedAt = at;
+  set faultsEndedAt(timeMs: number | null) {
+    this.context.faultsEndedAt = timeMs;
   }
 
   /** Called when a user is first told that a job is accepted, done or cancelled. */
