--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -119,9 +119,9 @@
     if (job === undefined) return this.context.violated('wrong_place', `${id} unknown`);
     const name = `${id}/${index}`;
     const { machine } = placement;
-    const others = this.placements.add(id, index, placement);
-    if (others.length > 0)
-      this.context.violated('ran_twice', `${name} on ${machine}, is on ${others.join()}`);
+    const otherMachines = this.placements.add(id, index, placement);
+    if (otherMachines.length > 0)
+      this.context.violated('ran_twice', `${name} on ${machine}, is on ${otherMachines.join()}`);
     this.count(job, placement, 1);
     if (job.tasksOnMachines >= tasksStartedTogether(job.spec)) job.startedAt ??= this.context.now();
     for (const violation of placementViolations(job, placement))
