--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -122,7 +122,7 @@
     const otherMachines = this.placements.add(id, index, placement);
     if (otherMachines.length > 0)
       this.context.violated('ran_twice', `${name} on ${machine}, is on ${otherMachines.join()}`);
-    this.count(job, placement, 1);
+    this.countTask(job, placement, 1);
     if (job.tasksOnMachines >= tasksStartedTogether(job.spec)) job.startedAt ??= this.context.now();
     for (const violation of placementViolations(job, placement))
       this.context.violated('wrong_place', `${name} ${violation}`);
@@ -135,10 +135,10 @@
   taskStopped(id: string, index: number, machine: string): void {
     const placement = this.placements.remove(id, index, machine);
     const job = this.jobs.get(id);
-    if (placement !== undefined && job !== undefined) this.count(job, placement, -1);
+    if (placement !== undefined && job !== undefined) this.countTask(job, placement, -1);
   }
 
-  private count(job: ObservedJob, { zone }: Placement, by: 1 | -1): void {
+  private countTask(job: ObservedJob, { zone }: Placement, by: 1 | -1): void {
     job.tasksOnMachines += by;
     const inZone = (job.tasksByZone.get(zone) ?? 0) + by;
     if (inZone > 0) job.tasksByZone.set(zone, inZone);
