--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -138,12 +138,12 @@
     if (placement !== undefined && job !== undefined) this.countTask(job, placement, -1);
   }
 
-  private countTask(job: ObservedJob, { zone }: Placement, by: 1 | -1): void {
-    job.tasksOnMachines += by;
-    const inZone = (job.tasksByZone.get(zone) ?? 0) + by;
+  private countTask(job: ObservedJob, { zone }: Placement, delta: 1 | -1): void {
+    job.tasksOnMachines += delta;
+    const inZone = (job.tasksByZone.get(zone) ?? 0) + delta;
     if (inZone > 0) job.tasksByZone.set(zone, inZone);
     else job.tasksByZone.delete(zone);
-    this.usage.count(job.spec, by);
+    this.usage.count(job.spec, delta);
   }
 
   /** The task has done its work. */
