--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -140,8 +140,8 @@
 
   private countTask(job: ObservedJob, { zone }: Placement, delta: 1 | -1): void {
     job.tasksOnMachines += delta;
-    const inZone = (job.tasksByZone.get(zone) ?? 0) + delta;
-    if (inZone > 0) job.tasksByZone.set(zone, inZone);
+    const tasksInZone = (job.tasksByZone.get(zone) ?? 0) + delta;
+    if (tasksInZone > 0) job.tasksByZone.set(zone, tasksInZone);
     else job.tasksByZone.delete(zone);
     this.usage.count(job.spec, delta);
   }
