--- a/test/simulation/rules/cancellation-rule.ts
+++ b/test/simulation/rules/cancellation-rule.ts
@@ -5,7 +5,7 @@
 /** Watches cancelled jobs until none of their tasks is on a machine. */
 export class CancellationRule {
   /** Cancelled jobs of which tasks may still be on machines. */
-  private readonly leaving = new Set<ObservedJob>();
+  private readonly cancelledJobs = new Set<ObservedJob>();
   /** When users were told of the cancellation of jobs that had tasks on machines. */
   readonly cancelledWhileRunning: number[] = [];
 
@@ -19,18 +19,18 @@
   cancelled(job: ObservedJob): void {
     if (job.cancelledAt === null && job.tasksOnMachines > 0)
       this.cancelledWhileRunning.push(this.context.now());
-    this.leaving.add(job);
+    this.cancelledJobs.add(job);
   }
 
   /** To be called as a task of the job starts. */
   check(job: ObservedJob): void {
     if (job.cancelledAt === null || this.context.now() <= job.cancelledAt + this.cancelMs) return;
     if (job.tasksOnMachines > 0) this.context.violated('ran_cancelled', job.spec.id);
-    else this.leaving.delete(job);
+    else this.cancelledJobs.delete(job);
   }
 
   /** To be called as time passes. */
   tick(): void {
-    for (const job of this.leaving) this.check(job);
+    for (const job of this.cancelledJobs) this.check(job);
   }
 }
