--- a/test/simulation/rules/cancellation-rule.ts
+++ b/test/simulation/rules/cancellation-rule.ts
@@ -16,7 +16,7 @@
   ) {}
 
   /** A user is told that the job is cancelled, for the first time while `cancelledAt` is null. */
-  cancelled(job: ObservedJob): void {
+  cancellationReported(job: ObservedJob): void {
     if (job.cancelledAt === null && job.tasksOnMachines > 0)
       this.cancelledWhileRunning.push(this.context.now());
     this.cancelledJobs.add(job);
--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -38,7 +38,9 @@
     this.context = context;
     this.usage = new TeamUsage(teams);
     this.cancellation = new CancellationRule(context, cancelMs);
-    this.responses = new ResponseRules(context, (job) => this.cancellation.cancelled(job));
+    this.responses = new ResponseRules(context, (job) =>
+      this.cancellation.cancellationReported(job),
+    );
     this.waiting = new WaitingRule(context, this.usage);
   }
 
