--- a/test/simulation/rules/waiting-rule.ts
+++ b/test/simulation/rules/waiting-rule.ts
@@ -8,7 +8,7 @@
 /** Faults over, no job may wait longer than this while there is capacity for it. */
 const MAX_WAITING_MS = 90_000;
 /** And no service may lack a replica for longer. */
-const REPLICA_MS = 30_000;
+const MAX_REPLICA_MISSING_MS = 30_000;
 
 /** Watches how long jobs wait though they could run. */
 export class WaitingRule {
@@ -27,7 +27,7 @@
     const now = this.context.now();
     if (waits(job) && this.couldRun(job, free)) job.runnableSince ??= now;
     else job.runnableSince = null;
-    const longestMs = spec.kind === 'service' ? REPLICA_MS : MAX_WAITING_MS;
+    const longestMs = spec.kind === 'service' ? MAX_REPLICA_MISSING_MS : MAX_WAITING_MS;
     if (job.runnableSince !== null && now - job.runnableSince > longestMs)
       this.context.violated('left_waiting', `${spec.id} (${spec.kind} of ${spec.tasks})`);
   }
