--- a/test/simulation/rules/waiting-rule.ts
+++ b/test/simulation/rules/waiting-rule.ts
@@ -27,8 +27,8 @@
     const now = this.context.now();
     if (waits(job) && this.couldRun(job, free)) job.runnableSince ??= now;
     else job.runnableSince = null;
-    const longestMs = spec.kind === 'service' ? MAX_REPLICA_MISSING_MS : MAX_WAITING_MS;
-    if (job.runnableSince !== null && now - job.runnableSince > longestMs)
+    const maxMs = spec.kind === 'service' ? MAX_REPLICA_MISSING_MS : MAX_WAITING_MS;
+    if (job.runnableSince !== null && now - job.runnableSince > maxMs)
       this.context.violated('left_waiting', `${spec.id} (${spec.kind} of ${spec.tasks})`);
   }
 
