--- a/test/simulation/rules/waiting-rule.ts
+++ b/test/simulation/rules/waiting-rule.ts
@@ -25,7 +25,7 @@
   private checkJob(job: ObservedJob, free: readonly FreeCapacity[]): void {
     const { spec } = job;
     const now = this.context.now();
-    if (waits(job) && this.couldRun(job, free)) job.runnableSince ??= now;
+    if (isWaiting(job) && this.couldRun(job, free)) job.runnableSince ??= now;
     else job.runnableSince = null;
     const maxMs = spec.kind === 'service' ? MAX_REPLICA_MISSING_MS : MAX_WAITING_MS;
     if (job.runnableSince !== null && now - job.runnableSince > maxMs)
@@ -38,7 +38,7 @@
 }
 
 /** Whether the job is active and has no task on a machine, or as a service not all of them. */
-function waits(job: ObservedJob): boolean {
+function isWaiting(job: ObservedJob): boolean {
   const { spec } = job;
   const active = job.accepted && !job.cancelRequested && job.completedTasks.size < spec.tasks;
   return active && job.tasksOnMachines < (spec.kind === 'service' ? spec.tasks : 1);
