--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -3,7 +3,7 @@
 import type { FreeCapacity } from './placement.js';
 
 /** Capacity that rounding may hide. */
-const ROUNDING = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 
 /** Tasks that a job needs capacity for at one time: a gang for all, others for one. */
 export function tasksStartedTogether(spec: JobSpec): number {
@@ -40,5 +40,5 @@
 }
 
 function timesIn(free: number, needed: number): number {
-  return needed > 0 ? Math.floor((free + ROUNDING) / needed) : Infinity;
+  return needed > 0 ? Math.floor((free + ROUNDING_TOLERANCE) / needed) : Infinity;
 }
