--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -12,13 +12,13 @@
 
 /** Whether the job's next tasks could be on these machines. */
 export function hasCapacity(spec: JobSpec, free: readonly FreeCapacity[]): boolean {
-  const zones = new Map<string, number>();
+  const tasksByZone = new Map<string, number>();
   for (const machine of free) {
     if (!maySelect(spec, machine)) continue;
     const tasks = Math.max(0, tasksOn(spec, machine));
-    zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + tasks);
+    tasksByZone.set(machine.zone, (tasksByZone.get(machine.zone) ?? 0) + tasks);
   }
-  const counts = [...zones.values()];
+  const counts = [...tasksByZone.values()];
   const wanted = tasksStartedTogether(spec);
   if (spec.singleZone) return Math.max(0, ...counts) >= wanted;
   const perZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
