--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -18,11 +18,11 @@
     const tasks = Math.max(0, tasksOn(spec, machine));
     tasksByZone.set(machine.zone, (tasksByZone.get(machine.zone) ?? 0) + tasks);
   }
-  const counts = [...tasksByZone.values()];
+  const zoneCounts = [...tasksByZone.values()];
   const wanted = tasksStartedTogether(spec);
-  if (spec.singleZone) return Math.max(0, ...counts) >= wanted;
+  if (spec.singleZone) return Math.max(0, ...zoneCounts) >= wanted;
   const perZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
-  return counts.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= wanted;
+  return zoneCounts.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= wanted;
 }
 
 function maySelect(spec: JobSpec, machine: FreeCapacity): boolean {
