--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -19,10 +19,10 @@
     tasksByZone.set(machine.zone, (tasksByZone.get(machine.zone) ?? 0) + tasks);
   }
   const zoneCounts = [...tasksByZone.values()];
-  const wanted = tasksStartedTogether(spec);
-  if (spec.singleZone) return Math.max(0, ...zoneCounts) >= wanted;
+  const tasksNeeded = tasksStartedTogether(spec);
+  if (spec.singleZone) return Math.max(0, ...zoneCounts) >= tasksNeeded;
   const perZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
-  return zoneCounts.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= wanted;
+  return zoneCounts.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= tasksNeeded;
 }
 
 function maySelect(spec: JobSpec, machine: FreeCapacity): boolean {
