--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -21,8 +21,8 @@
   const zoneCounts = [...tasksByZone.values()];
   const tasksNeeded = tasksStartedTogether(spec);
   if (spec.singleZone) return Math.max(0, ...zoneCounts) >= tasksNeeded;
-  const perZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
-  return zoneCounts.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= tasksNeeded;
+  const maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
+  return zoneCounts.reduce((sum, count) => sum + Math.min(count, maxPerZone), 0) >= tasksNeeded;
 }
 
 function maySelect(spec: JobSpec, machine: FreeCapacity): boolean {
