--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -14,7 +14,7 @@
 export function hasCapacity(spec: JobSpec, free: readonly FreeCapacity[]): boolean {
   const tasksByZone = new Map<string, number>();
   for (const machine of free) {
-    if (!maySelect(spec, machine)) continue;
+    if (!isAllowed(spec, machine)) continue;
     const tasks = Math.max(0, tasksOn(spec, machine));
     tasksByZone.set(machine.zone, (tasksByZone.get(machine.zone) ?? 0) + tasks);
   }
@@ -25,7 +25,7 @@
   return zoneCounts.reduce((sum, count) => sum + Math.min(count, maxPerZone), 0) >= tasksNeeded;
 }
 
-function maySelect(spec: JobSpec, machine: FreeCapacity): boolean {
+function isAllowed(spec: JobSpec, machine: FreeCapacity): boolean {
   if (machine.interruptionNotice || (machine.spot && !spec.spot)) return false;
   if (spec.types !== null && !spec.types.includes(machine.type)) return false;
   return spec.zone === null || spec.zone === machine.zone;
