--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -15,7 +15,7 @@
   const tasksByZone = new Map<string, number>();
   for (const machine of free) {
     if (!isAllowed(spec, machine)) continue;
-    const tasks = Math.max(0, tasksOn(spec, machine));
+    const tasks = Math.max(0, tasksThatFit(spec, machine));
     tasksByZone.set(machine.zone, (tasksByZone.get(machine.zone) ?? 0) + tasks);
   }
   const zoneCounts = [...tasksByZone.values()];
@@ -31,7 +31,7 @@
   return spec.zone === null || spec.zone === machine.zone;
 }
 
-function tasksOn(spec: JobSpec, machine: FreeCapacity): number {
+function tasksThatFit(spec: JobSpec, machine: FreeCapacity): number {
   return Math.min(
     timesIn(machine.cpus, spec.cpus),
     timesIn(machine.gpus, spec.gpus),
