--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -33,12 +33,12 @@
 
 function tasksThatFit(spec: JobSpec, machine: FreeCapacity): number {
   return Math.min(
-    timesIn(machine.cpus, spec.cpus),
-    timesIn(machine.gpus, spec.gpus),
-    timesIn(machine.memoryGb, spec.memoryGb),
+    tasksWithin(machine.cpus, spec.cpus),
+    tasksWithin(machine.gpus, spec.gpus),
+    tasksWithin(machine.memoryGb, spec.memoryGb),
   );
 }
 
-function timesIn(free: number, needed: number): number {
+function tasksWithin(free: number, needed: number): number {
   return needed > 0 ? Math.floor((free + ROUNDING_TOLERANCE) / needed) : Infinity;
 }
