--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -2,7 +2,7 @@
 import type { ObservedJob } from './observed-job.js';
 
 /** The largest jobs of a class have to begin within this time. */
-const LARGEST_MS = 240_000;
+const LARGEST_MAX_WAIT_MS = 240_000;
 /** Jobs of a class that count as its largest. */
 const LARGEST_SHARE = 0.1;
 
@@ -45,5 +45,5 @@
 }
 
 function beganLate(job: ObservedJob): boolean {
-  return (job.startedAt ?? Infinity) - job.submittedAt > LARGEST_MS;
+  return (job.startedAt ?? Infinity) - job.submittedAt > LARGEST_MAX_WAIT_MS;
 }
