--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -12,17 +12,17 @@
  * that is not so.
  */
 export function findNeglectedJobs(jobs: readonly ObservedJob[]): string[] {
-  const found: string[] = [];
+  const violations: string[] = [];
   for (const [team, ofTeam] of groupBy(jobs, (job) => job.spec.team))
-    found.push(...halfUnserved(`team ${team}`, ofTeam));
+    violations.push(...halfUnserved(`team ${team}`, ofTeam));
   for (const [cls, ofClass] of groupBy(jobs, (job) => job.spec.class)) {
     const largest = largestOf(ofClass);
-    found.push(...halfUnserved(`class ${cls}`, ofClass));
-    found.push(...halfUnserved(`largest of ${cls}`, largest));
+    violations.push(...halfUnserved(`class ${cls}`, ofClass));
+    violations.push(...halfUnserved(`largest of ${cls}`, largest));
     for (const { spec } of largest.filter(beganLate))
-      found.push(`largest of ${cls}: ${spec.id} with ${spec.tasks} tasks began too late`);
+      violations.push(`largest of ${cls}: ${spec.id} with ${spec.tasks} tasks began too late`);
   }
-  return found;
+  return violations;
 }
 
 function groupBy(
