--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -14,11 +14,11 @@
 export function findNeglectedJobs(jobs: readonly ObservedJob[]): string[] {
   const violations: string[] = [];
   for (const [team, ofTeam] of groupBy(jobs, (job) => job.spec.team))
-    violations.push(...halfUnserved(`team ${team}`, ofTeam));
+    violations.push(...checkHalfServed(`team ${team}`, ofTeam));
   for (const [cls, ofClass] of groupBy(jobs, (job) => job.spec.class)) {
     const largest = largestOf(ofClass);
-    violations.push(...halfUnserved(`class ${cls}`, ofClass));
-    violations.push(...halfUnserved(`largest of ${cls}`, largest));
+    violations.push(...checkHalfServed(`class ${cls}`, ofClass));
+    violations.push(...checkHalfServed(`largest of ${cls}`, largest));
     for (const { spec } of largest.filter(beganLate))
       violations.push(`largest of ${cls}: ${spec.id} with ${spec.tasks} tasks began too late`);
   }
@@ -34,7 +34,7 @@
   return groups;
 }
 
-function halfUnserved(name: string, jobs: readonly ObservedJob[]): string[] {
+function checkHalfServed(name: string, jobs: readonly ObservedJob[]): string[] {
   const done = jobs.filter((job) => job.completedTasks.size >= job.spec.tasks).length;
   return done < jobs.length / 2 ? [`${name}: ${done} of ${jobs.length} served`] : [];
 }
