--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -35,8 +35,8 @@
 }
 
 function checkHalfServed(name: string, jobs: readonly ObservedJob[]): string[] {
-  const done = jobs.filter((job) => job.completedTasks.size >= job.spec.tasks).length;
-  return done < jobs.length / 2 ? [`${name}: ${done} of ${jobs.length} served`] : [];
+  const served = jobs.filter((job) => job.completedTasks.size >= job.spec.tasks).length;
+  return served < jobs.length / 2 ? [`${name}: ${served} of ${jobs.length} served`] : [];
 }
 
 function largestOf(jobs: readonly ObservedJob[]): ObservedJob[] {
