--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -19,7 +19,7 @@
     const largest = largestOf(ofClass);
     violations.push(...checkHalfServed(`class ${cls}`, ofClass));
     violations.push(...checkHalfServed(`largest of ${cls}`, largest));
-    for (const { spec } of largest.filter(beganLate))
+    for (const { spec } of largest.filter(startedLate))
       violations.push(`largest of ${cls}: ${spec.id} with ${spec.tasks} tasks began too late`);
   }
   return violations;
@@ -44,6 +44,6 @@
   return [...jobs].sort((a, b) => b.spec.tasks - a.spec.tasks).slice(0, count);
 }
 
-function beganLate(job: ObservedJob): boolean {
+function startedLate(job: ObservedJob): boolean {
   return (job.startedAt ?? Infinity) - job.submittedAt > LARGEST_MAX_WAIT_MS;
 }
