--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -55,12 +55,12 @@
   { spec, tasksByZone }: ObservedJob,
   place: Placement,
 ): string[] {
-  const faults: string[] = [];
-  if (spec.types !== null && !spec.types.includes(place.type)) faults.push('type');
-  if (spec.zone !== null && spec.zone !== place.zone) faults.push('zone');
-  if (place.spot && !spec.spot) faults.push('spot');
-  if (spec.singleZone && tasksByZone.size > 1) faults.push('two zones');
+  const violations: string[] = [];
+  if (spec.types !== null && !spec.types.includes(place.type)) violations.push('type');
+  if (spec.zone !== null && spec.zone !== place.zone) violations.push('zone');
+  if (place.spot && !spec.spot) violations.push('spot');
+  if (spec.singleZone && tasksByZone.size > 1) violations.push('two zones');
   if (spec.spread && Math.max(...tasksByZone.values()) > Math.ceil(spec.tasks / 2))
-    faults.push('too many in a zone');
-  return faults;
+    violations.push('too many in a zone');
+  return violations;
 }
