--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -53,12 +53,12 @@
 /** Whether a machine at this place was not asked for, and how; the task is on it already. */
 export function placementViolations(
   { spec, tasksByZone }: ObservedJob,
-  place: Placement,
+  placement: Placement,
 ): string[] {
   const violations: string[] = [];
-  if (spec.types !== null && !spec.types.includes(place.type)) violations.push('type');
-  if (spec.zone !== null && spec.zone !== place.zone) violations.push('zone');
-  if (place.spot && !spec.spot) violations.push('spot');
+  if (spec.types !== null && !spec.types.includes(placement.type)) violations.push('type');
+  if (spec.zone !== null && spec.zone !== placement.zone) violations.push('zone');
+  if (placement.spot && !spec.spot) violations.push('spot');
   if (spec.singleZone && tasksByZone.size > 1) violations.push('two zones');
   if (spec.spread && Math.max(...tasksByZone.values()) > Math.ceil(spec.tasks / 2))
     violations.push('too many in a zone');
