--- a/test/simulation/rules/team-usage.ts
+++ b/test/simulation/rules/team-usage.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 
 /** Amounts that rounding may hide. */
-const ROUNDING = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 
 interface Usage {
   cpus: number;
@@ -30,9 +30,9 @@
     const usage = this.usages.get(name);
     if (team === undefined || usage === undefined) return [];
     const exceeded: string[] = [];
-    if (team.maxCpus > 0 && usage.cpus > team.maxCpus + ROUNDING)
+    if (team.maxCpus > 0 && usage.cpus > team.maxCpus + ROUNDING_TOLERANCE)
       exceeded.push(`${name} ${usage.cpus} CPUs`);
-    if (team.maxGpus > 0 && usage.gpus > team.maxGpus + ROUNDING)
+    if (team.maxGpus > 0 && usage.gpus > team.maxGpus + ROUNDING_TOLERANCE)
       exceeded.push(`${name} ${usage.gpus} GPUs`);
     return exceeded;
   }
@@ -66,5 +66,7 @@
 
 /** How many tasks fit beneath a limit; 0 is none. */
 function tasksWithin(limit: number, used: number, needed: number): number {
-  return limit > 0 && needed > 0 ? Math.floor((limit - used + ROUNDING) / needed) : Infinity;
+  return limit > 0 && needed > 0
+    ? Math.floor((limit - used + ROUNDING_TOLERANCE) / needed)
+    : Infinity;
 }
