--- a/test/simulation/rules/team-usage.ts
+++ b/test/simulation/rules/team-usage.ts
@@ -17,11 +17,11 @@
   constructor(private readonly teams: readonly Team[]) {}
 
   /** A task of the job came onto a machine (1) or went (-1). */
-  count(spec: JobSpec, by: 1 | -1): void {
+  count(spec: JobSpec, delta: 1 | -1): void {
     const usage = this.usageOf(spec.team);
     this.usages.set(spec.team, usage);
-    usage.cpus += by * spec.cpus;
-    usage.gpus += by * spec.gpus;
+    usage.cpus += delta * spec.cpus;
+    usage.gpus += delta * spec.gpus;
   }
 
   /** Limits that the team is beyond, in words. */
