--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -3,7 +3,7 @@
 import { NEW_MACHINE_MS } from './observed-events.js';
 
 /** A cancellation this long before or after the lead is given up falls into the hand-over. */
-const HAND_OVER_MS = 3000;
+const HANDOVER_WINDOW_MS = 3000;
 const HAND_OVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
 
 /** Notes combinations of faults as they come about. */
@@ -12,7 +12,7 @@
   let cancelledAt = -Infinity;
   let handedOverAt = -Infinity;
   const handOver = (): void => {
-    if (Math.abs(cancelledAt - handedOverAt) <= HAND_OVER_MS)
+    if (Math.abs(cancelledAt - handedOverAt) <= HANDOVER_WINDOW_MS)
       observedEvents.record('cancelled at a handover');
   };
   checker.onVisibleChange.push((_, news) => {
