--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -4,7 +4,7 @@
 
 /** A cancellation this long before or after the lead is given up falls into the hand-over. */
 const HANDOVER_WINDOW_MS = 3000;
-const HAND_OVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
+const HANDOVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
 
 /** Notes combinations of faults as they come about. */
 export function observeFaultCombinations(simulation: SimulatedDeployment): void {
@@ -30,7 +30,7 @@
   });
   simulation.processes.onLog.push((text, fields) => {
     const { reason } = fields as { reason?: string };
-    if (text !== 'no longer leader' || !HAND_OVER_REASONS.includes(reason ?? '')) return;
+    if (text !== 'no longer leader' || !HANDOVER_REASONS.includes(reason ?? '')) return;
     handedOverAt = clock.now;
     handOver();
   });
