--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -10,9 +10,9 @@
 export function observeFaultCombinations(simulation: SimulatedDeployment): void {
   const { checker, clock, stateStore, observedEvents } = simulation;
   let cancelledAt = -Infinity;
-  let handedOverAt = -Infinity;
+  let handoverAt = -Infinity;
   const handOver = (): void => {
-    if (Math.abs(cancelledAt - handedOverAt) <= HANDOVER_WINDOW_MS)
+    if (Math.abs(cancelledAt - handoverAt) <= HANDOVER_WINDOW_MS)
       observedEvents.record('cancelled at a handover');
   };
   checker.onVisibleChange.push((_, news) => {
@@ -31,7 +31,7 @@
   simulation.processes.onLog.push((text, fields) => {
     const { reason } = fields as { reason?: string };
     if (text !== 'no longer leader' || !HANDOVER_REASONS.includes(reason ?? '')) return;
-    handedOverAt = clock.now;
+    handoverAt = clock.now;
     handOver();
   });
   checker.onTaskStart.push(({ machine }) => {
