--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -11,14 +11,14 @@
   const { checker, clock, stateStore, observedEvents } = simulation;
   let cancelledAt = -Infinity;
   let handoverAt = -Infinity;
-  const handOver = (): void => {
+  const recordIfCancelledAtHandover = (): void => {
     if (Math.abs(cancelledAt - handoverAt) <= HANDOVER_WINDOW_MS)
       observedEvents.record('cancelled at a handover');
   };
   checker.onVisibleChange.push((_, news) => {
     if (news !== 'cancelled') return;
     cancelledAt = clock.now;
-    handOver();
+    recordIfCancelledAtHandover();
     const { leader } = simulation;
     if (leader !== null && stateStore.isRefusing(leader))
       observedEvents.record('cancelled while the leader alone is refused');
@@ -32,7 +32,7 @@
     const { reason } = fields as { reason?: string };
     if (text !== 'no longer leader' || !HANDOVER_REASONS.includes(reason ?? '')) return;
     handoverAt = clock.now;
-    handOver();
+    recordIfCancelledAtHandover();
   });
   checker.onTaskStart.push(({ machine }) => {
     if (simulation.cloud.ageMs(machine) < NEW_MACHINE_MS)
