--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -15,8 +15,8 @@
     if (Math.abs(cancelledAt - handoverAt) <= HANDOVER_WINDOW_MS)
       observedEvents.record('cancelled at a handover');
   };
-  checker.onVisibleChange.push((_, news) => {
-    if (news !== 'cancelled') return;
+  checker.onVisibleChange.push((_, change) => {
+    if (change !== 'cancelled') return;
     cancelledAt = clock.now;
     recordIfCancelledAtHandover();
     const { leader } = simulation;
