--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -24,8 +24,8 @@
       observedEvents.record('cancelled while the leader alone is refused');
     if (checker.everyTeamAtLimit) observedEvents.record('cancelled with every team at its limit');
   });
-  simulation.processes.onKill.push((_, leads) => {
-    if (leads && checker.everyTeamAtLimit)
+  simulation.processes.onKill.push((_, wasLeader) => {
+    if (wasLeader && checker.everyTeamAtLimit)
       observedEvents.record('leader killed with every team at its limit');
   });
   simulation.processes.onLog.push((text, fields) => {
