--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -21,8 +21,8 @@
   private readonly counts = new Map<ObservedEvent, number>();
 
   /** It happened once more. */
-  record(happening: ObservedEvent): void {
-    this.counts.set(happening, this.count(happening) + 1);
+  record(event: ObservedEvent): void {
+    this.counts.set(event, this.count(event) + 1);
   }
 
   /** How often it happened. */
