--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -26,8 +26,8 @@
   }
 
   /** How often it happened. */
-  count(happening: ObservedEvent): number {
-    return this.counts.get(happening) ?? 0;
+  count(event: ObservedEvent): number {
+    return this.counts.get(event) ?? 0;
   }
 }
 
