--- a/test/simulation/faults/machine-faults.ts
+++ b/test/simulation/faults/machine-faults.ts
@@ -16,22 +16,22 @@
 
   /** A share of the machines loses the network, and what was held back is delivered afterwards. */
   cut(share: number, ms: number): void {
-    for (const worker of this.some(share)) this.connections.cutMachine(worker, ms);
+    for (const worker of this.drawWorkers(share)) this.connections.cutMachine(worker, ms);
   }
 
   /** Many machines stop at once. */
   kill(share: number): void {
-    for (const worker of this.some(share)) worker.die();
+    for (const worker of this.drawWorkers(share)) worker.die();
   }
 
   /** Spot machines are taken in a wave, without notice. */
   reclaimSpot(share: number, overMs: number): void {
-    for (const worker of this.some(share))
+    for (const worker of this.drawWorkers(share))
       if (worker.spot)
         this.clock.after(this.random.between(0, overMs), () => this.cloud.reclaim(worker.id));
   }
 
-  private some(share: number): Worker[] {
+  private drawWorkers(share: number): Worker[] {
     return this.cloud.workers.filter(() => this.random.next() < share);
   }
 }
