--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -4,7 +4,7 @@
 
 /** Requests to each controller after a change, and within what time they are sent. */
 const REQUESTS_PER_CONTROLLER = 3;
-const WITHIN_MS = 40;
+const REQUEST_WINDOW_MS = 40;
 /** Share of the requests that are repeated submissions. */
 const REPEATED_SHARE = 0.3;
 
@@ -36,9 +36,9 @@
     if (clock.now > until) return;
     for (const host of simulation.hosts)
       for (let i = 0; i < REQUESTS_PER_CONTROLLER; i++)
-        clock.after(random.between(0, WITHIN_MS), () => pollOnce(simulation, id, host));
+        clock.after(random.between(0, REQUEST_WINDOW_MS), () => pollOnce(simulation, id, host));
     if (random.next() < cancelShare)
-      clock.after(random.between(0, WITHIN_MS), () =>
+      clock.after(random.between(0, REQUEST_WINDOW_MS), () =>
         simulation.cancel(id, random.pick(simulation.hosts)),
       );
   };
