--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -6,14 +6,14 @@
 const REQUESTS_PER_CONTROLLER = 3;
 const REQUEST_WINDOW_MS = 40;
 /** Share of the requests that are repeated submissions. */
-const REPEATED_SHARE = 0.3;
+const RESUBMISSION_SHARE = 0.3;
 
 /** Polls a job at one controller, or submits it once more; the rules judge the response. */
 function pollOnce(simulation: Simulation, id: string, host: string): void {
   const { checker, random } = simulation;
   const spec = simulation.users.specOf(id);
   if (spec === undefined) return;
-  const repeated = random.next() < REPEATED_SHARE;
+  const repeated = random.next() < RESUBMISSION_SHARE;
   const before = checker.visibleState(id);
   simulation.observedEvents.record('poll after a change');
   simulation.sendRequest(
