--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -13,14 +13,14 @@
   const { checker, random } = simulation;
   const spec = simulation.users.specOf(id);
   if (spec === undefined) return;
-  const repeated = random.next() < RESUBMISSION_SHARE;
+  const resubmits = random.next() < RESUBMISSION_SHARE;
   const before = checker.visibleState(id);
   simulation.observedEvents.record('poll after a change');
   simulation.sendRequest(
-    repeated ? 'POST' : 'GET',
-    repeated ? '/submissions' : `/submissions/${id}`,
-    repeated ? writeJobSpec(spec) : undefined,
-    (status, state) => checker.responseReceived(id, status, state, repeated, before),
+    resubmits ? 'POST' : 'GET',
+    resubmits ? '/submissions' : `/submissions/${id}`,
+    resubmits ? writeJobSpec(spec) : undefined,
+    (status, state) => checker.responseReceived(id, status, state, resubmits, before),
     host,
   );
 }
