--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -14,13 +14,13 @@
   const spec = simulation.users.specOf(id);
   if (spec === undefined) return;
   const resubmits = random.next() < RESUBMISSION_SHARE;
-  const before = checker.visibleState(id);
+  const stateWhenSent = checker.visibleState(id);
   simulation.observedEvents.record('poll after a change');
   simulation.sendRequest(
     resubmits ? 'POST' : 'GET',
     resubmits ? '/submissions' : `/submissions/${id}`,
     resubmits ? writeJobSpec(spec) : undefined,
-    (status, state) => checker.responseReceived(id, status, state, resubmits, before),
+    (status, state) => checker.responseReceived(id, status, state, resubmits, stateWhenSent),
     host,
   );
 }
