--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -32,7 +32,7 @@
 export function pollAfterChanges(simulation: Simulation, cancelShare: number, ms: number): void {
   const { checker, clock, random } = simulation;
   const until = clock.now + ms;
-  const pollClosely = (id: string): void => {
+  const pollAllControllers = (id: string): void => {
     if (clock.now > until) return;
     for (const host of simulation.hosts)
       for (let i = 0; i < REQUESTS_PER_CONTROLLER; i++)
@@ -42,6 +42,6 @@
         simulation.cancel(id, random.pick(simulation.hosts)),
       );
   };
-  checker.onVisibleChange.push(pollClosely);
-  checker.onLastTaskCompleted.push(pollClosely);
+  checker.onVisibleChange.push(pollAllControllers);
+  checker.onLastTaskCompleted.push(pollAllControllers);
 }
