--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -3,7 +3,7 @@
 import type { SimulatedDeployment } from '../simulated-deployment.js';
 
 /** Spot machines are taken so long after the notice. */
-const RECALL_MS = 10_000;
+const INTERRUPTION_NOTICE_MS = 10_000;
 const RESTART_MS = 6000;
 
 /** What is drawn for a fault. */
@@ -79,6 +79,6 @@
 
 function recallSpotMachine({ cloud, clock }: SimulatedDeployment, { worker }: Draw): void {
   if (worker?.spot !== true) return;
-  worker.noticeInterruption(RECALL_MS);
-  clock.after(RECALL_MS, () => cloud.reclaim(worker.id));
+  worker.noticeInterruption(INTERRUPTION_NOTICE_MS);
+  clock.after(INTERRUPTION_NOTICE_MS, () => cloud.reclaim(worker.id));
 }
