--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -7,14 +7,14 @@
 const RESTART_MS = 6000;
 
 /** What is drawn for a fault. */
-interface Draw {
+interface FaultDraw {
   host: string;
   worker: Worker | undefined;
   durationMs: number;
   restartMs: number;
 }
 
-type RandomFault = (simulation: SimulatedDeployment, draw: Draw) => void;
+type RandomFault = (simulation: SimulatedDeployment, draw: FaultDraw) => void;
 
 /** Kinds of faults, each as likely as the others. */
 const RANDOM_FAULTS: readonly RandomFault[] = [
@@ -53,7 +53,7 @@
 
 function injectRandomFault(simulation: SimulatedDeployment): void {
   const { random, hosts, workers } = simulation;
-  const draw: Draw = {
+  const draw: FaultDraw = {
     host: random.pick(hosts),
     worker: workers.length > 0 ? random.pick(workers) : undefined,
     durationMs: random.between(1000, 45_000),
@@ -64,7 +64,7 @@
 
 function cutWorker(
   { connectionFaults, hosts }: SimulatedDeployment,
-  { worker, durationMs }: Draw,
+  { worker, durationMs }: FaultDraw,
 ): void {
   if (worker === undefined) return;
   for (const host of hosts) connectionFaults.cutFor(host, worker.id, durationMs);
@@ -72,12 +72,12 @@
 
 function deafenWorker(
   { connectionFaults }: SimulatedDeployment,
-  { worker, durationMs }: Draw,
+  { worker, durationMs }: FaultDraw,
 ): void {
   if (worker !== undefined) connectionFaults.blockInbound(worker, durationMs);
 }
 
-function recallSpotMachine({ cloud, clock }: SimulatedDeployment, { worker }: Draw): void {
+function recallSpotMachine({ cloud, clock }: SimulatedDeployment, { worker }: FaultDraw): void {
   if (worker?.spot !== true) return;
   worker.noticeInterruption(INTERRUPTION_NOTICE_MS);
   clock.after(INTERRUPTION_NOTICE_MS, () => cloud.reclaim(worker.id));
