--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -30,7 +30,7 @@
   ({ random }, { worker }) => worker?.hang(random.between(1000, 60_000)),
   (_, { worker }) => worker?.die(),
   ({ random }, { worker }) => worker?.restart(random.between(100, 600)),
-  deafenWorker,
+  blockInboundOfWorker,
   ({ connectionFaults }, { host, durationMs }) => connectionFaults.isolate(host, durationMs),
   ({ processes }) => processes.killElected(),
   ({ processes }, { host, durationMs }) => processes.freeze(host, durationMs),
@@ -70,7 +70,7 @@
   for (const host of hosts) connectionFaults.cutFor(host, worker.id, durationMs);
 }
 
-function deafenWorker(
+function blockInboundOfWorker(
   { connectionFaults }: SimulatedDeployment,
   { worker, durationMs }: FaultDraw,
 ): void {
