--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -38,7 +38,7 @@
   ({ connectionFaults }, { durationMs }) => connectionFaults.refusePeers(durationMs),
   ({ machineFaults }, { durationMs }) => machineFaults.cut(0.3, durationMs),
   ({ processes, random }) => processes.rollingRestart(random.between(2000, 15_000)),
-  recallSpotMachine,
+  interruptSpotMachine,
 ];
 
 /** Injects a fault every now and then, until the simulation is calm. */
@@ -77,7 +77,7 @@
   if (worker !== undefined) connectionFaults.blockInbound(worker, durationMs);
 }
 
-function recallSpotMachine({ cloud, clock }: SimulatedDeployment, { worker }: FaultDraw): void {
+function interruptSpotMachine({ cloud, clock }: SimulatedDeployment, { worker }: FaultDraw): void {
   if (worker?.spot !== true) return;
   worker.noticeInterruption(INTERRUPTION_NOTICE_MS);
   clock.after(INTERRUPTION_NOTICE_MS, () => cloud.reclaim(worker.id));
