--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -42,12 +42,12 @@
 ];
 
 /** Injects a fault every now and then, until the simulation is calm. */
-export function injectRandomFaults(simulation: SimulatedDeployment, everyMs: number): void {
+export function injectRandomFaults(simulation: SimulatedDeployment, meanIntervalMs: number): void {
   const { clock, random } = simulation;
-  clock.after(everyMs * random.between(0.3, 1.7), () => {
+  clock.after(meanIntervalMs * random.between(0.3, 1.7), () => {
     if (simulation.faultsStopped) return;
     injectRandomFault(simulation);
-    injectRandomFaults(simulation, everyMs);
+    injectRandomFaults(simulation, meanIntervalMs);
   });
 }
 
