--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -3,7 +3,7 @@
 import type { Simulation } from '../simulation.js';
 
 /** Time between two such requests. */
-const BETWEEN_MS = { least: 300, most: 900 };
+const REQUEST_INTERVAL_MS = { least: 300, most: 900 };
 /** More cores than any machine has. */
 const TOO_MANY_CORES = 1e6;
 
@@ -13,7 +13,7 @@
   const until = clock.now + ms;
   const again = (): void => {
     if (clock.now > until) return;
-    clock.after(random.between(BETWEEN_MS.least, BETWEEN_MS.most), again);
+    clock.after(random.between(REQUEST_INTERVAL_MS.least, REQUEST_INTERVAL_MS.most), again);
     const known = checker.jobs.accepted();
     const id = known.length > 0 ? random.pick(known) : '';
     const spec = users.specOf(id);
