--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -11,9 +11,9 @@
 export function sendUnusualRequests(simulation: Simulation, ms: number): void {
   const { clock, random, checker, users } = simulation;
   const until = clock.now + ms;
-  const again = (): void => {
+  const sendNext = (): void => {
     if (clock.now > until) return;
-    clock.after(random.between(REQUEST_INTERVAL_MS.least, REQUEST_INTERVAL_MS.most), again);
+    clock.after(random.between(REQUEST_INTERVAL_MS.least, REQUEST_INTERVAL_MS.most), sendNext);
     const known = checker.jobs.accepted();
     const id = known.length > 0 ? random.pick(known) : '';
     const spec = users.specOf(id);
@@ -22,7 +22,7 @@
     else if (random.next() < 0.5) users.resubmit(id);
     else submitOdd(simulation, spec);
   };
-  again();
+  sendNext();
 }
 
 /** Submits a job like the one given that can't run or lacks a field. */
