--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -14,8 +14,8 @@
   const sendNext = (): void => {
     if (clock.now > until) return;
     clock.after(random.between(REQUEST_INTERVAL_MS.least, REQUEST_INTERVAL_MS.most), sendNext);
-    const known = checker.jobs.accepted();
-    const id = known.length > 0 ? random.pick(known) : '';
+    const acceptedIds = checker.jobs.accepted();
+    const id = acceptedIds.length > 0 ? random.pick(acceptedIds) : '';
     const spec = users.specOf(id);
     if (spec === undefined) return;
     if (checker.visibleState(id).done) users.cancel(id);
