--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -20,13 +20,13 @@
     if (spec === undefined) return;
     if (checker.visibleState(id).done) users.cancel(id);
     else if (random.next() < 0.5) users.resubmit(id);
-    else submitOdd(simulation, spec);
+    else submitInvalidJob(simulation, spec);
   };
   sendNext();
 }
 
 /** Submits a job like the one given that can't run or lacks a field. */
-function submitOdd(simulation: Simulation, spec: JobSpec): void {
+function submitInvalidJob(simulation: Simulation, spec: JobSpec): void {
   const { random, checker, users } = simulation;
   const odd = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
   if (random.next() < 0.5) odd['cores'] = TOO_MANY_CORES;
