--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -28,10 +28,11 @@
 /** Submits a job like the one given that can't run or lacks a field. */
 function submitInvalidJob(simulation: Simulation, spec: JobSpec): void {
   const { random, checker, users } = simulation;
-  const odd = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
-  if (random.next() < 0.5) odd['cores'] = TOO_MANY_CORES;
-  else Reflect.deleteProperty(odd, random.pick(['duties', 'loaners', 'scatter', 'expect_s']));
-  users.sendRequest('POST', '/submissions', odd, (status) => {
-    if (status === 200 || status === 201) checker.invalidJobAccepted(String(odd['id']));
+  const invalidJob = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
+  if (random.next() < 0.5) invalidJob['cores'] = TOO_MANY_CORES;
+  else
+    Reflect.deleteProperty(invalidJob, random.pick(['duties', 'loaners', 'scatter', 'expect_s']));
+  users.sendRequest('POST', '/submissions', invalidJob, (status) => {
+    if (status === 200 || status === 201) checker.invalidJobAccepted(String(invalidJob['id']));
   });
 }
