--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -37,7 +37,7 @@
 
 const MAX_KILLED_LEADERS = 10;
 /** The leader ends within this time after a machine is up, or after the first task on it starts. */
-const AFTER_BOOT_MS = 1500;
+const KILL_AFTER_BOOT_MS = 1500;
 const AFTER_START_MS = 300;
 
 /** Begins faults of controllers. */
@@ -86,7 +86,7 @@
       simulation.kill(leader, restartMs);
     });
   };
-  cloud.onBoot.push(() => killWithin(AFTER_BOOT_MS));
+  cloud.onBoot.push(() => killWithin(KILL_AFTER_BOOT_MS));
   checker.onTaskStart.push(({ machine }) => {
     if (cloud.ageMs(machine) < NEW_MACHINE_MS) killWithin(AFTER_START_MS);
   });
