--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -74,12 +74,12 @@
 ): void {
   const { clock, random, cloud, checker } = simulation;
   const until = clock.now + durationMs;
-  let planned = false;
+  let killScheduled = false;
   const killWithin = (ms: number): void => {
-    if (planned || clock.now > until) return;
-    planned = true;
+    if (killScheduled || clock.now > until) return;
+    killScheduled = true;
     clock.after(random.between(0, ms), () => {
-      planned = false;
+      killScheduled = false;
       const { leader } = simulation;
       if (leader === null) return;
       simulation.observedEvents.record('leader killed beside a new machine');
