--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -75,7 +75,7 @@
   const { clock, random, cloud, checker } = simulation;
   const until = clock.now + durationMs;
   let killScheduled = false;
-  const killWithin = (ms: number): void => {
+  const scheduleKillWithin = (ms: number): void => {
     if (killScheduled || clock.now > until) return;
     killScheduled = true;
     clock.after(random.between(0, ms), () => {
@@ -86,9 +86,9 @@
       simulation.kill(leader, restartMs);
     });
   };
-  cloud.onBoot.push(() => killWithin(KILL_AFTER_BOOT_MS));
+  cloud.onBoot.push(() => scheduleKillWithin(KILL_AFTER_BOOT_MS));
   checker.onTaskStart.push(({ machine }) => {
-    if (cloud.ageMs(machine) < NEW_MACHINE_MS) killWithin(KILL_AFTER_TASK_START_MS);
+    if (cloud.ageMs(machine) < NEW_MACHINE_MS) scheduleKillWithin(KILL_AFTER_TASK_START_MS);
   });
 }
 
