--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -94,10 +94,10 @@
 
 function cutZone(simulation: Simulation, { zone, inside }: ZoneCut, ms: number): void {
   const host = hostsOf(simulation, inside === 'leader' ? 'leader' : 'others')[0] ?? '';
-  const site = inside === 'single' ? zone : simulation.zoneOf(host);
-  if (site === undefined) return simulation.connectionFaults.cutZone(zone, [host], ms);
-  const hostsInside = simulation.hosts.filter((other) => simulation.zoneOf(other) === site);
-  simulation.connectionFaults.cutZone(site, hostsInside, ms);
+  const zoneToCut = inside === 'single' ? zone : simulation.zoneOf(host);
+  if (zoneToCut === undefined) return simulation.connectionFaults.cutZone(zone, [host], ms);
+  const hostsInside = simulation.hosts.filter((other) => simulation.zoneOf(other) === zoneToCut);
+  simulation.connectionFaults.cutZone(zoneToCut, hostsInside, ms);
   observeZoneCut(simulation, hostsInside, ms);
 }
 
