--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -37,7 +37,7 @@
 }
 
 /** Cancellations are spread over this time. */
-const CANCEL_WITHIN_MS = 200;
+const CANCEL_WINDOW_MS = 200;
 const CANCEL_AFTER_HANDOVER_MS = 2500;
 /** Jobs of a stream that are cancelled are so within this time of their submission. */
 const CANCEL_IN_STREAM_MS = 12_000;
@@ -81,7 +81,7 @@
   const others = hostsOf(simulation, 'others');
   for (const id of simulation.checker.jobs.running().slice(0, count)) {
     const host = elsewhere ? random.pick(others) : undefined;
-    clock.after(random.between(0, CANCEL_WITHIN_MS), () => {
+    clock.after(random.between(0, CANCEL_WINDOW_MS), () => {
       for (const worker of simulation.workersOf(id)) {
         if (hang > 0) worker.hang(hang * 1000);
         if (cut > 0) connectionFaults.cutMachine(worker, cut * 1000);
