--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -40,7 +40,7 @@
 const CANCEL_WINDOW_MS = 200;
 const CANCEL_AFTER_HANDOVER_MS = 2500;
 /** Jobs of a stream that are cancelled are so within this time of their submission. */
-const CANCEL_IN_STREAM_MS = 12_000;
+const MAX_CANCEL_DELAY_MS = 12_000;
 const POLL_EVERY_MS = 1000;
 
 /** Begins actions of users. */
@@ -67,7 +67,7 @@
   for (let atMs = 0; atMs < durationMs; atMs += 1000 / perSecond)
     clock.after(atMs, () => {
       const cancelled = random.next() < cancelShare;
-      const cancelAfterMs = cancelled ? random.between(0, CANCEL_IN_STREAM_MS) : null;
+      const cancelAfterMs = cancelled ? random.between(0, MAX_CANCEL_DELAY_MS) : null;
       simulation.submit(simulation.jobWith(template), cancelAfterMs);
     });
 }
