--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -38,7 +38,7 @@
 
 /** Cancellations are spread over this time. */
 const CANCEL_WINDOW_MS = 200;
-const CANCEL_AFTER_HANDOVER_MS = 2500;
+const MAX_CANCEL_DELAY_AFTER_HANDOVER_MS = 2500;
 /** Jobs of a stream that are cancelled are so within this time of their submission. */
 const MAX_CANCEL_DELAY_MS = 12_000;
 const POLL_EVERY_MS = 1000;
@@ -115,7 +115,7 @@
   simulation.processes.onLog.push((text) => {
     if (text !== 'no longer leader' || clock.now > until) return;
     for (const id of checker.jobs.running().slice(0, count))
-      clock.after(random.between(0, CANCEL_AFTER_HANDOVER_MS), () =>
+      clock.after(random.between(0, MAX_CANCEL_DELAY_AFTER_HANDOVER_MS), () =>
         simulation.cancel(id, random.pick(simulation.hosts)),
       );
   });
