--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -78,9 +78,9 @@
   { count, hang = 0, cut = 0, elsewhere = false }: Cancellations,
 ): void {
   const { clock, random, connectionFaults } = simulation;
-  const others = hostsOf(simulation, 'others');
+  const followers = hostsOf(simulation, 'others');
   for (const id of simulation.checker.jobs.running().slice(0, count)) {
-    const host = elsewhere ? random.pick(others) : undefined;
+    const host = elsewhere ? random.pick(followers) : undefined;
     clock.after(random.between(0, CANCEL_WINDOW_MS), () => {
       for (const worker of simulation.workersOf(id)) {
         if (hang > 0) worker.hang(hang * 1000);
