--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -9,7 +9,7 @@
 } from './fault-scenario.js';
 
 /** Work of which a few jobs take all that a team may use. */
-const atLimit: Partial<JobSpec> = {
+const teamFillingJobs: Partial<JobSpec> = {
   ...{ ...longJobs, estimatedRunS: 90, tasks: 10, gpus: 1, priority: 'normal', types: null },
   ...{ zone: null, spot: true },
 };
@@ -59,10 +59,10 @@
   },
   {
     name: 'every team at its limit, cancellations whose machines are cut off or hang, a new leader',
-    jobs: { ...atLimit, team: 'red' },
+    jobs: { ...teamFillingJobs, team: 'red' },
     jobCount: 3,
     faults: (between) => [
-      { kind: 'jobsSubmitted', count: 4, template: { ...atLimit, team: 'blue' }, at: 0 },
+      { kind: 'jobsSubmitted', count: 4, template: { ...teamFillingJobs, team: 'blue' }, at: 0 },
       { kind: 'jobsCancelled', count: 2, cut: between(5, 50), at: 45 },
       {
         kind: 'controllersKilled',
@@ -70,8 +70,8 @@
         restartAfter: between(0.2, 6),
         at: between(44.5, 47),
       },
-      { kind: 'jobsSubmitted', count: 2, template: { ...atLimit, team: 'red' }, at: 46 },
-      { kind: 'jobsSubmitted', count: 2, template: { ...atLimit, team: 'blue' }, at: 46 },
+      { kind: 'jobsSubmitted', count: 2, template: { ...teamFillingJobs, team: 'red' }, at: 46 },
+      { kind: 'jobsSubmitted', count: 2, template: { ...teamFillingJobs, team: 'blue' }, at: 46 },
       { kind: 'jobsCancelled', count: 2, hang: between(5, 40), at: 75 },
       {
         kind: 'controllersKilled',
