--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -8,7 +8,7 @@
 } from './fault-scenario.js';
 
 /** One-task jobs that are soon done. */
-const brief: Partial<JobSpec> = { ...longJobs, tasks: 1, estimatedRunS: 5 };
+const shortJobs: Partial<JobSpec> = { ...longJobs, tasks: 1, estimatedRunS: 5 };
 
 /** What users are told: many polls at once, lost responses, many short jobs, a slow network. */
 export const responseScenarios: FaultScenario[] = [
@@ -34,10 +34,10 @@
   },
   {
     name: 'one-task jobs four a second, a quarter of them cancelled',
-    jobs: brief,
+    jobs: shortJobs,
     jobCount: 4,
     faults: (between) => [
-      { kind: 'jobStream', perSecond: 4, cancelShare: 0.25, template: brief, at: 0, for: 120 },
+      { kind: 'jobStream', perSecond: 4, cancelShare: 0.25, template: shortJobs, at: 0, for: 120 },
       {
         kind: 'controllersKilled',
         target: 'leader',
