--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -20,7 +20,7 @@
 
 const OUTAGE_MS = 8000;
 const RECLAIMED_SPOT_SHARE = 0.75;
-const SPOT_WITHIN_MS = 8000;
+const RECLAIM_WINDOW_MS = 8000;
 const RESTART_MS = 6000;
 const LOST_ZONE = 'b';
 const ZONE_LOST_MS = 30_000;
@@ -43,7 +43,7 @@
   );
   clock.after(SCHEDULE.outage, () => simulation.stateStore.outage(OUTAGE_MS));
   clock.after(SCHEDULE.spotReclaimed, () =>
-    simulation.machineFaults.reclaimSpot(RECLAIMED_SPOT_SHARE, SPOT_WITHIN_MS),
+    simulation.machineFaults.reclaimSpot(RECLAIMED_SPOT_SHARE, RECLAIM_WINDOW_MS),
   );
   clock.after(SCHEDULE.allKilled, () => {
     for (const host of deployment.hosts) simulation.kill(host, RESTART_MS);
