--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -16,7 +16,7 @@
 const SCALED_UNTIL_S = 10;
 
 /** A time of a scenario's table, as a time of the deployment with short leases. */
-function moment(seconds: number): number {
+function scaledTime(seconds: number): number {
   const early = Math.min(seconds, SCALED_UNTIL_S);
   return early * LEASE_RATIO + (seconds - early);
 }
@@ -27,7 +27,7 @@
 }
 
 function scaled(fault: Fault): Fault {
-  const t = { ...fault, at: moment(fault.at) };
+  const t = { ...fault, at: scaledTime(fault.at) };
   if (t.for !== undefined && LEASE_RELATED.has(t.kind)) t.for = span(t.for);
   if ('hang' in t) t.hang = span(t.hang);
   if ('cut' in t) t.cut = span(t.cut);
