--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -22,15 +22,15 @@
 }
 
 /** A span of time: one longer than `cancel_s` stays so, others keep their ratio to the lease. */
-function span(seconds: number): number {
+function scaledDuration(seconds: number): number {
   return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
 }
 
 function scaled(fault: Fault): Fault {
   const t = { ...fault, at: scaledTime(fault.at) };
-  if (t.for !== undefined && LEASE_RELATED.has(t.kind)) t.for = span(t.for);
-  if ('hang' in t) t.hang = span(t.hang);
-  if ('cut' in t) t.cut = span(t.cut);
+  if (t.for !== undefined && LEASE_RELATED.has(t.kind)) t.for = scaledDuration(t.for);
+  if ('hang' in t) t.hang = scaledDuration(t.hang);
+  if ('cut' in t) t.cut = scaledDuration(t.cut);
   return t;
 }
 
