--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -17,8 +17,8 @@
 
 /** A time of a scenario's table, as a time of the deployment with short leases. */
 function scaledTime(seconds: number): number {
-  const early = Math.min(seconds, SCALED_UNTIL_S);
-  return early * LEASE_RATIO + (seconds - early);
+  const scaledPart = Math.min(seconds, SCALED_UNTIL_S);
+  return scaledPart * LEASE_RATIO + (seconds - scaledPart);
 }
 
 /** A span of time: one longer than `cancel_s` stays so, others keep their ratio to the lease. */
