--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -26,7 +26,7 @@
   return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
 }
 
-function scaled(fault: Fault): Fault {
+function scaleFault(fault: Fault): Fault {
   const t = { ...fault, at: scaledTime(fault.at) };
   if (t.for !== undefined && LEASE_RELATED.has(t.kind)) t.for = scaledDuration(t.for);
   if ('hang' in t) t.hang = scaledDuration(t.hang);
@@ -53,7 +53,7 @@
   return {
     ...scenario,
     deployment: scenario.deployment === undefined ? shortLeases : shortLeasesWithLowerLimits,
-    faults: (between) => scenario.faults(between).map(scaled),
+    faults: (between) => scenario.faults(between).map(scaleFault),
   };
 }
 
