--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -27,11 +27,12 @@
 }
 
 function scaleFault(fault: Fault): Fault {
-  const t = { ...fault, at: scaledTime(fault.at) };
-  if (t.for !== undefined && LEASE_RELATED.has(t.kind)) t.for = scaledDuration(t.for);
-  if ('hang' in t) t.hang = scaledDuration(t.hang);
-  if ('cut' in t) t.cut = scaledDuration(t.cut);
-  return t;
+  const scaledFault = { ...fault, at: scaledTime(fault.at) };
+  if (scaledFault.for !== undefined && LEASE_RELATED.has(scaledFault.kind))
+    scaledFault.for = scaledDuration(scaledFault.for);
+  if ('hang' in scaledFault) scaledFault.hang = scaledDuration(scaledFault.hang);
+  if ('cut' in scaledFault) scaledFault.cut = scaledDuration(scaledFault.cut);
+  return scaledFault;
 }
 
 /** Faults whose length matters beside the leases; others say for how long something goes on. */
