--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -12,7 +12,7 @@
 const START_MS = 15_000;
 const FAULTS_MS = 200_000;
 /** Quiet time in which the work has to be finished, and no rule may break. */
-const QUIET_MS = 400_000;
+const RECOVERY_MS = 400_000;
 
 /** Plays a scenario without other faults; throws where a rule is violated. */
 export function playScenario(
@@ -38,7 +38,7 @@
   );
   simulation.play(FAULTS_MS);
   simulation.stopFaults(0);
-  simulation.play(QUIET_MS);
+  simulation.play(RECOVERY_MS);
   return simulation;
 }
 
