--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -42,7 +42,7 @@
   return simulation;
 }
 
-const FIRST = Number(process.env['SCENARIO_FIRST'] ?? 1);
+const FIRST_SEED = Number(process.env['SCENARIO_FIRST'] ?? 1);
 
 function playSeed(scenario: FaultScenario, seed: number): void {
   const simulation = playScenario(scenario, seed);
@@ -61,7 +61,7 @@
   describe(title, () => {
     for (const scenario of faultScenarios)
       it(scenario.name, () => {
-        for (let seed = FIRST; seed < FIRST + seeds; seed++)
+        for (let seed = FIRST_SEED; seed < FIRST_SEED + seeds; seed++)
           try {
             playSeed(scenario, seed);
           } catch (err) {
