--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -47,8 +47,8 @@
 function playSeed(scenario: FaultScenario, seed: number): void {
   const simulation = playScenario(scenario, seed);
   assert.deepEqual(simulation.checker.jobs.unfinished(), [], 'never finished');
-  for (const [event, times] of Object.entries(scenario.expectedEvents(simulation)))
-    assert.ok(times > 0, `${event} did not happen`);
+  for (const [event, count] of Object.entries(scenario.expectedEvents(simulation)))
+    assert.ok(count > 0, `${event} did not happen`);
 }
 
 /** Makes a test of each scenario, which plays it with several seeds. */
