--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -55,9 +55,9 @@
 export function testScenarios(
   title: string,
   faultScenarios: readonly FaultScenario[],
-  usualSeeds = 3,
+  defaultSeeds = 3,
 ): void {
-  const seeds = Number(process.env['SCENARIO_SEEDS'] ?? usualSeeds);
+  const seeds = Number(process.env['SCENARIO_SEEDS'] ?? defaultSeeds);
   describe(title, () => {
     for (const scenario of faultScenarios)
       it(scenario.name, () => {
