--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -119,7 +119,7 @@
       { kind: 'jobsSubmitted', count: 6, at: 60 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation) - 4,
+      failovers: failovers(simulation) - 4,
       cancelled: cancelledWhileRunning(simulation),
     }),
   },
