--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -105,7 +105,7 @@
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
-      lost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
   {
