--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -103,7 +103,7 @@
       { kind: 'jobsSubmitted', count: 6, at: 8 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
       expiredLeases: expiredLeases(simulation),
     }),
