--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -89,7 +89,7 @@
       { kind: 'jobsSubmitted', count: 6, at: 10 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       expiredLeases: expiredLeases(simulation),
     }),
   },
