--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -76,7 +76,7 @@
       },
       { kind: 'jobsCancelled', count: 3, at: 46 },
     ],
-    expectedEvents: (simulation) => ({ leaders: failovers(simulation) - 1 }),
+    expectedEvents: (simulation) => ({ failovers: failovers(simulation) - 1 }),
   },
   {
     name: 'a leader ends while machines are cut off or receive nothing from the next one',
