--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -57,7 +57,7 @@
     expectedEvents: (simulation) => ({
       cancelled: cancelledWhileRunning(simulation),
       leaders: failovers(simulation),
-      copies: simulation.network.duplicatesDelivered,
+      duplicatesDelivered: simulation.network.duplicatesDelivered,
     }),
   },
   {
