--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -56,7 +56,7 @@
     ],
     expectedEvents: (simulation) => ({
       cancelled: cancelledWhileRunning(simulation),
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       duplicatesDelivered: simulation.network.duplicatesDelivered,
     }),
   },
