--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -41,7 +41,7 @@
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
-      leasesLost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
   {
