--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -40,7 +40,7 @@
       { kind: 'machinesHang', share: 0.3, at: 0, for: between(15, 60) },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       expiredLeases: expiredLeases(simulation),
     }),
   },
