--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -22,7 +22,7 @@
     ],
     expectedEvents: (simulation) => ({
       cancelled: cancelledWhileRunning(simulation),
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
     }),
   },
   {
