--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -181,7 +181,7 @@
       { kind: 'jobsCancelled', count: 3, at: between(4, 10) },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
     }),
   },
