--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -161,7 +161,7 @@
       { kind: 'machinesRestart', share: 0.5, restartAfter: between(0.1, 0.9), at: 40 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation) - 3,
+      failovers: failovers(simulation) - 3,
       cancelled: cancelledWhileRunning(simulation),
     }),
   },
