--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -144,7 +144,7 @@
     ],
     expectedEvents: (simulation) => ({
       copies: simulation.network.duplicatesDelivered - 20,
-      leaders: failovers(simulation) - 1,
+      failovers: failovers(simulation) - 1,
     }),
   })),
   {
