--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -143,7 +143,7 @@
       { kind: 'controllersIsolated', target: 'leader', at: between(45, 50), for: 20 },
     ],
     expectedEvents: (simulation) => ({
-      copies: simulation.network.duplicatesDelivered - 20,
+      duplicatesDelivered: simulation.network.duplicatesDelivered - 20,
       failovers: failovers(simulation) - 1,
     }),
   })),
