--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -125,7 +125,7 @@
     expectedEvents: (simulation) => ({
       late: simulation.network.delayedCommandsDelivered,
       older: simulation.observedEvents.count('direct command of an older leader'),
-      leaders: failovers(simulation) - 1,
+      failovers: failovers(simulation) - 1,
     }),
   },
   ...[0, 4].map((after): FaultScenario => ({
