--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -124,7 +124,7 @@
     ],
     expectedEvents: (simulation) => ({
       late: simulation.network.delayedCommandsDelivered,
-      older: simulation.observedEvents.count('direct command of an older leader'),
+      commandsOfOlderLeaders: simulation.observedEvents.count('direct command of an older leader'),
       failovers: failovers(simulation) - 1,
     }),
   },
