--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -123,7 +123,7 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      late: simulation.network.delayedCommandsDelivered,
+      delayedCommands: simulation.network.delayedCommandsDelivered,
       commandsOfOlderLeaders: simulation.observedEvents.count('direct command of an older leader'),
       failovers: failovers(simulation) - 1,
     }),
