--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -98,7 +98,7 @@
       { kind: 'cutOffFromWorkers', target: 'leader', at: 65, for: 15 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation) - 1,
+      failovers: failovers(simulation) - 1,
       cancelled: simulation.observedEvents.count('cancelled at a handover'),
     }),
   },
