--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -81,7 +81,7 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: simulation.observedEvents.count('cancelled with every team at its limit'),
       leaderKills: simulation.observedEvents.count('leader killed with every team at its limit'),
     }),
