--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -53,7 +53,7 @@
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
-      ended: simulation.observedEvents.count('leader killed beside a new machine'),
+      leaderKills: simulation.observedEvents.count('leader killed beside a new machine'),
       tasksStarted: simulation.observedEvents.count('task started on a new machine'),
     }),
   },
