--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -52,7 +52,7 @@
       { kind: 'machinesLost', share: 0.4, at: 35 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       leaderKills: simulation.observedEvents.count('leader killed beside a new machine'),
       tasksStarted: simulation.observedEvents.count('task started on a new machine'),
     }),
