--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -34,7 +34,7 @@
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
-      lost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
   {
