--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -32,7 +32,7 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
       expiredLeases: expiredLeases(simulation),
     }),
