--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -70,6 +70,6 @@
       { kind: 'machinesLost', share: 0.2, at: between(5, 20) },
       { kind: 'controllersKilled', target: 'leader', restartAfter: 6, at: between(10, 25) },
     ],
-    expectedEvents: (simulation) => ({ leaders: failovers(simulation) }),
+    expectedEvents: (simulation) => ({ failovers: failovers(simulation) }),
   },
 ];
