--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -58,7 +58,7 @@
     expectedEvents: (simulation) => ({
       copies: simulation.network.duplicatesDelivered,
       leaders: failovers(simulation),
-      leasesLost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
   {
