--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -57,7 +57,7 @@
     ],
     expectedEvents: (simulation) => ({
       copies: simulation.network.duplicatesDelivered,
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       expiredLeases: expiredLeases(simulation),
     }),
   },
