--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -56,7 +56,7 @@
       { kind: 'jobsSubmitted', count: 10, at: 75 },
     ],
     expectedEvents: (simulation) => ({
-      copies: simulation.network.duplicatesDelivered,
+      duplicatesDelivered: simulation.network.duplicatesDelivered,
       failovers: failovers(simulation),
       expiredLeases: expiredLeases(simulation),
     }),
