--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -37,7 +37,7 @@
     expectedEvents: (simulation) => ({
       cancelled: cancelledWhileRunning(simulation),
       leasesLost: expiredLeases(simulation),
-      commands: simulation.observedEvents.count(
+      directCommands: simulation.observedEvents.count(
         'direct command to a machine with blocked heartbeats',
       ),
     }),
