--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -36,7 +36,7 @@
     ],
     expectedEvents: (simulation) => ({
       cancelled: cancelledWhileRunning(simulation),
-      leasesLost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
       directCommands: simulation.observedEvents.count(
         'direct command to a machine with blocked heartbeats',
       ),
