--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -106,7 +106,7 @@
       { kind: 'machinesLost', share: 0.3, at: 25 },
     ],
     expectedEvents: (simulation) => ({
-      started: simulation.checker.startedTasks,
+      startedTasks: simulation.checker.startedTasks,
       cancelled: cancelledWhileRunning(simulation),
     }),
   },
