--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -87,7 +87,7 @@
       { kind: 'jobsSubmitted', count: 6, at: 18 },
     ],
     expectedEvents: (simulation) => ({
-      asked: simulation.observedEvents.count('request in an outage') - 200,
+      requestsInOutage: simulation.observedEvents.count('request in an outage') - 200,
     }),
   },
   {
