--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -70,7 +70,7 @@
     ],
     expectedEvents: (simulation) => ({
       read: simulation.stateStore.readsOfUnansweredWrites,
-      looks: simulation.observedEvents.count('poll after a change'),
+      polls: simulation.observedEvents.count('poll after a change'),
       cancelled: simulation.checker.jobs.countEnded('cancelled'),
     }),
   },
