--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -69,7 +69,7 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      read: simulation.stateStore.readsOfUnansweredWrites,
+      readsOfUnansweredWrites: simulation.stateStore.readsOfUnansweredWrites,
       polls: simulation.observedEvents.count('poll after a change'),
       cancelled: simulation.checker.jobs.countEnded('cancelled'),
     }),
