--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -46,7 +46,7 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       done: simulation.checker.jobs.countEnded('done') - 250,
       cancelled: simulation.checker.jobs.countEnded('cancelled') - 40,
     }),
