--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -27,7 +27,7 @@
       { kind: 'jobsSubmitted', count: 8, at: 55 },
     ],
     expectedEvents: (simulation) => ({
-      looks: simulation.observedEvents.count('poll after a change'),
+      polls: simulation.observedEvents.count('poll after a change'),
       done: simulation.checker.jobs.countEnded('done'),
       cancelled: simulation.checker.jobs.countEnded('cancelled'),
     }),
