--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -101,7 +101,7 @@
       leaders: failovers(simulation),
       work: simulation.observedEvents.count('task started while a zone is cut off'),
       cancelled: cancelledWhileRunning(simulation),
-      lost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
 ];
