--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -99,7 +99,7 @@
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
-      work: simulation.observedEvents.count('task started while a zone is cut off'),
+      tasksStarted: simulation.observedEvents.count('task started while a zone is cut off'),
       cancelled: cancelledWhileRunning(simulation),
       expiredLeases: expiredLeases(simulation),
     }),
