--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -98,7 +98,7 @@
       { kind: 'jobsSubmitted', count: 6, template: longJobs, at: 16 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       tasksStarted: simulation.observedEvents.count('task started while a zone is cut off'),
       cancelled: cancelledWhileRunning(simulation),
       expiredLeases: expiredLeases(simulation),
