--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -75,7 +75,7 @@
       leaders: failovers(simulation),
       alone: simulation.observedEvents.count('leader alone in its zone'),
       elected: simulation.observedEvents.count('leader elected outside a zone that is cut off'),
-      work: simulation.observedEvents.count('task started while a zone is cut off'),
+      tasksStarted: simulation.observedEvents.count('task started while a zone is cut off'),
       cancelled: cancelledWhileRunning(simulation),
       expiredLeases: expiredLeases(simulation),
     }),
