--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -73,7 +73,7 @@
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
-      alone: simulation.observedEvents.count('leader alone in its zone'),
+      leaderAloneInZone: simulation.observedEvents.count('leader alone in its zone'),
       leaderElectedOutside: simulation.observedEvents.count(
         'leader elected outside a zone that is cut off',
       ),
