--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -72,7 +72,7 @@
       { kind: 'jobsSubmitted', count: 6, template: longJobs, at: 16 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       leaderAloneInZone: simulation.observedEvents.count('leader alone in its zone'),
       leaderElectedOutside: simulation.observedEvents.count(
         'leader elected outside a zone that is cut off',
