--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -118,7 +118,7 @@
       { kind: 'controllersKilled', target: 'all', restartAfter: 1, at: 35 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation) - 1,
+      failovers: failovers(simulation) - 1,
       cancelled: cancelledWhileRunning(simulation),
       withinLimits: simulation.stateStore.tooLarge === 0 ? 1 : 0,
     }),
