--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -87,7 +87,7 @@
     expectedEvents: (simulation) => ({
       applied: simulation.stateStore.lateCommits.applied,
       refused: simulation.stateStore.lateCommits.refused,
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
     }),
   },
   {
