--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -86,7 +86,7 @@
     ],
     expectedEvents: (simulation) => ({
       applied: simulation.stateStore.lateCommits.applied,
-      refused: simulation.stateStore.lateCommits.refused,
+      lateCommitsRefused: simulation.stateStore.lateCommits.refused,
       failovers: failovers(simulation),
     }),
   },
