--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -85,7 +85,7 @@
       { kind: 'jobsSubmitted', count: 8, at: 45 },
     ],
     expectedEvents: (simulation) => ({
-      applied: simulation.stateStore.lateCommits.applied,
+      lateCommitsApplied: simulation.stateStore.lateCommits.applied,
       lateCommitsRefused: simulation.stateStore.lateCommits.refused,
       failovers: failovers(simulation),
     }),
