--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -67,7 +67,8 @@
     ],
     expectedEvents: (simulation) => ({
       cancelled: cancelledWhileRunning(simulation),
-      late: simulation.stateStore.lateCommits.applied + simulation.stateStore.lateCommits.refused,
+      lateCommits:
+        simulation.stateStore.lateCommits.applied + simulation.stateStore.lateCommits.refused,
     }),
   },
   {
