--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -38,7 +38,7 @@
     ],
     expectedEvents: (simulation) => ({
       cancelled: cancelledWhileRunning(simulation),
-      gaps: leaseGaps(simulation) + failovers(simulation),
+      leaseGapsOrFailovers: leaseGaps(simulation) + failovers(simulation),
     }),
   },
   {
