--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -22,7 +22,7 @@
     ],
     expectedEvents: (simulation) => ({
       cancelled: simulation.observedEvents.count('cancelled while the leader alone is refused'),
-      leasesLost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
   {
