--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -116,7 +116,7 @@
       ended: simulation.replicasEnded,
       leaders: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
-      copies: simulation.network.duplicatesDelivered,
+      duplicatesDelivered: simulation.network.duplicatesDelivered,
     }),
   },
 ];
