--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -114,7 +114,7 @@
     ],
     expectedEvents: (simulation) => ({
       ended: simulation.replicasEnded,
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
       duplicatesDelivered: simulation.network.duplicatesDelivered,
     }),
