--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -113,7 +113,7 @@
       { kind: 'jobsCancelled', count: 1, at: 75 },
     ],
     expectedEvents: (simulation) => ({
-      ended: simulation.replicasEnded,
+      replicasEnded: simulation.replicasEnded,
       failovers: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
       duplicatesDelivered: simulation.network.duplicatesDelivered,
