--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -63,7 +63,7 @@
       { kind: 'machinesHang', share: 0.3, at: between(5, 15), for: between(5, 40) },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
     }),
   },
