--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -42,7 +42,7 @@
       { kind: 'machinesLost', share: 0.3, at: 5 },
       { kind: 'slowStateStore', at: 0, for: 60 },
     ],
-    expectedEvents: (simulation) => ({ started: simulation.checker.startedTasks }),
+    expectedEvents: (simulation) => ({ startedTasks: simulation.checker.startedTasks }),
   },
   {
     name: 'a team at its limit, a new leader, machines that are cut off, a cancellation',
