--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -31,7 +31,7 @@
     ],
     expectedEvents: (simulation) => ({
       leaders: failovers(simulation),
-      copies: simulation.network.duplicatesDelivered,
+      duplicatesDelivered: simulation.network.duplicatesDelivered,
     }),
   },
   {
