--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -30,7 +30,7 @@
       { kind: 'controllersKilled', target: 'leader', restartAfter: 0.3, at: between(25, 40) },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       duplicatesDelivered: simulation.network.duplicatesDelivered,
     }),
   },
