--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -17,7 +17,7 @@
         at: between(20, 30),
       },
     ],
-    expectedEvents: (simulation) => ({ leaders: failovers(simulation) }),
+    expectedEvents: (simulation) => ({ failovers: failovers(simulation) }),
   },
   {
     name: 'gangs of two and three, and leaders that change as they end',
