--- a/test/simulation/rules/capacity.ts
+++ b/test/simulation/rules/capacity.ts
@@ -1,16 +1,16 @@
-/** Whether machines have free capacity for a job. */
+/** Computes whether machines have free capacity for a job. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { FreeCapacity } from './placement.js';
 
-/** Capacity that rounding may hide. */
+/** Tolerance for rounding errors in free CPUs, GPUs and gigabytes of memory. */
 const ROUNDING_TOLERANCE = 1e-6;
 
-/** Tasks that a job needs capacity for at one time: a gang for all, others for one. */
+/** How many tasks of a job have to start together: all tasks of a gang, one task of other jobs. */
 export function tasksStartedTogether(spec: JobSpec): number {
   return spec.kind === 'gang' ? spec.tasks : 1;
 }
 
-/** Whether the job's next tasks could be on these machines. */
+/** Whether the machines have capacity for the tasks of the job that have to start together. */
 export function hasCapacity(spec: JobSpec, free: readonly FreeCapacity[]): boolean {
   const tasksByZone = new Map<string, number>();
   for (const machine of free) {
--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -1,15 +1,15 @@
-/** Which groups of jobs were served too little in a scenario as a whole. */
+/** Finds groups of jobs that were served too little over a whole scenario. */
 import type { ObservedJob } from './observed-job.js';
 
-/** The largest jobs of a class have to begin within this time. */
+/** Maximum time from the submission to the start of a class's largest jobs. */
 const LARGEST_MAX_WAIT_MS = 240_000;
-/** Jobs of a class that count as its largest. */
+/** Share of the jobs of a class, those with the most tasks, that count as its largest. */
 const LARGEST_SHARE = 0.1;
 
 /**
- * The operators' rule on a scenario as a whole: at least half of every class, of every team and of
- * every class's largest jobs is served, and the largest begin within four minutes. Returns where
- * that is not so.
+ * Checks the operators' rule for a whole scenario: of every class, of every team and of the largest
+ * jobs of every class at least half have completed all tasks, and the largest jobs started within
+ * four minutes of their submission. Returns a description of each violation.
  */
 export function findNeglectedJobs(jobs: readonly ObservedJob[]): string[] {
   const violations: string[] = [];
@@ -20,7 +20,9 @@
     violations.push(...checkHalfServed(`class ${cls}`, ofClass));
     violations.push(...checkHalfServed(`largest of ${cls}`, largest));
     for (const { spec } of largest.filter(startedLate))
-      violations.push(`largest of ${cls}: ${spec.id} with ${spec.tasks} tasks began too late`);
+      violations.push(
+        `largest of ${cls}: ${spec.id} with ${spec.tasks} tasks did not start within four minutes`,
+      );
   }
   return violations;
 }
@@ -36,7 +38,7 @@
 
 function checkHalfServed(name: string, jobs: readonly ObservedJob[]): string[] {
   const served = jobs.filter((job) => job.completedTasks.size >= job.spec.tasks).length;
-  return served < jobs.length / 2 ? [`${name}: ${served} of ${jobs.length} served`] : [];
+  return served < jobs.length / 2 ? [`${name}: ${served} of ${jobs.length} jobs completed`] : [];
 }
 
 function largestOf(jobs: readonly ObservedJob[]): ObservedJob[] {
--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -1,18 +1,18 @@
-/** What the rule checker knows of one job. */
+/** The state of one job as the rule checker has observed it. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Placement } from './placement.js';
 
-/** What a job's user had been told at some moment. */
+/** What responses had reported about a job at some moment. */
 export interface VisibleState {
   accepted: boolean;
   done: boolean;
   cancelled: boolean;
 }
 
-/** What a user is told of a job for the first time. */
+/** What a response reports about a job for the first time. */
 export type VisibleChange = keyof VisibleState;
 
-/** A submitted job: what its user asked for and was told, and what became of its tasks. */
+/** A submitted job: what users requested, what responses reported, and the state of its tasks. */
 export interface ObservedJob {
   spec: JobSpec;
   submittedAt: number;
@@ -21,18 +21,25 @@
   cancelledAt: number | null;
   reportedDone: boolean;
   completedTasks: Set<number>;
-  /** When its user's first request without a useful response was, since the last that had one. */
+  /**
+   * When a request about the accepted job first failed to get a useful response since the last useful
+   * one; null if none has failed since.
+   */
   unansweredSince: number | null;
-  /** Tasks on machines by zone, and how many in all. */
+  /** Number of tasks on machines, by zone. */
   tasksByZone: Map<string, number>;
+  /** Number of tasks on machines in all zones. */
   tasksOnMachines: number;
-  /** When as many of its tasks were on machines at one time as a gang has, or the first of an array. */
+  /** When all tasks of a gang, or the first task of another job, were on machines; null before. */
   startedAt: number | null;
-  /** Since when none of its tasks has been on a machine though there was capacity for them. */
+  /**
+   * Since when the job has waited, or as a service lacked a replica, although there was capacity for
+   * it; null if that is not the case.
+   */
   runnableSince: number | null;
 }
 
-/** A job that was submitted just now. */
+/** Creates the record of a job that is submitted now. */
 export function newObservedJob(spec: JobSpec, now: number): ObservedJob {
   return {
     ...{ spec, submittedAt: now, accepted: false, cancelRequested: false },
@@ -41,7 +48,7 @@
   };
 }
 
-/** What the job's user has been told so far; undefined: nobody submitted it. */
+/** Returns what responses have reported about the job; `undefined` is a job that nobody submitted. */
 export function visibleStateOf(job: ObservedJob | undefined): VisibleState {
   return {
     accepted: job?.accepted === true,
@@ -50,17 +57,24 @@
   };
 }
 
-/** Whether a machine at this place was not asked for, and how; the task is on it already. */
+/**
+ * Describes each constraint of the job that a task at this placement violates; `tasksByZone` already
+ * includes the task.
+ */
 export function placementViolations(
   { spec, tasksByZone }: ObservedJob,
   placement: Placement,
 ): string[] {
   const violations: string[] = [];
-  if (spec.types !== null && !spec.types.includes(placement.type)) violations.push('type');
-  if (spec.zone !== null && spec.zone !== placement.zone) violations.push('zone');
-  if (placement.spot && !spec.spot) violations.push('spot');
-  if (spec.singleZone && tasksByZone.size > 1) violations.push('two zones');
+  if (spec.types !== null && !spec.types.includes(placement.type))
+    violations.push('is on a machine type that its job excludes');
+  if (spec.zone !== null && spec.zone !== placement.zone)
+    violations.push('is outside the zone that its job requires');
+  if (placement.spot && !spec.spot)
+    violations.push('is on a spot instance, which its job excludes');
+  if (spec.singleZone && tasksByZone.size > 1)
+    violations.push('is not in the zone of the other tasks of its job');
   if (spec.spread && Math.max(...tasksByZone.values()) > Math.ceil(spec.tasks / 2))
-    violations.push('too many in a zone');
+    violations.push('is in a zone with more than half of the tasks of its job');
   return violations;
 }
--- a/test/simulation/rules/observed-jobs.ts
+++ b/test/simulation/rules/observed-jobs.ts
@@ -1,4 +1,4 @@
-/** All jobs that were submitted in a simulation. */
+/** The jobs that users submitted in a simulation. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import { findNeglectedJobs } from './neglected-jobs.js';
 import { newObservedJob, visibleStateOf, type ObservedJob } from './observed-job.js';
@@ -7,46 +7,49 @@
 export class ObservedJobs {
   private readonly byId = new Map<string, ObservedJob>();
 
-  /** A user is about to submit the job, for the first time or again. */
+  /** Adds the job that a user is about to submit; has no effect if it was submitted before. */
   submitted(spec: JobSpec, now: number): void {
     if (!this.byId.has(spec.id)) this.byId.set(spec.id, newObservedJob(spec, now));
   }
 
-  /** The job; undefined: nobody submitted it. */
+  /** Returns the job, or undefined if nobody submitted it. */
   get(id: string): ObservedJob | undefined {
     return this.byId.get(id);
   }
 
-  /** All jobs, in the order of their submissions. */
+  /** Returns all jobs in the order of their first submissions. */
   all(): Iterable<ObservedJob> {
     return this.byId.values();
   }
 
-  /** Ids of the jobs with tasks on machines that nobody has asked to cancel. */
+  /** Returns the ids of jobs with tasks on machines whose cancellation nobody has requested. */
   running(): string[] {
     return [...this.byId.values()]
       .filter((job) => job.tasksOnMachines > 0 && !job.cancelRequested)
       .map((job) => job.spec.id);
   }
 
-  /** Ids of the jobs that were accepted and that nobody has asked to cancel. */
+  /** Returns the ids of accepted jobs whose cancellation nobody has requested. */
   accepted(): string[] {
     return this.notCancelled().map((job) => job.spec.id);
   }
 
-  /** Ids of the accepted jobs that are neither done nor cancelled, services aside: they never end. */
+  /**
+   * Returns the ids of accepted jobs whose cancellation nobody has requested and that have not
+   * completed all tasks. Services are left out, because they never complete.
+   */
   unfinished(): string[] {
     return this.notCancelled()
       .filter((job) => job.spec.kind !== 'service' && job.completedTasks.size < job.spec.tasks)
       .map((job) => job.spec.id);
   }
 
-  /** Where the operators' rule on a scenario as a whole does not hold. */
+  /** Returns the violations of the operators' rule for a whole scenario (see `findNeglectedJobs`). */
   neglected(): string[] {
     return findNeglectedJobs(this.notCancelled());
   }
 
-  /** How many jobs ended so, by what their users were told. */
+  /** Returns the number of jobs that responses have reported to be in this terminal state. */
   countEnded(state: 'done' | 'cancelled'): number {
     return [...this.byId.values()].filter((job) => visibleStateOf(job)[state]).length;
   }
--- a/test/simulation/rules/placement.ts
+++ b/test/simulation/rules/placement.ts
@@ -1,6 +1,6 @@
-/** Machines as the rule checker sees them. */
+/** Placements of tasks and free capacity of machines, as the rule checker receives them. */
 
-/** Where a task is. */
+/** The machine that a task is on. */
 export interface Placement {
   machine: string;
   type: string;
@@ -8,7 +8,7 @@
   spot: boolean;
 }
 
-/** What a machine has free. */
+/** A machine with its free resources. */
 export interface FreeCapacity {
   type: string;
   zone: string;
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -1,4 +1,7 @@
-/** Rules about what users are told: nothing is invented, forgotten or taken back. */
+/**
+ * Rules about the responses to users: they report no job that nobody submitted and none as done too
+ * early, lose no accepted job, and revert no terminal state.
+ */
 import {
   visibleStateOf,
   type ObservedJob,
@@ -7,23 +10,23 @@
 } from './observed-job.js';
 import type { RuleContext } from './rule-context.js';
 
-/** Faults over, a job counts as forgotten after this time without any response. */
+/** Maximum time for which an accepted job may get no useful response after all faults have ended. */
 const MAX_UNANSWERED_MS = 75_000;
 
 const CHANGES: readonly VisibleChange[] = ['accepted', 'done', 'cancelled'];
 
-/** Judges the responses that users get. */
+/** Checks the responses that users get. */
 export class ResponseRules {
-  /** Called when a user is first told that a job is accepted, done or cancelled. */
+  /** Listeners called at the first response that reports a job as accepted, done or cancelled. */
   readonly onVisibleChange: ((id: string, change: VisibleChange) => void)[] = [];
 
   constructor(
     private readonly context: RuleContext,
-    /** Called with each job that a user is told is cancelled, every time. */
+    /** Called at each response that reports a job as cancelled, also at repeated ones. */
     private readonly onCancelled: (job: ObservedJob) => void,
   ) {}
 
-  /** A response arrived, or none within the user's time-out; see `RuleChecker.responseReceived`. */
+  /** Checks a response, or its absence after the user's time-out; see `RuleChecker.responseReceived`. */
   responseReceived(
     id: string,
     status: number,
@@ -57,11 +60,11 @@
     this.checkAnswered(job);
   }
 
-  /** What was accepted is not unknown, and its submission is not refused when it is repeated. */
+  /** An accepted job must not be unknown later, and its repeated submission must not be refused. */
   private checkAcceptedJob(id: string, status: number, submission: boolean): void {
-    if (status === 404) this.context.violated('forgotten', `${id} 404`);
+    if (status === 404) this.context.violated('forgotten', `${id} reported as unknown (404)`);
     if (submission && (status === 400 || status === 422))
-      this.context.violated('forgotten', `${id} ${status}`);
+      this.context.violated('forgotten', `${id}: repeated submission refused with ${status}`);
   }
 
   private checkReportedState(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
@@ -87,7 +90,7 @@
   }
 
   private checkReportedCancelled(job: ObservedJob): void {
-    if (!job.cancelRequested) this.reportReversal(job, 'cancelled by nobody');
+    if (!job.cancelRequested) this.reportReversal(job, 'cancelled without a request');
     this.onCancelled(job);
     job.cancelledAt ??= this.context.now();
   }
@@ -96,18 +99,18 @@
     this.context.violated('went_back', `${job.spec.id} ${detail}`);
   }
 
-  /** To be called as time passes. */
+  /** Checks the jobs that get no useful response; call it at regular intervals. */
   tick(): void {
     if (this.context.faultsEndedAt === null) return;
     for (const job of this.context.jobs.all()) this.checkAnswered(job);
   }
 
-  /** The operators' rule: faults over, no job goes unanswered for long, however others fare. */
+  /** The operators' rule: after all faults no job stays without a useful response for long. */
   private checkAnswered(job: ObservedJob): void {
     const { faultsEndedAt } = this.context;
     if (faultsEndedAt === null || job.unansweredSince === null) return;
     const unansweredFrom = Math.max(faultsEndedAt, job.unansweredSince);
     if (this.context.now() - unansweredFrom > MAX_UNANSWERED_MS)
-      this.context.violated('forgotten', `${job.spec.id} unanswered`);
+      this.context.violated('forgotten', `${job.spec.id} got no useful response for too long`);
   }
 }
--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -1,4 +1,4 @@
-/** The rules of the protocol and of the operators, checked against what really happens. */
+/** Checks the rules of the protocol and of the operators against the events of a simulation. */
 import type { Team } from '../../../src/controller/settings/platform.js';
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import { CancellationRule } from './cancellation-rule.js';
@@ -17,7 +17,7 @@
 import { TeamUsage } from './team-usage.js';
 import { WaitingRule } from './waiting-rule.js';
 
-/** Is told what happens to jobs and tasks, and records each rule that it violates. */
+/** Receives the events of jobs and tasks in a simulation, and records each violation of a rule. */
 export class RuleChecker {
   private readonly context: RuleContext;
   private readonly usage: TeamUsage;
@@ -25,14 +25,17 @@
   private readonly cancellation: CancellationRule;
   private readonly waiting: WaitingRule;
   private readonly placements = new TaskPlacements();
-  /** How many tasks have started on a machine. */
+  /** Number of task starts on all machines. */
   startedTasks = 0;
-  /** Called as the last task of a job completes. */
+  /** Listeners called when the last task of an accepted job completes that nobody asked to cancel. */
   readonly onLastTaskCompleted: ((id: string) => void)[] = [];
-  /** Called when a task starts on a machine. */
+  /** Listeners called when a task starts on a machine. */
   readonly onTaskStart: ((placement: Placement) => void)[] = [];
 
-  /** Tasks of a cancelled job may be on machines for `cancelMs`. */
+  /**
+   * Tasks of a job may stay on machines for `cancelMs` milliseconds after the first response that
+   * reported the job as cancelled.
+   */
   constructor(teams: readonly Team[], cancelMs: number, now: () => number) {
     const context = new RuleContext(now);
     this.context = context;
@@ -44,17 +47,17 @@
     this.waiting = new WaitingRule(context, this.usage);
   }
 
-  /** The jobs that were submitted. */
+  /** All jobs that users have submitted. */
   get jobs(): ObservedJobs {
     return this.context.jobs;
   }
 
-  /** Rules that were violated, with the time and the detail. */
+  /** The violations so far, each with its time, its rule and what was observed. */
   get violations(): readonly string[] {
     return this.context.violations;
   }
 
-  /** When the last fault was over; null while faults may come. */
+  /** When the last fault ended, in milliseconds; null while faults may still occur. */
   get faultsEndedAt(): number | null {
     return this.context.faultsEndedAt;
   }
@@ -63,41 +66,41 @@
     this.context.faultsEndedAt = timeMs;
   }
 
-  /** Called when a user is first told that a job is accepted, done or cancelled. */
+  /** Listeners called at the first response that reports a job as accepted, done or cancelled. */
   get onVisibleChange(): ResponseRules['onVisibleChange'] {
     return this.responses.onVisibleChange;
   }
 
-  /** When users were told of the cancellation of jobs that had tasks on machines. */
+  /** Times of the first responses that reported a job as cancelled while its tasks were on machines. */
   get cancelledWhileRunning(): readonly number[] {
     return this.cancellation.cancelledWhileRunning;
   }
 
-  /** Whether no team may use another GPU. */
+  /** Whether every team has a GPU limit and has reached it. */
   get everyTeamAtLimit(): boolean {
     return this.usage.everyTeamAtLimit;
   }
 
-  /** A user is about to submit the job. */
+  /** Records the submission that a user is about to send. */
   jobSubmitted(spec: JobSpec): void {
     this.jobs.submitted(spec, this.context.now());
   }
 
-  /** A user is about to ask for the job's cancellation. */
+  /** Records that a user is about to request the cancellation of the job. */
   cancelRequested(id: string): void {
     const job = this.jobs.get(id);
     if (job !== undefined) job.cancelRequested = true;
   }
 
-  /** What the job's user has been told so far. */
+  /** Returns what responses have reported about the job so far. */
   visibleState(id: string): VisibleState {
     return visibleStateOf(this.jobs.get(id));
   }
 
   /**
-   * A response to a submission, a poll or a cancellation; status 0: none came. `before` is what the
-   * user had been told when the request was sent: no response may be older than that, whichever
-   * controller gave it.
+   * Checks the response to a submission, a poll or a cancellation; status 0 means that none came.
+   * `stateWhenSent` is what responses had reported when the request was sent: whichever controller
+   * answers, the response must not report an earlier state.
    */
   responseReceived(
     id: string,
@@ -109,21 +112,27 @@
     this.responses.responseReceived(id, status, state, submission, stateWhenSent);
   }
 
-  /** A submission that can't run, or lacks a field, was accepted. */
+  /** Records that a submission was accepted that can't run or lacks a field. */
   invalidJobAccepted(id: string): void {
     this.context.violated('accepted_odd', id);
   }
 
-  /** The task has its image and is on the machine from now on. */
+  /**
+   * Records that the task, whose image has been pulled, starts on the machine, and checks the rules
+   * of placement, team limits and cancellation.
+   */
   taskStarted(id: string, index: number, placement: Placement): void {
     this.startedTasks++;
     const job = this.jobs.get(id);
-    if (job === undefined) return this.context.violated('wrong_place', `${id} unknown`);
+    if (job === undefined) return this.context.violated('wrong_place', `${id} was never submitted`);
     const name = `${id}/${index}`;
     const { machine } = placement;
     const otherMachines = this.placements.add(id, index, placement);
     if (otherMachines.length > 0)
-      this.context.violated('ran_twice', `${name} on ${machine}, is on ${otherMachines.join()}`);
+      this.context.violated(
+        'ran_twice',
+        `${name} started on ${machine} while on ${otherMachines.join()}`,
+      );
     this.countTask(job, placement, 1);
     if (job.tasksOnMachines >= tasksStartedTogether(job.spec)) job.startedAt ??= this.context.now();
     for (const violation of placementViolations(job, placement))
@@ -133,7 +142,7 @@
     for (const listener of this.onTaskStart) listener(placement);
   }
 
-  /** The task is no longer on the machine. */
+  /** Records that the task is no longer on the machine. */
   taskStopped(id: string, index: number, machine: string): void {
     const placement = this.placements.remove(id, index, machine);
     const job = this.jobs.get(id);
@@ -148,7 +157,7 @@
     this.usage.count(job.spec, delta);
   }
 
-  /** The task has done its work. */
+  /** Records that the task has completed its work. */
   taskCompleted(id: string, index: number): void {
     const job = this.jobs.get(id);
     if (job === undefined || job.spec.kind === 'service') return;
@@ -157,18 +166,21 @@
       for (const listener of this.onLastTaskCompleted) listener(id);
   }
 
-  /** Machines that tasks of the job are on. */
+  /** Returns the machines that tasks of the job are on, one entry per task. */
   machinesOf(id: string): string[] {
     return this.placements.machinesOf(id);
   }
 
-  /** To be called as time passes. */
+  /** Checks the rules that time alone can violate; call it at regular intervals. */
   tick(): void {
     this.cancellation.tick();
     this.responses.tick();
   }
 
-  /** Faults over: no job waits for long beside `free` capacity for it, within its team's limits. */
+  /**
+   * Checks that no job waits for long while `free` has capacity for it within its team's limits; call
+   * it at regular intervals once all faults have ended.
+   */
   checkWaitingJobs(free: readonly FreeCapacity[]): void {
     this.waiting.check(free);
   }
--- a/test/simulation/rules/rule-context.ts
+++ b/test/simulation/rules/rule-context.ts
@@ -1,7 +1,7 @@
-/** What the rules share: the jobs, the time, and the list of violations. */
+/** State that the rules share: the jobs, the clock and the list of violations. */
 import { ObservedJobs } from './observed-jobs.js';
 
-/** The rules that are checked: those of the protocol by their names there, and the operators'. */
+/** Names of the checked rules: those of the protocol under its own names, and the operators'. */
 export type Rule =
   | 'accepted_odd'
   | 'forgotten'
@@ -14,17 +14,17 @@
   | 'went_back'
   | 'wrong_place';
 
-/** Shared by the rules of one simulation; times in milliseconds. */
+/** State that the rules of one simulation share; times are in milliseconds. */
 export class RuleContext {
   readonly jobs = new ObservedJobs();
-  /** Rules that were violated, with the time and the detail. */
+  /** The violations so far, each with its time, its rule and what was observed. */
   readonly violations: string[] = [];
-  /** When the last fault was over; null while faults may come. */
+  /** When the last fault ended; null while faults may still occur. */
   faultsEndedAt: number | null = null;
 
   constructor(readonly now: () => number) {}
 
-  /** Records that a rule was violated. */
+  /** Records a violation of the rule at the present time. */
   violated(rule: Rule, detail: string): void {
     this.violations.push(`${(this.now() / 1000).toFixed(3)} s ${rule}: ${detail}`);
   }
--- a/test/simulation/rules/task-placements.ts
+++ b/test/simulation/rules/task-placements.ts
@@ -1,12 +1,12 @@
-/** Which tasks are on which machines. */
+/** Records which tasks are on which machines. */
 import type { Placement } from './placement.js';
 
 /** The placements of all tasks that are on machines. */
 export class TaskPlacements {
-  /** By task (`job/index`), then by machine. */
+  /** Placements by task (`job/index`), then by machine. */
   private readonly byTask = new Map<string, Map<string, Placement>>();
 
-  /** The task is on the machine from now on; returns the machines that it was on already. */
+  /** Adds a placement of the task, and returns the machines that the task was already on. */
   add(id: string, index: number, placement: Placement): string[] {
     const task = `${id}/${index}`;
     const placements = this.byTask.get(task) ?? new Map<string, Placement>();
@@ -16,7 +16,7 @@
     return others;
   }
 
-  /** The task is no longer on the machine; returns where it was, undefined if it was not there. */
+  /** Removes a placement of the task and returns it, or undefined if it was not on the machine. */
   remove(id: string, index: number, machine: string): Placement | undefined {
     const task = `${id}/${index}`;
     const placements = this.byTask.get(task);
@@ -27,7 +27,7 @@
     return placement;
   }
 
-  /** Machines that tasks of the job are on. */
+  /** Returns the machines that tasks of the job are on, one entry per task. */
   machinesOf(id: string): string[] {
     const machines: string[] = [];
     for (const [task, placements] of this.byTask)
--- a/test/simulation/rules/team-usage.ts
+++ b/test/simulation/rules/team-usage.ts
@@ -1,8 +1,8 @@
-/** What the teams' tasks take on machines, and the teams' limits. */
+/** CPUs and GPUs that the tasks of teams occupy on machines, and the limits of the teams. */
 import type { Team } from '../../../src/controller/settings/platform.js';
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 
-/** Amounts that rounding may hide. */
+/** Tolerance for rounding errors in sums of CPUs and GPUs. */
 const ROUNDING_TOLERANCE = 1e-6;
 
 interface Usage {
@@ -10,13 +10,13 @@
   gpus: number;
 }
 
-/** Adds up CPUs and GPUs by team. */
+/** Sums the occupied CPUs and GPUs by team, and compares them with the limits. */
 export class TeamUsage {
   private readonly usages = new Map<string, Usage>();
 
   constructor(private readonly teams: readonly Team[]) {}
 
-  /** A task of the job came onto a machine (1) or went (-1). */
+  /** Counts a task of the job that starts on a machine (1) or has left it (-1). */
   count(spec: JobSpec, delta: 1 | -1): void {
     const usage = this.usageOf(spec.team);
     this.usages.set(spec.team, usage);
@@ -24,20 +24,20 @@
     usage.gpus += delta * spec.gpus;
   }
 
-  /** Limits that the team is beyond, in words. */
+  /** Returns a description of each limit that the team exceeds. */
   exceeded(name: string): string[] {
     const team = this.team(name);
     const usage = this.usages.get(name);
     if (team === undefined || usage === undefined) return [];
     const exceeded: string[] = [];
     if (team.maxCpus > 0 && usage.cpus > team.maxCpus + ROUNDING_TOLERANCE)
-      exceeded.push(`${name} ${usage.cpus} CPUs`);
+      exceeded.push(`${name} uses ${usage.cpus} CPUs, which exceeds its limit`);
     if (team.maxGpus > 0 && usage.gpus > team.maxGpus + ROUNDING_TOLERANCE)
-      exceeded.push(`${name} ${usage.gpus} GPUs`);
+      exceeded.push(`${name} uses ${usage.gpus} GPUs, which exceeds its limit`);
     return exceeded;
   }
 
-  /** Whether the job's team may have so many more of its tasks on machines. */
+  /** Whether the limits of the job's team allow this many more tasks of the job on machines. */
   allows(spec: JobSpec, tasks: number): boolean {
     const team = this.team(spec.team);
     if (team === undefined) return false;
@@ -48,7 +48,7 @@
     );
   }
 
-  /** Whether no team may use another GPU. */
+  /** Whether every team has a GPU limit and has reached it. */
   get everyTeamAtLimit(): boolean {
     return this.teams.every(
       ({ name, maxGpus }) => maxGpus > 0 && (this.usages.get(name)?.gpus ?? 0) + 1 > maxGpus,
@@ -64,7 +64,7 @@
   }
 }
 
-/** How many tasks fit beneath a limit; 0 is none. */
+/** Returns how many more tasks the limit allows; a limit of 0 means that there is no limit. */
 function tasksWithin(limit: number, used: number, needed: number): number {
   return limit > 0 && needed > 0
     ? Math.floor((limit - used + ROUNDING_TOLERANCE) / needed)
--- a/test/simulation/rules/waiting-rule.ts
+++ b/test/simulation/rules/waiting-rule.ts
@@ -1,23 +1,26 @@
-/** The operators' rule that no job waits beside free capacity. */
+/** The operators' rule that no job waits for long while there is free capacity for it. */
 import { hasCapacity, tasksStartedTogether } from './capacity.js';
 import type { ObservedJob } from './observed-job.js';
 import type { FreeCapacity } from './placement.js';
 import type { RuleContext } from './rule-context.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Faults over, no job may wait longer than this while there is capacity for it. */
+/** Maximum time that a job may wait while there is capacity for it, after all faults have ended. */
 const MAX_WAITING_MS = 90_000;
-/** And no service may lack a replica for longer. */
+/** Maximum time that a service may lack a replica while there is capacity for one. */
 const MAX_REPLICA_MISSING_MS = 30_000;
 
-/** Watches how long jobs wait though they could run. */
+/** Measures how long jobs wait although they could run. */
 export class WaitingRule {
   constructor(
     private readonly context: RuleContext,
     private readonly usage: TeamUsage,
   ) {}
 
-  /** Faults over, no job waits for long beside capacity for it, within its team's limits. */
+  /**
+   * Records the jobs that have waited too long while there was capacity for them within their team's
+   * limits. Called at regular intervals after all faults have ended.
+   */
   check(free: readonly FreeCapacity[]): void {
     for (const job of this.context.jobs.all()) this.checkJob(job, free);
   }
@@ -29,7 +32,10 @@
     else job.runnableSince = null;
     const maxMs = spec.kind === 'service' ? MAX_REPLICA_MISSING_MS : MAX_WAITING_MS;
     if (job.runnableSince !== null && now - job.runnableSince > maxMs)
-      this.context.violated('left_waiting', `${spec.id} (${spec.kind} of ${spec.tasks})`);
+      this.context.violated(
+        'left_waiting',
+        `${spec.id} waits beside free capacity (${spec.kind} of ${spec.tasks} tasks)`,
+      );
   }
 
   private couldRun({ spec }: ObservedJob, free: readonly FreeCapacity[]): boolean {
@@ -37,7 +43,7 @@
   }
 }
 
-/** Whether the job is active and has no task on a machine, or as a service not all of them. */
+/** Whether the job is active and has no task on a machine or, as a service, lacks a replica. */
 function isWaiting(job: ObservedJob): boolean {
   const { spec } = job;
   const active = job.accepted && !job.cancelRequested && job.completedTasks.size < spec.tasks;
