--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -80,11 +80,11 @@
   // Without its bound a leader renews workers for as long as its lease is renewed.
   it('violates ran_cancelled if a leader serves workers on a job watch of any staleness', () => {
     const version = presentVersion({ ...defaultProperties(), 'workers.view.ratio': 1000 });
-    const scenario = scenarioNamed('whose watches do not');
+    const scenario = scenarioNamed('refuses the watches of the leader but not its lease renewals');
     assert.throws(() => playScenario(scenario, 1, version), /ran_cancelled/);
   });
 
-  for (const part of ['right after each response', 'whose responses alone are lost'])
+  for (const part of ['right after each change', 'responses to committed transactions are lost'])
     it(`violates went_back if a controller caches its responses, in "${part}"`, () => {
       const version = versionWith(CachingController);
       assert.throws(() => playScenario(scenarioNamed(part), 1, version), /went_back/);
@@ -92,7 +92,7 @@
 
   it('violates ran_twice or quota if a leader accepts heartbeats of any age', () => {
     const version = versionWith(StaleHeartbeatController);
-    const scenario = scenarioNamed('which arrive 4 s after');
+    const scenario = scenarioNamed('replayed to the next leader 4 s after');
     assert.throws(() => playScenario(scenario, 1, version), /ran_twice|quota/);
   });
 });
--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -1,4 +1,4 @@
-/** Fault scenarios about controllers that end, freeze or are cut off. */
+/** Fault scenarios in which controllers are killed, freeze or are cut off. */
 import {
   cancelledWhileRunning,
   expiredLeases,
@@ -7,10 +7,10 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Controllers that end, freeze, hand over, or are cut off from the state store, peers or a zone. */
+/** Scenarios in which controllers are killed, freeze, hand over, or lose connections or a zone. */
 export const controllerScenarios: FaultScenario[] = [
   {
-    name: 'a leader that freezes while jobs are cancelled at other controllers, and goes on',
+    name: 'the leader freezes and resumes while jobs are cancelled at other controllers',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
@@ -26,7 +26,7 @@
     }),
   },
   {
-    name: 'all controllers away for longer than lease_s',
+    name: 'all controllers are down for longer than lease_s after cancellations, while machines hang',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
@@ -45,7 +45,7 @@
     }),
   },
   {
-    name: 'a leader with its workers and users, without state store and peers',
+    name: 'the leader is cut off from the state store and its peers, but not from workers and users',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
@@ -61,7 +61,7 @@
     }),
   },
   {
-    name: 'controllers hand over and back, all end, one returns',
+    name: 'the leader is cut off from its workers twice, then all controllers are killed',
     jobs: { estimatedRunS: 40 },
     jobCount: 16,
     faults: (between) => [
@@ -79,7 +79,7 @@
     expectedEvents: (simulation) => ({ failovers: failovers(simulation) - 1 }),
   },
   {
-    name: 'a leader ends while machines are cut off or receive nothing from the next one',
+    name: 'the leader is killed while machines are cut off or receive nothing from controllers',
     jobs: longJobs,
     jobCount: 12,
     faults: (between) => [
@@ -109,7 +109,7 @@
     }),
   },
   {
-    name: 'ten leaders in two minutes, also inside an outage',
+    name: 'leaders are killed ten times in two minutes, also during a state store outage',
     jobs: longJobs,
     jobCount: 16,
     faults: (between) => [
--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -1,4 +1,4 @@
-/** Fault scenarios about what is under way at a failover. */
+/** Fault scenarios about operations that are in progress at a failover. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import {
   cancelledWhileRunning,
@@ -8,16 +8,19 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Work of which a few jobs take all that a team may use. */
+/** Fields of jobs of which a few use up the limits of a team. */
 const teamFillingJobs: Partial<JobSpec> = {
   ...{ ...longJobs, estimatedRunS: 90, tasks: 10, gpus: 1, priority: 'normal', types: null },
   ...{ zone: null, spot: true },
 };
 
-/** What is under way at a failover: new machines, limits, commands, heartbeats, restarts. */
+/**
+ * Scenarios with a failover while machines boot, team limits are reached, commands or heartbeats are
+ * in transit, or machines restart.
+ */
 export const failoverScenarios: FaultScenario[] = [
   {
-    name: 'a zone with workers and a follower is cut off for longer than lease_s',
+    name: 'a zone with workers and a follower is cut off for longer than lease_s, the leader is killed',
     jobs: longJobs,
     jobCount: 16,
     faults: (between) => [
@@ -38,7 +41,7 @@
     }),
   },
   {
-    name: 'new machines up at once and put to work while writes lag, and the leader ends',
+    name: 'the leader is killed while machines boot within seconds and state store writes are late',
     jobs: { ...longJobs, estimatedRunS: 30, cpus: 4, gpus: 1 },
     jobCount: 10,
     faults: (between) => [
@@ -58,7 +61,7 @@
     }),
   },
   {
-    name: 'every team at its limit, cancellations whose machines are cut off or hang, a new leader',
+    name: 'failovers and cancellations on cut-off or hanging machines, with every team at its limit',
     jobs: { ...teamFillingJobs, team: 'red' },
     jobCount: 3,
     faults: (between) => [
@@ -87,7 +90,7 @@
     }),
   },
   {
-    name: 'cancellations while a leader steps down',
+    name: 'jobs are cancelled while a leader steps down',
     jobs: longJobs,
     jobCount: 16,
     faults: () => [
@@ -103,7 +106,7 @@
     }),
   },
   {
-    name: "direct commands of ended and deposed leaders arrive after the next one's",
+    name: 'direct commands of former leaders arrive after those of the next leader',
     jobs: { estimatedRunS: 12 },
     jobCount: 16,
     faults: (between) => [
@@ -129,7 +132,7 @@
     }),
   },
   ...[0, 4].map((after): FaultScenario => ({
-    name: `heartbeats replayed to the next leader, which arrive ${after} s after its election`,
+    name: `heartbeats are replayed to the next leader ${after} s after its election`,
     jobs: { estimatedRunS: 12 },
     jobCount: 16,
     faults: (between) => [
@@ -148,7 +151,7 @@
     }),
   })),
   {
-    name: 'machines and processes back within a second, in the midst of elections too',
+    name: 'machines and controllers restart within a second, also during elections',
     jobs: { estimatedRunS: 25 },
     jobCount: 16,
     faults: (between) => [
@@ -166,7 +169,7 @@
     }),
   },
   {
-    name: 'arrays bound to one zone lose machines and a leader',
+    name: 'machines and the leader are lost while job arrays are bound to one zone',
     jobs: { ...longJobs, estimatedRunS: 60, zone: 'a' },
     jobCount: 14,
     faults: (between) => [
--- a/test/simulation/scenarios/fault-scenario.ts
+++ b/test/simulation/scenarios/fault-scenario.ts
@@ -1,37 +1,37 @@
-/** What a fault scenario consists of, and counters that show that it came about. */
+/** The parts of a fault scenario, and counters that show whether its faults had an effect. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Deployment } from '../deployments/deployment.js';
 import type { Fault } from '../faults/scripted/fault.js';
 import type { Simulation } from '../simulation.js';
 
-/** Faults that coincide, and what shows that they did. */
+/** A combination of faults, and counters that show that it occurred. */
 export interface FaultScenario {
   name: string;
-  /** What the jobs of the scenario have in common; the rest is drawn. */
+  /** Fields that all jobs of the scenario share; the other fields are drawn at random. */
   jobs: Partial<JobSpec>;
   jobCount: number;
-  /** Where it is played, if not in the small deployment. */
+  /** The simulated deployment; the small one if absent. */
   deployment?: Deployment;
-  /** In seconds from when the first work runs; `between` draws. */
+  /** Returns the faults; times count in seconds from when jobs run, `between` draws at random. */
   faults(between: (from: number, to: number) => number): Fault[];
-  /** Each must have happened at least once. */
+  /** Returns counters that must all be above 0 at the end of the scenario. */
   expectedEvents(simulation: Simulation): Record<string, number>;
 }
 
-/** Work that has long to go, and of which all can run at one time. */
+/** Fields of job arrays that run for two minutes and are small enough to run all at one time. */
 export const longJobs: Partial<JobSpec> = {
   ...{ estimatedRunS: 120, kind: 'array', tasks: 3, singleZone: false, spread: false },
   ...{ cpus: 1, gpus: 0, memoryGb: 1 },
 };
 
-/** How often a leader was elected after the first. */
+/** Number of elections of a leader after the first one. */
 export const failovers = (simulation: Simulation): number =>
   (simulation.processes.logCounts.get('elected leader') ?? 0) - 1;
-/** How often a leader went on after a gap in its lease. */
+/** How often a leader renewed its lease after it had run out by the clock of the leader. */
 export const leaseGaps = (simulation: Simulation): number =>
   simulation.processes.logCounts.get('lease renewed after a gap') ?? 0;
-/** How many jobs had tasks on machines when their users were told of the cancellation. */
+/** Number of jobs with tasks on machines when a response first reported them as cancelled. */
 export const cancelledWhileRunning = (simulation: Simulation): number =>
   simulation.checker.cancelledWhileRunning.length;
-/** How often a worker's lease ran out. */
+/** Number of worker leases that expired. */
 export const expiredLeases = (simulation: Simulation): number => simulation.expiredLeases;
--- a/test/simulation/scenarios/fault-scenarios.ts
+++ b/test/simulation/scenarios/fault-scenarios.ts
@@ -1,4 +1,4 @@
-/** All fault scenarios. Each brings about a combination of faults, and shows by counters that it did. */
+/** Lists of the fault scenarios. Each combines faults and checks by counters that they occurred. */
 import { controllerScenarios } from './controller-scenarios.js';
 import { failoverScenarios } from './failover-scenarios.js';
 import { machineScenarios } from './machine-scenarios.js';
@@ -6,7 +6,7 @@
 import { stateStoreScenarios } from './state-store-scenarios.js';
 import { workloadScenarios } from './workload-scenarios.js';
 
-/** Cancellations, outages, unresponsive machines and late messages, around changes of the leader. */
+/** Scenarios with cancellations, outages, unresponsive machines and late messages at failovers. */
 export const faultScenarios = [
   ...stateStoreScenarios,
   ...controllerScenarios,
@@ -14,5 +14,5 @@
   ...workloadScenarios,
 ];
 
-/** All of them: also what is under way at a failover, and what users are told. */
+/** All scenarios: also those about operations in progress at a failover, and about responses. */
 export const allScenarios = [...faultScenarios, ...failoverScenarios, ...responseScenarios];
--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -1,13 +1,13 @@
-/** A fleet of thousands of machines of which whole parts fail. */
+/** A scenario with thousands of machines in which large parts of the system fail one by one. */
 import { largeFleet } from '../deployments/fleets.js';
 import { rareFaults } from '../faults/fault-rates.js';
 import { Simulation } from '../simulation.js';
 import { submitSteadily } from './steady-work.js';
 
-/** Machines for each job that is there at the start. */
+/** Number of machines per job that is submitted at the start. */
 const MACHINES_PER_JOB = 6;
 
-/** Milliseconds from the start to each of the faults. */
+/** Times of the faults and of the end, in milliseconds from the start. */
 const SCHEDULE = {
   leaderKilled: 15_000,
   outage: 30_000,
@@ -19,16 +19,19 @@
 } as const;
 
 const OUTAGE_MS = 8000;
+/** Share of the spot instances that the cloud reclaims, and the time within which it does so. */
 const RECLAIMED_SPOT_SHARE = 0.75;
 const RECLAIM_WINDOW_MS = 8000;
+/** Time from the kill of a controller to its restart. */
 const RESTART_MS = 6000;
 const LOST_ZONE = 'b';
 const ZONE_LOST_MS = 30_000;
+/** Time between the restarts of two controllers in the rolling restart. */
 const RESTART_EVERY_MS = 4000;
-/** Mean time between two jobs, for each machine. */
+/** Mean time between two submissions, multiplied by the number of machines; milliseconds. */
 const MACHINE_MS_PER_JOB = 450_000;
 
-/** Plays faults in which one large part after the other fails, to the end of the last. */
+/** Plays the scenario with this many machines, until after its last fault. */
 export function playLargeFleet(machines: number, seed: number): Simulation {
   const deployment = largeFleet(machines);
   const simulation = new Simulation(deployment, seed, rareFaults);
--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -7,10 +7,13 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Machines that are lost, cut off or hang, and commands, responses and heartbeats that come late. */
+/**
+ * Scenarios in which machines are lost or cut off or hang, or commands, responses and heartbeats are
+ * late.
+ */
 export const machineScenarios: FaultScenario[] = [
   {
-    name: 'commands and responses held back for seconds',
+    name: 'messages to and from machines are held back for seconds while jobs are cancelled',
     jobs: { estimatedRunS: 15 },
     jobCount: 20,
     faults: (between) =>
@@ -23,7 +26,7 @@
     expectedEvents: (simulation) => ({ cancelled: cancelledWhileRunning(simulation) }),
   },
   {
-    name: 'machines that reach no controller while commands reach them, and the reverse',
+    name: 'machines receive commands but send no heartbeats, then send heartbeats but receive nothing',
     jobs: { estimatedRunS: 30 },
     jobCount: 20,
     faults: (between) => [
@@ -43,7 +46,7 @@
     }),
   },
   {
-    name: 'old heartbeats after newer ones, of earlier agent epochs and attempts, at new leaders',
+    name: 'new leaders receive old heartbeats, of earlier agent epochs and attempts, after newer ones',
     jobs: { estimatedRunS: 15 },
     jobCount: 25,
     faults: (between) => [
@@ -62,7 +65,7 @@
     }),
   },
   {
-    name: 'jobs bound to one zone lose machines',
+    name: 'machines and the leader are lost while the tasks of each job must share a zone',
     jobs: { estimatedRunS: 40, singleZone: true, spread: false, zone: null, types: null, tasks: 3 },
     jobCount: 14,
     faults: (between) => [
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -1,4 +1,4 @@
-/** Plays fault scenarios, and makes a test of each. */
+/** Plays fault scenarios, and defines a test for each. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { noFaults } from '../faults/fault-rates.js';
@@ -8,13 +8,17 @@
 import { presentVersion, type ProgramVersion } from '../program-version.js';
 import { Simulation } from '../simulation.js';
 
-/** Work runs by then, and all faults begin and end within this time after. */
+/** Time from the submission of the first jobs to the first fault; jobs run by then. */
 const START_MS = 15_000;
+/** Time within which all faults of a scenario begin and end. */
 const FAULTS_MS = 200_000;
-/** Quiet time in which the work has to be finished, and no rule may break. */
+/** Time after the faults within which all jobs have to complete. */
 const RECOVERY_MS = 400_000;
 
-/** Plays a scenario without other faults; throws where a rule is violated. */
+/**
+ * Plays a scenario; besides its faults only some requests are duplicated and, if the deployment says
+ * so, some boots fail. Throws an error if a rule is violated.
+ */
 export function playScenario(
   scenario: FaultScenario,
   seed: number,
@@ -42,16 +46,17 @@
   return simulation;
 }
 
+/** The first of the consecutive seeds with which each scenario is played. */
 const FIRST_SEED = Number(process.env['SCENARIO_FIRST'] ?? 1);
 
 function playSeed(scenario: FaultScenario, seed: number): void {
   const simulation = playScenario(scenario, seed);
-  assert.deepEqual(simulation.checker.jobs.unfinished(), [], 'never finished');
+  assert.deepEqual(simulation.checker.jobs.unfinished(), [], 'accepted jobs have not completed');
   for (const [event, count] of Object.entries(scenario.expectedEvents(simulation)))
-    assert.ok(count > 0, `${event} did not happen`);
+    assert.ok(count > 0, `expected event did not happen or too rarely: ${event}`);
 }
 
-/** Makes a test of each scenario, which plays it with several seeds. */
+/** Defines a test for each scenario, which plays it with several seeds. */
 export function testScenarios(
   title: string,
   faultScenarios: readonly FaultScenario[],
--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -1,4 +1,4 @@
-/** Fault scenarios about the responses that users get. */
+/** Fault scenarios about the responses to users. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import {
   cancelledWhileRunning,
@@ -7,13 +7,13 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** One-task jobs that are soon done. */
+/** Fields of one-task jobs that run for five seconds. */
 const shortJobs: Partial<JobSpec> = { ...longJobs, tasks: 1, estimatedRunS: 5 };
 
-/** What users are told: many polls at once, lost responses, many short jobs, a slow network. */
+/** Scenarios with many polls at once, lost responses, many short jobs or a slow network. */
 export const responseScenarios: FaultScenario[] = [
   {
-    name: 'users poll all controllers and retry right after each response, some cancel at once',
+    name: 'all controllers get polls, retries and cancellations right after each change of a job',
     jobs: { estimatedRunS: 10 },
     jobCount: 8,
     faults: () => [
@@ -33,7 +33,7 @@
     }),
   },
   {
-    name: 'one-task jobs four a second, a quarter of them cancelled',
+    name: 'four one-task jobs per second, a quarter of them cancelled, and a failover',
     jobs: shortJobs,
     jobCount: 4,
     faults: (between) => [
@@ -52,7 +52,7 @@
     }),
   },
   {
-    name: 'transactions whose responses alone are lost, while other controllers read what they wrote',
+    name: 'responses to committed transactions are lost while other controllers read the written keys',
     jobs: { estimatedRunS: 10 },
     jobCount: 10,
     faults: (between) => [
@@ -75,7 +75,7 @@
     }),
   },
   {
-    name: 'all users poll during an outage',
+    name: 'all users poll during a state store outage, in which the other controllers restart',
     jobs: { estimatedRunS: 25 },
     jobCount: 20,
     faults: (between) => [
@@ -91,7 +91,7 @@
     }),
   },
   {
-    name: 'urgent and other work beyond the capacity over a slow network',
+    name: 'jobs of several priorities exceed the capacity on a slow network',
     jobs: { estimatedRunS: 25 },
     jobCount: 30,
     faults: () => [
--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -1,4 +1,4 @@
-/** The fault scenarios in the deployment with short leases. */
+/** Adapts the fault scenarios to the deployment with short leases. */
 import { defaultPlatformOptions } from '../../platform.js';
 import { shortLeases, shortLeasesWithLowerLimits } from '../deployments/short-leases.js';
 import type { Fault } from '../faults/scripted/fault.js';
@@ -12,16 +12,19 @@
 
 const LEASE_RATIO = shortLeases.platform.leaseS / defaultPlatformOptions.leaseS;
 const CANCEL_RATIO = shortLeases.platform.cancelDeadlineS / defaultPlatformOptions.cancelDeadlineS;
-/** Until then a scenario runs at the rate of the leases; later times only shift. */
+/** Times up to this one scale with the lease; later ones only shift, so their distances remain. */
 const SCALED_UNTIL_S = 10;
 
-/** A time of a scenario's table, as a time of the deployment with short leases. */
+/** Converts the time at which a fault begins, in seconds, to the deployment with short leases. */
 function scaledTime(seconds: number): number {
   const scaledPart = Math.min(seconds, SCALED_UNTIL_S);
   return scaledPart * LEASE_RATIO + (seconds - scaledPart);
 }
 
-/** A span of time: one longer than `cancel_s` stays so, others keep their ratio to the lease. */
+/**
+ * Converts a duration in seconds. One longer than `cancel_s` scales with `cancel_s`, so that it stays
+ * longer; others scale with the lease.
+ */
 function scaledDuration(seconds: number): number {
   return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
 }
@@ -35,7 +38,10 @@
   return scaledFault;
 }
 
-/** Faults whose length matters beside the leases; others say for how long something goes on. */
+/**
+ * Faults whose duration matters in relation to the leases. The duration of other faults only limits
+ * how long an activity lasts, and is not scaled.
+ */
 const LEASE_RELATED: ReadonlySet<Fault['kind']> = new Set([
   ...([
     'stateStoreRefuses',
@@ -49,7 +55,7 @@
   ...(['commandsHeldBack', 'responsesHeldBack'] as const),
 ]);
 
-/** The scenario in the deployment with short leases. */
+/** Adapts a scenario to the deployment with short leases. */
 export function withShortLeases(scenario: FaultScenario): FaultScenario {
   return {
     ...scenario,
@@ -58,10 +64,10 @@
   };
 }
 
-/** The zone with a single controller alone, with the leader or with a follower in it. */
+/** Scenarios that cut off the zone with a single controller, which is the leader or a follower. */
 export const singleControllerZone: FaultScenario[] = [
   {
-    name: 'the zone with one controller, which leads, is cut off for longer than lease_s',
+    name: 'the zone with a single controller, the leader, is cut off for longer than lease_s',
     jobs: longJobs,
     jobCount: 16,
     deployment: shortLeases,
@@ -83,7 +89,7 @@
     }),
   },
   {
-    name: 'the zone with one controller, a follower, is cut off and the leader ends',
+    name: 'the zone with a single controller, a follower, is cut off and the leader is killed',
     jobs: longJobs,
     jobCount: 16,
     deployment: shortLeases,
--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -9,10 +9,13 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Refusals, outages, slow and late transactions, and lower limits, around cancellations and failovers. */
+/**
+ * Scenarios in which the state store refuses requests, has outages, is slow, commits transactions late
+ * or lowers its limits, around cancellations and failovers.
+ */
 export const stateStoreScenarios: FaultScenario[] = [
   {
-    name: 'cancelled while the state store refuses the leader alone, then an outage longer than cancel_s',
+    name: 'jobs are cancelled while the state store refuses only the leader, then an outage over cancel_s',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
@@ -26,7 +29,7 @@
     }),
   },
   {
-    name: 'cancelled while the leader is refused and cut off from its peers, then a shorter outage',
+    name: 'jobs are cancelled while the state store and peers refuse the leader, then a shorter outage',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
@@ -42,7 +45,7 @@
     }),
   },
   {
-    name: 'a leader whose renewals go through and whose watches do not',
+    name: 'the state store refuses the watches of the leader but not its lease renewals',
     jobs: longJobs,
     jobCount: 14,
     faults: () => [
@@ -53,7 +56,7 @@
     expectedEvents: (simulation) => ({ cancelled: cancelledWhileRunning(simulation) }),
   },
   {
-    name: 'a slow state store, refusal and outage while users cancel and poll',
+    name: 'jobs are cancelled while the state store is slow, refuses the leader and has an outage',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
@@ -72,7 +75,7 @@
     }),
   },
   {
-    name: 'transactions committed late, after newer ones',
+    name: 'transactions are committed late, after newer ones, around failovers',
     jobs: { estimatedRunS: 15 },
     jobCount: 20,
     faults: (between) => [
@@ -92,7 +95,7 @@
     }),
   },
   {
-    name: 'the limits of the state store are lowered amid commits, failovers and an outage',
+    name: 'the state store lowers its limits during commits, failovers and an outage',
     deployment: smallWithLowerLimits,
     jobs: { estimatedRunS: 15, gpus: 0, cpus: 1, memoryGb: 1 },
     jobCount: 40,
--- a/test/simulation/scenarios/steady-work.ts
+++ b/test/simulation/scenarios/steady-work.ts
@@ -1,20 +1,20 @@
-/** Jobs that come all the time. */
+/** Submits jobs at a steady rate. */
 import type { Simulation } from '../simulation.js';
 
-/** How many jobs come, and for how long. */
+/** Number, rate and end of the submissions. */
 export interface SteadyWork {
   jobsAtStart: number;
   meanIntervalMs: number;
   untilMs: number;
 }
 
-/** Shares of the mean interval between which the next job comes. */
+/** Range of the intervals between submissions, as multiples of the mean interval. */
 const JITTER = { least: 0.3, most: 1.7 };
-/** Share of the jobs that come later that are cancelled, and when. */
+/** Share of the jobs after those at the start that are cancelled, and the delay after submission. */
 const CANCEL_SHARE = 0.04;
 const CANCEL_AFTER_MS = 20_000;
 
-/** Submits random jobs now and from now on; some are cancelled. */
+/** Submits random jobs, some at once and then one after each interval; some are cancelled. */
 export function submitSteadily(
   simulation: Simulation,
   { jobsAtStart, meanIntervalMs, untilMs }: SteadyWork,
--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -1,10 +1,10 @@
-/** Fault scenarios about the work: gangs, services, team limits, and the ends of jobs. */
+/** Fault scenarios about kinds of jobs, team limits, scarce capacity and the ends of jobs. */
 import { cancelledWhileRunning, failovers, type FaultScenario } from './fault-scenario.js';
 
-/** Kinds of jobs, team limits, more work than capacity, and the ends of jobs, around failovers. */
+/** Scenarios with gangs, services, team limits, scarce capacity and ending jobs at failovers. */
 export const workloadScenarios: FaultScenario[] = [
   {
-    name: 'tasks that end far apart, and leaders that change meanwhile',
+    name: 'failovers and cut-off machines while the tasks of job arrays end at different times',
     jobs: { tasks: 3, kind: 'array', estimatedRunS: 40 },
     jobCount: 14,
     faults: (between) => [
@@ -20,7 +20,7 @@
     expectedEvents: (simulation) => ({ failovers: failovers(simulation) }),
   },
   {
-    name: 'gangs of two and three, and leaders that change as they end',
+    name: 'failovers and duplicated heartbeats while gangs of two tasks end',
     jobs: { tasks: 2, kind: 'gang', estimatedRunS: 25, cpus: 1, gpus: 1, memoryGb: 1 },
     jobCount: 14,
     faults: (between) => [
@@ -35,7 +35,7 @@
     }),
   },
   {
-    name: 'more work than capacity',
+    name: 'jobs exceed the capacity while machines are lost and the state store is slow',
     jobs: { estimatedRunS: 30 },
     jobCount: 60,
     faults: () => [
@@ -45,7 +45,7 @@
     expectedEvents: (simulation) => ({ startedTasks: simulation.checker.startedTasks }),
   },
   {
-    name: 'a team at its limit, a new leader, machines that are cut off, a cancellation',
+    name: 'a failover, cut-off machines and cancellations with a team at its limit',
     jobs: {
       estimatedRunS: 100,
       team: 'red',
@@ -68,7 +68,7 @@
     }),
   },
   {
-    name: 'cancellations, polls and retries at the end of the last task',
+    name: 'cancellations as the last task of a job ends, with repeated and invalid requests',
     jobs: { estimatedRunS: 10 },
     jobCount: 25,
     faults: () => [
@@ -81,7 +81,7 @@
     }),
   },
   {
-    name: 'services lose replicas, machines and leaders, and are cancelled',
+    name: 'machine losses, failovers, an outage and cancellations while services run',
     jobs: {
       ...{
         kind: 'service',
