--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -35,7 +35,7 @@
   zoneCutOff: ZoneCut;
 }
 
-const MAX_KILLED_LEADERS = 10;
+const LEADER_KILLS = 10;
 /** The leader ends within this time after a machine is up, or after the first task on it starts. */
 const KILL_AFTER_BOOT_MS = 1500;
 const KILL_AFTER_TASK_START_MS = 300;
@@ -47,7 +47,7 @@
   },
   leaderKilledBesideNewMachines: (simulation, { restartAfter }, ms) =>
     killLeaderBesideNewMachines(simulation, restartAfter * 1000, ms),
-  repeatedElections: ({ processes }, _, ms) => processes.killElected(MAX_KILLED_LEADERS, ms),
+  repeatedElections: ({ processes }, _, ms) => processes.killElected(LEADER_KILLS, ms),
   controllersFrozen: (simulation, { target }, ms) => {
     for (const host of hostsOf(simulation, target)) simulation.processes.freeze(host, ms);
   },
