--- a/test/simulation/faults/scripted/injectors.ts
+++ b/test/simulation/faults/scripted/injectors.ts
@@ -8,10 +8,10 @@
 }
 
 /** Begins each of a group of faults at the moment of the call. */
-export type Injectors<Group> = {
-  [K in keyof Group]: (
+export type Injectors<Faults> = {
+  [K in keyof Faults]: (
     simulation: Simulation,
-    fault: FaultTiming & Group[K],
+    fault: FaultTiming & Faults[K],
     durationMs: number,
   ) => void;
 };
