--- a/test/simulation/faults/connection-faults.ts
+++ b/test/simulation/faults/connection-faults.ts
@@ -1,21 +1,21 @@
-/** Faults of the network between controllers, machines, users, cloud and state store. */
+/** Faults of the connections between controllers, machines, users, cloud and state store. */
 import type { CutMode, Network } from '../network.js';
 import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 import type { Worker } from '../machines/worker.js';
 
-/** Cuts connections of a simulation for a time. */
+/** Cuts connections of a simulation for a limited time. */
 export class ConnectionFaults {
   constructor(
     private readonly clock: VirtualClock,
     private readonly random: SeededRandom,
     private readonly network: Network,
     private readonly hosts: readonly string[],
-    /** Workers of the machines that are up. */
+    /** Returns the workers of the machines that are up. */
     private readonly workers: () => Worker[],
   ) {}
 
-  /** Nothing goes between the two; what is sent is held back or lost, as drawn. */
+  /** Cuts both directions between two hosts; a random draw decides if messages are held or lost. */
   cutFor(a: string, b: string, ms: number): void {
     this.network.cut(a, b, this.drawCut());
     this.clock.after(ms, () => this.network.heal(a, b));
@@ -25,23 +25,23 @@
     return this.random.next() < 0.5 ? 'hold' : 'reset';
   }
 
-  /** A controller loses the other controllers. */
+  /** Cuts a controller off from the other controllers. */
   cutFromPeers(host: string, ms: number): void {
     for (const peer of this.hosts) if (peer !== host) this.cutFor(host, peer, ms);
   }
 
-  /** A controller loses the state store and its peers, but not its workers. */
+  /** Cuts a controller off from the state store and its peers, but not from its workers. */
   isolate(host: string, ms: number): void {
     this.cutFor(host, 'state', ms);
     this.cutFromPeers(host, ms);
   }
 
-  /** A controller loses every worker, but neither the state store nor its peers. */
+  /** Cuts a controller off from every worker, but neither from the state store nor its peers. */
   cutFromWorkers(host: string, ms: number): void {
     for (const worker of this.workers()) this.cutFor(host, worker.id, ms);
   }
 
-  /** Connections between controllers are refused. */
+  /** Refuses all connections between controllers. */
   refusePeers(ms: number): void {
     const pairs = this.hosts.flatMap((a) =>
       this.hosts.filter((b) => a < b).map((b): [string, string] => [a, b]),
@@ -52,7 +52,7 @@
     });
   }
 
-  /** A zone goes on by itself, with its workers and one controller in it. */
+  /** Cuts off a zone; its workers and the controllers `inside` remain connected to each other. */
   cutZone(zone: string, inside: readonly string[], ms: number): void {
     const cut = (a: string, b: string): void => {
       this.network.cut(a, b, 'hold');
@@ -67,19 +67,19 @@
         if ((worker.zone === zone) !== inside.includes(host)) cut(worker.id, host);
   }
 
-  /** The machine's heartbeats arrive, but neither responses nor commands reach it. */
+  /** Blocks responses and commands to a machine, while its heartbeats arrive. */
   blockInbound(worker: Worker, ms: number, mode?: CutMode): void {
     for (const host of this.hosts) this.network.cutOneWay(host, worker.id, mode ?? this.drawCut());
     this.healWorker(worker, ms);
   }
 
-  /** What the machine sends is held back, heartbeats and responses; what is sent to it arrives. */
+  /** Holds back heartbeats and responses of a machine, while messages to it arrive. */
   holdOutbound(worker: Worker, ms: number): void {
     for (const host of this.hosts) this.network.cutOneWay(worker.id, host, 'hold');
     this.healWorker(worker, ms);
   }
 
-  /** A machine loses the network, and what was held back is delivered afterwards. */
+  /** Cuts a machine off from all controllers; messages are held back and delivered afterwards. */
   cutMachine(worker: Worker, ms: number): void {
     for (const host of this.hosts) this.network.cut(host, worker.id, 'hold');
     this.healWorker(worker, ms);
--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -1,12 +1,13 @@
-/** Observes combinations of faults as they come about in a simulation. */
+/** Records which combinations of faults occur in a simulation. */
 import type { SimulatedDeployment } from '../simulated-deployment.js';
 import { NEW_MACHINE_MS } from './observed-events.js';
 
-/** A cancellation this long before or after the lead is given up falls into the hand-over. */
+/** Maximum time between a cancellation and a handover for them to count as coinciding. */
 const HANDOVER_WINDOW_MS = 3000;
+/** Logged reasons with which a leader steps down in favour of another controller. */
 const HANDOVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
 
-/** Notes combinations of faults as they come about. */
+/** Records each combination of faults that occurs from now on as an observed event. */
 export function observeFaultCombinations(simulation: SimulatedDeployment): void {
   const { checker, clock, stateStore, observedEvents } = simulation;
   let cancelledAt = -Infinity;
--- a/test/simulation/faults/fault-rates.ts
+++ b/test/simulation/faults/fault-rates.ts
@@ -1,18 +1,18 @@
-/** How often faults occur by themselves. */
+/** Rates of faults that occur without being part of a scenario. */
 
 /** Rates of random faults in a simulation. */
 export interface FaultRates {
-  /** Mean time between faults in milliseconds; Infinity for none. */
+  /** Mean time between faults in milliseconds; Infinity if there are none. */
   meanIntervalMs: number;
-  /** Chance that a request arrives a second time. */
+  /** Probability that a request arrives a second time. */
   duplicated: number;
-  /** Chance that a task fails. */
+  /** Probability that a task fails. */
   taskFailures: number;
-  /** Chance that a rented machine never comes up. */
+  /** Probability that a rented machine never boots. */
   bootFailures: number;
 }
 
-/** No faults but those that a test injects. */
+/** No faults except those that a test injects. */
 export const noFaults: FaultRates = {
   meanIntervalMs: Infinity,
   duplicated: 0,
@@ -20,7 +20,7 @@
   bootFailures: 0,
 };
 
-/** What fails by itself in a fleet. */
+/** Rare failures of single requests, tasks and boots, as in a large fleet. */
 export const rareFaults: FaultRates = {
   meanIntervalMs: Infinity,
   duplicated: 0.002,
@@ -28,7 +28,7 @@
   bootFailures: 0.02,
 };
 
-/** Random faults every few seconds. */
+/** A random fault every nine seconds on average, and frequent failures of tasks and boots. */
 export const frequentFaults: FaultRates = {
   meanIntervalMs: 9000,
   duplicated: 0.02,
--- a/test/simulation/faults/machine-faults.ts
+++ b/test/simulation/faults/machine-faults.ts
@@ -1,11 +1,11 @@
-/** Faults that meet a share of the machines at one time. */
+/** Faults that affect a random share of the machines at the same time. */
 import type { Cloud } from '../machines/cloud.js';
 import type { ConnectionFaults } from './connection-faults.js';
 import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 import type { Worker } from '../machines/worker.js';
 
-/** Cuts, ends and takes machines of a simulation. */
+/** Cuts off, kills and reclaims machines of a simulation. */
 export class MachineFaults {
   constructor(
     private readonly clock: VirtualClock,
@@ -14,17 +14,17 @@
     private readonly connections: ConnectionFaults,
   ) {}
 
-  /** A share of the machines loses the network, and what was held back is delivered afterwards. */
+  /** Cuts off a share of the machines; messages are held back and delivered afterwards. */
   cut(share: number, ms: number): void {
     for (const worker of this.drawWorkers(share)) this.connections.cutMachine(worker, ms);
   }
 
-  /** Many machines stop at once. */
+  /** Kills a share of the machines at once. */
   kill(share: number): void {
     for (const worker of this.drawWorkers(share)) worker.die();
   }
 
-  /** Spot machines are taken in a wave, without notice. */
+  /** Reclaims a share of the spot instances without notice, at random times within `overMs`. */
   reclaimSpot(share: number, overMs: number): void {
     for (const worker of this.drawWorkers(share))
       if (worker.spot)
--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -1,6 +1,6 @@
-/** Combinations of faults and actions that tests assert to have come about. */
+/** Counts combinations of faults and actions, which tests require to have occurred. */
 
-/** What a scenario may bring about; tests assert that it did. */
+/** Combinations of faults and actions that a scenario can cause. */
 export type ObservedEvent =
   | 'request in an outage'
   | 'cancelled at a handover'
@@ -16,20 +16,20 @@
   | 'task started on a new machine'
   | 'task started while a zone is cut off';
 
-/** Counts of the events that were observed. */
+/** Counts how often each event was observed. */
 export class ObservedEvents {
   private readonly counts = new Map<ObservedEvent, number>();
 
-  /** It happened once more. */
+  /** Counts one occurrence of the event. */
   record(event: ObservedEvent): void {
     this.counts.set(event, this.count(event) + 1);
   }
 
-  /** How often it happened. */
+  /** Returns how often the event occurred. */
   count(event: ObservedEvent): number {
     return this.counts.get(event) ?? 0;
   }
 }
 
-/** A machine counts as new for this long after its rental. */
+/** Time after its rental for which a machine counts as new. */
 export const NEW_MACHINE_MS = 5000;
--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -1,14 +1,15 @@
-/** Polls of every controller right after a change of a job became visible. */
+/** Polls every controller right after users could see a change of a job. */
 import { writeJobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Simulation } from '../simulation.js';
 
-/** Requests to each controller after a change, and within what time they are sent. */
+/** Number of requests to each controller after a change. */
 const REQUESTS_PER_CONTROLLER = 3;
+/** Time after the change within which the requests are sent. */
 const REQUEST_WINDOW_MS = 40;
-/** Share of the requests that are repeated submissions. */
+/** Share of the requests that repeat the submission instead of polling. */
 const RESUBMISSION_SHARE = 0.3;
 
-/** Polls a job at one controller, or submits it once more; the rules judge the response. */
+/** Polls a job at one controller, or repeats its submission; the rules check the response. */
 function pollOnce(simulation: Simulation, id: string, host: string): void {
   const { checker, random } = simulation;
   const spec = simulation.users.specOf(id);
@@ -26,8 +27,9 @@
 }
 
 /**
- * For a time users poll every controller within milliseconds after a job was accepted, ended or
- * cancelled, and repeat its submission; a share of them cancels the job at that moment.
+ * For `ms` from now on, polls a job and repeats its submission at every controller within milliseconds
+ * after it was reported as accepted, done or cancelled, or completed its last task. With probability
+ * `cancelShare` also cancels the job then.
  */
 export function pollAfterChanges(simulation: Simulation, cancelShare: number, ms: number): void {
   const { checker, clock, random } = simulation;
--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -2,11 +2,12 @@
 import type { Worker } from '../machines/worker.js';
 import type { SimulatedDeployment } from '../simulated-deployment.js';
 
-/** Spot machines are taken so long after the notice. */
+/** Time from the interruption notice of a spot instance until the cloud reclaims it. */
 const INTERRUPTION_NOTICE_MS = 10_000;
+/** Time from the kill of a controller to its restart, unless a short one is drawn. */
 const RESTART_MS = 6000;
 
-/** What is drawn for a fault. */
+/** The random parameters of a fault. */
 interface FaultDraw {
   host: string;
   worker: Worker | undefined;
@@ -16,7 +17,7 @@
 
 type RandomFault = (simulation: SimulatedDeployment, draw: FaultDraw) => void;
 
-/** Kinds of faults, each as likely as the others. */
+/** The kinds of faults; all are equally likely. */
 const RANDOM_FAULTS: readonly RandomFault[] = [
   ({ processes }, { host, restartMs }) => processes.kill(host, restartMs),
   ({ processes, hosts }, { restartMs }) => hosts.forEach((h) => processes.kill(h, restartMs)),
@@ -41,7 +42,7 @@
   interruptSpotMachine,
 ];
 
-/** Injects a fault every now and then, until the simulation is calm. */
+/** Injects random faults, `meanIntervalMs` apart on average, until the simulation stops faults. */
 export function injectRandomFaults(simulation: SimulatedDeployment, meanIntervalMs: number): void {
   const { clock, random } = simulation;
   clock.after(meanIntervalMs * random.between(0.3, 1.7), () => {
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -1,19 +1,20 @@
-/** Scripted faults of controllers, and of their connections to everything else. */
+/** Scripted faults of controllers and of their connections. */
 import type { Simulation } from '../../simulation.js';
 import { NEW_MACHINE_MS } from '../observed-events.js';
 import type { Injectors } from './injectors.js';
 import { hostsOf, type OnControllers } from './targets.js';
 
 interface Restart {
-  /** Seconds until the processes that ended are back. */
+  /** Seconds from the kill of a process to its restart. */
   restartAfter: number;
 }
 
 interface ZoneCut {
   zone: string;
   /**
-   * The controller that is inside the zone. Where controllers are spread over zones it is the zone
-   * of that controller, with all controllers in it.
+   * Which controller is inside the zone. If the deployment assigns controllers to zones, the zone that
+   * is cut off is that of the leader or of a follower or, for `single`, `zone` itself; all controllers
+   * of that zone are inside.
    */
   inside: 'leader' | 'follower' | 'single';
 }
@@ -21,26 +22,28 @@
 /** Parameters of the faults of controllers. */
 export interface ControllerFaults {
   controllersKilled: OnControllers & Restart;
-  /** The leader ends as machines that were just rented start work. */
+  /** Kills the leader while machines that were just rented boot or start tasks. */
   leaderKilledBesideNewMachines: Restart;
-  /** Leaders end again and again, each in the midst of its election. */
+  /** Repeatedly kills whoever has just been elected leader. */
   repeatedElections: object;
   controllersFrozen: OnControllers;
-  /** Cut off from the state store and from each other, but not from workers and users. */
+  /** Cuts controllers off from the state store and their peers, but not from workers and users. */
   controllersIsolated: OnControllers;
   cutOffFromWorkers: OnControllers;
   peerConnectionsRefused: object;
-  /** This controller becomes the leader: all others end, and are back after a time. */
+  /** Makes this controller the leader: kills all others, which restart after `restartAfter`. */
   leaderMoved: Restart & { host: string };
   zoneCutOff: ZoneCut;
 }
 
+/** How many times `repeatedElections` kills the current leader. */
 const LEADER_KILLS = 10;
-/** The leader ends within this time after a machine is up, or after the first task on it starts. */
+/** Maximum time from the boot of a new machine to the kill of the leader. */
 const KILL_AFTER_BOOT_MS = 1500;
+/** Maximum time from the start of a task on a new machine to the kill of the leader. */
 const KILL_AFTER_TASK_START_MS = 300;
 
-/** Begins faults of controllers. */
+/** Injectors of the faults of controllers. */
 export const controllerFaults: Injectors<ControllerFaults> = {
   controllersKilled: (simulation, { target, restartAfter }) => {
     for (const host of hostsOf(simulation, target)) simulation.kill(host, restartAfter * 1000);
@@ -66,7 +69,7 @@
   zoneCutOff: cutZone,
 };
 
-/** Ends the leader a moment after a new machine is up, or has started its first task. */
+/** Kills the leader shortly after a new machine has booted or a task has started on one. */
 function killLeaderBesideNewMachines(
   simulation: Simulation,
   restartMs: number,
@@ -101,7 +104,7 @@
   observeZoneCut(simulation, hostsInside, ms);
 }
 
-/** Records who leads, and that tasks start, while a zone is cut off. */
+/** Records the position of the leader, elections and task starts while a zone is cut off. */
 function observeZoneCut(
   simulation: Simulation,
   hostsInside: readonly string[],
--- a/test/simulation/faults/scripted/inject-faults.ts
+++ b/test/simulation/faults/scripted/inject-faults.ts
@@ -16,7 +16,7 @@
   ...userActions,
 };
 
-/** Injects the faults, each at its time from now. */
+/** Schedules the faults, each at its time counted from now. */
 export function injectFaults(simulation: Simulation, faults: readonly Fault[]): void {
   for (const fault of faults)
     simulation.clock.after(fault.at * 1000, () => begin(simulation, fault));
--- a/test/simulation/faults/scripted/injectors.ts
+++ b/test/simulation/faults/scripted/injectors.ts
@@ -1,13 +1,13 @@
-/** What begins scripted faults; each group of faults provides its own. */
+/** Types of the functions that inject scripted faults; each group of faults has its own functions. */
 import type { Simulation } from '../../simulation.js';
 
-/** When a fault begins, from the injection on, and how long it lasts; seconds. */
+/** Start of a fault, counted from the call of `injectFaults`, and its duration; in seconds. */
 export interface FaultTiming {
   at: number;
   for?: number;
 }
 
-/** Begins each of a group of faults at the moment of the call. */
+/** For each fault of a group, a function that starts the fault when it is called. */
 export type Injectors<Faults> = {
   [K in keyof Faults]: (
     simulation: Simulation,
--- a/test/simulation/faults/scripted/machine-outages.ts
+++ b/test/simulation/faults/scripted/machine-outages.ts
@@ -1,28 +1,28 @@
-/** Scripted faults of machines, and of their connections to controllers. */
+/** Scripted faults of machines and of their connections to controllers. */
 import type { Injectors } from './injectors.js';
 import { drawWorkers, type OnMachines } from './targets.js';
 
 /** Parameters of the faults of machines. */
 export interface MachineOutages {
-  /** No message passes; what is sent is delivered when the connection is back. */
+  /** Cuts machines off; messages are held back and delivered when the connection is restored. */
   machinesCutOff: OnMachines;
-  /** Heartbeats arrive, but neither responses nor commands reach the machines. */
+  /** Blocks responses and commands to machines, while their heartbeats arrive. */
   inboundBlocked: OnMachines;
-  /** No heartbeat leaves the machines, while commands reach them and are answered. */
+  /** Blocks the heartbeats of machines, while commands reach them and are answered. */
   heartbeatsBlocked: OnMachines;
   machinesLost: OnMachines;
-  /** The machines come back with their names and nothing else. */
+  /** Restarts machines: each keeps its id but loses its tasks and has a new agent epoch. */
   machinesRestart: OnMachines & { restartAfter: number };
   machinesHang: OnMachines;
-  /** What is sent to the machines is delivered later. */
+  /** Holds back all messages to machines, and delivers them at the end of the fault. */
   commandsHeldBack: OnMachines;
-  /** What the machines send is delivered later. */
+  /** Holds back all messages from machines, and delivers them at the end of the fault. */
   responsesHeldBack: OnMachines;
-  /** Rented machines are up within two seconds. */
+  /** Makes rented machines boot within two seconds. */
   fastBoots: object;
 }
 
-/** Begins faults of machines. */
+/** Injectors of the faults of machines. */
 export const machineOutages: Injectors<MachineOutages> = {
   machinesCutOff: ({ machineFaults }, { share }, ms) => machineFaults.cut(share, ms),
   inboundBlocked: (simulation, { share }, ms) => {
--- a/test/simulation/faults/scripted/message-faults.ts
+++ b/test/simulation/faults/scripted/message-faults.ts
@@ -1,10 +1,10 @@
-/** Scripted faults of single messages between machines and controllers, and of the network's delay. */
+/** Scripted faults of messages between machines and controllers, and of the network's latency. */
 import { USUAL_MAX_LATENCY_MS } from '../../network.js';
 import type { Simulation } from '../../simulation.js';
 import type { Injectors } from './injectors.js';
 
 interface HeartbeatReplay {
-  /** Share of the heartbeats of which copies are kept. */
+  /** Share of the heartbeats of which the network keeps copies. */
   share: number;
   /** Seconds from the next election until the copies arrive at every controller. */
   after: number;
@@ -13,16 +13,17 @@
 /** Parameters of the faults of messages. */
 export interface MessageFaults {
   slowNetwork: object;
-  /** Copies of heartbeats arrive again, seconds later. */
+  /** Delivers a copy of a share of the heartbeats, seconds later. */
   duplicatedHeartbeats: { share: number };
-  /** Direct commands that arrive seconds late, and whose responses are lost. */
+  /** Delays a share of the direct commands by seconds, and loses their responses. */
   delayedCommands: { share: number };
   heartbeatsReplayedToTheNextLeader: HeartbeatReplay;
 }
 
+/** Maximum latency of a message while the network is slow. */
 const SLOW_MAX_LATENCY_MS = 400;
 
-/** Begins faults of messages. */
+/** Injectors of the faults of messages. */
 export const messageFaults: Injectors<MessageFaults> = {
   slowNetwork: ({ clock, network }, _, ms) => {
     network.maxLatencyMs = SLOW_MAX_LATENCY_MS;
@@ -45,7 +46,7 @@
   heartbeatsReplayedToTheNextLeader: replayHeartbeats,
 };
 
-/** Keeps copies of heartbeats; they arrive at every controller after the next election. */
+/** Keeps copies of heartbeats, and delivers them to every controller after each election. */
 function replayHeartbeats(
   simulation: Simulation,
   { share, after }: HeartbeatReplay,
--- a/test/simulation/faults/scripted/state-store-faults.ts
+++ b/test/simulation/faults/scripted/state-store-faults.ts
@@ -4,20 +4,20 @@
 
 /** Parameters of the faults of the state store. */
 export interface StateStoreFaults {
-  /** It refuses all requests of these controllers, whose leases expire. */
+  /** Refuses all requests of these controllers, so that their leases expire. */
   stateStoreRefuses: OnControllers;
-  /** It refuses the watches of these controllers, and nothing else. */
+  /** Refuses only the watches of these controllers. */
   watchesRefused: OnControllers;
   stateStoreLimitsLowered: object;
   stateStoreOutage: object;
   slowStateStore: object;
-  /** Transactions that get no response and are committed later. */
+  /** Commits a share of the transactions later, and sends no response to them. */
   lateWrites: { share: number };
-  /** Transactions that are committed at once and get no response. */
+  /** Commits a share of the transactions at once, but loses the responses. */
   lostResponses: { share: number };
 }
 
-/** Begins faults of the state store. */
+/** Injectors of the faults of the state store. */
 export const stateStoreFaults: Injectors<StateStoreFaults> = {
   stateStoreRefuses: (simulation, { target }, ms) => {
     for (const host of hostsOf(simulation, target)) simulation.stateStore.refuse(host, ms);
--- a/test/simulation/faults/scripted/targets.ts
+++ b/test/simulation/faults/scripted/targets.ts
@@ -1,28 +1,28 @@
-/** Whom a scripted fault is about. */
+/** Selects the controllers or machines that a scripted fault affects. */
 import type { Worker } from '../../machines/worker.js';
 import type { Simulation } from '../../simulation.js';
 
-/** Controllers by their roles when the fault begins. */
+/** Selects controllers by their role when the fault begins. */
 export type ControllerTarget = 'leader' | 'others' | 'all';
 
-/** Parameters of a fault of some controllers. */
+/** Parameter of a fault that affects controllers. */
 export interface OnControllers {
   target: ControllerTarget;
 }
 
-/** Parameters of a fault of some machines; at least one is drawn. */
+/** Parameter of a fault that affects a random share of the machines, at least one. */
 export interface OnMachines {
   share: number;
 }
 
-/** The hosts of the controllers that the fault is about. */
+/** Returns the hosts of the controllers that the target selects. */
 export function hostsOf(simulation: Simulation, target: ControllerTarget): string[] {
   const { leader, hosts } = simulation;
   if (target === 'all') return [...hosts];
   return hosts.filter((host) => (target === 'leader') === (host === leader));
 }
 
-/** Workers on a share of the machines, at least one. */
+/** Draws the workers of a share of the machines, at least one if there are any. */
 export function drawWorkers(simulation: Simulation, share: number): Worker[] {
   const all = simulation.workers;
   const drawn = all.filter(() => simulation.random.next() < share);
--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -1,4 +1,4 @@
-/** Scripted actions of users: new jobs, cancellations, polls, and requests that are out of the ordinary. */
+/** Scripted actions of users: submissions, cancellations, polls and unusual requests. */
 import type { JobSpec } from '../../../../src/controller/wire/jobs.js';
 import type { Simulation } from '../../simulation.js';
 import { pollAfterChanges } from '../poll-after-changes.js';
@@ -8,17 +8,17 @@
 
 interface Cancellations {
   count: number;
-  /** Seconds for which the jobs' machines hang from that moment on. */
+  /** Seconds for which the machines of the cancelled jobs hang, from the cancellation on. */
   hang?: number;
-  /** Seconds for which the jobs' machines are cut off from that moment on. */
+  /** Seconds for which the machines of the cancelled jobs are cut off, from the cancellation on. */
   cut?: number;
-  /** The cancellation goes to a controller that does not lead. */
+  /** Whether to send the cancellations to controllers other than the leader. */
   elsewhere?: boolean;
 }
 
 interface JobStream {
   perSecond: number;
-  /** Share of the jobs that are cancelled before, while or after they run. */
+  /** Share of the jobs that are cancelled, some of them before or after they run. */
   cancelShare: number;
   template: Partial<JobSpec>;
 }
@@ -29,21 +29,23 @@
   jobStream: JobStream;
   jobsCancelled: Cancellations;
   jobsCancelledAsTheyEnd: { share: number };
-  /** Jobs are cancelled a moment after a leader has stepped down. */
+  /** Cancels running jobs shortly after a leader has stepped down. */
   jobsCancelledAtHandovers: { count: number };
   pollsAfterChanges: { cancelShare: number };
   everyonePolls: object;
   unusualRequests: object;
 }
 
-/** Cancellations are spread over this time. */
+/** Maximum delay of a cancellation by `jobsCancelled`; the delays are random. */
 const CANCEL_WINDOW_MS = 200;
+/** Maximum time from the handover of the leadership to a cancellation. */
 const MAX_CANCEL_DELAY_AFTER_HANDOVER_MS = 2500;
-/** Jobs of a stream that are cancelled are so within this time of their submission. */
+/** Maximum time from the submission of a job of a stream to its cancellation. */
 const MAX_CANCEL_DELAY_MS = 12_000;
+/** Time between two polls of a user by `everyonePolls`. */
 const POLL_EVERY_MS = 1000;
 
-/** Begins actions of users. */
+/** Injectors of the actions of users. */
 export const userActions: Injectors<UserActions> = {
   jobsSubmitted: (simulation, { count, template = {} }) => {
     for (let i = 0; i < count; i++) simulation.submit(simulation.jobWith(template), null);
@@ -72,7 +74,7 @@
     });
 }
 
-/** Cancels running jobs; their machines may hang or be cut off at that moment. */
+/** Cancels running jobs; if requested, their machines hang or are cut off from then on. */
 function cancelRunningJobs(
   simulation: Simulation,
   { count, hang = 0, cut = 0, elsewhere = false }: Cancellations,
@@ -91,7 +93,7 @@
   }
 }
 
-/** Cancels a share of the jobs as the last of their tasks completes. */
+/** Cancels a share of the jobs at the moment when their last task completes. */
 function cancelAsTheyEnd(
   simulation: Simulation,
   { share }: { share: number },
--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -1,13 +1,13 @@
-/** Requests that users should not send. */
+/** Requests that users send by mistake: repeated, without effect or invalid. */
 import { writeJobSpec, type JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Simulation } from '../simulation.js';
 
-/** Time between two such requests. */
+/** Range of the time between two such requests, in milliseconds. */
 const REQUEST_INTERVAL_MS = { least: 300, most: 900 };
 /** More cores than any machine has. */
 const TOO_MANY_CORES = 1e6;
 
-/** For a time users repeat, cancel what is done, ask for what can't run or leave a field out. */
+/** For `ms`, repeats submissions, cancels jobs that are done, and submits invalid jobs. */
 export function sendUnusualRequests(simulation: Simulation, ms: number): void {
   const { clock, random, checker, users } = simulation;
   const until = clock.now + ms;
@@ -25,7 +25,7 @@
   sendNext();
 }
 
-/** Submits a job like the one given that can't run or lacks a field. */
+/** Submits a copy of the job that needs more cores than any machine has, or lacks a field. */
 function submitInvalidJob(simulation: Simulation, spec: JobSpec): void {
   const { random, checker, users } = simulation;
   const invalidJob = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
