--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -13,8 +13,8 @@
  */
 export function findNeglectedJobs(jobs: readonly ObservedJob[]): string[] {
   const violations: string[] = [];
-  for (const [team, ofTeam] of groupBy(jobs, (job) => job.spec.team))
-    violations.push(...checkHalfServed(`team ${team}`, ofTeam));
+  for (const [team, teamJobs] of groupBy(jobs, (job) => job.spec.team))
+    violations.push(...checkHalfServed(`team ${team}`, teamJobs));
   for (const [cls, ofClass] of groupBy(jobs, (job) => job.spec.class)) {
     const largest = largestOf(ofClass);
     violations.push(...checkHalfServed(`class ${cls}`, ofClass));
