--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -15,9 +15,9 @@
   const violations: string[] = [];
   for (const [team, teamJobs] of groupBy(jobs, (job) => job.spec.team))
     violations.push(...checkHalfServed(`team ${team}`, teamJobs));
-  for (const [cls, ofClass] of groupBy(jobs, (job) => job.spec.class)) {
-    const largest = largestOf(ofClass);
-    violations.push(...checkHalfServed(`class ${cls}`, ofClass));
+  for (const [cls, classJobs] of groupBy(jobs, (job) => job.spec.class)) {
+    const largest = largestOf(classJobs);
+    violations.push(...checkHalfServed(`class ${cls}`, classJobs));
     violations.push(...checkHalfServed(`largest of ${cls}`, largest));
     for (const { spec } of largest.filter(startedLate))
       violations.push(
