--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -15,13 +15,13 @@
   const violations: string[] = [];
   for (const [team, teamJobs] of groupBy(jobs, (job) => job.spec.team))
     violations.push(...checkHalfServed(`team ${team}`, teamJobs));
-  for (const [cls, classJobs] of groupBy(jobs, (job) => job.spec.class)) {
+  for (const [className, classJobs] of groupBy(jobs, (job) => job.spec.class)) {
     const largest = largestOf(classJobs);
-    violations.push(...checkHalfServed(`class ${cls}`, classJobs));
-    violations.push(...checkHalfServed(`largest of ${cls}`, largest));
+    violations.push(...checkHalfServed(`class ${className}`, classJobs));
+    violations.push(...checkHalfServed(`largest of ${className}`, largest));
     for (const { spec } of largest.filter(startedLate))
       violations.push(
-        `largest of ${cls}: ${spec.id} with ${spec.tasks} tasks did not start within four minutes`,
+        `largest of ${className}: ${spec.id} with ${spec.tasks} tasks did not start within four minutes`,
       );
   }
   return violations;
