--- a/test/simulation/rules/task-placements.ts
+++ b/test/simulation/rules/task-placements.ts
@@ -11,9 +11,9 @@
     const task = `${id}/${index}`;
     const placements = this.byTask.get(task) ?? new Map<string, Placement>();
     this.byTask.set(task, placements);
-    const others = [...placements.keys()];
+    const previousMachines = [...placements.keys()];
     placements.set(placement.machine, placement);
-    return others;
+    return previousMachines;
   }
 
   /** Removes a placement of the task and returns it, or undefined if it was not on the machine. */
