--- a/test/simulation/faults/scripted/targets.ts
+++ b/test/simulation/faults/scripted/targets.ts
@@ -24,7 +24,7 @@
 
 /** Draws the workers of a share of the machines, at least one if there are any. */
 export function drawWorkers(simulation: Simulation, share: number): Worker[] {
-  const all = simulation.workers;
-  const drawn = all.filter(() => simulation.random.next() < share);
-  return drawn.length > 0 ? drawn : all.slice(0, 1);
+  const workers = simulation.workers;
+  const drawn = workers.filter(() => simulation.random.next() < share);
+  return drawn.length > 0 ? drawn : workers.slice(0, 1);
 }
