--- a/test/simulation/faults/scripted/inject-faults.ts
+++ b/test/simulation/faults/scripted/inject-faults.ts
@@ -19,9 +19,9 @@
 /** Schedules the faults, each at its time counted from now. */
 export function injectFaults(simulation: Simulation, faults: readonly Fault[]): void {
   for (const fault of faults)
-    simulation.clock.after(fault.at * 1000, () => begin(simulation, fault));
+    simulation.clock.after(fault.at * 1000, () => injectFault(simulation, fault));
 }
 
-function begin<K extends FaultKind>(simulation: Simulation, fault: Fault<K>): void {
+function injectFault<K extends FaultKind>(simulation: Simulation, fault: Fault<K>): void {
   injectors[fault.kind](simulation, fault, (fault.for ?? 0) * 1000);
 }
