--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -29,9 +29,9 @@
     if (wasLeader && checker.everyTeamAtLimit)
       observedEvents.record('leader killed with every team at its limit');
   });
-  simulation.processes.onLog.push((text, fields) => {
+  simulation.processes.onLog.push((message, fields) => {
     const { reason } = fields as { reason?: string };
-    if (text !== 'no longer leader' || !HANDOVER_REASONS.includes(reason ?? '')) return;
+    if (message !== 'no longer leader' || !HANDOVER_REASONS.includes(reason ?? '')) return;
     handoverAt = clock.now;
     recordIfCancelledAtHandover();
   });
