--- a/test/simulation/faults/scripted/message-faults.ts
+++ b/test/simulation/faults/scripted/message-faults.ts
@@ -58,8 +58,8 @@
   clock.after(durationMs, () => {
     network.retainedHeartbeats = 0;
   });
-  simulation.processes.onLog.push((text) => {
-    if (text !== 'elected leader' || clock.now > until) return;
+  simulation.processes.onLog.push((message) => {
+    if (message !== 'elected leader' || clock.now > until) return;
     const addresses = simulation.hosts.map((host) => simulation.apiOf(host));
     network.deliverRetained(addresses, after * 1000);
   });
