--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -114,8 +114,8 @@
 ): void {
   const { clock, random, checker } = simulation;
   const until = clock.now + durationMs;
-  simulation.processes.onLog.push((text) => {
-    if (text !== 'no longer leader' || clock.now > until) return;
+  simulation.processes.onLog.push((message) => {
+    if (message !== 'no longer leader' || clock.now > until) return;
     for (const id of checker.jobs.running().slice(0, count))
       clock.after(random.between(0, MAX_CANCEL_DELAY_AFTER_HANDOVER_MS), () =>
         simulation.cancel(id, random.pick(simulation.hosts)),
