--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -114,8 +114,8 @@
   const until = clock.now + durationMs;
   if (hostsInside.length === 1 && simulation.leader === hostsInside[0])
     observedEvents.record('leader alone in its zone');
-  simulation.processes.onLog.push((text) => {
-    if (text !== 'elected leader' || clock.now > until) return;
+  simulation.processes.onLog.push((message) => {
+    if (message !== 'elected leader' || clock.now > until) return;
     clock.after(0, () => {
       const outside = simulation.processes.leaders().some((host) => !hostsInside.includes(host));
       if (outside) observedEvents.record('leader elected outside a zone that is cut off');
