--- a/test/simulation/faults/connection-faults.ts
+++ b/test/simulation/faults/connection-faults.ts
@@ -15,7 +15,7 @@
     private readonly workers: () => Worker[],
   ) {}
 
-  /** Cuts both directions between two hosts; a random draw decides if messages are held or lost. */
+  /** Cuts both directions between two hosts for `ms`; messages are held back or lost, at random. */
   cutFor(a: string, b: string, ms: number): void {
     this.network.cut(a, b, this.drawCut());
     this.clock.after(ms, () => this.network.heal(a, b));
--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -1,4 +1,4 @@
-/** Polls every controller right after users could see a change of a job. */
+/** Polls every controller right after a change of a job. */
 import { writeJobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Simulation } from '../simulation.js';
 
@@ -27,9 +27,9 @@
 }
 
 /**
- * For `ms` from now on, polls a job and repeats its submission at every controller within milliseconds
- * after it was reported as accepted, done or cancelled, or completed its last task. With probability
- * `cancelShare` also cancels the job then.
+ * For `ms`, polls a job and repeats its submission at every controller within milliseconds after
+ * the job was first reported as accepted, done or cancelled, or completed its last task. With
+ * probability `cancelShare` also cancels the job then.
  */
 export function pollAfterChanges(simulation: Simulation, cancelShare: number, ms: number): void {
   const { checker, clock, random } = simulation;
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -12,9 +12,10 @@
 interface ZoneCut {
   zone: string;
   /**
-   * Which controller is inside the zone. If the deployment assigns controllers to zones, the zone that
-   * is cut off is that of the leader or of a follower or, for `single`, `zone` itself; all controllers
-   * of that zone are inside.
+   * Selects the controllers inside the zone that is cut off. If the deployment assigns no zones to
+   * controllers: the leader, or else one other controller, inside `zone`. If it does: all
+   * controllers in the zone of the leader or of a follower, which is cut off instead of `zone`, or
+   * with `single` all controllers in `zone`.
    */
   inside: 'leader' | 'follower' | 'single';
 }
--- a/test/simulation/faults/scripted/injectors.ts
+++ b/test/simulation/faults/scripted/injectors.ts
@@ -1,4 +1,4 @@
-/** Types of the functions that inject scripted faults; each group of faults has its own functions. */
+/** Types of the functions that inject scripted faults; each group of faults has its own. */
 import type { Simulation } from '../../simulation.js';
 
 /** Start of a fault, counted from the call of `injectFaults`, and its duration; in seconds. */
--- a/test/simulation/rules/cancellation-rule.ts
+++ b/test/simulation/rules/cancellation-rule.ts
@@ -6,12 +6,16 @@
 export class CancellationRule {
   /** Cancelled jobs whose tasks may still be on machines. */
   private readonly cancelledJobs = new Set<ObservedJob>();
-  /** Times of the first responses that reported a job as cancelled while its tasks were on machines. */
+  /**
+   * Times of the first responses that reported a job as cancelled while its tasks were on machines.
+   */
   readonly cancelledWhileRunning: number[] = [];
 
   constructor(
     private readonly context: RuleContext,
-    /** How long tasks may stay on machines after their job was reported as cancelled; milliseconds. */
+    /**
+     * How long tasks may stay on machines after their job was reported as cancelled; milliseconds.
+     */
     private readonly cancelMs: number,
   ) {}
 
--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -22,8 +22,8 @@
   reportedDone: boolean;
   completedTasks: Set<number>;
   /**
-   * When a request about the accepted job first failed to get a useful response since the last useful
-   * one; null if none has failed since.
+   * When a request about the accepted job first failed to get a useful response since the last
+   * useful one; null if none has failed since.
    */
   unansweredSince: number | null;
   /** Number of tasks on machines, by zone. */
@@ -33,8 +33,8 @@
   /** When all tasks of a gang, or the first task of another job, were on machines; null before. */
   startedAt: number | null;
   /**
-   * Since when the job has waited, or as a service lacked a replica, although there was capacity for
-   * it; null if that is not the case.
+   * Since when the job has waited, or as a service lacked a replica, although there was capacity
+   * for it; null if that is not the case.
    */
   runnableSince: number | null;
 }
@@ -48,7 +48,9 @@
   };
 }
 
-/** Returns what responses have reported about the job; `undefined` is a job that nobody submitted. */
+/**
+ * Returns what responses have reported about the job; `undefined` is a job that nobody submitted.
+ */
 export function visibleStateOf(job: ObservedJob | undefined): VisibleState {
   return {
     accepted: job?.accepted === true,
@@ -58,8 +60,8 @@
 }
 
 /**
- * Describes each constraint of the job that a task at this placement violates; `tasksByZone` already
- * includes the task.
+ * Describes each constraint of the job that a task at this placement violates; `tasksByZone`
+ * already includes the task.
  */
 export function placementViolations(
   { spec, tasksByZone }: ObservedJob,
--- a/test/simulation/rules/observed-jobs.ts
+++ b/test/simulation/rules/observed-jobs.ts
@@ -44,7 +44,9 @@
       .map((job) => job.spec.id);
   }
 
-  /** Returns the violations of the operators' rule for a whole scenario (see `findNeglectedJobs`). */
+  /**
+   * Returns the violations of the operators' rule for a whole scenario (see `findNeglectedJobs`).
+   */
   neglected(): string[] {
     return findNeglectedJobs(this.notCancelled());
   }
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -10,7 +10,9 @@
 } from './observed-job.js';
 import type { RuleContext } from './rule-context.js';
 
-/** Maximum time for which an accepted job may get no useful response after all faults have ended. */
+/**
+ * Maximum time for which an accepted job may get no useful response after all faults have ended.
+ */
 const MAX_UNANSWERED_MS = 75_000;
 
 const CHANGES: readonly VisibleChange[] = ['accepted', 'done', 'cancelled'];
@@ -26,7 +28,10 @@
     private readonly onCancelled: (job: ObservedJob) => void,
   ) {}
 
-  /** Checks a response, or its absence after the user's time-out; see `RuleChecker.responseReceived`. */
+  /**
+   * Checks a response, or its absence after the user's time-out; see
+   * `RuleChecker.responseReceived`.
+   */
   responseReceived(
     id: string,
     status: number,
--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -27,7 +27,10 @@
   private readonly placements = new TaskPlacements();
   /** Number of task starts on all machines. */
   startedTasks = 0;
-  /** Listeners called when the last task of an accepted job completes that nobody asked to cancel. */
+  /**
+   * Listeners called when an accepted job, whose cancellation nobody has requested, completes its
+   * last task.
+   */
   readonly onLastTaskCompleted: ((id: string) => void)[] = [];
   /** Listeners called when a task starts on a machine. */
   readonly onTaskStart: ((placement: Placement) => void)[] = [];
@@ -71,7 +74,9 @@
     return this.responses.onVisibleChange;
   }
 
-  /** Times of the first responses that reported a job as cancelled while its tasks were on machines. */
+  /**
+   * Times of the first responses that reported a job as cancelled while its tasks were on machines.
+   */
   get cancelledWhileRunning(): readonly number[] {
     return this.cancellation.cancelledWhileRunning;
   }
@@ -178,8 +183,8 @@
   }
 
   /**
-   * Checks that no job waits for long while `free` has capacity for it within its team's limits; call
-   * it at regular intervals once all faults have ended.
+   * Checks that no job waits for long while `free` has capacity for it within its team's limits;
+   * call it at regular intervals once all faults have ended.
    */
   checkWaitingJobs(free: readonly FreeCapacity[]): void {
     this.waiting.check(free);
--- a/test/simulation/rules/waiting-rule.ts
+++ b/test/simulation/rules/waiting-rule.ts
@@ -7,7 +7,9 @@
 
 /** Maximum time that a job may wait while there is capacity for it, after all faults have ended. */
 const MAX_WAITING_MS = 90_000;
-/** Maximum time that a service may lack a replica while there is capacity for one. */
+/**
+ * Maximum time that a service may lack a replica while there is capacity for it, after all faults.
+ */
 const MAX_REPLICA_MISSING_MS = 30_000;
 
 /** Measures how long jobs wait although they could run. */
@@ -18,8 +20,8 @@
   ) {}
 
   /**
-   * Records the jobs that have waited too long while there was capacity for them within their team's
-   * limits. Called at regular intervals after all faults have ended.
+   * Records the jobs that have waited too long while there was capacity for them within their
+   * team's limits. Called at regular intervals after all faults have ended.
    */
   check(free: readonly FreeCapacity[]): void {
     for (const job of this.context.jobs.all()) this.checkJob(job, free);
--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -15,12 +15,12 @@
 };
 
 /**
- * Scenarios with a failover while machines boot, team limits are reached, commands or heartbeats are
- * in transit, or machines restart.
+ * Scenarios with a failover while machines boot, team limits are reached, commands or heartbeats
+ * are in transit, or machines restart.
  */
 export const failoverScenarios: FaultScenario[] = [
   {
-    name: 'a zone with workers and a follower is cut off for longer than lease_s, the leader is killed',
+    name: 'a zone with workers and a follower is cut off for longer than lease_s and the leader is killed',
     jobs: longJobs,
     jobCount: 16,
     faults: (between) => [
@@ -169,7 +169,7 @@
     }),
   },
   {
-    name: 'machines and the leader are lost while job arrays are bound to one zone',
+    name: 'machines are lost and the leader is killed while job arrays are bound to one zone',
     jobs: { ...longJobs, estimatedRunS: 60, zone: 'a' },
     jobCount: 14,
     faults: (between) => [
--- a/test/simulation/scenarios/fault-scenarios.ts
+++ b/test/simulation/scenarios/fault-scenarios.ts
@@ -1,4 +1,4 @@
-/** Lists of the fault scenarios. Each combines faults and checks by counters that they occurred. */
+/** The fault scenarios. Each combines faults, and checks by counters that they had an effect. */
 import { controllerScenarios } from './controller-scenarios.js';
 import { failoverScenarios } from './failover-scenarios.js';
 import { machineScenarios } from './machine-scenarios.js';
--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -8,8 +8,8 @@
 } from './fault-scenario.js';
 
 /**
- * Scenarios in which machines are lost or cut off or hang, or commands, responses and heartbeats are
- * late.
+ * Scenarios in which machines are lost or cut off or hang, or commands, responses and heartbeats
+ * are late.
  */
 export const machineScenarios: FaultScenario[] = [
   {
@@ -65,7 +65,7 @@
     }),
   },
   {
-    name: 'machines and the leader are lost while the tasks of each job must share a zone',
+    name: 'machines are lost and the leader is killed while the tasks of each job must share a zone',
     jobs: { estimatedRunS: 40, singleZone: true, spread: false, zone: null, types: null, tasks: 3 },
     jobCount: 14,
     faults: (between) => [
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -16,8 +16,8 @@
 const RECOVERY_MS = 400_000;
 
 /**
- * Plays a scenario; besides its faults only some requests are duplicated and, if the deployment says
- * so, some boots fail. Throws an error if a rule is violated.
+ * Plays a scenario; besides its faults only some requests are duplicated and, if the deployment
+ * says so, some boots fail. Throws an error if a rule is violated.
  */
 export function playScenario(
   scenario: FaultScenario,
--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -12,7 +12,7 @@
 
 const LEASE_RATIO = shortLeases.platform.leaseS / defaultPlatformOptions.leaseS;
 const CANCEL_RATIO = shortLeases.platform.cancelDeadlineS / defaultPlatformOptions.cancelDeadlineS;
-/** Times up to this one scale with the lease; later ones only shift, so their distances remain. */
+/** Times up to this one, in seconds, scale with the lease; later ones shift by the same amount. */
 const SCALED_UNTIL_S = 10;
 
 /** Converts the time at which a fault begins, in seconds, to the deployment with short leases. */
@@ -22,8 +22,8 @@
 }
 
 /**
- * Converts a duration in seconds. One longer than `cancel_s` scales with `cancel_s`, so that it stays
- * longer; others scale with the lease.
+ * Converts a duration in seconds. One longer than `cancel_s` scales with `cancel_s`, so that it
+ * stays longer; others scale with the lease.
  */
 function scaledDuration(seconds: number): number {
   return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -10,12 +10,12 @@
 } from './fault-scenario.js';
 
 /**
- * Scenarios in which the state store refuses requests, has outages, is slow, commits transactions late
- * or lowers its limits, around cancellations and failovers.
+ * Scenarios in which the state store refuses requests, has outages, is slow, commits transactions
+ * late or lowers its limits, around cancellations and failovers.
  */
 export const stateStoreScenarios: FaultScenario[] = [
   {
-    name: 'jobs are cancelled while the state store refuses only the leader, then an outage over cancel_s',
+    name: 'jobs are cancelled while the state store refuses only the leader, then an outage beyond cancel_s',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
--- a/test/simulation/scenarios/steady-work.ts
+++ b/test/simulation/scenarios/steady-work.ts
@@ -10,8 +10,9 @@
 
 /** Range of the intervals between submissions, as multiples of the mean interval. */
 const JITTER = { least: 0.3, most: 1.7 };
-/** Share of the jobs after those at the start that are cancelled, and the delay after submission. */
+/** Share of the jobs submitted after the start that are cancelled. */
 const CANCEL_SHARE = 0.04;
+/** Time from the submission of such a job to its cancellation. */
 const CANCEL_AFTER_MS = 20_000;
 
 /** Submits random jobs, some at once and then one after each interval; some are cancelled. */
