--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -1,47 +1,49 @@
-/** Polls of every controller right after a change of a job became visible. */
+/** Polls every controller right after a change of a job. */
 import { writeJobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Simulation } from '../simulation.js';
 
-/** Requests to each controller after a change, and within what time they are sent. */
+/** Number of requests to each controller after a change. */
 const REQUESTS_PER_CONTROLLER = 3;
-const WITHIN_MS = 40;
-/** Share of the requests that are repeated submissions. */
-const REPEATED_SHARE = 0.3;
+/** Time after the change within which the requests are sent. */
+const REQUEST_WINDOW_MS = 40;
+/** Share of the requests that repeat the submission instead of polling. */
+const RESUBMISSION_SHARE = 0.3;
 
-/** Polls a job at one controller, or submits it once more; the rules judge the response. */
+/** Polls a job at one controller, or repeats its submission; the rules check the response. */
 function pollOnce(simulation: Simulation, id: string, host: string): void {
   const { checker, random } = simulation;
   const spec = simulation.users.specOf(id);
   if (spec === undefined) return;
-  const repeated = random.next() < REPEATED_SHARE;
-  const before = checker.visibleState(id);
+  const resubmits = random.next() < RESUBMISSION_SHARE;
+  const stateWhenSent = checker.visibleState(id);
   simulation.observedEvents.record('poll after a change');
   simulation.sendRequest(
-    repeated ? 'POST' : 'GET',
-    repeated ? '/submissions' : `/submissions/${id}`,
-    repeated ? writeJobSpec(spec) : undefined,
-    (status, state) => checker.responseReceived(id, status, state, repeated, before),
+    resubmits ? 'POST' : 'GET',
+    resubmits ? '/submissions' : `/submissions/${id}`,
+    resubmits ? writeJobSpec(spec) : undefined,
+    (status, state) => checker.responseReceived(id, status, state, resubmits, stateWhenSent),
     host,
   );
 }
 
 /**
- * For a time users poll every controller within milliseconds after a job was accepted, ended or
- * cancelled, and repeat its submission; a share of them cancels the job at that moment.
+ * For `ms`, polls a job and repeats its submission at every controller within milliseconds after
+ * the job was first reported as accepted, done or cancelled, or completed its last task. With
+ * probability `cancelShare` also cancels the job then.
  */
 export function pollAfterChanges(simulation: Simulation, cancelShare: number, ms: number): void {
   const { checker, clock, random } = simulation;
   const until = clock.now + ms;
-  const pollClosely = (id: string): void => {
+  const pollAllControllers = (id: string): void => {
     if (clock.now > until) return;
     for (const host of simulation.hosts)
       for (let i = 0; i < REQUESTS_PER_CONTROLLER; i++)
-        clock.after(random.between(0, WITHIN_MS), () => pollOnce(simulation, id, host));
+        clock.after(random.between(0, REQUEST_WINDOW_MS), () => pollOnce(simulation, id, host));
     if (random.next() < cancelShare)
-      clock.after(random.between(0, WITHIN_MS), () =>
+      clock.after(random.between(0, REQUEST_WINDOW_MS), () =>
         simulation.cancel(id, random.pick(simulation.hosts)),
       );
   };
-  checker.onVisibleChange.push(pollClosely);
-  checker.onLastTaskCompleted.push(pollClosely);
+  checker.onVisibleChange.push(pollAllControllers);
+  checker.onLastTaskCompleted.push(pollAllControllers);
 }
--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -2,21 +2,22 @@
 import type { Worker } from '../machines/worker.js';
 import type { SimulatedDeployment } from '../simulated-deployment.js';
 
-/** Spot machines are taken so long after the notice. */
-const RECALL_MS = 10_000;
+/** Time from the interruption notice of a spot instance until the cloud reclaims it. */
+const INTERRUPTION_NOTICE_MS = 10_000;
+/** Time from the kill of a controller to its restart, unless a short one is drawn. */
 const RESTART_MS = 6000;
 
-/** What is drawn for a fault. */
-interface Draw {
+/** The random parameters of a fault. */
+interface FaultDraw {
   host: string;
   worker: Worker | undefined;
   durationMs: number;
   restartMs: number;
 }
 
-type RandomFault = (simulation: SimulatedDeployment, draw: Draw) => void;
+type RandomFault = (simulation: SimulatedDeployment, draw: FaultDraw) => void;
 
-/** Kinds of faults, each as likely as the others. */
+/** The kinds of faults; all are equally likely. */
 const RANDOM_FAULTS: readonly RandomFault[] = [
   ({ processes }, { host, restartMs }) => processes.kill(host, restartMs),
   ({ processes, hosts }, { restartMs }) => hosts.forEach((h) => processes.kill(h, restartMs)),
@@ -30,7 +31,7 @@
   ({ random }, { worker }) => worker?.hang(random.between(1000, 60_000)),
   (_, { worker }) => worker?.die(),
   ({ random }, { worker }) => worker?.restart(random.between(100, 600)),
-  deafenWorker,
+  blockInboundOfWorker,
   ({ connectionFaults }, { host, durationMs }) => connectionFaults.isolate(host, durationMs),
   ({ processes }) => processes.killElected(),
   ({ processes }, { host, durationMs }) => processes.freeze(host, durationMs),
@@ -38,22 +39,22 @@
   ({ connectionFaults }, { durationMs }) => connectionFaults.refusePeers(durationMs),
   ({ machineFaults }, { durationMs }) => machineFaults.cut(0.3, durationMs),
   ({ processes, random }) => processes.rollingRestart(random.between(2000, 15_000)),
-  recallSpotMachine,
+  interruptSpotMachine,
 ];
 
-/** Injects a fault every now and then, until the simulation is calm. */
-export function injectRandomFaults(simulation: SimulatedDeployment, everyMs: number): void {
+/** Injects random faults, `meanIntervalMs` apart on average, until the simulation stops faults. */
+export function injectRandomFaults(simulation: SimulatedDeployment, meanIntervalMs: number): void {
   const { clock, random } = simulation;
-  clock.after(everyMs * random.between(0.3, 1.7), () => {
+  clock.after(meanIntervalMs * random.between(0.3, 1.7), () => {
     if (simulation.faultsStopped) return;
     injectRandomFault(simulation);
-    injectRandomFaults(simulation, everyMs);
+    injectRandomFaults(simulation, meanIntervalMs);
   });
 }
 
 function injectRandomFault(simulation: SimulatedDeployment): void {
   const { random, hosts, workers } = simulation;
-  const draw: Draw = {
+  const draw: FaultDraw = {
     host: random.pick(hosts),
     worker: workers.length > 0 ? random.pick(workers) : undefined,
     durationMs: random.between(1000, 45_000),
@@ -64,21 +65,21 @@
 
 function cutWorker(
   { connectionFaults, hosts }: SimulatedDeployment,
-  { worker, durationMs }: Draw,
+  { worker, durationMs }: FaultDraw,
 ): void {
   if (worker === undefined) return;
   for (const host of hosts) connectionFaults.cutFor(host, worker.id, durationMs);
 }
 
-function deafenWorker(
+function blockInboundOfWorker(
   { connectionFaults }: SimulatedDeployment,
-  { worker, durationMs }: Draw,
+  { worker, durationMs }: FaultDraw,
 ): void {
   if (worker !== undefined) connectionFaults.blockInbound(worker, durationMs);
 }
 
-function recallSpotMachine({ cloud, clock }: SimulatedDeployment, { worker }: Draw): void {
+function interruptSpotMachine({ cloud, clock }: SimulatedDeployment, { worker }: FaultDraw): void {
   if (worker?.spot !== true) return;
-  worker.noticeInterruption(RECALL_MS);
-  clock.after(RECALL_MS, () => cloud.reclaim(worker.id));
+  worker.noticeInterruption(INTERRUPTION_NOTICE_MS);
+  clock.after(INTERRUPTION_NOTICE_MS, () => cloud.reclaim(worker.id));
 }
--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -1,28 +1,30 @@
-/** Which groups of jobs were served too little in a scenario as a whole. */
+/** Finds groups of jobs that were served too little over a whole scenario. */
 import type { ObservedJob } from './observed-job.js';
 
-/** The largest jobs of a class have to begin within this time. */
-const LARGEST_MS = 240_000;
-/** Jobs of a class that count as its largest. */
+/** Maximum time from the submission to the start of a class's largest jobs. */
+const LARGEST_MAX_WAIT_MS = 240_000;
+/** Share of the jobs of a class, those with the most tasks, that count as its largest. */
 const LARGEST_SHARE = 0.1;
 
 /**
- * The operators' rule on a scenario as a whole: at least half of every class, of every team and of
- * every class's largest jobs is served, and the largest begin within four minutes. Returns where
- * that is not so.
+ * Checks the operators' rule for a whole scenario: of every class, of every team and of the largest
+ * jobs of every class at least half have completed all tasks, and the largest jobs started within
+ * four minutes of their submission. Returns a description of each violation.
  */
 export function findNeglectedJobs(jobs: readonly ObservedJob[]): string[] {
-  const found: string[] = [];
-  for (const [team, ofTeam] of groupBy(jobs, (job) => job.spec.team))
-    found.push(...halfUnserved(`team ${team}`, ofTeam));
-  for (const [cls, ofClass] of groupBy(jobs, (job) => job.spec.class)) {
-    const largest = largestOf(ofClass);
-    found.push(...halfUnserved(`class ${cls}`, ofClass));
-    found.push(...halfUnserved(`largest of ${cls}`, largest));
-    for (const { spec } of largest.filter(beganLate))
-      found.push(`largest of ${cls}: ${spec.id} with ${spec.tasks} tasks began too late`);
+  const violations: string[] = [];
+  for (const [team, teamJobs] of groupBy(jobs, (job) => job.spec.team))
+    violations.push(...checkHalfServed(`team ${team}`, teamJobs));
+  for (const [className, classJobs] of groupBy(jobs, (job) => job.spec.class)) {
+    const largest = largestOf(classJobs);
+    violations.push(...checkHalfServed(`class ${className}`, classJobs));
+    violations.push(...checkHalfServed(`largest of ${className}`, largest));
+    for (const { spec } of largest.filter(startedLate))
+      violations.push(
+        `largest of ${className}: ${spec.id} with ${spec.tasks} tasks did not start within four minutes`,
+      );
   }
-  return found;
+  return violations;
 }
 
 function groupBy(
@@ -34,9 +36,9 @@
   return groups;
 }
 
-function halfUnserved(name: string, jobs: readonly ObservedJob[]): string[] {
-  const done = jobs.filter((job) => job.completedTasks.size >= job.spec.tasks).length;
-  return done < jobs.length / 2 ? [`${name}: ${done} of ${jobs.length} served`] : [];
+function checkHalfServed(name: string, jobs: readonly ObservedJob[]): string[] {
+  const served = jobs.filter((job) => job.completedTasks.size >= job.spec.tasks).length;
+  return served < jobs.length / 2 ? [`${name}: ${served} of ${jobs.length} jobs completed`] : [];
 }
 
 function largestOf(jobs: readonly ObservedJob[]): ObservedJob[] {
@@ -44,6 +46,6 @@
   return [...jobs].sort((a, b) => b.spec.tasks - a.spec.tasks).slice(0, count);
 }
 
-function beganLate(job: ObservedJob): boolean {
-  return (job.startedAt ?? Infinity) - job.submittedAt > LARGEST_MS;
+function startedLate(job: ObservedJob): boolean {
+  return (job.startedAt ?? Infinity) - job.submittedAt > LARGEST_MAX_WAIT_MS;
 }
