--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -44,7 +44,7 @@
 export class Network {
   private readonly services = new Map<string, { host: string; serve: RequestHandler }>();
   private readonly cuts = new Map<string, CutMode>();
-  private held: { from: string; to: string; run: () => void }[] = [];
+  private heldMessages: { from: string; to: string; run: () => void }[] = [];
   /** Chance that a request arrives a second time, much later. */
   duplicated = 0;
   /** How late such a copy may be. */
@@ -93,9 +93,9 @@
   heal(a: string, b: string): void {
     this.cuts.delete(`${a} ${b}`);
     this.cuts.delete(`${b} ${a}`);
-    if (this.held.length === 0) return;
-    const released = this.held.filter((h) => !this.cuts.has(`${h.from} ${h.to}`));
-    this.held = this.held.filter((h) => this.cuts.has(`${h.from} ${h.to}`));
+    if (this.heldMessages.length === 0) return;
+    const released = this.heldMessages.filter((h) => !this.cuts.has(`${h.from} ${h.to}`));
+    this.heldMessages = this.heldMessages.filter((h) => this.cuts.has(`${h.from} ${h.to}`));
     for (const h of released) this.clock.after(this.random.between(0.2, 3), h.run);
   }
 
@@ -107,13 +107,13 @@
   send(from: string, to: string, run: () => void, lost: () => void): void {
     const cut = this.cutOf(from, to);
     if (cut === 'reset') this.clock.after(1, lost);
-    else if (cut === 'hold') this.held.push({ from, to, run });
+    else if (cut === 'hold') this.heldMessages.push({ from, to, run });
     else {
       this.clock.after(this.random.between(0.2, this.maxLatencyMs), () => {
         // A cut may have come while the message was under way.
         const now = this.cutOf(from, to);
         if (now === undefined) run();
-        else if (now === 'hold') this.held.push({ from, to, run });
+        else if (now === 'hold') this.heldMessages.push({ from, to, run });
         else lost();
       });
     }
