--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -134,7 +134,7 @@
   }
 
   /** Whether the command is delayed; it then arrives once, 2 to 16 s late, and gets no response. */
-  private delays(call: Call, deliver: (respond: Respond) => void): boolean {
+  private tryDelay(call: Call, deliver: (respond: Respond) => void): boolean {
     if (call.path !== '/do' || this.delayedCommands === 0) return false;
     if (this.random.next() >= this.delayedCommands) return false;
     this.clock.after(this.random.between(2000, 16_000), () => {
@@ -155,7 +155,7 @@
     const arrival = toIncomingRequest(call);
     const deliver = (request: IncomingRequest, respond: Respond): void =>
       this.deliver(from, call.to, request, respond);
-    if (this.delays(call, (respond) => deliver(arrival, respond))) return;
+    if (this.tryDelay(call, (respond) => deliver(arrival, respond))) return;
     const respond = (reply: Reply): void => this.sendReply(target.host, from, reply, finish);
     this.send(
       from,
