--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -146,7 +146,7 @@
 
   /** Makes a call; `done` gets the reply, or status 0 where none comes in time, while `alive`. */
   call(from: string, call: Call, alive: () => boolean, done: (reply: Reply) => void): void {
-    const finish = this.settleOnce(call.timeoutMs, alive, done);
+    const finish = this.replyOnce(call.timeoutMs, alive, done);
     const target = this.services.get(call.to);
     if (target === undefined) {
       this.clock.after(1, () => finish(NO_REPLY));
@@ -167,7 +167,7 @@
   }
 
   /** Passes on the first reply, or none once the time is up. */
-  private settleOnce(
+  private replyOnce(
     timeoutMs: number,
     alive: () => boolean,
     done: (reply: Reply) => void,
