--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -111,9 +111,9 @@
     else {
       this.clock.after(this.random.between(0.2, this.maxLatencyMs), () => {
         // A cut may have come while the message was under way.
-        const now = this.cutOf(from, to);
-        if (now === undefined) run();
-        else if (now === 'hold') this.heldMessages.push({ from, to, run });
+        const currentCut = this.cutOf(from, to);
+        if (currentCut === undefined) run();
+        else if (currentCut === 'hold') this.heldMessages.push({ from, to, run });
         else lost();
       });
     }
