--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -104,9 +104,9 @@
   }
 
   /** Delivers, holds back or loses. `lost` is called if the sender would notice. */
-  send(from: string, to: string, run: () => void, lost: () => void): void {
+  send(from: string, to: string, run: () => void, onLost: () => void): void {
     const cut = this.cutOf(from, to);
-    if (cut === 'reset') this.clock.after(1, lost);
+    if (cut === 'reset') this.clock.after(1, onLost);
     else if (cut === 'hold') this.heldMessages.push({ from, to, run });
     else {
       this.clock.after(this.random.between(0.2, this.maxLatencyMs), () => {
@@ -114,7 +114,7 @@
         const currentCut = this.cutOf(from, to);
         if (currentCut === undefined) run();
         else if (currentCut === 'hold') this.heldMessages.push({ from, to, run });
-        else lost();
+        else onLost();
       });
     }
   }
