--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -104,16 +104,16 @@
   }
 
   /** Delivers, holds back or loses. `lost` is called if the sender would notice. */
-  send(from: string, to: string, run: () => void, onLost: () => void): void {
+  send(from: string, to: string, deliver: () => void, onLost: () => void): void {
     const cut = this.cutOf(from, to);
     if (cut === 'reset') this.clock.after(1, onLost);
-    else if (cut === 'hold') this.heldMessages.push({ from, to, run });
+    else if (cut === 'hold') this.heldMessages.push({ from, to, run: deliver });
     else {
       this.clock.after(this.random.between(0.2, this.maxLatencyMs), () => {
         // A cut may have come while the message was under way.
         const currentCut = this.cutOf(from, to);
-        if (currentCut === undefined) run();
-        else if (currentCut === 'hold') this.heldMessages.push({ from, to, run });
+        if (currentCut === undefined) deliver();
+        else if (currentCut === 'hold') this.heldMessages.push({ from, to, run: deliver });
         else onLost();
       });
     }
