--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -206,8 +206,8 @@
     arrival: IncomingRequest,
     deliver: (request: IncomingRequest, respond: Respond) => void,
   ): void {
-    const copy = (fromMs: number): void => {
-      this.clock.after(this.random.between(fromMs, this.maxDuplicateDelayMs), () => {
+    const copy = (minDelayMs: number): void => {
+      this.clock.after(this.random.between(minDelayMs, this.maxDuplicateDelayMs), () => {
         this.duplicatesDelivered++;
         deliver({ ...arrival, duplicate: true }, () => undefined);
       });
