--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -203,13 +203,13 @@
   private copyRequest(
     from: string,
     call: Call,
-    arrival: IncomingRequest,
+    request: IncomingRequest,
     deliver: (request: IncomingRequest, respond: Respond) => void,
   ): void {
     const copy = (minDelayMs: number): void => {
       this.clock.after(this.random.between(minDelayMs, this.maxDuplicateDelayMs), () => {
         this.duplicatesDelivered++;
-        deliver({ ...arrival, duplicate: true }, () => undefined);
+        deliver({ ...request, duplicate: true }, () => undefined);
       });
     };
     if (call.method === 'POST' && this.duplicated > 0 && this.random.next() < this.duplicated)
@@ -217,6 +217,6 @@
     if (this.duplicatedHeartbeats > 0 && call.path === '/v1/report')
       if (this.random.next() < this.duplicatedHeartbeats) copy(2000);
     if (this.retainedHeartbeats > 0 && call.path === '/v1/report')
-      if (this.random.next() < this.retainedHeartbeats) this.kept.push({ from, arrival });
+      if (this.random.next() < this.retainedHeartbeats) this.kept.push({ from, arrival: request });
   }
 }
