--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -206,16 +206,16 @@
     request: IncomingRequest,
     deliver: (request: IncomingRequest, respond: Respond) => void,
   ): void {
-    const copy = (minDelayMs: number): void => {
+    const deliverCopyLater = (minDelayMs: number): void => {
       this.clock.after(this.random.between(minDelayMs, this.maxDuplicateDelayMs), () => {
         this.duplicatesDelivered++;
         deliver({ ...request, duplicate: true }, () => undefined);
       });
     };
     if (call.method === 'POST' && this.duplicated > 0 && this.random.next() < this.duplicated)
-      copy(5);
+      deliverCopyLater(5);
     if (this.duplicatedHeartbeats > 0 && call.path === '/v1/report')
-      if (this.random.next() < this.duplicatedHeartbeats) copy(2000);
+      if (this.random.next() < this.duplicatedHeartbeats) deliverCopyLater(2000);
     if (this.retainedHeartbeats > 0 && call.path === '/v1/report')
       if (this.random.next() < this.retainedHeartbeats) this.kept.push({ from, arrival: request });
   }
