--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -137,10 +137,10 @@
   /** The leader ends, and so do those who follow, each in the midst of its election; all are soon back. */
   killElected(times = 4, overMs = 6000): void {
     const { clock, random } = this.context;
-    let left = times;
+    let remainingRounds = times;
     const again = (): void => {
       for (const host of this.leaders()) this.kill(host, random.between(50, 400));
-      if (--left > 0) clock.after(random.between(20, (2 * overMs) / times), again);
+      if (--remainingRounds > 0) clock.after(random.between(20, (2 * overMs) / times), again);
     };
     again();
   }
