--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -138,11 +138,11 @@
   killElected(times = 4, overMs = 6000): void {
     const { clock, random } = this.context;
     let remainingRounds = times;
-    const again = (): void => {
+    const killLeaders = (): void => {
       for (const host of this.leaders()) this.kill(host, random.between(50, 400));
-      if (--remainingRounds > 0) clock.after(random.between(20, (2 * overMs) / times), again);
+      if (--remainingRounds > 0) clock.after(random.between(20, (2 * overMs) / times), killLeaders);
     };
-    again();
+    killLeaders();
   }
 
   /** The processes are restarted one after the other. */
