--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -135,13 +135,13 @@
   }
 
   /** The leader ends, and so do those who follow, each in the midst of its election; all are soon back. */
-  killElected(rounds = 4, overMs = 6000): void {
+  killElected(rounds = 4, durationMs = 6000): void {
     const { clock, random } = this.context;
     let remainingRounds = rounds;
     const killLeaders = (): void => {
       for (const host of this.leaders()) this.kill(host, random.between(50, 400));
       if (--remainingRounds > 0)
-        clock.after(random.between(20, (2 * overMs) / rounds), killLeaders);
+        clock.after(random.between(20, (2 * durationMs) / rounds), killLeaders);
     };
     killLeaders();
   }
