--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -126,7 +126,7 @@
   kill(host: string, restartMs: number): void {
     const process = this.processes.get(host);
     if (process === undefined) return;
-    for (const killed of this.onKill) killed(host, process.controller.leads);
+    for (const listener of this.onKill) listener(host, process.controller.leads);
     process.runtime.alive = false;
     this.processes.delete(host);
     this.peers.delete(host);
