--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -93,7 +93,7 @@
       info: (fields, text) => {
         this.logCounts.set(text, (this.logCounts.get(text) ?? 0) + 1);
         if (text === 'elected leader') this.electedVersions.push(version);
-        for (const logged of this.onLog) logged(text, fields);
+        for (const listener of this.onLog) listener(text, fields);
         this.context.log.info(fields, text);
       },
       error: (fields, text) => {
