--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -43,7 +43,7 @@
   /** The versions of the leaders, in the order of their elections. */
   readonly electedVersions: ProgramVersion[] = [];
   private readonly processes = new Map<string, Process>();
-  private readonly peers = new Map<string, (bytes: Buffer) => void>();
+  private readonly peerFrameHandlers = new Map<string, (bytes: Buffer) => void>();
   private starts = 0;
 
   constructor(private readonly context: ProcessContext) {}
@@ -61,7 +61,7 @@
       this.context.random,
       this.context.network,
       host,
-      this.peers,
+      this.peerFrameHandlers,
     );
     const version = this.context.versionOf(host);
     const { hosts, platform } = this.context.deployment;
@@ -77,7 +77,9 @@
   }
 
   private connect(host: string, { controller, runtime }: Process): void {
-    this.peers.set(host, (bytes) => runtime.whenAwake(() => controller.peerFrame(bytes)));
+    this.peerFrameHandlers.set(host, (bytes) =>
+      runtime.whenAwake(() => controller.peerFrame(bytes)),
+    );
     this.context.network.listen(this.context.apiOf(host), host, (_, request, respond) => {
       runtime.whenAwake(() => {
         controller.request(request.method, request.path, request.bytes, (answer) => {
@@ -129,7 +131,7 @@
     for (const listener of this.onKill) listener(host, process.controller.leads);
     process.runtime.alive = false;
     this.processes.delete(host);
-    this.peers.delete(host);
+    this.peerFrameHandlers.delete(host);
     this.context.network.remove(this.context.apiOf(host));
     this.context.clock.after(restartMs, () => this.start(host));
   }
