--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -149,9 +149,9 @@
   }
 
   /** The processes are restarted one after the other. */
-  rollingRestart(everyMs: number): void {
+  rollingRestart(intervalMs: number): void {
     for (const [index, host] of this.context.deployment.hosts.entries())
-      this.context.clock.after(index * everyMs, () => this.kill(host, ROLL_RESTART_MS));
+      this.context.clock.after(index * intervalMs, () => this.kill(host, ROLL_RESTART_MS));
   }
 
   /** The host's process freezes for a time. */
