--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -18,7 +18,7 @@
     private readonly seededRandom: SeededRandom,
     private readonly network: Network,
     private readonly host: string,
-    private readonly peers: Map<string, (bytes: Buffer) => void>,
+    private readonly peerFrameHandlers: Map<string, (bytes: Buffer) => void>,
   ) {
     this.drift = 1 + seededRandom.between(0, 0.0005);
     this.offset = seededRandom.between(0, 1e6);
@@ -73,7 +73,7 @@
     this.network.send(
       this.host,
       host,
-      () => this.peers.get(host)?.(frame),
+      () => this.peerFrameHandlers.get(host)?.(frame),
       () => undefined,
     );
   }
