--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -59,8 +59,8 @@
 
   call(call: Call, done: (reply: Reply) => void): void {
     if (!this.alive) return;
-    const later = (r: Reply): void => this.whenAwake(() => done(r));
-    this.network.call(this.host, call, () => this.alive, later);
+    const doneWhenAwake = (r: Reply): void => this.whenAwake(() => done(r));
+    this.network.call(this.host, call, () => this.alive, doneWhenAwake);
   }
 
   /** Now and then sockets are scarce. */
