--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -59,7 +59,7 @@
 
   call(call: Call, done: (reply: Reply) => void): void {
     if (!this.alive) return;
-    const doneWhenAwake = (r: Reply): void => this.whenAwake(() => done(r));
+    const doneWhenAwake = (reply: Reply): void => this.whenAwake(() => done(reply));
     this.network.call(this.host, call, () => this.alive, doneWhenAwake);
   }
 
