--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -22,7 +22,8 @@
 }
 
 /** An older version, or why it can't be had. */
-export type Found = { name: string; older: OlderVersion } | { name: string; reason: string };
+export type VersionLookup =
+  { name: string; older: OlderVersion } | { name: string; reason: string };
 
 /** The previous landing on the main branch. */
 const PREVIOUS_LANDING = '41e660f42774fdcc4b541cb925a56407228d98fd';
@@ -97,7 +98,7 @@
   );
 }
 
-async function find(name: string, named: string): Promise<Found> {
+async function find(name: string, named: string): Promise<VersionLookup> {
   let commit: string;
   let known: boolean;
   try {
@@ -115,8 +116,8 @@
  * The older versions that are played. Only what git doesn't have is a reason to do without; a commit
  * that it has must load.
  */
-export async function olderVersions(): Promise<Found[]> {
-  const found: Found[] = [];
+export async function olderVersions(): Promise<VersionLookup[]> {
+  const found: VersionLookup[] = [];
   for (const { name, commit } of olderCommits()) found.push(await find(name, commit));
   return found;
 }
