--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -98,15 +98,15 @@
   );
 }
 
-async function find(name: string, named: string): Promise<VersionLookup> {
+async function find(name: string, revision: string): Promise<VersionLookup> {
   let commit: string;
   let known: boolean;
   try {
-    commit = git('rev-parse', '--verify', `${named}^{commit}`).toString().trim();
+    commit = git('rev-parse', '--verify', `${revision}^{commit}`).toString().trim();
     known = knowsServicesAndLimits(commit);
   } catch (err) {
     const { message } = err as Error;
-    return { name, reason: `needs the history with commit ${named}: ${message.trim()}` };
+    return { name, reason: `needs the history with commit ${revision}: ${message.trim()}` };
   }
   const version = await load(name, commit);
   return { name, older: { name, knowsServicesAndLimits: known, version } };
