--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -100,16 +100,16 @@
 
 async function find(name: string, revision: string): Promise<VersionLookup> {
   let commit: string;
-  let known: boolean;
+  let hasServicesAndLimits: boolean;
   try {
     commit = git('rev-parse', '--verify', `${revision}^{commit}`).toString().trim();
-    known = knowsServicesAndLimits(commit);
+    hasServicesAndLimits = knowsServicesAndLimits(commit);
   } catch (err) {
     const { message } = err as Error;
     return { name, reason: `needs the history with commit ${revision}: ${message.trim()}` };
   }
   const version = await load(name, commit);
-  return { name, older: { name, knowsServicesAndLimits: known, version } };
+  return { name, older: { name, knowsServicesAndLimits: hasServicesAndLimits, version } };
 }
 
 /**
