--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -98,7 +98,7 @@
   );
 }
 
-async function find(name: string, revision: string): Promise<VersionLookup> {
+async function findVersion(name: string, revision: string): Promise<VersionLookup> {
   let commit: string;
   let hasServicesAndLimits: boolean;
   try {
@@ -118,6 +118,6 @@
  */
 export async function olderVersions(): Promise<VersionLookup[]> {
   const found: VersionLookup[] = [];
-  for (const { name, commit } of olderCommits()) found.push(await find(name, commit));
+  for (const { name, commit } of olderCommits()) found.push(await findVersion(name, commit));
   return found;
 }
