--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -117,7 +117,7 @@
  * that it has must load.
  */
 export async function olderVersions(): Promise<VersionLookup[]> {
-  const found: VersionLookup[] = [];
-  for (const { name, commit } of olderCommits()) found.push(await findVersion(name, commit));
-  return found;
+  const lookups: VersionLookup[] = [];
+  for (const { name, commit } of olderCommits()) lookups.push(await findVersion(name, commit));
+  return lookups;
 }
