--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -55,7 +55,7 @@
 }
 
 /** Puts the commit's sources below target/, at once or not at all, and says where. */
-function extracted(commit: string): string {
+function extractSources(commit: string): string {
   const target = join(root, 'target');
   const place = join(target, `version-${commit}`);
   if (existsSync(place)) return place;
@@ -75,7 +75,7 @@
 
 /** Loads the sources of a commit beside the present ones. */
 async function load(name: string, commit: string): Promise<ProgramVersion> {
-  const base = pathToFileURL(join(extracted(commit), 'src', 'controller')).href;
+  const base = pathToFileURL(join(extractSources(commit), 'src', 'controller')).href;
   const { Controller } = (await import(`${base}/controller.ts`)) as ControllerModule;
   const platform = (await import(`${base}/settings/platform.ts`)) as PlatformModule;
   const properties = (await import(`${base}/settings/properties.ts`)) as PropertiesModule;
