--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -57,20 +57,20 @@
 /** Puts the commit's sources below target/, at once or not at all, and says where. */
 function extractSources(commit: string): string {
   const target = join(root, 'target');
-  const place = join(target, `version-${commit}`);
-  if (existsSync(place)) return place;
+  const directory = join(target, `version-${commit}`);
+  if (existsSync(directory)) return directory;
   const input = git('archive', commit, 'src');
   mkdirSync(target, { recursive: true });
   const part = mkdtempSync(join(target, 'part-'));
   execFileSync('tar', ['-x', '-C', part], { input });
   try {
-    renameSync(part, place);
+    renameSync(part, directory);
   } catch (err) {
     // Another run was faster.
     rmSync(part, { recursive: true });
-    if (!existsSync(place)) throw err;
+    if (!existsSync(directory)) throw err;
   }
-  return place;
+  return directory;
 }
 
 /** Loads the sources of a commit beside the present ones. */
