--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -61,13 +61,13 @@
   if (existsSync(directory)) return directory;
   const input = git('archive', commit, 'src');
   mkdirSync(target, { recursive: true });
-  const part = mkdtempSync(join(target, 'part-'));
-  execFileSync('tar', ['-x', '-C', part], { input });
+  const partialDirectory = mkdtempSync(join(target, 'part-'));
+  execFileSync('tar', ['-x', '-C', partialDirectory], { input });
   try {
-    renameSync(part, directory);
+    renameSync(partialDirectory, directory);
   } catch (err) {
     // Another run was faster.
-    rmSync(part, { recursive: true });
+    rmSync(partialDirectory, { recursive: true });
     if (!existsSync(directory)) throw err;
   }
   return directory;
