--- a/test/simulation/virtual-clock.ts
+++ b/test/simulation/virtual-clock.ts
@@ -2,7 +2,7 @@
 import type { Timer } from '../../src/controller/runtime/runtime.js';
 
 interface Event {
-  at: number;
+  dueAt: number;
   order: number;
   run: () => void;
   cancelled: boolean;
@@ -19,7 +19,7 @@
   /** Runs the function once so much time has passed. */
   after(ms: number, run: () => void): Timer {
     const at = this.now + Math.max(0, ms);
-    const event: Event = { at, order: this.order++, run, cancelled: false };
+    const event: Event = { dueAt: at, order: this.order++, run, cancelled: false };
     this.push(event);
     return {
       cancel: () => {
@@ -34,10 +34,10 @@
   run(until: number, check: () => void): void {
     for (;;) {
       const first = this.heap[0];
-      if (first === undefined || first.at > until) break;
+      if (first === undefined || first.dueAt > until) break;
       this.pop();
       if (first.cancelled) continue;
-      this.now = first.at;
+      this.now = first.dueAt;
       first.run();
       check();
     }
@@ -45,7 +45,7 @@
   }
 
   private less(a: Event, b: Event): boolean {
-    return a.at < b.at || (a.at === b.at && a.order < b.order);
+    return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.order < b.order);
   }
 
   private push(event: Event): void {
