--- a/test/simulation/virtual-clock.ts
+++ b/test/simulation/virtual-clock.ts
@@ -18,8 +18,8 @@
 
   /** Runs the function once so much time has passed. */
   after(ms: number, run: () => void): Timer {
-    const at = this.now + Math.max(0, ms);
-    const event: Event = { dueAt: at, order: this.order++, run, cancelled: false };
+    const dueAt = this.now + Math.max(0, ms);
+    const event: Event = { dueAt: dueAt, order: this.order++, run, cancelled: false };
     this.push(event);
     return {
       cancel: () => {
