--- a/test/simulation/virtual-clock.ts
+++ b/test/simulation/virtual-clock.ts
@@ -44,7 +44,7 @@
     this.now = until;
   }
 
-  private less(a: Event, b: Event): boolean {
+  private isBefore(a: Event, b: Event): boolean {
     return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.order < b.order);
   }
 
@@ -54,7 +54,7 @@
     while (index > 0) {
       const parentIndex = (index - 1) >> 1;
       const parent = heap[parentIndex];
-      if (parent === undefined || !this.less(event, parent)) break;
+      if (parent === undefined || !this.isBefore(event, parent)) break;
       heap[index] = parent;
       index = parentIndex;
     }
@@ -72,11 +72,11 @@
       const right = heap[childIndex + 1];
       if (left === undefined) break;
       let child = left;
-      if (right !== undefined && this.less(right, left)) {
+      if (right !== undefined && this.isBefore(right, left)) {
         child = right;
         childIndex++;
       }
-      if (!this.less(child, last)) break;
+      if (!this.isBefore(child, last)) break;
       heap[index] = child;
       index = childIndex;
     }
