--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -72,7 +72,7 @@
   private log: Change[] = [];
   private watches: Watch[] = [];
   private ledger = 0;
-  private lastPermit = 0;
+  private lastLeaseId = 0;
 
   /** `onRead` is told of each key that a watch shows to a controller. */
   constructor(
@@ -82,7 +82,7 @@
 
   /** A new lease; returns its id. */
   grant(lifeMs: number): number {
-    const id = ++this.lastPermit;
+    const id = ++this.lastLeaseId;
     this.leases.set(id, { lifeMs, endsAt: this.now() + lifeMs });
     return id;
   }
