--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -12,7 +12,7 @@
 interface Entry {
   value: unknown;
   stamp: number;
-  permit: number | null;
+  leaseId: number | null;
 }
 
 interface Change {
@@ -108,7 +108,9 @@
   /** Ends a lease and deletes what was bound to it; false: there is none. */
   revoke(id: number): boolean {
     if (!this.leases.delete(id)) return false;
-    const keys = [...this.entries].filter(([, { permit }]) => permit === id).map(([key]) => key);
+    const keys = [...this.entries]
+      .filter(([, { leaseId: permit }]) => permit === id)
+      .map(([key]) => key);
     if (keys.length === 0) return true;
     this.ledger++;
     for (const key of keys) this.change(key, undefined, null, true);
@@ -181,7 +183,7 @@
 
   private change(key: string, value: unknown, permit: number | null, deleted: boolean): void {
     if (deleted) this.entries.delete(key);
-    else this.entries.set(key, { value, stamp: this.ledger, permit });
+    else this.entries.set(key, { value, stamp: this.ledger, leaseId: permit });
     this.log.push({ stamp: this.ledger, key, value, deleted });
     if (this.log.length > LOG_LENGTH) this.log = this.log.slice(-LOG_KEPT);
   }
