--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -11,7 +11,7 @@
 
 interface Entry {
   value: unknown;
-  stamp: number;
+  version: number;
   leaseId: number | null;
 }
 
@@ -122,7 +122,7 @@
   read(key: string): Reply {
     const entry = this.entries.get(key);
     if (entry === undefined) return { status: 404, body: { ledger: this.ledger } };
-    return { status: 200, body: { k: key, value: entry.value, stamp: entry.stamp } };
+    return { status: 200, body: { k: key, value: entry.value, stamp: entry.version } };
   }
 
   /** The response to a read of a page of the keys with a prefix, those after `after`. */
@@ -132,7 +132,7 @@
       .sort();
     const entries = keys.slice(0, limit).map((key) => {
       const entry = this.entries.get(key);
-      return { k: key, value: entry?.value, stamp: entry?.stamp };
+      return { k: key, value: entry?.value, stamp: entry?.version };
     });
     const body = { entries, has_next: keys.length > entries.length, ledger: this.ledger };
     return { status: 200, body };
@@ -151,7 +151,7 @@
 
   private failedKeys(conditions: readonly Condition[]): string[] {
     return conditions
-      .filter(({ k, stamp }) => (this.entries.get(k)?.stamp ?? 0) !== stamp)
+      .filter(({ k, stamp }) => (this.entries.get(k)?.version ?? 0) !== stamp)
       .map(({ k }) => k);
   }
 
@@ -183,7 +183,7 @@
 
   private change(key: string, value: unknown, permit: number | null, deleted: boolean): void {
     if (deleted) this.entries.delete(key);
-    else this.entries.set(key, { value, stamp: this.ledger, leaseId: permit });
+    else this.entries.set(key, { value, version: this.ledger, leaseId: permit });
     this.log.push({ stamp: this.ledger, key, value, deleted });
     if (this.log.length > LOG_LENGTH) this.log = this.log.slice(-LOG_KEPT);
   }
