--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -16,7 +16,7 @@
 }
 
 interface Change {
-  stamp: number;
+  revision: number;
   key: string;
   value: unknown;
   deleted: boolean;
@@ -167,7 +167,7 @@
 
   /** Answers the watch as soon as there are changes; false: the log no longer reaches back so far. */
   watch(watch: Watch): boolean {
-    const oldest = this.log[0]?.stamp ?? 0;
+    const oldest = this.log[0]?.revision ?? 0;
     if (watch.from < oldest - 1) return false;
     this.watches.push(watch);
     this.tryWatch(watch);
@@ -184,7 +184,7 @@
   private change(key: string, value: unknown, permit: number | null, deleted: boolean): void {
     if (deleted) this.entries.delete(key);
     else this.entries.set(key, { value, version: this.ledger, leaseId: permit });
-    this.log.push({ stamp: this.ledger, key, value, deleted });
+    this.log.push({ revision: this.ledger, key, value, deleted });
     if (this.log.length > LOG_LENGTH) this.log = this.log.slice(-LOG_KEPT);
   }
 
@@ -197,7 +197,7 @@
     if (!watch.open) return;
     // Newest last: only what came after `from` is looked at.
     let first = this.log.length;
-    while (first > 0 && (this.log[first - 1]?.stamp ?? 0) > watch.from) first--;
+    while (first > 0 && (this.log[first - 1]?.revision ?? 0) > watch.from) first--;
     const found = this.log.slice(first).filter(({ key }) => key.startsWith(watch.prefix));
     if (found.length === 0) return;
     for (const { key } of found) this.onRead(watch.watcher, key);
@@ -206,6 +206,6 @@
   }
 }
 
-function logged({ key, value, stamp, deleted }: Change): Record<string, unknown> {
+function logged({ key, value, revision: stamp, deleted }: Change): Record<string, unknown> {
   return deleted ? { delete: key, stamp } : { set: key, value, stamp };
 }
