--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -181,9 +181,9 @@
     watch.respond({ status: 200, body: { ledger: this.ledger, log: [] } });
   }
 
-  private change(key: string, value: unknown, permit: number | null, deleted: boolean): void {
+  private change(key: string, value: unknown, leaseId: number | null, deleted: boolean): void {
     if (deleted) this.entries.delete(key);
-    else this.entries.set(key, { value, version: this.ledger, leaseId: permit });
+    else this.entries.set(key, { value, version: this.ledger, leaseId: leaseId });
     this.log.push({ revision: this.ledger, key, value, deleted });
     if (this.log.length > LOG_LENGTH) this.log = this.log.slice(-LOG_KEPT);
   }
