--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -32,7 +32,7 @@
   watcher: string;
   prefix: string;
   /** Changes after this stamp count. */
-  from: number;
+  afterRevision: number;
   respond: Respond;
   open: boolean;
 }
@@ -168,7 +168,7 @@
   /** Answers the watch as soon as there are changes; false: the log no longer reaches back so far. */
   watch(watch: Watch): boolean {
     const oldest = this.log[0]?.revision ?? 0;
-    if (watch.from < oldest - 1) return false;
+    if (watch.afterRevision < oldest - 1) return false;
     this.watches.push(watch);
     this.tryWatch(watch);
     return true;
@@ -197,7 +197,7 @@
     if (!watch.open) return;
     // Newest last: only what came after `from` is looked at.
     let first = this.log.length;
-    while (first > 0 && (this.log[first - 1]?.revision ?? 0) > watch.from) first--;
+    while (first > 0 && (this.log[first - 1]?.revision ?? 0) > watch.afterRevision) first--;
     const found = this.log.slice(first).filter(({ key }) => key.startsWith(watch.prefix));
     if (found.length === 0) return;
     for (const { key } of found) this.onRead(watch.watcher, key);
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -243,7 +243,7 @@
     const watch: Watch = {
       watcher: from,
       prefix: query.get('starts') ?? '',
-      from: Number(query.get('from')),
+      afterRevision: Number(query.get('from')),
       respond,
       open: true,
     };
