--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -24,7 +24,7 @@
 
 interface Lease {
   lifeMs: number;
-  endsAt: number;
+  expiresAt: number;
 }
 
 /** A controller that waits for changes of keys with a prefix. */
@@ -83,7 +83,7 @@
   /** A new lease; returns its id. */
   grant(lifeMs: number): number {
     const id = ++this.lastLeaseId;
-    this.leases.set(id, { lifeMs, endsAt: this.now() + lifeMs });
+    this.leases.set(id, { lifeMs, expiresAt: this.now() + lifeMs });
     return id;
   }
 
@@ -91,7 +91,7 @@
   renew(id: number): boolean {
     const lease = this.leases.get(id);
     if (lease === undefined) return false;
-    lease.endsAt = this.now() + lease.lifeMs;
+    lease.expiresAt = this.now() + lease.lifeMs;
     return true;
   }
 
@@ -102,7 +102,7 @@
 
   /** Ends the leases whose time is up. */
   expire(): void {
-    for (const [id, lease] of this.leases) if (this.now() > lease.endsAt) this.revoke(id);
+    for (const [id, lease] of this.leases) if (this.now() > lease.expiresAt) this.revoke(id);
   }
 
   /** Ends a lease and deletes what was bound to it; false: there is none. */
