--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -198,11 +198,11 @@
     // Newest last: only what came after `from` is looked at.
     let first = this.log.length;
     while (first > 0 && (this.log[first - 1]?.revision ?? 0) > watch.afterRevision) first--;
-    const found = this.log.slice(first).filter(({ key }) => key.startsWith(watch.prefix));
-    if (found.length === 0) return;
-    for (const { key } of found) this.onRead(watch.watcher, key);
+    const changes = this.log.slice(first).filter(({ key }) => key.startsWith(watch.prefix));
+    if (changes.length === 0) return;
+    for (const { key } of changes) this.onRead(watch.watcher, key);
     watch.open = false;
-    watch.respond({ status: 200, body: { ledger: this.ledger, log: found.map(logged) } });
+    watch.respond({ status: 200, body: { ledger: this.ledger, log: changes.map(logged) } });
   }
 }
 
