--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -202,10 +202,10 @@
     if (changes.length === 0) return;
     for (const { key } of changes) this.onRead(watch.watcher, key);
     watch.open = false;
-    watch.respond({ status: 200, body: { ledger: this.ledger, log: changes.map(logged) } });
+    watch.respond({ status: 200, body: { ledger: this.ledger, log: changes.map(toLogEntry) } });
   }
 }
 
-function logged({ key, value, revision: stamp, deleted }: Change): Record<string, unknown> {
+function toLogEntry({ key, value, revision: stamp, deleted }: Change): Record<string, unknown> {
   return deleted ? { delete: key, stamp } : { set: key, value, stamp };
 }
