--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -5,7 +5,7 @@
 
 /** Changes in the log at most, and how many of the newest are kept when it is cut. */
 const MAX_LOG_LENGTH = 20_000;
-const LOG_KEPT = 10_000;
+const LOG_LENGTH_AFTER_TRIM = 10_000;
 /** Conditions of a transaction at most, in multiples of its writes. */
 const CONDITIONS_PER_WRITE = 4;
 
@@ -185,7 +185,7 @@
     if (deleted) this.entries.delete(key);
     else this.entries.set(key, { value, version: this.ledger, leaseId: leaseId });
     this.log.push({ revision: this.ledger, key, value, deleted });
-    if (this.log.length > MAX_LOG_LENGTH) this.log = this.log.slice(-LOG_KEPT);
+    if (this.log.length > MAX_LOG_LENGTH) this.log = this.log.slice(-LOG_LENGTH_AFTER_TRIM);
   }
 
   private notify(): void {
