--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -7,7 +7,7 @@
 const MAX_LOG_LENGTH = 20_000;
 const LOG_LENGTH_AFTER_TRIM = 10_000;
 /** Conditions of a transaction at most, in multiples of its writes. */
-const CONDITIONS_PER_WRITE = 4;
+const MAX_CONDITIONS_PER_WRITE = 4;
 
 interface Entry {
   value: unknown;
@@ -61,7 +61,7 @@
 export function withinLimits(transaction: Transaction, limits: StateLimits): boolean {
   const { writes = [], if: conditions = [] } = transaction;
   const { txnOps, valueKb } = limits;
-  if (writes.length > txnOps || conditions.length > CONDITIONS_PER_WRITE * txnOps) return false;
+  if (writes.length > txnOps || conditions.length > MAX_CONDITIONS_PER_WRITE * txnOps) return false;
   return writes.every(({ value }) => JSON.stringify(value ?? null).length <= valueKb * 1024);
 }
 
