--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -8,7 +8,7 @@
 import { withinLimits, KeyValueStore, type Transaction, type Watch } from './key-value-store.js';
 import { UnansweredWrites } from './unanswered-writes.js';
 
-const EXPIRE_EVERY_MS = 50;
+const EXPIRY_CHECK_INTERVAL_MS = 50;
 /** Share of the responses that are late while the state store is slow, and by how much. */
 const SLOW_SHARE = 0.3;
 const SLOW_MS = { least: 50, most: 2000 };
@@ -141,7 +141,7 @@
   }
 
   private expire(): void {
-    this.clock.after(EXPIRE_EVERY_MS, () => this.expire());
+    this.clock.after(EXPIRY_CHECK_INTERVAL_MS, () => this.expire());
     if (!this.down) this.store.expire();
   }
 
