--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -10,7 +10,7 @@
 
 const EXPIRY_CHECK_INTERVAL_MS = 50;
 /** Share of the responses that are late while the state store is slow, and by how much. */
-const SLOW_SHARE = 0.3;
+const DELAYED_RESPONSE_SHARE = 0.3;
 const SLOW_MS = { least: 50, most: 2000 };
 /** A late transaction is committed within this time, and not before a sixth of it. */
 const MAX_WRITE_DELAY_MS = 12_000;
@@ -160,7 +160,7 @@
 
   /** While the state store is slow some responses are late. */
   private delayed(respond: Respond): Respond {
-    const slow = this.clock.now < this.slowUntil && this.random.next() < SLOW_SHARE;
+    const slow = this.clock.now < this.slowUntil && this.random.next() < DELAYED_RESPONSE_SHARE;
     if (!slow) return respond;
     const lateMs = this.random.between(SLOW_MS.least, SLOW_MS.most);
     return (reply) => this.clock.after(lateMs, () => respond(reply));
