--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -11,7 +11,7 @@
 const EXPIRY_CHECK_INTERVAL_MS = 50;
 /** Share of the responses that are late while the state store is slow, and by how much. */
 const DELAYED_RESPONSE_SHARE = 0.3;
-const SLOW_MS = { least: 50, most: 2000 };
+const RESPONSE_DELAY_MS = { least: 50, most: 2000 };
 /** A late transaction is committed within this time, and not before a sixth of it. */
 const MAX_WRITE_DELAY_MS = 12_000;
 
@@ -162,7 +162,7 @@
   private delayed(respond: Respond): Respond {
     const slow = this.clock.now < this.slowUntil && this.random.next() < DELAYED_RESPONSE_SHARE;
     if (!slow) return respond;
-    const lateMs = this.random.between(SLOW_MS.least, SLOW_MS.most);
+    const lateMs = this.random.between(RESPONSE_DELAY_MS.least, RESPONSE_DELAY_MS.most);
     return (reply) => this.clock.after(lateMs, () => respond(reply));
   }
 
