--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -40,7 +40,7 @@
   /** Requests that came in an outage. */
   requestsInOutage = 0;
   /** Share of the transactions that get no response and are committed later. */
-  private lateWrites = 0;
+  private delayedWriteShare = 0;
   /** How late they are at most. */
   maxWriteDelayMs = MAX_WRITE_DELAY_MS;
   /** How many of them were committed late, and refused late for their conditions. */
@@ -121,9 +121,9 @@
 
   /** For a time a share of the transactions gets no response and is committed later, after newer ones. */
   delayWrites(share: number, ms: number): void {
-    this.lateWrites = share;
+    this.delayedWriteShare = share;
     this.clock.after(ms, () => {
-      this.lateWrites = 0;
+      this.delayedWriteShare = 0;
     });
   }
 
@@ -183,7 +183,7 @@
     respond: Respond,
   ): void {
     const { clock, random } = this;
-    if (this.lateWrites > 0 && random.next() < this.lateWrites) {
+    if (this.delayedWriteShare > 0 && random.next() < this.delayedWriteShare) {
       const lateMs = random.between(this.maxWriteDelayMs / 6, this.maxWriteDelayMs);
       clock.after(lateMs, () => this.commitLate(transaction));
       return;
