--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -46,7 +46,7 @@
   /** How many of them were committed late, and refused late for their conditions. */
   readonly lateCommits = { applied: 0, refused: 0 };
   /** Share of the transactions that are committed at once and whose response alone is lost. */
-  private lostResponses = 0;
+  private lostResponseShare = 0;
   private readonly unanswered = new UnansweredWrites();
   /** Hosts whose watches are refused, and nothing else of theirs. */
   private readonly watchesRefused = new Set<string>();
@@ -129,9 +129,9 @@
 
   /** For a time a share of the transactions is committed at once and gets no response. */
   loseResponses(share: number, ms: number): void {
-    this.lostResponses = share;
+    this.lostResponseShare = share;
     this.clock.after(ms, () => {
-      this.lostResponses = 0;
+      this.lostResponseShare = 0;
     });
   }
 
@@ -188,7 +188,7 @@
       clock.after(lateMs, () => this.commitLate(transaction));
       return;
     }
-    if (this.lostResponses > 0 && random.next() < this.lostResponses) {
+    if (this.lostResponseShare > 0 && random.next() < this.lostResponseShare) {
       if (this.commit(transaction).status === 200) this.unanswered.record(from, transaction);
       return;
     }
