--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -49,7 +49,7 @@
   private lostResponseShare = 0;
   private readonly unanswered = new UnansweredWrites();
   /** Hosts whose watches are refused, and nothing else of theirs. */
-  private readonly watchesRefused = new Set<string>();
+  private readonly watchRefusedHosts = new Set<string>();
   /** Called with the keys of each transaction's writes as it arrives, before it is looked at. */
   onTransaction: (keys: readonly string[]) => void = () => undefined;
 
@@ -115,8 +115,8 @@
 
   /** Refuses the watches of one host for a time, and nothing else of it. */
   refuseWatches(host: string, ms: number): void {
-    this.watchesRefused.add(host);
-    this.clock.after(ms, () => this.watchesRefused.delete(host));
+    this.watchRefusedHosts.add(host);
+    this.clock.after(ms, () => this.watchRefusedHosts.delete(host));
   }
 
   /** For a time a share of the transactions gets no response and is committed later, after newer ones. */
@@ -239,7 +239,7 @@
   }
 
   private serveWatch(from: string, query: URLSearchParams, respond: Respond): void {
-    if (this.watchesRefused.has(from)) return respond(UNAVAILABLE);
+    if (this.watchRefusedHosts.has(from)) return respond(UNAVAILABLE);
     const watch: Watch = {
       watcher: from,
       prefix: query.get('starts') ?? '',
