--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -23,7 +23,7 @@
 /** Stand-in for the state store (the state service of the protocol). */
 export class StateStoreServer {
   private readonly store: KeyValueStore;
-  private down = false;
+  private unavailable = false;
   private slowUntil = 0;
   /** Hosts of which all requests are refused. */
   private readonly refused = new Set<string>();
@@ -83,14 +83,14 @@
 
   /** Whether it refuses all requests just now. */
   get inOutage(): boolean {
-    return this.down;
+    return this.unavailable;
   }
 
   /** Refuses all requests for a time; afterwards all leases run anew. */
   outage(ms: number): void {
-    this.down = true;
+    this.unavailable = true;
     this.clock.after(ms, () => {
-      this.down = false;
+      this.unavailable = false;
       this.store.renewAll();
     });
   }
@@ -137,18 +137,18 @@
 
   /** Whether this host alone is refused. */
   isRefusing(host: string): boolean {
-    return !this.down && this.refused.has(host);
+    return !this.unavailable && this.refused.has(host);
   }
 
   private expire(): void {
     this.clock.after(EXPIRY_CHECK_INTERVAL_MS, () => this.expire());
-    if (!this.down) this.store.expire();
+    if (!this.unavailable) this.store.expire();
   }
 
   private serve(from: string, request: IncomingRequest, respondAtOnce: Respond): void {
     const respond = this.delayed(respondAtOnce);
-    if (this.down) this.requestsInOutage++;
-    if (this.down || this.refused.has(from)) return respond(UNAVAILABLE);
+    if (this.unavailable) this.requestsInOutage++;
+    if (this.unavailable || this.refused.has(from)) return respond(UNAVAILABLE);
     const transaction = request.path === '/multi' ? (request.body() as Transaction) : null;
     const writes = transaction?.writes ?? [];
     if (transaction !== null)
@@ -197,7 +197,7 @@
   }
 
   private commitLate(transaction: Transaction): void {
-    if (this.down) return;
+    if (this.unavailable) return;
     if (this.commit(transaction).status === 200) this.lateCommits.applied++;
     else this.lateCommits.refused++;
   }
@@ -249,7 +249,7 @@
     };
     if (!this.store.watch(watch)) return respond(GONE);
     this.clock.after(Number(query.get('hold_ms')), () => {
-      if (!this.down) this.store.closeWatch(watch);
+      if (!this.unavailable) this.store.closeWatch(watch);
     });
   }
 }
