--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -162,8 +162,8 @@
   private delayed(respond: Respond): Respond {
     const slow = this.clock.now < this.slowUntil && this.random.next() < DELAYED_RESPONSE_SHARE;
     if (!slow) return respond;
-    const lateMs = this.random.between(RESPONSE_DELAY_MS.least, RESPONSE_DELAY_MS.most);
-    return (reply) => this.clock.after(lateMs, () => respond(reply));
+    const delayMs = this.random.between(RESPONSE_DELAY_MS.least, RESPONSE_DELAY_MS.most);
+    return (reply) => this.clock.after(delayMs, () => respond(reply));
   }
 
   private takeTokens(puts: number): boolean {
