--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -184,8 +184,8 @@
   ): void {
     const { clock, random } = this;
     if (this.delayedWriteShare > 0 && random.next() < this.delayedWriteShare) {
-      const lateMs = random.between(this.maxWriteDelayMs / 6, this.maxWriteDelayMs);
-      clock.after(lateMs, () => this.commitLate(transaction));
+      const delayMs = random.between(this.maxWriteDelayMs / 6, this.maxWriteDelayMs);
+      clock.after(delayMs, () => this.commitLate(transaction));
       return;
     }
     if (this.lostResponseShare > 0 && random.next() < this.lostResponseShare) {
