--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -160,8 +160,9 @@
 
   /** While the state store is slow some responses are late. */
   private delayed(respond: Respond): Respond {
-    const slow = this.clock.now < this.slowUntil && this.random.next() < DELAYED_RESPONSE_SHARE;
-    if (!slow) return respond;
+    const isDelayed =
+      this.clock.now < this.slowUntil && this.random.next() < DELAYED_RESPONSE_SHARE;
+    if (!isDelayed) return respond;
     const delayMs = this.random.between(RESPONSE_DELAY_MS.least, RESPONSE_DELAY_MS.most);
     return (reply) => this.clock.after(delayMs, () => respond(reply));
   }
