--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -146,7 +146,7 @@
   }
 
   private serve(from: string, request: IncomingRequest, respondAtOnce: Respond): void {
-    const respond = this.delayed(respondAtOnce);
+    const respond = this.withRandomDelay(respondAtOnce);
     if (this.unavailable) this.requestsInOutage++;
     if (this.unavailable || this.refused.has(from)) return respond(UNAVAILABLE);
     const transaction = request.path === '/multi' ? (request.body() as Transaction) : null;
@@ -159,7 +159,7 @@
   }
 
   /** While the state store is slow some responses are late. */
-  private delayed(respond: Respond): Respond {
+  private withRandomDelay(respond: Respond): Respond {
     const isDelayed =
       this.clock.now < this.slowUntil && this.random.next() < DELAYED_RESPONSE_SHARE;
     if (!isDelayed) return respond;
