--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -145,8 +145,8 @@
     if (!this.unavailable) this.store.expire();
   }
 
-  private serve(from: string, request: IncomingRequest, respondAtOnce: Respond): void {
-    const respond = this.withRandomDelay(respondAtOnce);
+  private serve(from: string, request: IncomingRequest, respondNow: Respond): void {
+    const respond = this.withRandomDelay(respondNow);
     if (this.unavailable) this.requestsInOutage++;
     if (this.unavailable || this.refused.has(from)) return respond(UNAVAILABLE);
     const transaction = request.path === '/multi' ? (request.body() as Transaction) : null;
