--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -212,9 +212,9 @@
   private serveOther(from: string, request: IncomingRequest, respond: Respond): void {
     const url = new URL(request.path, 'http://state');
     const path = url.pathname;
-    const lease = /^\/holds\/(\d+)(\/extend)?$/.exec(path);
+    const leaseMatch = /^\/holds\/(\d+)(\/extend)?$/.exec(path);
     if (path === '/holds') respond(this.grantLease(request));
-    else if (lease !== null) respond(this.serveLease(Number(lease[1]), request));
+    else if (leaseMatch !== null) respond(this.serveLease(Number(leaseMatch[1]), request));
     else if (path === '/follow') this.serveWatch(from, url.searchParams, respond);
     else if (path === '/keys') respond(this.readPage(url.searchParams));
     else {
