--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -230,8 +230,8 @@
   }
 
   private serveLease(id: number, request: IncomingRequest): Reply {
-    const found = request.method === 'DELETE' ? this.store.revoke(id) : this.store.renew(id);
-    return found ? { status: 200, body: { permit: id } } : NOT_FOUND;
+    const exists = request.method === 'DELETE' ? this.store.revoke(id) : this.store.renew(id);
+    return exists ? { status: 200, body: { permit: id } } : NOT_FOUND;
   }
 
   private readPage(query: URLSearchParams): Reply {
