--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -62,7 +62,7 @@
     private readonly pageSize: number,
   ) {
     const now = (): number => clock.now;
-    this.store = new KeyValueStore(now, (host, key) => this.unanswered.wasRead(host, key));
+    this.store = new KeyValueStore(now, (host, key) => this.unanswered.recordRead(host, key));
     this.requestTokens = new TokenBucket(now, limits.rps, limits.rps);
     this.putTokens = new TokenBucket(now, limits.writeRps, limits.writeRps);
     network.listen(address, 'state', (from, request, respond) =>
@@ -193,7 +193,7 @@
       if (this.commit(transaction).status === 200) this.unanswered.record(from, transaction);
       return;
     }
-    for (const { k } of transaction.if ?? []) this.unanswered.wasRead(from, k);
+    for (const { k } of transaction.if ?? []) this.unanswered.recordRead(from, k);
     respond(this.commit(transaction, duplicate));
   }
 
@@ -219,7 +219,7 @@
     else if (path === '/keys') respond(this.readPage(url.searchParams));
     else {
       const key = path.slice('/keys/'.length);
-      this.unanswered.wasRead(from, key);
+      this.unanswered.recordRead(from, key);
       respond(this.store.read(key));
     }
   }
--- a/test/simulation/state-store/unanswered-writes.ts
+++ b/test/simulation/state-store/unanswered-writes.ts
@@ -15,7 +15,7 @@
   }
 
   /** The host is shown the key, or names it in a condition. */
-  wasRead(reader: string, key: string): void {
+  recordRead(reader: string, key: string): void {
     const writer = this.writers.get(key);
     if (writer !== undefined && writer !== reader) this.readByOthers++;
   }
