--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -87,11 +87,11 @@
   everyonePolls(everyMs: number, ms: number): void {
     const { clock } = this.context;
     const until = clock.now + ms;
-    const again = (): void => {
+    const pollAll = (): void => {
       for (const user of this.users.values()) user.pollNow();
-      if (clock.now + everyMs <= until) clock.after(everyMs, again);
+      if (clock.now + everyMs <= until) clock.after(everyMs, pollAll);
     };
-    again();
+    pollAll();
   }
 
   /** Sends a request to a controller, `host` or any. */
