--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -84,12 +84,12 @@
   }
 
   /** For a time every user polls again and again, one request at a time. */
-  everyonePolls(everyMs: number, ms: number): void {
+  everyonePolls(intervalMs: number, ms: number): void {
     const { clock } = this.context;
     const until = clock.now + ms;
     const pollAll = (): void => {
       for (const user of this.users.values()) user.pollNow();
-      if (clock.now + everyMs <= until) clock.after(everyMs, pollAll);
+      if (clock.now + intervalMs <= until) clock.after(intervalMs, pollAll);
     };
     pollAll();
   }
