--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -84,9 +84,9 @@
   }
 
   /** For a time every user polls again and again, one request at a time. */
-  everyonePolls(intervalMs: number, ms: number): void {
+  everyonePolls(intervalMs: number, durationMs: number): void {
     const { clock } = this.context;
-    const until = clock.now + ms;
+    const until = clock.now + durationMs;
     const pollAll = (): void => {
       for (const user of this.users.values()) user.pollNow();
       if (clock.now + intervalMs <= until) clock.after(intervalMs, pollAll);
