--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -28,7 +28,7 @@
 /** Submits a job like the one given that can't run or lacks a field. */
 function submitOdd(simulation: Simulation, spec: JobSpec): void {
   const { random, checker, users } = simulation;
-  const odd = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
+  const odd = writeJobSpec({ ...spec, id: `req-odd-${users.nextJobNumber()}` });
   if (random.next() < 0.5) odd['cores'] = TOO_MANY_CORES;
   else Reflect.deleteProperty(odd, random.pick(['duties', 'loaners', 'scatter', 'expect_s']));
   users.sendRequest('POST', '/submissions', odd, (status) => {
--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -41,14 +41,14 @@
   constructor(private readonly context: UserContext) {}
 
   /** A number for a job's name, each once. */
-  nextNumber(): number {
+  nextJobNumber(): number {
     return this.jobCount++;
   }
 
   /** A random job of a kind that the deployment can run. */
   randomJob(): JobSpec {
     const { deployment, random } = this.context;
-    return deployment.randomJob(random, `req-${String(this.nextNumber()).padStart(6, '0')}`);
+    return deployment.randomJob(random, `req-${String(this.nextJobNumber()).padStart(6, '0')}`);
   }
 
   /** A user who submits, polls and perhaps cancels one job. */
