--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -12,7 +12,7 @@
 const POLL_TIMEOUT_MS = 2000;
 const POST_TIMEOUT_MS = 5000;
 /** Lifetimes of services, and run times of other jobs' tasks as shares of their estimates. */
-const SERVICE_MS = { least: 20_000, most: 200_000 };
+const SERVICE_LIFETIME_MS = { least: 20_000, most: 200_000 };
 const RUN_TIME_FACTORS = { least: 0.4, most: 1.8 };
 
 /** What the users' requests pass through. */
@@ -56,7 +56,7 @@
     const { clock, random, checker } = this.context;
     const runMs =
       spec.kind === 'service'
-        ? random.between(SERVICE_MS.least, SERVICE_MS.most)
+        ? random.between(SERVICE_LIFETIME_MS.least, SERVICE_LIFETIME_MS.most)
         : spec.estimatedRunS * 1000 * random.between(RUN_TIME_FACTORS.least, RUN_TIME_FACTORS.most);
     this.jobs.set(spec.id, { spec, runMs });
     const sendRequest: RequestSender = (...request) => this.sendRequest(...request);
