--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -30,7 +30,7 @@
   private requestInFlight = false;
   private nextRequest: Timer | null = null;
   /** What the user wants to do once the job is accepted. */
-  private wanted: 'cancel' | 'submit' | null = null;
+  private pendingAction: 'cancel' | 'submit' | null = null;
   /** Where cancellations go; undefined: to any controller. */
   private cancelHost: string | undefined;
   private readonly body: unknown;
@@ -66,7 +66,7 @@
   }
 
   private want(action: 'cancel' | 'submit'): void {
-    if (this.wanted !== 'cancel') this.wanted = action;
+    if (this.pendingAction !== 'cancel') this.pendingAction = action;
     if (this.accepted) this.stepNow();
   }
 
@@ -80,7 +80,7 @@
     const { id } = this.spec;
     const action = this.nextAction();
     if (action === 'cancel') this.checker.cancelRequested(id);
-    if (action === 'submit' && this.wanted === 'submit') this.wanted = null;
+    if (action === 'submit' && this.pendingAction === 'submit') this.pendingAction = null;
     const before = this.checker.visibleState(id);
     this.requestInFlight = true;
     this.send(action, (status, state) => {
@@ -93,7 +93,7 @@
 
   private nextAction(): Action {
     if (!this.accepted) return 'submit';
-    if (this.wanted !== null) return this.wanted;
+    if (this.pendingAction !== null) return this.pendingAction;
     // Now and then the submission is repeated long after it was accepted.
     return this.random.next() < RETRY_CHANCE ? 'submit' : 'poll';
   }
@@ -108,12 +108,12 @@
   private noteResponse(action: Action, status: number): void {
     if (status !== 200 && status !== 201) return;
     this.accepted = true;
-    if (action === 'cancel') this.wanted = null;
+    if (action === 'cancel') this.pendingAction = null;
   }
 
   private pauseMs(state: string): number {
     const pauseMs = this.usualPauseMs(state);
-    return this.accepted && this.wanted !== null ? PENDING_ACTION_PAUSE_MS : pauseMs;
+    return this.accepted && this.pendingAction !== null ? PENDING_ACTION_PAUSE_MS : pauseMs;
   }
 
   private usualPauseMs(state: string): number {
