--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -52,7 +52,7 @@
   /** Cancels the job, at `host` where one is named, until told that it has ended. */
   cancel(host?: string): void {
     this.cancelHost = host;
-    this.want('cancel');
+    this.requestAction('cancel');
   }
 
   /** Polls now, unless a request is on its way. */
@@ -62,10 +62,10 @@
 
   /** Submits the job once more. */
   resubmit(): void {
-    this.want('submit');
+    this.requestAction('submit');
   }
 
-  private want(action: 'cancel' | 'submit'): void {
+  private requestAction(action: 'cancel' | 'submit'): void {
     if (this.pendingAction !== 'cancel') this.pendingAction = action;
     if (this.accepted) this.stepNow();
   }
