--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -86,7 +86,7 @@
     this.send(action, (status, state) => {
       this.requestInFlight = false;
       this.checker.responseReceived(id, status, state, action === 'submit', stateBefore);
-      this.noteResponse(action, status);
+      this.recordResponse(action, status);
       this.nextRequest = this.clock.after(this.pauseMs(state), () => this.step());
     });
   }
@@ -105,7 +105,7 @@
     else this.sendRequest('POST', `${path}/abort`, undefined, done, this.cancelHost);
   }
 
-  private noteResponse(action: Action, status: number): void {
+  private recordResponse(action: Action, status: number): void {
     if (status !== 200 && status !== 201) return;
     this.accepted = true;
     if (action === 'cancel') this.pendingAction = null;
