--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -22,7 +22,7 @@
 const PENDING_ACTION_PAUSE_MS = 1000;
 const UNACCEPTED_PAUSE_MS = 1200;
 const POLL_PAUSE_MS = 4000;
-const ENDED_PAUSE_MS = { least: 10_000, most: 40_000 };
+const TERMINAL_PAUSE_MS = { least: 10_000, most: 40_000 };
 
 /** A user who submits, polls and perhaps cancels one job, one request at a time. */
 export class User {
@@ -118,7 +118,7 @@
 
   private usualPauseMs(state: string): number {
     if (state === 'done' || state === 'aborted')
-      return this.random.between(ENDED_PAUSE_MS.least, ENDED_PAUSE_MS.most);
+      return this.random.between(TERMINAL_PAUSE_MS.least, TERMINAL_PAUSE_MS.most);
     return this.accepted ? POLL_PAUSE_MS : UNACCEPTED_PAUSE_MS;
   }
 }
