--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -172,11 +172,11 @@
   }
 
   /** A job of a kind that the deployment can run, with what the caller wants of it. */
-  jobWith(part: Partial<JobSpec>): JobSpec {
+  jobWith(fields: Partial<JobSpec>): JobSpec {
     const { taskScale = 1 } = this.deployment;
-    const job = { ...this.randomJob(), ...part };
-    if (part.cpus !== undefined) job.cpus = part.cpus * taskScale;
-    if (part.memoryGb !== undefined) job.memoryGb = part.memoryGb * taskScale;
+    const job = { ...this.randomJob(), ...fields };
+    if (fields.cpus !== undefined) job.cpus = fields.cpus * taskScale;
+    if (fields.memoryGb !== undefined) job.memoryGb = fields.memoryGb * taskScale;
     return job;
   }
 
