--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -35,7 +35,7 @@
 /** True run time of jobs that nobody submitted. */
 const UNKNOWN_RUN_MS = 1000;
 /** How often the rules that depend on time are checked. */
-const TICK_MS = 1000;
+const RULE_CHECK_INTERVAL_MS = 1000;
 
 /** What a simulation may be given beside its deployment, seed and fault rates. */
 export interface SimulationOptions {
@@ -208,7 +208,7 @@
     let nextTick = 0;
     this.clock.run(this.clock.now + ms, () => {
       if (this.clock.now >= nextTick) {
-        nextTick = this.clock.now + TICK_MS;
+        nextTick = this.clock.now + RULE_CHECK_INTERVAL_MS;
         this.checker.tick();
         if (this.checker.faultsEndedAt !== null)
           this.checker.checkWaitingJobs(this.workers.map((w) => w.freeCapacity));
