--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -33,7 +33,7 @@
 import type { Worker } from './machines/worker.js';
 
 /** True run time of jobs that nobody submitted. */
-const UNKNOWN_RUN_MS = 1000;
+const DEFAULT_RUN_MS = 1000;
 /** How often the rules that depend on time are checked. */
 const RULE_CHECK_INTERVAL_MS = 1000;
 
@@ -105,7 +105,7 @@
       controllers: this.deployment.hosts,
       apiOf: (host) => this.apiOf(host),
       specOf: (id) => this.users.specOf(id),
-      runMs: (id) => this.users.runMsOf(id) ?? UNKNOWN_RUN_MS,
+      runMs: (id) => this.users.runMsOf(id) ?? DEFAULT_RUN_MS,
       gangs: new Gangs(clock),
       taskFailures: rates.taskFailures,
       ...{ expiredLeases: 0, replicasEnded: 0 },
