--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -205,10 +205,10 @@
 
   /** Plays on for a time; throws as soon as a rule is violated or a controller logs an error. */
   play(ms: number): void {
-    let nextTick = 0;
+    let nextRuleCheck = 0;
     this.clock.run(this.clock.now + ms, () => {
-      if (this.clock.now >= nextTick) {
-        nextTick = this.clock.now + RULE_CHECK_INTERVAL_MS;
+      if (this.clock.now >= nextRuleCheck) {
+        nextRuleCheck = this.clock.now + RULE_CHECK_INTERVAL_MS;
         this.checker.tick();
         if (this.checker.faultsEndedAt !== null)
           this.checker.checkWaitingJobs(this.workers.map((w) => w.freeCapacity));
