--- a/test/simulation/simulation-parts.ts
+++ b/test/simulation/simulation-parts.ts
@@ -15,7 +15,7 @@
 /** Copies of old messages come up to so many leases late. */
 const MAX_DUPLICATE_DELAY_LEASES = 3;
 /** Machines that are there at the start are up after this time. */
-const FIRST_BOOT_MS = 100;
+const INITIAL_BOOT_MS = 100;
 
 /** A log that nobody reads. */
 export const silentLog: Logger = {
@@ -63,7 +63,7 @@
   for (const { type: name, zone, spot, count } of machines) {
     const type = types.find((candidate) => candidate.name === name);
     if (type === undefined) throw new Error(`no machine type ${name}`);
-    for (let i = 0; i < count; i++) cloud.addMachine(type, zone, spot, FIRST_BOOT_MS);
+    for (let i = 0; i < count; i++) cloud.addMachine(type, zone, spot, INITIAL_BOOT_MS);
   }
   return cloud;
 }
