--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -43,7 +43,7 @@
 export class Cloud {
   readonly machines = new Map<string, RentedMachine>();
   /** Ids that were rented, by the request's key. */
-  private readonly answers = new Map<string, string[]>();
+  private readonly rentedIdsByKey = new Map<string, string[]>();
   private snapshots: Snapshot[] = [];
   private count = 0;
   /** Machines rented before then are up within two seconds. */
@@ -147,7 +147,7 @@
   }
 
   private rent(request: RentRequest, respond: Respond): void {
-    const before = this.answers.get(request.hire);
+    const before = this.rentedIdsByKey.get(request.hire);
     if (before !== undefined) return respond({ status: 200, body: { kilns: before } });
     const type = this.types.find(({ name }) => name === request.model);
     const room = this.capacity - this.machines.size;
@@ -157,7 +157,7 @@
     const ids: string[] = [];
     for (let i = 0; i < count; i++)
       ids.push(this.addMachine(type, request.hall, request.loaners, this.bootMs(type)));
-    this.answers.set(request.hire, ids);
+    this.rentedIdsByKey.set(request.hire, ids);
     respond({ status: 200, body: { kilns: ids } });
   }
 }
