--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -47,7 +47,7 @@
   private snapshots: Snapshot[] = [];
   private count = 0;
   /** Machines rented before then are up within two seconds. */
-  private quickUntil = 0;
+  private quickBootUntil = 0;
   /** Called when a rented machine is up. */
   readonly onBoot: ((id: string) => void)[] = [];
 
@@ -90,7 +90,7 @@
 
   /** For a time machines are up within two seconds. */
   bootQuickly(ms: number): void {
-    this.quickUntil = this.context.clock.now + ms;
+    this.quickBootUntil = this.context.clock.now + ms;
   }
 
   /** How long ago the machine was rented. */
@@ -107,7 +107,8 @@
 
   private bootMs(type: MachineType): number | null {
     const { clock, random } = this.context;
-    if (clock.now < this.quickUntil) return random.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
+    if (clock.now < this.quickBootUntil)
+      return random.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
     if (random.next() < this.bootFails) return null;
     return type.bootS * 1000 * random.between(BOOT_SHARES.least, BOOT_SHARES.most);
   }
