--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -58,7 +58,7 @@
     private readonly capacity: number,
     private readonly lagMs: number,
     /** Chance that a machine never comes up. */
-    private readonly bootFails: number,
+    private readonly bootFailureChance: number,
   ) {
     context.network.listen(address, 'cloud', (_, request, respond) => this.serve(request, respond));
     this.snapshot();
@@ -109,7 +109,7 @@
     const { clock, random } = this.context;
     if (clock.now < this.quickBootUntil)
       return random.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
-    if (random.next() < this.bootFails) return null;
+    if (random.next() < this.bootFailureChance) return null;
     return type.bootS * 1000 * random.between(BOOT_SHARES.least, BOOT_SHARES.most);
   }
 
