--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -148,8 +148,8 @@
   }
 
   private rent(request: RentRequest, respond: Respond): void {
-    const before = this.rentedIdsByKey.get(request.hire);
-    if (before !== undefined) return respond({ status: 200, body: { kilns: before } });
+    const rentedBefore = this.rentedIdsByKey.get(request.hire);
+    if (rentedBefore !== undefined) return respond({ status: 200, body: { kilns: rentedBefore } });
     const type = this.types.find(({ name }) => name === request.model);
     const room = this.capacity - this.machines.size;
     const count = Math.min(request.how_many, RENTED_AT_ONCE, room);
