--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -151,8 +151,8 @@
     const rentedBefore = this.rentedIdsByKey.get(request.hire);
     if (rentedBefore !== undefined) return respond({ status: 200, body: { kilns: rentedBefore } });
     const type = this.types.find(({ name }) => name === request.model);
-    const room = this.capacity - this.machines.size;
-    const count = Math.min(request.how_many, RENTED_AT_ONCE, room);
+    const remainingCapacity = this.capacity - this.machines.size;
+    const count = Math.min(request.how_many, RENTED_AT_ONCE, remainingCapacity);
     if (type === undefined || count <= 0)
       return respond({ status: 503, body: { error: 'no capacity' } });
     const ids: string[] = [];
