--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -76,7 +76,7 @@
         if (this.machines.get(id) !== machine) return;
         const address = `10.1.${index >> 8}.${index & 255}:9000`;
         machine.worker = new Worker(id, address, type, zone, spot, this.context);
-        for (const up of this.onBoot) up(id);
+        for (const listener of this.onBoot) listener(id);
       });
     return id;
   }
