--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -26,7 +26,7 @@
 
 /** The machines as they were at a moment. */
 interface Snapshot {
-  at: number;
+  takenAt: number;
   body: { id: string }[];
 }
 
@@ -117,9 +117,9 @@
     const { clock } = this.context;
     clock.after(SNAPSHOT_MS, () => this.snapshot());
     const body = [...this.machines.values()].map((machine) => listed(machine, clock.now));
-    this.snapshots.push({ at: clock.now, body });
+    this.snapshots.push({ takenAt: clock.now, body });
     const oldest = clock.now - 4 * this.lagMs - SNAPSHOTS_KEPT_MS;
-    this.snapshots = this.snapshots.filter((snapshot) => snapshot.at > oldest);
+    this.snapshots = this.snapshots.filter((snapshot) => snapshot.takenAt > oldest);
   }
 
   private serve(request: IncomingRequest, respond: Respond): void {
@@ -138,7 +138,7 @@
   private list(request: IncomingRequest, respond: Respond): void {
     const { clock, random } = this.context;
     const lag = this.lagMs * random.between(1, 2);
-    const snapshot = this.snapshots.filter(({ at }) => at <= clock.now - lag).at(-1);
+    const snapshot = this.snapshots.filter(({ takenAt: at }) => at <= clock.now - lag).at(-1);
     const query = new URL(request.path, 'http://cloud').searchParams;
     const from = query.get('from') ?? '';
     const limit = Math.min(LISTED_AT_ONCE, Number(query.get('limit') ?? LISTED_AT_ONCE));
