--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -137,8 +137,8 @@
 
   private list(request: IncomingRequest, respond: Respond): void {
     const { clock, random } = this.context;
-    const lag = this.lagMs * random.between(1, 2);
-    const snapshot = this.snapshots.filter(({ takenAt: at }) => at <= clock.now - lag).at(-1);
+    const lagMs = this.lagMs * random.between(1, 2);
+    const snapshot = this.snapshots.filter(({ takenAt: at }) => at <= clock.now - lagMs).at(-1);
     const query = new URL(request.path, 'http://cloud').searchParams;
     const from = query.get('from') ?? '';
     const limit = Math.min(LISTED_AT_ONCE, Number(query.get('limit') ?? LISTED_AT_ONCE));
