--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -140,9 +140,9 @@
     const lagMs = this.lagMs * random.between(1, 2);
     const snapshot = this.snapshots.filter(({ takenAt: at }) => at <= clock.now - lagMs).at(-1);
     const query = new URL(request.path, 'http://cloud').searchParams;
-    const from = query.get('from') ?? '';
+    const afterId = query.get('from') ?? '';
     const limit = Math.min(LISTED_AT_ONCE, Number(query.get('limit') ?? LISTED_AT_ONCE));
-    const machines = (snapshot?.body ?? []).filter((machine) => machine.id > from);
+    const machines = (snapshot?.body ?? []).filter((machine) => machine.id > afterId);
     const page = machines.slice(0, limit);
     respond({ status: 200, body: { kilns: page, has_next: page.length < machines.length } });
   }
