--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -116,7 +116,7 @@
   private snapshot(): void {
     const { clock } = this.context;
     clock.after(SNAPSHOT_MS, () => this.snapshot());
-    const body = [...this.machines.values()].map((machine) => listed(machine, clock.now));
+    const body = [...this.machines.values()].map((machine) => toListEntry(machine, clock.now));
     this.snapshots.push({ takenAt: clock.now, body });
     const oldest = clock.now - 4 * this.lagMs - SNAPSHOTS_KEPT_MS;
     this.snapshots = this.snapshots.filter((snapshot) => snapshot.takenAt > oldest);
@@ -163,7 +163,10 @@
   }
 }
 
-function listed(machine: RentedMachine, now: number): { id: string } & Record<string, unknown> {
+function toListEntry(
+  machine: RentedMachine,
+  now: number,
+): { id: string } & Record<string, unknown> {
   const { worker } = machine;
   return {
     id: machine.id,
