--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -124,7 +124,8 @@
 
   private serve(request: IncomingRequest, respond: Respond): void {
     const path = request.path.split('?', 1)[0];
-    if (path === '/catalog') respond({ status: 200, body: { models: this.types.map(catalogued) } });
+    if (path === '/catalog')
+      respond({ status: 200, body: { models: this.types.map(toCatalogueEntry) } });
     else if (path === '/machines/release') this.release(request, respond);
     else if (path === '/machines' && request.method === 'GET') this.list(request, respond);
     else this.rent(request.body() as RentRequest, respond);
@@ -179,7 +180,7 @@
   };
 }
 
-function catalogued(type: MachineType): Record<string, unknown> {
+function toCatalogueEntry(type: MachineType): Record<string, unknown> {
   return {
     name: type.name,
     cores: type.cpus,
