--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -5,7 +5,7 @@
 import { Worker } from './worker.js';
 
 /** Machines that one request gets, or one page lists, at most. */
-const RENTED_AT_ONCE = 50;
+const MAX_RENTED_PER_REQUEST = 50;
 const LISTED_AT_ONCE = 500;
 const SNAPSHOT_MS = 500;
 /** Snapshots are kept for this long beyond four times the lag. */
@@ -153,7 +153,7 @@
     if (rentedBefore !== undefined) return respond({ status: 200, body: { kilns: rentedBefore } });
     const type = this.types.find(({ name }) => name === request.model);
     const remainingCapacity = this.capacity - this.machines.size;
-    const count = Math.min(request.how_many, RENTED_AT_ONCE, remainingCapacity);
+    const count = Math.min(request.how_many, MAX_RENTED_PER_REQUEST, remainingCapacity);
     if (type === undefined || count <= 0)
       return respond({ status: 503, body: { error: 'no capacity' } });
     const ids: string[] = [];
