--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -6,7 +6,7 @@
 
 /** Machines that one request gets, or one page lists, at most. */
 const MAX_RENTED_PER_REQUEST = 50;
-const LISTED_AT_ONCE = 500;
+const MAX_LISTED_PER_PAGE = 500;
 const SNAPSHOT_MS = 500;
 /** Snapshots are kept for this long beyond four times the lag. */
 const SNAPSHOTS_KEPT_MS = 2000;
@@ -142,7 +142,7 @@
     const snapshot = this.snapshots.filter(({ takenAt: at }) => at <= clock.now - lagMs).at(-1);
     const query = new URL(request.path, 'http://cloud').searchParams;
     const afterId = query.get('from') ?? '';
-    const limit = Math.min(LISTED_AT_ONCE, Number(query.get('limit') ?? LISTED_AT_ONCE));
+    const limit = Math.min(MAX_LISTED_PER_PAGE, Number(query.get('limit') ?? MAX_LISTED_PER_PAGE));
     const machines = (snapshot?.body ?? []).filter((machine) => machine.id > afterId);
     const page = machines.slice(0, limit);
     respond({ status: 200, body: { kilns: page, has_next: page.length < machines.length } });
