--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -7,7 +7,7 @@
 /** Machines that one request gets, or one page lists, at most. */
 const MAX_RENTED_PER_REQUEST = 50;
 const MAX_LISTED_PER_PAGE = 500;
-const SNAPSHOT_MS = 500;
+const SNAPSHOT_INTERVAL_MS = 500;
 /** Snapshots are kept for this long beyond four times the lag. */
 const SNAPSHOTS_KEPT_MS = 2000;
 /** Shares of its type's boot time within which a machine is up. */
@@ -115,7 +115,7 @@
 
   private snapshot(): void {
     const { clock } = this.context;
-    clock.after(SNAPSHOT_MS, () => this.snapshot());
+    clock.after(SNAPSHOT_INTERVAL_MS, () => this.snapshot());
     const body = [...this.machines.values()].map((machine) => toListEntry(machine, clock.now));
     this.snapshots.push({ takenAt: clock.now, body });
     const oldest = clock.now - 4 * this.lagMs - SNAPSHOTS_KEPT_MS;
