--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -9,7 +9,7 @@
 const MAX_LISTED_PER_PAGE = 500;
 const SNAPSHOT_INTERVAL_MS = 500;
 /** Snapshots are kept for this long beyond four times the lag. */
-const SNAPSHOTS_KEPT_MS = 2000;
+const EXTRA_SNAPSHOT_RETENTION_MS = 2000;
 /** Shares of its type's boot time within which a machine is up. */
 const BOOT_SHARES = { least: 0.6, most: 1.5 };
 /** Times within which a machine is up while machines boot quickly. */
@@ -118,7 +118,7 @@
     clock.after(SNAPSHOT_INTERVAL_MS, () => this.snapshot());
     const body = [...this.machines.values()].map((machine) => toListEntry(machine, clock.now));
     this.snapshots.push({ takenAt: clock.now, body });
-    const oldest = clock.now - 4 * this.lagMs - SNAPSHOTS_KEPT_MS;
+    const oldest = clock.now - 4 * this.lagMs - EXTRA_SNAPSHOT_RETENTION_MS;
     this.snapshots = this.snapshots.filter((snapshot) => snapshot.takenAt > oldest);
   }
 
