--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -11,7 +11,7 @@
 /** Snapshots are kept for this long beyond four times the lag. */
 const EXTRA_SNAPSHOT_RETENTION_MS = 2000;
 /** Shares of its type's boot time within which a machine is up. */
-const BOOT_SHARES = { least: 0.6, most: 1.5 };
+const BOOT_TIME_FACTORS = { least: 0.6, most: 1.5 };
 /** Times within which a machine is up while machines boot quickly. */
 const QUICK_BOOT_MS = { least: 200, most: 2000 };
 
@@ -110,7 +110,7 @@
     if (clock.now < this.quickBootUntil)
       return random.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
     if (random.next() < this.bootFailureChance) return null;
-    return type.bootS * 1000 * random.between(BOOT_SHARES.least, BOOT_SHARES.most);
+    return type.bootS * 1000 * random.between(BOOT_TIME_FACTORS.least, BOOT_TIME_FACTORS.most);
   }
 
   private snapshot(): void {
