--- a/test/simulation/machines/gangs.ts
+++ b/test/simulation/machines/gangs.ts
@@ -35,14 +35,14 @@
   }
 
   /** The task has ended; unless it is done, the members that run end soon after. */
-  leave(task: Task, peerMs: number): void {
+  leave(task: Task, peerExitMs: number): void {
     const gang = this.members.get(keyOf(task));
     if (gang === undefined) return;
     for (const member of gang) if (member.task === task) gang.delete(member);
     if (task.cause === 'done') return;
     for (const member of gang)
       if (member.task.status === 'running')
-        this.clock.after(peerMs, () => {
+        this.clock.after(peerExitMs, () => {
           if (member.task.status === 'running') member.runner.finish(member.task, 'peers');
         });
   }
