--- a/test/simulation/machines/machine-context.ts
+++ b/test/simulation/machines/machine-context.ts
@@ -12,7 +12,7 @@
   heartbeatIntervalMs: number;
   leaseMs: number;
   gangWaitMs: number;
-  gangPeerMs: number;
+  gangPeerExitMs: number;
 }
 
 /** What each machine of a simulation has access to. */
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -178,7 +178,7 @@
     const { checker, gangs, settings } = this.context;
     if (task.onMachine) checker.taskStopped(task.jobId, task.index, this.host.placement.machine);
     task.onMachine = false;
-    gangs.leave(task, settings.gangPeerMs);
+    gangs.leave(task, settings.gangPeerExitMs);
   }
 
   private stop(task: Task, graceS: number): void {
--- a/test/simulation/simulation-parts.ts
+++ b/test/simulation/simulation-parts.ts
@@ -74,6 +74,6 @@
     heartbeatIntervalMs: workers.heartbeatIntervalS * 1000,
     leaseMs: workers.leaseS * 1000,
     gangWaitMs: workers.gangFetchWaitS * 1000,
-    gangPeerMs: workers.gangPeerExitS * 1000,
+    gangPeerExitMs: workers.gangPeerExitS * 1000,
   };
 }
