--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -4,7 +4,7 @@
 import type { Command } from './task.js';
 
 /** A heartbeat with news follows the last one no sooner than this. */
-const NEWS_AFTER_MS = 500;
+const MIN_INTERVAL_MS = 500;
 const HEARTBEAT_TIMEOUT_MS = 4000;
 const RETRY_MS = 1000;
 /** A worker that is redirected to the leader sends its next heartbeat within this time. */
@@ -73,7 +73,7 @@
     const { source } = this;
     if (source.dead || this.inFlight) return;
     const { clock } = this.context;
-    const dueAt = this.dirty ? Math.min(this.nextAt, this.lastSent + NEWS_AFTER_MS) : this.nextAt;
+    const dueAt = this.dirty ? Math.min(this.nextAt, this.lastSent + MIN_INTERVAL_MS) : this.nextAt;
     const awakeAt = this.hung ? source.hungUntil : 0;
     const at = Math.max(dueAt, this.notBefore, awakeAt, clock.now);
     if (at >= this.plannedAt) return;
