--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -8,7 +8,7 @@
 const HEARTBEAT_TIMEOUT_MS = 4000;
 const RETRY_MS = 1000;
 /** A worker that is redirected to the leader sends its next heartbeat within this time. */
-const REDIRECT_WITHIN_MS = 500;
+const MAX_REDIRECT_DELAY_MS = 500;
 /** Shares of the period between which the next heartbeat falls. */
 const JITTER = { least: 0.75, most: 1.25 };
 
@@ -142,7 +142,7 @@
     const node = controllers.indexOf(leader);
     if (node < 0 || node === this.node) return this.tryNext();
     this.node = node;
-    this.retry(random.between(0, REDIRECT_WITHIN_MS));
+    this.retry(random.between(0, MAX_REDIRECT_DELAY_MS));
   }
 
   private retry(ms: number): void {
