--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -6,7 +6,7 @@
 /** A heartbeat with news follows the last one no sooner than this. */
 const MIN_INTERVAL_MS = 500;
 const HEARTBEAT_TIMEOUT_MS = 4000;
-const RETRY_MS = 1000;
+const RETRY_DELAY_MS = 1000;
 /** A worker that is redirected to the leader sends its next heartbeat within this time. */
 const MAX_REDIRECT_DELAY_MS = 500;
 /** Shares of the period between which the next heartbeat falls. */
@@ -151,6 +151,6 @@
 
   private tryNext(): void {
     this.node = (this.node + 1) % this.context.controllers.length;
-    this.retry(RETRY_MS);
+    this.retry(RETRY_DELAY_MS);
   }
 }
