--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -10,7 +10,7 @@
 /** A worker that is redirected to the leader sends its next heartbeat within this time. */
 const MAX_REDIRECT_DELAY_MS = 500;
 /** Shares of the period between which the next heartbeat falls. */
-const JITTER = { least: 0.75, most: 1.25 };
+const INTERVAL_FACTORS = { least: 0.75, most: 1.25 };
 
 /** The response of a controller that takes a heartbeat. */
 export interface HeartbeatResponse {
@@ -96,7 +96,8 @@
     this.dirty = false;
     this.lastSent = clock.now;
     this.nextAt =
-      clock.now + settings.heartbeatIntervalMs * random.between(JITTER.least, JITTER.most);
+      clock.now +
+      settings.heartbeatIntervalMs * random.between(INTERVAL_FACTORS.least, INTERVAL_FACTORS.most);
     if (!this.blocked) return this.post();
     clock.after(1, () => {
       this.inFlight = false;
