--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -140,9 +140,9 @@
 
   private redirect(leader = ''): void {
     const { controllers, random } = this.context;
-    const node = controllers.indexOf(leader);
-    if (node < 0 || node === this.node) return this.tryNext();
-    this.node = node;
+    const leaderIndex = controllers.indexOf(leader);
+    if (leaderIndex < 0 || leaderIndex === this.node) return this.tryNext();
+    this.node = leaderIndex;
     this.retry(random.between(0, MAX_REDIRECT_DELAY_MS));
   }
 
