--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -36,7 +36,7 @@
   /** Index of the controller that is asked next. */
   private node: number;
   private inFlight = false;
-  private dirty = false;
+  private hasUnreportedChange = false;
   private nextAt: number;
   private notBefore = 0;
   private lastSent = -Infinity;
@@ -64,7 +64,7 @@
 
   /** The next heartbeat will have news. */
   changed(): void {
-    this.dirty = true;
+    this.hasUnreportedChange = true;
     this.plan();
   }
 
@@ -73,7 +73,9 @@
     const { source } = this;
     if (source.dead || this.inFlight) return;
     const { clock } = this.context;
-    const dueAt = this.dirty ? Math.min(this.nextAt, this.lastSent + MIN_INTERVAL_MS) : this.nextAt;
+    const dueAt = this.hasUnreportedChange
+      ? Math.min(this.nextAt, this.lastSent + MIN_INTERVAL_MS)
+      : this.nextAt;
     const awakeAt = this.hung ? source.hungUntil : 0;
     const at = Math.max(dueAt, this.notBefore, awakeAt, clock.now);
     if (at >= this.plannedAt) return;
@@ -93,7 +95,7 @@
   private send(): void {
     const { clock, random, settings } = this.context;
     this.inFlight = true;
-    this.dirty = false;
+    this.hasUnreportedChange = false;
     this.lastSent = clock.now;
     this.nextAt =
       clock.now +
