--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -37,7 +37,7 @@
   private node: number;
   private inFlight = false;
   private hasUnreportedChange = false;
-  private nextAt: number;
+  private regularAt: number;
   private notBefore = 0;
   private lastSent = -Infinity;
   private blockedUntil = 0;
@@ -49,7 +49,7 @@
   ) {
     const { clock, random, controllers } = context;
     this.node = Math.floor(random.next() * controllers.length);
-    this.nextAt = clock.now;
+    this.regularAt = clock.now;
   }
 
   /** Whether no controller can be reached just now. */
@@ -74,8 +74,8 @@
     if (source.dead || this.inFlight) return;
     const { clock } = this.context;
     const dueAt = this.hasUnreportedChange
-      ? Math.min(this.nextAt, this.lastSent + MIN_INTERVAL_MS)
-      : this.nextAt;
+      ? Math.min(this.regularAt, this.lastSent + MIN_INTERVAL_MS)
+      : this.regularAt;
     const awakeAt = this.hung ? source.hungUntil : 0;
     const at = Math.max(dueAt, this.notBefore, awakeAt, clock.now);
     if (at >= this.plannedAt) return;
@@ -97,7 +97,7 @@
     this.inFlight = true;
     this.hasUnreportedChange = false;
     this.lastSent = clock.now;
-    this.nextAt =
+    this.regularAt =
       clock.now +
       settings.heartbeatIntervalMs * random.between(INTERVAL_FACTORS.least, INTERVAL_FACTORS.most);
     if (!this.blocked) return this.post();
@@ -149,7 +149,7 @@
   }
 
   private retry(ms: number): void {
-    this.notBefore = this.nextAt = this.context.clock.now + ms;
+    this.notBefore = this.regularAt = this.context.clock.now + ms;
   }
 
   private tryNext(): void {
