--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -38,7 +38,7 @@
   private inFlight = false;
   private hasUnreportedChange = false;
   private regularAt: number;
-  private notBefore = 0;
+  private earliestAt = 0;
   private lastSent = -Infinity;
   private blockedUntil = 0;
   private plannedAt = Infinity;
@@ -77,7 +77,7 @@
       ? Math.min(this.regularAt, this.lastSent + MIN_INTERVAL_MS)
       : this.regularAt;
     const awakeAt = this.hung ? source.hungUntil : 0;
-    const at = Math.max(dueAt, this.notBefore, awakeAt, clock.now);
+    const at = Math.max(dueAt, this.earliestAt, awakeAt, clock.now);
     if (at >= this.plannedAt) return;
     this.plannedAt = at;
     clock.after(at - clock.now, () => {
@@ -149,7 +149,7 @@
   }
 
   private retry(ms: number): void {
-    this.notBefore = this.regularAt = this.context.clock.now + ms;
+    this.earliestAt = this.regularAt = this.context.clock.now + ms;
   }
 
   private tryNext(): void {
