--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -41,7 +41,7 @@
   private earliestAt = 0;
   private lastSent = -Infinity;
   private blockedUntil = 0;
-  private plannedAt = Infinity;
+  private scheduledAt = Infinity;
 
   constructor(
     private readonly source: HeartbeatSource,
@@ -78,11 +78,11 @@
       : this.regularAt;
     const awakeAt = this.hung ? source.hungUntil : 0;
     const at = Math.max(dueAt, this.earliestAt, awakeAt, clock.now);
-    if (at >= this.plannedAt) return;
-    this.plannedAt = at;
+    if (at >= this.scheduledAt) return;
+    this.scheduledAt = at;
     clock.after(at - clock.now, () => {
-      if (this.plannedAt !== at) return;
-      this.plannedAt = Infinity;
+      if (this.scheduledAt !== at) return;
+      this.scheduledAt = Infinity;
       if (source.dead || this.inFlight || this.hung) this.plan();
       else this.send();
     });
