--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -65,11 +65,11 @@
   /** The next heartbeat will have news. */
   changed(): void {
     this.hasUnreportedChange = true;
-    this.plan();
+    this.schedule();
   }
 
   /** Plans the next heartbeat for when it is due. */
-  plan(): void {
+  schedule(): void {
     const { source } = this;
     if (source.dead || this.inFlight) return;
     const { clock } = this.context;
@@ -83,7 +83,7 @@
     clock.after(at - clock.now, () => {
       if (this.scheduledAt !== at) return;
       this.scheduledAt = Infinity;
-      if (source.dead || this.inFlight || this.hung) this.plan();
+      if (source.dead || this.inFlight || this.hung) this.schedule();
       else this.send();
     });
   }
@@ -104,7 +104,7 @@
     clock.after(1, () => {
       this.inFlight = false;
       this.tryNext();
-      this.plan();
+      this.schedule();
     });
   }
 
@@ -128,7 +128,7 @@
         source.whenAwake(() => {
           this.inFlight = false;
           this.answered(reply, agentEpoch, sentAt);
-          this.plan();
+          this.schedule();
         }),
     );
   }
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -48,7 +48,7 @@
     );
     this.tasks = new TaskRunner(this, context);
     this.heartbeats = new HeartbeatLoop(this, context);
-    this.heartbeats.plan();
+    this.heartbeats.schedule();
     this.watchLease();
   }
 
@@ -82,7 +82,7 @@
       const waiting = this.blocked;
       this.blocked = [];
       for (const run of waiting) run();
-      this.heartbeats.plan();
+      this.heartbeats.schedule();
     });
   }
 
