--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -63,7 +63,7 @@
   }
 
   /** The next heartbeat will have news. */
-  changed(): void {
+  stateChanged(): void {
     this.hasUnreportedChange = true;
     this.schedule();
   }
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -111,7 +111,7 @@
 
   /** The next heartbeat will have news. */
   stateChanged(): void {
-    this.heartbeats.changed();
+    this.heartbeats.stateChanged();
   }
 
   private watchLease(): void {
