--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -127,13 +127,13 @@
       (reply) =>
         source.whenAwake(() => {
           this.inFlight = false;
-          this.answered(reply, agentEpoch, sentAt);
+          this.handleReply(reply, agentEpoch, sentAt);
           this.schedule();
         }),
     );
   }
 
-  private answered(reply: Reply, session: number, sentAt: number): void {
+  private handleReply(reply: Reply, session: number, sentAt: number): void {
     if (reply.status === 200)
       this.source.acceptResponse(reply.body as HeartbeatResponse, session, sentAt);
     else if (reply.status === 421) this.redirect((reply.body as { foreman?: string }).foreman);
