--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -103,7 +103,7 @@
     if (!this.blocked) return this.post();
     clock.after(1, () => {
       this.inFlight = false;
-      this.tryNext();
+      this.tryNextController();
       this.schedule();
     });
   }
@@ -137,13 +137,13 @@
     if (reply.status === 200)
       this.source.acceptResponse(reply.body as HeartbeatResponse, session, sentAt);
     else if (reply.status === 421) this.redirect((reply.body as { foreman?: string }).foreman);
-    else this.tryNext();
+    else this.tryNextController();
   }
 
   private redirect(leader = ''): void {
     const { controllers, random } = this.context;
     const leaderIndex = controllers.indexOf(leader);
-    if (leaderIndex < 0 || leaderIndex === this.node) return this.tryNext();
+    if (leaderIndex < 0 || leaderIndex === this.node) return this.tryNextController();
     this.node = leaderIndex;
     this.retry(random.between(0, MAX_REDIRECT_DELAY_MS));
   }
@@ -152,7 +152,7 @@
     this.earliestAt = this.regularAt = this.context.clock.now + ms;
   }
 
-  private tryNext(): void {
+  private tryNextController(): void {
     this.node = (this.node + 1) % this.context.controllers.length;
     this.retry(RETRY_DELAY_MS);
   }
