--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -77,11 +77,11 @@
       ? Math.min(this.regularAt, this.lastSent + MIN_INTERVAL_MS)
       : this.regularAt;
     const awakeAt = this.hung ? source.hungUntil : 0;
-    const at = Math.max(dueAt, this.earliestAt, awakeAt, clock.now);
-    if (at >= this.scheduledAt) return;
-    this.scheduledAt = at;
-    clock.after(at - clock.now, () => {
-      if (this.scheduledAt !== at) return;
+    const sendAt = Math.max(dueAt, this.earliestAt, awakeAt, clock.now);
+    if (sendAt >= this.scheduledAt) return;
+    this.scheduledAt = sendAt;
+    clock.after(sendAt - clock.now, () => {
+      if (this.scheduledAt !== sendAt) return;
       this.scheduledAt = Infinity;
       if (source.dead || this.inFlight || this.hung) this.schedule();
       else this.send();
