--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -133,9 +133,9 @@
     );
   }
 
-  private handleReply(reply: Reply, session: number, sentAt: number): void {
+  private handleReply(reply: Reply, agentEpoch: number, sentAt: number): void {
     if (reply.status === 200)
-      this.source.acceptResponse(reply.body as HeartbeatResponse, session, sentAt);
+      this.source.acceptResponse(reply.body as HeartbeatResponse, agentEpoch, sentAt);
     else if (reply.status === 421) this.redirect((reply.body as { foreman?: string }).foreman);
     else this.tryNextController();
   }
