--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -28,7 +28,7 @@
   heartbeat(): unknown;
   whenAwake(run: () => void): void;
   /** A response to the heartbeat that was sent then, in that agent epoch. */
-  acceptResponse(answer: HeartbeatResponse, agentEpoch: number, sentAt: number): void;
+  acceptResponse(response: HeartbeatResponse, agentEpoch: number, sentAt: number): void;
 }
 
 /** Sends a worker's heartbeats, one at a time, to the controller that takes them. */
