--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -26,7 +26,7 @@
   readonly placement: Placement;
   private heartbeatNumber = 0;
   private fencingToken = 0;
-  private leaseFrom: number;
+  private leaseStartedAt: number;
   /** When the cloud takes the machine back, where it has said so. */
   private recalledAt: number | null = null;
   private blocked: (() => void)[] = [];
@@ -42,7 +42,7 @@
     private readonly context: MachineContext,
   ) {
     this.placement = { machine: id, type: type.name, zone, spot };
-    this.leaseFrom = context.clock.now;
+    this.leaseStartedAt = context.clock.now;
     context.network.listen(address, id, (_, request, respond) =>
       this.whenAwake(() => this.serve(request, respond)),
     );
@@ -117,11 +117,11 @@
   private watchLease(): void {
     if (this.dead) return;
     const { clock, settings } = this.context;
-    if (this.leaseFrom + settings.leaseMs <= clock.now) {
+    if (this.leaseStartedAt + settings.leaseMs <= clock.now) {
       this.context.expiredLeases++;
       this.startEpoch();
     }
-    clock.after(Math.max(1, this.leaseFrom + settings.leaseMs - clock.now), () =>
+    clock.after(Math.max(1, this.leaseStartedAt + settings.leaseMs - clock.now), () =>
       this.watchLease(),
     );
   }
@@ -130,7 +130,7 @@
     this.tasks.killAll();
     this.tasks.clear();
     this.agentEpoch++;
-    this.leaseFrom = this.context.clock.now;
+    this.leaseStartedAt = this.context.clock.now;
     this.stateChanged();
   }
 
@@ -162,7 +162,7 @@
     if (this.context.clock.now - sentAt > RESPONSE_VALID_MS) return;
     if (answer.baton > this.fencingToken) this.stateChanged();
     this.fencingToken = answer.baton;
-    this.leaseFrom = Math.max(this.leaseFrom, sentAt);
+    this.leaseStartedAt = Math.max(this.leaseStartedAt, sentAt);
     for (const order of answer.orders) this.tasks.execute(order);
   }
 
