--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -29,7 +29,7 @@
   private leaseStartedAt: number;
   /** When the cloud takes the machine back, where it has said so. */
   private recalledAt: number | null = null;
-  private blocked: (() => void)[] = [];
+  private deferredCalls: (() => void)[] = [];
   private readonly tasks: TaskRunner;
   private readonly heartbeats: HeartbeatLoop;
 
@@ -79,8 +79,8 @@
     this.hungUntil = Math.max(this.hungUntil, clock.now + ms);
     clock.after(ms, () => {
       if (clock.now < this.hungUntil) return;
-      const waiting = this.blocked;
-      this.blocked = [];
+      const waiting = this.deferredCalls;
+      this.deferredCalls = [];
       for (const run of waiting) run();
       this.heartbeats.schedule();
     });
@@ -105,7 +105,7 @@
   /** Runs the function now, or once the machine no longer hangs; never after its end. */
   whenAwake(run: () => void): void {
     if (this.dead) return;
-    if (this.context.clock.now < this.hungUntil) this.blocked.push(run);
+    if (this.context.clock.now < this.hungUntil) this.deferredCalls.push(run);
     else run();
   }
 
