--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -79,9 +79,9 @@
     this.hungUntil = Math.max(this.hungUntil, clock.now + ms);
     clock.after(ms, () => {
       if (clock.now < this.hungUntil) return;
-      const waiting = this.deferredCalls;
+      const deferredCalls = this.deferredCalls;
       this.deferredCalls = [];
-      for (const run of waiting) run();
+      for (const run of deferredCalls) run();
       this.heartbeats.schedule();
     });
   }
