--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -137,7 +137,7 @@
   /** The next heartbeat; each has a number of its own. */
   heartbeat(): unknown {
     this.heartbeatNumber++;
-    const { recalledAt } = this;
+    const { recalledAt: interruptionAt } = this;
     return {
       kiln: this.id,
       address: this.address,
@@ -148,7 +148,9 @@
       tally: this.heartbeatNumber,
       baton: this.fencingToken,
       recall_s:
-        recalledAt === null ? null : Math.max(0, (recalledAt - this.context.clock.now) / 1000),
+        interruptionAt === null
+          ? null
+          : Math.max(0, (interruptionAt - this.context.clock.now) / 1000),
       duties: this.tasks.heartbeatTasks(),
     };
   }
