--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -156,8 +156,8 @@
   }
 
   /** Takes the response to a heartbeat: the fencing token, the lease, commands. */
-  acceptResponse(answer: HeartbeatResponse, session: number, sentAt: number): void {
-    if (session !== this.agentEpoch) return;
+  acceptResponse(answer: HeartbeatResponse, agentEpoch: number, sentAt: number): void {
+    if (agentEpoch !== this.agentEpoch) return;
     if (answer.baton === undefined || answer.baton < this.fencingToken) return;
     // A later response is dropped by the time-out of the call; a hanging machine may find one that
     // it had received before.
