--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -156,16 +156,16 @@
   }
 
   /** Takes the response to a heartbeat: the fencing token, the lease, commands. */
-  acceptResponse(answer: HeartbeatResponse, agentEpoch: number, sentAt: number): void {
+  acceptResponse(response: HeartbeatResponse, agentEpoch: number, sentAt: number): void {
     if (agentEpoch !== this.agentEpoch) return;
-    if (answer.baton === undefined || answer.baton < this.fencingToken) return;
+    if (response.baton === undefined || response.baton < this.fencingToken) return;
     // A later response is dropped by the time-out of the call; a hanging machine may find one that
     // it had received before.
     if (this.context.clock.now - sentAt > RESPONSE_VALID_MS) return;
-    if (answer.baton > this.fencingToken) this.stateChanged();
-    this.fencingToken = answer.baton;
+    if (response.baton > this.fencingToken) this.stateChanged();
+    this.fencingToken = response.baton;
     this.leaseStartedAt = Math.max(this.leaseStartedAt, sentAt);
-    for (const order of answer.orders) this.tasks.execute(order);
+    for (const order of response.orders) this.tasks.execute(order);
   }
 
   private serve(request: IncomingRequest, respond: Respond): void {
