--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -165,7 +165,7 @@
     if (response.baton > this.fencingToken) this.stateChanged();
     this.fencingToken = response.baton;
     this.leaseStartedAt = Math.max(this.leaseStartedAt, sentAt);
-    for (const order of response.orders) this.tasks.execute(order);
+    for (const command of response.orders) this.tasks.execute(command);
   }
 
   private serve(request: IncomingRequest, respond: Respond): void {
