--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -169,19 +169,19 @@
   }
 
   private serve(request: IncomingRequest, respond: Respond): void {
-    const command = request.body() as DirectCommand | undefined;
+    const directCommand = request.body() as DirectCommand | undefined;
     if (request.path === '/inspect') return respond({ status: 200, body: this.heartbeat() });
-    if (command?.baton === undefined || command.tenure === undefined)
+    if (directCommand?.baton === undefined || directCommand.tenure === undefined)
       return respond({ status: 400, body: null });
     const { observedEvents } = this.context;
-    if (command.baton < this.fencingToken)
+    if (directCommand.baton < this.fencingToken)
       observedEvents.record('direct command of an older leader');
-    if (command.baton < this.fencingToken || command.tenure !== this.agentEpoch)
+    if (directCommand.baton < this.fencingToken || directCommand.tenure !== this.agentEpoch)
       return respond({ status: 409, body: this.heartbeat() });
     if (this.heartbeats.blocked)
       observedEvents.record('direct command to a machine with blocked heartbeats');
-    this.fencingToken = command.baton;
-    for (const order of command.orders ?? []) this.tasks.execute(order);
+    this.fencingToken = directCommand.baton;
+    for (const order of directCommand.orders ?? []) this.tasks.execute(order);
     respond({ status: 200, body: this.heartbeat() });
   }
 }
