--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -181,7 +181,7 @@
     if (this.heartbeats.blocked)
       observedEvents.record('direct command to a machine with blocked heartbeats');
     this.fencingToken = directCommand.baton;
-    for (const order of directCommand.orders ?? []) this.tasks.execute(order);
+    for (const command of directCommand.orders ?? []) this.tasks.execute(command);
     respond({ status: 200, body: this.heartbeat() });
   }
 }
