--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -49,7 +49,7 @@
     this.tasks = new TaskRunner(this, context);
     this.heartbeats = new HeartbeatLoop(this, context);
     this.heartbeats.schedule();
-    this.watchLease();
+    this.checkLease();
   }
 
   /** The machine ends with all that is on it. */
@@ -114,7 +114,7 @@
     this.heartbeats.stateChanged();
   }
 
-  private watchLease(): void {
+  private checkLease(): void {
     if (this.dead) return;
     const { clock, settings } = this.context;
     if (this.leaseStartedAt + settings.leaseMs <= clock.now) {
@@ -122,7 +122,7 @@
       this.startEpoch();
     }
     clock.after(Math.max(1, this.leaseStartedAt + settings.leaseMs - clock.now), () =>
-      this.watchLease(),
+      this.checkLease(),
     );
   }
 
