--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -7,7 +7,7 @@
 import { newTask, toHeartbeatTask, type Command, type Task } from './task.js';
 
 /** Capacity that rounding may hide. */
-const ROUNDING = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 /** Share of its run time after which a task that fails ends. */
 const FAILURE_SHARE = 0.3;
 /** Shares of its run time between which a replica ends by itself. */
@@ -104,9 +104,9 @@
   private hasCapacity(spec: JobSpec, task: Task): boolean {
     const { cpus, gpus, memoryGb } = this.freeCapacity(task);
     return (
-      spec.cpus <= cpus + ROUNDING &&
-      spec.gpus <= gpus + ROUNDING &&
-      spec.memoryGb <= memoryGb + ROUNDING
+      spec.cpus <= cpus + ROUNDING_TOLERANCE &&
+      spec.gpus <= gpus + ROUNDING_TOLERANCE &&
+      spec.memoryGb <= memoryGb + ROUNDING_TOLERANCE
     );
   }
 
