--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -9,7 +9,7 @@
 /** Capacity that rounding may hide. */
 const ROUNDING_TOLERANCE = 1e-6;
 /** Share of its run time after which a task that fails ends. */
-const FAILURE_SHARE = 0.3;
+const FAILURE_RUN_SHARE = 0.3;
 /** Shares of its run time between which a replica ends by itself. */
 const REPLICA_SHARES = { least: 0.5, most: 2 };
 
@@ -150,7 +150,7 @@
     const { clock, random } = this.context;
     task.status = 'running';
     const fails = random.next() < this.context.taskFailures;
-    const endsAfterMs = this.context.runMs(task.jobId) * (fails ? FAILURE_SHARE : 1);
+    const endsAfterMs = this.context.runMs(task.jobId) * (fails ? FAILURE_RUN_SHARE : 1);
     task.timer = clock.after(endsAfterMs, () =>
       this.host.whenAwake(() => this.finish(task, fails ? 'error' : 'done')),
     );
