--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -11,7 +11,7 @@
 /** Share of its run time after which a task that fails ends. */
 const FAILURE_RUN_SHARE = 0.3;
 /** Shares of its run time between which a replica ends by itself. */
-const REPLICA_SHARES = { least: 0.5, most: 2 };
+const REPLICA_RUN_FACTORS = { least: 0.5, most: 2 };
 
 /** The machine that tasks run on, as its task runner sees it. */
 export interface TaskHost {
@@ -135,7 +135,7 @@
   private runReplica(task: Task): void {
     const { clock, random } = this.context;
     task.status = 'running';
-    const { least, most } = REPLICA_SHARES;
+    const { least, most } = REPLICA_RUN_FACTORS;
     const endsAfterMs = this.context.runMs(task.jobId) * random.between(least, most);
     const cause = random.pick(['done', 'error', 'other']);
     task.timer = clock.after(endsAfterMs, () =>
