--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -97,7 +97,7 @@
     const { fetchGbPerS } = this.host.type;
     const fetchMs = this.images.has(spec.image) ? 0 : (spec.imageGb / fetchGbPerS) * 1000;
     task.timer = this.context.clock.after(fetchMs, () =>
-      this.host.whenAwake(() => this.begin(task, spec)),
+      this.host.whenAwake(() => this.startWithImage(task, spec)),
     );
   }
 
@@ -111,7 +111,7 @@
   }
 
   /** The image is there. */
-  private begin(task: Task, spec: JobSpec): void {
+  private startWithImage(task: Task, spec: JobSpec): void {
     if (task.status !== 'pulling') return;
     this.images.add(spec.image);
     task.onMachine = true;
