--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -184,13 +184,13 @@
   private stop(task: Task, graceS: number): void {
     if (task.status === 'exited') return;
     const spec = this.context.specOf(task.jobId);
-    const saves =
+    const savesCheckpoint =
       spec !== undefined &&
       spec.checkpointIntervalS > 0 &&
       task.status === 'running' &&
       graceS >= spec.checkpointSaveS;
     if (task.status === 'flushing' && graceS > 0) return;
-    if (!saves) return this.finish(task, 'stopped');
+    if (!savesCheckpoint) return this.finish(task, 'stopped');
     task.status = 'flushing';
     task.timer?.cancel();
     task.timer = this.context.clock.after(spec.checkpointSaveS * 1000, () => {
