--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -114,7 +114,7 @@
   private startWithImage(task: Task, spec: JobSpec): void {
     if (task.status !== 'pulling') return;
     this.images.add(spec.image);
-    task.onMachine = true;
+    task.started = true;
     this.context.checker.taskStarted(task.jobId, task.index, { ...this.host.placement });
     this.host.stateChanged();
     if (spec.kind === 'gang') this.waitForGang(task, spec);
@@ -176,8 +176,8 @@
 
   private leaveMachine(task: Task): void {
     const { checker, gangs, settings } = this.context;
-    if (task.onMachine) checker.taskStopped(task.jobId, task.index, this.host.placement.machine);
-    task.onMachine = false;
+    if (task.started) checker.taskStopped(task.jobId, task.index, this.host.placement.machine);
+    task.started = false;
     gangs.leave(task, settings.gangPeerExitMs);
   }
 
--- a/test/simulation/machines/task.ts
+++ b/test/simulation/machines/task.ts
@@ -18,7 +18,7 @@
   cause: string | null;
   checkpointed: boolean;
   /** Whether it has its image and takes capacity of the machine. */
-  onMachine: boolean;
+  started: boolean;
   timer: Timer | null;
 }
 
@@ -32,7 +32,7 @@
     status: 'pulling',
     cause: null,
     checkpointed: false,
-    onMachine: false,
+    started: false,
     timer: null,
   };
 }
