--- a/test/simulation/deployments/fleets.ts
+++ b/test/simulation/deployments/fleets.ts
@@ -43,14 +43,14 @@
     platform: {
       ...{ ...defaultPlatformOptions, zones, heartbeatIntervalS: 4, leaseS: 20, txnOps: 24 },
       ...platform,
-      teamsToml: teamsOf(machines * big.gpus, teams) + OBJECTIVES,
+      teamsToml: teamsToml(machines * big.gpus, teams) + OBJECTIVES,
     },
     pageSize: 1000,
     randomJob: fleetJob,
   };
 }
 
-function teamsOf(gpus: number, teams: FleetShape['teams']): string {
+function teamsToml(gpus: number, teams: FleetShape['teams']): string {
   return Object.entries(teams)
     .map(([name, { guaranteed, limit }]) =>
       teamToml(name, { gpus: gpus * guaranteed, gpusMax: gpus * limit }),
