--- a/test/simulation/deployments/fleet-jobs.ts
+++ b/test/simulation/deployments/fleet-jobs.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { SeededRandom } from '../seeded-random.js';
 
-type Common = Pick<
+type CommonFields = Pick<
   JobSpec,
   'id' | 'types' | 'zone' | 'spread' | 'deadlineS' | 'imageGb' | 'estimatedRunS'
 >;
@@ -13,7 +13,7 @@
 
 /** A job as the fleets run it. */
 export function fleetJob(random: SeededRandom, id: string): JobSpec {
-  const common: Common = {
+  const common: CommonFields = {
     ...{ id, types: null, zone: null, spread: false, deadlineS: null },
     ...{ imageGb: random.between(1, 6), estimatedRunS: random.between(20, 60) },
   };
@@ -23,7 +23,7 @@
   return printJob(random, common);
 }
 
-function trainingJob(random: SeededRandom, common: Common): JobSpec {
+function trainingJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'train', team: random.pick(['red', 'blue']), kind: 'gang' },
     ...{ priority: 'high', tasks: random.pick([1, 1, 2, 2, 4, 8]), cpus: 14, gpus: 4 },
@@ -32,7 +32,7 @@
   };
 }
 
-function scoringJob(random: SeededRandom, common: Common): JobSpec {
+function scoringJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'score', team: 'red', kind: 'array', priority: 'normal' },
     ...{ tasks: Math.ceil(random.between(1, 20)), cpus: random.between(2, 4), gpus: 1 },
@@ -41,7 +41,7 @@
   };
 }
 
-function printJob(random: SeededRandom, common: Common): JobSpec {
+function printJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'print', team: 'blue', kind: 'array', priority: 'normal' },
     ...{ tasks: Math.ceil(random.between(1, 60)), cpus: 1, gpus: 0, memoryGb: 2 },
