--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -50,7 +50,7 @@
 /** The same where the state store will take less from some moment on. */
 export const shortLeasesWithLowerLimits = withLowerStateLimits(shortLeases, 20);
 
-type Common = Pick<
+type CommonFields = Pick<
   JobSpec,
   | 'id'
   | 'team'
@@ -71,7 +71,7 @@
 
 /** Gangs of whole machines, arrays of single GPUs that checkpoint, and arrays without GPUs. */
 function randomJob(random: SeededRandom, id: string): JobSpec {
-  const common: Common = {
+  const common: CommonFields = {
     ...{ id, team: random.pick(['red', 'blue']), types: null, spread: false, deadlineS: null },
     ...{ priority: random.pick(['low', 'normal', 'normal', 'high']), spot: true },
     ...{ imageGb: random.between(1, 4), estimatedRunS: 20, checkpointSaveS: 1 },
@@ -83,7 +83,7 @@
   return printJob(random, common);
 }
 
-function trainingJob(random: SeededRandom, common: Common): JobSpec {
+function trainingJob(random: SeededRandom, common: CommonFields): JobSpec {
   const sizes = common.team === 'red' ? [1, 2] : [1, 2, 3];
   return {
     ...{ ...common, class: 'train', kind: 'gang', tasks: random.pick(sizes) },
@@ -93,7 +93,7 @@
   };
 }
 
-function scoringJob(random: SeededRandom, common: Common): JobSpec {
+function scoringJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'score', kind: 'array', singleZone: false },
     ...{ tasks: Math.ceil(random.between(0, 12)), cpus: 6, gpus: 1 },
@@ -101,7 +101,7 @@
   };
 }
 
-function printJob(random: SeededRandom, common: Common): JobSpec {
+function printJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'print', kind: 'array', singleZone: false },
     ...{ tasks: random.pick([1, 3, 10]), cpus: 4, gpus: 0 },
