--- a/test/simulation/digest/expected-digests.ts
+++ b/test/simulation/digest/expected-digests.ts
@@ -5,7 +5,7 @@
 import { digestOf, type ScenarioDigest } from './play-digest-scenario.js';
 
 const EXPECTED = new URL('../../digests.json', import.meta.url);
-const SHORT_DIGITS = 12;
+const SHORT_HASH_LENGTH = 12;
 
 /** Digests by name of the scenario. */
 export type Digests = Record<string, string>;
@@ -36,5 +36,8 @@
 /** A short hash over all digests, for the bodies of commits. */
 export function totalDigest(digests: Digests): string {
   const sorted = Object.entries(digests).sort(([a], [b]) => (a < b ? -1 : 1));
-  return createHash('sha256').update(JSON.stringify(sorted)).digest('hex').slice(0, SHORT_DIGITS);
+  return createHash('sha256')
+    .update(JSON.stringify(sorted))
+    .digest('hex')
+    .slice(0, SHORT_HASH_LENGTH);
 }
