--- a/test/simulation/digest/expected-digests.ts
+++ b/test/simulation/digest/expected-digests.ts
@@ -22,13 +22,13 @@
 
 /** Plays all scenarios; `played` is called after each. */
 export async function playDigests(
-  played: (name: string, result: ScenarioDigest) => void = () => undefined,
+  onPlayed: (name: string, result: ScenarioDigest) => void = () => undefined,
 ): Promise<Digests> {
   const digests: Digests = {};
   for (const scenario of digestScenarios) {
     const result = await digestOf(scenario);
     digests[scenario.name] = result.digest;
-    played(scenario.name, result);
+    onPlayed(scenario.name, result);
   }
   return digests;
 }
