--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -29,14 +29,14 @@
 }
 
 /** The prefix of a key: all up to its first slash. */
-function kindOf(key: string): string {
+function keyPrefix(key: string): string {
   const slash = key.indexOf('/');
   return slash < 0 ? key : key.slice(0, slash + 1);
 }
 
 /** The prefix of the key; for the end of a job its state, too. */
 function kindOfValue(key: string, value: unknown): string {
-  const kind = kindOf(key);
+  const kind = keyPrefix(key);
   return kind === 'final/' ? `${kind} ${(value as { state: string }).state}` : kind;
 }
 
@@ -80,7 +80,7 @@
     for (let i = 0; i + 1 < entries.length; i += 2) {
       const key = entries[i] ?? '';
       const text = entries[i + 1] ?? null;
-      const kind = text === null ? `${kindOf(key)} deleted` : kindOf(key);
+      const kind = text === null ? `${keyPrefix(key)} deleted` : keyPrefix(key);
       const shown = text ?? 'null';
       if (shown.length > (records[kind]?.text.length ?? 0)) records[kind] = { key, text: shown };
     }
