--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -35,7 +35,7 @@
 }
 
 /** The prefix of the key; for the end of a job its state, too. */
-function kindOfValue(key: string, value: unknown): string {
+function valueForm(key: string, value: unknown): string {
   const kind = keyPrefix(key);
   return kind === 'final/' ? `${kind} ${(value as { state: string }).state}` : kind;
 }
@@ -70,7 +70,7 @@
   private addValue(key: string, value: unknown): void {
     const { values } = this.forms;
     const bytes = encodeBody(value).toString('hex');
-    const kind = kindOfValue(key, value);
+    const kind = valueForm(key, value);
     if (bytes.length > (values[kind]?.bytes.length ?? 0)) values[kind] = { key, bytes };
     if (kind === 'page/') this.addRecords((value as { entries: (string | null)[] }).entries);
   }
