--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -40,7 +40,7 @@
   return kind === 'final/' ? `${kind} ${(value as { state: string }).state}` : kind;
 }
 
-function filledFields(frame: Uint8Array): string {
+function nonEmptyFieldNames(frame: Uint8Array): string {
   const message = Object.entries(decodePeerMessage(Buffer.from(frame)));
   const filled = message.filter(([, value]) =>
     Array.isArray(value) ? value.length > 0 : value !== null,
@@ -62,7 +62,7 @@
 
   private addMessage(frame: Uint8Array): void {
     const { messages } = this.forms;
-    const fields = filledFields(frame);
+    const fields = nonEmptyFieldNames(frame);
     const hex = Buffer.from(frame).toString('hex');
     if (hex.length > (messages[fields]?.length ?? 0)) messages[fields] = hex;
   }
