--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -36,8 +36,8 @@
 
 /** The prefix of the key; for the end of a job its state, too. */
 function valueForm(key: string, value: unknown): string {
-  const kind = keyPrefix(key);
-  return kind === 'final/' ? `${kind} ${(value as { state: string }).state}` : kind;
+  const prefix = keyPrefix(key);
+  return prefix === 'final/' ? `${prefix} ${(value as { state: string }).state}` : prefix;
 }
 
 function nonEmptyFieldNames(frame: Uint8Array): string {
