--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -42,10 +42,10 @@
 
 function nonEmptyFieldNames(frame: Uint8Array): string {
   const message = Object.entries(decodePeerMessage(Buffer.from(frame)));
-  const filled = message.filter(([, value]) =>
+  const nonEmptyFields = message.filter(([, value]) =>
     Array.isArray(value) ? value.length > 0 : value !== null,
   );
-  return filled.map(([name]) => name).join('+');
+  return nonEmptyFields.map(([name]) => name).join('+');
 }
 
 /** Keeps the longest example of each form that leaves a controller. */
