--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -70,9 +70,9 @@
   private addValue(key: string, value: unknown): void {
     const { values } = this.forms;
     const bytes = encodeBody(value).toString('hex');
-    const kind = valueForm(key, value);
-    if (bytes.length > (values[kind]?.bytes.length ?? 0)) values[kind] = { key, bytes };
-    if (kind === 'page/') this.addRecords((value as { entries: (string | null)[] }).entries);
+    const form = valueForm(key, value);
+    if (bytes.length > (values[form]?.bytes.length ?? 0)) values[form] = { key, bytes };
+    if (form === 'page/') this.addRecords((value as { entries: (string | null)[] }).entries);
   }
 
   private addRecords(entries: readonly (string | null)[]): void {
