--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -80,9 +80,9 @@
     for (let i = 0; i + 1 < entries.length; i += 2) {
       const key = entries[i] ?? '';
       const text = entries[i + 1] ?? null;
-      const kind = text === null ? `${keyPrefix(key)} deleted` : keyPrefix(key);
+      const form = text === null ? `${keyPrefix(key)} deleted` : keyPrefix(key);
       const shown = text ?? 'null';
-      if (shown.length > (records[kind]?.text.length ?? 0)) records[kind] = { key, text: shown };
+      if (shown.length > (records[form]?.text.length ?? 0)) records[form] = { key, text: shown };
     }
   }
 }
