--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -81,8 +81,8 @@
       const key = entries[i] ?? '';
       const text = entries[i + 1] ?? null;
       const form = text === null ? `${keyPrefix(key)} deleted` : keyPrefix(key);
-      const shown = text ?? 'null';
-      if (shown.length > (records[form]?.text.length ?? 0)) records[form] = { key, text: shown };
+      const json = text ?? 'null';
+      if (json.length > (records[form]?.text.length ?? 0)) records[form] = { key, text: json };
     }
   }
 }
