--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -14,7 +14,7 @@
 /** What operators query: pages that exist, one for another method, and one that does not exist. */
 const QUERIED_PATHS = ['/ready', '/cluster', '/cluster?after=cloud-2', '/submissions', '/nowhere'];
 /** Spot instances are interrupted so long after the notice. */
-const NOTICE_MS = 15_000;
+const INTERRUPTION_NOTICE_MS = 15_000;
 /** The metrics are scraped within this time, at the end. */
 const SCRAPE_MS = 100;
 
@@ -24,8 +24,8 @@
     clock.after(everyMs, interruptNext);
     const worker = cloud.workers.find(({ spot }) => spot);
     if (worker === undefined) return;
-    worker.noticeInterruption(NOTICE_MS);
-    clock.after(NOTICE_MS, () => cloud.reclaim(worker.id));
+    worker.noticeInterruption(INTERRUPTION_NOTICE_MS);
+    clock.after(INTERRUPTION_NOTICE_MS, () => cloud.reclaim(worker.id));
   };
   clock.after(everyMs, interruptNext);
 }
