--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -16,7 +16,7 @@
 /** Spot instances are interrupted so long after the notice. */
 const INTERRUPTION_NOTICE_MS = 15_000;
 /** The metrics are scraped within this time, at the end. */
-const SCRAPE_MS = 100;
+const SCRAPE_WAIT_MS = 100;
 
 /** Interrupts spot instances one after the other, each after a notice. */
 function interruptSpotInstances({ clock, cloud }: Simulation, everyMs: number): void {
@@ -76,7 +76,7 @@
   simulation.play(playMs);
   for (const host of simulation.hosts)
     simulation.sendRequest('GET', '/metrics', undefined, () => undefined, host);
-  simulation.play(SCRAPE_MS);
+  simulation.play(SCRAPE_WAIT_MS);
   // The texts of the metrics come by promises, after all that virtual time brings.
   await new Promise(setImmediate);
 }
