--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -19,15 +19,15 @@
 const SCRAPE_WAIT_MS = 100;
 
 /** Interrupts spot instances one after the other, each after a notice. */
-function interruptSpotInstances({ clock, cloud }: Simulation, everyMs: number): void {
+function interruptSpotInstances({ clock, cloud }: Simulation, intervalMs: number): void {
   const interruptNext = (): void => {
-    clock.after(everyMs, interruptNext);
+    clock.after(intervalMs, interruptNext);
     const worker = cloud.workers.find(({ spot }) => spot);
     if (worker === undefined) return;
     worker.noticeInterruption(INTERRUPTION_NOTICE_MS);
     clock.after(INTERRUPTION_NOTICE_MS, () => cloud.reclaim(worker.id));
   };
-  clock.after(everyMs, interruptNext);
+  clock.after(intervalMs, interruptNext);
 }
 
 function submitRandomJobs(simulation: Simulation, count: number, withinMs: number): void {
