--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -34,8 +34,8 @@
   const { clock, random } = simulation;
   for (let i = 0; i < count; i++)
     clock.after(random.between(0, withinMs), () => {
-      const cancelled = random.next() < CANCELLED_SHARE;
-      const cancelAfterMs = cancelled ? random.between(0, CANCELLED_WITHIN_MS) : null;
+      const cancels = random.next() < CANCELLED_SHARE;
+      const cancelAfterMs = cancels ? random.between(0, CANCELLED_WITHIN_MS) : null;
       simulation.submit(simulation.randomJob(), cancelAfterMs);
     });
 }
