--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -59,7 +59,7 @@
   delayedCommandsDelivered = 0;
   /** Share of the heartbeats of which a copy is kept for the next leader. */
   retainedHeartbeats = 0;
-  private kept: { from: string; arrival: IncomingRequest }[] = [];
+  private retainedRequests: { from: string; arrival: IncomingRequest }[] = [];
   /** Messages take up to this long. */
   maxLatencyMs = USUAL_MAX_LATENCY_MS;
 
@@ -121,8 +121,8 @@
 
   /** The copies kept so far arrive at all the addresses given, within a moment after the time given. */
   deliverRetained(addresses: readonly string[], afterMs: number): void {
-    const { kept } = this;
-    this.kept = [];
+    const { retainedRequests: kept } = this;
+    this.retainedRequests = [];
     for (const { from, arrival } of kept)
       for (const address of addresses)
         this.clock.after(afterMs + this.random.between(0, 50), () => {
@@ -217,6 +217,7 @@
     if (this.duplicatedHeartbeats > 0 && call.path === '/v1/report')
       if (this.random.next() < this.duplicatedHeartbeats) deliverCopyLater(2000);
     if (this.retainedHeartbeats > 0 && call.path === '/v1/report')
-      if (this.random.next() < this.retainedHeartbeats) this.kept.push({ from, arrival: request });
+      if (this.random.next() < this.retainedHeartbeats)
+        this.retainedRequests.push({ from, arrival: request });
   }
 }
