--- a/test/simulation/virtual-clock.ts
+++ b/test/simulation/virtual-clock.ts
@@ -13,13 +13,13 @@
 /** Runs events in order of time, then of scheduling; milliseconds since the start of the run. */
 export class VirtualClock {
   now = 0;
-  private order = 0;
+  private nextOrder = 0;
   private readonly heap: Event[] = [];
 
   /** Runs the function once so much time has passed. */
   after(ms: number, run: () => void): Timer {
     const dueAt = this.now + Math.max(0, ms);
-    const event: Event = { dueAt: dueAt, order: this.order++, run, cancelled: false };
+    const event: Event = { dueAt: dueAt, order: this.nextOrder++, run, cancelled: false };
     this.push(event);
     return {
       cancel: () => {
