--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -71,7 +71,7 @@
   private readonly leases = new Map<number, Lease>();
   private log: Change[] = [];
   private watches: Watch[] = [];
-  private ledger = 0;
+  private revision = 0;
   private lastLeaseId = 0;
 
   /** `onRead` is told of each key that a watch shows to a controller. */
@@ -112,7 +112,7 @@
       .filter(([, { leaseId: permit }]) => permit === id)
       .map(([key]) => key);
     if (keys.length === 0) return true;
-    this.ledger++;
+    this.revision++;
     for (const key of keys) this.change(key, undefined, null, true);
     this.notify();
     return true;
@@ -121,7 +121,7 @@
   /** The response to a read of one key. */
   read(key: string): Reply {
     const entry = this.entries.get(key);
-    if (entry === undefined) return { status: 404, body: { ledger: this.ledger } };
+    if (entry === undefined) return { status: 404, body: { ledger: this.revision } };
     return { status: 200, body: { k: key, value: entry.value, stamp: entry.version } };
   }
 
@@ -134,7 +134,7 @@
       const entry = this.entries.get(key);
       return { k: key, value: entry?.value, stamp: entry?.version };
     });
-    const body = { entries, has_next: keys.length > entries.length, ledger: this.ledger };
+    const body = { entries, has_next: keys.length > entries.length, ledger: this.revision };
     return { status: 200, body };
   }
 
@@ -144,9 +144,9 @@
     if (writes.some(({ permit }) => permit !== undefined && !this.leases.has(permit)))
       return { status: 400, body: { error: 'no such lease' } };
     const failed = this.failedKeys(conditions);
-    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.ledger } };
+    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.revision } };
     if (writes.length > 0) this.apply(writes);
-    return { status: 200, body: { ledger: this.ledger } };
+    return { status: 200, body: { ledger: this.revision } };
   }
 
   private failedKeys(conditions: readonly Condition[]): string[] {
@@ -156,7 +156,7 @@
   }
 
   private apply(writes: readonly Write[]): void {
-    this.ledger++;
+    this.revision++;
     for (const write of writes) {
       if (write.set !== undefined) this.change(write.set, write.value, write.permit ?? null, false);
       else if (write.delete !== undefined && this.entries.has(write.delete))
@@ -178,13 +178,13 @@
   closeWatch(watch: Watch): void {
     if (!watch.open) return;
     watch.open = false;
-    watch.respond({ status: 200, body: { ledger: this.ledger, log: [] } });
+    watch.respond({ status: 200, body: { ledger: this.revision, log: [] } });
   }
 
   private change(key: string, value: unknown, leaseId: number | null, deleted: boolean): void {
     if (deleted) this.entries.delete(key);
-    else this.entries.set(key, { value, version: this.ledger, leaseId: leaseId });
-    this.log.push({ revision: this.ledger, key, value, deleted });
+    else this.entries.set(key, { value, version: this.revision, leaseId: leaseId });
+    this.log.push({ revision: this.revision, key, value, deleted });
     if (this.log.length > MAX_LOG_LENGTH) this.log = this.log.slice(-LOG_LENGTH_AFTER_TRIM);
   }
 
@@ -202,7 +202,7 @@
     if (changes.length === 0) return;
     for (const { key } of changes) this.onRead(watch.watcher, key);
     watch.open = false;
-    watch.respond({ status: 200, body: { ledger: this.ledger, log: changes.map(toLogEntry) } });
+    watch.respond({ status: 200, body: { ledger: this.revision, log: changes.map(toLogEntry) } });
   }
 }
 
