--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -26,7 +26,7 @@
   private unavailable = false;
   private slowUntil = 0;
   /** Hosts of which all requests are refused. */
-  private readonly refused = new Set<string>();
+  private readonly refusedHosts = new Set<string>();
   private readonly requestTokens: TokenBucket;
   private readonly putTokens: TokenBucket;
   /** Transactions refused for their size; copies that the network made of older ones aside. */
@@ -102,8 +102,8 @@
 
   /** Refuses all requests of one host for a time; its leases expire. */
   refuse(host: string, ms: number): void {
-    this.refused.add(host);
-    this.clock.after(ms, () => this.refused.delete(host));
+    this.refusedHosts.add(host);
+    this.clock.after(ms, () => this.refusedHosts.delete(host));
   }
 
   /** From now on it takes less. What is stored stays. */
@@ -137,7 +137,7 @@
 
   /** Whether this host alone is refused. */
   isRefusing(host: string): boolean {
-    return !this.unavailable && this.refused.has(host);
+    return !this.unavailable && this.refusedHosts.has(host);
   }
 
   private expire(): void {
@@ -148,7 +148,7 @@
   private serve(from: string, request: IncomingRequest, respondNow: Respond): void {
     const respond = this.withRandomDelay(respondNow);
     if (this.unavailable) this.requestsInOutage++;
-    if (this.unavailable || this.refused.has(from)) return respond(UNAVAILABLE);
+    if (this.unavailable || this.refusedHosts.has(from)) return respond(UNAVAILABLE);
     const transaction = request.path === '/multi' ? (request.body() as Transaction) : null;
     const writes = transaction?.writes ?? [];
     if (transaction !== null)
