--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -45,7 +45,7 @@
   /** Ids that were rented, by the request's key. */
   private readonly rentedIdsByKey = new Map<string, string[]>();
   private snapshots: Snapshot[] = [];
-  private count = 0;
+  private machineCount = 0;
   /** Machines rented before then are up within two seconds. */
   private quickBootUntil = 0;
   /** Called when a rented machine is up. */
@@ -66,7 +66,7 @@
 
   /** Rents a machine that is up after `bootMs`; null: never. */
   addMachine(type: MachineType, zone: string, spot: boolean, bootMs: number | null): string {
-    const index = this.count++;
+    const index = this.machineCount++;
     const id = `n-${String(index).padStart(6, '0')}`;
     const { clock } = this.context;
     const machine: RentedMachine = { worker: null, type, zone, spot, rentedAt: clock.now, id };
