--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -61,7 +61,7 @@
     private readonly bootFailureChance: number,
   ) {
     context.network.listen(address, 'cloud', (_, request, respond) => this.serve(request, respond));
-    this.snapshot();
+    this.takeSnapshot();
   }
 
   /** Rents a machine that is up after `bootMs`; null: never. */
@@ -113,9 +113,9 @@
     return type.bootS * 1000 * random.between(BOOT_TIME_FACTORS.least, BOOT_TIME_FACTORS.most);
   }
 
-  private snapshot(): void {
+  private takeSnapshot(): void {
     const { clock } = this.context;
-    clock.after(SNAPSHOT_INTERVAL_MS, () => this.snapshot());
+    clock.after(SNAPSHOT_INTERVAL_MS, () => this.takeSnapshot());
     const body = [...this.machines.values()].map((machine) => toListEntry(machine, clock.now));
     this.snapshots.push({ takenAt: clock.now, body });
     const oldest = clock.now - 4 * this.lagMs - EXTRA_SNAPSHOT_RETENTION_MS;
