--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -34,7 +34,7 @@
 /** Sends a worker's heartbeats, one at a time, to the controller that takes them. */
 export class HeartbeatLoop {
   /** Index of the controller that is asked next. */
-  private node: number;
+  private controllerIndex: number;
   private inFlight = false;
   private hasUnreportedChange = false;
   private regularAt: number;
@@ -48,7 +48,7 @@
     private readonly context: MachineContext,
   ) {
     const { clock, random, controllers } = context;
-    this.node = Math.floor(random.next() * controllers.length);
+    this.controllerIndex = Math.floor(random.next() * controllers.length);
     this.regularAt = clock.now;
   }
 
@@ -113,7 +113,7 @@
     const { source } = this;
     const sentAt = clock.now;
     const { agentEpoch } = source;
-    const host = controllers[this.node] ?? '';
+    const host = controllers[this.controllerIndex] ?? '';
     network.call(
       source.id,
       {
@@ -143,8 +143,8 @@
   private redirect(leader = ''): void {
     const { controllers, random } = this.context;
     const leaderIndex = controllers.indexOf(leader);
-    if (leaderIndex < 0 || leaderIndex === this.node) return this.tryNextController();
-    this.node = leaderIndex;
+    if (leaderIndex < 0 || leaderIndex === this.controllerIndex) return this.tryNextController();
+    this.controllerIndex = leaderIndex;
     this.retry(random.between(0, MAX_REDIRECT_DELAY_MS));
   }
 
@@ -153,7 +153,7 @@
   }
 
   private tryNextController(): void {
-    this.node = (this.node + 1) % this.context.controllers.length;
+    this.controllerIndex = (this.controllerIndex + 1) % this.context.controllers.length;
     this.retry(RETRY_DELAY_MS);
   }
 }
