--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -28,7 +28,7 @@
   private fencingToken = 0;
   private leaseStartedAt: number;
   /** When the cloud takes the machine back, where it has said so. */
-  private recalledAt: number | null = null;
+  private interruptionAt: number | null = null;
   private deferredCalls: (() => void)[] = [];
   private readonly tasks: TaskRunner;
   private readonly heartbeats: HeartbeatLoop;
@@ -69,7 +69,7 @@
 
   /** The cloud says that it takes the machine back after so long. */
   noticeInterruption(ms: number): void {
-    this.recalledAt = this.context.clock.now + ms;
+    this.interruptionAt = this.context.clock.now + ms;
     this.stateChanged();
   }
 
@@ -98,7 +98,7 @@
       type: this.type.name,
       zone: this.zone,
       spot: this.spot,
-      interruptionNotice: this.recalledAt !== null,
+      interruptionNotice: this.interruptionAt !== null,
     };
   }
 
@@ -137,7 +137,7 @@
   /** The next heartbeat; each has a number of its own. */
   heartbeat(): unknown {
     this.heartbeatNumber++;
-    const { recalledAt: interruptionAt } = this;
+    const { interruptionAt: interruptionAt } = this;
     return {
       kiln: this.id,
       address: this.address,
