--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -1,35 +1,41 @@
-/** The network between the hosts of a simulation. */
+/** The simulated network between the hosts. */
 import type { Call, Reply } from '../../src/controller/runtime/runtime.js';
 import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
 import type { SeededRandom } from './seeded-random.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** Sends the response to a request. */
+/** Sends the response to an incoming request. */
 export type Respond = (reply: Reply) => void;
 
-/** A request as it arrives. */
+/** A request as delivered to its handler. */
 export interface IncomingRequest {
   method: string;
   path: string;
   bytes: Buffer;
-  /** The network delivers it once more, much later than it was sent. */
+  /**
+   * True for a copy that the network delivers in addition to the original; not set for retained
+   * heartbeats.
+   */
   duplicate: boolean;
-  /** What the bytes say; undefined if there are none. */
+  /** Decodes `bytes`; returns undefined if the request has no body. */
   body(): unknown;
 }
 
-/** What listens at an address. */
+/** Handles the requests that arrive at an address. */
 export type RequestHandler = (from: string, request: IncomingRequest, respond: Respond) => void;
 
-/** Messages on a cut way are held back until it heals, or lost. */
+/**
+ * What happens to messages on a cut connection: `hold` delivers them when it is restored, `reset`
+ * loses them.
+ */
 export type CutMode = 'hold' | 'reset';
 
-/** How long messages take at most while the network is not slow. */
+/** Maximum one-way latency while the network is not slowed down, in milliseconds. */
 export const USUAL_MAX_LATENCY_MS = 2;
 
 const NO_BYTES = Buffer.alloc(0);
 
-/** What the caller gets where no reply comes. */
+/** The reply that a caller receives if none arrives. */
 const NO_REPLY: Reply = { status: 0, body: null };
 
 function toIncomingRequest(call: Call): IncomingRequest {
@@ -40,27 +46,27 @@
   };
 }
 
-/** Delays, cuts, late and doubled messages between named hosts. */
+/** Carries messages between named hosts, with latency, cuts, long delays and duplicates. */
 export class Network {
   private readonly services = new Map<string, { host: string; serve: RequestHandler }>();
   private readonly cuts = new Map<string, CutMode>();
   private heldMessages: { from: string; to: string; run: () => void }[] = [];
-  /** Chance that a request arrives a second time, much later. */
+  /** Probability that a POST request is delivered a second time, possibly much later. */
   duplicated = 0;
-  /** How late such a copy may be. */
+  /** Maximum delay of a duplicate, in milliseconds. */
   maxDuplicateDelayMs = 40_000;
-  /** Share of the heartbeats of which a copy arrives again. */
+  /** Fraction of the heartbeats that are delivered a second time, at least 2 s later. */
   duplicatedHeartbeats = 0;
-  /** How many copies of messages have arrived. */
+  /** Number of copies of requests delivered so far, including retained heartbeats. */
   duplicatesDelivered = 0;
-  /** Share of the direct commands that are delayed on their way. */
+  /** Fraction of the direct commands that are delayed. */
   delayedCommands = 0;
-  /** How many of them have arrived late. */
+  /** Number of delayed direct commands delivered so far. */
   delayedCommandsDelivered = 0;
-  /** Share of the heartbeats of which a copy is kept for the next leader. */
+  /** Fraction of the heartbeats of which a copy is retained, to be replayed to the next leader. */
   retainedHeartbeats = 0;
   private retainedRequests: { from: string; arrival: IncomingRequest }[] = [];
-  /** Messages take up to this long. */
+  /** Current maximum one-way latency, in milliseconds. */
   maxLatencyMs = USUAL_MAX_LATENCY_MS;
 
   constructor(
@@ -68,28 +74,28 @@
     private readonly random: SeededRandom,
   ) {}
 
-  /** `serve` answers requests to the address, which is on `host`. */
+  /** Registers `serve` as the handler of requests to `address`, which belongs to `host`. */
   listen(address: string, host: string, serve: RequestHandler): void {
     this.services.set(address, { host, serve });
   }
 
-  /** Nothing listens at the address any more. */
+  /** Removes the handler of an address; requests to it then get no reply. */
   remove(address: string): void {
     this.services.delete(address);
   }
 
-  /** Nothing goes from either host to the other. */
+  /** Cuts the connection between two hosts in both directions. */
   cut(a: string, b: string, mode: CutMode): void {
     this.cutOneWay(a, b, mode);
     this.cutOneWay(b, a, mode);
   }
 
-  /** Nothing goes from one to the other; the other way is open. */
+  /** Cuts the connection in one direction only. */
   cutOneWay(from: string, to: string, mode: CutMode): void {
     this.cuts.set(`${from} ${to}`, mode);
   }
 
-  /** Messages go both ways again, those held back first. */
+  /** Restores the connection in both directions and delivers the held messages. */
   heal(a: string, b: string): void {
     this.cuts.delete(`${a} ${b}`);
     this.cuts.delete(`${b} ${a}`);
@@ -103,14 +109,17 @@
     return this.cuts.size === 0 ? undefined : this.cuts.get(`${from} ${to}`);
   }
 
-  /** Delivers, holds back or loses. `lost` is called if the sender would notice. */
+  /**
+   * Delivers a message after a random latency. If the connection is cut, the message is held, or
+   * lost with a call of `onLost`.
+   */
   send(from: string, to: string, deliver: () => void, onLost: () => void): void {
     const cut = this.cutOf(from, to);
     if (cut === 'reset') this.clock.after(1, onLost);
     else if (cut === 'hold') this.heldMessages.push({ from, to, run: deliver });
     else {
       this.clock.after(this.random.between(0.2, this.maxLatencyMs), () => {
-        // A cut may have come while the message was under way.
+        // The connection may have been cut while the message was in transit.
         const currentCut = this.cutOf(from, to);
         if (currentCut === undefined) deliver();
         else if (currentCut === 'hold') this.heldMessages.push({ from, to, run: deliver });
@@ -119,11 +128,14 @@
     }
   }
 
-  /** The copies kept so far arrive at all the addresses given, within a moment after the time given. */
+  /**
+   * Delivers the retained heartbeats to all the given addresses, each between `afterMs` and 50 ms
+   * later.
+   */
   deliverRetained(addresses: readonly string[], afterMs: number): void {
-    const { retainedRequests: kept } = this;
+    const { retainedRequests } = this;
     this.retainedRequests = [];
-    for (const { from, arrival } of kept)
+    for (const { from, arrival } of retainedRequests)
       for (const address of addresses)
         this.clock.after(afterMs + this.random.between(0, 50), () => {
           const service = this.services.get(address);
@@ -133,7 +145,10 @@
         });
   }
 
-  /** Whether the command is delayed; it then arrives once, 2 to 16 s late, and gets no response. */
+  /**
+   * Delays the call if it is a direct command that is drawn for a delay; it is then delivered once,
+   * 2 to 16 s later, and gets no response. Returns whether the call is delayed.
+   */
   private tryDelay(call: Call, deliver: (respond: Respond) => void): boolean {
     if (call.path !== '/do' || this.delayedCommands === 0) return false;
     if (this.random.next() >= this.delayedCommands) return false;
@@ -144,7 +159,10 @@
     return true;
   }
 
-  /** Makes a call; `done` gets the reply, or status 0 where none comes in time, while `alive`. */
+  /**
+   * Sends a request and passes the reply to `done`, or status 0 if none arrives before the
+   * time-out. `done` is not called if `alive()` is false by then.
+   */
   call(from: string, call: Call, alive: () => boolean, done: (reply: Reply) => void): void {
     const finish = this.replyOnce(call.timeoutMs, alive, done);
     const target = this.services.get(call.to);
@@ -166,7 +184,10 @@
     this.copyRequest(from, call, arrival, deliver);
   }
 
-  /** Passes on the first reply, or none once the time is up. */
+  /**
+   * Returns a function that passes the first reply to `done` and ignores later ones. If there is
+   * none before the time-out, `done` receives `NO_REPLY`.
+   */
   private replyOnce(
     timeoutMs: number,
     alive: () => boolean,
@@ -199,7 +220,7 @@
     );
   }
 
-  /** Draws whether copies of the request arrive later, or are kept for the next leader. */
+  /** Draws whether copies of the request are delivered later or retained for `deliverRetained`. */
   private copyRequest(
     from: string,
     call: Call,
--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -1,13 +1,18 @@
-/** Clock, timers and network as one controller process sees them. */
+/** The clock, timers and network of one simulated controller process. */
 import type { Call, Reply, Runtime, Timer } from '../../src/controller/runtime/runtime.js';
 import type { Network } from './network.js';
 import type { SeededRandom } from './seeded-random.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** The runtime of one simulated controller process; nothing runs any more once it was killed. */
+/**
+ * The runtime of one simulated controller process. No callback runs after the process is killed.
+ */
 export class ProcessRuntime implements Runtime {
   alive = true;
-  /** The process is frozen until then: its clocks run on, and what arrives is handled afterwards. */
+  /**
+   * Virtual time until which the process is frozen. Its clocks continue to run; timers and messages
+   * are handled afterwards.
+   */
   private frozenUntil = 0;
   private readonly drift: number;
   private readonly offset: number;
@@ -45,12 +50,15 @@
     return this.clock.after(delayMs / this.drift, () => this.whenAwake(fn));
   }
 
-  /** Freezes the process for a time, as a stalled machine does. */
+  /** Freezes the process for `ms`, as if its machine had stalled. */
   freeze(ms: number): void {
     this.frozenUntil = Math.max(this.frozenUntil, this.clock.now + ms);
   }
 
-  /** Runs the function now, or once the process is no longer frozen; never after its end. */
+  /**
+   * Runs the function now or, if the process is frozen, when it resumes. Does not run it after the
+   * process was killed.
+   */
   whenAwake(fn: () => void): void {
     if (!this.alive) return;
     if (this.clock.now >= this.frozenUntil) fn();
@@ -63,7 +71,7 @@
     this.network.call(this.host, call, () => this.alive, doneWhenAwake);
   }
 
-  /** Now and then sockets are scarce. */
+  /** Returns false for 5 % of the calls, to simulate a shortage of sockets. */
   hasSpareConnection(): boolean {
     return this.seededRandom.next() < 0.95;
   }
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -1,4 +1,4 @@
-/** The controller processes of a simulation: starts, ends, freezes, and what they log. */
+/** The controller processes of a simulation: starting, killing, freezing, and their log lines. */
 import type { Controller } from '../../src/controller/controller.js';
 import type { Logger } from '../../src/controller/runtime/runtime.js';
 import { platformOf } from '../platform.js';
@@ -9,19 +9,19 @@
 import type { VirtualClock } from './virtual-clock.js';
 import type { ProgramVersion } from './program-version.js';
 
-/** How long a process is away in a rolling restart. */
+/** Downtime of each process in a rolling restart, in milliseconds. */
 const ROLL_RESTART_MS = 6000;
 
-/** What the processes of a simulation share. */
+/** The context that all controller processes of a simulation share. */
 export interface ProcessContext {
   clock: VirtualClock;
   random: SeededRandom;
   network: Network;
   deployment: Deployment;
   log: Logger;
-  /** Address of a host's API. */
+  /** Returns the address of a host's API. */
   apiOf(host: string): string;
-  /** What a host's process runs; asked whenever one starts. */
+  /** Returns the program version for a host's process; called each time a process starts. */
   versionOf(host: string): ProgramVersion;
 }
 
@@ -30,17 +30,17 @@
   runtime: ProcessRuntime;
 }
 
-/** Starts, ends and observes the process of each host. */
+/** Starts, kills and observes the controller process of each host. */
 export class ControllerProcesses {
-  /** Called with each line that a controller logs as information. */
+  /** Listeners called with each line that a controller logs at level info. */
   readonly onLog: ((text: string, fields: object) => void)[] = [];
-  /** Called as a process is ended from outside. */
+  /** Listeners called before a process is killed; `leads`: whether its controller is the leader. */
   readonly onKill: ((host: string, leads: boolean) => void)[] = [];
-  /** Errors that controllers have logged. */
+  /** The lines that controllers have logged at level error. */
   readonly errors: string[] = [];
-  /** How often the controllers have logged each text. */
+  /** Number of times that controllers have logged each message at level info. */
   readonly logCounts = new Map<string, number>();
-  /** The versions of the leaders, in the order of their elections. */
+  /** The program versions of all elected leaders, in order of election. */
   readonly electedVersions: ProgramVersion[] = [];
   private readonly processes = new Map<string, Process>();
   private readonly peerFrameHandlers = new Map<string, (bytes: Buffer) => void>();
@@ -48,12 +48,12 @@
 
   constructor(private readonly context: ProcessContext) {}
 
-  /** Starts the process of every host. */
+  /** Starts a process on every host. */
   startAll(): void {
     for (const host of this.context.deployment.hosts) this.start(host);
   }
 
-  /** Starts the host's process, unless it runs. */
+  /** Starts a process on the host unless one is running. */
   start(host: string): void {
     if (this.processes.has(host)) return;
     const runtime = new ProcessRuntime(
@@ -105,26 +105,29 @@
     };
   }
 
-  /** The host that leads, as it believes itself. */
+  /** The first host whose controller considers itself the leader; null if there is none. */
   get leader(): string | null {
     return this.leaders()[0] ?? null;
   }
 
-  /** The hosts that lead, each as it believes itself. */
+  /** Returns the hosts whose controllers consider themselves the leader. */
   leaders(): string[] {
     return [...this.processes]
       .filter(([, { controller }]) => controller.leads)
       .map(([host]) => host);
   }
 
-  /** The hosts that answer workers, each as it believes that it holds the lease. */
+  /**
+   * Returns the hosts whose controllers consider themselves entitled to answer workers, which they
+   * may be beyond their lease as leader.
+   */
   answeringWorkers(): string[] {
     return [...this.processes]
       .filter(([, { controller }]) => controller.mayAnswerWorkers)
       .map(([host]) => host);
   }
 
-  /** The host's process ends, and starts again after so long. */
+  /** Kills a host's process and starts a new one after `restartMs`. */
   kill(host: string, restartMs: number): void {
     const process = this.processes.get(host);
     if (process === undefined) return;
@@ -136,7 +139,12 @@
     this.context.clock.after(restartMs, () => this.start(host));
   }
 
-  /** The leader ends, and so do those who follow, each in the midst of its election; all are soon back. */
+  /**
+   * Kills the leader several times in succession, so that new leaders are killed while they take
+   * over. Each process restarts after 50 to 400 ms.
+   * @param rounds - The number of times that the current leader is killed.
+   * @param durationMs - The approximate total time of all rounds, in milliseconds.
+   */
   killElected(rounds = 4, durationMs = 6000): void {
     const { clock, random } = this.context;
     let remainingRounds = rounds;
@@ -148,13 +156,13 @@
     killLeaders();
   }
 
-  /** The processes are restarted one after the other. */
+  /** Restarts the processes one after another, with `intervalMs` between the restarts. */
   rollingRestart(intervalMs: number): void {
     for (const [index, host] of this.context.deployment.hosts.entries())
       this.context.clock.after(index * intervalMs, () => this.kill(host, ROLL_RESTART_MS));
   }
 
-  /** The host's process freezes for a time. */
+  /** Freezes a host's process for `ms`. */
   freeze(host: string, ms: number): void {
     this.processes.get(host)?.runtime.freeze(ms);
   }
--- a/test/simulation/seeded-random.ts
+++ b/test/simulation/seeded-random.ts
@@ -1,24 +1,27 @@
-/** The random numbers of a seeded run. */
+/** Seeded random numbers. */
 import { seededRandom } from '../../src/controller/runtime/random.js';
 
-/** Random draws that a seed determines; the order of the draws is part of a run. */
+/**
+ * A sequence of random draws that is determined by a seed. The order of the draws is part of a run:
+ * an added draw changes all later ones.
+ */
 export class SeededRandom {
-  /** A random number from 0 (included) to 1 (excluded). */
+  /** Returns a random number from 0 (included) to 1 (excluded). */
   readonly next: () => number;
 
   constructor(seed: number) {
     this.next = seededRandom(seed);
   }
 
-  /** A random number in the range. */
+  /** Returns a random number from `from` (included) to `to` (excluded). */
   between(from: number, to: number): number {
     return from + (to - from) * this.next();
   }
 
-  /** A random element of the list; throws if there is none. */
+  /** Returns a random element of the list; throws if the list is empty. */
   pick<T>(list: readonly T[]): T {
     const picked = list[Math.floor(this.next() * list.length)];
-    if (picked === undefined) throw new Error('nothing to pick from');
+    if (picked === undefined) throw new Error('cannot pick a random element: the list is empty');
     return picked;
   }
 }
--- a/test/simulation/simulated-deployment.ts
+++ b/test/simulation/simulated-deployment.ts
@@ -1,4 +1,4 @@
-/** What faults and their observers know of a simulation. */
+/** The interface through which faults and their observers access a simulation. */
 import type { ConnectionFaults } from './faults/connection-faults.js';
 import type { MachineFaults } from './faults/machine-faults.js';
 import type { ObservedEvents } from './faults/observed-events.js';
@@ -10,7 +10,9 @@
 import type { StateStoreServer } from './state-store/state-store-server.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** A deployment that is simulated, as faults see it; they don't depend on how it is put together. */
+/**
+ * A simulated deployment as seen by faults, which do not depend on how a simulation is assembled.
+ */
 export interface SimulatedDeployment {
   readonly clock: VirtualClock;
   readonly random: SeededRandom;
@@ -21,12 +23,12 @@
   readonly processes: ControllerProcesses;
   readonly connectionFaults: ConnectionFaults;
   readonly machineFaults: MachineFaults;
-  /** Hosts of the controllers. */
+  /** Names of the hosts that run a controller. */
   readonly hosts: readonly string[];
   /** Workers of the machines that are up. */
   readonly workers: Worker[];
-  /** The host that leads, as it believes itself. */
+  /** The first host whose controller considers itself the leader; null if there is none. */
   readonly leader: string | null;
-  /** No new faults from then on. */
+  /** Whether the injection of new faults has been stopped. */
   readonly faultsStopped: boolean;
 }
--- a/test/simulation/simulation-parts.ts
+++ b/test/simulation/simulation-parts.ts
@@ -1,4 +1,4 @@
-/** How the parts of a simulation are made from the settings of its controllers. */
+/** Creates the parts of a simulation from its deployment and platform settings. */
 import type { Logger } from '../../src/controller/runtime/runtime.js';
 import type { Platform } from '../../src/controller/settings/platform.js';
 import type { Deployment } from './deployments/deployment.js';
@@ -10,14 +10,17 @@
 import { StateStoreServer } from './state-store/state-store-server.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** A transaction that gets no response is committed within so many leases of a worker. */
+/**
+ * Maximum delay of a transaction that gets no response and is committed late, as a multiple of a
+ * worker's lease.
+ */
 const MAX_WRITE_DELAY_LEASES = 0.6;
-/** Copies of old messages come up to so many leases late. */
+/** Maximum delay of a duplicated message, as a multiple of a worker's lease. */
 const MAX_DUPLICATE_DELAY_LEASES = 3;
-/** Machines that are there at the start are up after this time. */
+/** Boot time of the machines that exist from the start, in milliseconds. */
 const INITIAL_BOOT_MS = 100;
 
-/** A log that nobody reads. */
+/** A logger that discards all lines. */
 export const silentLog: Logger = {
   info: () => undefined,
   debug: () => undefined,
@@ -25,7 +28,7 @@
   error: () => undefined,
 };
 
-/** The network, on which messages are duplicated at the rate given. */
+/** Creates the network, which duplicates messages at the given rate. */
 export function createNetwork(
   clock: VirtualClock,
   random: SeededRandom,
@@ -38,7 +41,7 @@
   return network;
 }
 
-/** The state store with the limits that the controllers know of. */
+/** Creates the state store with the current limits in the platform settings. */
 export function createStateStore(
   clock: VirtualClock,
   random: SeededRandom,
@@ -51,7 +54,7 @@
   return store;
 }
 
-/** The cloud, with the machines that are up from the start. */
+/** Creates the cloud and the deployment's initial machines. */
 export function createCloud(
   context: MachineContext,
   { types, capacity, machines }: Deployment,
@@ -62,13 +65,16 @@
   const cloud = new Cloud(context, address, types, capacity, lagMs, rates.bootFailures);
   for (const { type: name, zone, spot, count } of machines) {
     const type = types.find((candidate) => candidate.name === name);
-    if (type === undefined) throw new Error(`no machine type ${name}`);
+    if (type === undefined)
+      throw new Error(
+        `the deployment has machines of type ${name}, but its type list does not contain that type`,
+      );
     for (let i = 0; i < count; i++) cloud.addMachine(type, zone, spot, INITIAL_BOOT_MS);
   }
   return cloud;
 }
 
-/** The periods that the platform gives to workers. */
+/** Returns the workers' periods in the platform settings, converted to milliseconds. */
 export function workerSettings({ workers }: Platform): WorkerSettings {
   return {
     heartbeatIntervalMs: workers.heartbeatIntervalS * 1000,
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -1,4 +1,4 @@
-/** A deployment put together: controllers, state store, cloud, machines, users, faults. */
+/** A simulated deployment with its controllers, state store, cloud, machines, users and faults. */
 import type { Logger } from '../../src/controller/runtime/runtime.js';
 import type { Platform, StateLimits } from '../../src/controller/settings/platform.js';
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
@@ -32,20 +32,23 @@
 import { presentVersion, type ProgramVersion } from './program-version.js';
 import type { Worker } from './machines/worker.js';
 
-/** True run time of jobs that nobody submitted. */
+/** Run time of a task whose job was not submitted by a simulated user, in milliseconds. */
 const DEFAULT_RUN_MS = 1000;
-/** How often the rules that depend on time are checked. */
+/** Interval between checks of the rules that depend on time, in virtual milliseconds. */
 const RULE_CHECK_INTERVAL_MS = 1000;
 
-/** What a simulation may be given beside its deployment, seed and fault rates. */
+/** Optional arguments of a simulation. */
 export interface SimulationOptions {
-  /** Receives what the controllers log. */
+  /** Receives the log lines of the controllers, except errors, which make `play` throw. */
   log?: Logger;
-  /** The program that a host's process runs; asked whenever one starts. */
+  /** Returns the program version for a host's process; called each time a process starts. */
   versionOf?: (host: string) => ProgramVersion;
 }
 
-/** The controllers of a deployment with all that is around them, in virtual time. */
+/**
+ * Runs the controllers of a deployment against simulated services, machines and users, in virtual
+ * time.
+ */
 export class Simulation implements SimulatedDeployment {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
@@ -59,9 +62,9 @@
   readonly users: UserPopulation;
   readonly connectionFaults: ConnectionFaults;
   readonly machineFaults: MachineFaults;
-  /** Limits that the state store will have, by the controllers' settings. */
+  /** The future limits of the state store that the controllers' settings announce. */
   readonly upcomingStateLimits: StateLimits;
-  /** No new faults from then on. */
+  /** Whether the injection of new faults has been stopped. */
   faultsStopped = false;
 
   constructor(
@@ -119,12 +122,12 @@
     return new UserPopulation({ ...shared, deployment, apiOf });
   }
 
-  /** Address of the host's API. */
+  /** Returns the address of a host's API. */
   apiOf(host: string): string {
     return `10.0.0.${this.hosts.indexOf(host) + 1}:8080`;
   }
 
-  /** Hosts of the controllers. */
+  /** Names of the hosts that run a controller. */
   get hosts(): readonly string[] {
     return this.deployment.hosts;
   }
@@ -134,44 +137,47 @@
     return this.cloud.workers;
   }
 
-  /** Machines with tasks of the job. */
+  /** Returns the workers of the machines that run tasks of the job. */
   workersOf(id: string): Worker[] {
     const names = this.checker.machinesOf(id);
     return this.workers.filter((worker) => names.includes(worker.id));
   }
 
-  /** The host that leads, as it believes itself. */
+  /** The first host whose controller considers itself the leader; null if there is none. */
   get leader(): string | null {
     return this.processes.leader;
   }
 
-  /** The zone of a controller where the deployment spreads them over zones. */
+  /** Returns the zone of a controller's host; undefined if the deployment gives hosts no zones. */
   zoneOf(host: string): string | undefined {
     const { hosts, platform } = this.deployment;
     return platform.hostZones[hosts.indexOf(host)];
   }
 
-  /** Replicas of services that ended by themselves. */
+  /** Number of service replicas that ended without being stopped. */
   get replicasEnded(): number {
     return this.machines.replicasEnded;
   }
 
-  /** How often a worker's lease has expired. */
+  /** Number of worker leases that have expired. */
   get expiredLeases(): number {
     return this.machines.expiredLeases;
   }
 
-  /** The host's process ends, and starts again after so long. */
+  /** Kills a host's process and starts a new one after `restartMs`. */
   kill(host: string, restartMs: number): void {
     this.processes.kill(host, restartMs);
   }
 
-  /** A random job of a kind that the deployment can run. */
+  /** Returns a random job of a kind that the deployment can run. */
   randomJob(): JobSpec {
     return this.users.randomJob();
   }
 
-  /** A job of a kind that the deployment can run, with what the caller wants of it. */
+  /**
+   * Returns a random job with the given fields replaced. Given CPUs and memory are multiplied by
+   * the deployment's `taskScale`.
+   */
   jobWith(fields: Partial<JobSpec>): JobSpec {
     const { taskScale = 1 } = this.deployment;
     const job = { ...this.randomJob(), ...fields };
@@ -180,22 +186,28 @@
     return job;
   }
 
-  /** A user who submits, polls and perhaps cancels one job. */
+  /**
+   * Adds a user who submits and polls one job, and cancels it after `cancelAfterMs` unless that is
+   * null.
+   */
   submit(spec: JobSpec, cancelAfterMs: number | null): void {
     this.users.submit(spec, cancelAfterMs);
   }
 
-  /** The job's user calls it off, at `host` where one is named. */
+  /** Makes the job's user cancel it, through the controller on `host` if one is given. */
   cancel(id: string, host?: string): void {
     this.users.cancel(id, host);
   }
 
-  /** Sends a request to a controller, a certain one or any. */
+  /** Sends a request to the controller on the given host, or to a random controller. */
   sendRequest(...request: Parameters<RequestSender>): void {
     this.users.sendRequest(...request);
   }
 
-  /** From now on there are no new faults; those under way end within the time given. */
+  /**
+   * Stops the injection of new faults. Active faults must end within `ms`; after that time the
+   * rules for operation without faults apply.
+   */
   stopFaults(ms: number): void {
     this.faultsStopped = true;
     this.clock.after(ms, () => {
@@ -203,7 +215,7 @@
     });
   }
 
-  /** Plays on for a time; throws as soon as a rule is violated or a controller logs an error. */
+  /** Advances virtual time by `ms`. Throws if a rule is violated or a controller logs an error. */
   play(ms: number): void {
     let nextRuleCheck = 0;
     this.clock.run(this.clock.now + ms, () => {
--- a/test/simulation/virtual-clock.ts
+++ b/test/simulation/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Virtual time: a queue of events, and a clock that jumps from one to the next. */
+/** Virtual time: a queue of events and a clock that advances from one event to the next. */
 import type { Timer } from '../../src/controller/runtime/runtime.js';
 
 interface Event {
@@ -10,27 +10,30 @@
 
 const doNothing = (): void => undefined;
 
-/** Runs events in order of time, then of scheduling; milliseconds since the start of the run. */
+/**
+ * Runs events in order of their due time; events with the same due time run in the order in which
+ * they were scheduled. Times are in milliseconds since the start of the run.
+ */
 export class VirtualClock {
   now = 0;
   private nextOrder = 0;
   private readonly heap: Event[] = [];
 
-  /** Runs the function once so much time has passed. */
+  /** Schedules the function to run after `ms`; the returned timer can cancel it. */
   after(ms: number, run: () => void): Timer {
     const dueAt = this.now + Math.max(0, ms);
-    const event: Event = { dueAt: dueAt, order: this.nextOrder++, run, cancelled: false };
+    const event: Event = { dueAt, order: this.nextOrder++, run, cancelled: false };
     this.push(event);
     return {
       cancel: () => {
         event.cancelled = true;
-        // What the event refers to may go at once, though its entry stays until its time.
+        // The event stays in the heap until it is due; the function is released now.
         event.run = doNothing;
       },
     };
   }
 
-  /** Runs all events up to `until`; `check` after each of them. */
+  /** Runs all events that are due up to `until`, and calls `check` after each of them. */
   run(until: number, check: () => void): void {
     for (;;) {
       const first = this.heap[0];
