--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -1,12 +1,12 @@
-/** What the simulated state store holds: versioned entries, leases, a log of changes, watches. */
+/** The data of the simulated state store: versioned entries, leases, a change log, and watches. */
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../../src/controller/settings/platform.js';
 import type { Respond } from '../network.js';
 
-/** Changes in the log at most, and how many of the newest are kept when it is cut. */
+/** Maximum number of changes in the log, and number of newest changes kept when it is trimmed. */
 const MAX_LOG_LENGTH = 20_000;
 const LOG_LENGTH_AFTER_TRIM = 10_000;
-/** Conditions of a transaction at most, in multiples of its writes. */
+/** Maximum number of conditions of a transaction, as a multiple of its maximum number of writes. */
 const MAX_CONDITIONS_PER_WRITE = 4;
 
 interface Entry {
@@ -27,23 +27,23 @@
   expiresAt: number;
 }
 
-/** A controller that waits for changes of keys with a prefix. */
+/** A pending request of a controller for changes of the keys with a prefix. */
 export interface Watch {
   watcher: string;
   prefix: string;
-  /** Changes after this stamp count. */
+  /** Only changes with a higher revision are reported. */
   afterRevision: number;
   respond: Respond;
   open: boolean;
 }
 
-/** The version that a key must have; 0: it must not exist. */
+/** The version that a key must have; 0 means that the key must not exist. */
 interface Condition {
   k: string;
   stamp: number;
 }
 
-/** A put or a deletion of one key; a put may be bound to a lease. */
+/** A put or a deletion of one key, as on the wire. A put can be bound to a lease (`permit`). */
 interface Write {
   set?: string;
   delete?: string;
@@ -57,7 +57,7 @@
   writes?: Write[];
 }
 
-/** Whether the state store takes a transaction of this size. */
+/** Returns whether a transaction is within the state store's limits on its size. */
 export function withinLimits(transaction: Transaction, limits: StateLimits): boolean {
   const { writes = [], if: conditions = [] } = transaction;
   const { txnOps, valueKb } = limits;
@@ -65,7 +65,7 @@
   return writes.every(({ value }) => JSON.stringify(value ?? null).length <= valueKb * 1024);
 }
 
-/** Versioned entries, leases that delete them when they expire, and watches on them. */
+/** Stores versioned entries, leases whose expiry deletes the entries bound to them, and watches. */
 export class KeyValueStore {
   readonly entries = new Map<string, Entry>();
   private readonly leases = new Map<number, Lease>();
@@ -74,20 +74,22 @@
   private revision = 0;
   private lastLeaseId = 0;
 
-  /** `onRead` is told of each key that a watch shows to a controller. */
+  /**
+   * Creates an empty store; `onRead` is called for each key that a watch reports to a controller.
+   */
   constructor(
     private readonly now: () => number,
     private readonly onRead: (by: string, key: string) => void,
   ) {}
 
-  /** A new lease; returns its id. */
+  /** Grants a lease and returns its id. */
   grant(lifeMs: number): number {
     const id = ++this.lastLeaseId;
     this.leases.set(id, { lifeMs, expiresAt: this.now() + lifeMs });
     return id;
   }
 
-  /** Whether the lease was there to be renewed. */
+  /** Renews a lease; returns false if it does not exist. */
   renew(id: number): boolean {
     const lease = this.leases.get(id);
     if (lease === undefined) return false;
@@ -100,17 +102,15 @@
     for (const id of this.leases.keys()) this.renew(id);
   }
 
-  /** Ends the leases whose time is up. */
+  /** Revokes the leases that have expired. */
   expire(): void {
     for (const [id, lease] of this.leases) if (this.now() > lease.expiresAt) this.revoke(id);
   }
 
-  /** Ends a lease and deletes what was bound to it; false: there is none. */
+  /** Ends a lease and deletes the entries bound to it; returns false if there is no such lease. */
   revoke(id: number): boolean {
     if (!this.leases.delete(id)) return false;
-    const keys = [...this.entries]
-      .filter(([, { leaseId: permit }]) => permit === id)
-      .map(([key]) => key);
+    const keys = [...this.entries].filter(([, { leaseId }]) => leaseId === id).map(([key]) => key);
     if (keys.length === 0) return true;
     this.revision++;
     for (const key of keys) this.change(key, undefined, null, true);
@@ -118,14 +118,14 @@
     return true;
   }
 
-  /** The response to a read of one key. */
+  /** Returns the response to a read of one key. */
   read(key: string): Reply {
     const entry = this.entries.get(key);
     if (entry === undefined) return { status: 404, body: { ledger: this.revision } };
     return { status: 200, body: { k: key, value: entry.value, stamp: entry.version } };
   }
 
-  /** The response to a read of a page of the keys with a prefix, those after `after`. */
+  /** Returns the response to a read of one page: the keys with a prefix that sort after `after`. */
   readPage(prefix: string, after: string, limit: number): Reply {
     const keys = [...this.entries.keys()]
       .filter((key) => key.startsWith(prefix) && key > after)
@@ -138,7 +138,7 @@
     return { status: 200, body };
   }
 
-  /** Commits a transaction as a whole or not at all; returns the response to it. */
+  /** Commits or rejects a transaction as a whole; returns the response to it. */
   commit(transaction: Transaction): Reply {
     const { writes = [], if: conditions = [] } = transaction;
     if (writes.some(({ permit }) => permit !== undefined && !this.leases.has(permit)))
@@ -165,7 +165,10 @@
     this.notify();
   }
 
-  /** Answers the watch as soon as there are changes; false: the log no longer reaches back so far. */
+  /**
+   * Registers a watch, which is answered as soon as there are changes. Returns false if the log no
+   * longer has all changes after its revision.
+   */
   watch(watch: Watch): boolean {
     const oldest = this.log[0]?.revision ?? 0;
     if (watch.afterRevision < oldest - 1) return false;
@@ -174,7 +177,7 @@
     return true;
   }
 
-  /** Answers a watch that nothing has happened to. */
+  /** Answers a watch with no changes, unless it has been answered already. */
   closeWatch(watch: Watch): void {
     if (!watch.open) return;
     watch.open = false;
@@ -183,7 +186,7 @@
 
   private change(key: string, value: unknown, leaseId: number | null, deleted: boolean): void {
     if (deleted) this.entries.delete(key);
-    else this.entries.set(key, { value, version: this.revision, leaseId: leaseId });
+    else this.entries.set(key, { value, version: this.revision, leaseId });
     this.log.push({ revision: this.revision, key, value, deleted });
     if (this.log.length > MAX_LOG_LENGTH) this.log = this.log.slice(-LOG_LENGTH_AFTER_TRIM);
   }
@@ -195,7 +198,7 @@
 
   private tryWatch(watch: Watch): void {
     if (!watch.open) return;
-    // Newest last: only what came after `from` is looked at.
+    // The log is in order of revision, so the search ends at the first change that is not newer.
     let first = this.log.length;
     while (first > 0 && (this.log[first - 1]?.revision ?? 0) > watch.afterRevision) first--;
     const changes = this.log.slice(first).filter(({ key }) => key.startsWith(watch.prefix));
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -1,4 +1,4 @@
-/** The simulated state store as controllers reach it: its paths, its limits and its faults. */
+/** The request handling of the simulated state store, with its limits and injected faults. */
 import { TokenBucket } from '../../../src/controller/runtime/token-bucket.js';
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../../src/controller/settings/platform.js';
@@ -9,10 +9,16 @@
 import { UnansweredWrites } from './unanswered-writes.js';
 
 const EXPIRY_CHECK_INTERVAL_MS = 50;
-/** Share of the responses that are late while the state store is slow, and by how much. */
+/**
+ * Fraction of the responses that are delayed while the state store is slow, and their delay in
+ * milliseconds.
+ */
 const DELAYED_RESPONSE_SHARE = 0.3;
 const RESPONSE_DELAY_MS = { least: 50, most: 2000 };
-/** A late transaction is committed within this time, and not before a sixth of it. */
+/**
+ * Default for the maximum delay of a delayed transaction, in milliseconds; the minimum is a sixth
+ * of it.
+ */
 const MAX_WRITE_DELAY_MS = 12_000;
 
 const UNAVAILABLE: Reply = { status: 503, body: null };
@@ -20,37 +26,43 @@
 const GONE: Reply = { status: 410, body: null };
 const TOO_MANY: Reply = { status: 429, body: null };
 
-/** Stand-in for the state store (the state service of the protocol). */
+/** Simulated state store (the state service of PROTOCOL). */
 export class StateStoreServer {
   private readonly store: KeyValueStore;
   private unavailable = false;
   private slowUntil = 0;
-  /** Hosts of which all requests are refused. */
+  /** Hosts whose requests are all refused. */
   private readonly refusedHosts = new Set<string>();
   private readonly requestTokens: TokenBucket;
   private readonly putTokens: TokenBucket;
-  /** Transactions refused for their size; copies that the network made of older ones aside. */
+  /**
+   * Number of transactions refused for their size, not counting copies of older ones by the
+   * network.
+   */
   tooLarge = 0;
-  /** Requests served. */
+  /** Number of requests served. */
   requests = 0;
-  /** Puts and deletions in them. */
+  /** Number of puts and deletions in the requests served. */
   puts = 0;
-  /** Requests refused for being too many. */
+  /** Number of requests refused by the rate limits. */
   rateLimited = 0;
-  /** Requests that came in an outage. */
+  /** Number of requests that arrived during an outage. */
   requestsInOutage = 0;
-  /** Share of the transactions that get no response and are committed later. */
+  /** Fraction of the transactions that get no response and are committed later. */
   private delayedWriteShare = 0;
-  /** How late they are at most. */
+  /** Maximum delay of such a transaction, in milliseconds. */
   maxWriteDelayMs = MAX_WRITE_DELAY_MS;
-  /** How many of them were committed late, and refused late for their conditions. */
+  /**
+   * Number of delayed transactions that were applied in the end, and that were refused because of
+   * their conditions or the limits.
+   */
   readonly lateCommits = { applied: 0, refused: 0 };
-  /** Share of the transactions that are committed at once and whose response alone is lost. */
+  /** Fraction of the transactions that are committed immediately but whose response is lost. */
   private lostResponseShare = 0;
   private readonly unanswered = new UnansweredWrites();
-  /** Hosts whose watches are refused, and nothing else of theirs. */
+  /** Hosts whose watches are refused, while their other requests are served. */
   private readonly watchRefusedHosts = new Set<string>();
-  /** Called with the keys of each transaction's writes as it arrives, before it is looked at. */
+  /** Called with the keys that a transaction writes, when it arrives and before it is checked. */
   onTransaction: (keys: readonly string[]) => void = () => undefined;
 
   constructor(
@@ -71,22 +83,22 @@
     this.expire();
   }
 
-  /** What is stored, by key. */
+  /** The stored entries by key. */
   get entries(): KeyValueStore['entries'] {
     return this.store.entries;
   }
 
-  /** How often a controller has read what another wrote without getting a response. */
+  /** Number of times that a controller has read a write for which another got no response. */
   get readsOfUnansweredWrites(): number {
     return this.unanswered.readByOthers;
   }
 
-  /** Whether it refuses all requests just now. */
+  /** Whether all requests are currently refused. */
   get inOutage(): boolean {
     return this.unavailable;
   }
 
-  /** Refuses all requests for a time; afterwards all leases run anew. */
+  /** Refuses all requests for `ms`; all leases are renewed at the end. */
   outage(ms: number): void {
     this.unavailable = true;
     this.clock.after(ms, () => {
@@ -95,31 +107,34 @@
     });
   }
 
-  /** For a time some responses are late, by up to seconds. */
+  /** Delays some of the responses for `ms`. */
   slowDown(ms: number): void {
     this.slowUntil = Math.max(this.slowUntil, this.clock.now + ms);
   }
 
-  /** Refuses all requests of one host for a time; its leases expire. */
+  /** Refuses all requests of one host for `ms`, so that it cannot renew its leases. */
   refuse(host: string, ms: number): void {
     this.refusedHosts.add(host);
     this.clock.after(ms, () => this.refusedHosts.delete(host));
   }
 
-  /** From now on it takes less. What is stored stays. */
+  /** Replaces the limits by lower ones. Stored entries are not affected. */
   lowerLimits(limits: StateLimits): void {
     this.limits = limits;
     this.requestTokens.setRate(limits.rps, limits.rps);
     this.putTokens.setRate(limits.writeRps, limits.writeRps);
   }
 
-  /** Refuses the watches of one host for a time, and nothing else of it. */
+  /** Refuses the watches of one host for `ms`, while its other requests are served. */
   refuseWatches(host: string, ms: number): void {
     this.watchRefusedHosts.add(host);
     this.clock.after(ms, () => this.watchRefusedHosts.delete(host));
   }
 
-  /** For a time a share of the transactions gets no response and is committed later, after newer ones. */
+  /**
+   * For `ms`, a share of the transactions gets no response and is committed later, after newer
+   * ones.
+   */
   delayWrites(share: number, ms: number): void {
     this.delayedWriteShare = share;
     this.clock.after(ms, () => {
@@ -127,7 +142,7 @@
     });
   }
 
-  /** For a time a share of the transactions is committed at once and gets no response. */
+  /** For `ms`, a share of the transactions is committed immediately but gets no response. */
   loseResponses(share: number, ms: number): void {
     this.lostResponseShare = share;
     this.clock.after(ms, () => {
@@ -135,7 +150,7 @@
     });
   }
 
-  /** Whether this host alone is refused. */
+  /** Returns whether requests of this host are refused individually, outside an outage. */
   isRefusing(host: string): boolean {
     return !this.unavailable && this.refusedHosts.has(host);
   }
@@ -158,7 +173,7 @@
     else this.serveOther(from, request, respond);
   }
 
-  /** While the state store is slow some responses are late. */
+  /** Delays a random share of the responses while the state store is slow. */
   private withRandomDelay(respond: Respond): Respond {
     const isDelayed =
       this.clock.now < this.slowUntil && this.random.next() < DELAYED_RESPONSE_SHARE;
--- a/test/simulation/state-store/unanswered-writes.ts
+++ b/test/simulation/state-store/unanswered-writes.ts
@@ -1,20 +1,22 @@
-/** Writes of transactions whose responses were lost, and who has read them. */
+/**
+ * Tracks writes of transactions whose responses were lost, and reads of them by other controllers.
+ */
 import type { Transaction } from './key-value-store.js';
 
-/** Counts how often a controller reads what another wrote without getting a response. */
+/** Counts the reads by a controller of a write for which another controller got no response. */
 export class UnansweredWrites {
-  /** The hosts that wrote and got no response, by key. */
+  /** By key, the host that last wrote it without getting a response. */
   private readonly writers = new Map<string, string>();
-  /** How often another host has read such a key. */
+  /** Number of reads of such keys by another host than the writer. */
   readByOthers = 0;
 
-  /** The transaction was committed, and its sender is not told. */
+  /** Records a transaction that was committed but whose response was lost. */
   record(writer: string, transaction: Transaction): void {
     for (const { set } of transaction.writes ?? [])
       if (set !== undefined) this.writers.set(set, writer);
   }
 
-  /** The host is shown the key, or names it in a condition. */
+  /** Records that a host has received the key or named it in a condition. */
   recordRead(reader: string, key: string): void {
     const writer = this.writers.get(key);
     if (writer !== undefined && writer !== reader) this.readByOthers++;
