--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -1,4 +1,4 @@
-/** The users of a simulation with their jobs, and how they reach the controllers. */
+/** The simulated users, their jobs, and their requests to the controllers. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { ObservedEvents } from '../faults/observed-events.js';
 import type { Network } from '../network.js';
@@ -11,11 +11,14 @@
 
 const POLL_TIMEOUT_MS = 2000;
 const POST_TIMEOUT_MS = 5000;
-/** Lifetimes of services, and run times of other jobs' tasks as shares of their estimates. */
+/**
+ * Range of a service's lifetime in milliseconds, and range of other tasks' run time as a factor of
+ * the estimate.
+ */
 const SERVICE_LIFETIME_MS = { least: 20_000, most: 200_000 };
 const RUN_TIME_FACTORS = { least: 0.4, most: 1.8 };
 
-/** What the users' requests pass through. */
+/** The context that all users of a simulation share. */
 export interface UserContext {
   clock: VirtualClock;
   random: SeededRandom;
@@ -32,7 +35,7 @@
   runMs: number;
 }
 
-/** Makes jobs, and a user for each that is submitted. */
+/** Creates random jobs, and a user for each job that is submitted. */
 export class UserPopulation {
   private readonly jobs = new Map<string, SubmittedJob>();
   private readonly users = new Map<string, User>();
@@ -40,18 +43,21 @@
 
   constructor(private readonly context: UserContext) {}
 
-  /** A number for a job's name, each once. */
+  /** Returns a unique number for a job's name. */
   nextJobNumber(): number {
     return this.jobCount++;
   }
 
-  /** A random job of a kind that the deployment can run. */
+  /** Returns a random job of a kind that the deployment can run. */
   randomJob(): JobSpec {
     const { deployment, random } = this.context;
     return deployment.randomJob(random, `req-${String(this.nextJobNumber()).padStart(6, '0')}`);
   }
 
-  /** A user who submits, polls and perhaps cancels one job. */
+  /**
+   * Adds a user who submits and polls one job, and cancels it after `cancelAfterMs` unless that is
+   * null.
+   */
   submit(spec: JobSpec, cancelAfterMs: number | null): void {
     const { clock, random, checker } = this.context;
     const runMs =
@@ -63,27 +69,30 @@
     this.users.set(spec.id, new User(clock, random, checker, sendRequest, spec, cancelAfterMs));
   }
 
-  /** What the job's user has submitted. */
+  /** Returns the specification of a submitted job; undefined if no user has submitted it. */
   specOf(id: string): JobSpec | undefined {
     return this.jobs.get(id)?.spec;
   }
 
-  /** True run time of the job's tasks. */
+  /** Returns the actual run time of the job's tasks; undefined if no user has submitted it. */
   runMsOf(id: string): number | undefined {
     return this.jobs.get(id)?.runMs;
   }
 
-  /** The job's user cancels it, at `host` where one is named. */
+  /** Makes the job's user cancel it, through the controller on `host` if one is given. */
   cancel(id: string, host?: string): void {
     this.users.get(id)?.cancel(host);
   }
 
-  /** The job's user submits it once more. */
+  /** Makes the job's user submit it again. */
   resubmit(id: string): void {
     this.users.get(id)?.resubmit();
   }
 
-  /** For a time every user polls again and again, one request at a time. */
+  /**
+   * Makes every user poll each `intervalMs` for `durationMs`; a user has at most one request in
+   * flight.
+   */
   everyonePolls(intervalMs: number, durationMs: number): void {
     const { clock } = this.context;
     const until = clock.now + durationMs;
@@ -94,7 +103,7 @@
     pollAll();
   }
 
-  /** Sends a request to a controller, `host` or any. */
+  /** Sends a request to the controller on `host`, by default a random one. */
   sendRequest(
     method: 'GET' | 'POST',
     path: string,
--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -1,11 +1,14 @@
-/** One user with one job. */
+/** A simulated user with one job. */
 import type { Timer } from '../../../src/controller/runtime/runtime.js';
 import { writeJobSpec, type JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { RuleChecker } from '../rules/rule-checker.js';
 import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 
-/** Sends a request to a controller, `host` or any; `done` gets status 0 where no response comes. */
+/**
+ * Sends a request to the controller on `host`, by default a random one. `done` receives status 0 if
+ * no response arrives.
+ */
 export type RequestSender = (
   method: 'GET' | 'POST',
   path: string,
@@ -16,22 +19,22 @@
 
 type Action = 'submit' | 'poll' | 'cancel';
 
-/** Chance that a user submits an accepted job once more instead of polling. */
+/** Probability that a user submits an accepted job again instead of polling it. */
 const RETRY_CHANCE = 0.1;
-/** Time from a response to the next request. */
+/** Time from a response to the next request, in milliseconds. */
 const PENDING_ACTION_PAUSE_MS = 1000;
 const UNACCEPTED_PAUSE_MS = 1200;
 const POLL_PAUSE_MS = 4000;
 const TERMINAL_PAUSE_MS = { least: 10_000, most: 40_000 };
 
-/** A user who submits, polls and perhaps cancels one job, one request at a time. */
+/** A user who submits and polls one job, and may cancel it. At most one request is in flight. */
 export class User {
   private accepted = false;
   private requestInFlight = false;
   private nextRequest: Timer | null = null;
-  /** What the user wants to do once the job is accepted. */
+  /** The action that the user takes next once the job is accepted; null: the user polls. */
   private pendingAction: 'cancel' | 'submit' | null = null;
-  /** Where cancellations go; undefined: to any controller. */
+  /** The host to which cancellations are sent; undefined for a random one. */
   private cancelHost: string | undefined;
   private readonly body: unknown;
 
@@ -49,18 +52,21 @@
     this.step();
   }
 
-  /** Cancels the job, at `host` where one is named, until told that it has ended. */
+  /**
+   * Cancels the job, through the controller on `host` if one is given. The request is repeated
+   * until it succeeds.
+   */
   cancel(host?: string): void {
     this.cancelHost = host;
     this.requestAction('cancel');
   }
 
-  /** Polls now, unless a request is on its way. */
+  /** Sends the next request now if the job is accepted and no request is in flight. */
   pollNow(): void {
     if (this.accepted) this.stepNow();
   }
 
-  /** Submits the job once more. */
+  /** Submits the job again. */
   resubmit(): void {
     this.requestAction('submit');
   }
@@ -94,7 +100,7 @@
   private nextAction(): Action {
     if (!this.accepted) return 'submit';
     if (this.pendingAction !== null) return this.pendingAction;
-    // Now and then the submission is repeated long after it was accepted.
+    // Some submissions are repeated long after the job was accepted.
     return this.random.next() < RETRY_CHANCE ? 'submit' : 'poll';
   }
 
