--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -1,18 +1,18 @@
-/** The simulated cloud: catalogue, renting, lists that lag, returning. */
+/** The simulated cloud: catalogue, renting, delayed lists of machines, and release. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { MachineContext } from './machine-context.js';
 import type { IncomingRequest, Respond } from '../network.js';
 import { Worker } from './worker.js';
 
-/** Machines that one request gets, or one page lists, at most. */
+/** Maximum number of machines rented by one request, and listed on one page. */
 const MAX_RENTED_PER_REQUEST = 50;
 const MAX_LISTED_PER_PAGE = 500;
 const SNAPSHOT_INTERVAL_MS = 500;
-/** Snapshots are kept for this long beyond four times the lag. */
+/** Time in milliseconds for which snapshots are kept in addition to four times the list lag. */
 const EXTRA_SNAPSHOT_RETENTION_MS = 2000;
-/** Shares of its type's boot time within which a machine is up. */
+/** Range of the actual boot time of a machine, as a factor of the boot time of its type. */
 const BOOT_TIME_FACTORS = { least: 0.6, most: 1.5 };
-/** Times within which a machine is up while machines boot quickly. */
+/** Range of the boot time after a call of `bootQuickly`, in milliseconds. */
 const QUICK_BOOT_MS = { least: 200, most: 2000 };
 
 interface RentedMachine {
@@ -24,13 +24,13 @@
   id: string;
 }
 
-/** The machines as they were at a moment. */
+/** The list of machines as of `takenAt`, in virtual time. */
 interface Snapshot {
   takenAt: number;
   body: { id: string }[];
 }
 
-/** A request for machines, as on the wire. */
+/** A request to rent machines, as on the wire. */
 interface RentRequest {
   hire: string;
   model: string;
@@ -39,16 +39,16 @@
   how_many: number;
 }
 
-/** Stand-in for the cloud, after PROTOCOL. */
+/** Simulated cloud that follows PROTOCOL. */
 export class Cloud {
   readonly machines = new Map<string, RentedMachine>();
-  /** Ids that were rented, by the request's key. */
+  /** The ids of rented machines, by their request's idempotency key. */
   private readonly rentedIdsByKey = new Map<string, string[]>();
   private snapshots: Snapshot[] = [];
   private machineCount = 0;
-  /** Machines rented before then are up within two seconds. */
+  /** Virtual time until which newly rented machines boot within two seconds. */
   private quickBootUntil = 0;
-  /** Called when a rented machine is up. */
+  /** Listeners called when a machine has booted. */
   readonly onBoot: ((id: string) => void)[] = [];
 
   constructor(
@@ -57,14 +57,14 @@
     private readonly types: MachineType[],
     private readonly capacity: number,
     private readonly lagMs: number,
-    /** Chance that a machine never comes up. */
+    /** Probability that a rented machine never comes up. */
     private readonly bootFailureChance: number,
   ) {
     context.network.listen(address, 'cloud', (_, request, respond) => this.serve(request, respond));
     this.takeSnapshot();
   }
 
-  /** Rents a machine that is up after `bootMs`; null: never. */
+  /** Adds a machine that is up after `bootMs`, or never if that is null; returns its id. */
   addMachine(type: MachineType, zone: string, spot: boolean, bootMs: number | null): string {
     const index = this.machineCount++;
     const id = `n-${String(index).padStart(6, '0')}`;
@@ -88,18 +88,18 @@
     );
   }
 
-  /** For a time machines are up within two seconds. */
+  /** Makes machines that are rented in the next `ms` boot within two seconds. */
   bootQuickly(ms: number): void {
     this.quickBootUntil = this.context.clock.now + ms;
   }
 
-  /** How long ago the machine was rented. */
+  /** Returns the time since the machine was rented; Infinity if it does not exist. */
   ageMs(id: string): number {
     const machine = this.machines.get(id);
     return machine === undefined ? Infinity : this.context.clock.now - machine.rentedAt;
   }
 
-  /** Takes a machine back. */
+  /** Ends and removes a machine that the controllers release or the cloud interrupts. */
   reclaim(id: string): void {
     this.machines.get(id)?.worker?.die();
     this.machines.delete(id);
@@ -139,7 +139,7 @@
   private list(request: IncomingRequest, respond: Respond): void {
     const { clock, random } = this.context;
     const lagMs = this.lagMs * random.between(1, 2);
-    const snapshot = this.snapshots.filter(({ takenAt: at }) => at <= clock.now - lagMs).at(-1);
+    const snapshot = this.snapshots.filter(({ takenAt }) => takenAt <= clock.now - lagMs).at(-1);
     const query = new URL(request.path, 'http://cloud').searchParams;
     const afterId = query.get('from') ?? '';
     const limit = Math.min(MAX_LISTED_PER_PAGE, Number(query.get('limit') ?? MAX_LISTED_PER_PAGE));
--- a/test/simulation/machines/gangs.ts
+++ b/test/simulation/machines/gangs.ts
@@ -1,8 +1,8 @@
-/** Gangs whose members are on machines. */
+/** The gangs whose members are on simulated machines. */
 import type { VirtualClock } from '../virtual-clock.js';
 import type { Task } from './task.js';
 
-/** Runs one member of a gang. */
+/** The task runner of one gang member. */
 export interface GangMemberRunner {
   startGangMember(task: Task): void;
   finish(task: Task, cause: string): void;
@@ -13,12 +13,15 @@
   task: Task;
 }
 
-/** Gangs find each other by attempt; they start and complete together. */
+/** Groups gang members by job and attempt, and makes them start and complete together. */
 export class Gangs {
   private readonly members = new Map<string, Set<Member>>();
   constructor(private readonly clock: VirtualClock) {}
 
-  /** The task waits for its gang; the last of its `size` members starts all of them. */
+  /**
+   * Adds a waiting member to its gang. When `size` members are waiting, all of them start; after
+   * `runMs` they complete if none has left.
+   */
   join(runner: GangMemberRunner, task: Task, size: number, runMs: number): void {
     const key = keyOf(task);
     const gang = this.members.get(key) ?? new Set();
@@ -34,7 +37,10 @@
     });
   }
 
-  /** The task has ended; unless it is done, the members that run end soon after. */
+  /**
+   * Removes a member that has ended. Unless it ended with `done`, the running members end after
+   * `peerExitMs`.
+   */
   leave(task: Task, peerExitMs: number): void {
     const gang = this.members.get(keyOf(task));
     if (gang === undefined) return;
--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -1,43 +1,48 @@
-/** The heartbeats of one simulated worker: when they go out, and to which controller. */
+/** The heartbeats of one simulated worker: when they are sent, and to which controller. */
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { MachineContext } from './machine-context.js';
 import type { Command } from './task.js';
 
-/** A heartbeat with news follows the last one no sooner than this. */
+/** Minimum time from a heartbeat to one that reports a change, in milliseconds. */
 const MIN_INTERVAL_MS = 500;
 const HEARTBEAT_TIMEOUT_MS = 4000;
 const RETRY_DELAY_MS = 1000;
-/** A worker that is redirected to the leader sends its next heartbeat within this time. */
+/** Maximum time from a redirection to the leader to the next heartbeat, in milliseconds. */
 const MAX_REDIRECT_DELAY_MS = 500;
-/** Shares of the period between which the next heartbeat falls. */
+/** Range of the time to the next regular heartbeat, as a factor of the heartbeat interval. */
 const INTERVAL_FACTORS = { least: 0.75, most: 1.25 };
 
-/** The response of a controller that takes a heartbeat. */
+/**
+ * The response of a controller that accepts a heartbeat, as on the wire: fencing token and
+ * commands.
+ */
 export interface HeartbeatResponse {
   baton?: number;
   orders: Command[];
 }
 
-/** The worker whose heartbeats are sent. */
+/** A worker as seen by the loop that sends its heartbeats. */
 export interface HeartbeatSource {
   readonly id: string;
   readonly dead: boolean;
   readonly hungUntil: number;
   readonly agentEpoch: number;
-  /** The next heartbeat; each has a number of its own. */
+  /** Creates the next heartbeat, with a new sequence number. */
   heartbeat(): unknown;
   whenAwake(run: () => void): void;
-  /** A response to the heartbeat that was sent then, in that agent epoch. */
+  /** Handles the response to the heartbeat that was sent at `sentAt` in `agentEpoch`. */
   acceptResponse(response: HeartbeatResponse, agentEpoch: number, sentAt: number): void;
 }
 
-/** Sends a worker's heartbeats, one at a time, to the controller that takes them. */
+/** Sends a worker's heartbeats, one at a time, to the controller that accepts them. */
 export class HeartbeatLoop {
-  /** Index of the controller that is asked next. */
+  /** Index of the controller that receives the next heartbeat. */
   private controllerIndex: number;
   private inFlight = false;
   private hasUnreportedChange = false;
+  /** Virtual time of the next regular heartbeat. */
   private regularAt: number;
+  /** Virtual time before which no heartbeat is sent, after a failed or redirected one. */
   private earliestAt = 0;
   private lastSent = -Infinity;
   private blockedUntil = 0;
@@ -52,23 +57,23 @@
     this.regularAt = clock.now;
   }
 
-  /** Whether no controller can be reached just now. */
+  /** Whether the worker can currently reach no controller. */
   get blocked(): boolean {
     return this.context.clock.now < this.blockedUntil;
   }
 
-  /** Reaches no controller for a time. */
+  /** Makes all controllers unreachable for the worker for `ms`. */
   block(ms: number): void {
     this.blockedUntil = Math.max(this.blockedUntil, this.context.clock.now + ms);
   }
 
-  /** The next heartbeat will have news. */
+  /** Notes that the worker's state has changed and schedules a heartbeat that reports it. */
   stateChanged(): void {
     this.hasUnreportedChange = true;
     this.schedule();
   }
 
-  /** Plans the next heartbeat for when it is due. */
+  /** Schedules the next heartbeat, unless one is already scheduled for an earlier time. */
   schedule(): void {
     const { source } = this;
     if (source.dead || this.inFlight) return;
--- a/test/simulation/machines/machine-context.ts
+++ b/test/simulation/machines/machine-context.ts
@@ -1,4 +1,4 @@
-/** What the simulated machines have in common: network, settings, true run times, counters. */
+/** The context that all simulated machines share: network, settings, jobs and counters. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Gangs } from './gangs.js';
 import type { ObservedEvents } from '../faults/observed-events.js';
@@ -7,33 +7,35 @@
 import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 
-/** Periods that the platform gives to workers, in milliseconds. */
+/** The workers' periods in the platform settings, in milliseconds. */
 export interface WorkerSettings {
   heartbeatIntervalMs: number;
   leaseMs: number;
+  /** Maximum time for which a gang member waits for the other members. */
   gangWaitMs: number;
+  /** Time from the failure of a gang member to the exit of the other members. */
   gangPeerExitMs: number;
 }
 
-/** What each machine of a simulation has access to. */
+/** The context that all machines of a simulation share. */
 export interface MachineContext {
   clock: VirtualClock;
   random: SeededRandom;
   network: Network;
   checker: RuleChecker;
   settings: WorkerSettings;
-  /** Controllers' API by host name. */
+  /** Host names of the controllers. */
   controllers: string[];
   apiOf(host: string): string;
   specOf(id: string): JobSpec | undefined;
-  /** True run time of a task. */
+  /** Returns the actual run time of a task of the job, in milliseconds. */
   runMs(id: string): number;
   gangs: Gangs;
-  /** Chance that a task fails. */
+  /** Probability that an array task fails. */
   taskFailures: number;
   observedEvents: ObservedEvents;
-  /** How often a worker's lease has expired. */
+  /** Number of worker leases that have expired. */
   expiredLeases: number;
-  /** Replicas of services that ended by themselves. */
+  /** Number of service replicas that ended without being stopped. */
   replicasEnded: number;
 }
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -1,4 +1,4 @@
-/** The tasks of one simulated machine: images, capacity, run times, checkpoints and ends. */
+/** The tasks of one simulated machine: images, capacity, run times, checkpoints and exits. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { GangMemberRunner } from './gangs.js';
@@ -6,31 +6,34 @@
 import type { Placement } from '../rules/placement.js';
 import { newTask, toHeartbeatTask, type Command, type Task } from './task.js';
 
-/** Capacity that rounding may hide. */
+/** Tolerance for rounding errors in comparisons of capacity. */
 const ROUNDING_TOLERANCE = 1e-6;
-/** Share of its run time after which a task that fails ends. */
+/** Fraction of its run time after which a failing task ends. */
 const FAILURE_RUN_SHARE = 0.3;
-/** Shares of its run time between which a replica ends by itself. */
+/** Range of the time after which a replica ends without a stop, as a factor of its run time. */
 const REPLICA_RUN_FACTORS = { least: 0.5, most: 2 };
 
-/** The machine that tasks run on, as its task runner sees it. */
+/** A machine as seen by its task runner. */
 export interface TaskHost {
   readonly placement: Placement;
   readonly type: MachineType;
-  /** Runs the function once the machine does not hang; never after its end. */
+  /**
+   * Runs the function now or, if the machine hangs, when it resumes. Does not run it after the
+   * machine has ended.
+   */
   whenAwake(run: () => void): void;
-  /** The next heartbeat will have news. */
+  /** Schedules a heartbeat that reports the change. */
   stateChanged(): void;
 }
 
-/** CPUs, GPUs and memory that no task takes. */
+/** Amounts of CPUs, GPUs and memory that are not used by any task. */
 interface Capacity {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Runs the tasks of one machine as its controllers command. */
+/** Runs the tasks of one machine according to the commands of the controllers. */
 export class TaskRunner implements GangMemberRunner {
   private readonly tasks = new Map<string, Task>();
   private readonly images = new Set<string>();
@@ -40,7 +43,7 @@
     private readonly context: MachineContext,
   ) {}
 
-  /** All tasks end at once, and no heartbeat says so. */
+  /** Ends all tasks immediately, without scheduling a heartbeat. */
   killAll(): void {
     for (const task of this.tasks.values()) {
       if (task.status === 'exited') continue;
@@ -51,17 +54,17 @@
     }
   }
 
-  /** Forgets all tasks. */
+  /** Removes all tasks, so that heartbeats no longer list them. */
   clear(): void {
     this.tasks.clear();
   }
 
-  /** The tasks as the next heartbeat lists them. */
+  /** Returns the tasks in the form in which heartbeats list them. */
   heartbeatTasks(): Record<string, unknown>[] {
     return [...this.tasks.values()].map(toHeartbeatTask);
   }
 
-  /** What no task takes, `except` the one given. */
+  /** Returns the capacity that is not used by any task other than `except`. */
   freeCapacity(except?: Task): Capacity {
     const { cpus, gpus, memoryGb } = this.host.type;
     const free = { cpus, gpus, memoryGb };
@@ -75,7 +78,7 @@
     return free;
   }
 
-  /** Carries out a command. */
+  /** Executes a command of a controller. */
   execute(command: Command): void {
     const existing = this.tasks.get(command.duty);
     this.host.stateChanged();
@@ -110,7 +113,7 @@
     );
   }
 
-  /** The image is there. */
+  /** Starts a task whose image has been fetched. */
   private startWithImage(task: Task, spec: JobSpec): void {
     if (task.status !== 'pulling') return;
     this.images.add(spec.image);
@@ -131,7 +134,10 @@
     gangs.join(this, task, spec.tasks, this.context.runMs(task.jobId));
   }
 
-  /** Replicas should not end; now and then one does. */
+  /**
+   * Runs a replica. A replica should run until it is stopped, but each simulated one also ends
+   * after a random time with a random cause.
+   */
   private runReplica(task: Task): void {
     const { clock, random } = this.context;
     task.status = 'running';
@@ -156,14 +162,14 @@
     );
   }
 
-  /** The last member of the task's gang is there. */
+  /** Starts a waiting gang member; called when all members of its gang are waiting. */
   startGangMember(task: Task): void {
     task.timer?.cancel();
     task.status = 'running';
     this.host.stateChanged();
   }
 
-  /** The task ends, if it hasn't. */
+  /** Ends the task with the given cause, unless it has already ended. */
   finish(task: Task, cause: string): void {
     if (task.status === 'exited') return;
     task.timer?.cancel();
--- a/test/simulation/machines/task.ts
+++ b/test/simulation/machines/task.ts
@@ -1,7 +1,7 @@
-/** Tasks on a simulated machine, and the commands that concern them. */
+/** Tasks on a simulated machine, and the commands for them. */
 import type { Timer } from '../../../src/controller/runtime/runtime.js';
 
-/** A command of a controller to a worker, as on the wire. */
+/** A command from a controller to a worker, as on the wire. */
 export interface Command {
   verb: string;
   duty: string;
@@ -9,7 +9,7 @@
   leeway_s?: number;
 }
 
-/** An attempt at a task that a machine knows of. */
+/** An attempt at a task on a machine. */
 export interface Task {
   jobId: string;
   index: number;
@@ -17,12 +17,12 @@
   status: string;
   cause: string | null;
   checkpointed: boolean;
-  /** Whether it has its image and takes capacity of the machine. */
+  /** Whether the attempt has its image, has started and has not yet ended. */
   started: boolean;
   timer: Timer | null;
 }
 
-/** The attempt that a `run` command asks for, before it has its image. */
+/** Returns the attempt that a `run` command requests, before its image is fetched. */
 export function newTask(command: Command): Task {
   const slash = command.duty.lastIndexOf('/');
   return {
@@ -37,7 +37,7 @@
   };
 }
 
-/** The task as heartbeats list it. */
+/** Returns the task in the form in which heartbeats list it. */
 export function toHeartbeatTask(task: Task): Record<string, unknown> {
   return {
     duty: `${task.jobId}/${task.index}`,
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -1,4 +1,4 @@
-/** One simulated machine and its worker: agent epochs, lease, commands, and faults of the machine. */
+/** One simulated machine and its worker: agent epochs, lease, commands, and machine faults. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { MachineContext } from './machine-context.js';
 import type { IncomingRequest, Respond } from '../network.js';
@@ -7,27 +7,31 @@
 import type { Command } from './task.js';
 import { TaskRunner, type TaskHost } from './task-runner.js';
 
-/** A response to a heartbeat counts for so long. */
+/**
+ * Maximum time from sending a heartbeat to handling its response, in milliseconds; a worker ignores
+ * later responses.
+ */
 const RESPONSE_VALID_MS = 4000;
 
-/** A direct command as it arrives. */
+/** A direct command as on the wire: fencing token (`baton`), agent epoch (`tenure`), commands. */
 interface DirectCommand {
   baton?: number;
   tenure?: number;
   orders?: Command[];
 }
 
-/** Stand-in for a machine and its worker, after PROTOCOL. */
+/** Simulated machine and worker that follow PROTOCOL. */
 export class Worker implements HeartbeatSource, TaskHost {
   agentEpoch = 1;
-  /** Hangs until then. */
+  /** Virtual time until which the machine hangs. */
   hungUntil = 0;
   dead = false;
   readonly placement: Placement;
   private heartbeatNumber = 0;
   private fencingToken = 0;
+  /** Send time of the last heartbeat that renewed the lease, or start of the agent epoch. */
   private leaseStartedAt: number;
-  /** When the cloud takes the machine back, where it has said so. */
+  /** Virtual time of the interruption that the cloud has announced; null without a notice. */
   private interruptionAt: number | null = null;
   private deferredCalls: (() => void)[] = [];
   private readonly tasks: TaskRunner;
@@ -52,7 +56,7 @@
     this.checkLease();
   }
 
-  /** The machine ends with all that is on it. */
+  /** Ends the machine and all its tasks. */
   die(): void {
     if (this.dead) return;
     this.dead = true;
@@ -60,20 +64,26 @@
     this.context.network.remove(this.address);
   }
 
-  /** The machine ends and is back soon, with its name and nothing else: a new agent epoch. */
+  /**
+   * Restarts the machine: it loses its tasks, begins a new agent epoch and does not respond for
+   * `ms`. It keeps its id.
+   */
   restart(ms: number): void {
     if (this.dead) return;
     this.startEpoch();
     this.hang(ms);
   }
 
-  /** The cloud says that it takes the machine back after so long. */
+  /** Announces to the worker that the cloud will interrupt the machine in `ms`. */
   noticeInterruption(ms: number): void {
     this.interruptionAt = this.context.clock.now + ms;
     this.stateChanged();
   }
 
-  /** The machine does nothing for a time; what reaches it meanwhile is taken afterwards. */
+  /**
+   * Makes the machine hang for `ms`; requests and timers that fall into this time are handled
+   * afterwards.
+   */
   hang(ms: number): void {
     const { clock } = this.context;
     this.hungUntil = Math.max(this.hungUntil, clock.now + ms);
@@ -86,12 +96,12 @@
     });
   }
 
-  /** Sends no heartbeat for a time, while direct commands reach it and are answered. */
+  /** Makes all heartbeats fail for `ms`, while direct commands still arrive and are answered. */
   blockHeartbeats(ms: number): void {
     this.heartbeats.block(ms);
   }
 
-  /** What no task takes. */
+  /** The capacity that is not used by any task, with the properties of the machine. */
   get freeCapacity(): FreeCapacity {
     return {
       ...this.tasks.freeCapacity(),
@@ -102,14 +112,17 @@
     };
   }
 
-  /** Runs the function now, or once the machine no longer hangs; never after its end. */
+  /**
+   * Runs the function now or, if the machine hangs, when it resumes. Does not run it after the
+   * machine has ended.
+   */
   whenAwake(run: () => void): void {
     if (this.dead) return;
     if (this.context.clock.now < this.hungUntil) this.deferredCalls.push(run);
     else run();
   }
 
-  /** The next heartbeat will have news. */
+  /** Schedules a heartbeat that reports the change. */
   stateChanged(): void {
     this.heartbeats.stateChanged();
   }
@@ -134,10 +147,10 @@
     this.stateChanged();
   }
 
-  /** The next heartbeat; each has a number of its own. */
+  /** Creates the next heartbeat, with a new sequence number. */
   heartbeat(): unknown {
     this.heartbeatNumber++;
-    const { interruptionAt: interruptionAt } = this;
+    const { interruptionAt } = this;
     return {
       kiln: this.id,
       address: this.address,
@@ -155,12 +168,15 @@
     };
   }
 
-  /** Takes the response to a heartbeat: the fencing token, the lease, commands. */
+  /**
+   * Handles the response to a heartbeat: adopts the fencing token, renews the lease and executes
+   * the commands.
+   */
   acceptResponse(response: HeartbeatResponse, agentEpoch: number, sentAt: number): void {
     if (agentEpoch !== this.agentEpoch) return;
     if (response.baton === undefined || response.baton < this.fencingToken) return;
-    // A later response is dropped by the time-out of the call; a hanging machine may find one that
-    // it had received before.
+    // The call's time-out drops later responses. A machine that hung may still find a response that
+    // arrived in time but is now too old.
     if (this.context.clock.now - sentAt > RESPONSE_VALID_MS) return;
     if (response.baton > this.fencingToken) this.stateChanged();
     this.fencingToken = response.baton;
