--- a/test/simulation/deployments/deployment.ts
+++ b/test/simulation/deployments/deployment.ts
@@ -1,10 +1,10 @@
-/** What a deployment that the simulation plays consists of. */
+/** The description of a deployment to simulate. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { PlatformOptions } from '../../platform.js';
 import type { SeededRandom } from '../seeded-random.js';
 
-/** Machines of one type that are up at the start. */
+/** Machines of one type, zone and price model that exist from the start. */
 export interface MachineGroup {
   type: string;
   zone: string;
@@ -12,34 +12,39 @@
   count: number;
 }
 
-/** A deployment that the simulation plays. */
+/** A deployment to simulate. */
 export interface Deployment {
   hosts: string[];
   types: MachineType[];
   machines: MachineGroup[];
-  /** How many machines the cloud has at most. */
+  /**
+   * Maximum number of machines that the cloud provides, including those that exist from the start.
+   */
   capacity: number;
   platform: PlatformOptions;
-  /** Entries of a page of the state store at most. */
+  /** Maximum number of entries on one page of a read from the state store. */
   pageSize: number;
-  /** When the work of a fault scenario runs; by then machines have come up. */
+  /**
+   * Virtual time in milliseconds at which the work of a fault scenario runs, late enough for rented
+   * machines to be up.
+   */
   startMs?: number;
-  /** Work that brings machines up before the jobs of a fault scenario. */
+  /** Fields of a job that makes controllers rent machines before the jobs of a fault scenario. */
   warmUpJob?: Partial<JobSpec>;
-  /** Chance that a rented machine never comes up in a fault scenario. */
+  /** Probability that a rented machine never comes up, in a fault scenario. */
   bootFailures?: number;
-  /** Tasks of fault scenarios take so many times the CPUs and memory that their table says. */
+  /** Factor by which the CPUs and memory in the job fields of a fault scenario are multiplied. */
   taskScale?: number;
-  /** A job of a kind that the deployment can run. */
+  /** Returns a random job of a kind that the deployment can run. */
   randomJob(random: SeededRandom, id: string): JobSpec;
 }
 
-/** Names of so many hosts of controllers. */
+/** Returns the names of `count` hosts of controllers. */
 export function hostNames(count: number): string[] {
   return Array.from({ length: count }, (_, i) => `kiln-${i}`);
 }
 
-/** The deployment where the state store will take less from some moment on. */
+/** Returns the deployment with settings that announce lower future limits of the state store. */
 export function withLowerStateLimits(deployment: Deployment, writeRps: number): Deployment {
   const limits = ['value_kb = 2.0', 'txn_ops = 6', `write_rps = ${writeRps.toFixed(1)}`];
   const upcomingLimitsToml = ['[params.state.next]', ...limits, ''].join('\n');
--- a/test/simulation/deployments/fleet-jobs.ts
+++ b/test/simulation/deployments/fleet-jobs.ts
@@ -1,4 +1,7 @@
-/** Jobs of the fleets: gangs of whole machines, arrays with one GPU a task, and arrays without. */
+/**
+ * Random jobs of the fleets: gangs that use whole machines, arrays with one GPU per task, and
+ * arrays without GPUs.
+ */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { SeededRandom } from '../seeded-random.js';
 
@@ -7,11 +10,11 @@
   'id' | 'types' | 'zone' | 'spread' | 'deadlineS' | 'imageGb' | 'estimatedRunS'
 >;
 
-/** Draws below which a job is of the kind; the rest are print jobs. */
+/** Cumulative probabilities of training and scoring jobs; the remaining jobs are print jobs. */
 const TRAINING_BELOW = 0.2;
 const SCORING_BELOW = 0.6;
 
-/** A job as the fleets run it. */
+/** Returns a random job for a fleet. */
 export function fleetJob(random: SeededRandom, id: string): JobSpec {
   const common: CommonFields = {
     ...{ id, types: null, zone: null, spread: false, deadlineS: null },
--- a/test/simulation/deployments/fleets.ts
+++ b/test/simulation/deployments/fleets.ts
@@ -1,4 +1,4 @@
-/** Deployments of hundreds and of thousands of machines. */
+/** Deployments with hundreds or thousands of machines. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import { defaultPlatformOptions, type PlatformOptions } from '../../platform.js';
 import { hostNames, type Deployment } from './deployment.js';
@@ -6,16 +6,19 @@
 import { bigMachine, smallMachine } from './machine-types.js';
 import { objectiveToml, teamToml } from './teams.js';
 
-/** A guaranteed amount and a limit, as shares of all GPUs. */
+/** A team's guaranteed amount and limit, as fractions of all GPUs. */
 interface GpuShares {
   guaranteed: number;
   limit: number;
 }
 
-/** What fleets differ in. */
+/** The properties in which the fleets differ. */
 interface FleetShape {
   zones: string[];
-  /** Machines that are up at the start, as shares of all; the rest is rented when needed. */
+  /**
+   * The machines that exist from the start, as fractions of the capacity; the rest is rented when
+   * needed.
+   */
   groups: readonly { type: 'big' | 'small'; spot: boolean; share: number }[];
   teams: Readonly<Record<'red' | 'blue', GpuShares>>;
   platform: Partial<PlatformOptions>;
@@ -28,7 +31,7 @@
   objectiveToml({ kind: 'wait', class: 'train', withinS: 60, share: 0.9 }) +
   objectiveToml({ kind: 'finished', class: 'score', withinS: 200, share: 0.9 });
 
-/** Five controllers: many small tasks, and gangs of whole machines. */
+/** Returns a fleet with five controllers, for many small tasks and for gangs of whole machines. */
 function fleet(machines: number, { zones, groups, teams, platform }: FleetShape): Deployment {
   return {
     hosts: hostNames(5),
@@ -58,7 +61,7 @@
     .join('');
 }
 
-/** Hundreds of machines in one zone. */
+/** Returns a fleet of hundreds of machines in one zone. */
 export function mediumFleet(machines: number): Deployment {
   return fleet(machines, {
     zones: ['a'],
@@ -71,7 +74,10 @@
   });
 }
 
-/** Thousands of machines in three zones; what the state store takes grows with the machines. */
+/**
+ * Returns a fleet of thousands of machines in three zones. The state store's rate limits grow with
+ * the number of machines.
+ */
 export function largeFleet(machines: number): Deployment {
   return fleet(machines, {
     zones: ['a', 'b', 'c'],
--- a/test/simulation/deployments/machine-types.ts
+++ b/test/simulation/deployments/machine-types.ts
@@ -1,4 +1,4 @@
-/** Machine types that several deployments have. */
+/** Machine types used by several deployments. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 
 /** A machine with GPUs. */
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -1,4 +1,4 @@
-/** A deployment with short leases. */
+/** A deployment with short worker leases. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import { defaultPlatformOptions } from '../../platform.js';
 import { longJobs } from '../scenarios/fault-scenario.js';
@@ -8,12 +8,15 @@
 
 const LEASE_S = 10;
 const CANCEL_S = 35;
-/** The one type of machine. */
+/** CPUs, GPUs and memory of the only machine type. */
 const CPUS = 64;
 const GPUS = 8;
 const MEMORY_GB = 400;
 
-/** Leases of half the usual length, controllers in two zones, large machines and none at the start. */
+/**
+ * Three controllers in two zones, leases of half the usual length, and large machines, of which
+ * none exists at the start.
+ */
 export const shortLeases: Deployment = {
   hosts: hostNames(3),
   types: [
@@ -47,7 +50,7 @@
   randomJob,
 };
 
-/** The same where the state store will take less from some moment on. */
+/** The same deployment with lower future limits of the state store. */
 export const shortLeasesWithLowerLimits = withLowerStateLimits(shortLeases, 20);
 
 type CommonFields = Pick<
@@ -65,11 +68,14 @@
   | 'zone'
 >;
 
-/** Draws below which a job is of the kind; the rest are print jobs. */
+/** Cumulative probabilities of training and scoring jobs; the remaining jobs are print jobs. */
 const TRAINING_BELOW = 0.3;
 const SCORING_BELOW = 0.8;
 
-/** Gangs of whole machines, arrays of single GPUs that checkpoint, and arrays without GPUs. */
+/**
+ * Returns a gang that uses whole machines, an array with one GPU per task and checkpoints, or an
+ * array without GPUs.
+ */
 function randomJob(random: SeededRandom, id: string): JobSpec {
   const common: CommonFields = {
     ...{ id, team: random.pick(['red', 'blue']), types: null, spread: false, deadlineS: null },
--- a/test/simulation/deployments/small.ts
+++ b/test/simulation/deployments/small.ts
@@ -1,4 +1,4 @@
-/** The small deployment, which most simulations play. */
+/** The small deployment, which most simulations use. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import { defaultPlatformOptions } from '../../platform.js';
 import type { SeededRandom } from '../seeded-random.js';
@@ -11,7 +11,7 @@
   teamToml('blue', { cpus: 8, cpusMax: 40, gpus: 4, gpusMax: 16 }),
 ];
 
-/** Three controllers and a handful of machines in two zones, gangs and job arrays. */
+/** Three controllers and a few machines in two zones, for gangs and job arrays. */
 export const smallDeployment: Deployment = {
   hosts: hostNames(3),
   types: [bigMachine, smallMachine],
@@ -21,12 +21,12 @@
   ]),
   capacity: 16,
   platform: { ...defaultPlatformOptions, teamsToml: teams.join('') },
-  // Small pages, so that paging is used.
+  // Small pages, so that reads need several pages.
   pageSize: 7,
   randomJob,
 };
 
-/** The small deployment where the state store will take less from some moment on. */
+/** The small deployment with lower future limits of the state store. */
 export const smallWithLowerLimits = withLowerStateLimits(smallDeployment, 25);
 
 function randomJob(random: SeededRandom, id: string): JobSpec {
@@ -52,7 +52,7 @@
   };
 }
 
-/** A job that is spread over zones is bound to none. */
+/** Draws the zone constraints. A job that is spread over zones has none. */
 function drawZones(
   random: SeededRandom,
   gang: boolean,
--- a/test/simulation/deployments/teams.ts
+++ b/test/simulation/deployments/teams.ts
@@ -1,6 +1,6 @@
-/** Teams and objectives of a deployment, as the platform's settings give them. */
+/** Teams and objectives of a deployment, in the TOML form of the platform settings. */
 
-/** Guaranteed amounts of a team, and its limits; a limit of 0 is none. */
+/** Guaranteed amounts and limits (`Max`) of a team; a limit of 0 means no limit. */
 export interface TeamAmounts {
   cpus?: number;
   cpusMax?: number;
@@ -8,7 +8,7 @@
   gpusMax: number;
 }
 
-/** TOML of a team. */
+/** Returns the TOML of a team. */
 export function teamToml(name: string, team: TeamAmounts): string {
   const { cpus = 0, cpusMax = 0, gpus, gpusMax } = team;
   const amounts = { cpus, cpus_max: cpusMax, gpus, gpus_max: gpusMax };
@@ -16,7 +16,10 @@
   return ['[[params.teams]]', `name = "${name}"`, ...lines, ''].join('\n');
 }
 
-/** An objective: this share of a class's jobs waits, or is finished, within the time. */
+/**
+ * An objective: at least this fraction of a class's jobs must wait no longer than `withinS`
+ * (`wait`), or be finished within it (`finished`).
+ */
 export interface Objective {
   kind: 'wait' | 'finished';
   class: string;
@@ -24,7 +27,7 @@
   share: number;
 }
 
-/** TOML of an objective. */
+/** Returns the TOML of an objective. */
 export function objectiveToml(objective: Objective): string {
   const { kind, class: jobClass, withinS, share } = objective;
   const lines = [`kind = "${kind}"`, `class = "${jobClass}"`, `within_s = ${withinS.toFixed(1)}`];
