--- a/test/simulation/digest/digest-scenarios.ts
+++ b/test/simulation/digest/digest-scenarios.ts
@@ -1,4 +1,4 @@
-/** The scenarios of the behaviour digest: fixed seeds that between them reach most of the program. */
+/** The scenarios of the behaviour digest: fixed seeds that together cover most of the program. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import { smallWithLowerLimits, smallDeployment } from '../deployments/small.js';
 import type { Deployment } from '../deployments/deployment.js';
@@ -7,17 +7,20 @@
 import type { Fault } from '../faults/scripted/fault.js';
 import { shortLeases } from '../deployments/short-leases.js';
 
-/** A scenario of which a digest is kept. */
+/** A scenario whose digest is compared with an expected value. */
 export interface DigestScenario {
   name: string;
   deployment: Deployment;
   seed: number;
   rates: FaultRates;
-  /** Number of jobs of random kinds, at random times of the first four fifths. */
+  /** Number of random jobs, submitted at random times in the first four fifths of the scenario. */
   randomJobs: number;
-  /** Faults and jobs at given times. */
+  /** Faults and jobs that are injected at given times. */
   faults: Fault[];
-  /** Time between two interruptions of spot instances; undefined: there are none. */
+  /**
+   * Time between two interruptions of spot instances, in milliseconds; undefined for no
+   * interruptions.
+   */
   interruptionIntervalMs?: number;
   playMs: number;
 }
@@ -52,7 +55,7 @@
   checkpointSaveS: 2,
 };
 
-/** The scenarios, each of which takes a few seconds at most. */
+/** All digest scenarios; each takes at most a few seconds to run. */
 export const digestScenarios: DigestScenario[] = [
   {
     name: 'quiet',
--- a/test/simulation/digest/expected-digests.ts
+++ b/test/simulation/digest/expected-digests.ts
@@ -1,4 +1,4 @@
-/** The expected digests of the scenarios, and those of the present sources. */
+/** The expected digests of the scenarios, and their digests with the current sources. */
 import { createHash } from 'node:crypto';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { digestScenarios } from './digest-scenarios.js';
@@ -7,20 +7,20 @@
 const EXPECTED = new URL('../../digests.json', import.meta.url);
 const SHORT_HASH_LENGTH = 12;
 
-/** Digests by name of the scenario. */
+/** Digests by scenario name. */
 export type Digests = Record<string, string>;
 
-/** The digests that are kept in `test/digests.json`. */
+/** Returns the expected digests in `test/digests.json`. */
 export function expectedDigests(): Digests {
   return JSON.parse(readFileSync(EXPECTED, 'utf8')) as Digests;
 }
 
-/** Replaces the expected digests. */
+/** Replaces the expected digests in `test/digests.json`. */
 export function writeDigests(digests: Digests): void {
   writeFileSync(EXPECTED, `${JSON.stringify(digests, null, 2)}\n`);
 }
 
-/** Plays all scenarios; `played` is called after each. */
+/** Runs all scenarios and returns their digests; calls `onPlayed` after each scenario. */
 export async function playDigests(
   onPlayed: (name: string, result: ScenarioDigest) => void = () => undefined,
 ): Promise<Digests> {
@@ -33,7 +33,7 @@
   return digests;
 }
 
-/** A short hash over all digests, for the bodies of commits. */
+/** Returns a short hash of all digests, for use in commit messages. */
 export function totalDigest(digests: Digests): string {
   const sorted = Object.entries(digests).sort(([a], [b]) => (a < b ? -1 : 1));
   return createHash('sha256')
--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -1,24 +1,29 @@
-/** Plays the scenarios of the behaviour digest. */
+/** Runs the scenarios of the behaviour digest. */
 import { injectFaults } from '../faults/scripted/inject-faults.js';
 import { Simulation } from '../simulation.js';
 import type { DigestScenario } from './digest-scenarios.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-/** Random jobs are submitted in this share of the time. */
+/** Fraction of a scenario, from its start, in which the random jobs are submitted. */
 const SUBMISSION_SHARE = 0.8;
-/** This share of the random jobs is cancelled, within so long. */
+/**
+ * Fraction of the random jobs that are cancelled, and maximum time from submission to cancellation
+ * in milliseconds.
+ */
 const CANCELLED_SHARE = 0.2;
 const CANCELLED_WITHIN_MS = 40_000;
 
 const QUERY_INTERVAL_MS = 11_000;
-/** What operators query: pages that exist, one for another method, and one that does not exist. */
+/**
+ * Paths that operators query: existing pages, one that does not allow GET, one that does not exist.
+ */
 const QUERIED_PATHS = ['/ready', '/cluster', '/cluster?after=cloud-2', '/submissions', '/nowhere'];
-/** Spot instances are interrupted so long after the notice. */
+/** Time from the interruption notice to the interruption of a spot instance, in milliseconds. */
 const INTERRUPTION_NOTICE_MS = 15_000;
-/** The metrics are scraped within this time, at the end. */
+/** Time allowed for the request for the metrics at the end, in virtual milliseconds. */
 const SCRAPE_WAIT_MS = 100;
 
-/** Interrupts spot instances one after the other, each after a notice. */
+/** Interrupts one spot instance per interval, each after a notice. */
 function interruptSpotInstances({ clock, cloud }: Simulation, intervalMs: number): void {
   const interruptNext = (): void => {
     clock.after(intervalMs, interruptNext);
@@ -40,7 +45,7 @@
     });
 }
 
-/** Operators query every controller again and again; some requests are not valid. */
+/** Queries every controller at a fixed interval; some of the requests are invalid. */
 function queryControllers(simulation: Simulation): void {
   const query = (): void => {
     for (const host of simulation.hosts)
@@ -52,15 +57,15 @@
   query();
 }
 
-/** The result of playing a scenario. */
+/** The result of running a scenario. */
 export interface ScenarioDigest {
-  /** sha256 in hex. */
+  /** The SHA-256 digest in hex. */
   digest: string;
   /** Number of hashed events, by kind. */
   counts: ReadonlyMap<string, number>;
 }
 
-/** Plays a scenario; `digest` records what enters and leaves its controllers. */
+/** Runs a scenario; `digest` records all messages to and from its controllers. */
 export async function playDigestScenario(
   scenario: DigestScenario,
   digest: TrafficDigest,
@@ -77,11 +82,11 @@
   for (const host of simulation.hosts)
     simulation.sendRequest('GET', '/metrics', undefined, () => undefined, host);
   simulation.play(SCRAPE_WAIT_MS);
-  // The texts of the metrics come by promises, after all that virtual time brings.
+  // The metrics text is produced by promises, which are not part of virtual time.
   await new Promise(setImmediate);
 }
 
-/** Plays a scenario and hashes what enters and leaves its controllers. */
+/** Runs a scenario and returns the digest of all messages to and from its controllers. */
 export async function digestOf(scenario: DigestScenario): Promise<ScenarioDigest> {
   const digest = new TrafficDigest();
   await playDigestScenario(scenario, digest);
--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -1,4 +1,7 @@
-/** Collects an example of each form in which controllers store records or send messages to each other. */
+/**
+ * Collects an example of each form in which controllers store records or send messages to each
+ * other.
+ */
 import { decodePeerMessage } from '../../../src/controller/peers/message-codec.js';
 import { decodeBody, encodeBody } from '../../../src/controller/wire/cbor.js';
 import type { DigestScenario } from './digest-scenarios.js';
@@ -6,13 +9,13 @@
 import type { Transaction } from '../state-store/key-value-store.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-/** A value of the state store. `bytes`: its CBOR in hex. */
+/** A value in the state store; `bytes` is its CBOR encoding in hex. */
 export interface StoredExample {
   key: string;
   bytes: string;
 }
 
-/** A record in a page. `text`: its JSON. */
+/** A record in a page of records; `text` is its JSON. */
 export interface RecordExample {
   key: string;
   text: string;
@@ -20,21 +23,21 @@
 
 /** The longest example of each form. */
 export interface StoredForms {
-  /** Values at the state store, by prefix of the key. */
+  /** Values in the state store by key prefix, and for ended jobs by state too. */
   values: Record<string, StoredExample>;
-  /** Records within pages, by prefix of the key. */
+  /** Records in pages by key prefix; deleted records are listed separately. */
   records: Record<string, RecordExample>;
-  /** Messages between controllers in hex, by the fields that are not empty. */
+  /** Messages between controllers in hex, by the names of their non-empty fields. */
   messages: Record<string, string>;
 }
 
-/** The prefix of a key: all up to its first slash. */
+/** Returns a key up to and including its first slash; the whole key if it has none. */
 function keyPrefix(key: string): string {
   const slash = key.indexOf('/');
   return slash < 0 ? key : key.slice(0, slash + 1);
 }
 
-/** The prefix of the key; for the end of a job its state, too. */
+/** Returns the key prefix, and for the record of an ended job its state too. */
 function valueForm(key: string, value: unknown): string {
   const prefix = keyPrefix(key);
   return prefix === 'final/' ? `${prefix} ${(value as { state: string }).state}` : prefix;
@@ -48,7 +51,7 @@
   return nonEmptyFields.map(([name]) => name).join('+');
 }
 
-/** Keeps the longest example of each form that leaves a controller. */
+/** Keeps the longest example of each form that the controllers write or send. */
 class StoredFormsCollector extends TrafficDigest {
   readonly forms: StoredForms = { values: {}, records: {}, messages: {} };
 
@@ -87,7 +90,7 @@
   }
 }
 
-/** Plays the scenarios and returns the forms that the present version writes. */
+/** Runs the scenarios and returns the forms that the current version writes. */
 export async function storedFormsOf(scenarios: readonly DigestScenario[]): Promise<StoredForms> {
   const collector = new StoredFormsCollector();
   for (const scenario of scenarios) await playDigestScenario(scenario, collector);
--- a/test/simulation/digest/traffic-digest.ts
+++ b/test/simulation/digest/traffic-digest.ts
@@ -1,4 +1,4 @@
-/** A hash over all that enters and leaves the controllers of a simulation, in order. */
+/** A hash of all messages to and from the controllers of a simulation, in order. */
 import { createHash } from 'node:crypto';
 import { Controller } from '../../../src/controller/controller.js';
 import type { Call, Runtime, Logger, Reply } from '../../../src/controller/runtime/runtime.js';
@@ -10,10 +10,10 @@
 type Respond = Parameters<Controller['request']>[3];
 
 const NO_BYTES = Buffer.alloc(0);
-/** The one metric that depends on the machine and not on the scenario. */
+/** The only metric that depends on the machine that runs the test and not on the scenario. */
 const MEMORY_METRIC = /^(bitternvale_memory_bytes) .*$/m;
 
-/** The bytes of a body; none where there is no body. */
+/** Returns the encoded body, or no bytes if there is no body. */
 function bytesOf(body: unknown): Buffer {
   return body === undefined || body === null ? NO_BYTES : encodeBody(body);
 }
@@ -22,31 +22,34 @@
   return Buffer.from(metrics.toString().replace(MEMORY_METRIC, '$1 -'));
 }
 
-/** Hashes what enters and leaves controllers, with their clocks; log lines are left out. */
+/**
+ * Hashes the messages to and from controllers with the times of their clocks. Log lines are not
+ * included.
+ */
 export class TrafficDigest {
   private readonly hash = createHash('sha256');
-  /** Number of events by kind: a digest over few events shows little. */
+  /** Number of events by kind. A digest of few events would detect few changes of behaviour. */
   readonly counts = new Map<string, number>();
 
-  /** Adds an event with its bytes. */
+  /** Adds an event to the hash. */
   add(kind: string, details: readonly (string | number)[], bytes: Uint8Array): void {
     this.counts.set(kind, (this.counts.get(kind) ?? 0) + 1);
     this.hash.update(`${JSON.stringify([kind, ...details, bytes.length])}\n`);
     this.hash.update(bytes);
   }
 
-  /** The present version with processes that are recorded. */
+  /** Returns the current version with a controller class that records its messages here. */
   recordingVersion(): ProgramVersion {
     return { ...presentVersion(), Controller: recordingController(this) };
   }
 
-  /** The digest in hex of all events. Nothing can be added afterwards. */
+  /** Returns the digest of all events in hex. No event can be added afterwards. */
   finish(): string {
     return this.hash.digest('hex');
   }
 }
 
-/** A process's runtime that records what is sent, and the replies. */
+/** Wraps a runtime so that outgoing requests, their replies and outgoing frames are recorded. */
 function recordedRuntime(runtime: Runtime, name: string, digest: TrafficDigest): Runtime {
   const add = (kind: string, details: readonly (string | number)[], bytes: Uint8Array): void =>
     digest.add(kind, [name, runtime.now(), runtime.wallClock(), ...details], bytes);
@@ -73,7 +76,7 @@
   };
 }
 
-/** A controller class that records requests and frames that arrive, and the responses. */
+/** Returns a controller class that records incoming requests and frames, and the responses. */
 function recordingController(digest: TrafficDigest): typeof Controller {
   return class RecordedController extends Controller {
     private readonly add: (
