--- a/test/simulation/older-runtime.ts
+++ b/test/simulation/older-runtime.ts
@@ -1,4 +1,7 @@
-/** Lets controllers of older versions run on today's runtime, whose members had other names. */
+/**
+ * Runs controllers of older program versions on the current runtime, whose members have been
+ * renamed.
+ */
 import type { Controller } from '../../src/controller/controller.js';
 import type { Runtime, Timer } from '../../src/controller/runtime/runtime.js';
 
@@ -6,7 +9,7 @@
 type ControllerArgumentsAfterRuntime =
   ConstructorParameters<ControllerClass> extends [Runtime, ...infer Rest] ? Rest : never;
 
-/** The runtime interface as the older versions know it, where its names differ. */
+/** The runtime interface of the older versions, with the former names of its members. */
 interface OlderRuntime extends Pick<Runtime, 'startedAt' | 'now' | 'random' | 'call' | 'sendPeer'> {
   wall(): number;
   soon(task: () => void): void;
@@ -14,7 +17,7 @@
   mayCall(to: string): boolean;
 }
 
-/** Today's runtime by the older names. */
+/** Returns the current runtime under the former member names. */
 function olderRuntime(runtime: Runtime): OlderRuntime {
   return {
     startedAt: runtime.startedAt,
@@ -29,7 +32,7 @@
   };
 }
 
-/** An older version's controller that runs on today's runtime. */
+/** Returns a subclass of an older version's controller class that accepts the current runtime. */
 export function onOlderRuntime(OlderController: ControllerClass): ControllerClass {
   return class extends OlderController {
     constructor(runtime: Runtime, ...rest: ControllerArgumentsAfterRuntime) {
--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -1,4 +1,4 @@
-/** Versions of the project's history, loaded beside the present sources. */
+/** Loads older program versions from the git history, to run them together with the current one. */
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, mkdtempSync, readFileSync, renameSync, rmSync } from 'node:fs';
 import { join } from 'node:path';
@@ -12,36 +12,40 @@
 type PropertiesModule = typeof import('../../src/controller/settings/properties.js');
 type SettingsModule = typeof import('../../src/controller/settings/settings.js');
 
-/** A version of the history that serves beside the present one. */
+/** An older program version that runs together with the current one. */
 export interface OlderVersion {
-  /** How tests name it. */
+  /** The name of the version in test titles. */
   name: string;
-  /** Whether it knows jobs of the kind `service`, and writes within limits that the state store will have. */
+  /**
+   * Whether the version supports jobs of the kind `service` and keeps its writes within the
+   * announced future limits of the state store.
+   */
   knowsServicesAndLimits: boolean;
   version: ProgramVersion;
 }
 
-/** An older version, or why it can't be had. */
+/** An older version, or the reason why it is not available. */
 export type VersionLookup =
   { name: string; older: OlderVersion } | { name: string; reason: string };
 
-/** The previous landing on the main branch. */
+/** The commit of the previous landing on the main branch. */
 const PREVIOUS_LANDING = '41e660f42774fdcc4b541cb925a56407228d98fd';
 
-/** The commit with which services and the upcoming limits of the state store became known. */
+/** The commit that introduced services and the announced future limits of the state store. */
 const SERVICES_AND_LIMITS_SINCE = 'f1ae35564a838d29cfab08cf281fba7d5f513b43';
 
 const root = fileURLToPath(new URL('../../', import.meta.url));
 
-/** The commit in production, which deploy/service.toml names; where it names none, the one checked out. */
+/** Returns the commit in production that deploy/service.toml names, or HEAD if it names none. */
 function productionCommit(): string {
   const { production } = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
   if (production === undefined) return 'HEAD';
-  if (typeof production !== 'string') throw new Error('deploy/service.toml: production: no text');
+  if (typeof production !== 'string')
+    throw new Error('deploy/service.toml: production must be a string with a commit');
   return production;
 }
 
-/** All commits whose versions serve beside the present one, by the names that tests give them. */
+/** Returns the commits to run with the current version, and their names in test titles. */
 function olderCommits(): { name: string; commit: string }[] {
   return [
     { name: 'production', commit: productionCommit() },
@@ -54,7 +58,10 @@
   return execFileSync('git', args, { cwd: root, maxBuffer: 2 ** 28, stdio });
 }
 
-/** Puts the commit's sources below target/, at once or not at all, and says where. */
+/**
+ * Extracts a commit's sources below target/ and returns their directory. The directory is renamed
+ * into place when it is complete, so that a partial one is never used.
+ */
 function extractSources(commit: string): string {
   const target = join(root, 'target');
   const directory = join(target, `version-${commit}`);
@@ -66,14 +73,14 @@
   try {
     renameSync(partialDirectory, directory);
   } catch (err) {
-    // Another run was faster.
+    // Another process may have extracted the same commit in the meantime.
     rmSync(partialDirectory, { recursive: true });
     if (!existsSync(directory)) throw err;
   }
   return directory;
 }
 
-/** Loads the sources of a commit beside the present ones. */
+/** Loads the program of a commit in addition to the current one. */
 async function load(name: string, commit: string): Promise<ProgramVersion> {
   const base = pathToFileURL(join(extractSources(commit), 'src', 'controller')).href;
   const { Controller } = (await import(`${base}/controller.ts`)) as ControllerModule;
@@ -91,7 +98,7 @@
   };
 }
 
-/** Whether the commit has what came with `SERVICES_AND_LIMITS_SINCE`. */
+/** Returns whether the commit is or descends from `SERVICES_AND_LIMITS_SINCE`. */
 function knowsServicesAndLimits(commit: string): boolean {
   return (
     git('rev-list', '--max-count=1', `${SERVICES_AND_LIMITS_SINCE}^!`, `^${commit}`).length === 0
@@ -106,15 +113,18 @@
     hasServicesAndLimits = knowsServicesAndLimits(commit);
   } catch (err) {
     const { message } = err as Error;
-    return { name, reason: `needs the history with commit ${revision}: ${message.trim()}` };
+    return {
+      name,
+      reason: `needs a git history that contains commit ${revision}: ${message.trim()}`,
+    };
   }
   const version = await load(name, commit);
   return { name, older: { name, knowsServicesAndLimits: hasServicesAndLimits, version } };
 }
 
 /**
- * The older versions that are played. Only what git doesn't have is a reason to do without; a commit
- * that it has must load.
+ * Looks up the older versions. A version counts as unavailable only if git does not have its
+ * commit; if the commit exists but fails to load, this throws.
  */
 export async function olderVersions(): Promise<VersionLookup[]> {
   const lookups: VersionLookup[] = [];
--- a/test/simulation/program-version.ts
+++ b/test/simulation/program-version.ts
@@ -1,10 +1,10 @@
-/** The program versions that controller processes run. */
+/** The program version that a controller process runs. */
 import { Controller } from '../../src/controller/controller.js';
 import { readPlatform } from '../../src/controller/settings/platform.js';
 import { defaultProperties, type Properties } from '../../src/controller/settings/properties.js';
 import { Settings } from '../../src/controller/settings/settings.js';
 
-/** The program that a controller's process runs, and its operators' settings. */
+/** The program that a controller process runs, and the operators' properties for it. */
 export interface ProgramVersion {
   name: string;
   Controller: typeof Controller;
@@ -13,7 +13,7 @@
   properties: Properties;
 }
 
-/** The sources as they are here. */
+/** Returns the version of the current sources. */
 export function presentVersion(properties = defaultProperties()): ProgramVersion {
   return { name: 'present', Controller, Settings, readPlatform, properties };
 }
