--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -100,7 +100,9 @@
     this.cuts.delete(`${a} ${b}`);
     this.cuts.delete(`${b} ${a}`);
     if (this.heldMessages.length === 0) return;
-    const released = this.heldMessages.filter((h) => !this.cuts.has(`${h.from} ${h.to}`));
+    const released = this.heldMessages.filter(
+      (message) => !this.cuts.has(`${message.from} ${message.to}`),
+    );
     this.heldMessages = this.heldMessages.filter((h) => this.cuts.has(`${h.from} ${h.to}`));
     for (const h of released) this.clock.after(this.random.between(0.2, 3), h.run);
   }
