--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -65,7 +65,7 @@
   delayedCommandsDelivered = 0;
   /** Fraction of the heartbeats of which a copy is retained, to be replayed to the next leader. */
   retainedHeartbeats = 0;
-  private retainedRequests: { from: string; arrival: IncomingRequest }[] = [];
+  private retainedRequests: { from: string; request: IncomingRequest }[] = [];
   /** Current maximum one-way latency, in milliseconds. */
   maxLatencyMs = USUAL_MAX_LATENCY_MS;
 
@@ -137,7 +137,7 @@
   deliverRetained(addresses: readonly string[], afterMs: number): void {
     const { retainedRequests } = this;
     this.retainedRequests = [];
-    for (const { from, arrival } of retainedRequests)
+    for (const { from, request: arrival } of retainedRequests)
       for (const address of addresses)
         this.clock.after(afterMs + this.random.between(0, 50), () => {
           const service = this.services.get(address);
@@ -241,6 +241,6 @@
       if (this.random.next() < this.duplicatedHeartbeats) deliverCopyLater(2000);
     if (this.retainedHeartbeats > 0 && call.path === '/v1/report')
       if (this.random.next() < this.retainedHeartbeats)
-        this.retainedRequests.push({ from, arrival: request });
+        this.retainedRequests.push({ from, request: request });
   }
 }
