--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -93,8 +93,8 @@
     this.cloud = createCloud(this.machines, deployment, platform, rates);
     this.connectionFaults = new ConnectionFaults(clock, random, network, hosts, () => this.workers);
     this.machineFaults = new MachineFaults(clock, random, this.cloud, this.connectionFaults);
-    const host = { clock, random, network, deployment, apiOf, log, versionOf };
-    this.processes = new ControllerProcesses(host);
+    const processContext = { clock, random, network, deployment, apiOf, log, versionOf };
+    this.processes = new ControllerProcesses(processContext);
     observeFaultCombinations(this);
     this.processes.startAll();
     if (Number.isFinite(rates.meanIntervalMs)) injectRandomFaults(this, rates.meanIntervalMs);
