--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -223,7 +223,7 @@
         nextRuleCheck = this.clock.now + RULE_CHECK_INTERVAL_MS;
         this.checker.tick();
         if (this.checker.faultsEndedAt !== null)
-          this.checker.checkWaitingJobs(this.workers.map((w) => w.freeCapacity));
+          this.checker.checkWaitingJobs(this.workers.map((worker) => worker.freeCapacity));
       }
       if (this.checker.violations.length > 0 || this.processes.errors.length > 0)
         throw new Error([...this.checker.violations, ...this.processes.errors].join('\n'));
