--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -69,8 +69,13 @@
       platformOf(hosts, host, platform, version.readPlatform),
       version.properties,
     );
-    const name = `${host}-${this.starts++}`;
-    const controller = new version.Controller(runtime, this.observedLog(version), settings, name);
+    const identity = `${host}-${this.starts++}`;
+    const controller = new version.Controller(
+      runtime,
+      this.observedLog(version),
+      settings,
+      identity,
+    );
     this.processes.set(host, { controller, runtime });
     this.connect(host, { controller, runtime });
     controller.start();
