--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -44,7 +44,7 @@
   readonly electedVersions: ProgramVersion[] = [];
   private readonly processes = new Map<string, Process>();
   private readonly peerFrameHandlers = new Map<string, (bytes: Buffer) => void>();
-  private starts = 0;
+  private startCount = 0;
 
   constructor(private readonly context: ProcessContext) {}
 
@@ -69,7 +69,7 @@
       platformOf(hosts, host, platform, version.readPlatform),
       version.properties,
     );
-    const identity = `${host}-${this.starts++}`;
+    const identity = `${host}-${this.startCount++}`;
     const controller = new version.Controller(
       runtime,
       this.observedLog(version),
