--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -87,8 +87,8 @@
     );
     this.context.network.listen(this.context.apiOf(host), host, (_, request, respond) => {
       runtime.whenAwake(() => {
-        controller.request(request.method, request.path, request.bytes, (answer) => {
-          if (runtime.alive) respond({ status: answer.status, body: answer.body ?? null });
+        controller.request(request.method, request.path, request.bytes, (response) => {
+          if (runtime.alive) respond({ status: response.status, body: response.body ?? null });
         });
       });
     });
