--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -173,7 +173,7 @@
     const oldest = this.log[0]?.revision ?? 0;
     if (watch.afterRevision < oldest - 1) return false;
     this.watches.push(watch);
-    this.tryWatch(watch);
+    this.answerIfChanged(watch);
     return true;
   }
 
@@ -192,11 +192,11 @@
   }
 
   private notify(): void {
-    for (const watch of this.watches) this.tryWatch(watch);
+    for (const watch of this.watches) this.answerIfChanged(watch);
     this.watches = this.watches.filter((watch) => watch.open);
   }
 
-  private tryWatch(watch: Watch): void {
+  private answerIfChanged(watch: Watch): void {
     if (!watch.open) return;
     // The log is in order of revision, so the search ends at the first change that is not newer.
     let first = this.log.length;
