--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -103,7 +103,7 @@
   }
 
   /** Revokes the leases that have expired. */
-  expire(): void {
+  expireLeases(): void {
     for (const [id, lease] of this.leases) if (this.now() > lease.expiresAt) this.revoke(id);
   }
 
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -157,7 +157,7 @@
 
   private expire(): void {
     this.clock.after(EXPIRY_CHECK_INTERVAL_MS, () => this.expire());
-    if (!this.unavailable) this.store.expire();
+    if (!this.unavailable) this.store.expireLeases();
   }
 
   private serve(from: string, request: IncomingRequest, respondNow: Respond): void {
