--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -80,7 +80,7 @@
     network.listen(address, 'state', (from, request, respond) =>
       this.serve(from, request, respond),
     );
-    this.expire();
+    this.expireLeases();
   }
 
   /** The stored entries by key. */
@@ -155,8 +155,8 @@
     return !this.unavailable && this.refusedHosts.has(host);
   }
 
-  private expire(): void {
-    this.clock.after(EXPIRY_CHECK_INTERVAL_MS, () => this.expire());
+  private expireLeases(): void {
+    this.clock.after(EXPIRY_CHECK_INTERVAL_MS, () => this.expireLeases());
     if (!this.unavailable) this.store.expireLeases();
   }
 
