--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -79,7 +79,7 @@
    */
   constructor(
     private readonly now: () => number,
-    private readonly onRead: (by: string, key: string) => void,
+    private readonly onRead: (reader: string, key: string) => void,
   ) {}
 
   /** Grants a lease and returns its id. */
