--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -49,7 +49,7 @@
     this.body = writeJobSpec(spec);
     checker.jobSubmitted(spec);
     if (cancelAfterMs !== null) clock.after(cancelAfterMs, () => this.cancel());
-    this.step();
+    this.sendNextRequest();
   }
 
   /**
@@ -79,10 +79,10 @@
   private stepNow(): void {
     if (this.requestInFlight) return;
     this.nextRequest?.cancel();
-    this.step();
+    this.sendNextRequest();
   }
 
-  private step(): void {
+  private sendNextRequest(): void {
     const { id } = this.spec;
     const action = this.nextAction();
     if (action === 'cancel') this.checker.cancelRequested(id);
@@ -93,7 +93,7 @@
       this.requestInFlight = false;
       this.checker.responseReceived(id, status, state, action === 'submit', stateBefore);
       this.recordResponse(action, status);
-      this.nextRequest = this.clock.after(this.pauseMs(state), () => this.step());
+      this.nextRequest = this.clock.after(this.pauseMs(state), () => this.sendNextRequest());
     });
   }
 
