--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -63,7 +63,7 @@
 
   /** Sends the next request now if the job is accepted and no request is in flight. */
   pollNow(): void {
-    if (this.accepted) this.stepNow();
+    if (this.accepted) this.sendNextRequestNow();
   }
 
   /** Submits the job again. */
@@ -73,10 +73,10 @@
 
   private requestAction(action: 'cancel' | 'submit'): void {
     if (this.pendingAction !== 'cancel') this.pendingAction = action;
-    if (this.accepted) this.stepNow();
+    if (this.accepted) this.sendNextRequestNow();
   }
 
-  private stepNow(): void {
+  private sendNextRequestNow(): void {
     if (this.requestInFlight) return;
     this.nextRequest?.cancel();
     this.sendNextRequest();
