--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -45,7 +45,7 @@
   /** The ids of rented machines, by their request's idempotency key. */
   private readonly rentedIdsByKey = new Map<string, string[]>();
   private snapshots: Snapshot[] = [];
-  private machineCount = 0;
+  private nextMachineIndex = 0;
   /** Virtual time until which newly rented machines boot within two seconds. */
   private quickBootUntil = 0;
   /** Listeners called when a machine has booted. */
@@ -66,7 +66,7 @@
 
   /** Adds a machine that is up after `bootMs`, or never if that is null; returns its id. */
   addMachine(type: MachineType, zone: string, spot: boolean, bootMs: number | null): string {
-    const index = this.machineCount++;
+    const index = this.nextMachineIndex++;
     const id = `n-${String(index).padStart(6, '0')}`;
     const { clock } = this.context;
     const machine: RentedMachine = { worker: null, type, zone, spot, rentedAt: clock.now, id };
