--- a/test/simulation/digest/expected-digests.ts
+++ b/test/simulation/digest/expected-digests.ts
@@ -4,7 +4,7 @@
 import { digestScenarios } from './digest-scenarios.js';
 import { digestOf, type ScenarioDigest } from './play-digest-scenario.js';
 
-const EXPECTED = new URL('../../digests.json', import.meta.url);
+const EXPECTED_DIGESTS_FILE = new URL('../../digests.json', import.meta.url);
 const SHORT_HASH_LENGTH = 12;
 
 /** Digests by scenario name. */
@@ -12,12 +12,12 @@
 
 /** Returns the expected digests in `test/digests.json`. */
 export function expectedDigests(): Digests {
-  return JSON.parse(readFileSync(EXPECTED, 'utf8')) as Digests;
+  return JSON.parse(readFileSync(EXPECTED_DIGESTS_FILE, 'utf8')) as Digests;
 }
 
 /** Replaces the expected digests in `test/digests.json`. */
 export function writeDigests(digests: Digests): void {
-  writeFileSync(EXPECTED, `${JSON.stringify(digests, null, 2)}\n`);
+  writeFileSync(EXPECTED_DIGESTS_FILE, `${JSON.stringify(digests, null, 2)}\n`);
 }
 
 /** Runs all scenarios and returns their digests; calls `onPlayed` after each scenario. */
