--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -150,15 +150,15 @@
     const leaderIndex = controllers.indexOf(leader);
     if (leaderIndex < 0 || leaderIndex === this.controllerIndex) return this.tryNextController();
     this.controllerIndex = leaderIndex;
-    this.retry(random.between(0, MAX_REDIRECT_DELAY_MS));
+    this.sendNextAfter(random.between(0, MAX_REDIRECT_DELAY_MS));
   }
 
-  private retry(ms: number): void {
+  private sendNextAfter(ms: number): void {
     this.earliestAt = this.regularAt = this.context.clock.now + ms;
   }
 
   private tryNextController(): void {
     this.controllerIndex = (this.controllerIndex + 1) % this.context.controllers.length;
-    this.retry(RETRY_DELAY_MS);
+    this.sendNextAfter(RETRY_DELAY_MS);
   }
 }
