--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -50,7 +50,7 @@
       task.timer?.cancel();
       task.status = 'exited';
       task.cause = 'killed';
-      this.leaveMachine(task);
+      this.recordEnd(task);
     }
   }
 
@@ -176,11 +176,11 @@
     task.status = 'exited';
     task.cause = cause;
     if (cause === 'done') this.context.checker.taskCompleted(task.jobId, task.index);
-    this.leaveMachine(task);
+    this.recordEnd(task);
     this.host.stateChanged();
   }
 
-  private leaveMachine(task: Task): void {
+  private recordEnd(task: Task): void {
     const { checker, gangs, settings } = this.context;
     if (task.started) checker.taskStopped(task.jobId, task.index, this.host.placement.machine);
     task.started = false;
