--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -10,7 +10,7 @@
 import type { ProgramVersion } from './program-version.js';
 
 /** Downtime of each process in a rolling restart, in milliseconds. */
-const ROLL_RESTART_MS = 6000;
+const ROLLING_RESTART_DOWNTIME_MS = 6000;
 
 /** The context that all controller processes of a simulation share. */
 export interface ProcessContext {
@@ -164,7 +164,9 @@
   /** Restarts the processes one after another, with `intervalMs` between the restarts. */
   rollingRestart(intervalMs: number): void {
     for (const [index, host] of this.context.deployment.hosts.entries())
-      this.context.clock.after(index * intervalMs, () => this.kill(host, ROLL_RESTART_MS));
+      this.context.clock.after(index * intervalMs, () =>
+        this.kill(host, ROLLING_RESTART_DOWNTIME_MS),
+      );
   }
 
   /** Freezes a host's process for `ms`. */
