--- a/test/simulation/machines/machine-context.ts
+++ b/test/simulation/machines/machine-context.ts
@@ -12,7 +12,7 @@
   heartbeatIntervalMs: number;
   leaseMs: number;
   /** Maximum time for which a gang member waits for the other members. */
-  gangWaitMs: number;
+  maxGangWaitMs: number;
   /** Time from the failure of a gang member to the exit of the other members. */
   gangPeerExitMs: number;
 }
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -128,7 +128,7 @@
   private waitForGang(task: Task, spec: JobSpec): void {
     const { gangs, settings, clock } = this.context;
     task.status = 'waiting';
-    task.timer = clock.after(settings.gangWaitMs, () => {
+    task.timer = clock.after(settings.maxGangWaitMs, () => {
       if (task.status === 'waiting') this.finish(task, 'alone');
     });
     gangs.join(this, task, spec.tasks, this.context.runMs(task.jobId));
--- a/test/simulation/simulation-parts.ts
+++ b/test/simulation/simulation-parts.ts
@@ -79,7 +79,7 @@
   return {
     heartbeatIntervalMs: workers.heartbeatIntervalS * 1000,
     leaseMs: workers.leaseS * 1000,
-    gangWaitMs: workers.gangFetchWaitS * 1000,
+    maxGangWaitMs: workers.gangFetchWaitS * 1000,
     gangPeerExitMs: workers.gangPeerExitS * 1000,
   };
 }
