--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -11,7 +11,7 @@
  * in milliseconds.
  */
 const CANCELLED_SHARE = 0.2;
-const CANCELLED_WITHIN_MS = 40_000;
+const MAX_CANCEL_DELAY_MS = 40_000;
 
 const QUERY_INTERVAL_MS = 11_000;
 /**
@@ -40,7 +40,7 @@
   for (let i = 0; i < count; i++)
     clock.after(random.between(0, withinMs), () => {
       const cancels = random.next() < CANCELLED_SHARE;
-      const cancelAfterMs = cancels ? random.between(0, CANCELLED_WITHIN_MS) : null;
+      const cancelAfterMs = cancels ? random.between(0, MAX_CANCEL_DELAY_MS) : null;
       simulation.submit(simulation.randomJob(), cancelAfterMs);
     });
 }
