--- a/test/simulation/simulation-parts.ts
+++ b/test/simulation/simulation-parts.ts
@@ -63,11 +63,11 @@
 ): Cloud {
   const lagMs = cloudLimits.listLagS * 1000;
   const cloud = new Cloud(context, address, types, capacity, lagMs, rates.bootFailures);
-  for (const { type: name, zone, spot, count } of machines) {
-    const type = types.find((candidate) => candidate.name === name);
+  for (const { type: typeName, zone, spot, count } of machines) {
+    const type = types.find((candidate) => candidate.name === typeName);
     if (type === undefined)
       throw new Error(
-        `the deployment has machines of type ${name}, but its type list does not contain that type`,
+        `the deployment has machines of type ${typeName}, but its type list does not contain that type`,
       );
     for (let i = 0; i < count; i++) cloud.addMachine(type, zone, spot, INITIAL_BOOT_MS);
   }
