--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -103,7 +103,9 @@
     const released = this.heldMessages.filter(
       (message) => !this.cuts.has(`${message.from} ${message.to}`),
     );
-    this.heldMessages = this.heldMessages.filter((h) => this.cuts.has(`${h.from} ${h.to}`));
+    this.heldMessages = this.heldMessages.filter((message) =>
+      this.cuts.has(`${message.from} ${message.to}`),
+    );
     for (const h of released) this.clock.after(this.random.between(0.2, 3), h.run);
   }
 
