--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -106,7 +106,7 @@
     this.heldMessages = this.heldMessages.filter((message) =>
       this.cuts.has(`${message.from} ${message.to}`),
     );
-    for (const h of released) this.clock.after(this.random.between(0.2, 3), h.run);
+    for (const message of released) this.clock.after(this.random.between(0.2, 3), message.run);
   }
 
   private cutOf(from: string, to: string): CutMode | undefined {
