--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -174,18 +174,18 @@
       this.clock.after(1, () => finish(NO_REPLY));
       return;
     }
-    const arrival = toIncomingRequest(call);
+    const incomingRequest = toIncomingRequest(call);
     const deliver = (request: IncomingRequest, respond: Respond): void =>
       this.deliver(from, call.to, request, respond);
-    if (this.tryDelay(call, (respond) => deliver(arrival, respond))) return;
+    if (this.tryDelay(call, (respond) => deliver(incomingRequest, respond))) return;
     const respond = (reply: Reply): void => this.sendReply(target.host, from, reply, finish);
     this.send(
       from,
       target.host,
-      () => deliver(arrival, respond),
+      () => deliver(incomingRequest, respond),
       () => finish(NO_REPLY),
     );
-    this.copyRequest(from, call, arrival, deliver);
+    this.copyRequest(from, call, incomingRequest, deliver);
   }
 
   /**
