--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -133,19 +133,19 @@
   }
 
   /**
-   * Delivers the retained heartbeats to all the given addresses, each between `afterMs` and 50 ms
-   * later.
+   * Delivers each retained heartbeat to all the given addresses, at random times from `afterMs` to
+   * 50 ms after that.
    */
   deliverRetained(addresses: readonly string[], afterMs: number): void {
     const { retainedRequests } = this;
     this.retainedRequests = [];
-    for (const { from, request: arrival } of retainedRequests)
+    for (const { from, request } of retainedRequests)
       for (const address of addresses)
         this.clock.after(afterMs + this.random.between(0, 50), () => {
           const service = this.services.get(address);
           if (service === undefined) return;
           this.duplicatesDelivered++;
-          service.serve(from, arrival, () => undefined);
+          service.serve(from, request, () => undefined);
         });
   }
 
@@ -243,6 +243,6 @@
       if (this.random.next() < this.duplicatedHeartbeats) deliverCopyLater(2000);
     if (this.retainedHeartbeats > 0 && call.path === '/v1/report')
       if (this.random.next() < this.retainedHeartbeats)
-        this.retainedRequests.push({ from, request: request });
+        this.retainedRequests.push({ from, request });
   }
 }
