--- a/test/simulation/deployments/deployment.ts
+++ b/test/simulation/deployments/deployment.ts
@@ -4,7 +4,7 @@
 import type { PlatformOptions } from '../../platform.js';
 import type { SeededRandom } from '../seeded-random.js';
 
-/** Machines of one type, zone and price model that exist from the start. */
+/** Machines of one type in one zone that exist from the start. */
 export interface MachineGroup {
   type: string;
   zone: string;
--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -42,7 +42,7 @@
   private hasUnreportedChange = false;
   /** Virtual time of the next regular heartbeat. */
   private regularAt: number;
-  /** Virtual time before which no heartbeat is sent, after a failed or redirected one. */
+  /** Virtual time before which no heartbeat is sent; set after a failed or redirected heartbeat. */
   private earliestAt = 0;
   private lastSent = -Infinity;
   private blockedUntil = 0;
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -35,7 +35,7 @@
 
 const NO_BYTES = Buffer.alloc(0);
 
-/** The reply that a caller receives if none arrives. */
+/** Passed to a caller in place of a reply if none arrives. */
 const NO_REPLY: Reply = { status: 0, body: null };
 
 function toIncomingRequest(call: Call): IncomingRequest {
