--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -1,19 +1,21 @@
-/** Scripted faults of controllers, and of their connections to everything else. */
+/** Scripted faults of controllers and of their connections. */
 import type { Simulation } from '../../simulation.js';
 import { NEW_MACHINE_MS } from '../observed-events.js';
 import type { Injectors } from './injectors.js';
 import { hostsOf, type OnControllers } from './targets.js';
 
 interface Restart {
-  /** Seconds until the processes that ended are back. */
+  /** Seconds from the kill of a process to its restart. */
   restartAfter: number;
 }
 
 interface ZoneCut {
   zone: string;
   /**
-   * The controller that is inside the zone. Where controllers are spread over zones it is the zone
-   * of that controller, with all controllers in it.
+   * Selects the controllers inside the zone that is cut off. If the deployment assigns no zones to
+   * controllers: the leader, or else one other controller, inside `zone`. If it does: all
+   * controllers in the zone of the leader or of a follower, which is cut off instead of `zone`, or
+   * with `single` all controllers in `zone`.
    */
   inside: 'leader' | 'follower' | 'single';
 }
@@ -21,33 +23,35 @@
 /** Parameters of the faults of controllers. */
 export interface ControllerFaults {
   controllersKilled: OnControllers & Restart;
-  /** The leader ends as machines that were just rented start work. */
+  /** Kills the leader while machines that were just rented boot or start tasks. */
   leaderKilledBesideNewMachines: Restart;
-  /** Leaders end again and again, each in the midst of its election. */
+  /** Repeatedly kills whoever has just been elected leader. */
   repeatedElections: object;
   controllersFrozen: OnControllers;
-  /** Cut off from the state store and from each other, but not from workers and users. */
+  /** Cuts controllers off from the state store and their peers, but not from workers and users. */
   controllersIsolated: OnControllers;
   cutOffFromWorkers: OnControllers;
   peerConnectionsRefused: object;
-  /** This controller becomes the leader: all others end, and are back after a time. */
+  /** Makes this controller the leader: kills all others, which restart after `restartAfter`. */
   leaderMoved: Restart & { host: string };
   zoneCutOff: ZoneCut;
 }
 
-const ELECTIONS = 10;
-/** The leader ends within this time after a machine is up, or after the first task on it starts. */
-const AFTER_BOOT_MS = 1500;
-const AFTER_START_MS = 300;
+/** How many times `repeatedElections` kills the current leader. */
+const LEADER_KILLS = 10;
+/** Maximum time from the boot of a new machine to the kill of the leader. */
+const KILL_AFTER_BOOT_MS = 1500;
+/** Maximum time from the start of a task on a new machine to the kill of the leader. */
+const KILL_AFTER_TASK_START_MS = 300;
 
-/** Begins faults of controllers. */
+/** Injectors of the faults of controllers. */
 export const controllerFaults: Injectors<ControllerFaults> = {
   controllersKilled: (simulation, { target, restartAfter }) => {
     for (const host of hostsOf(simulation, target)) simulation.kill(host, restartAfter * 1000);
   },
   leaderKilledBesideNewMachines: (simulation, { restartAfter }, ms) =>
     killLeaderBesideNewMachines(simulation, restartAfter * 1000, ms),
-  repeatedElections: ({ processes }, _, ms) => processes.killElected(ELECTIONS, ms),
+  repeatedElections: ({ processes }, _, ms) => processes.killElected(LEADER_KILLS, ms),
   controllersFrozen: (simulation, { target }, ms) => {
     for (const host of hostsOf(simulation, target)) simulation.processes.freeze(host, ms);
   },
@@ -66,7 +70,7 @@
   zoneCutOff: cutZone,
 };
 
-/** Ends the leader a moment after a new machine is up, or has started its first task. */
+/** Kills the leader shortly after a new machine has booted or a task has started on one. */
 function killLeaderBesideNewMachines(
   simulation: Simulation,
   restartMs: number,
@@ -74,34 +78,34 @@
 ): void {
   const { clock, random, cloud, checker } = simulation;
   const until = clock.now + durationMs;
-  let planned = false;
-  const killWithin = (ms: number): void => {
-    if (planned || clock.now > until) return;
-    planned = true;
+  let killScheduled = false;
+  const scheduleKillWithin = (ms: number): void => {
+    if (killScheduled || clock.now > until) return;
+    killScheduled = true;
     clock.after(random.between(0, ms), () => {
-      planned = false;
+      killScheduled = false;
       const { leader } = simulation;
       if (leader === null) return;
       simulation.observedEvents.record('leader killed beside a new machine');
       simulation.kill(leader, restartMs);
     });
   };
-  cloud.onBoot.push(() => killWithin(AFTER_BOOT_MS));
+  cloud.onBoot.push(() => scheduleKillWithin(KILL_AFTER_BOOT_MS));
   checker.onTaskStart.push(({ machine }) => {
-    if (cloud.ageMs(machine) < NEW_MACHINE_MS) killWithin(AFTER_START_MS);
+    if (cloud.ageMs(machine) < NEW_MACHINE_MS) scheduleKillWithin(KILL_AFTER_TASK_START_MS);
   });
 }
 
 function cutZone(simulation: Simulation, { zone, inside }: ZoneCut, ms: number): void {
   const host = hostsOf(simulation, inside === 'leader' ? 'leader' : 'others')[0] ?? '';
-  const site = inside === 'single' ? zone : simulation.zoneOf(host);
-  if (site === undefined) return simulation.connectionFaults.cutZone(zone, [host], ms);
-  const hostsInside = simulation.hosts.filter((other) => simulation.zoneOf(other) === site);
-  simulation.connectionFaults.cutZone(site, hostsInside, ms);
+  const zoneToCut = inside === 'single' ? zone : simulation.zoneOf(host);
+  if (zoneToCut === undefined) return simulation.connectionFaults.cutZone(zone, [host], ms);
+  const hostsInside = simulation.hosts.filter((other) => simulation.zoneOf(other) === zoneToCut);
+  simulation.connectionFaults.cutZone(zoneToCut, hostsInside, ms);
   observeZoneCut(simulation, hostsInside, ms);
 }
 
-/** Records who leads, and that tasks start, while a zone is cut off. */
+/** Records the position of the leader, elections and task starts while a zone is cut off. */
 function observeZoneCut(
   simulation: Simulation,
   hostsInside: readonly string[],
@@ -111,8 +115,8 @@
   const until = clock.now + durationMs;
   if (hostsInside.length === 1 && simulation.leader === hostsInside[0])
     observedEvents.record('leader alone in its zone');
-  simulation.processes.onLog.push((text) => {
-    if (text !== 'elected leader' || clock.now > until) return;
+  simulation.processes.onLog.push((message) => {
+    if (message !== 'elected leader' || clock.now > until) return;
     clock.after(0, () => {
       const outside = simulation.processes.leaders().some((host) => !hostsInside.includes(host));
       if (outside) observedEvents.record('leader elected outside a zone that is cut off');
--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -1,4 +1,4 @@
-/** The fault scenarios in the deployment with short leases. */
+/** Adapts the fault scenarios to the deployment with short leases. */
 import { defaultPlatformOptions } from '../../platform.js';
 import { shortLeases, shortLeasesWithLowerLimits } from '../deployments/short-leases.js';
 import type { Fault } from '../faults/scripted/fault.js';
@@ -12,29 +12,36 @@
 
 const LEASE_RATIO = shortLeases.platform.leaseS / defaultPlatformOptions.leaseS;
 const CANCEL_RATIO = shortLeases.platform.cancelDeadlineS / defaultPlatformOptions.cancelDeadlineS;
-/** Until then a scenario runs at the rate of the leases; later times only shift. */
+/** Times up to this one, in seconds, scale with the lease; later ones shift by the same amount. */
 const SCALED_UNTIL_S = 10;
 
-/** A time of a scenario's table, as a time of the deployment with short leases. */
-function moment(seconds: number): number {
-  const early = Math.min(seconds, SCALED_UNTIL_S);
-  return early * LEASE_RATIO + (seconds - early);
+/** Converts the time at which a fault begins, in seconds, to the deployment with short leases. */
+function scaledTime(seconds: number): number {
+  const scaledPart = Math.min(seconds, SCALED_UNTIL_S);
+  return scaledPart * LEASE_RATIO + (seconds - scaledPart);
 }
 
-/** A span of time: one longer than `cancel_s` stays so, others keep their ratio to the lease. */
-function span(seconds: number): number {
+/**
+ * Converts a duration in seconds. One longer than `cancel_s` scales with `cancel_s`, so that it
+ * stays longer; others scale with the lease.
+ */
+function scaledDuration(seconds: number): number {
   return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
 }
 
-function scaled(fault: Fault): Fault {
-  const t = { ...fault, at: moment(fault.at) };
-  if (t.for !== undefined && LEASE_RELATED.has(t.kind)) t.for = span(t.for);
-  if ('hang' in t) t.hang = span(t.hang);
-  if ('cut' in t) t.cut = span(t.cut);
-  return t;
+function scaleFault(fault: Fault): Fault {
+  const scaledFault = { ...fault, at: scaledTime(fault.at) };
+  if (scaledFault.for !== undefined && LEASE_RELATED.has(scaledFault.kind))
+    scaledFault.for = scaledDuration(scaledFault.for);
+  if ('hang' in scaledFault) scaledFault.hang = scaledDuration(scaledFault.hang);
+  if ('cut' in scaledFault) scaledFault.cut = scaledDuration(scaledFault.cut);
+  return scaledFault;
 }
 
-/** Faults whose length matters beside the leases; others say for how long something goes on. */
+/**
+ * Faults whose duration matters in relation to the leases. The duration of other faults only limits
+ * how long an activity lasts, and is not scaled.
+ */
 const LEASE_RELATED: ReadonlySet<Fault['kind']> = new Set([
   ...([
     'stateStoreRefuses',
@@ -48,19 +55,19 @@
   ...(['commandsHeldBack', 'responsesHeldBack'] as const),
 ]);
 
-/** The scenario in the deployment with short leases. */
+/** Adapts a scenario to the deployment with short leases. */
 export function withShortLeases(scenario: FaultScenario): FaultScenario {
   return {
     ...scenario,
     deployment: scenario.deployment === undefined ? shortLeases : shortLeasesWithLowerLimits,
-    faults: (between) => scenario.faults(between).map(scaled),
+    faults: (between) => scenario.faults(between).map(scaleFault),
   };
 }
 
-/** The zone with a single controller alone, with the leader or with a follower in it. */
+/** Scenarios that cut off the zone with a single controller, which is the leader or a follower. */
 export const singleControllerZone: FaultScenario[] = [
   {
-    name: 'the zone with one controller, which leads, is cut off for longer than lease_s',
+    name: 'the zone with a single controller, the leader, is cut off for longer than lease_s',
     jobs: longJobs,
     jobCount: 16,
     deployment: shortLeases,
@@ -71,16 +78,18 @@
       { kind: 'jobsSubmitted', count: 6, template: longJobs, at: 16 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
-      alone: simulation.observedEvents.count('leader alone in its zone'),
-      elected: simulation.observedEvents.count('leader elected outside a zone that is cut off'),
-      work: simulation.observedEvents.count('task started while a zone is cut off'),
+      failovers: failovers(simulation),
+      leaderAloneInZone: simulation.observedEvents.count('leader alone in its zone'),
+      leaderElectedOutside: simulation.observedEvents.count(
+        'leader elected outside a zone that is cut off',
+      ),
+      tasksStarted: simulation.observedEvents.count('task started while a zone is cut off'),
       cancelled: cancelledWhileRunning(simulation),
-      lost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
   {
-    name: 'the zone with one controller, a follower, is cut off and the leader ends',
+    name: 'the zone with a single controller, a follower, is cut off and the leader is killed',
     jobs: longJobs,
     jobCount: 16,
     deployment: shortLeases,
@@ -97,10 +106,10 @@
       { kind: 'jobsSubmitted', count: 6, template: longJobs, at: 16 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
-      work: simulation.observedEvents.count('task started while a zone is cut off'),
+      failovers: failovers(simulation),
+      tasksStarted: simulation.observedEvents.count('task started while a zone is cut off'),
       cancelled: cancelledWhileRunning(simulation),
-      lost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
 ];
