--- a/test/simulation/deployments/fleet-jobs.ts
+++ b/test/simulation/deployments/fleet-jobs.ts
@@ -1,19 +1,22 @@
-/** Jobs of the fleets: gangs of whole machines, arrays with one GPU a task, and arrays without. */
+/**
+ * Random jobs of the fleets: gangs that use whole machines, arrays with one GPU per task, and
+ * arrays without GPUs.
+ */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { SeededRandom } from '../seeded-random.js';
 
-type Common = Pick<
+type CommonFields = Pick<
   JobSpec,
   'id' | 'types' | 'zone' | 'spread' | 'deadlineS' | 'imageGb' | 'estimatedRunS'
 >;
 
-/** Draws below which a job is of the kind; the rest are print jobs. */
+/** Cumulative probabilities of training and scoring jobs; the remaining jobs are print jobs. */
 const TRAINING_BELOW = 0.2;
 const SCORING_BELOW = 0.6;
 
-/** A job as the fleets run it. */
+/** Returns a random job for a fleet. */
 export function fleetJob(random: SeededRandom, id: string): JobSpec {
-  const common: Common = {
+  const common: CommonFields = {
     ...{ id, types: null, zone: null, spread: false, deadlineS: null },
     ...{ imageGb: random.between(1, 6), estimatedRunS: random.between(20, 60) },
   };
@@ -23,7 +26,7 @@
   return printJob(random, common);
 }
 
-function trainingJob(random: SeededRandom, common: Common): JobSpec {
+function trainingJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'train', team: random.pick(['red', 'blue']), kind: 'gang' },
     ...{ priority: 'high', tasks: random.pick([1, 1, 2, 2, 4, 8]), cpus: 14, gpus: 4 },
@@ -32,7 +35,7 @@
   };
 }
 
-function scoringJob(random: SeededRandom, common: Common): JobSpec {
+function scoringJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'score', team: 'red', kind: 'array', priority: 'normal' },
     ...{ tasks: Math.ceil(random.between(1, 20)), cpus: random.between(2, 4), gpus: 1 },
@@ -41,7 +44,7 @@
   };
 }
 
-function printJob(random: SeededRandom, common: Common): JobSpec {
+function printJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'print', team: 'blue', kind: 'array', priority: 'normal' },
     ...{ tasks: Math.ceil(random.between(1, 60)), cpus: 1, gpus: 0, memoryGb: 2 },
--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -1,4 +1,7 @@
-/** Collects an example of each form in which controllers store records or send messages to each other. */
+/**
+ * Collects an example of each form in which controllers store records or send messages to each
+ * other.
+ */
 import { decodePeerMessage } from '../../../src/controller/peers/message-codec.js';
 import { decodeBody, encodeBody } from '../../../src/controller/wire/cbor.js';
 import type { DigestScenario } from './digest-scenarios.js';
@@ -6,13 +9,13 @@
 import type { Transaction } from '../state-store/key-value-store.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-/** A value of the state store. `bytes`: its CBOR in hex. */
+/** A value in the state store; `bytes` is its CBOR encoding in hex. */
 export interface StoredExample {
   key: string;
   bytes: string;
 }
 
-/** A record in a page. `text`: its JSON. */
+/** A record in a page of records; `text` is its JSON. */
 export interface RecordExample {
   key: string;
   text: string;
@@ -20,35 +23,35 @@
 
 /** The longest example of each form. */
 export interface StoredForms {
-  /** Values at the state store, by prefix of the key. */
+  /** Values in the state store by key prefix, and for ended jobs by state too. */
   values: Record<string, StoredExample>;
-  /** Records within pages, by prefix of the key. */
+  /** Records in pages by key prefix; deleted records are listed separately. */
   records: Record<string, RecordExample>;
-  /** Messages between controllers in hex, by the fields that are not empty. */
+  /** Messages between controllers in hex, by the names of their non-empty fields. */
   messages: Record<string, string>;
 }
 
-/** The prefix of a key: all up to its first slash. */
-function kindOf(key: string): string {
+/** Returns a key up to and including its first slash; the whole key if it has none. */
+function keyPrefix(key: string): string {
   const slash = key.indexOf('/');
   return slash < 0 ? key : key.slice(0, slash + 1);
 }
 
-/** The prefix of the key; for the end of a job its state, too. */
-function kindOfValue(key: string, value: unknown): string {
-  const kind = kindOf(key);
-  return kind === 'final/' ? `${kind} ${(value as { state: string }).state}` : kind;
+/** Returns the key prefix, and for the record of an ended job its state too. */
+function valueForm(key: string, value: unknown): string {
+  const prefix = keyPrefix(key);
+  return prefix === 'final/' ? `${prefix} ${(value as { state: string }).state}` : prefix;
 }
 
-function filledFields(frame: Uint8Array): string {
+function nonEmptyFieldNames(frame: Uint8Array): string {
   const message = Object.entries(decodePeerMessage(Buffer.from(frame)));
-  const filled = message.filter(([, value]) =>
+  const nonEmptyFields = message.filter(([, value]) =>
     Array.isArray(value) ? value.length > 0 : value !== null,
   );
-  return filled.map(([name]) => name).join('+');
+  return nonEmptyFields.map(([name]) => name).join('+');
 }
 
-/** Keeps the longest example of each form that leaves a controller. */
+/** Keeps the longest example of each form that the controllers write or send. */
 class StoredFormsCollector extends TrafficDigest {
   readonly forms: StoredForms = { values: {}, records: {}, messages: {} };
 
@@ -62,7 +65,7 @@
 
   private addMessage(frame: Uint8Array): void {
     const { messages } = this.forms;
-    const fields = filledFields(frame);
+    const fields = nonEmptyFieldNames(frame);
     const hex = Buffer.from(frame).toString('hex');
     if (hex.length > (messages[fields]?.length ?? 0)) messages[fields] = hex;
   }
@@ -70,9 +73,9 @@
   private addValue(key: string, value: unknown): void {
     const { values } = this.forms;
     const bytes = encodeBody(value).toString('hex');
-    const kind = kindOfValue(key, value);
-    if (bytes.length > (values[kind]?.bytes.length ?? 0)) values[kind] = { key, bytes };
-    if (kind === 'page/') this.addRecords((value as { entries: (string | null)[] }).entries);
+    const form = valueForm(key, value);
+    if (bytes.length > (values[form]?.bytes.length ?? 0)) values[form] = { key, bytes };
+    if (form === 'page/') this.addRecords((value as { entries: (string | null)[] }).entries);
   }
 
   private addRecords(entries: readonly (string | null)[]): void {
@@ -80,14 +83,14 @@
     for (let i = 0; i + 1 < entries.length; i += 2) {
       const key = entries[i] ?? '';
       const text = entries[i + 1] ?? null;
-      const kind = text === null ? `${kindOf(key)} deleted` : kindOf(key);
-      const shown = text ?? 'null';
-      if (shown.length > (records[kind]?.text.length ?? 0)) records[kind] = { key, text: shown };
+      const form = text === null ? `${keyPrefix(key)} deleted` : keyPrefix(key);
+      const json = text ?? 'null';
+      if (json.length > (records[form]?.text.length ?? 0)) records[form] = { key, text: json };
     }
   }
 }
 
-/** Plays the scenarios and returns the forms that the present version writes. */
+/** Runs the scenarios and returns the forms that the current version writes. */
 export async function storedFormsOf(scenarios: readonly DigestScenario[]): Promise<StoredForms> {
   const collector = new StoredFormsCollector();
   for (const scenario of scenarios) await playDigestScenario(scenario, collector);
--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -28,7 +28,7 @@
 /** Submits a copy of the job that needs more cores than any machine has, or lacks a field. */
 function submitInvalidJob(simulation: Simulation, spec: JobSpec): void {
   const { random, checker, users } = simulation;
-  const invalidJob = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
+  const invalidJob = writeJobSpec({ ...spec, id: `req-odd-${users.nextJobNumber()}` });
   if (random.next() < 0.5) invalidJob['cores'] = TOO_MANY_CORES;
   else
     Reflect.deleteProperty(invalidJob, random.pick(['duties', 'loaners', 'scatter', 'expect_s']));
--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -1,87 +1,94 @@
-/** The heartbeats of one simulated worker: when they go out, and to which controller. */
+/** The heartbeats of one simulated worker: when they are sent, and to which controller. */
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { MachineContext } from './machine-context.js';
 import type { Command } from './task.js';
 
-/** A heartbeat with news follows the last one no sooner than this. */
-const NEWS_AFTER_MS = 500;
+/** Minimum time from a heartbeat to one that reports a change, in milliseconds. */
+const MIN_INTERVAL_MS = 500;
 const HEARTBEAT_TIMEOUT_MS = 4000;
-const RETRY_MS = 1000;
-/** A worker that is redirected to the leader sends its next heartbeat within this time. */
-const REDIRECT_WITHIN_MS = 500;
-/** Shares of the period between which the next heartbeat falls. */
-const JITTER = { least: 0.75, most: 1.25 };
-
-/** The response of a controller that takes a heartbeat. */
+const RETRY_DELAY_MS = 1000;
+/** Maximum time from a redirection to the leader to the next heartbeat, in milliseconds. */
+const MAX_REDIRECT_DELAY_MS = 500;
+/** Range of the time to the next regular heartbeat, as a factor of the heartbeat interval. */
+const INTERVAL_FACTORS = { least: 0.75, most: 1.25 };
+
+/**
+ * The response of a controller that accepts a heartbeat, as on the wire: fencing token and
+ * commands.
+ */
 export interface HeartbeatResponse {
   baton?: number;
   orders: Command[];
 }
 
-/** The worker whose heartbeats are sent. */
+/** A worker as seen by the loop that sends its heartbeats. */
 export interface HeartbeatSource {
   readonly id: string;
   readonly dead: boolean;
   readonly hungUntil: number;
   readonly agentEpoch: number;
-  /** The next heartbeat; each has a number of its own. */
+  /** Creates the next heartbeat, with a new sequence number. */
   heartbeat(): unknown;
   whenAwake(run: () => void): void;
-  /** A response to the heartbeat that was sent then, in that agent epoch. */
-  acceptResponse(answer: HeartbeatResponse, session: number, sentAt: number): void;
+  /** Handles the response to the heartbeat that was sent at `sentAt` in `agentEpoch`. */
+  acceptResponse(response: HeartbeatResponse, agentEpoch: number, sentAt: number): void;
 }
 
-/** Sends a worker's heartbeats, one at a time, to the controller that takes them. */
+/** Sends a worker's heartbeats, one at a time, to the controller that accepts them. */
 export class HeartbeatLoop {
-  /** Index of the controller that is asked next. */
-  private node: number;
+  /** Index of the controller that receives the next heartbeat. */
+  private controllerIndex: number;
   private inFlight = false;
-  private dirty = false;
-  private nextAt: number;
-  private notBefore = 0;
+  private hasUnreportedChange = false;
+  /** Virtual time of the next regular heartbeat. */
+  private regularAt: number;
+  /** Virtual time before which no heartbeat is sent; set after a failed or redirected heartbeat. */
+  private earliestAt = 0;
   private lastSent = -Infinity;
   private blockedUntil = 0;
-  private plannedAt = Infinity;
+  private scheduledAt = Infinity;
 
   constructor(
     private readonly source: HeartbeatSource,
     private readonly context: MachineContext,
   ) {
     const { clock, random, controllers } = context;
-    this.node = Math.floor(random.next() * controllers.length);
-    this.nextAt = clock.now;
+    this.controllerIndex = Math.floor(random.next() * controllers.length);
+    this.regularAt = clock.now;
   }
 
-  /** Whether no controller can be reached just now. */
+  /** Whether the worker can currently reach no controller. */
   get blocked(): boolean {
     return this.context.clock.now < this.blockedUntil;
   }
 
-  /** Reaches no controller for a time. */
+  /** Makes all controllers unreachable for the worker for `ms`. */
   block(ms: number): void {
     this.blockedUntil = Math.max(this.blockedUntil, this.context.clock.now + ms);
   }
 
-  /** The next heartbeat will have news. */
-  changed(): void {
-    this.dirty = true;
-    this.plan();
+  /** Notes that the worker's state has changed and schedules a heartbeat that reports it. */
+  stateChanged(): void {
+    this.hasUnreportedChange = true;
+    this.schedule();
   }
 
-  /** Plans the next heartbeat for when it is due. */
-  plan(): void {
+  /** Schedules the next heartbeat, unless one is already scheduled for an earlier time. */
+  schedule(): void {
     const { source } = this;
     if (source.dead || this.inFlight) return;
     const { clock } = this.context;
-    const dueAt = this.dirty ? Math.min(this.nextAt, this.lastSent + NEWS_AFTER_MS) : this.nextAt;
+    const dueAt = this.hasUnreportedChange
+      ? Math.min(this.regularAt, this.lastSent + MIN_INTERVAL_MS)
+      : this.regularAt;
     const awakeAt = this.hung ? source.hungUntil : 0;
-    const at = Math.max(dueAt, this.notBefore, awakeAt, clock.now);
-    if (at >= this.plannedAt) return;
-    this.plannedAt = at;
-    clock.after(at - clock.now, () => {
-      if (this.plannedAt !== at) return;
-      this.plannedAt = Infinity;
-      if (source.dead || this.inFlight || this.hung) this.plan();
+    const sendAt = Math.max(dueAt, this.earliestAt, awakeAt, clock.now);
+    if (sendAt >= this.scheduledAt) return;
+    this.scheduledAt = sendAt;
+    clock.after(sendAt - clock.now, () => {
+      if (this.scheduledAt !== sendAt) return;
+      this.scheduledAt = Infinity;
+      if (source.dead || this.inFlight || this.hung) this.schedule();
       else this.send();
     });
   }
@@ -93,15 +100,16 @@
   private send(): void {
     const { clock, random, settings } = this.context;
     this.inFlight = true;
-    this.dirty = false;
+    this.hasUnreportedChange = false;
     this.lastSent = clock.now;
-    this.nextAt =
-      clock.now + settings.heartbeatIntervalMs * random.between(JITTER.least, JITTER.most);
+    this.regularAt =
+      clock.now +
+      settings.heartbeatIntervalMs * random.between(INTERVAL_FACTORS.least, INTERVAL_FACTORS.most);
     if (!this.blocked) return this.post();
     clock.after(1, () => {
       this.inFlight = false;
-      this.tryNext();
-      this.plan();
+      this.tryNextController();
+      this.schedule();
     });
   }
 
@@ -110,7 +118,7 @@
     const { source } = this;
     const sentAt = clock.now;
     const { agentEpoch } = source;
-    const host = controllers[this.node] ?? '';
+    const host = controllers[this.controllerIndex] ?? '';
     network.call(
       source.id,
       {
@@ -124,33 +132,33 @@
       (reply) =>
         source.whenAwake(() => {
           this.inFlight = false;
-          this.answered(reply, agentEpoch, sentAt);
-          this.plan();
+          this.handleReply(reply, agentEpoch, sentAt);
+          this.schedule();
         }),
     );
   }
 
-  private answered(reply: Reply, session: number, sentAt: number): void {
+  private handleReply(reply: Reply, agentEpoch: number, sentAt: number): void {
     if (reply.status === 200)
-      this.source.acceptResponse(reply.body as HeartbeatResponse, session, sentAt);
+      this.source.acceptResponse(reply.body as HeartbeatResponse, agentEpoch, sentAt);
     else if (reply.status === 421) this.redirect((reply.body as { foreman?: string }).foreman);
-    else this.tryNext();
+    else this.tryNextController();
   }
 
   private redirect(leader = ''): void {
     const { controllers, random } = this.context;
-    const node = controllers.indexOf(leader);
-    if (node < 0 || node === this.node) return this.tryNext();
-    this.node = node;
-    this.retry(random.between(0, REDIRECT_WITHIN_MS));
+    const leaderIndex = controllers.indexOf(leader);
+    if (leaderIndex < 0 || leaderIndex === this.controllerIndex) return this.tryNextController();
+    this.controllerIndex = leaderIndex;
+    this.sendNextAfter(random.between(0, MAX_REDIRECT_DELAY_MS));
   }
 
-  private retry(ms: number): void {
-    this.notBefore = this.nextAt = this.context.clock.now + ms;
+  private sendNextAfter(ms: number): void {
+    this.earliestAt = this.regularAt = this.context.clock.now + ms;
   }
 
-  private tryNext(): void {
-    this.node = (this.node + 1) % this.context.controllers.length;
-    this.retry(RETRY_MS);
+  private tryNextController(): void {
+    this.controllerIndex = (this.controllerIndex + 1) % this.context.controllers.length;
+    this.sendNextAfter(RETRY_DELAY_MS);
   }
 }
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -1,35 +1,41 @@
-/** The network between the hosts of a simulation. */
+/** The simulated network between the hosts. */
 import type { Call, Reply } from '../../src/controller/runtime/runtime.js';
 import { decodeBody, encodeBody } from '../../src/controller/wire/cbor.js';
 import type { SeededRandom } from './seeded-random.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** Sends the response to a request. */
+/** Sends the response to an incoming request. */
 export type Respond = (reply: Reply) => void;
 
-/** A request as it arrives. */
+/** A request as delivered to its handler. */
 export interface IncomingRequest {
   method: string;
   path: string;
   bytes: Buffer;
-  /** The network delivers it once more, much later than it was sent. */
+  /**
+   * True for a copy that the network delivers in addition to the original; not set for retained
+   * heartbeats.
+   */
   duplicate: boolean;
-  /** What the bytes say; undefined if there are none. */
+  /** Decodes `bytes`; returns undefined if the request has no body. */
   body(): unknown;
 }
 
-/** What listens at an address. */
+/** Handles the requests that arrive at an address. */
 export type RequestHandler = (from: string, request: IncomingRequest, respond: Respond) => void;
 
-/** Messages on a cut way are held back until it heals, or lost. */
+/**
+ * What happens to messages on a cut connection: `hold` delivers them when it is restored, `reset`
+ * loses them.
+ */
 export type CutMode = 'hold' | 'reset';
 
-/** How long messages take at most while the network is not slow. */
+/** Maximum one-way latency while the network is not slowed down, in milliseconds. */
 export const USUAL_MAX_LATENCY_MS = 2;
 
 const NO_BYTES = Buffer.alloc(0);
 
-/** What the caller gets where no reply comes. */
+/** Passed to a caller in place of a reply if none arrives. */
 const NO_REPLY: Reply = { status: 0, body: null };
 
 function toIncomingRequest(call: Call): IncomingRequest {
@@ -40,27 +46,27 @@
   };
 }
 
-/** Delays, cuts, late and doubled messages between named hosts. */
+/** Carries messages between named hosts, with latency, cuts, long delays and duplicates. */
 export class Network {
   private readonly services = new Map<string, { host: string; serve: RequestHandler }>();
   private readonly cuts = new Map<string, CutMode>();
-  private held: { from: string; to: string; run: () => void }[] = [];
-  /** Chance that a request arrives a second time, much later. */
+  private heldMessages: { from: string; to: string; run: () => void }[] = [];
+  /** Probability that a POST request is delivered a second time, possibly much later. */
   duplicated = 0;
-  /** How late such a copy may be. */
+  /** Maximum delay of a duplicate, in milliseconds. */
   maxDuplicateDelayMs = 40_000;
-  /** Share of the heartbeats of which a copy arrives again. */
+  /** Fraction of the heartbeats that are delivered a second time, at least 2 s later. */
   duplicatedHeartbeats = 0;
-  /** How many copies of messages have arrived. */
+  /** Number of copies of requests delivered so far, including retained heartbeats. */
   duplicatesDelivered = 0;
-  /** Share of the direct commands that are delayed on their way. */
+  /** Fraction of the direct commands that are delayed. */
   delayedCommands = 0;
-  /** How many of them have arrived late. */
+  /** Number of delayed direct commands delivered so far. */
   delayedCommandsDelivered = 0;
-  /** Share of the heartbeats of which a copy is kept for the next leader. */
+  /** Fraction of the heartbeats of which a copy is retained, to be replayed to the next leader. */
   retainedHeartbeats = 0;
-  private kept: { from: string; arrival: IncomingRequest }[] = [];
-  /** Messages take up to this long. */
+  private retainedRequests: { from: string; request: IncomingRequest }[] = [];
+  /** Current maximum one-way latency, in milliseconds. */
   maxLatencyMs = USUAL_MAX_LATENCY_MS;
 
   constructor(
@@ -68,73 +74,86 @@
     private readonly random: SeededRandom,
   ) {}
 
-  /** `serve` answers requests to the address, which is on `host`. */
+  /** Registers `serve` as the handler of requests to `address`, which belongs to `host`. */
   listen(address: string, host: string, serve: RequestHandler): void {
     this.services.set(address, { host, serve });
   }
 
-  /** Nothing listens at the address any more. */
+  /** Removes the handler of an address; requests to it then get no reply. */
   remove(address: string): void {
     this.services.delete(address);
   }
 
-  /** Nothing goes from either host to the other. */
+  /** Cuts the connection between two hosts in both directions. */
   cut(a: string, b: string, mode: CutMode): void {
     this.cutOneWay(a, b, mode);
     this.cutOneWay(b, a, mode);
   }
 
-  /** Nothing goes from one to the other; the other way is open. */
+  /** Cuts the connection in one direction only. */
   cutOneWay(from: string, to: string, mode: CutMode): void {
     this.cuts.set(`${from} ${to}`, mode);
   }
 
-  /** Messages go both ways again, those held back first. */
+  /** Restores the connection in both directions and delivers the held messages. */
   heal(a: string, b: string): void {
     this.cuts.delete(`${a} ${b}`);
     this.cuts.delete(`${b} ${a}`);
-    if (this.held.length === 0) return;
-    const released = this.held.filter((h) => !this.cuts.has(`${h.from} ${h.to}`));
-    this.held = this.held.filter((h) => this.cuts.has(`${h.from} ${h.to}`));
-    for (const h of released) this.clock.after(this.random.between(0.2, 3), h.run);
+    if (this.heldMessages.length === 0) return;
+    const released = this.heldMessages.filter(
+      (message) => !this.cuts.has(`${message.from} ${message.to}`),
+    );
+    this.heldMessages = this.heldMessages.filter((message) =>
+      this.cuts.has(`${message.from} ${message.to}`),
+    );
+    for (const message of released) this.clock.after(this.random.between(0.2, 3), message.run);
   }
 
   private cutOf(from: string, to: string): CutMode | undefined {
     return this.cuts.size === 0 ? undefined : this.cuts.get(`${from} ${to}`);
   }
 
-  /** Delivers, holds back or loses. `lost` is called if the sender would notice. */
-  send(from: string, to: string, run: () => void, lost: () => void): void {
+  /**
+   * Delivers a message after a random latency. If the connection is cut, the message is held, or
+   * lost with a call of `onLost`.
+   */
+  send(from: string, to: string, deliver: () => void, onLost: () => void): void {
     const cut = this.cutOf(from, to);
-    if (cut === 'reset') this.clock.after(1, lost);
-    else if (cut === 'hold') this.held.push({ from, to, run });
+    if (cut === 'reset') this.clock.after(1, onLost);
+    else if (cut === 'hold') this.heldMessages.push({ from, to, run: deliver });
     else {
       this.clock.after(this.random.between(0.2, this.maxLatencyMs), () => {
-        // A cut may have come while the message was under way.
-        const now = this.cutOf(from, to);
-        if (now === undefined) run();
-        else if (now === 'hold') this.held.push({ from, to, run });
-        else lost();
+        // The connection may have been cut while the message was in transit.
+        const currentCut = this.cutOf(from, to);
+        if (currentCut === undefined) deliver();
+        else if (currentCut === 'hold') this.heldMessages.push({ from, to, run: deliver });
+        else onLost();
       });
     }
   }
 
-  /** The copies kept so far arrive at all the addresses given, within a moment after the time given. */
+  /**
+   * Delivers each retained heartbeat to all the given addresses, at random times from `afterMs` to
+   * 50 ms after that.
+   */
   deliverRetained(addresses: readonly string[], afterMs: number): void {
-    const { kept } = this;
-    this.kept = [];
-    for (const { from, arrival } of kept)
+    const { retainedRequests } = this;
+    this.retainedRequests = [];
+    for (const { from, request } of retainedRequests)
       for (const address of addresses)
         this.clock.after(afterMs + this.random.between(0, 50), () => {
           const service = this.services.get(address);
           if (service === undefined) return;
           this.duplicatesDelivered++;
-          service.serve(from, arrival, () => undefined);
+          service.serve(from, request, () => undefined);
         });
   }
 
-  /** Whether the command is delayed; it then arrives once, 2 to 16 s late, and gets no response. */
-  private delays(call: Call, deliver: (respond: Respond) => void): boolean {
+  /**
+   * Delays the call if it is a direct command that is drawn for a delay; it is then delivered once,
+   * 2 to 16 s later, and gets no response. Returns whether the call is delayed.
+   */
+  private tryDelay(call: Call, deliver: (respond: Respond) => void): boolean {
     if (call.path !== '/do' || this.delayedCommands === 0) return false;
     if (this.random.next() >= this.delayedCommands) return false;
     this.clock.after(this.random.between(2000, 16_000), () => {
@@ -144,30 +163,36 @@
     return true;
   }
 
-  /** Makes a call; `done` gets the reply, or status 0 where none comes in time, while `alive`. */
+  /**
+   * Sends a request and passes the reply to `done`, or status 0 if none arrives before the
+   * time-out. `done` is not called if `alive()` is false by then.
+   */
   call(from: string, call: Call, alive: () => boolean, done: (reply: Reply) => void): void {
-    const finish = this.settleOnce(call.timeoutMs, alive, done);
+    const finish = this.replyOnce(call.timeoutMs, alive, done);
     const target = this.services.get(call.to);
     if (target === undefined) {
       this.clock.after(1, () => finish(NO_REPLY));
       return;
     }
-    const arrival = toIncomingRequest(call);
+    const incomingRequest = toIncomingRequest(call);
     const deliver = (request: IncomingRequest, respond: Respond): void =>
       this.deliver(from, call.to, request, respond);
-    if (this.delays(call, (respond) => deliver(arrival, respond))) return;
+    if (this.tryDelay(call, (respond) => deliver(incomingRequest, respond))) return;
     const respond = (reply: Reply): void => this.sendReply(target.host, from, reply, finish);
     this.send(
       from,
       target.host,
-      () => deliver(arrival, respond),
+      () => deliver(incomingRequest, respond),
       () => finish(NO_REPLY),
     );
-    this.copyRequest(from, call, arrival, deliver);
+    this.copyRequest(from, call, incomingRequest, deliver);
   }
 
-  /** Passes on the first reply, or none once the time is up. */
-  private settleOnce(
+  /**
+   * Returns a function that passes the first reply to `done` and ignores later ones. If there is
+   * none before the time-out, `done` receives `NO_REPLY`.
+   */
+  private replyOnce(
     timeoutMs: number,
     alive: () => boolean,
     done: (reply: Reply) => void,
@@ -199,24 +224,25 @@
     );
   }
 
-  /** Draws whether copies of the request arrive later, or are kept for the next leader. */
+  /** Draws whether copies of the request are delivered later or retained for `deliverRetained`. */
   private copyRequest(
     from: string,
     call: Call,
-    arrival: IncomingRequest,
+    request: IncomingRequest,
     deliver: (request: IncomingRequest, respond: Respond) => void,
   ): void {
-    const copy = (fromMs: number): void => {
-      this.clock.after(this.random.between(fromMs, this.maxDuplicateDelayMs), () => {
+    const deliverCopyLater = (minDelayMs: number): void => {
+      this.clock.after(this.random.between(minDelayMs, this.maxDuplicateDelayMs), () => {
         this.duplicatesDelivered++;
-        deliver({ ...arrival, duplicate: true }, () => undefined);
+        deliver({ ...request, duplicate: true }, () => undefined);
       });
     };
     if (call.method === 'POST' && this.duplicated > 0 && this.random.next() < this.duplicated)
-      copy(5);
+      deliverCopyLater(5);
     if (this.duplicatedHeartbeats > 0 && call.path === '/v1/report')
-      if (this.random.next() < this.duplicatedHeartbeats) copy(2000);
+      if (this.random.next() < this.duplicatedHeartbeats) deliverCopyLater(2000);
     if (this.retainedHeartbeats > 0 && call.path === '/v1/report')
-      if (this.random.next() < this.retainedHeartbeats) this.kept.push({ from, arrival });
+      if (this.random.next() < this.retainedHeartbeats)
+        this.retainedRequests.push({ from, request });
   }
 }
