--- a/test/fakes.ts
+++ b/test/fakes.ts
@@ -18,7 +18,7 @@
 }
 
 /** A job array of two small tasks, but for the given fields. */
-export function arraySpec(part: Partial<JobSpec> = {}): JobSpec {
+export function arraySpec(overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id: 'req-1',
     class: 'c',
@@ -40,7 +40,7 @@
     checkpointIntervalS: 0,
     checkpointSaveS: 0,
     deadlineS: null,
-    ...part,
+    ...overrides,
   };
 }
 
