--- a/test/fakes.ts
+++ b/test/fakes.ts
@@ -45,8 +45,8 @@
 }
 
 /** A job that was accepted at time 0. */
-export function acceptedJob(part: Partial<JobSpec> = {}): Job {
-  return new Job(arraySpec(part), 0, 1, 0);
+export function acceptedJob(overrides: Partial<JobSpec> = {}): Job {
+  return new Job(arraySpec(overrides), 0, 1, 0);
 }
 
 /** A runtime in which no call is answered and no timer fires. */
