--- a/test/fake-records.ts
+++ b/test/fake-records.ts
@@ -1,8 +1,8 @@
 import type { RecordStore } from '../src/controller/store/record-store.js';
 
 /** A record store for the tests of single modules: what is set is stored at once. */
-export function immediateRecords(before: Record<string, unknown> = {}): RecordStore {
-  const values = new Map(Object.entries(before));
+export function immediateRecords(initial: Record<string, unknown> = {}): RecordStore {
+  const values = new Map(Object.entries(initial));
   const records: Pick<RecordStore, 'has' | 'list' | 'set' | 'transact'> = {
     has: (key) => values.has(key),
     *list(prefix) {
