--- a/test/fake-records.ts
+++ b/test/fake-records.ts
@@ -8,10 +8,10 @@
     *list(prefix) {
       for (const [key, value] of [...values]) if (key.startsWith(prefix)) yield { key, value };
     },
-    set: (key, value, _urgency, stored) => {
+    set: (key, value, _urgency, onStored) => {
       if (value === undefined) values.delete(key);
       else values.set(key, value);
-      stored?.();
+      onStored?.();
     },
     transact: () => undefined,
   };
