--- a/test/placement-fixtures.ts
+++ b/test/placement-fixtures.ts
@@ -26,8 +26,8 @@
 export const defaultSettings = new Settings(standalonePlatform(), defaultProperties());
 
 /** A job array of two tasks with one GPU each, but for what is given. */
-export function gpuArraySpec(part: Partial<JobSpec> = {}): JobSpec {
-  return arraySpec({ team: 'red', cpus: 4, gpus: 1, memoryGb: 4, ...part });
+export function gpuArraySpec(overrides: Partial<JobSpec> = {}): JobSpec {
+  return arraySpec({ team: 'red', cpus: 4, gpus: 1, memoryGb: 4, ...overrides });
 }
 
 /** A job with the spec of `gpuArraySpec`. */
