--- a/test/placement-fixtures.ts
+++ b/test/placement-fixtures.ts
@@ -31,8 +31,8 @@
 }
 
 /** A job with the spec of `gpuArraySpec`. */
-export function gpuJob(part: Partial<JobSpec> = {}, submittedAt = 0): Job {
-  return new Job(gpuArraySpec(part), submittedAt, 1, submittedAt);
+export function gpuJob(overrides: Partial<JobSpec> = {}, submittedAt = 0): Job {
+  return new Job(gpuArraySpec(overrides), submittedAt, 1, submittedAt);
 }
 
 /** A machine of the big type whose worker has reported in this term. */
