--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -35,11 +35,11 @@
 }
 
 /** A heartbeat of machine `n-1` in its first agent epoch, without tasks. */
-export function heartbeat(part: Partial<Heartbeat> = {}): Heartbeat {
+export function heartbeat(overrides: Partial<Heartbeat> = {}): Heartbeat {
   return {
     ...{ machine: 'n-1', addr: '10.1.0.1:9', type: 'g', zone: 'a', spot: false, agentEpoch: 1 },
     ...{ sequence: 1, fencingToken: 0, spotNoticeS: null, tasks: [] },
-    ...part,
+    ...overrides,
   };
 }
 
