--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -52,10 +52,10 @@
 }
 
 /** The first task of `req-1`, running under this attempt. */
-export function taskStatus(attempt: number, part: Partial<TaskStatus> = {}): TaskStatus {
+export function taskStatus(attempt: number, overrides: Partial<TaskStatus> = {}): TaskStatus {
   return {
     ...{ name: 'req-1/0', attempt, state: 'running', cause: null, checkpointSaved: false },
-    ...part,
+    ...overrides,
   };
 }
 
