--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -130,11 +130,11 @@
   receiveHeartbeat(
     fencingToken: number,
     tasks: TaskStatus[] = [],
-    part: Partial<Heartbeat> = {},
+    overrides: Partial<Heartbeat> = {},
   ): SentCommands | null {
     const sequence = ++this.lastSequence;
     const response = this.workers.handleHeartbeat(
-      heartbeat({ sequence, fencingToken, tasks, ...part }),
+      heartbeat({ sequence, fencingToken, tasks, ...overrides }),
     );
     if (response.status !== 200) return null;
     const body = response.body as { baton: number; orders: { verb: string; duty: string }[] };
