--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -84,7 +84,7 @@
   private lastSequence = 0;
 
   /** The record, if one is given, is restored as that of machine `n-1`. */
-  constructor(jobPart: Partial<JobSpec> = {}, machineRecord?: unknown) {
+  constructor(jobOverrides: Partial<JobSpec> = {}, machineRecord?: unknown) {
     this.runtime.advance(START_MS);
     const eventLoop = new EventLoop(this.runtime, silentLogger);
     const records = immediateRecords(machineRecord === undefined ? {} : { 'm/n-1': machineRecord });
@@ -106,7 +106,7 @@
       placementInputChanged: () => undefined,
       taskCompleted: () => undefined,
     });
-    this.table.add('req-1', { job: writeJobSpec(arraySpec(jobPart)), at: 0 }, 1);
+    this.table.add('req-1', { job: writeJobSpec(arraySpec(jobOverrides)), at: 0 }, 1);
     this.workers.restore();
     this.table.finishRecovery();
   }
