--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -143,7 +143,7 @@
 
   /** The worker carries out the direct command that is open, and shows no task in its response. */
   answerDirectCommand(): void {
-    const sent = this.runtime.calls[0]?.call.body as { baton: number };
-    this.runtime.answer(200, heartbeatBody(++this.lastSequence, sent.baton));
+    const command = this.runtime.calls[0]?.call.body as { baton: number };
+    this.runtime.answer(200, heartbeatBody(++this.lastSequence, command.baton));
   }
 }
