--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -93,11 +93,11 @@
   }
 
   /** A job of one small task, but for the cluster's defaults and what is given. */
-  add(part: Partial<JobSpec> = {}): Job {
+  add(overrides: Partial<JobSpec> = {}): Job {
     const spec = arraySpec({
       ...{ id: `req-${this.table.jobs.size}`, team: 'guest', tasks: 1 },
       ...this.options.jobDefaults,
-      ...part,
+      ...overrides,
     });
     this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
     return this.table.jobs.get(spec.id) ?? assert.fail(`${spec.id} was not added`);
