--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -116,12 +116,12 @@
 
   /** Tasks of the job that are on machines, by machine. */
   tasksByMachine(job: Job): Map<string, number> {
-    const found = new Map<string, number>();
+    const taskCounts = new Map<string, number>();
     for (const { id, tasks } of this.simulated) {
       const count = tasks.filter((task) => belongsTo(task, job.spec.id)).length;
-      if (count > 0) found.set(id, count);
+      if (count > 0) taskCounts.set(id, count);
     }
-    return found;
+    return taskCounts;
   }
 
   /** Tasks of the job that are on machines. */
