--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -153,8 +153,8 @@
   /** What every machine has, in words. */
   describe(): string[] {
     return this.simulated.map(({ id, tasks }) => {
-      const words = tasks.map(({ name, attempt, state }) => `${name}@${attempt} ${state}`);
-      return [id, ...words.sort()].join(' ');
+      const taskTexts = tasks.map(({ name, attempt, state }) => `${name}@${attempt} ${state}`);
+      return [id, ...taskTexts.sort()].join(' ');
     });
   }
 
