--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -177,17 +177,17 @@
     if (worker.spotNoticeS !== null) worker.spotNoticeS -= STEP_MS / 1000;
     this.endFetches(worker);
     const { id, zone, spot, agentEpoch, fencingToken, spotNoticeS, tasks } = worker;
-    const answer = this.workers.handleHeartbeat({
+    const response = this.workers.handleHeartbeat({
       ...{ machine: id, addr: 'x:1', type: machineType.name, zone, spot, agentEpoch },
       ...{ sequence: ++this.sequence, fencingToken, spotNoticeS },
       tasks: tasks.map((task) => ({ ...task })),
     });
-    if (answer.status !== 200) {
+    if (response.status !== 200) {
       worker.agentEpoch++;
       worker.tasks = [];
       return;
     }
-    const { baton, orders } = answer.body as { baton: number; orders: SentCommand[] };
+    const { baton, orders } = response.body as { baton: number; orders: SentCommand[] };
     worker.fencingToken = baton;
     for (const command of orders) this.execute(worker, command);
   }
