--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -79,7 +79,7 @@
       ...([eventLoop, settings, this.table, this.workers, records, estimator, headroom] as const),
       { attemptsExhausted: ignore },
     );
-    for (const { id, images } of this.simulated) this.noteImages(id, images);
+    for (const { id, images } of this.simulated) this.addImages(id, images);
     this.run(2);
   }
 
@@ -87,7 +87,7 @@
     return this.clock.time;
   }
 
-  private noteImages(machineId: string, images: Iterable<string>): void {
+  private addImages(machineId: string, images: Iterable<string>): void {
     const machine = this.workers.getOrCreateMachine(machineId);
     for (const image of images) machine.images.set(image, 1);
   }
@@ -107,7 +107,7 @@
   addMachineLike(machineId: string, id: string, image: string): void {
     const worker = this.worker(machineId);
     this.simulated.push({ ...worker, id, tasks: [], images: new Set([image]) });
-    this.noteImages(id, [image]);
+    this.addImages(id, [image]);
   }
 
   worker(id: string): SimulatedWorker {
