--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -140,8 +140,8 @@
   /** One running task of the job completes; false if none runs. */
   complete(jobId: string): boolean {
     for (const { tasks } of this.simulated) {
-      const running = (task: TaskStatus): boolean => task.state === 'running';
-      const index = tasks.findIndex((task) => belongsTo(task, jobId) && running(task));
+      const isRunning = (task: TaskStatus): boolean => task.state === 'running';
+      const index = tasks.findIndex((task) => belongsTo(task, jobId) && isRunning(task));
       const task = tasks[index];
       if (task === undefined) continue;
       tasks.splice(index, 1, { ...task, state: 'exited', cause: 'done' });
