--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -31,7 +31,7 @@
 /** GPUs of the team `owner`: its guarantee and, with `serviceSettings`, its limit. */
 export const OWNER_GPUS = 4;
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
 /** What the clusters of the tests differ in. */
 export interface ClusterOptions {
@@ -63,21 +63,21 @@
     const records = immediateRecords();
     const noClient = {} as unknown as StateStoreClient;
     this.table = new JobTable(eventLoop, settings, noClient, records, {
-      ...{ onIncompleteGang: ignore, onJobAdded: ignore, onTasksPending: ignore },
-      ...{ onCompletionRecorded: ignore, onTerminalState: ignore },
+      ...{ onIncompleteGang: noop, onJobAdded: noop, onTasksPending: noop },
+      ...{ onCompletionRecorded: noop, onTerminalState: noop },
       onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
       onJobTerminated: (job) => this.workers.jobTerminated(job),
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
       findMachineType: () => machineType,
-      ...{ higherTermSeen: ignore, placementInputChanged: ignore, taskCompleted: ignore },
+      ...{ higherTermSeen: noop, placementInputChanged: noop, taskCompleted: noop },
     });
     const estimator = new DurationEstimator();
     const noHeadroom = { memoryMs: 1000, maxShare: 0, spareDeviations: 0 };
     const headroom = new ClassHeadroom(noHeadroom, estimator, 0, () => null);
     this.placement = new Placement(
       ...([eventLoop, settings, this.table, this.workers, records, estimator, headroom] as const),
-      { attemptsExhausted: ignore },
+      { attemptsExhausted: noop },
     );
     for (const { id, images } of this.simulated) this.addImages(id, images);
     this.run(2);
