--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -16,7 +16,7 @@
 import { immediateRecords } from './fake-records.js';
 import { standalonePlatform } from './platform.js';
 import {
-  belongsTo,
+  isCurrentTaskOf,
   machineType,
   newWorker,
   TERM,
@@ -118,7 +118,7 @@
   tasksByMachine(job: Job): Map<string, number> {
     const taskCounts = new Map<string, number>();
     for (const { id, tasks } of this.simulated) {
-      const count = tasks.filter((task) => belongsTo(task, job.spec.id)).length;
+      const count = tasks.filter((task) => isCurrentTaskOf(task, job.spec.id)).length;
       if (count > 0) taskCounts.set(id, count);
     }
     return taskCounts;
@@ -127,13 +127,13 @@
   /** Tasks of the job that are on machines. */
   taskCount(jobId: string): number {
     const tasks = this.simulated.flatMap((worker) => worker.tasks);
-    return tasks.filter((task) => belongsTo(task, jobId)).length;
+    return tasks.filter((task) => isCurrentTaskOf(task, jobId)).length;
   }
 
   /** A task of the job ends by itself. */
   exit(job: Job, cause: ExitCause, machineId: string): void {
     const { tasks } = this.worker(machineId);
-    const index = tasks.findIndex((task) => belongsTo(task, job.spec.id));
+    const index = tasks.findIndex((task) => isCurrentTaskOf(task, job.spec.id));
     tasks.splice(index, 1, { ...(tasks[index] ?? assert.fail()), state: 'exited', cause });
   }
 
@@ -141,7 +141,7 @@
   complete(jobId: string): boolean {
     for (const { tasks } of this.simulated) {
       const isRunning = (task: TaskStatus): boolean => task.state === 'running';
-      const index = tasks.findIndex((task) => belongsTo(task, jobId) && isRunning(task));
+      const index = tasks.findIndex((task) => isCurrentTaskOf(task, jobId) && isRunning(task));
       const task = tasks[index];
       if (task === undefined) continue;
       tasks.splice(index, 1, { ...task, state: 'exited', cause: 'done' });
--- a/test/placement-worker.ts
+++ b/test/placement-worker.ts
@@ -54,6 +54,6 @@
 }
 
 /** Whether the task, which has not exited, is one of the job's. */
-export function belongsTo({ name, state }: TaskStatus, jobId: string): boolean {
+export function isCurrentTaskOf({ name, state }: TaskStatus, jobId: string): boolean {
   return state !== 'exited' && name.startsWith(`${jobId}/`);
 }
