--- a/test/fakes.ts
+++ b/test/fakes.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from '../src/controller/wire/jobs.js';
 import { silentLogger } from './manual-runtime.js';
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
 /** A clock that the test sets, with a log that discards everything. */
 export class FakeClock {
@@ -56,10 +56,10 @@
     now: () => clock.time,
     wallClock: () => clock.time,
     random: () => 0.5,
-    defer: ignore,
-    startTimer: () => ({ cancel: ignore }),
-    call: ignore,
+    defer: noop,
+    startTimer: () => ({ cancel: noop }),
+    call: noop,
     hasSpareConnection: () => true,
-    sendPeer: ignore,
+    sendPeer: noop,
   };
 }
