--- a/test/manual-runtime.ts
+++ b/test/manual-runtime.ts
@@ -78,14 +78,14 @@
   }
 }
 
-function ignore(): void {
+function noop(): void {
   // Nothing is recorded.
 }
 
 /** A log that keeps nothing. */
 export const silentLogger: Logger = {
-  info: ignore,
-  debug: ignore,
-  warn: ignore,
-  error: ignore,
+  info: noop,
+  debug: noop,
+  warn: noop,
+  error: noop,
 };
