--- a/test/manual-runtime.ts
+++ b/test/manual-runtime.ts
@@ -57,11 +57,11 @@
 
   /** Answers the oldest open call and runs what was deferred. Returns the call. */
   answer(status: number, body: unknown = null): Call {
-    const open = this.calls.shift();
-    if (open === undefined) throw new Error('no open call');
-    open.done({ status, body });
+    const pending = this.calls.shift();
+    if (pending === undefined) throw new Error('no open call');
+    pending.done({ status, body });
     this.runDeferred();
-    return open.call;
+    return pending.call;
   }
 
   /** Moves the clock and runs the timers that are due by then, and what was deferred. */
