--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -31,7 +31,7 @@
 /** Longer than any test: sizes that were halved are not tried again. */
 const SIZE_RETRY_MS = 3_600_000;
 
-function ignore(): void {
+function noop(): void {
   // Nothing follows.
 }
 
@@ -83,10 +83,10 @@
       defer: (fn) => this.after(0, fn),
       startTimer: (delayMs, fn) => {
         this.after(delayMs, fn);
-        return { cancel: ignore };
+        return { cancel: noop };
       },
-      call: ignore,
-      sendPeer: ignore,
+      call: noop,
+      sendPeer: noop,
       hasSpareConnection: () => true,
     };
   }
@@ -97,7 +97,7 @@
 
   /** Lets time pass, after the events that are due. */
   run(durationMs: number): void {
-    this.eventLoop.post('records were set', ignore);
+    this.eventLoop.post('records were set', noop);
     const until = this.now + durationMs;
     for (;;) {
       const due = this.timers.filter((t) => t.at <= until).sort((a, b) => a.at - b.at)[0];
@@ -117,7 +117,7 @@
     this.records = new RecordStore(this.eventLoop, settings, this.createClient(), {
       fencingCondition: { key: LEADER_KEY, version },
       leaseAllowsWrites: () => true,
-      onFenced: ignore,
+      onFenced: noop,
     });
     const pages = [...this.items.values()].filter(({ key }) => key.startsWith(PAGE_PREFIX));
     this.records.load(copyOf(pages));
