--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -51,7 +51,7 @@
   knownLimits: StateStoreLimits;
   records: RecordStore;
   private revision = 1;
-  private timers: { at: number; run: () => void }[] = [];
+  private timers: { dueAt: number; run: () => void }[] = [];
   private readonly random: () => number;
   private readonly eventLoop: EventLoop;
 
@@ -92,7 +92,7 @@
   }
 
   private after(delayMs: number, run: () => void): void {
-    this.timers.push({ at: this.now + delayMs, run });
+    this.timers.push({ dueAt: this.now + delayMs, run });
   }
 
   /** Lets time pass, after the events that are due. */
@@ -100,10 +100,10 @@
     this.eventLoop.post('records were set', noop);
     const until = this.now + durationMs;
     for (;;) {
-      const due = this.timers.filter((t) => t.at <= until).sort((a, b) => a.at - b.at)[0];
+      const due = this.timers.filter((t) => t.dueAt <= until).sort((a, b) => a.dueAt - b.dueAt)[0];
       if (due === undefined) break;
       this.timers.splice(this.timers.indexOf(due), 1);
-      this.now = Math.max(this.now, due.at);
+      this.now = Math.max(this.now, due.dueAt);
       due.run();
     }
     this.now = until;
