--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -100,11 +100,11 @@
     this.eventLoop.post('records were set', noop);
     const until = this.now + durationMs;
     for (;;) {
-      const due = this.timers.filter((t) => t.dueAt <= until).sort((a, b) => a.dueAt - b.dueAt)[0];
-      if (due === undefined) break;
-      this.timers.splice(this.timers.indexOf(due), 1);
-      this.now = Math.max(this.now, due.dueAt);
-      due.run();
+      const next = this.timers.filter((t) => t.dueAt <= until).sort((a, b) => a.dueAt - b.dueAt)[0];
+      if (next === undefined) break;
+      this.timers.splice(this.timers.indexOf(next), 1);
+      this.now = Math.max(this.now, next.dueAt);
+      next.run();
     }
     this.now = until;
   }
