--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -177,11 +177,11 @@
 
   /** What happens to a transaction. Without response it is carried out at once, much later, or never. */
   private nextFault(): 'refused' | { appliedAfterMs: number | null } | null {
-    const luck = this.random() < this.faultRate ? this.random() : 1;
-    if (luck < 0.2) return 'refused';
-    if (luck < 0.4) return { appliedAfterMs: 2 };
-    if (luck < 0.6) return { appliedAfterMs: MAX_DELAY_MS * this.random() };
-    return luck < 0.8 ? { appliedAfterMs: null } : null;
+    const draw = this.random() < this.faultRate ? this.random() : 1;
+    if (draw < 0.2) return 'refused';
+    if (draw < 0.4) return { appliedAfterMs: 2 };
+    if (draw < 0.6) return { appliedAfterMs: MAX_DELAY_MS * this.random() };
+    return draw < 0.8 ? { appliedAfterMs: null } : null;
   }
 
   private assertKeepsKnownLimits(conditions: Condition[], writes: Write[]): void {
