--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -185,11 +185,11 @@
   }
 
   private assertKeepsKnownLimits(conditions: Condition[], writes: Write[]): void {
-    const known = this.knownLimits.current;
-    assert.ok(writes.length <= known.txnOps);
-    assert.ok(conditions.length <= MAX_CONDITIONS_PER_WRITE * known.txnOps);
+    const limits = this.knownLimits.current;
+    assert.ok(writes.length <= limits.txnOps);
+    assert.ok(conditions.length <= MAX_CONDITIONS_PER_WRITE * limits.txnOps);
     assert.ok(storedSize([conditions, writes]) <= MAX_TRANSACTION_SIZE);
-    assert.ok(!exceeds(known, conditions, writes), 'a value too large');
+    assert.ok(!exceeds(limits, conditions, writes), 'a value too large');
   }
 
   private apply(conditions: Condition[], writes: Write[]): TransactionResult {
