--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -160,7 +160,7 @@
         this.respond(() => done(outcome));
       });
     this.assertKeepsKnownLimits(conditions, writes);
-    if (exceeds(this.limits, conditions, writes)) {
+    if (exceedsLimits(this.limits, conditions, writes)) {
       this.sizeRefusals++;
       this.knownLimits.recordSizeRefusal();
       return respondAfter(RESPONSE_MS, () => ({ kind: 'too-large' }));
@@ -189,7 +189,7 @@
     assert.ok(writes.length <= limits.txnOps);
     assert.ok(conditions.length <= MAX_CONDITIONS_PER_WRITE * limits.txnOps);
     assert.ok(storedSize([conditions, writes]) <= MAX_TRANSACTION_SIZE);
-    assert.ok(!exceeds(limits, conditions, writes), 'a value too large');
+    assert.ok(!exceedsLimits(limits, conditions, writes), 'a value too large');
   }
 
   private apply(conditions: Condition[], writes: Write[]): TransactionResult {
@@ -205,7 +205,7 @@
 }
 
 /** Whether a transaction is larger than the limits allow. */
-function exceeds(limits: StateLimits, conditions: Condition[], writes: Write[]): boolean {
+function exceedsLimits(limits: StateLimits, conditions: Condition[], writes: Write[]): boolean {
   const isLarge = (write: Write): boolean =>
     'put' in write && storedSize(write.value) > limits.valueKb * 1024;
   return (
