--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -206,11 +206,11 @@
 
 /** Whether a transaction is larger than the limits allow. */
 function exceedsLimits(limits: StateLimits, conditions: Condition[], writes: Write[]): boolean {
-  const isLarge = (write: Write): boolean =>
+  const isTooLarge = (write: Write): boolean =>
     'put' in write && storedSize(write.value) > limits.valueKb * 1024;
   return (
     writes.length > limits.txnOps ||
     conditions.length > MAX_CONDITIONS_PER_WRITE * limits.txnOps ||
-    writes.some(isLarge)
+    writes.some(isTooLarge)
   );
 }
