--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -166,12 +166,13 @@
       return respondAfter(RESPONSE_MS, () => ({ kind: 'too-large' }));
     }
     this.writesReceived += writes.length;
-    const copy = copyOf(writes);
+    const copiedWrites = copyOf(writes);
     const fault = this.nextFault();
     if (fault === 'refused') return respondAfter(RESPONSE_MS, () => ({ kind: 'refused' }));
-    if (fault === null) return respondAfter(RESPONSE_MS, () => this.apply(conditions, copy));
+    if (fault === null)
+      return respondAfter(RESPONSE_MS, () => this.apply(conditions, copiedWrites));
     if (fault.appliedAfterMs !== null)
-      this.after(fault.appliedAfterMs, () => this.apply(conditions, copy));
+      this.after(fault.appliedAfterMs, () => this.apply(conditions, copiedWrites));
     respondAfter(TIMEOUT_MS, () => ({ kind: 'unknown' }));
   }
 
