--- a/test/frontend-fixture.ts
+++ b/test/frontend-fixture.ts
@@ -26,7 +26,7 @@
 };
 
 /** After this time there are tokens for calls to the state store. */
-const TOKENS_MS = 60_000;
+const TOKEN_REFILL_MS = 60_000;
 
 /** Longer than any entry waits for the group commit that it goes out with. */
 const GROUP_COMMIT_MS = 1000;
@@ -62,7 +62,7 @@
       onAccepted: () => undefined,
       onCancelled: () => undefined,
     });
-    this.runtime.advance(TOKENS_MS);
+    this.runtime.advance(TOKEN_REFILL_MS);
   }
 
   submit(body: unknown): void {
@@ -144,7 +144,7 @@
 
   private responseTo(send: (fixture: FrontendFixture) => void): ApiResponse {
     const { runtime, responses } = this.fixture;
-    runtime.advance(TOKENS_MS);
+    runtime.advance(TOKEN_REFILL_MS);
     const before = responses.length;
     send(this.fixture);
     this.answerCalls();
