--- a/test/frontend-fixture.ts
+++ b/test/frontend-fixture.ts
@@ -156,8 +156,8 @@
 
   private answerCalls(): void {
     const { runtime } = this.fixture;
-    for (let open = runtime.calls[0]; open !== undefined; open = runtime.calls[0]) {
-      const { status, body } = this.store.reply(open.call);
+    for (let pending = runtime.calls[0]; pending !== undefined; pending = runtime.calls[0]) {
+      const { status, body } = this.store.reply(pending.call);
       runtime.answer(status, body);
     }
   }
