--- a/test/frontend-fixture.ts
+++ b/test/frontend-fixture.ts
@@ -145,13 +145,13 @@
   private responseTo(send: (fixture: FrontendFixture) => void): ApiResponse {
     const { runtime, responses } = this.fixture;
     runtime.advance(TOKEN_REFILL_MS);
-    const before = responses.length;
+    const countBefore = responses.length;
     send(this.fixture);
     this.answerCalls();
     runtime.advance(GROUP_COMMIT_MS);
     this.answerCalls();
-    assert.equal(responses.length, before + 1, 'one response');
-    return responses[before] ?? assert.fail('no response');
+    assert.equal(responses.length, countBefore + 1, 'one response');
+    return responses[countBefore] ?? assert.fail('no response');
   }
 
   private answerCalls(): void {
