--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -11,9 +11,9 @@
 import { presentVersion, type ProgramVersion } from './simulation/program-version.js';
 
 /** The scenario whose name contains the text. */
-function scenarioNamed(part: string): FaultScenario {
-  const scenario = allScenarios.find(({ name }) => name.includes(part));
-  assert.ok(scenario, part);
+function scenarioNamed(fragment: string): FaultScenario {
+  const scenario = allScenarios.find(({ name }) => name.includes(fragment));
+  assert.ok(scenario, fragment);
   return scenario;
 }
 
