--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -25,7 +25,7 @@
 
 /** Responds to status queries from a cache for a while, whatever other controllers have told since. */
 class CachingController extends Controller {
-  private readonly cache = new Map<string, { at: number; response: Response }>();
+  private readonly cache = new Map<string, { cachedAt: number; response: Response }>();
   private readonly runtime: Runtime;
 
   constructor(...parts: ConstructorParameters<typeof Controller>) {
@@ -36,10 +36,11 @@
   override request(...[method, path, bytes, respond]: RequestArguments): void {
     const cached = this.cache.get(path);
     const now = this.runtime.now();
-    if (method === 'GET' && cached !== undefined && now - cached.at < CACHE_MS)
+    if (method === 'GET' && cached !== undefined && now - cached.cachedAt < CACHE_MS)
       return respond(cached.response);
     super.request(method, path, bytes, (response) => {
-      if (method === 'GET' && response.status === 200) this.cache.set(path, { at: now, response });
+      if (method === 'GET' && response.status === 200)
+        this.cache.set(path, { cachedAt: now, response });
       respond(response);
     });
   }
