--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -61,11 +61,11 @@
   override request(...[method, path, bytes, respond]: RequestArguments): void {
     if (path !== '/v1/report') return super.request(method, path, bytes, respond);
     const heartbeat = decodeBody(bytes) as HeartbeatOrder;
-    const last = this.newest.get(heartbeat.kiln);
-    if (last !== undefined) {
-      heartbeat.tenure = Math.max(heartbeat.tenure, last.tenure);
-      heartbeat.tally = Math.max(heartbeat.tally, last.tally + 1);
-      heartbeat.baton = Math.max(heartbeat.baton, last.baton);
+    const newest = this.newest.get(heartbeat.kiln);
+    if (newest !== undefined) {
+      heartbeat.tenure = Math.max(heartbeat.tenure, newest.tenure);
+      heartbeat.tally = Math.max(heartbeat.tally, newest.tally + 1);
+      heartbeat.baton = Math.max(heartbeat.baton, newest.baton);
     }
     this.newest.set(heartbeat.kiln, heartbeat);
     super.request(method, path, encodeBody(heartbeat), respond);
