--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -85,10 +85,10 @@
     assert.throws(() => playScenario(scenario, 1, version), /ran_cancelled/);
   });
 
-  for (const part of ['right after each response', 'whose responses alone are lost'])
-    it(`violates went_back if a controller caches its responses, in "${part}"`, () => {
+  for (const nameFragment of ['right after each response', 'whose responses alone are lost'])
+    it(`violates went_back if a controller caches its responses, in "${nameFragment}"`, () => {
       const version = versionWith(CachingController);
-      assert.throws(() => playScenario(scenarioNamed(part), 1, version), /went_back/);
+      assert.throws(() => playScenario(scenarioNamed(nameFragment), 1, version), /went_back/);
     });
 
   it('violates ran_twice or quota if a leader accepts heartbeats of any age', () => {
