--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -53,11 +53,11 @@
 
 /** The peak memory of a process with that quota. */
 function peakMbOf(ramMb: number, liveMb: number): number {
-  const load = spawnSync(process.execPath, [...nodeOptions, '-e', memoryLoad(ramMb, liveMb)], {
+  const result = spawnSync(process.execPath, [...nodeOptions, '-e', memoryLoad(ramMb, liveMb)], {
     encoding: 'utf8',
   });
-  assert.equal(load.status, 0, load.stderr);
-  return Number(load.stdout);
+  assert.equal(result.status, 0, result.stderr);
+  return Number(result.stdout);
 }
 
 describe('memory of a controller', () => {
