--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -14,9 +14,9 @@
 const root = fileURLToPath(new URL('../', import.meta.url));
 const { run } = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
 if (typeof run !== 'string') throw new Error('deploy/service.toml: run: no text');
-const runWords = run.split(' ');
+const commandLine = run.split(' ');
 /** Node's options in the deployed command line. */
-const nodeOptions = runWords.slice(1, runWords.indexOf('target/main.cjs'));
+const nodeOptions = commandLine.slice(1, commandLine.indexOf('target/main.cjs'));
 
 /** The module under test, for a process that loads nothing else. */
 const [heapBudgetBundle] = buildSync({
