--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -76,9 +76,9 @@
   }
 
   it('is printed by check-config, in proportion to the quota', () => {
-    const small = checkConfig(146);
-    assert.equal(small.status, 0);
-    assert.match(small.stdout, /^heap keeps at most 52 MB of 146 MB$/m);
+    const smallQuota = checkConfig(146);
+    assert.equal(smallQuota.status, 0);
+    assert.match(smallQuota.stdout, /^heap keeps at most 52 MB of 146 MB$/m);
     assert.match(checkConfig(2000).stdout, /^heap keeps at most 1257 MB of 2000 MB$/m);
   });
 
