--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -13,7 +13,7 @@
   ...{ ...longJobs, class: CLASS, kind: 'gang', priority: 'high', tasks: 2, cpus: 2, gpus: 1 },
   ...{ estimatedRunS: 60, spread: false, singleZone: false, types: null, zone: null },
 };
-const GANGS = 8;
+const GANG_COUNT = 8;
 const IMAGES = 3;
 
 /** The arrivals of a class on record: how much work came, and with which images. */
@@ -54,7 +54,7 @@
 
 /** Gangs come one after the other and run for longer than the test. */
 function submitGangs(simulation: Simulation): void {
-  for (let i = 0; i < GANGS; i++)
+  for (let i = 0; i < GANG_COUNT; i++)
     simulation.clock.after(10_000 + i * 4000, () => {
       const image = `img-${1 + (i % IMAGES)}`;
       simulation.submit(simulation.jobWith({ ...gang, image }), null);
