--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -14,7 +14,7 @@
   ...{ estimatedRunS: 60, spread: false, singleZone: false, types: null, zone: null },
 };
 const GANG_COUNT = 8;
-const IMAGES = 3;
+const IMAGE_COUNT = 3;
 
 /** The arrivals of a class on record: how much work came, and with which images. */
 interface RecordedArrivals {
@@ -56,7 +56,7 @@
 function submitGangs(simulation: Simulation): void {
   for (let i = 0; i < GANG_COUNT; i++)
     simulation.clock.after(10_000 + i * 4000, () => {
-      const image = `img-${1 + (i % IMAGES)}`;
+      const image = `img-${1 + (i % IMAGE_COUNT)}`;
       simulation.submit(simulation.jobWith({ ...gang, image }), null);
     });
 }
