--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -15,7 +15,7 @@
 const CHECK_EVERY_MS = 5;
 
 /** Checks all the time that no two controllers answer workers, which the leader's fence relies on. */
-function checkSingleAnswerer(simulation: Simulation): void {
+function checkSingleResponder(simulation: Simulation): void {
   const { clock, processes } = simulation;
   const check = (): void => {
     const hosts = processes.answeringWorkers();
@@ -35,7 +35,7 @@
   for (let i = 0; i < 8; i++) simulation.submit(simulation.jobWith(job), null);
   simulation.play(FIRST_JOBS_MS);
   simulation.stateStore.outage(OUTAGE_MS);
-  checkSingleAnswerer(simulation);
+  checkSingleResponder(simulation);
   inOutage(simulation);
   simulation.play(OUTAGE_MS + RENEWAL_MS);
   return simulation;
