--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -17,12 +17,12 @@
 /** Checks all the time that no two controllers answer workers, which the leader's fence relies on. */
 function checkSingleResponder(simulation: Simulation): void {
   const { clock, processes } = simulation;
-  const check = (): void => {
+  const checkNow = (): void => {
     const hosts = processes.answeringWorkers();
     assert.ok(hosts.length <= 1, hosts.join(' and '));
-    if (!simulation.faultsStopped) clock.after(CHECK_EVERY_MS, check);
+    if (!simulation.faultsStopped) clock.after(CHECK_EVERY_MS, checkNow);
   };
-  check();
+  checkNow();
 }
 
 /** Plays jobs and an outage; `inOutage` is called as it begins. */
