--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -12,7 +12,7 @@
 const FIRST_JOBS_MS = 65_000;
 /** Time after the outage in which the leader renews its lease. */
 const RENEWAL_MS = 5000;
-const CHECK_EVERY_MS = 5;
+const CHECK_INTERVAL_MS = 5;
 
 /** Checks all the time that no two controllers answer workers, which the leader's fence relies on. */
 function checkSingleResponder(simulation: Simulation): void {
@@ -20,7 +20,7 @@
   const checkNow = (): void => {
     const hosts = processes.answeringWorkers();
     assert.ok(hosts.length <= 1, hosts.join(' and '));
-    if (!simulation.faultsStopped) clock.after(CHECK_EVERY_MS, checkNow);
+    if (!simulation.faultsStopped) clock.after(CHECK_INTERVAL_MS, checkNow);
   };
   checkNow();
 }
