--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -9,7 +9,7 @@
 /** In the deployment with short leases a worker's takes 10 s, and the leader's 1.3 s. */
 const OUTAGE_MS = 20_000;
 /** Jobs run by then. */
-const FIRST_JOBS_MS = 65_000;
+const WARM_UP_MS = 65_000;
 /** Time after the outage in which the leader renews its lease. */
 const RENEWAL_MS = 5000;
 const CHECK_INTERVAL_MS = 5;
@@ -33,7 +33,7 @@
   const simulation = new Simulation(shortLeases, seed, noFaults);
   const job = { ...longJobs, spot: true, zone: null, cpus: 1, memoryGb: 1 };
   for (let i = 0; i < 8; i++) simulation.submit(simulation.jobWith(job), null);
-  simulation.play(FIRST_JOBS_MS);
+  simulation.play(WARM_UP_MS);
   simulation.stateStore.outage(OUTAGE_MS);
   checkSingleResponder(simulation);
   inOutage(simulation);
