--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -11,7 +11,7 @@
 /** Jobs run by then. */
 const WARM_UP_MS = 65_000;
 /** Time after the outage in which the leader renews its lease. */
-const RENEWAL_MS = 5000;
+const LEASE_RENEWAL_MS = 5000;
 const CHECK_INTERVAL_MS = 5;
 
 /** Checks all the time that no two controllers answer workers, which the leader's fence relies on. */
@@ -37,7 +37,7 @@
   simulation.stateStore.outage(OUTAGE_MS);
   checkSingleResponder(simulation);
   inOutage(simulation);
-  simulation.play(OUTAGE_MS + RENEWAL_MS);
+  simulation.play(OUTAGE_MS + LEASE_RENEWAL_MS);
   return simulation;
 }
 
