--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -28,7 +28,7 @@
 /** Plays jobs and an outage; `inOutage` is called as it begins. */
 function playOutage(
   seed: number,
-  inOutage: (simulation: Simulation) => void = () => undefined,
+  onOutageStart: (simulation: Simulation) => void = () => undefined,
 ): Simulation {
   const simulation = new Simulation(shortLeases, seed, noFaults);
   const job = { ...longJobs, spot: true, zone: null, cpus: 1, memoryGb: 1 };
@@ -36,7 +36,7 @@
   simulation.play(WARM_UP_MS);
   simulation.stateStore.outage(OUTAGE_MS);
   checkSingleResponder(simulation);
-  inOutage(simulation);
+  onOutageStart(simulation);
   simulation.play(OUTAGE_MS + LEASE_RENEWAL_MS);
   return simulation;
 }
