--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -42,7 +42,7 @@
 }
 
 /** Controllers end or stop for a while at random times of the outage and shortly after it. */
-function disturbControllers({ clock, random, processes }: Simulation): void {
+function killOrFreezeControllers({ clock, random, processes }: Simulation): void {
   for (let i = 0; i < 12; i++)
     clock.after(random.between(0, OUTAGE_MS + 3000), () => {
       const host = random.pick(shortLeases.hosts);
@@ -72,7 +72,7 @@
 
   for (const seed of [1, 2, 3, 4])
     it(`keeps the rules when controllers end and restart during it, seed ${seed}`, () => {
-      const simulation = playOutage(seed, disturbControllers);
+      const simulation = playOutage(seed, killOrFreezeControllers);
       simulation.stopFaults(10_000);
       simulation.play(400_000);
       assert.deepEqual(simulation.checker.jobs.unfinished(), []);
