--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -52,8 +52,8 @@
     it(`names only members that exist: ${page}`, () => {
       for (const [, type = '', member = ''] of matchesIn(page, MEMBER)) {
         const declaration = new RegExp(`(class|interface|type|const) ${type}\\b`);
-        const declaring = sources.filter((source) => declaration.test(source));
-        const used = declaring.some((source) => new RegExp(`\\b${member}\\b`).test(source));
+        const declaringSources = sources.filter((source) => declaration.test(source));
+        const used = declaringSources.some((source) => new RegExp(`\\b${member}\\b`).test(source));
         assert.ok(used, `${page} names ${type}.${member}`);
       }
     });
