--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -53,8 +53,10 @@
       for (const [, type = '', member = ''] of matchesIn(page, MEMBER)) {
         const declaration = new RegExp(`(class|interface|type|const) ${type}\\b`);
         const declaringSources = sources.filter((source) => declaration.test(source));
-        const used = declaringSources.some((source) => new RegExp(`\\b${member}\\b`).test(source));
-        assert.ok(used, `${page} names ${type}.${member}`);
+        const memberExists = declaringSources.some((source) =>
+          new RegExp(`\\b${member}\\b`).test(source),
+        );
+        assert.ok(memberExists, `${page} names ${type}.${member}`);
       }
     });
 
