--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -21,7 +21,7 @@
 const PREFIXES = ['', 'src/', 'src/controller/', 'test/', 'test/simulation/'];
 
 const SOURCE_PATH = /`([\w./-]+\.(?:ts|mjs))`/g;
-const MEMBER = /`([A-Z]\w+)\.([a-z]\w+)`/g;
+const MEMBER_REFERENCE = /`([A-Z]\w+)\.([a-z]\w+)`/g;
 const LINK = /\]\(([\w./-]+)\)/g;
 
 function matchesIn(page: string, pattern: RegExp): RegExpMatchArray[] {
@@ -50,7 +50,7 @@
     });
 
     it(`names only members that exist: ${page}`, () => {
-      for (const [, type = '', member = ''] of matchesIn(page, MEMBER)) {
+      for (const [, type = '', member = ''] of matchesIn(page, MEMBER_REFERENCE)) {
         const declaration = new RegExp(`(class|interface|type|const) ${type}\\b`);
         const declaringSources = sources.filter((source) => declaration.test(source));
         const memberExists = declaringSources.some((source) =>
