--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -100,8 +100,8 @@
     assert.deepEqual(controller.warnings, []);
   });
 
-  for (const [fault, bytes] of malformed)
-    it(`drops, logs and counts one that ${fault}, and goes on`, async () => {
+  for (const [defect, bytes] of malformed)
+    it(`drops, logs and counts one that ${defect}, and goes on`, async () => {
       controller.receive(bytes);
       assert.equal(await controller.droppedMessages(), 1);
       assert.equal(controller.warnings.length, 1);
