--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -47,20 +47,20 @@
     };
   }
 
-  private handleArrivals(): void {
+  private runEventLoop(): void {
     this.clock.run(this.clock.now + HANDLING_MS, () => undefined);
   }
 
   /** A message arrives from a peer. */
   receive(bytes: Buffer): void {
     this.controller.peerFrame(bytes);
-    this.handleArrivals();
+    this.runEventLoop();
   }
 
   /** The connection from a peer is closed for an error in what came on it. */
   failConnection(err: Error): void {
     this.controller.peerConnectionFailed(err);
-    this.handleArrivals();
+    this.runEventLoop();
   }
 
   /** The number of dropped messages in the metrics. */
@@ -70,7 +70,7 @@
         resolve((encodedBody?.bytes ?? '').toString()),
       );
     });
-    this.handleArrivals();
+    this.runEventLoop();
     const line = /^bitternvale_unreadable_peer_messages_total (\d+)$/m.exec(await metrics);
     assert.ok(line, 'no such metric');
     return Number(line[1]);
