--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -43,12 +43,12 @@
       },
     ],
   ];
-  for (const [reason, free, prepare] of waitingReasons)
+  for (const [reason, freeCapacity, prepare] of waitingReasons)
     it(`when a job waits because ${reason}`, () => {
       const violated = violatedRules((checker, time) => {
         accept(checker);
         prepare(checker, time);
-        waitUntil(checker, time, 200_000, free);
+        waitUntil(checker, time, 200_000, freeCapacity);
       });
       assert.deepEqual(violated, []);
     });
