--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -55,9 +55,9 @@
 
   it('when the response to an earlier request arrives after a newer one', () => {
     const violated = violatedRules((checker) => {
-      const unknown = checker.visibleState('req-1');
+      const stateBefore = checker.visibleState('req-1');
       accept(checker);
-      checker.responseReceived('req-1', 404, '', false, unknown);
+      checker.responseReceived('req-1', 404, '', false, stateBefore);
       const accepted = checker.visibleState('req-1');
       cancel(checker);
       checker.responseReceived('req-1', 200, 'running', false, accepted);
