--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -25,7 +25,7 @@
     meanIntervalMs: MEAN_ARRIVAL_MS,
     untilMs: ms,
   });
-  for (const [at, act] of actions) simulation.clock.after(at, () => act(simulation));
+  for (const [at, action] of actions) simulation.clock.after(at, () => action(simulation));
   simulation.play(ms);
   return simulation;
 }
