--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -25,7 +25,7 @@
     meanIntervalMs: MEAN_ARRIVAL_MS,
     untilMs: ms,
   });
-  for (const [at, action] of actions) simulation.clock.after(at, () => action(simulation));
+  for (const [atMs, action] of actions) simulation.clock.after(atMs, () => action(simulation));
   simulation.play(ms);
   return simulation;
 }
