--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -35,20 +35,20 @@
 import { immediateRecords } from './fake-records.js';
 
 const FIXTURE = new URL('fixtures/stored-forms.json', import.meta.url);
-const forms = JSON.parse(readFileSync(FIXTURE, 'utf8')) as StoredForms;
+const fixture = JSON.parse(readFileSync(FIXTURE, 'utf8')) as StoredForms;
 const settings = new Settings(standalonePlatform(), defaultProperties());
 const VALUE_BYTES = 16 * 1024;
 
 function valueOf(kind: string): unknown {
-  return decodeBody(Buffer.from(forms.values[kind]?.bytes ?? '', 'hex'));
+  return decodeBody(Buffer.from(fixture.values[kind]?.bytes ?? '', 'hex'));
 }
 
 function assertSameBytes(kind: string, value: unknown): void {
-  assert.equal(encodeBody(value).toString('hex'), forms.values[kind]?.bytes);
+  assert.equal(encodeBody(value).toString('hex'), fixture.values[kind]?.bytes);
 }
 
 function recordOf(kind: string): { key: string; value: unknown; text: string } {
-  const { key = '', text = '' } = forms.records[kind] ?? {};
+  const { key = '', text = '' } = fixture.records[kind] ?? {};
   return { key, text, value: JSON.parse(text) as unknown };
 }
 
@@ -73,17 +73,17 @@
 
 describe('the forms that the present version writes', () => {
   it('are to the byte as in the fixture', async () => {
-    assert.deepEqual(await storedFormsOf(digestScenarios.slice(3, 5)), forms);
+    assert.deepEqual(await storedFormsOf(digestScenarios.slice(3, 5)), fixture);
   });
 
   it('are all in the fixture', () => {
     const values = ['catalogue', 'final/ cancelled', 'final/ done', 'lead', 'live/', 'page/'];
-    assert.deepEqual(Object.keys(forms.values).sort(), values);
+    assert.deepEqual(Object.keys(fixture.values).sort(), values);
     const records = ['h/', 'i/', 'learned/', 'm/', 'p/'];
-    const kinds = Object.keys(forms.records).filter((kind) => !kind.endsWith(' deleted'));
+    const kinds = Object.keys(fixture.records).filter((kind) => !kind.endsWith(' deleted'));
     assert.deepEqual(kinds.sort(), records);
     const fields = ['accepted', 'finals', 'progress', 'reply', 'request', 'status'];
-    for (const field of fields) assert.ok(forms.messages[field] !== undefined, field);
+    for (const field of fields) assert.ok(fixture.messages[field] !== undefined, field);
   });
 });
 
@@ -105,7 +105,7 @@
   it('has an accepted job, and is written alike', () => {
     const { job, at } = valueOf('live/') as { job: unknown; at: number };
     const spec = readJobSpec(job);
-    assert.equal(`live/${spec.id}`, forms.values['live/']?.key);
+    assert.equal(`live/${spec.id}`, fixture.values['live/']?.key);
     assert.equal(typeof at, 'number');
     assertSameBytes('live/', { job: writeJobSpec(spec), at });
   });
@@ -120,7 +120,7 @@
   });
 
   it('has a page of records, and is written alike but for deleted records', () => {
-    const { key = '' } = forms.values['page/'] ?? {};
+    const { key = '' } = fixture.values['page/'] ?? {};
     const value = valueOf('page/') as { seq: number; entries: (string | null)[] };
     const pages = new PageTable(() => VALUE_BYTES);
     pages.load([{ key, value, version: 3 }]);
@@ -206,7 +206,7 @@
 });
 
 describe('a message between controllers in the fixture', () => {
-  for (const [fields, hex] of Object.entries(forms.messages))
+  for (const [fields, hex] of Object.entries(fixture.messages))
     it(`of ${fields === '' ? 'nothing' : fields} is read, and written alike`, () => {
       const message = decodePeerMessage(Buffer.from(hex, 'hex'));
       const filled = Object.entries(message).filter(([, value]) =>
