--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -34,8 +34,8 @@
 import { acceptedJob, FakeClock, idleRuntime } from './fakes.js';
 import { immediateRecords } from './fake-records.js';
 
-const FIXTURE = new URL('fixtures/stored-forms.json', import.meta.url);
-const fixture = JSON.parse(readFileSync(FIXTURE, 'utf8')) as StoredForms;
+const FIXTURE_URL = new URL('fixtures/stored-forms.json', import.meta.url);
+const fixture = JSON.parse(readFileSync(FIXTURE_URL, 'utf8')) as StoredForms;
 const settings = new Settings(standalonePlatform(), defaultProperties());
 const VALUE_BYTES = 16 * 1024;
 
