--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -39,7 +39,7 @@
 const settings = new Settings(standalonePlatform(), defaultProperties());
 const VALUE_BYTES = 16 * 1024;
 
-function valueOf(kind: string): unknown {
+function decodedValue(kind: string): unknown {
   return decodeBody(Buffer.from(fixture.values[kind]?.bytes ?? '', 'hex'));
 }
 
@@ -89,7 +89,7 @@
 
 describe('a value of the state store in the fixture', () => {
   it('names the leader, and is written alike', () => {
-    const leader = readLeaderRecord(valueOf('lead'), 7);
+    const leader = readLeaderRecord(decodedValue('lead'), 7);
     assert.ok(leader !== null);
     assert.equal(leader.term, 7);
     assertSameBytes('lead', writeLeaderRecord(leader));
@@ -97,13 +97,13 @@
 
   for (const state of ['done', 'cancelled'] as const)
     it(`has the end of a job that is ${state}, and is written alike`, () => {
-      const value = valueOf(`final/ ${state}`);
+      const value = decodedValue(`final/ ${state}`);
       assert.equal(readTerminalState(value), state);
       assertSameBytes(`final/ ${state}`, terminalRecord(state, (value as { at: number }).at));
     });
 
   it('has an accepted job, and is written alike', () => {
-    const { job, at } = valueOf('live/') as { job: unknown; at: number };
+    const { job, at } = decodedValue('live/') as { job: unknown; at: number };
     const spec = readJobSpec(job);
     assert.equal(`live/${spec.id}`, fixture.values['live/']?.key);
     assert.equal(typeof at, 'number');
@@ -111,7 +111,7 @@
   });
 
   it('has the machine types, and is written alike', () => {
-    const types = readCatalogue(valueOf('catalogue'));
+    const types = readCatalogue(decodedValue('catalogue'));
     assert.deepEqual(
       types.map(({ name }) => name),
       ['big', 'small'],
@@ -121,7 +121,7 @@
 
   it('has a page of records, and is written alike but for deleted records', () => {
     const { key = '' } = fixture.values['page/'] ?? {};
-    const value = valueOf('page/') as { seq: number; entries: (string | null)[] };
+    const value = decodedValue('page/') as { seq: number; entries: (string | null)[] };
     const pages = new PageTable(() => VALUE_BYTES);
     pages.load([{ key, value, version: 3 }]);
     const page = pages.pages.get(key);
