--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -47,7 +47,7 @@
   assert.equal(encodeBody(value).toString('hex'), fixture.values[kind]?.bytes);
 }
 
-function recordOf(kind: string): { key: string; value: unknown; text: string } {
+function parsedRecord(kind: string): { key: string; value: unknown; text: string } {
   const { key = '', text = '' } = fixture.records[kind] ?? {};
   return { key, text, value: JSON.parse(text) as unknown };
 }
@@ -136,7 +136,7 @@
 
 describe('a record of a page in the fixture', () => {
   it('has the tasks on a machine, and is written alike', () => {
-    const { key, value, text } = recordOf('m/');
+    const { key, value, text } = parsedRecord('m/');
     const records = immediateRecords({ [key]: value });
     const { registry, store } = machineStore(records);
     store.restore();
@@ -149,7 +149,7 @@
   });
 
   it('has the done tasks of a job, and is written alike', () => {
-    const { key, value, text } = recordOf('p/');
+    const { key, value, text } = parsedRecord('p/');
     const id = key.split('/')[1] ?? '';
     const tasks = Buffer.from(value as string, 'base64').length * 8;
     const job = acceptedJob({ id, tasks });
@@ -165,7 +165,7 @@
   });
 
   it('has the images on a machine, and is written alike', () => {
-    const { key, value } = recordOf('i/');
+    const { key, value } = parsedRecord('i/');
     const records = immediateRecords({ [key]: value });
     const { registry, store } = machineStore(records);
     store.restore();
@@ -178,7 +178,7 @@
   });
 
   it('has the machines that a gang has reserved', () => {
-    const { key, value } = recordOf('h/');
+    const { key, value } = parsedRecord('h/');
     const id = key.slice('h/'.length);
     const job = acceptedJob({ id, kind: 'gang' });
     const clock = new FakeClock(1000);
@@ -192,7 +192,7 @@
   });
 
   it('has the learned statistics of a class, and is written alike', () => {
-    const { key, value, text } = recordOf('learned/');
+    const { key, value, text } = parsedRecord('learned/');
     const { since } = (value as { arrivals: { since: number } }).arrivals;
     // The process starts as the record does, and its clock is the time of day.
     const clock = new FakeClock(since);
