--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -126,11 +126,11 @@
     pages.load([{ key, value, version: 3 }]);
     const page = pages.pages.get(key);
     assert.ok(page !== undefined);
-    const live = value.entries.flatMap((entry, i) =>
+    const liveEntries = value.entries.flatMap((entry, i) =>
       i % 2 === 0 && value.entries[i + 1] !== null ? [entry, value.entries[i + 1]] : [],
     );
     // No other page has an older value of a deleted record, so the deletion is dropped as the page is read.
-    assert.deepEqual(encodePage(page, value.seq), { seq: value.seq, entries: live });
+    assert.deepEqual(encodePage(page, value.seq), { seq: value.seq, entries: liveEntries });
   });
 });
 
