--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -196,11 +196,14 @@
     const { since } = (value as { arrivals: { since: number } }).arrivals;
     // The process starts as the record does, and its clock is the time of day.
     const clock = new FakeClock(since);
-    const learned = new LearnedStatistics(new EventLoop(idleRuntime(clock), clock.log), settings);
+    const statistics = new LearnedStatistics(
+      new EventLoop(idleRuntime(clock), clock.log),
+      settings,
+    );
     clock.time += 600_000;
-    learned.load(immediateRecords({ [key]: value }), []);
+    statistics.load(immediateRecords({ [key]: value }), []);
     const records = immediateRecords();
-    learned.save(records);
+    statistics.save(records);
     assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
   });
 });
