--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -212,10 +212,10 @@
   for (const [fields, hex] of Object.entries(fixture.messages))
     it(`of ${fields === '' ? 'nothing' : fields} is read, and written alike`, () => {
       const message = decodePeerMessage(Buffer.from(hex, 'hex'));
-      const filled = Object.entries(message).filter(([, value]) =>
+      const filledFields = Object.entries(message).filter(([, value]) =>
         Array.isArray(value) ? value.length > 0 : value !== null,
       );
-      assert.equal(filled.map(([name]) => name).join('+'), fields);
+      assert.equal(filledFields.map(([name]) => name).join('+'), fields);
       assert.equal(encodePeerMessage(message).toString('hex'), hex);
     });
 
