--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -59,8 +59,8 @@
 function machineStore(records: RecordStore): { registry: MachineRegistry; store: MachineStore } {
   const clock = new FakeClock(WALL_CLOCK);
   const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
-  const sync = new FencingTokenSync(eventLoop, 1);
-  const registry = new MachineRegistry(eventLoop, settings, sync, () => undefined);
+  const tokenSync = new FencingTokenSync(eventLoop, 1);
+  const registry = new MachineRegistry(eventLoop, settings, tokenSync, () => undefined);
   const store = new MachineStore(eventLoop, settings, records, registry, {
     taskRestored: (machine, task, assignedAt) => {
       const assignment = restoreAssignment(task, null, machine, assignedAt);
