--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -53,11 +53,11 @@
 }
 
 /** A time of day later than all in the fixture. */
-const WALL_CLOCK = 1.8e12;
+const WALL_CLOCK_MS = 1.8e12;
 
 /** The store of machines over these records; it takes in the tasks that they tell of. */
 function machineStore(records: RecordStore): { registry: MachineRegistry; store: MachineStore } {
-  const clock = new FakeClock(WALL_CLOCK);
+  const clock = new FakeClock(WALL_CLOCK_MS);
   const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
   const tokenSync = new FencingTokenSync(eventLoop, 1);
   const registry = new MachineRegistry(eventLoop, settings, tokenSync, () => undefined);
