--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -146,10 +146,10 @@
   }
 
   /** Ends the leader again and again, until leaders of the two versions have followed each other so often. */
-  alternateLeaders(times: number): void {
+  alternateLeaders(changes: number): void {
     const { simulation } = this;
     const endLeader = (): void => {
-      if (this.versionChanges >= times) return;
+      if (this.versionChanges >= changes) return;
       if (simulation.leader !== null)
         simulation.kill(simulation.leader, simulation.random.between(100, 6000));
       simulation.clock.after(simulation.random.between(2000, 8000), endLeader);
