--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -158,10 +158,10 @@
   }
 
   /** Runs `then` as soon as the condition holds, and not before `afterMs`. */
-  when(afterMs: number, condition: () => boolean, then: () => void): void {
+  when(afterMs: number, condition: () => boolean, action: () => void): void {
     const { clock } = this.simulation;
     const evaluate = (): void => {
-      if (condition()) then();
+      if (condition()) action();
       else clock.after(CONDITION_INTERVAL_MS, evaluate);
     };
     clock.after(afterMs, evaluate);
