--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -148,13 +148,13 @@
   /** Ends the leader again and again, until leaders of the two versions have followed each other so often. */
   alternateLeaders(changes: number): void {
     const { simulation } = this;
-    const endLeader = (): void => {
+    const killLeader = (): void => {
       if (this.versionChanges >= changes) return;
       if (simulation.leader !== null)
         simulation.kill(simulation.leader, simulation.random.between(100, 6000));
-      simulation.clock.after(simulation.random.between(2000, 8000), endLeader);
+      simulation.clock.after(simulation.random.between(2000, 8000), killLeader);
     };
-    endLeader();
+    killLeader();
   }
 
   /** Runs `then` as soon as the condition holds, and not before `afterMs`. */
