--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -47,7 +47,7 @@
     if (simulation.leader !== null) simulation.kill(simulation.leader, random.between(2000, 6000));
     clock.after(random.between(50, 1500), () => scenario.lowerLimits());
   };
-  scenario.when(fromMs, () => simulation.leader !== null, endLeader);
+  scenario.runWhen(fromMs, () => simulation.leader !== null, endLeader);
   return { faults: [], occurred: () => scenario.limitsDecrease?.leader === null };
 }
 
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -158,7 +158,7 @@
   }
 
   /** Runs `then` as soon as the condition holds, and not before `afterMs`. */
-  when(afterMs: number, condition: () => boolean, action: () => void): void {
+  runWhen(afterMs: number, condition: () => boolean, action: () => void): void {
     const { clock } = this.simulation;
     const evaluate = (): void => {
       if (condition()) action();
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -24,7 +24,7 @@
   clock.after(completeMs, () => {
     scenario.assertAllRun(to);
     services = scenario.submitServices(SERVICES);
-    scenario.when(
+    scenario.runWhen(
       0,
       () => isServing(scenario, services),
       () => failOver(scenario, services, () => (survived = true)),
@@ -47,12 +47,12 @@
   assert.ok(simulation.leader !== null);
   simulation.kill(simulation.leader, LONGEST_RESTART_MS);
   const elected = (): boolean => simulation.processes.electedVersions.length > electionsBefore;
-  scenario.when(0, elected, () => {
+  scenario.runWhen(0, elected, () => {
     const running = scenario.replicaCounts(services).reduce((sum, count) => sum + count, 0);
     const ended = simulation.replicasEnded - endedBefore;
     assert.ok(running + ended >= SERVICES * REPLICAS, 'replicas were lost with the leader');
     const recovered = (): boolean => scenario.allReplicasRun(services);
-    scenario.when(RECOVERY_MS, recovered, () => {
+    scenario.runWhen(RECOVERY_MS, recovered, () => {
       survived();
       for (const id of services) simulation.cancel(id);
     });
@@ -75,12 +75,12 @@
       fewestReplicas = Math.min(fewestReplicas, ...scenario.replicaCounts(services));
       return complete && isServing(scenario, services);
     };
-    scenario.when(0, finished, () => {
+    scenario.runWhen(0, finished, () => {
       survived = true;
       for (const id of services) simulation.cancel(id);
     });
   };
-  scenario.when(0, () => isServing(scenario, services), rollOut);
+  scenario.runWhen(0, () => isServing(scenario, services), rollOut);
   scenario.finish([{ kind: 'jobsCancelled', count: 3, at: simulation.random.between(1, 5) }]);
   assert.ok(survived, 'services did not run through the rollout');
   assert.ok(fewestReplicas > 0, 'a service had no replica for a while');
