--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -11,7 +11,7 @@
 
 /** The first jobs run by then; the versions serve side by side in the `MIXED_MS` that follow. */
 const START_MS = 15_000;
-const MIXED_MS = 200_000;
+const BOTH_VERSIONS_MS = 200_000;
 /** Longest time between the end of a process and its restart in a rolling update. */
 export const LONGEST_RESTART_MS = 6000;
 /** How often a condition that a scenario waits for is evaluated. */
@@ -195,9 +195,9 @@
   /** Submits more jobs and injects the faults; then plays on without faults until all jobs are done. */
   finish(faults: Fault[]): void {
     const { simulation } = this;
-    this.submitJobs(8, MIXED_MS / 4);
+    this.submitJobs(8, BOTH_VERSIONS_MS / 4);
     injectFaults(simulation, faults);
-    simulation.play(MIXED_MS);
+    simulation.play(BOTH_VERSIONS_MS);
     simulation.stopFaults(0);
     const until = simulation.clock.now + 400_000;
     do simulation.play(60_000);
