--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -8,7 +8,7 @@
   type RollingUpdate,
 } from './mixed-version-scenario.js';
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
-import { BOTH_VERSIONS_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
+import { RESTART_PAUSE_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
 
 /** A moment at which the limits of the state store are lowered. */
 interface LimitsDecreaseMoment {
@@ -59,7 +59,7 @@
 /** The limits are lowered while both versions serve. */
 function decreaseDuringRollout(moment: LimitsDecreaseMoment): RolloutEvent {
   const fromMs = ({ firstRestartMs }: RollingUpdate): number => firstRestartMs + LONGEST_RESTART_MS;
-  return { ...limitsDecrease(moment, 2, fromMs), pauseMs: BOTH_VERSIONS_MS };
+  return { ...limitsDecrease(moment, 2, fromMs), pauseMs: RESTART_PAUSE_MS };
 }
 
 /** `versionsRunning`: how many versions serve as the limits are lowered. */
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -9,7 +9,7 @@
   type RollingUpdate,
 } from './mixed-version-scenario.js';
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
-import { BOTH_VERSIONS_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
+import { RESTART_PAUSE_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
 
 // The operators roll out a new version while an older one serves (and back, where it fails), so both
 // read each other's records and follow each other as leaders. Rules are checked after every step.
@@ -55,7 +55,7 @@
   {
     name: 'all controllers that end at once',
     // Time for it between the restart of the first process and the end of the second.
-    pauseMs: BOTH_VERSIONS_MS,
+    pauseMs: RESTART_PAUSE_MS,
     rare: true,
     plan: planEndOfAll,
   },
--- a/test/mixed-versions/rollout.ts
+++ b/test/mixed-versions/rollout.ts
@@ -5,7 +5,7 @@
 import { MixedVersionScenario, type RollingUpdate } from './mixed-version-scenario.js';
 
 /** Time in which both versions serve between two restarts, for events that need some. */
-export const BOTH_VERSIONS_MS = 8000;
+export const RESTART_PAUSE_MS = 8000;
 
 /** The faults of an event, and whether it has come about as planned. */
 export interface PlannedEvent {
