--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -43,11 +43,11 @@
 function planDuringFailover(scenario: MixedVersionScenario, fromMs: number): PlannedEvent {
   const { simulation } = scenario;
   const { clock, random } = simulation;
-  const endLeader = (): void => {
+  const killLeader = (): void => {
     if (simulation.leader !== null) simulation.kill(simulation.leader, random.between(2000, 6000));
     clock.after(random.between(50, 1500), () => scenario.lowerLimits());
   };
-  scenario.runWhen(fromMs, () => simulation.leader !== null, endLeader);
+  scenario.runWhen(fromMs, () => simulation.leader !== null, killLeader);
   return { faults: [], occurred: () => scenario.limitsDecrease?.leader === null };
 }
 
