--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -72,7 +72,7 @@
     name: `limits of the state store that are lowered ${moment.name}`,
     plan: (scenario, update) => {
       const { faults, occurred } = moment.plan(scenario, fromMs(update));
-      const moreJobs: Fault = {
+      const laterJobs: Fault = {
         kind: 'jobsSubmitted',
         count: 10,
         at: update.completeMs / 1000 + 5,
@@ -81,7 +81,7 @@
       const asPlanned = (): boolean =>
         occurred() && scenario.limitsDecrease?.versionsRunning === versionsRunning;
       return {
-        faults: [...faults, moreJobs],
+        faults: [...faults, laterJobs],
         occurred: () => asPlanned() && stateStore.tooLarge === 0,
       };
     },
