--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -78,11 +78,11 @@
         at: update.completeMs / 1000 + 5,
       };
       const { stateStore } = scenario.simulation;
-      const asPlanned = (): boolean =>
+      const loweredAsPlanned = (): boolean =>
         occurred() && scenario.limitsDecrease?.versionsRunning === versionsRunning;
       return {
         faults: [...faults, laterJobs],
-        occurred: () => asPlanned() && stateStore.tooLarge === 0,
+        occurred: () => loweredAsPlanned() && stateStore.tooLarge === 0,
       };
     },
   };
