--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -53,17 +53,17 @@
 
 /** The limits are lowered after the rollout: a version that doesn't know of them can't write under them. */
 function decreaseAfterRollout(moment: LimitsDecreaseMoment): RolloutEvent {
-  return limitsDecrease(moment, 1, ({ completeMs }) => completeMs);
+  return limitsDecreaseEvent(moment, 1, ({ completeMs }) => completeMs);
 }
 
 /** The limits are lowered while both versions serve. */
 function decreaseDuringRollout(moment: LimitsDecreaseMoment): RolloutEvent {
   const fromMs = ({ firstRestartMs }: RollingUpdate): number => firstRestartMs + LONGEST_RESTART_MS;
-  return { ...limitsDecrease(moment, 2, fromMs), pauseMs: RESTART_PAUSE_MS };
+  return { ...limitsDecreaseEvent(moment, 2, fromMs), pauseMs: RESTART_PAUSE_MS };
 }
 
 /** `versionsRunning`: how many versions serve as the limits are lowered. */
-function limitsDecrease(
+function limitsDecreaseEvent(
   moment: LimitsDecreaseMoment,
   versionsRunning: number,
   fromMs: (update: RollingUpdate) => number,
