--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -57,12 +57,12 @@
     // Time for it between the restart of the first process and the end of the second.
     pauseMs: RESTART_PAUSE_MS,
     rare: true,
-    plan: planEndOfAll,
+    plan: planCrashOfAll,
   },
 ];
 
 /** All controllers end at once while one of them runs the other version, and come back as they were. */
-function planEndOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
+function planCrashOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
   const { simulation, starts } = scenario;
   const { clock, random, hosts } = simulation;
   let versionsRunning = 0;
