--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -39,7 +39,7 @@
 function failOver(
   scenario: MixedVersionScenario,
   services: readonly string[],
-  survived: () => void,
+  onSurvived: () => void,
 ): void {
   const { simulation } = scenario;
   const electionsBefore = simulation.processes.electedVersions.length;
@@ -53,7 +53,7 @@
     assert.ok(running + ended >= SERVICES * REPLICAS, 'replicas were lost with the leader');
     const recovered = (): boolean => scenario.allReplicasRun(services);
     scenario.runWhen(RECOVERY_MS, recovered, () => {
-      survived();
+      onSurvived();
       for (const id of services) simulation.cancel(id);
     });
   });
