--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -51,8 +51,8 @@
     const running = scenario.replicaCounts(services).reduce((sum, count) => sum + count, 0);
     const ended = simulation.replicasEnded - endedBefore;
     assert.ok(running + ended >= SERVICES * REPLICAS, 'replicas were lost with the leader');
-    const recovered = (): boolean => scenario.allReplicasRun(services);
-    scenario.runWhen(RECOVERY_MS, recovered, () => {
+    const hasRecovered = (): boolean => scenario.allReplicasRun(services);
+    scenario.runWhen(RECOVERY_MS, hasRecovered, () => {
       onSurvived();
       for (const id of services) simulation.cancel(id);
     });
