--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -71,11 +71,11 @@
     assert.equal(simulation.processes.electedVersions.at(-1), from);
     let complete = false;
     simulation.clock.after(scenario.rollingUpdate(to).completeMs, () => (complete = true));
-    const finished = (): boolean => {
+    const isFinished = (): boolean => {
       fewestReplicas = Math.min(fewestReplicas, ...scenario.replicaCounts(services));
       return complete && isServing(scenario, services);
     };
-    scenario.runWhen(0, finished, () => {
+    scenario.runWhen(0, isFinished, () => {
       survived = true;
       for (const id of services) simulation.cancel(id);
     });
