--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -7,7 +7,7 @@
 
 const SERVICES = 3;
 /** After a failover, this long until the services are expected to be complete. */
-const RECOVERY_MS = 1000;
+const MIN_RECOVERY_MS = 1000;
 
 /** Whether there is a leader, and all replicas run. */
 function isServing(scenario: MixedVersionScenario, services: readonly string[]): boolean {
@@ -52,7 +52,7 @@
     const ended = simulation.replicasEnded - endedBefore;
     assert.ok(running + ended >= SERVICES * REPLICAS, 'replicas were lost with the leader');
     const hasRecovered = (): boolean => scenario.allReplicasRun(services);
-    scenario.runWhen(RECOVERY_MS, hasRecovered, () => {
+    scenario.runWhen(MIN_RECOVERY_MS, hasRecovered, () => {
       onSurvived();
       for (const id of services) simulation.cancel(id);
     });
