--- a/test/mixed-versions/older-versions.ts
+++ b/test/mixed-versions/older-versions.ts
@@ -14,8 +14,8 @@
 
 /** The version in production is played with more seeds than others. */
 export function seedCountsFor(versionName: string): SeedCounts {
-  const given = process.env['MIXED_SEEDS'];
-  if (given !== undefined) return { frequent: Number(given), rare: Number(given) };
+  const seedCount = process.env['MIXED_SEEDS'];
+  if (seedCount !== undefined) return { frequent: Number(seedCount), rare: Number(seedCount) };
   return versionName === 'production' ? { frequent: 3, rare: 2 } : { frequent: 1, rare: 1 };
 }
 
