--- a/test/mixed-versions/older-versions.ts
+++ b/test/mixed-versions/older-versions.ts
@@ -34,9 +34,9 @@
   subject: string,
   defineTests: (older: OlderVersion) => void,
 ): Promise<void> {
-  for (const found of await olderVersions())
-    describe(`${found.name} and present controllers side by side: ${subject}`, () => {
-      if ('older' in found) defineTests(found.older);
-      else it('keep the rules', { skip: found.reason });
+  for (const entry of await olderVersions())
+    describe(`${entry.name} and present controllers side by side: ${subject}`, () => {
+      if ('older' in entry) defineTests(entry.older);
+      else it('keep the rules', { skip: entry.reason });
     });
 }
