--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -53,7 +53,10 @@
 const leaderOf = ({ leader }: Simulation): string => leader ?? 'kiln-0';
 
 const controllerFaults: TimedAction[] = [
-  [30_000, (playing) => playing.connectionFaults.cutFromWorkers(leaderOf(playing), 37_000)],
+  [
+    30_000,
+    (simulation) => simulation.connectionFaults.cutFromWorkers(leaderOf(simulation), 37_000),
+  ],
   [80_000, (playing) => playing.processes.freeze(leaderOf(playing), 28_000)],
   [120_000, (playing) => playing.connectionFaults.refusePeers(30_000)],
   [130_000, (playing) => playing.connectionFaults.isolate(leaderOf(playing), 42_000)],
