--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -57,7 +57,7 @@
     30_000,
     (simulation) => simulation.connectionFaults.cutFromWorkers(leaderOf(simulation), 37_000),
   ],
-  [80_000, (playing) => playing.processes.freeze(leaderOf(playing), 28_000)],
+  [80_000, (simulation) => simulation.processes.freeze(leaderOf(simulation), 28_000)],
   [120_000, (playing) => playing.connectionFaults.refusePeers(30_000)],
   [130_000, (playing) => playing.connectionFaults.isolate(leaderOf(playing), 42_000)],
   [180_000, (playing) => playing.processes.rollingRestart(9000)],
