--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -65,7 +65,7 @@
 
 const massFaults: TimedAction[] = [
   [30_000, (simulation) => simulation.machineFaults.cut(0.2, 47_000)],
-  [33_000, (playing) => playing.kill(leaderOf(playing), 6000)],
+  [33_000, (simulation) => simulation.kill(leaderOf(simulation), 6000)],
   [90_000, (playing) => playing.machineFaults.kill(0.07)],
   [92_000, (playing) => playing.machineFaults.reclaimSpot(0.6, 8000)],
   [110_000, (playing) => playing.stateStore.slowDown(60_000)],
