--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -68,7 +68,7 @@
   [33_000, (simulation) => simulation.kill(leaderOf(simulation), 6000)],
   [90_000, (simulation) => simulation.machineFaults.kill(0.07)],
   [92_000, (playing) => playing.machineFaults.reclaimSpot(0.6, 8000)],
-  [110_000, (playing) => playing.stateStore.slowDown(60_000)],
+  [110_000, (simulation) => simulation.stateStore.slowDown(60_000)],
   [150_000, (playing) => playing.stateStore.outage(10_000)],
   [156_000, (playing) => playing.hosts.forEach((host) => playing.kill(host, 6000))],
   [200_000, (playing) => playing.processes.killElected()],
