--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -192,7 +192,7 @@
     for (const command of orders) this.execute(worker, command);
   }
 
-  private endFetches({ tasks, images, fetchedAt }: SimulatedWorker): void {
+  private endFetches({ tasks, images, fetchEndsAt: fetchedAt }: SimulatedWorker): void {
     for (const task of tasks)
       if (task.state === 'fetching' && (fetchedAt.get(task.name) ?? 0) <= this.now) {
         task.state = 'running';
@@ -206,7 +206,7 @@
   }
 
   private execute(worker: SimulatedWorker, { verb, duty, try: attempt }: SentCommand): void {
-    const { tasks, images, fetchedAt } = worker;
+    const { tasks, images, fetchEndsAt: fetchedAt } = worker;
     const index = tasks.findIndex((task) => task.name === duty);
     const task = tasks[index];
     if (verb === 'run') {
--- a/test/placement-worker.ts
+++ b/test/placement-worker.ts
@@ -31,7 +31,7 @@
   tasks: TaskStatus[];
   images: Set<string>;
   /** When the image fetches of its tasks end. */
-  fetchedAt: Map<string, number>;
+  fetchEndsAt: Map<string, number>;
 }
 
 /** A command in the words of the workers' protocol. */
@@ -49,7 +49,7 @@
   return {
     ...{ id, zone, spot, unresponsive: false, agentEpoch: 1, spotNoticeS: null, tasks: [] },
     ...{ fencingToken: makeFencingToken(TERM, 0), images: new Set(images) },
-    fetchedAt: new Map<string, number>(),
+    fetchEndsAt: new Map<string, number>(),
   };
 }
 
