--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -257,9 +257,9 @@
   ['of what users are told', responseViolations],
   ['of what is due to users once faults are over', neglectViolations],
 ];
-for (const [subject, list] of violations)
+for (const [subject, cases] of violations)
   describe(`the rule checker catches a violation ${subject}`, () => {
-    for (const { rule, when, play } of list)
+    for (const { rule, when, play } of cases)
       it(`${rule}, when ${when}`, () => {
         assert.ok(violatedRules(play).includes(rule));
       });
