--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -46,8 +46,8 @@
   const endedBefore = simulation.replicasEnded;
   assert.ok(simulation.leader !== null);
   simulation.kill(simulation.leader, LONGEST_RESTART_MS);
-  const elected = (): boolean => simulation.processes.electedVersions.length > electionsBefore;
-  scenario.runWhen(0, elected, () => {
+  const isElected = (): boolean => simulation.processes.electedVersions.length > electionsBefore;
+  scenario.runWhen(0, isElected, () => {
     const running = scenario.replicaCounts(services).reduce((sum, count) => sum + count, 0);
     const ended = simulation.replicasEnded - endedBefore;
     assert.ok(running + ended >= SERVICES * REPLICAS, 'replicas were lost with the leader');
