--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -84,8 +84,8 @@
   scenario.finish([{ kind: 'jobsCancelled', count: 3, at: simulation.random.between(1, 5) }]);
   assert.ok(survived, 'services did not run through the rollout');
   assert.ok(fewestReplicas > 0, 'a service had no replica for a while');
-  const elected = simulation.processes.electedVersions.slice(electionsBefore);
-  assert.ok(elected.includes(to), `${to.name} never led with services`);
+  const electedVersions = simulation.processes.electedVersions.slice(electionsBefore);
+  assert.ok(electedVersions.includes(to), `${to.name} never led with services`);
   scenario.assertAllRun(to);
   assertCancelled(scenario, services);
 }
