--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -151,8 +151,8 @@
     when: 'a job that was accepted before the query was sent is unknown to it',
     play: (checker) => {
       accept(checker);
-      const accepted = checker.visibleState('req-1');
-      checker.responseReceived('req-1', 404, '', false, accepted);
+      const acceptedState = checker.visibleState('req-1');
+      checker.responseReceived('req-1', 404, '', false, acceptedState);
     },
   },
   {
