--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -192,11 +192,11 @@
     rule: 'went_back',
     when: 'a job is done, and then cancelled in the response to an earlier request',
     play: (checker) => {
-      const accepted = checker.visibleState('req-1');
+      const acceptedState = checker.visibleState('req-1');
       checker.cancelRequested('req-1');
       for (const task of BOTH_TASKS) checker.taskCompleted('req-1', task);
       checker.responseReceived('req-1', 200, 'done', false);
-      checker.responseReceived('req-1', 200, 'aborted', false, accepted);
+      checker.responseReceived('req-1', 200, 'aborted', false, acceptedState);
     },
   },
   {
