--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -58,9 +58,9 @@
       const stateBefore = checker.visibleState('req-1');
       accept(checker);
       checker.responseReceived('req-1', 404, '', false, stateBefore);
-      const accepted = checker.visibleState('req-1');
+      const acceptedState = checker.visibleState('req-1');
       cancel(checker);
-      checker.responseReceived('req-1', 200, 'running', false, accepted);
+      checker.responseReceived('req-1', 200, 'running', false, acceptedState);
     });
     assert.deepEqual(violated, []);
   });
