--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -184,8 +184,8 @@
     when: 'a job is running that was cancelled before the query was sent',
     play: (checker) => {
       cancel(checker);
-      const cancelled = checker.visibleState('req-1');
-      checker.responseReceived('req-1', 200, 'running', false, cancelled);
+      const cancelledState = checker.visibleState('req-1');
+      checker.responseReceived('req-1', 200, 'running', false, cancelledState);
     },
   },
   {
