--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -78,7 +78,7 @@
   it('takes few requests and writes of the state store, within its limits', () => {
     let before: Usage = { puts: 0, requests: 0, startedTasks: 0 };
     const measureMs = 60_000;
-    const measure: TimedAction = [measureMs, (playing) => (before = usageOf(playing))];
+    const measure: TimedAction = [measureMs, (simulation) => (before = usageOf(simulation))];
     const simulation = playFleet(1, 2 * measureMs, [measure]);
     const after = usageOf(simulation);
     const tasks = after.startedTasks - before.startedTasks;
