--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -71,7 +71,7 @@
   [110_000, (simulation) => simulation.stateStore.slowDown(60_000)],
   [150_000, (playing) => playing.stateStore.outage(10_000)],
   [156_000, (playing) => playing.hosts.forEach((host) => playing.kill(host, 6000))],
-  [200_000, (playing) => playing.processes.killElected()],
+  [200_000, (simulation) => simulation.processes.killElected()],
 ];
 
 describe('a fleet of hundreds of machines', () => {
