--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -69,7 +69,7 @@
   [90_000, (simulation) => simulation.machineFaults.kill(0.07)],
   [92_000, (playing) => playing.machineFaults.reclaimSpot(0.6, 8000)],
   [110_000, (simulation) => simulation.stateStore.slowDown(60_000)],
-  [150_000, (playing) => playing.stateStore.outage(10_000)],
+  [150_000, (simulation) => simulation.stateStore.outage(10_000)],
   [156_000, (simulation) => simulation.hosts.forEach((host) => simulation.kill(host, 6000))],
   [200_000, (simulation) => simulation.processes.killElected()],
 ];
