--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -67,7 +67,7 @@
   [30_000, (simulation) => simulation.machineFaults.cut(0.2, 47_000)],
   [33_000, (simulation) => simulation.kill(leaderOf(simulation), 6000)],
   [90_000, (simulation) => simulation.machineFaults.kill(0.07)],
-  [92_000, (playing) => playing.machineFaults.reclaimSpot(0.6, 8000)],
+  [92_000, (simulation) => simulation.machineFaults.reclaimSpot(0.6, 8000)],
   [110_000, (simulation) => simulation.stateStore.slowDown(60_000)],
   [150_000, (simulation) => simulation.stateStore.outage(10_000)],
   [156_000, (simulation) => simulation.hosts.forEach((host) => simulation.kill(host, 6000))],
