--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -58,7 +58,7 @@
     (simulation) => simulation.connectionFaults.cutFromWorkers(leaderOf(simulation), 37_000),
   ],
   [80_000, (simulation) => simulation.processes.freeze(leaderOf(simulation), 28_000)],
-  [120_000, (playing) => playing.connectionFaults.refusePeers(30_000)],
+  [120_000, (simulation) => simulation.connectionFaults.refusePeers(30_000)],
   [130_000, (simulation) => simulation.connectionFaults.isolate(leaderOf(simulation), 42_000)],
   [180_000, (simulation) => simulation.processes.rollingRestart(9000)],
 ];
