--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -192,9 +192,9 @@
     for (const command of orders) this.execute(worker, command);
   }
 
-  private endFetches({ tasks, images, fetchEndsAt: fetchedAt }: SimulatedWorker): void {
+  private endFetches({ tasks, images, fetchEndsAt: fetchEndsAt }: SimulatedWorker): void {
     for (const task of tasks)
-      if (task.state === 'fetching' && (fetchedAt.get(task.name) ?? 0) <= this.now) {
+      if (task.state === 'fetching' && (fetchEndsAt.get(task.name) ?? 0) <= this.now) {
         task.state = 'running';
         images.add(this.imageOf(task.name));
       }
