--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -206,12 +206,12 @@
   }
 
   private execute(worker: SimulatedWorker, { verb, duty, try: attempt }: SentCommand): void {
-    const { tasks, images, fetchEndsAt: fetchedAt } = worker;
+    const { tasks, images, fetchEndsAt: fetchEndsAt } = worker;
     const index = tasks.findIndex((task) => task.name === duty);
     const task = tasks[index];
     if (verb === 'run') {
       const fetchMs = images.has(this.imageOf(duty)) ? 0 : this.options.fetchMs;
-      fetchedAt.set(duty, this.now + fetchMs);
+      fetchEndsAt.set(duty, this.now + fetchMs);
       const state = fetchMs === 0 ? 'running' : 'fetching';
       tasks.push({ name: duty, attempt, state, cause: null, checkpointSaved: false });
     } else if (task !== undefined && verb === 'stop')
