--- a/test/manual-runtime.ts
+++ b/test/manual-runtime.ts
@@ -2,7 +2,7 @@
 import type { Call, Logger, Reply, Runtime, Timer } from '../src/controller/runtime/runtime.js';
 
 interface PendingTimer {
-  at: number;
+  dueAt: number;
   run: () => void;
   cancelled: boolean;
 }
@@ -34,7 +34,7 @@
   }
 
   startTimer(ms: number, fn: () => void): Timer {
-    const timer = { at: this.time + ms, run: fn, cancelled: false };
+    const timer = { dueAt: this.time + ms, run: fn, cancelled: false };
     this.timers.push(timer);
     return {
       cancel: () => {
@@ -67,9 +67,9 @@
   /** Moves the clock and runs the timers that are due by then, and what was deferred. */
   advance(ms: number): void {
     this.time += ms;
-    const due = this.timers.filter((timer) => timer.at <= this.time && !timer.cancelled);
-    this.timers = this.timers.filter((timer) => timer.at > this.time && !timer.cancelled);
-    for (const timer of due.sort((a, b) => a.at - b.at)) timer.run();
+    const due = this.timers.filter((timer) => timer.dueAt <= this.time && !timer.cancelled);
+    this.timers = this.timers.filter((timer) => timer.dueAt > this.time && !timer.cancelled);
+    for (const timer of due.sort((a, b) => a.dueAt - b.dueAt)) timer.run();
     this.runDeferred();
   }
 
