--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -1,4 +1,4 @@
-/** Scenarios in which controllers of two versions serve side by side. */
+/** Scenarios in which controllers of two program versions run in one deployment. */
 import assert from 'node:assert/strict';
 import type { JobSpec } from '../../src/controller/wire/jobs.js';
 import { longJobs } from '../simulation/scenarios/fault-scenario.js';
@@ -9,65 +9,66 @@
 import type { ProgramVersion } from '../simulation/program-version.js';
 import { Simulation } from '../simulation/simulation.js';
 
-/** The first jobs run by then; the versions serve side by side in the `MIXED_MS` that follow. */
+/** Duration of the first phase, in which the first jobs start and no version changes. */
 const START_MS = 15_000;
+/** Duration of the phase after `START_MS`, in which both versions run and faults are injected. */
 const BOTH_VERSIONS_MS = 200_000;
 /** Longest time between the end of a process and its restart in a rolling update. */
 export const LONGEST_RESTART_MS = 6000;
-/** How often a condition that a scenario waits for is evaluated. */
+/** Interval at which a condition that a scenario waits for is evaluated. */
 const CONDITION_INTERVAL_MS = 10;
 
-/** Jobs of a scenario: long ones, long arrays of which a part is done for a long time, and gangs. */
+/** Jobs of a scenario: long jobs, arrays that are partly complete for a long time, and gangs. */
 const jobTemplates: Partial<JobSpec>[] = [
   longJobs,
   { ...longJobs, tasks: 20, cpus: 4, estimatedRunS: 12 },
   { ...longJobs, kind: 'gang', tasks: 2, gpus: 1, estimatedRunS: 25 },
 ];
 
-/** Replicas of each service that a scenario submits. */
+/** Number of replicas of each service that a scenario submits. */
 export const REPLICAS = 3;
 
-/** A service that is so small that the deployment runs several at a time. */
+/** A service small enough for several of them to run in the deployment at the same time. */
 const serviceTemplate: Partial<JobSpec> = {
   ...{ kind: 'service', tasks: REPLICAS, priority: 'production', team: 'red' },
   ...{ cpus: 1, gpus: 0, memoryGb: 1, types: null, zone: null, singleZone: false, spread: false },
   ...{ estimatedRunS: 0, checkpointIntervalS: 0, checkpointSaveS: 0, deadlineS: null },
 };
 
-/** The start of a host's process, and the version that it runs. */
+/** A process start: the host, and the version that the process runs. */
 export interface ProcessStart {
   host: string;
   version: ProgramVersion;
 }
 
-/** The moment at which the limits of the state store were lowered. */
+/** The state of the simulation when the limits of the state store were lowered. */
 export interface LimitsDecrease {
-  /** The leader at that moment. */
+  /** The leader at that time, or null if there was none. */
   leader: string | null;
   inOutage: boolean;
-  /** Keys of the transaction that arrived at that moment, if one did. */
+  /** Keys of the transaction whose arrival triggered the decrease; null if none did. */
   transaction: readonly string[] | null;
-  /** Number of different versions that the processes ran. */
+  /** Number of different versions that the processes ran at that time. */
   versionsRunning: number;
 }
 
-/** The times of a rolling update, in milliseconds from its beginning. */
+/** The times of a rolling update, in milliseconds from its start. */
 export interface RollingUpdate {
-  /** The first process ends. */
+  /** Time at which the first process is killed. */
   firstRestartMs: number;
-  /** All processes run the new version. */
+  /** Time by which all processes run the new version. */
   completeMs: number;
 }
 
-/** A simulation in which each host runs a version of its own. */
+/** A simulation in which the program version is set for each host separately. */
 export class MixedVersionScenario {
   readonly simulation: Simulation;
   readonly starts: ProcessStart[] = [];
-  /** How the limits were lowered; null until they are. */
+  /** The circumstances in which the limits were lowered; null until they are. */
   limitsDecrease: LimitsDecrease | null = null;
   private readonly versions = new Map<string, ProgramVersion>();
 
-  /** `versions`: the version that each host runs at first. */
+  /** @param versions - the version that each host runs at the start, in the order of the hosts */
   constructor(seed: number, versions: readonly ProgramVersion[]) {
     for (const [i, host] of deployment.hosts.entries()) {
       const version = versions[i];
@@ -100,7 +101,7 @@
       );
   }
 
-  /** Users submit services; returns their ids. */
+  /** Submits services as users and returns their ids. */
   submitServices(count: number): string[] {
     const specs = Array.from({ length: count }, () => this.simulation.jobWith(serviceTemplate));
     for (const spec of specs) this.simulation.submit(spec, null);
@@ -108,8 +109,8 @@
   }
 
   /**
-   * Restarts the hosts' processes one by one with version `to`, the leader's last.
-   * `pauseMs`: time between two restarts beyond what is drawn.
+   * Restarts the processes one by one with version `to`, the leader last.
+   * @param pauseMs - time between two restarts in addition to the random interval
    */
   rollingUpdate(to: ProgramVersion, pauseMs = 0): RollingUpdate {
     const { clock, random, hosts, leader } = this.simulation;
@@ -131,13 +132,13 @@
     };
   }
 
-  /** The version that each host's process runs, or ran last. */
+  /** For each host, the version of its process; if the process is down, the version that it ran last. */
   get runningVersions(): ProgramVersion[] {
     const latest = new Map(this.starts.map(({ host, version }) => [host, version]));
     return [...latest.values()];
   }
 
-  /** How often a leader of one version has followed a leader of the other. */
+  /** Number of elections in which a leader of one version followed a leader of the other. */
   get versionChanges(): number {
     const { electedVersions } = this.simulation.processes;
     return electedVersions.filter(
@@ -145,7 +146,7 @@
     ).length;
   }
 
-  /** Ends the leader again and again, until leaders of the two versions have followed each other so often. */
+  /** Kills the leader repeatedly until leadership has passed between the two versions `changes` times. */
   alternateLeaders(changes: number): void {
     const { simulation } = this;
     const killLeader = (): void => {
@@ -157,7 +158,7 @@
     killLeader();
   }
 
-  /** Runs `then` as soon as the condition holds, and not before `afterMs`. */
+  /** Runs the action once, as soon as the condition holds after `afterMs`. */
   runWhen(afterMs: number, condition: () => boolean, action: () => void): void {
     const { clock } = this.simulation;
     const evaluate = (): void => {
@@ -170,7 +171,7 @@
   /** Lowers the limits of the state store now. */
   lowerLimits(transaction: LimitsDecrease['transaction'] = null): void {
     const { simulation } = this;
-    assert.equal(this.limitsDecrease, null, 'the limits are lowered once');
+    assert.equal(this.limitsDecrease, null, 'the limits have already been lowered');
     this.limitsDecrease = {
       leader: simulation.leader,
       inOutage: simulation.stateStore.inOutage,
@@ -180,7 +181,10 @@
     simulation.stateStore.lowerLimits(simulation.upcomingStateLimits);
   }
 
-  /** Lowers the limits as a transaction with one of the leader's pages arrives, before it is checked. */
+  /**
+   * Lowers the limits when the first transaction after `afterMs` that writes one of the leader's pages
+   * arrives, before the transaction is checked against the limits.
+   */
   lowerLimitsDuringCommit(afterMs: number): void {
     const { clock, stateStore } = this.simulation;
     clock.after(afterMs, () => {
@@ -192,7 +196,7 @@
     });
   }
 
-  /** Submits more jobs and injects the faults; then plays on without faults until all jobs are done. */
+  /** Submits more jobs and injects the faults, then runs without faults until all jobs have ended. */
   finish(faults: Fault[]): void {
     const { simulation } = this;
     this.submitJobs(8, BOTH_VERSIONS_MS / 4);
@@ -203,7 +207,7 @@
     do simulation.play(60_000);
     while (simulation.clock.now < until && simulation.checker.jobs.unfinished().length > 0);
     const { checker } = simulation;
-    assert.deepEqual(checker.jobs.unfinished(), [], 'never finished');
+    assert.deepEqual(checker.jobs.unfinished(), [], 'accepted jobs that never finished');
     assert.ok(checker.cancelledWhileRunning.length > 0, 'no running job was cancelled');
   }
 
@@ -217,12 +221,12 @@
       );
   }
 
-  /** The number of replicas of each service that are on machines. */
+  /** For each service, the number of its replicas that run on machines. */
   replicaCounts(services: readonly string[]): number[] {
     return services.map((id) => this.simulation.checker.machinesOf(id).length);
   }
 
-  /** Whether all replicas of the services are on machines. */
+  /** Whether all replicas of the services run on machines. */
   allReplicasRun(services: readonly string[]): boolean {
     return this.replicaCounts(services).every((count) => count === REPLICAS);
   }
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -1,4 +1,4 @@
-/** A small cluster for the tests of placement: the leader's modules, with simulated workers. */
+/** A small cluster for placement tests: the leader's real modules with simulated workers. */
 import assert from 'node:assert/strict';
 import { JobTable } from '../src/controller/jobs/job-table.js';
 import { type Job } from '../src/controller/model/entities.js';
@@ -25,25 +25,26 @@
   type WorkerOptions,
 } from './placement-worker.js';
 
-/** Time between two heartbeats of each worker, and between two passes. */
+/** Interval between heartbeats of a worker, and between placement passes. */
 export const STEP_MS = 1000;
 
-/** GPUs of the team `owner`: its guarantee and, with `serviceSettings`, its limit. */
+/** The guaranteed GPUs of the team `owner`; with `serviceSettings` also its GPU limit. */
 export const OWNER_GPUS = 4;
 
 const noop = (): void => undefined;
 
-/** What the clusters of the tests differ in. */
+/** Options of a test cluster. */
 export interface ClusterOptions {
   settings: Settings;
-  /** Fields of jobs that a test does not give. */
+  /** Values of job fields that a test does not set. */
   jobDefaults: Partial<JobSpec>;
-  /** What a worker takes to fetch an image. */
+  /** Time that a worker needs to fetch an image. */
   fetchMs: number;
+  /** Replaces the call of `Placement.runPass`. */
   runPass?: (placement: Placement) => void;
 }
 
-/** Jobs, workers and placement, with records that are stored at once. */
+/** Jobs, workers and placement over a record store that stores records immediately. */
 export class PlacementCluster {
   readonly table: JobTable;
   readonly workers: Workers;
@@ -92,7 +93,7 @@
     for (const image of images) machine.images.set(image, 1);
   }
 
-  /** A job of one small task, but for the cluster's defaults and what is given. */
+  /** Adds a job with one small task; the cluster's defaults and then `overrides` replace its fields. */
   add(overrides: Partial<JobSpec> = {}): Job {
     const spec = arraySpec({
       ...{ id: `req-${this.table.jobs.size}`, team: 'guest', tasks: 1 },
@@ -103,7 +104,7 @@
     return this.table.jobs.get(spec.id) ?? assert.fail(`${spec.id} was not added`);
   }
 
-  /** A further machine like the first, on which nothing runs, with the image at hand. */
+  /** Adds a machine `id` like `machineId`, without tasks and with only the given image. */
   addMachineLike(machineId: string, id: string, image: string): void {
     const worker = this.worker(machineId);
     this.simulated.push({ ...worker, id, tasks: [], images: new Set([image]) });
@@ -114,7 +115,7 @@
     return this.simulated.find((worker) => worker.id === id) ?? assert.fail(`no worker ${id}`);
   }
 
-  /** Tasks of the job that are on machines, by machine. */
+  /** Number of the job's tasks on each machine that has any. */
   tasksByMachine(job: Job): Map<string, number> {
     const taskCounts = new Map<string, number>();
     for (const { id, tasks } of this.simulated) {
@@ -124,20 +125,20 @@
     return taskCounts;
   }
 
-  /** Tasks of the job that are on machines. */
+  /** Number of the job's tasks on all machines. */
   taskCount(jobId: string): number {
     const tasks = this.simulated.flatMap((worker) => worker.tasks);
     return tasks.filter((task) => isCurrentTaskOf(task, jobId)).length;
   }
 
-  /** A task of the job ends by itself. */
+  /** Makes a task of the job on that machine exit with the given cause. */
   exit(job: Job, cause: ExitCause, machineId: string): void {
     const { tasks } = this.worker(machineId);
     const index = tasks.findIndex((task) => isCurrentTaskOf(task, job.spec.id));
     tasks.splice(index, 1, { ...(tasks[index] ?? assert.fail()), state: 'exited', cause });
   }
 
-  /** One running task of the job completes; false if none runs. */
+  /** Completes one running task of the job; returns false if none is running. */
   complete(jobId: string): boolean {
     for (const { tasks } of this.simulated) {
       const isRunning = (task: TaskStatus): boolean => task.state === 'running';
@@ -150,7 +151,7 @@
     return false;
   }
 
-  /** What every machine has, in words. */
+  /** Describes each machine and its tasks as a line of text. */
   describe(): string[] {
     return this.simulated.map(({ id, tasks }) => {
       const taskTexts = tasks.map(({ name, attempt, state }) => `${name}@${attempt} ${state}`);
@@ -162,7 +163,10 @@
     for (let i = 0; i < seconds; i++) this.step();
   }
 
-  /** A second: every responsive worker sends a heartbeat and does as it is told, then a pass. */
+  /**
+   * Simulates one interval: every responsive worker sends a heartbeat and executes the commands in the
+   * response, then a placement pass runs.
+   */
   step(): void {
     this.clock.time += STEP_MS;
     for (const worker of this.simulated) if (!worker.unresponsive) this.sendHeartbeat(worker);
@@ -192,7 +196,7 @@
     for (const command of orders) this.execute(worker, command);
   }
 
-  private endFetches({ tasks, images, fetchEndsAt: fetchEndsAt }: SimulatedWorker): void {
+  private endFetches({ tasks, images, fetchEndsAt }: SimulatedWorker): void {
     for (const task of tasks)
       if (task.state === 'fetching' && (fetchEndsAt.get(task.name) ?? 0) <= this.now) {
         task.state = 'running';
@@ -206,7 +210,7 @@
   }
 
   private execute(worker: SimulatedWorker, { verb, duty, try: attempt }: SentCommand): void {
-    const { tasks, images, fetchEndsAt: fetchEndsAt } = worker;
+    const { tasks, images, fetchEndsAt } = worker;
     const index = tasks.findIndex((task) => task.name === duty);
     const task = tasks[index];
     if (verb === 'run') {
@@ -220,7 +224,7 @@
   }
 }
 
-/** So many workers that are alike. */
+/** Returns the options of `count` identical workers. */
 export function workersAlike(count: number, options: WorkerOptions = {}): WorkerOptions[] {
   return Array.from({ length: count }, () => options);
 }
@@ -230,7 +234,7 @@
   return new Settings(standalonePlatform(teams), properties);
 }
 
-/** Settings of the clusters of services: a team with a limit, and one without a guarantee. */
+/** Settings of `serviceCluster`: a team with a guarantee and a limit, and a team without a guarantee. */
 export const serviceSettings = settingsWith(`
 [[params.teams]]
 name = "owner"
@@ -249,7 +253,7 @@
 gpus = 1.0
 `);
 
-/** A cluster whose jobs are services of the highest priority unless a test says otherwise. */
+/** A cluster whose jobs are, by default, services of the highest priority. */
 export function serviceCluster(workers: WorkerOptions[]): PlacementCluster {
   const jobDefaults: Partial<JobSpec> = {
     ...{ kind: 'service', priority: 'production', estimatedRunS: 0 },
@@ -257,7 +261,7 @@
   return new PlacementCluster(workers, { settings: serviceSettings, jobDefaults, fetchMs: 2000 });
 }
 
-/** Two machines and job arrays of tasks with a GPU each, whose images take no time to fetch. */
+/** A cluster of two machines whose jobs are, by default, arrays of one-GPU tasks with instant image fetches. */
 export function batchCluster(runPass?: (placement: Placement) => void): PlacementCluster {
   return new PlacementCluster(workersAlike(2), {
     settings: batchSettings,
--- a/test/placement-worker.ts
+++ b/test/placement-worker.ts
@@ -1,4 +1,4 @@
-/** The simulated workers of the tests of placement, as plain data. */
+/** Simulated workers of the placement tests, as plain data. */
 import type { MachineType } from '../src/controller/wire/cloud.js';
 import type { TaskStatus } from '../src/controller/wire/workers.js';
 import { makeFencingToken } from '../src/controller/workers/fencing-token.js';
@@ -6,20 +6,20 @@
 /** The leader's term in these tests. */
 export const TERM = 3;
 
-/** The type of every machine. */
+/** The type of every machine in these tests. */
 export const machineType: MachineType = {
   ...{ name: 'g', cpus: 8, gpus: 4, memoryGb: 64, cacheGb: 50, fetchGbPerS: 0.5 },
   ...{ price: 1, spotPrice: 1, bootS: 10, zones: ['a', 'b'] },
 };
 
-/** What the workers of a test differ in. */
+/** Options of a simulated worker. */
 export interface WorkerOptions {
   zone?: string;
   spot?: boolean;
   images?: string[];
 }
 
-/** A worker that does as it is told, unless it is unresponsive. */
+/** A worker that executes every command unless it is unresponsive. */
 export interface SimulatedWorker {
   id: string;
   zone: string;
@@ -30,18 +30,18 @@
   spotNoticeS: number | null;
   tasks: TaskStatus[];
   images: Set<string>;
-  /** When the image fetches of its tasks end. */
+  /** Time at which the image fetch of each task ends, by the task's name. */
   fetchEndsAt: Map<string, number>;
 }
 
-/** A command in the words of the workers' protocol. */
+/** A command, with the field names of the worker protocol. */
 export interface SentCommand {
   verb: string;
   duty: string;
   try: number;
 }
 
-/** A worker without tasks, which has the images. */
+/** Returns a worker without tasks that has the given images. */
 export function newWorker(
   { zone = 'a', spot = false, images = [] }: WorkerOptions,
   id: string,
@@ -53,7 +53,7 @@
   };
 }
 
-/** Whether the task, which has not exited, is one of the job's. */
+/** Whether the task belongs to the job and has not exited. */
 export function isCurrentTaskOf({ name, state }: TaskStatus, jobId: string): boolean {
   return state !== 'exited' && name.startsWith(`${jobId}/`);
 }
--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -1,4 +1,4 @@
-/** A state store for tests of the leader's records: responses get lost, and requests arrive late. */
+/** A state store for tests of the leader's records, which loses responses and delays requests. */
 import assert from 'node:assert/strict';
 import { EventLoop } from '../src/controller/runtime/event-loop.js';
 import { seededRandom } from '../src/controller/runtime/random.js';
@@ -20,34 +20,38 @@
 
 const settings = new Settings(standalonePlatform(), defaultProperties());
 
-/** Limits of the state store that the tests' platform has. */
+/** Limits of the state store in the platform settings of the tests. */
 export const { stateLimits } = settings.platform;
 
 const LEADER_KEY = 'lead';
+/** Time from a request to its response. */
 const RESPONSE_MS = 5;
+/** Time after which a request without a response has the result `unknown`. */
 const TIMEOUT_MS = 700;
+/** Longest delay before a transaction whose response is lost is applied. */
 const MAX_DELAY_MS = 5000;
+/** Largest allowed size of the conditions and writes of one transaction, in bytes. */
 const MAX_TRANSACTION_SIZE = 64 * 1024;
-/** Longer than any test: sizes that were halved are not tried again. */
+/** Longer than any test, so that sizes halved after a refusal are not raised again. */
 const SIZE_RETRY_MS = 3_600_000;
 
 function noop(): void {
-  // Nothing follows.
+  // Nothing to do.
 }
 
 function copyOf<Value>(value: Value): Value {
   return JSON.parse(JSON.stringify(value)) as Value;
 }
 
-/** The store, its virtual clock, and the records of the leader that writes to it. */
+/** The state store, its virtual clock, and the record store of the leader that writes to it. */
 export class UnreliableStateStore {
   now = 0;
-  /** Puts and deletes received. */
+  /** Number of puts and deletes received, without those refused for their size. */
   writesReceived = 0;
-  /** Transactions refused for their size. */
+  /** Number of transactions refused for their size. */
   sizeRefusals = 0;
   readonly items = new Map<string, KeyValue>();
-  /** Limits as the leader knows them. */
+  /** The limits that the leader assumes. */
   knownLimits: StateStoreLimits;
   records: RecordStore;
   private revision = 1;
@@ -55,7 +59,10 @@
   private readonly random: () => number;
   private readonly eventLoop: EventLoop;
 
-  /** `faultRate`: ratio of transactions that meet a fault. `limits`: those that the store enforces. */
+  /**
+   * @param faultRate - share of the transactions that draw a fault (one in five of these has no effect)
+   * @param limits - the limits that the store enforces
+   */
   constructor(
     seed: number,
     private readonly faultRate: number,
@@ -68,7 +75,7 @@
     this.records = this.electLeader();
   }
 
-  /** The leader's knowledge of limits, before any refusal. */
+  /** Returns the limits that a leader assumes before any refusal, given those in its settings. */
   limitsKnownAs(present: StateLimits, upcoming: StateLimits): StateStoreLimits {
     const platform = { stateLimits: present, upcomingStateLimits: upcoming };
     return new StateStoreLimits(platform, () => this.now, SIZE_RETRY_MS);
@@ -95,7 +102,7 @@
     this.timers.push({ dueAt: this.now + delayMs, run });
   }
 
-  /** Lets time pass, after the events that are due. */
+  /** Flushes the records that were set, then advances the clock and runs all timers due in that time. */
   run(durationMs: number): void {
     this.eventLoop.post('records were set', noop);
     const until = this.now + durationMs;
@@ -109,7 +116,7 @@
     this.now = until;
   }
 
-  /** A new leader takes over what the one before has stored. */
+  /** Elects a new leader, which loads the records that the previous leader stored. */
   electLeader(): RecordStore {
     (this.records as RecordStore | undefined)?.close();
     const version = ++this.revision;
@@ -176,7 +183,10 @@
     respondAfter(TIMEOUT_MS, () => ({ kind: 'unknown' }));
   }
 
-  /** What happens to a transaction. Without response it is carried out at once, much later, or never. */
+  /**
+   * Draws the fault of a transaction; null for none. A transaction that is not refused gets no response,
+   * and is applied almost at once, up to `MAX_DELAY_MS` later, or never.
+   */
   private nextFault(): 'refused' | { appliedAfterMs: number | null } | null {
     const draw = this.random() < this.faultRate ? this.random() : 1;
     if (draw < 0.2) return 'refused';
@@ -190,7 +200,10 @@
     assert.ok(writes.length <= limits.txnOps);
     assert.ok(conditions.length <= MAX_CONDITIONS_PER_WRITE * limits.txnOps);
     assert.ok(storedSize([conditions, writes]) <= MAX_TRANSACTION_SIZE);
-    assert.ok(!exceedsLimits(limits, conditions, writes), 'a value too large');
+    assert.ok(
+      !exceedsLimits(limits, conditions, writes),
+      'the transaction exceeds the known limits',
+    );
   }
 
   private apply(conditions: Condition[], writes: Write[]): TransactionResult {
