--- a/test/fake-records.ts
+++ b/test/fake-records.ts
@@ -1,6 +1,6 @@
 import type { RecordStore } from '../src/controller/store/record-store.js';
 
-/** A record store for the tests of single modules: what is set is stored at once. */
+/** A fake record store for unit tests, which stores records as soon as they are set. */
 export function immediateRecords(initial: Record<string, unknown> = {}): RecordStore {
   const values = new Map(Object.entries(initial));
   const records: Pick<RecordStore, 'has' | 'list' | 'set' | 'transact'> = {
--- a/test/fakes.ts
+++ b/test/fakes.ts
@@ -1,4 +1,4 @@
-/** Fakes and examples for the unit tests of single modules. */
+/** Fakes and example values for unit tests. */
 import type { Runtime, Logger } from '../src/controller/runtime/runtime.js';
 import { Job } from '../src/controller/model/entities.js';
 import type { JobSpec } from '../src/controller/wire/jobs.js';
@@ -6,7 +6,7 @@
 
 const noop = (): void => undefined;
 
-/** A clock that the test sets, with a log that discards everything. */
+/** A clock that the test sets, and a log that discards everything. */
 export class FakeClock {
   readonly log: Logger = silentLogger;
 
@@ -17,7 +17,7 @@
   }
 }
 
-/** A job array of two small tasks, but for the given fields. */
+/** A job array of two small tasks, with the given fields replaced. */
 export function arraySpec(overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id: 'req-1',
@@ -44,12 +44,12 @@
   };
 }
 
-/** A job that was accepted at time 0. */
+/** A job accepted at time 0, with the spec of `arraySpec`. */
 export function acceptedJob(overrides: Partial<JobSpec> = {}): Job {
   return new Job(arraySpec(overrides), 0, 1, 0);
 }
 
-/** A runtime in which no call is answered and no timer fires. */
+/** A runtime that answers no call, fires no timer and runs no deferred function. */
 export function idleRuntime(clock: FakeClock): Runtime {
   return {
     startedAt: -Infinity,
--- a/test/fleet-fixture.ts
+++ b/test/fleet-fixture.ts
@@ -1,4 +1,4 @@
-/** Shared set-up of the fleet's unit tests: settings, a machine type and stand-ins for the other modules. */
+/** Shared set-up of the fleet's unit tests: settings, a machine type, and fakes of the other modules. */
 import { EventLoop } from '../src/controller/runtime/event-loop.js';
 import type { BootingMachines } from '../src/controller/fleet/booting-machines.js';
 import { defaultProperties } from '../src/controller/settings/properties.js';
@@ -10,10 +10,10 @@
 
 export const settings = new Settings(standalonePlatform(), defaultProperties());
 
-/** How far the cloud's list may lag behind. */
+/** Longest time by which the cloud's list of machines may be out of date, in milliseconds. */
 export const listLagMs = settings.platform.cloudLimits.listLagS * 1000;
 
-/** A machine type with 8 CPUs and the given GPUs; spot machines cost half. */
+/** A machine type with 8 CPUs and the given number of GPUs; a spot machine costs half the price. */
 export function machineType(name: string, gpus: number, price: number): MachineType {
   return {
     ...{ name, gpus, price, spotPrice: price / 2, cpus: 8, memoryGb: 64 },
@@ -23,7 +23,7 @@
 
 export const plainType = machineType('plain', 0, 1);
 
-/** The machines as `Workers` keeps them; the test says for how long each has been unresponsive. */
+/** A fake of `Workers`; the test sets for how long each machine has been unresponsive. */
 export class FakeWorkers {
   readonly machines = new Map<string, Machine>();
   readonly assignedCountByClass = new Map<string, number>();
@@ -62,7 +62,7 @@
   }
 }
 
-/** Everything that one unit test of the fleet needs, without machines. */
+/** The objects that a unit test of the fleet needs; there are no machines at the start. */
 export interface FleetFixture {
   runtime: ManualRuntime;
   eventLoop: EventLoop;
--- a/test/frontend-fixture.ts
+++ b/test/frontend-fixture.ts
@@ -1,4 +1,4 @@
-/** Shared set-up of the unit tests of the users' side of a controller. */
+/** Shared set-up of the unit tests of a controller's user API. */
 import assert from 'node:assert/strict';
 import type { ApiResponse, Respond } from '../src/controller/jobs/api-response.js';
 import { Frontend } from '../src/controller/jobs/frontend.js';
@@ -11,7 +11,7 @@
 import { ManualRuntime, silentLogger } from './manual-runtime.js';
 import { standalonePlatform } from './platform.js';
 
-/** A team with limits, and a state store that will soon take only small values. */
+/** Settings with a team that has limits, and a state store whose upcoming limits allow only small values. */
 const settings = new Settings(
   {
     ...standalonePlatform('[[params.teams]]\nname = "t"\ncpus_max = 8.0\ngpus_max = 4.0\n'),
@@ -25,13 +25,13 @@
   ...{ price: 1, spotPrice: 1, bootS: 1, zones: ['a'] },
 };
 
-/** After this time there are tokens for calls to the state store. */
+/** Time after which the token buckets of the state store client allow a call, in milliseconds. */
 const TOKEN_REFILL_MS = 60_000;
 
-/** Longer than any entry waits for the group commit that it goes out with. */
+/** Longer than any entry waits for its group commit, in milliseconds. */
 const GROUP_COMMIT_MS = 1000;
 
-/** The body of a submission of an array that is accepted. */
+/** The body of a valid submission of a job array. */
 export const arraySubmission = {
   ...{ id: 'req-1', shift: 'c', crew: 't', shape: 'batch', urgency: 'normal', duties: 2 },
   ...{ cores: 1, cards: 0, mem_gb: 1, recipe: 'i', pull_gb: 1, models: null, hall: null },
@@ -39,16 +39,16 @@
   ...{ stow_s: 0, due_s: null },
 };
 
-/** The body of a submission of a service that has all that its team may use. */
+/** The body of a submission of a service that requests its team's whole limits. */
 export const serviceSubmission = {
   ...arraySubmission,
   ...{ shape: 'standing', urgency: 'critical', duties: 4, cores: 2, cards: 1, expect_s: 0 },
 };
 
-/** The users' side of one controller, whose clock and calls the test drives. */
+/** The user API of one controller; the test moves the clock and answers the calls. */
 export class FrontendFixture {
   readonly runtime = new ManualRuntime();
-  /** In the order in which they were sent. */
+  /** The responses to the test's requests, in the order in which they were sent. */
   readonly responses: ApiResponse[] = [];
   private readonly eventLoop = new EventLoop(this.runtime, silentLogger);
   private readonly frontend: Frontend;
@@ -90,7 +90,7 @@
   writes: { set?: string; delete?: string; value?: unknown }[];
 }
 
-/** A state store that several nodes have in common. */
+/** An in-memory state store that several nodes share. */
 export class FakeStateStore {
   private readonly entries = new Map<string, { k: string; value: unknown; stamp: number }>();
   private revision = 5;
@@ -100,7 +100,7 @@
     this.entries.set(key, { k: key, value, stamp: this.revision });
   }
 
-  /** Carries out a call. */
+  /** Executes a read or transaction and returns the reply. */
   reply(call: Call): Reply {
     if (call.method === 'GET') {
       const entry = this.entries.get(call.path.slice('/keys/'.length));
@@ -124,7 +124,7 @@
   }
 }
 
-/** The users' side of one of several nodes with a state store in common, which answers at once. */
+/** The user API of one of several nodes that share a state store, which answers every call immediately. */
 export class FrontendNode {
   private readonly fixture = new FrontendFixture();
 
@@ -150,8 +150,8 @@
     this.answerCalls();
     runtime.advance(GROUP_COMMIT_MS);
     this.answerCalls();
-    assert.equal(responses.length, countBefore + 1, 'one response');
-    return responses[countBefore] ?? assert.fail('no response');
+    assert.equal(responses.length, countBefore + 1, 'number of responses to one request');
+    return responses[countBefore] ?? assert.fail('the request got no response');
   }
 
   private answerCalls(): void {
--- a/test/manual-runtime.ts
+++ b/test/manual-runtime.ts
@@ -1,4 +1,4 @@
-/** A runtime and a log for the tests of single modules. */
+/** A runtime driven by the test, and a silent log, for unit tests. */
 import type { Call, Logger, Reply, Runtime, Timer } from '../src/controller/runtime/runtime.js';
 
 interface PendingTimer {
@@ -7,11 +7,11 @@
   cancelled: boolean;
 }
 
-/** A runtime without time or network of its own: the test moves the clock and answers the calls. */
+/** A runtime in which the test moves the clock and answers the calls. */
 export class ManualRuntime implements Runtime {
-  /** Calls without response, the oldest first. */
+  /** Calls that have not been answered, oldest first. */
   readonly calls: { call: Call; done: (reply: Reply) => void }[] = [];
-  /** Long ago: nothing that depends on the age of the process waits. */
+  /** Long ago, so that no code waits for the process to reach a minimum age. */
   readonly startedAt = -Infinity;
   private time = 0;
   private readonly deferred: (() => void)[] = [];
@@ -52,19 +52,19 @@
   }
 
   sendPeer(): void {
-    // No peers.
+    // There are no peers.
   }
 
-  /** Answers the oldest open call and runs what was deferred. Returns the call. */
+  /** Answers the oldest pending call, runs the deferred functions, and returns the call. */
   answer(status: number, body: unknown = null): Call {
     const pending = this.calls.shift();
-    if (pending === undefined) throw new Error('no open call');
+    if (pending === undefined) throw new Error('no call is pending');
     pending.done({ status, body });
     this.runDeferred();
     return pending.call;
   }
 
-  /** Moves the clock and runs the timers that are due by then, and what was deferred. */
+  /** Advances the clock, then runs the timers that are due and the deferred functions. */
   advance(ms: number): void {
     this.time += ms;
     const due = this.timers.filter((timer) => timer.dueAt <= this.time && !timer.cancelled);
@@ -79,10 +79,10 @@
 }
 
 function noop(): void {
-  // Nothing is recorded.
+  // Log entries are discarded.
 }
 
-/** A log that keeps nothing. */
+/** A log that discards everything. */
 export const silentLogger: Logger = {
   info: noop,
   debug: noop,
--- a/test/peer-message.ts
+++ b/test/peer-message.ts
@@ -1,4 +1,4 @@
-/** A message between controllers for unit tests. */
+/** An example message between controllers, for unit tests. */
 import type { PeerMessage, PeerStatus } from '../src/controller/peers/message.js';
 
 /** The status in the example message. */
@@ -12,7 +12,7 @@
   strayReports: 0.5,
 };
 
-/** A message with everything but a reply. */
+/** A message in which every field but the reply is set. */
 export const exampleMessage: PeerMessage = {
   status: exampleStatus,
   finals: [{ id: 'req-1', state: 'done' }],
--- a/test/platform.ts
+++ b/test/platform.ts
@@ -1,15 +1,15 @@
-/** The platform's settings for tests: as TOML, and as a controller reads them. */
+/** Platform settings for tests, as TOML and in parsed form. */
 import { readPlatform, type Platform } from '../src/controller/settings/platform.js';
 
 const API_PORT = 8080;
 const PEER_PORT = 8081;
 
-/** The settings in which the tests' platforms differ. */
+/** The platform settings that tests vary. */
 export interface PlatformOptions {
   zones: string[];
-  /** Zones of the hosts, in their order. */
+  /** Zones of the hosts, in the order of the hosts; zone `a` for a host without an entry. */
   hostZones: string[];
-  /** TOML of teams and objectives. */
+  /** TOML text of the teams and objectives. */
   teamsToml: string;
   heartbeatIntervalS: number;
   leaseS: number;
@@ -19,11 +19,11 @@
   txnOps: number;
   valueKb: number;
   ramMb: number;
-  /** TOML of the limits that the state store will have. */
+  /** TOML text of the upcoming limits of the state store. */
   upcomingLimitsToml: string;
 }
 
-/** The settings where a test gives no others. */
+/** The default values of `PlatformOptions`. */
 export const defaultPlatformOptions: PlatformOptions = {
   zones: ['a', 'b'],
   hostZones: [],
@@ -72,14 +72,14 @@
 `;
 }
 
-/** Settings of a controller without peers. */
+/** Platform settings of a controller without peers. */
 export function standalonePlatform(teamsToml = ''): Platform {
   const hostToml =
     'host_name = "k"\nsite = "a"\napi_addr = "10.0.0.1:1"\ninternal_addr = "10.0.0.1:2"\n';
   return readPlatform(toToml(hostToml, 1, { ...defaultPlatformOptions, teamsToml }));
 }
 
-/** TOML of the settings of one of several controllers. */
+/** TOML text of the platform settings of `host`, one of several controllers. */
 export function platformToml(hosts: string[], host: string, options: PlatformOptions): string {
   const addr = (name: string, port: number): string => `10.0.0.${hosts.indexOf(name) + 1}:${port}`;
   const zoneOf = (name: string): string => options.hostZones[hosts.indexOf(name)] ?? 'a';
@@ -99,7 +99,7 @@
   return toToml(hostLines.join('\n'), hosts.length, options);
 }
 
-/** Settings of one of several controllers. */
+/** Platform settings of `host`, one of several controllers. */
 export function platformOf(
   hosts: string[],
   host: string,
--- a/test/rule-checker-fixture.ts
+++ b/test/rule-checker-fixture.ts
@@ -1,10 +1,10 @@
-/** A rule checker that knows of one gang, and steps that its tests share. */
+/** A rule checker with one submitted gang, and steps shared by its tests. */
 import type { JobSpec } from '../src/controller/wire/jobs.js';
 import { arraySpec } from './fakes.js';
 import type { FreeCapacity, Placement } from './simulation/rules/placement.js';
 import { RuleChecker } from './simulation/rules/rule-checker.js';
 
-/** A gang of two tasks that needs a machine type, on demand, in one zone. */
+/** A gang of two tasks that requires on-demand machines of one type in a single zone. */
 export const gang: JobSpec = arraySpec({
   ...{ id: 'req-1', class: 'train', team: 'red', kind: 'gang', gpus: 2 },
   ...{ types: ['big'], singleZone: true, spot: false },
@@ -18,10 +18,10 @@
 export const CANCEL_MS = 45_000;
 export const BOTH_TASKS = [0, 1];
 
-/** What a test does to a checker that knows of the gang's submission. */
+/** The events that a test reports to the checker after the gang's submission. */
 export type Steps = (checker: RuleChecker, time: { now: number }) => void;
 
-/** The names of the rules that the checker finds violated. */
+/** Plays the steps and returns the names of the rules that the checker reports as violated. */
 export function violatedRules(play: Steps): string[] {
   const time = { now: 0 };
   const checker = new RuleChecker([team], CANCEL_MS, () => time.now);
@@ -30,18 +30,18 @@
   return checker.violations.map((text) => text.split(' s ')[1]?.split(':')[0] ?? '');
 }
 
-/** The user is told that the submission is accepted. */
+/** Reports that the user received the response that accepts the submission. */
 export function accept(checker: RuleChecker, id = 'req-1'): void {
   checker.responseReceived(id, 201, 'pending', true);
 }
 
-/** The user cancels the gang, and is told that it is cancelled. */
+/** Reports that the user cancelled the gang and received the response that confirms it. */
 export function cancel(checker: RuleChecker): void {
   checker.cancelRequested('req-1');
   checker.responseReceived('req-1', 200, 'aborted', false);
 }
 
-/** Checks every second until then that jobs don't wait beside free capacity. */
+/** Runs the check for jobs that wait while capacity is free, every second up to `untilMs`. */
 export function waitUntil(
   checker: RuleChecker,
   time: { now: number },
--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -1,4 +1,4 @@
-/** Shared set-up of the unit tests of workers/: settings, heartbeats and the module with immediate records. */
+/** Shared set-up of the unit tests of workers/: settings, heartbeats, and `Workers` with a fake record store. */
 import assert from 'node:assert/strict';
 import { JobTable } from '../src/controller/jobs/job-table.js';
 import { type Job, Machine } from '../src/controller/model/entities.js';
@@ -20,16 +20,16 @@
 /** The term of the leader under test. */
 export const TERM = 50;
 
-/** The lowest fencing token of that term. */
+/** The lowest fencing token of `TERM`. */
 export const TOKEN = makeFencingToken(TERM, 0);
 
-/** The attempt under which tasks are assigned, unless a test says otherwise. */
+/** The attempt with which tasks are assigned by default. */
 export const ATTEMPT = 9;
 
-/** Time on the steady clock at which `WorkersFixture` starts. */
+/** Time of the monotonic clock at which `WorkersFixture` starts, in milliseconds. */
 const START_MS = 1000;
 
-/** A machine that has been known from time 0 on. */
+/** A machine that was first seen at time 0. */
 export function newMachine(id = 'n-1'): Machine {
   return new Machine(id, 0, settings);
 }
@@ -43,7 +43,7 @@
   };
 }
 
-/** The same as it comes over the wire. */
+/** The body of such a heartbeat in its wire form. */
 export function heartbeatBody(sequence: number, fencingToken: number): object {
   return {
     ...{ kiln: 'n-1', address: '10.1.0.1:9', model: 'g', hall: 'a', loaners: false },
@@ -51,7 +51,7 @@
   };
 }
 
-/** The first task of `req-1`, running under this attempt. */
+/** The status of the first task of `req-1`, running with the given attempt. */
 export function taskStatus(attempt: number, overrides: Partial<TaskStatus> = {}): TaskStatus {
   return {
     ...{ name: 'req-1/0', attempt, state: 'running', cause: null, checkpointSaved: false },
@@ -62,28 +62,28 @@
 /** The attempt of the task in `RECORDED_MACHINE`. */
 export const RECORDED_ATTEMPT = 5;
 
-/** The record of machine `n-1` with the first task of `req-1`, as an earlier leader has left it. */
+/** The record of machine `n-1` that a previous leader has stored; it lists the first task of `req-1`. */
 export const RECORDED_MACHINE = [
   ...[1, 'g', 'a', 0, '10.1.0.1:9'],
   ['req-1', 't', 1, 0, 1, 0, [RECORDED_ATTEMPT, 0, 0]],
 ];
 
-/** What a worker is sent: commands as `verb task`, and the fencing token. */
+/** The contents of a heartbeat response: commands in the form `verb task`, and the fencing token. */
 interface SentCommands {
   commands: string[];
   token: number;
 }
 
-/** The workers of a leader with one job, with records that are stored at once. */
+/** The `Workers` of a leader with one job, over a record store that stores records immediately. */
 export class WorkersFixture {
   readonly runtime = new ManualRuntime();
   readonly workers: Workers;
-  /** Calls of `onIncompleteGang`. */
+  /** Number of calls of `onIncompleteGang`. */
   incompleteGangs = 0;
   private readonly table: JobTable;
   private lastSequence = 0;
 
-  /** The record, if one is given, is restored as that of machine `n-1`. */
+  /** @param machineRecord - the stored record of machine `n-1`, which is restored; undefined if there is none */
   constructor(jobOverrides: Partial<JobSpec> = {}, machineRecord?: unknown) {
     this.runtime.advance(START_MS);
     const eventLoop = new EventLoop(this.runtime, silentLogger);
@@ -119,14 +119,14 @@
     return this.workers.getOrCreateMachine('n-1');
   }
 
-  /** Assigns the job's first task to the machine, and ends the batch. */
+  /** Assigns the job's first task to the machine and flushes the records. */
   assign(attempt = ATTEMPT): void {
     this.job.pending.remove(0);
     this.workers.assign(this.job, 0, attempt, this.machine);
     this.workers.flush();
   }
 
-  /** Handles the machine's next heartbeat; null if it is refused. */
+  /** Handles the machine's next heartbeat; returns null if it is refused. */
   receiveHeartbeat(
     fencingToken: number,
     tasks: TaskStatus[] = [],
@@ -141,7 +141,7 @@
     return { commands: body.orders.map(({ verb, duty }) => `${verb} ${duty}`), token: body.baton };
   }
 
-  /** The worker carries out the direct command that is open, and shows no task in its response. */
+  /** Answers the oldest pending direct command with status 200 and a heartbeat that lists no tasks. */
   answerDirectCommand(): void {
     const command = this.runtime.calls[0]?.call.body as { baton: number };
     this.runtime.answer(200, heartbeatBody(++this.lastSequence, command.baton));
