--- a/test/mixed-versions/alternating-leaders.test.ts
+++ b/test/mixed-versions/alternating-leaders.test.ts
@@ -1,4 +1,4 @@
-/** Leaders of an older version and of the present one that follow each other again and again. */
+/** Repeated changes of leadership between an older version and the present one. */
 import assert from 'node:assert/strict';
 import { it } from 'node:test';
 import { presentVersion, type ProgramVersion } from '../simulation/program-version.js';
@@ -22,13 +22,16 @@
     { kind: 'jobsCancelled', count: 2, at: random.between(55, 70), elsewhere: true },
   ]);
   const { versionChanges } = scenario;
-  assert.ok(versionChanges >= VERSION_CHANGES, `only ${versionChanges} failovers`);
+  assert.ok(
+    versionChanges >= VERSION_CHANGES,
+    `only ${versionChanges} changes of leadership between the versions`,
+  );
   for (const version of [older, present])
-    assert.ok(processes.electedVersions.includes(version), `${version.name} never led`);
+    assert.ok(processes.electedVersions.includes(version), `${version.name} was never elected`);
 }
 
 await describeOlderVersions('alternating leaders', ({ name, version: older }) => {
-  it('keep the rules and finish all jobs when the lead passes between them ten times', () => {
+  it('violate no rule and finish all jobs when leadership passes between them ten times', () => {
     const present = presentVersion();
     playSeeds(seedCountsFor(name).frequent, (seed) => playAlternatingLeaders(seed, older, present));
   });
--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -1,4 +1,4 @@
-/** Rollouts and rollbacks during or before which the state store lowers its limits. */
+/** Rollouts and rollbacks during which, or after which, the state store lowers its limits. */
 import { it } from 'node:test';
 import type { Fault } from '../simulation/faults/scripted/fault.js';
 import { presentVersion } from '../simulation/program-version.js';
@@ -10,10 +10,10 @@
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
 import { RESTART_PAUSE_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
 
-/** A moment at which the limits of the state store are lowered. */
+/** A situation in which the limits of the state store are lowered. */
 interface LimitsDecreaseMoment {
   name: string;
-  /** Plans the decrease for such a moment from the time given on. */
+  /** Plans the decrease for the first such situation after `fromMs`. */
   plan(scenario: MixedVersionScenario, fromMs: number): PlannedEvent;
 }
 
@@ -39,7 +39,7 @@
   },
 ];
 
-/** The leader ends, and the limits are lowered before another is elected. */
+/** Kills the leader and lowers the limits before another leader is elected. */
 function planDuringFailover(scenario: MixedVersionScenario, fromMs: number): PlannedEvent {
   const { simulation } = scenario;
   const { clock, random } = simulation;
@@ -51,25 +51,25 @@
   return { faults: [], occurred: () => scenario.limitsDecrease?.leader === null };
 }
 
-/** The limits are lowered after the rollout: a version that doesn't know of them can't write under them. */
+/** Lowers the limits after the rollout: a version without support for upcoming limits can't keep within them. */
 function decreaseAfterRollout(moment: LimitsDecreaseMoment): RolloutEvent {
   return limitsDecreaseEvent(moment, 1, ({ completeMs }) => completeMs);
 }
 
-/** The limits are lowered while both versions serve. */
+/** Lowers the limits while both versions serve. */
 function decreaseDuringRollout(moment: LimitsDecreaseMoment): RolloutEvent {
   const fromMs = ({ firstRestartMs }: RollingUpdate): number => firstRestartMs + LONGEST_RESTART_MS;
   return { ...limitsDecreaseEvent(moment, 2, fromMs), pauseMs: RESTART_PAUSE_MS };
 }
 
-/** `versionsRunning`: how many versions serve as the limits are lowered. */
+/** @param versionsRunning - the expected number of versions that serve when the limits are lowered */
 function limitsDecreaseEvent(
   moment: LimitsDecreaseMoment,
   versionsRunning: number,
   fromMs: (update: RollingUpdate) => number,
 ): RolloutEvent {
   return {
-    name: `limits of the state store that are lowered ${moment.name}`,
+    name: `a decrease of the state store's limits ${moment.name}`,
     plan: (scenario, update) => {
       const { faults, occurred } = moment.plan(scenario, fromMs(update));
       const laterJobs: Fault = {
@@ -88,9 +88,9 @@
   };
 }
 
-/** The limits are lowered after the rollout, shortly before or after the end of a leader. */
+/** Lowers the limits after the rollout, shortly before or after the leader is killed. */
 const decreaseNearFailover: RolloutEvent = {
-  name: 'lower limits near a failover',
+  name: "a decrease of the state store's limits close to a failover",
   plan: ({ simulation: { random, stateStore } }) => ({
     faults: [
       { kind: 'stateStoreLimitsLowered', at: random.between(50, 60) },
@@ -106,23 +106,23 @@
   const present = presentVersion();
   const { frequent, rare } = seedCountsFor(name);
 
-  // What the version in production has written is larger than the new limits allow to write.
-  it('write nothing too large when rolled out before the limits are lowered', () => {
+  // The version in production may have written values that are larger than the lowered limits allow.
+  it('exceed no size limit when the limits are lowered after a rollout', () => {
     playSeeds(frequent, (seed) => playRollout(seed, older, present, decreaseNearFailover));
   });
   for (const moment of decreaseMoments) {
     if (!knowsServicesAndLimits) {
-      it(`write nothing too large when rolled out before the limits are lowered ${moment.name}`, () => {
+      it(`exceed no size limit when the limits are lowered after a rollout, ${moment.name}`, () => {
         const event = decreaseAfterRollout(moment);
         playSeeds(rare, (seed) => playRollout(seed, older, present, event));
       });
       continue;
     }
     const event = decreaseDuringRollout(moment);
-    it(`write nothing too large when rolled out as the limits are lowered ${moment.name}`, () => {
+    it(`exceed no size limit when the limits are lowered in a rollout, ${moment.name}`, () => {
       playSeeds(rare, (seed) => playRollout(seed, older, present, event));
     });
-    it(`write nothing too large when rolled back as the limits are lowered ${moment.name}`, () => {
+    it(`exceed no size limit when the limits are lowered in a rollback, ${moment.name}`, () => {
       playSeeds(rare, (seed) => playRollout(seed, present, older, event));
     });
   }
--- a/test/mixed-versions/older-versions.ts
+++ b/test/mixed-versions/older-versions.ts
@@ -1,25 +1,25 @@
-/** Runs a suite against each older version that serves beside the present one, with several seeds. */
+/** Runs a test suite with several seeds for each older version that has to work together with the present one. */
 import { describe, it } from 'node:test';
 import { olderVersions, type OlderVersion } from '../simulation/program-history.js';
 
 const FIRST_SEED = Number(process.env['MIXED_FIRST'] ?? 1);
 
-/** How many seeds of a scenario are played. */
+/** The number of seeds with which a scenario is played. */
 export interface SeedCounts {
-  /** Of scenarios with the most frequent faults. */
+  /** For scenarios with the most frequent faults. */
   frequent: number;
-  /** Of scenarios with rarer faults. */
+  /** For scenarios with rarer faults. */
   rare: number;
 }
 
-/** The version in production is played with more seeds than others. */
+/** Returns the seed counts for a version; the version in production gets more seeds than others. */
 export function seedCountsFor(versionName: string): SeedCounts {
   const seedCount = process.env['MIXED_SEEDS'];
   if (seedCount !== undefined) return { frequent: Number(seedCount), rare: Number(seedCount) };
   return versionName === 'production' ? { frequent: 3, rare: 2 } : { frequent: 1, rare: 1 };
 }
 
-/** Plays a scenario with so many seeds; an error names its seed. */
+/** Plays a scenario with `count` seeds; the message of an error starts with its seed. */
 export function playSeeds(count: number, play: (seed: number) => void): void {
   for (let seed = FIRST_SEED; seed < FIRST_SEED + count; seed++)
     try {
@@ -29,14 +29,14 @@
     }
 }
 
-/** Defines a suite for each older version; one that the history does not have is skipped. */
+/** Defines a suite for each older version; the suite of a version that the git history lacks is skipped. */
 export async function describeOlderVersions(
   subject: string,
   defineTests: (older: OlderVersion) => void,
 ): Promise<void> {
   for (const entry of await olderVersions())
-    describe(`${entry.name} and present controllers side by side: ${subject}`, () => {
+    describe(`controllers of version "${entry.name}" and of the present version: ${subject}`, () => {
       if ('older' in entry) defineTests(entry.older);
-      else it('keep the rules', { skip: entry.reason });
+      else it('violate no rule', { skip: entry.reason });
     });
 }
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -1,4 +1,8 @@
-/** Rollouts and rollbacks between an older version and the present one, with faults in their midst. */
+/**
+ * Rollouts and rollbacks between an older version and the present one, with faults during the update.
+ * Operators roll out a new version while an older one serves, and roll back if it fails. So each version
+ * has to read the other's records and take over leadership from it. Rules are checked after every step.
+ */
 import assert from 'node:assert/strict';
 import { it } from 'node:test';
 import { smallWithLowerLimits as deployment } from '../simulation/deployments/small.js';
@@ -11,13 +15,10 @@
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
 import { RESTART_PAUSE_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
 
-// The operators roll out a new version while an older one serves (and back, where it fails), so both
-// read each other's records and follow each other as leaders. Rules are checked after every step.
-
-/** Events in the midst of a rolling update, which takes 9 to 45 s. */
+/** Events during a rolling update, which takes 9 to 45 s. */
 const rolloutEvents: RolloutEvent[] = [
   {
-    name: 'a leader that dies before its turn and comes back as it was',
+    name: 'a leader that crashes before its update and restarts with the old version',
     plan: ({ simulation: { random }, starts }) => {
       const restartAfter = random.between(0.1, 2);
       const at = random.between(0.5, 2.5);
@@ -39,29 +40,29 @@
     }),
   },
   {
-    name: 'late writes',
+    name: 'delayed writes',
     plan: ({ simulation: { stateStore } }) => ({
       faults: [{ kind: 'lateWrites', share: 0.4, at: 0, for: 60 }],
       occurred: () => stateStore.lateCommits.applied + stateStore.lateCommits.refused > 0,
     }),
   },
   {
-    name: 'late heartbeats',
+    name: 'delayed duplicates of heartbeats',
     plan: ({ simulation: { network } }) => ({
       faults: [{ kind: 'duplicatedHeartbeats', share: 0.4, at: 0, for: 60 }],
       occurred: () => network.duplicatesDelivered > 0,
     }),
   },
   {
-    name: 'all controllers that end at once',
-    // Time for it between the restart of the first process and the end of the second.
+    name: 'a simultaneous crash of all controllers',
+    // Leaves time for the crash between the restart of the first process and the kill of the second.
     pauseMs: RESTART_PAUSE_MS,
     rare: true,
     plan: planCrashOfAll,
   },
 ];
 
-/** All controllers end at once while one of them runs the other version, and come back as they were. */
+/** Kills all controllers at once while one of them runs the other version; all restart with their versions. */
 function planCrashOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
   const { simulation, starts } = scenario;
   const { clock, random, hosts } = simulation;
@@ -74,7 +75,11 @@
     for (const host of hosts) simulation.kill(host, restartMs);
     leaderless = simulation.leader === null;
     clock.after(restartMs + 1, () => {
-      assert.equal(starts.length - startsBefore, hosts.length, 'not all ended at once');
+      assert.equal(
+        starts.length - startsBefore,
+        hosts.length,
+        'number of processes that restarted after the crash of all controllers',
+      );
     });
   });
   return { faults: [], occurred: () => versionsRunning === 2 && leaderless };
@@ -85,10 +90,10 @@
   const { frequent, rare } = seedCountsFor(name);
   for (const event of rolloutEvents) {
     const seeds = event.rare === true ? rare : frequent;
-    it(`keep the rules and finish all jobs when rolled out, with ${event.name}`, () => {
+    it(`violate no rule and finish all jobs during a rollout with ${event.name}`, () => {
       playSeeds(seeds, (seed) => playRollout(seed, older, present, event));
     });
-    it(`keep the rules and finish all jobs when rolled back, with ${event.name}`, () => {
+    it(`violate no rule and finish all jobs during a rollback with ${event.name}`, () => {
       playSeeds(seeds, (seed) => playRollout(seed, present, older, event));
     });
   }
--- a/test/mixed-versions/rollout.ts
+++ b/test/mixed-versions/rollout.ts
@@ -1,30 +1,30 @@
-/** Rollouts from one version to another, each with an event in its midst. */
+/** Rollouts from one version to another, each with an event during the rolling update. */
 import assert from 'node:assert/strict';
 import type { Fault } from '../simulation/faults/scripted/fault.js';
 import type { ProgramVersion } from '../simulation/program-version.js';
 import { MixedVersionScenario, type RollingUpdate } from './mixed-version-scenario.js';
 
-/** Time in which both versions serve between two restarts, for events that need some. */
+/** Pause between two restarts in which both versions run, for events that need time, in milliseconds. */
 export const RESTART_PAUSE_MS = 8000;
 
-/** The faults of an event, and whether it has come about as planned. */
+/** The faults of an event, and whether the event occurred as planned. */
 export interface PlannedEvent {
   faults: Fault[];
   occurred: () => boolean;
 }
 
-/** What happens during a rollout. */
+/** An event during a rollout. */
 export interface RolloutEvent {
   name: string;
-  /** Time between two restarts beyond what is drawn. */
+  /** Time between two restarts in addition to the random interval, in milliseconds. */
   pauseMs?: number;
-  /** Played with fewer seeds. */
+  /** Whether the event is rare, and so played with fewer seeds. */
   rare?: boolean;
-  /** Plans the event at the beginning of the rollout. */
+  /** Plans the event; called when the rollout starts. */
   plan(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent;
 }
 
-/** All controllers run `from`; a rolling update with an event in its midst makes all run `to`. */
+/** Plays a rolling update of all controllers from version `from` to `to`, with an event during the update. */
 export function playRollout(
   seed: number,
   from: ProgramVersion,
@@ -39,8 +39,8 @@
     { kind: 'jobsCancelled', count: 3, at: random.between(10, 30), elsewhere: true },
     ...faults,
   ]);
-  assert.ok(occurred(), `${event.name} did not happen`);
+  assert.ok(occurred(), `${event.name} did not occur as planned`);
   for (const version of [from, to])
-    assert.ok(processes.electedVersions.includes(version), `${version.name} never led`);
+    assert.ok(processes.electedVersions.includes(version), `${version.name} was never elected`);
   scenario.assertAllRun(to);
 }
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -1,4 +1,4 @@
-/** Services that run during or after a rollout, and on through failovers. */
+/** Services that keep running during a rollout, or through a failover after one. */
 import assert from 'node:assert/strict';
 import { it } from 'node:test';
 import { presentVersion, type ProgramVersion } from '../simulation/program-version.js';
@@ -6,15 +6,15 @@
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
 
 const SERVICES = 3;
-/** After a failover, this long until the services are expected to be complete. */
+/** Time after an election before the services are checked for recovery, in milliseconds. */
 const MIN_RECOVERY_MS = 1000;
 
-/** Whether there is a leader, and all replicas run. */
+/** Whether there is a leader and all replicas run. */
 function isServing(scenario: MixedVersionScenario, services: readonly string[]): boolean {
   return scenario.simulation.leader !== null && scenario.allReplicasRun(services);
 }
 
-/** Services are submitted once all run `to`, keep running in a failover, and are cancelled. */
+/** Submits services once all controllers run `to`, kills the leader, and cancels the services after recovery. */
 function playServicesAfterRollout(seed: number, from: ProgramVersion, to: ProgramVersion): void {
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
   const { clock, random } = scenario.simulation;
@@ -31,11 +31,14 @@
     );
   });
   scenario.finish([{ kind: 'jobsCancelled', count: 3, at: random.between(1, 5) }]);
-  assert.ok(survived, 'services did not run through a failover');
+  assert.ok(survived, 'the services did not recover after a failover');
   assertCancelled(scenario, services);
 }
 
-/** Ends the leader while all replicas run: until there is another, replicas end only by themselves. */
+/**
+ * Kills the leader while all replicas run. Until another leader is elected, replicas may end only because
+ * their own processes exit.
+ */
 function failOver(
   scenario: MixedVersionScenario,
   services: readonly string[],
@@ -50,7 +53,10 @@
   scenario.runWhen(0, isElected, () => {
     const running = scenario.replicaCounts(services).reduce((sum, count) => sum + count, 0);
     const ended = simulation.replicasEnded - endedBefore;
-    assert.ok(running + ended >= SERVICES * REPLICAS, 'replicas were lost with the leader');
+    assert.ok(
+      running + ended >= SERVICES * REPLICAS,
+      'the failover ended replicas that had not exited',
+    );
     const hasRecovered = (): boolean => scenario.allReplicasRun(services);
     scenario.runWhen(MIN_RECOVERY_MS, hasRecovered, () => {
       onSurvived();
@@ -59,7 +65,7 @@
   });
 }
 
-/** Services run from before the rollout until after it, with leaders of both versions, and are cancelled. */
+/** Runs services from before a rollout until after it, under leaders of both versions, then cancels them. */
 function playServicesDuringRollout(seed: number, from: ProgramVersion, to: ProgramVersion): void {
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
   const { simulation } = scenario;
@@ -82,21 +88,22 @@
   };
   scenario.runWhen(0, () => isServing(scenario, services), rollOut);
   scenario.finish([{ kind: 'jobsCancelled', count: 3, at: simulation.random.between(1, 5) }]);
-  assert.ok(survived, 'services did not run through the rollout');
-  assert.ok(fewestReplicas > 0, 'a service had no replica for a while');
+  assert.ok(survived, 'the services were not complete after the rollout');
+  assert.ok(fewestReplicas > 0, 'a service had no running replica at some time');
   const electedVersions = simulation.processes.electedVersions.slice(electionsBefore);
-  assert.ok(electedVersions.includes(to), `${to.name} never led with services`);
+  assert.ok(electedVersions.includes(to), `${to.name} was never elected while services ran`);
   scenario.assertAllRun(to);
   assertCancelled(scenario, services);
 }
 
 function assertCancelled(scenario: MixedVersionScenario, services: readonly string[]): void {
   const { checker } = scenario.simulation;
-  for (const id of services) assert.ok(checker.visibleState(id).cancelled, `${id} not cancelled`);
+  for (const id of services)
+    assert.ok(checker.visibleState(id).cancelled, `${id} is not reported as cancelled`);
   const replicas = scenario.replicaCounts(services);
   assert.ok(
     replicas.every((count) => count === 0),
-    'replicas left',
+    'replicas of cancelled services still run',
   );
 }
 
@@ -104,7 +111,7 @@
   const present = presentVersion();
   const { rare } = seedCountsFor(name);
 
-  // Services are submitted only once all versions that serve know them.
+  // Services are submitted only when all running versions support them.
   it('keep services running through a failover after a rollout', () => {
     playSeeds(rare, (seed) => playServicesAfterRollout(seed, older, present));
   });
