--- a/test/failover-scenarios.test.ts
+++ b/test/failover-scenarios.test.ts
@@ -1,10 +1,10 @@
-/** Faults that coincide with failovers, or with what users are told. */
+/** Scenarios of faults that coincide with failovers, or with responses to users. */
 import { failoverScenarios } from './simulation/scenarios/failover-scenarios.js';
 import { testScenarios } from './simulation/scenarios/play-scenario.js';
 import { responseScenarios } from './simulation/scenarios/response-scenarios.js';
 
 testScenarios(
-  'keeps the rules and finishes all jobs when faults meet failovers',
+  'the service violates no rule and finishes all jobs when faults coincide with failovers',
   failoverScenarios,
 );
-testScenarios('answers users consistently under coinciding faults', responseScenarios);
+testScenarios('the service answers users consistently under coinciding faults', responseScenarios);
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,4 +1,4 @@
-/** What a new leader learns from the records of the one before. */
+/** Checks that a new leader keeps the learned statistics that the previous leader recorded. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { isList, isMap } from '../src/controller/wire/cbor.js';
@@ -16,13 +16,13 @@
 const GANG_COUNT = 8;
 const IMAGE_COUNT = 3;
 
-/** The arrivals of a class on record: how much work came, and with which images. */
+/** The recorded arrivals of a job class: the weight of the work submitted, and its images. */
 interface RecordedArrivals {
   weight: number;
   images: string[];
 }
 
-/** The newest text of the class's learned statistics in the pages at the state store. */
+/** Returns the newest version of the class's learned statistics in the pages at the state store, as text. */
 function recordedStatistics(simulation: Simulation): string {
   let newestSequence = -1;
   let text: unknown = null;
@@ -35,7 +35,7 @@
     newestSequence = seq;
     text = entries[index + 1];
   }
-  assert.ok(typeof text === 'string', `nothing on record of ${CLASS}`);
+  assert.ok(typeof text === 'string', `no learned statistics of class ${CLASS} in any page`);
   return text;
 }
 
@@ -52,7 +52,7 @@
   };
 }
 
-/** Gangs come one after the other and run for longer than the test. */
+/** Submits gangs one after the other; each runs for longer than the test. */
 function submitGangs(simulation: Simulation): void {
   for (let i = 0; i < GANG_COUNT; i++)
     simulation.clock.after(10_000 + i * 4000, () => {
@@ -62,9 +62,10 @@
 }
 
 describe('a new leader', () => {
-  // Deployment "Trapezi grown": after each failover gangs waited longer for their capacity.
+  // Guards against a failure in deployment "Trapezi grown": after each failover, gangs waited longer for
+  // their capacity.
   for (const seed of [1, 2, 3])
-    it(`keeps the learned statistics on record when jobs are active, seed ${seed}`, () => {
+    it(`keeps the recorded statistics of a class that has active jobs, seed ${seed}`, () => {
       const simulation = new Simulation(smallDeployment, seed, noFaults);
       submitGangs(simulation);
       simulation.play(60_000);
@@ -73,10 +74,13 @@
       assert.ok(leader !== null);
       simulation.kill(leader, 30_000);
       simulation.play(40_000);
-      assert.ok(simulation.leader !== null && simulation.leader !== leader, 'another leads');
+      assert.ok(
+        simulation.leader !== null && simulation.leader !== leader,
+        'no other controller was elected',
+      );
       const after = recordedArrivals(simulation);
       assert.deepEqual(after.images, before.images);
-      // No job has come since: the weight is the same, and decays only as it is used.
+      // No job was submitted since, so the weight is the same: it decays only when it is used.
       assert.equal(after.weight, before.weight);
     });
 });
--- a/test/fault-scenarios.test.ts
+++ b/test/fault-scenarios.test.ts
@@ -1,9 +1,12 @@
 /**
- * Faults that coincide: most violations of rules were found where two faults met. Each scenario is brought
- * about with several seeds, and the rules are checked after every step. More seeds: `SCENARIO_SEEDS` and
- * `SCENARIO_FIRST`.
+ * Scenarios of coinciding faults, which have found most of the rule violations. Each scenario is played
+ * with several seeds, and the rules are checked after every step. `SCENARIO_SEEDS` sets the number of
+ * seeds, `SCENARIO_FIRST` the first seed.
  */
 import { faultScenarios } from './simulation/scenarios/fault-scenarios.js';
 import { testScenarios } from './simulation/scenarios/play-scenario.js';
 
-testScenarios('keeps the rules and finishes all jobs under coinciding faults', faultScenarios);
+testScenarios(
+  'the service violates no rule and finishes all jobs under coinciding faults',
+  faultScenarios,
+);
--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -1,4 +1,4 @@
-/** A scenario is worth what it catches: controllers with an injected bug violate a rule in it. */
+/** Checks that the fault scenarios detect bugs: a controller with an injected bug has to violate a rule. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Controller } from '../src/controller/controller.js';
@@ -10,7 +10,7 @@
 import { playScenario } from './simulation/scenarios/play-scenario.js';
 import { presentVersion, type ProgramVersion } from './simulation/program-version.js';
 
-/** The scenario whose name contains the text. */
+/** Returns the first scenario whose name contains the text. */
 function scenarioNamed(fragment: string): FaultScenario {
   const scenario = allScenarios.find(({ name }) => name.includes(fragment));
   assert.ok(scenario, fragment);
@@ -20,10 +20,10 @@
 type RequestArguments = Parameters<Controller['request']>;
 type Response = Parameters<RequestArguments[3]>[0];
 
-/** How long the buggy controller caches its responses. */
+/** Time for which `CachingController` caches a response. */
 const CACHE_MS = 1000;
 
-/** Responds to status queries from a cache for a while, whatever other controllers have told since. */
+/** Answers status queries from a cache, even if other controllers have reported a newer state since. */
 class CachingController extends Controller {
   private readonly cache = new Map<string, { cachedAt: number; response: Response }>();
   private readonly runtime: Runtime;
@@ -46,7 +46,7 @@
   }
 }
 
-/** The part of a heartbeat that tells how new it is, by the names on the wire. */
+/** The fields of a heartbeat that order it among the heartbeats of its worker, by their names on the wire. */
 interface HeartbeatOrder {
   kiln: string;
   tenure: number;
@@ -54,7 +54,10 @@
   baton: number;
 }
 
-/** Takes every heartbeat for the newest, and for one that shows the leader's own term. */
+/**
+ * Accepts stale heartbeats: raises the agent epoch, sequence number and fencing token of each heartbeat so
+ * that it appears to be the worker's newest.
+ */
 class StaleHeartbeatController extends Controller {
   private readonly newest = new Map<string, HeartbeatOrder>();
 
@@ -72,14 +75,15 @@
   }
 }
 
-/** The present version with another controller. */
+/** The present version with its controller class replaced. */
 function versionWith(BuggyController: typeof Controller): ProgramVersion {
   return { ...presentVersion(), Controller: BuggyController };
 }
 
 describe('an injected bug', () => {
-  // Without its bound a leader renews workers for as long as its lease is renewed.
-  it('violates ran_cancelled if a leader serves workers on a job watch of any staleness', () => {
+  // Without the bound on the watch's staleness (invariant 8: whoever answers a worker knows of every
+  // cancellation older than the bound), a leader renews workers' leases as long as it renews its own.
+  it('violates ran_cancelled if a leader answers workers however stale its job watch is', () => {
     const version = presentVersion({ ...defaultProperties(), 'workers.view.ratio': 1000 });
     const scenario = scenarioNamed('whose watches do not');
     assert.throws(() => playScenario(scenario, 1, version), /ran_cancelled/);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,7 @@
-/** Thousands of machines: the rules, the service and its cost, while whole parts of the deployment fail. */
+/**
+ * A fleet of thousands of machines in which large parts of the deployment fail: no rule may be violated,
+ * all jobs have to end, and the number of state store writes is bounded.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { playLargeFleet } from './simulation/scenarios/large-fleet-scenario.js';
@@ -6,17 +9,17 @@
 const MACHINES = 4500;
 const SEEDS = Number(process.env['LARGE_FLEET_SEEDS'] ?? 1);
 const FIRST_SEED = Number(process.env['LARGE_FLEET_FIRST'] ?? 1);
-/** Time after the faults in which all jobs have to end. */
+/** Time after the last fault within which all jobs have to end. */
 const RECOVERY_MS = 300_000;
 
 describe('a fleet of thousands of machines', () => {
   for (let seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++)
-    it(`keeps the rules and finishes all jobs under faults, seed ${seed}`, () => {
+    it(`violates no rule and finishes all jobs under faults, seed ${seed}`, () => {
       const simulation = playLargeFleet(MACHINES, seed);
       const { cloud, checker, stateStore } = simulation;
       assert.ok(cloud.workers.length > MACHINES * 0.6, `${cloud.workers.length} machines are left`);
       assert.ok(checker.startedTasks > MACHINES, `only ${checker.startedTasks} tasks started`);
-      // The leader's records are packed: a put serves several tasks, beside the three of each job.
+      // The leader packs records into pages: apart from the three puts per job, one put covers several tasks.
       assert.ok(
         stateStore.puts < checker.startedTasks,
         `${stateStore.puts} puts for ${checker.startedTasks} starts`,
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -6,15 +6,16 @@
 import { longJobs } from './simulation/scenarios/fault-scenario.js';
 import { Simulation } from './simulation/simulation.js';
 
-/** In the deployment with short leases a worker's takes 10 s, and the leader's 1.3 s. */
+/** Longer than the leases of the deployment, which are 10 s for a worker and 1.3 s for the leader. */
 const OUTAGE_MS = 20_000;
-/** Jobs run by then. */
+/** Time before the outage in which machines boot and jobs start. */
 const WARM_UP_MS = 65_000;
-/** Time after the outage in which the leader renews its lease. */
+/** Time after the outage within which the leader has to renew its lease. */
 const LEASE_RENEWAL_MS = 5000;
+/** Interval at which the controllers that answer workers are counted. */
 const CHECK_INTERVAL_MS = 5;
 
-/** Checks all the time that no two controllers answer workers, which the leader's fence relies on. */
+/** Checks repeatedly that at most one controller answers workers; the leader's fencing relies on this. */
 function checkSingleResponder(simulation: Simulation): void {
   const { clock, processes } = simulation;
   const checkNow = (): void => {
@@ -25,7 +26,10 @@
   checkNow();
 }
 
-/** Plays jobs and an outage; `inOutage` is called as it begins. */
+/**
+ * Runs jobs through an outage of the state store.
+ * @param onOutageStart - called when the outage starts
+ */
 function playOutage(
   seed: number,
   onOutageStart: (simulation: Simulation) => void = () => undefined,
@@ -41,7 +45,7 @@
   return simulation;
 }
 
-/** Controllers end or stop for a while at random times of the outage and shortly after it. */
+/** Kills or freezes random controllers at random times during the outage and shortly after it. */
 function killOrFreezeControllers({ clock, random, processes }: Simulation): void {
   for (let i = 0; i < 12; i++)
     clock.after(random.between(0, OUTAGE_MS + 3000), () => {
@@ -52,8 +56,8 @@
 }
 
 describe('an outage of the state store longer than the leases of workers', () => {
-  // Recorded days of the third deployment lost all running tasks in each outage of 20 s: the leader
-  // stopped answering with the end of its own lease.
+  // Guards against a failure in recorded runs of the third deployment: each outage of 20 s lost all
+  // running tasks, because the leader stopped answering workers when its own lease expired.
   for (const seed of [1, 2, 3])
     it(`expires no worker's lease while all controllers run, seed ${seed}`, () => {
       const simulation = playOutage(seed);
@@ -62,7 +66,7 @@
       assert.equal(simulation.expiredLeases, 0);
     });
 
-  it("expires workers' leases when a controller is down, which can't grant the leader's", () => {
+  it("expires workers' leases when one controller is down and can't grant the leader more time", () => {
     const simulation = playOutage(1, ({ leader, processes }) => {
       const follower = shortLeases.hosts.find((host) => host !== leader) ?? '';
       processes.kill(follower, OUTAGE_MS);
@@ -71,7 +75,7 @@
   });
 
   for (const seed of [1, 2, 3, 4])
-    it(`keeps the rules when controllers end and restart during it, seed ${seed}`, () => {
+    it(`violates no rule when controllers crash or freeze during it, seed ${seed}`, () => {
       const simulation = playOutage(seed, killOrFreezeControllers);
       simulation.stopFaults(10_000);
       simulation.play(400_000);
--- a/test/short-leases.test.ts
+++ b/test/short-leases.test.ts
@@ -1,4 +1,4 @@
-/** All fault scenarios in a deployment with short leases, two zones and no machine at the start. */
+/** All fault scenarios in a deployment with short leases, two zones and no machines at the start. */
 import {
   singleControllerZone,
   withShortLeases,
@@ -9,12 +9,12 @@
 const SEEDS = 1;
 
 testScenarios(
-  'keeps the rules and finishes all jobs with short leases',
+  'the service violates no rule and finishes all jobs with short leases',
   allScenarios.map(withShortLeases),
   SEEDS,
 );
 testScenarios(
-  'keeps the rules and finishes all jobs with short leases and a zone with one controller',
+  'the service violates no rule and finishes all jobs with short leases and one controller in a zone',
   singleControllerZone,
   SEEDS,
 );
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -1,23 +1,26 @@
-/** The whole service in the simulation: quiet, under random faults, and with a leader that no worker reaches. */
+/** The whole service in the simulation: without faults, under random faults, and with a leader cut off from workers. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { smallDeployment } from './simulation/deployments/small.js';
 import { frequentFaults, noFaults, type FaultRates } from './simulation/faults/fault-rates.js';
 import { Simulation } from './simulation/simulation.js';
 
-/** No fault lasts longer than this. */
+/** Time within which all faults end once no new ones start. */
 const LONGEST_FAULT_MS = 60_000;
-/** Time without new faults in which all jobs have to end. */
+/** Time without new faults within which all jobs have to end. */
 const RECOVERY_MS = 600_000;
 
 const JOBS = 30;
-/** Jobs are submitted in this share of the time with faults. */
+/** Share of the time with faults in which jobs are submitted. */
 const SUBMISSION_SHARE = 0.8;
-/** This share of the jobs is cancelled, within so long. */
+/** Share of the jobs that are cancelled. */
 const CANCELLED_SHARE = 0.15;
+/** Longest time from a job's submission to its cancellation. */
 const CANCELLED_WITHIN_MS = 40_000;
 
+/** Id of a job that is never submitted. */
 const UNKNOWN_JOB = 'req-999999';
+/** Time from the response to a query about `UNKNOWN_JOB` to the next query. */
 const UNKNOWN_JOB_QUERY_MS = 7000;
 
 function submitRandomJobs(simulation: Simulation, withinMs: number): void {
@@ -30,7 +33,7 @@
     });
 }
 
-/** Asks again and again about a job that nobody submitted. */
+/** Repeatedly queries the status of a job that nobody submitted. */
 function queryUnknownJob(simulation: Simulation): void {
   const { checker, clock } = simulation;
   simulation.sendRequest('GET', `/submissions/${UNKNOWN_JOB}`, undefined, (status, state) => {
@@ -39,7 +42,7 @@
   });
 }
 
-/** Plays jobs and faults for a time, and then until all jobs have ended; no rule may be violated. */
+/** Runs jobs under faults for `faultsMs`, then without new faults; all accepted jobs have to end. */
 function playToCompletion(seed: number, faults: FaultRates, faultsMs: number): void {
   const simulation = new Simulation(smallDeployment, seed, faults);
   const { checker } = simulation;
@@ -50,10 +53,10 @@
   simulation.play(RECOVERY_MS);
   assert.deepEqual(checker.jobs.unfinished(), [], 'accepted jobs that never finished');
   assert.deepEqual(checker.jobs.neglected(), []);
-  assert.ok(checker.startedTasks > JOBS / 2, 'hardly anything ran');
+  assert.ok(checker.startedTasks > JOBS / 2, 'fewer tasks started than half the number of jobs');
 }
 
-/** Cuts the leader off from the workers, while all other controllers reach them. */
+/** Cuts the connections between the leader and all workers; the other controllers still reach them. */
 function playLeaderCutFromWorkers(seed: number): void {
   const simulation = new Simulation(smallDeployment, seed, noFaults);
   for (let i = 0; i < 10; i++) simulation.submit(simulation.randomJob(), null);
@@ -67,17 +70,18 @@
 }
 
 describe('the whole service in the simulation', () => {
-  it('keeps the rules and finishes all accepted jobs when there are no faults', () => {
+  it('violates no rule and finishes all accepted jobs without faults', () => {
     playToCompletion(1, noFaults, 200_000);
   });
 
-  // Fleet day "apart": the leader lost its workers alone, kept its lease, and 600 tasks ended with theirs.
-  it('fails over before a lease expires when workers reach all controllers but the leader', () => {
+  // Guards against a failure in the fleet run "apart": only the connections between the leader and the
+  // workers failed. The leader kept its own lease, the workers' leases expired, and 600 tasks were lost.
+  it("fails over before a worker's lease expires when workers reach every controller but the leader", () => {
     for (let seed = 1; seed <= 4; seed++) playLeaderCutFromWorkers(seed);
   });
 
   for (let seed = 1; seed <= 10; seed++)
-    it(`keeps the rules and finishes all accepted jobs under random faults, seed ${seed}`, () => {
+    it(`violates no rule and finishes all accepted jobs under random faults, seed ${seed}`, () => {
       playToCompletion(seed, frequentFaults, 300_000);
     });
 });
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -1,4 +1,4 @@
-/** Hundreds of machines: what the service costs, and that it survives one fault after the other. */
+/** A fleet of hundreds of machines: load on the state store, and sequences of faults. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { mediumFleet } from './simulation/deployments/fleets.js';
@@ -6,18 +6,18 @@
 import { submitSteadily } from './simulation/scenarios/steady-work.js';
 import { Simulation } from './simulation/simulation.js';
 
-/** Machines at most; more would only make the test slow. */
+/** Largest number of machines in the fleet; more would only make the test slow. */
 const MACHINES = 200;
 const FIRST_JOBS = 30;
-/** Mean time between two jobs: as many as keep most of the machines busy. */
+/** Mean time between two submissions, chosen so that most of the machines are busy. */
 const MEAN_ARRIVAL_MS = 1100;
-/** At the state store, by the platform's settings. */
+/** Limit on requests to the state store in the platform settings. */
 const REQUESTS_PER_SECOND = 80;
 
-/** A time in milliseconds, and what happens then. */
+/** A time in milliseconds from the start, and the action at that time. */
 type TimedAction = [number, (simulation: Simulation) => void];
 
-/** Plays a fleet to which jobs come all the time, with the actions given. */
+/** Runs a fleet to which jobs are submitted at a steady rate, with the given actions. */
 function playFleet(seed: number, ms: number, actions: readonly TimedAction[]): Simulation {
   const simulation = new Simulation(mediumFleet(MACHINES), seed, rareFaults);
   submitSteadily(simulation, {
@@ -30,7 +30,7 @@
   return simulation;
 }
 
-/** Plays on without new faults: all accepted jobs are done then, and none was neglected. */
+/** Runs on without new faults and asserts that all accepted jobs ended and none was neglected. */
 function assertCompletes(simulation: Simulation): void {
   simulation.stopFaults(60_000);
   simulation.play(400_000);
@@ -38,7 +38,7 @@
   assert.deepEqual(simulation.checker.jobs.neglected(), []);
 }
 
-/** What was done so far, and what it cost at the state store. */
+/** Tasks started so far, and the puts and requests that the state store has received. */
 interface Usage {
   puts: number;
   requests: number;
@@ -75,7 +75,7 @@
 ];
 
 describe('a fleet of hundreds of machines', () => {
-  it('takes few requests and writes of the state store, within its limits', () => {
+  it('sends few requests and writes to the state store, within its limits', () => {
     let before: Usage = { puts: 0, requests: 0, startedTasks: 0 };
     const measureMs = 60_000;
     const measure: TimedAction = [measureMs, (simulation) => (before = usageOf(simulation))];
@@ -83,23 +83,23 @@
     const after = usageOf(simulation);
     const tasks = after.startedTasks - before.startedTasks;
     assert.ok(tasks > 300, `only ${tasks} tasks started`);
-    // Records are packed: a put serves several tasks, beside the three that each job costs.
+    // Records are packed into pages: apart from three puts per job, one put covers several tasks.
     const putsPerTask = (after.puts - before.puts) / tasks;
-    assert.ok(putsPerTask < 2, `${putsPerTask} puts a task`);
+    assert.ok(putsPerTask < 2, `${putsPerTask} puts per task, expected less than 2`);
     const requestsPerSecond = (after.requests - before.requests) / (measureMs / 1000);
     assert.ok(requestsPerSecond < REQUESTS_PER_SECOND);
     assert.equal(simulation.stateStore.rateLimited, 0);
     assertCompletes(simulation);
   });
 
-  // What the operators expect of a fleet's day, one fault after the other.
-  it('expires no lease and finishes all jobs when controllers are lost one after the other', () => {
+  // The operators require that no worker's lease expires under such a sequence of controller faults.
+  it('expires no lease and finishes all jobs under one controller fault after the other', () => {
     const simulation = playFleet(2, 240_000, controllerFaults);
     assert.equal(simulation.expiredLeases, 0);
     assertCompletes(simulation);
   });
 
-  it('finishes all jobs after mass losses of machines, an outage and crashes of all controllers', () => {
+  it('finishes all jobs after losses of many machines, an outage and crashes of all controllers', () => {
     assertCompletes(playFleet(3, 240_000, massFaults));
   });
 });
