--- a/test/digest.test.ts
+++ b/test/digest.test.ts
@@ -1,4 +1,4 @@
-/** The behaviour of the program in fixed scenarios, to the byte: a refactoring leaves the digests as they are. */
+/** Compares digests of the program's traffic in fixed scenarios; a refactoring must not change them. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { expectedDigests } from './simulation/digest/expected-digests.js';
@@ -8,13 +8,13 @@
 describe('the behaviour digest (npm run digest)', () => {
   const expected = expectedDigests();
 
-  it('has an expected value for each scenario, and for no other', () => {
+  it('has an expected value for exactly the defined scenarios', () => {
     const names = digestScenarios.map((scenario) => scenario.name);
     assert.deepEqual(Object.keys(expected), names);
   });
 
   for (const scenario of digestScenarios)
-    it(`is as expected in the scenario "${scenario.name}"`, async () => {
+    it(`equals the expected value in the scenario "${scenario.name}"`, async () => {
       const { digest } = await digestOf(scenario);
       assert.equal(digest, expected[scenario.name]);
     });
--- a/test/digest.ts
+++ b/test/digest.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run digest`: hashes of what enters and leaves the controllers in fixed scenarios, compared with
- * `test/digests.json`. `-- --write` makes the present ones the expected, `-- --counts` prints the events by kind.
+ * `npm run digest`: hashes all messages that enter and leave the controllers in fixed scenarios, and compares
+ * the hashes with `test/digests.json`. `-- --write` stores the present hashes as the expected ones;
+ * `-- --counts` prints the number of events by kind.
  */
 import {
   expectedDigests,
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -1,4 +1,4 @@
-/** The memory of a controller: the heap keeps within the quota of the settings, a small one or a large one. */
+/** The memory of a controller: the process stays below the memory quota in the settings, small or large. */
 import assert from 'node:assert/strict';
 import { spawnSync, type SpawnSyncReturns } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -13,21 +13,21 @@
 
 const root = fileURLToPath(new URL('../', import.meta.url));
 const { run } = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
-if (typeof run !== 'string') throw new Error('deploy/service.toml: run: no text');
+if (typeof run !== 'string') throw new Error('deploy/service.toml: run is missing or not a string');
 const commandLine = run.split(' ');
-/** Node's options in the deployed command line. */
+/** The options of Node.js in the deployed command line. */
 const nodeOptions = commandLine.slice(1, commandLine.indexOf('target/main.cjs'));
 
-/** The module under test, for a process that loads nothing else. */
+/** The module under test, bundled for a process that loads no other code. */
 const [heapBudgetBundle] = buildSync({
   entryPoints: [join(root, 'src/controller/runtime/heap-budget.ts')],
   ...{ bundle: true, write: false, platform: 'node', format: 'cjs' },
 }).outputFiles;
 
 /**
- * A program that keeps `liveMb` alive and replaces all of it again and again, as a leader replaces its
- * records. It prints its peak memory in MB, without the files that it maps: they hold the program itself,
- * which is shared and can be read again.
+ * Returns a program that fills the heap with `liveMb` of live objects and then replaces all of them, as a
+ * leader replaces its records. It prints its peak anonymous memory in MB. Mapped files are left out: they
+ * hold the program itself, whose pages are shared and can be read again.
  */
 function memoryLoad(ramMb: number, liveMb: number): string {
   return `
@@ -51,7 +51,7 @@
     process.stdout.write(String(Math.round(peakMb)));`;
 }
 
-/** The peak memory of a process with that quota. */
+/** Returns the peak memory in MB of a process with the given quota and live objects. */
 function peakMbOf(ramMb: number, liveMb: number): number {
   const result = spawnSync(process.execPath, [...nodeOptions, '-e', memoryLoad(ramMb, liveMb)], {
     encoding: 'utf8',
@@ -64,7 +64,7 @@
   const directory = mkdtempSync(join(tmpdir(), 'bitternvale-'));
   after(() => rmSync(directory, { recursive: true }));
 
-  /** Runs check-config on settings with that quota, with the deployed options of Node. */
+  /** Runs check-config on settings with the given quota, with the deployed options of Node.js. */
   function checkConfig(ramMb: number): SpawnSyncReturns<string> {
     const config = join(directory, `${ramMb}.toml`);
     writeFileSync(config, platformToml(['kiln-0'], 'kiln-0', { ...defaultPlatformOptions, ramMb }));
@@ -75,7 +75,7 @@
     });
   }
 
-  it('is printed by check-config, in proportion to the quota', () => {
+  it('is limited in proportion to the quota, and check-config prints the limit', () => {
     const smallQuota = checkConfig(146);
     assert.equal(smallQuota.status, 0);
     assert.match(smallQuota.stdout, /^heap keeps at most 52 MB of 146 MB$/m);
@@ -89,15 +89,16 @@
     assert.ok(peak < ramMb, `${peak} MB of ${ramMb} MB`);
   });
 
-  // The heap of a leader with thousands of machines was bounded at 80 MB, whatever the settings gave.
-  it('exceeds what lives and stays below a large quota, so that the heap can use it', () => {
+  // Guards against a fixed heap limit: the heap of a leader with thousands of machines was once limited to
+  // 80 MB, whatever quota the settings gave.
+  it('holds the live objects and stays below a large quota', () => {
     const ramMb = 400;
     const liveMb = oldGenerationMb({ ramMb }) * 0.7;
     const peak = peakMbOf(ramMb, liveMb);
     assert.ok(peak > liveMb && peak < ramMb, `${peak} MB of ${ramMb} MB`);
   });
 
-  it('grows by a smaller percentage the fuller the heap is', () => {
+  it('grows by a smaller percentage when the heap is fuller', () => {
     const cases: [number, number][] = [
       [10, 100],
       [50, 60],
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -1,4 +1,4 @@
-/** The pages for developers name files and members of the code: what they name has to be there. */
+/** Checks that the files, members and pages which the developer documentation refers to exist. */
 import assert from 'node:assert/strict';
 import { execFileSync } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
@@ -8,7 +8,7 @@
 
 const root = fileURLToPath(new URL('../', import.meta.url));
 
-/** Pages that describe the present code; results and incidents tell of the code of their day. */
+/** Pages that describe the present code; pages on results and incidents refer to the code of their time. */
 const PAGES = [
   'README.md',
   'docs/architecture.md',
@@ -17,7 +17,7 @@
   'docs/operations.md',
 ];
 
-/** Directories that the pages leave out where a path is clear without them. */
+/** Path prefixes that the pages may omit. */
 const PREFIXES = ['', 'src/', 'src/controller/', 'test/', 'test/simulation/'];
 
 const SOURCE_PATH = /`([\w./-]+\.(?:ts|mjs))`/g;
@@ -28,14 +28,14 @@
   return [...readFileSync(join(root, page), 'utf8').matchAll(pattern)];
 }
 
-/** All source and test files, relative to the root, as they are in the working tree. */
+/** Paths of all source and test files in the working tree, relative to the root. */
 function sourceFiles(): string[] {
   return execFileSync('find', ['src', 'test', '-name', '*.ts'], { cwd: root, encoding: 'utf8' })
     .trim()
     .split('\n');
 }
 
-describe('the pages for developers', () => {
+describe('the developer documentation', () => {
   const files = sourceFiles();
   const sources = files.map((file) => readFileSync(join(root, file), 'utf8'));
 
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -1,4 +1,4 @@
-/** Malformed messages of peers: the controller drops them and goes on. */
+/** Checks that a controller drops malformed peer messages and continues to accept well-formed ones. */
 import assert from 'node:assert/strict';
 import { beforeEach, describe, it } from 'node:test';
 import { Controller } from '../src/controller/controller.js';
@@ -18,10 +18,10 @@
 
 const HOST = 'kiln-0';
 
-/** Virtual time in which the controller handles what has arrived. */
+/** Virtual time in which the controller handles arrived messages and requests. */
 const HANDLING_MS = 100;
 
-/** A controller that nobody answers: no peer, no state store, no cloud. */
+/** A controller without connections: peers, state store and cloud answer nothing. */
 class IsolatedController {
   readonly warnings: string[] = [];
   readonly errors: string[] = [];
@@ -51,19 +51,19 @@
     this.clock.run(this.clock.now + HANDLING_MS, () => undefined);
   }
 
-  /** A message arrives from a peer. */
+  /** Delivers a message from a peer. */
   receive(bytes: Buffer): void {
     this.controller.peerFrame(bytes);
     this.runEventLoop();
   }
 
-  /** The connection from a peer is closed for an error in what came on it. */
+  /** Reports that the connection from a peer was closed because of malformed data. */
   failConnection(err: Error): void {
     this.controller.peerConnectionFailed(err);
     this.runEventLoop();
   }
 
-  /** The number of dropped messages in the metrics. */
+  /** Returns the number of dropped messages and failed connections from the metrics. */
   async droppedMessages(): Promise<number> {
     const metrics = new Promise<string>((resolve) => {
       this.controller.request('GET', '/metrics', Buffer.alloc(0), ({ encodedBody }) =>
@@ -72,7 +72,7 @@
     });
     this.runEventLoop();
     const line = /^bitternvale_unreadable_peer_messages_total (\d+)$/m.exec(await metrics);
-    assert.ok(line, 'no such metric');
+    assert.ok(line, '/metrics lacks bitternvale_unreadable_peer_messages_total');
     return Number(line[1]);
   }
 }
@@ -83,17 +83,17 @@
   ['is empty', Buffer.alloc(0)],
   ['is truncated', wellFormed.subarray(0, wellFormed.length - 3)],
   ['has an unknown type in a union', Buffer.concat([Buffer.from([4]), wellFormed.subarray(1)])],
-  ['announces more items than bytes', Buffer.from([0, 0xfe, 0xff, 0xff, 0xff, 0x0f])],
+  ['declares more array items than it has bytes', Buffer.from([0, 0xfe, 0xff, 0xff, 0xff, 0x0f])],
 ];
 
-describe('a controller that receives messages of peers', () => {
+describe('a controller that receives peer messages', () => {
   let controller: IsolatedController;
 
   beforeEach(() => {
     controller = new IsolatedController();
   });
 
-  it('drops none that is well-formed', async () => {
+  it('accepts a well-formed message', async () => {
     assert.equal(await controller.droppedMessages(), 0);
     controller.receive(wellFormed);
     assert.equal(await controller.droppedMessages(), 0);
@@ -101,7 +101,7 @@
   });
 
   for (const [defect, bytes] of malformed)
-    it(`drops, logs and counts one that ${defect}, and goes on`, async () => {
+    it(`drops, logs and counts a message that ${defect}, then accepts a well-formed one`, async () => {
       controller.receive(bytes);
       assert.equal(await controller.droppedMessages(), 1);
       assert.equal(controller.warnings.length, 1);
@@ -110,7 +110,7 @@
       assert.deepEqual(controller.errors, []);
     });
 
-  it('logs and counts a connection that failed, and goes on', async () => {
+  it('logs and counts a failed connection, then accepts a well-formed message', async () => {
     controller.failConnection(new Error('frame too large'));
     assert.equal(await controller.droppedMessages(), 1);
     assert.equal(controller.warnings.length, 1);
@@ -119,7 +119,7 @@
     assert.deepEqual(controller.errors, []);
   });
 
-  it('counts all malformed ones and failed connections together', async () => {
+  it('counts malformed messages and failed connections in one metric', async () => {
     for (const [index, [, bytes]] of malformed.entries()) {
       controller.receive(bytes);
       assert.equal(await controller.droppedMessages(), index + 1, `message ${index}`);
--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -1,4 +1,4 @@
-/** The simulation finds what its rule checker catches: here each rule is violated once or more. */
+/** Tests of the simulation's rule checker: each rule is violated at least once and has to be reported. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -15,8 +15,8 @@
 } from './rule-checker-fixture.js';
 import type { FreeCapacity } from './simulation/rules/placement.js';
 
-describe('the rule checker finds no violation', () => {
-  it('when a job is accepted, runs and is done', () => {
+describe('the rule checker reports no violation', () => {
+  it('when a job is accepted, runs and completes', () => {
     const violated = violatedRules((checker) => {
       accept(checker);
       for (const task of BOTH_TASKS) checker.taskStarted('req-1', task, placement);
@@ -32,7 +32,7 @@
 
   const waitingReasons: [string, FreeCapacity, Steps][] = [
     ['no machine has enough GPUs', { ...freeMachine, gpus: 3 }, () => undefined],
-    ['no machine has a type that it needs', { ...freeMachine, type: 'small' }, () => undefined],
+    ['no machine has a type that it allows', { ...freeMachine, type: 'small' }, () => undefined],
     ['all machines are spot instances', { ...freeMachine, spot: true }, () => undefined],
     [
       'its team is at its limit',
@@ -53,7 +53,7 @@
       assert.deepEqual(violated, []);
     });
 
-  it('when the response to an earlier request arrives after a newer one', () => {
+  it('when the response to an earlier request arrives after a newer response', () => {
     const violated = violatedRules((checker) => {
       const stateBefore = checker.visibleState('req-1');
       accept(checker);
@@ -66,7 +66,7 @@
   });
 });
 
-/** A sequence of steps that violates a rule. */
+/** Steps that violate a rule. */
 interface Violation {
   rule: string;
   when: string;
@@ -76,7 +76,7 @@
 const placementViolations: Violation[] = [
   {
     rule: 'ran_twice',
-    when: 'a task is on two machines',
+    when: 'a task runs on two machines',
     play: (checker) => {
       checker.taskStarted('req-1', 0, placement);
       checker.taskStarted('req-1', 0, { ...placement, machine: 'n-2' });
@@ -84,7 +84,7 @@
   },
   {
     rule: 'quota',
-    when: "tasks take more than their team's limit",
+    when: "a team's tasks exceed its limit",
     play: (checker) => {
       for (const task of BOTH_TASKS) checker.taskStarted('req-1', task, placement);
       checker.jobSubmitted({ ...gang, id: 'req-2' });
@@ -93,17 +93,17 @@
   },
   {
     rule: 'wrong_place',
-    when: 'a task is on a machine of a type that its job does not allow',
+    when: 'a task runs on a machine of a type that its job does not allow',
     play: (checker) => checker.taskStarted('req-1', 0, { ...placement, type: 'small' }),
   },
   {
     rule: 'wrong_place',
-    when: 'a task that needs an on-demand machine is on a spot instance',
+    when: 'a task that requires an on-demand machine runs on a spot instance',
     play: (checker) => checker.taskStarted('req-1', 0, { ...placement, spot: true }),
   },
   {
     rule: 'wrong_place',
-    when: 'tasks that have to be in one zone are in two',
+    when: 'tasks that require a single zone run in two zones',
     play: (checker) => {
       checker.taskStarted('req-1', 0, placement);
       checker.taskStarted('req-1', 1, { ...placement, zone: 'b', machine: 'n-2' });
@@ -111,7 +111,7 @@
   },
   {
     rule: 'wrong_place',
-    when: 'tasks that have to be spread over zones are in one',
+    when: 'tasks that have to be spread over zones run in one zone',
     play: (checker) => {
       checker.jobSubmitted({ ...gang, id: 'req-2', singleZone: false, spread: true, gpus: 1 });
       for (const task of BOTH_TASKS) checker.taskStarted('req-2', task, placement);
@@ -119,7 +119,7 @@
   },
   {
     rule: 'ran_cancelled',
-    when: 'a task runs on for longer than cancel_s after its cancellation was confirmed',
+    when: 'a task still runs more than cancel_s after its cancellation was confirmed',
     play: (checker, time) => {
       checker.taskStarted('req-1', 0, placement);
       cancel(checker);
@@ -132,7 +132,7 @@
 const responseViolations: Violation[] = [
   {
     rule: 'forgotten',
-    when: 'an accepted job is unknown to a later status query',
+    when: 'a later status query answers that an accepted job is unknown',
     play: (checker) => {
       accept(checker);
       checker.responseReceived('req-1', 404, '', false);
@@ -140,7 +140,7 @@
   },
   {
     rule: 'forgotten',
-    when: 'an accepted job is refused as its submission is retried',
+    when: 'a retried submission of an accepted job is refused',
     play: (checker) => {
       accept(checker);
       checker.responseReceived('req-1', 422, '', true);
@@ -148,7 +148,7 @@
   },
   {
     rule: 'forgotten',
-    when: 'a job that was accepted before the query was sent is unknown to it',
+    when: 'a status query answers that a job accepted before it was sent is unknown',
     play: (checker) => {
       accept(checker);
       const acceptedState = checker.visibleState('req-1');
@@ -157,17 +157,17 @@
   },
   {
     rule: 'invented',
-    when: 'a job that nobody submitted has a state',
+    when: 'a response gives a state to a job that nobody submitted',
     play: (checker) => checker.responseReceived('req-9', 200, 'pending', false),
   },
   {
     rule: 'not_done',
-    when: 'a job is told to be done before its tasks are',
+    when: 'a response reports a job as done before its tasks have completed',
     play: (checker) => checker.responseReceived('req-1', 200, 'done', false),
   },
   {
     rule: 'went_back',
-    when: 'a job is running after it was done',
+    when: 'a job is reported as running after it was reported as done',
     play: (checker) => {
       for (const task of BOTH_TASKS) checker.taskCompleted('req-1', task);
       checker.responseReceived('req-1', 200, 'done', false);
@@ -176,12 +176,12 @@
   },
   {
     rule: 'went_back',
-    when: 'a job is cancelled that nobody asked to cancel',
+    when: 'a job is reported as cancelled although nobody requested it',
     play: (checker) => checker.responseReceived('req-1', 200, 'aborted', false),
   },
   {
     rule: 'went_back',
-    when: 'a job is running that was cancelled before the query was sent',
+    when: 'a job is reported as running although it was cancelled before the query was sent',
     play: (checker) => {
       cancel(checker);
       const cancelledState = checker.visibleState('req-1');
@@ -190,7 +190,7 @@
   },
   {
     rule: 'went_back',
-    when: 'a job is done, and then cancelled in the response to an earlier request',
+    when: 'a job is reported as done, and then as cancelled in the response to an earlier request',
     play: (checker) => {
       const acceptedState = checker.visibleState('req-1');
       checker.cancelRequested('req-1');
@@ -201,7 +201,7 @@
   },
   {
     rule: 'accepted_odd',
-    when: 'a submission is accepted that is not valid',
+    when: 'an invalid submission is accepted',
     play: (checker) => checker.invalidJobAccepted('req-odd-1'),
   },
 ];
@@ -209,7 +209,7 @@
 const neglectViolations: Violation[] = [
   {
     rule: 'forgotten',
-    when: 'an accepted job goes unanswered for long after the last fault',
+    when: 'no request about an accepted job is answered within 75 s of the last fault',
     play: (checker, time) => {
       accept(checker);
       checker.faultsEndedAt = time.now;
@@ -220,7 +220,7 @@
   },
   {
     rule: 'forgotten',
-    when: 'a cancellation goes unanswered for long after the last fault',
+    when: 'a cancellation is not answered within 75 s of the last fault',
     play: (checker, time) => {
       accept(checker);
       checker.cancelRequested('req-1');
@@ -232,7 +232,7 @@
   },
   {
     rule: 'left_waiting',
-    when: 'a gang waits for long beside free capacity',
+    when: 'a gang waits for more than 90 s although there is free capacity for it',
     play: (checker, time) => {
       accept(checker);
       checker.faultsEndedAt = time.now;
@@ -241,7 +241,7 @@
   },
   {
     rule: 'left_waiting',
-    when: 'a service lacks a replica for long beside free capacity',
+    when: 'a service lacks a replica for more than 30 s although there is free capacity for it',
     play: (checker, time) => {
       checker.jobSubmitted({ ...gang, id: 'req-2', kind: 'service', tasks: 2, gpus: 1 });
       accept(checker, 'req-2');
@@ -253,12 +253,12 @@
 ];
 
 const violations: [string, Violation[]][] = [
-  ['of tasks on machines', placementViolations],
-  ['of what users are told', responseViolations],
-  ['of what is due to users once faults are over', neglectViolations],
+  ['in the placement of tasks', placementViolations],
+  ['in responses to users', responseViolations],
+  ['in the treatment of jobs after the last fault', neglectViolations],
 ];
 for (const [subject, cases] of violations)
-  describe(`the rule checker catches a violation ${subject}`, () => {
+  describe(`the rule checker reports a violation ${subject}`, () => {
     for (const { rule, when, play } of cases)
       it(`${rule}, when ${when}`, () => {
         assert.ok(violatedRules(play).includes(rule));
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -1,6 +1,7 @@
 /**
- * The bytes of stored records and of messages between controllers, as version 0.1.0 writes them. They
- * can't change: a leader reads what an older one has left, and versions serve beside each other.
+ * The formats of stored records and of messages between controllers, byte for byte as version 0.1.0 writes
+ * them. They must not change: a leader reads records that an older version wrote, and controllers of
+ * different versions exchange messages during a rollout.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -37,6 +38,7 @@
 const FIXTURE_URL = new URL('fixtures/stored-forms.json', import.meta.url);
 const fixture = JSON.parse(readFileSync(FIXTURE_URL, 'utf8')) as StoredForms;
 const settings = new Settings(standalonePlatform(), defaultProperties());
+/** Size limit of a value at the state store, in bytes. */
 const VALUE_BYTES = 16 * 1024;
 
 function decodedValue(kind: string): unknown {
@@ -52,10 +54,10 @@
   return { key, text, value: JSON.parse(text) as unknown };
 }
 
-/** A time of day later than all in the fixture. */
+/** A wall-clock time later than all in the fixture, in milliseconds. */
 const WALL_CLOCK_MS = 1.8e12;
 
-/** The store of machines over these records; it takes in the tasks that they tell of. */
+/** A store of machines over the given records, which restores the recorded assignments. */
 function machineStore(records: RecordStore): { registry: MachineRegistry; store: MachineStore } {
   const clock = new FakeClock(WALL_CLOCK_MS);
   const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
@@ -71,12 +73,12 @@
   return { registry, store };
 }
 
-describe('the forms that the present version writes', () => {
-  it('are to the byte as in the fixture', async () => {
+describe('the formats that the present version writes', () => {
+  it('match the fixture byte for byte', async () => {
     assert.deepEqual(await storedFormsOf(digestScenarios.slice(3, 5)), fixture);
   });
 
-  it('are all in the fixture', () => {
+  it('all have an example in the fixture', () => {
     const values = ['catalogue', 'final/ cancelled', 'final/ done', 'lead', 'live/', 'page/'];
     assert.deepEqual(Object.keys(fixture.values).sort(), values);
     const records = ['h/', 'i/', 'learned/', 'm/', 'p/'];
@@ -87,8 +89,8 @@
   });
 });
 
-describe('a value of the state store in the fixture', () => {
-  it('names the leader, and is written alike', () => {
+describe('a state store value in the fixture', () => {
+  it('with the leader record is read, and written to the same bytes', () => {
     const leader = readLeaderRecord(decodedValue('lead'), 7);
     assert.ok(leader !== null);
     assert.equal(leader.term, 7);
@@ -96,13 +98,13 @@
   });
 
   for (const state of ['done', 'cancelled'] as const)
-    it(`has the end of a job that is ${state}, and is written alike`, () => {
+    it(`with the terminal state of a ${state} job is read, and written to the same bytes`, () => {
       const value = decodedValue(`final/ ${state}`);
       assert.equal(readTerminalState(value), state);
       assertSameBytes(`final/ ${state}`, terminalRecord(state, (value as { at: number }).at));
     });
 
-  it('has an accepted job, and is written alike', () => {
+  it('with an accepted job is read, and written to the same bytes', () => {
     const { job, at } = decodedValue('live/') as { job: unknown; at: number };
     const spec = readJobSpec(job);
     assert.equal(`live/${spec.id}`, fixture.values['live/']?.key);
@@ -110,7 +112,7 @@
     assertSameBytes('live/', { job: writeJobSpec(spec), at });
   });
 
-  it('has the machine types, and is written alike', () => {
+  it('with the machine types is read, and written to the same bytes', () => {
     const types = readCatalogue(decodedValue('catalogue'));
     assert.deepEqual(
       types.map(({ name }) => name),
@@ -119,7 +121,7 @@
     assertSameBytes('catalogue', writeCatalogue(types));
   });
 
-  it('has a page of records, and is written alike but for deleted records', () => {
+  it('with a page of records is read, and written back without deleted records', () => {
     const { key = '' } = fixture.values['page/'] ?? {};
     const value = decodedValue('page/') as { seq: number; entries: (string | null)[] };
     const pages = new PageTable(() => VALUE_BYTES);
@@ -129,13 +131,13 @@
     const liveEntries = value.entries.flatMap((entry, i) =>
       i % 2 === 0 && value.entries[i + 1] !== null ? [entry, value.entries[i + 1]] : [],
     );
-    // No other page has an older value of a deleted record, so the deletion is dropped as the page is read.
+    // No other page has an older value of a deleted record, so reading the page drops the deletion.
     assert.deepEqual(encodePage(page, value.seq), { seq: value.seq, entries: liveEntries });
   });
 });
 
-describe('a record of a page in the fixture', () => {
-  it('has the tasks on a machine, and is written alike', () => {
+describe('a page record in the fixture', () => {
+  it("with a machine's tasks is read, and written to the same text", () => {
     const { key, value, text } = parsedRecord('m/');
     const records = immediateRecords({ [key]: value });
     const { registry, store } = machineStore(records);
@@ -148,7 +150,7 @@
     assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
   });
 
-  it('has the done tasks of a job, and is written alike', () => {
+  it("with a job's completed tasks is read, and written as the same value", () => {
     const { key, value, text } = parsedRecord('p/');
     const id = key.split('/')[1] ?? '';
     const tasks = Buffer.from(value as string, 'base64').length * 8;
@@ -164,7 +166,7 @@
     assert.deepEqual([...records.list('')], [{ key, value: JSON.parse(text) as unknown }]);
   });
 
-  it('has the images on a machine, and is written alike', () => {
+  it("with a machine's images is read, and written as the same value", () => {
     const { key, value } = parsedRecord('i/');
     const records = immediateRecords({ [key]: value });
     const { registry, store } = machineStore(records);
@@ -177,7 +179,7 @@
     assert.deepEqual([...records.list('')], [{ key, value }]);
   });
 
-  it('has the machines that a gang has reserved', () => {
+  it("with a gang's reserved machines is read", () => {
     const { key, value } = parsedRecord('h/');
     const id = key.slice('h/'.length);
     const job = acceptedJob({ id, kind: 'gang' });
@@ -191,10 +193,10 @@
     assert.deepEqual(job.reservation?.machines, value);
   });
 
-  it('has the learned statistics of a class, and is written alike', () => {
+  it('with the learned statistics of a class is read, and written to the same text', () => {
     const { key, value, text } = parsedRecord('learned/');
     const { since } = (value as { arrivals: { since: number } }).arrivals;
-    // The process starts as the record does, and its clock is the time of day.
+    // The process starts when the recorded arrivals start, and its monotonic clock equals the wall clock.
     const clock = new FakeClock(since);
     const statistics = new LearnedStatistics(
       new EventLoop(idleRuntime(clock), clock.log),
@@ -210,7 +212,7 @@
 
 describe('a message between controllers in the fixture', () => {
   for (const [fields, hex] of Object.entries(fixture.messages))
-    it(`of ${fields === '' ? 'nothing' : fields} is read, and written alike`, () => {
+    it(`with ${fields === '' ? 'no fields' : fields} is read, and written to the same bytes`, () => {
       const message = decodePeerMessage(Buffer.from(hex, 'hex'));
       const filledFields = Object.entries(message).filter(([, value]) =>
         Array.isArray(value) ? value.length > 0 : value !== null,
@@ -219,7 +221,7 @@
       assert.equal(encodePeerMessage(message).toString('hex'), hex);
     });
 
-  it('that requests a lease grant has the term in CBOR', () => {
+  it('that requests a lease grant contains the term in CBOR', () => {
     const body = Buffer.from('a1647465726d1a0001e240', 'hex');
     assert.equal(decodeLeaseGrantRequest(body), 123_456);
     assert.deepEqual(encodeLeaseGrantRequest(123_456), body);
