--- a/test/digest.ts
+++ b/test/digest.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run digest`: hashes all messages that enter and leave the controllers in fixed scenarios, and compares
- * the hashes with `test/digests.json`. `-- --write` stores the present hashes as the expected ones;
+ * `npm run digest`: hashes the traffic that enters and leaves the controllers in fixed scenarios, and
+ * compares the hashes with `test/digests.json`. `-- --write` stores the present hashes as the expected ones;
  * `-- --counts` prints the number of events by kind.
  */
 import {
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -75,7 +75,7 @@
     });
   }
 
-  it('is limited in proportion to the quota, and check-config prints the limit', () => {
+  it('has a heap limit that grows with the quota, which check-config prints', () => {
     const smallQuota = checkConfig(146);
     assert.equal(smallQuota.status, 0);
     assert.match(smallQuota.stdout, /^heap keeps at most 52 MB of 146 MB$/m);
--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -10,10 +10,10 @@
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
 import { RESTART_PAUSE_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
 
-/** A situation in which the limits of the state store are lowered. */
+/** A point in time, relative to another event, at which the limits of the state store are lowered. */
 interface LimitsDecreaseMoment {
   name: string;
-  /** Plans the decrease for the first such situation after `fromMs`. */
+  /** Plans the decrease for the first such point after `fromMs`. */
   plan(scenario: MixedVersionScenario, fromMs: number): PlannedEvent;
 }
 
@@ -51,7 +51,7 @@
   return { faults: [], occurred: () => scenario.limitsDecrease?.leader === null };
 }
 
-/** Lowers the limits after the rollout: a version without support for upcoming limits can't keep within them. */
+/** Lowers the limits after the rollout, as a version without support for upcoming limits would exceed them. */
 function decreaseAfterRollout(moment: LimitsDecreaseMoment): RolloutEvent {
   return limitsDecreaseEvent(moment, 1, ({ completeMs }) => completeMs);
 }
--- a/test/mixed-versions/older-versions.ts
+++ b/test/mixed-versions/older-versions.ts
@@ -1,4 +1,4 @@
-/** Runs a test suite with several seeds for each older version that has to work together with the present one. */
+/** Runs a test suite with several seeds for each older version that has to work with the present one. */
 import { describe, it } from 'node:test';
 import { olderVersions, type OlderVersion } from '../simulation/program-history.js';
 
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -62,7 +62,7 @@
   },
 ];
 
-/** Kills all controllers at once while one of them runs the other version; all restart with their versions. */
+/** Kills all controllers at once while one of them runs the other version; each restarts with its version. */
 function planCrashOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
   const { simulation, starts } = scenario;
   const { clock, random, hosts } = simulation;
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -14,7 +14,7 @@
   return scenario.simulation.leader !== null && scenario.allReplicasRun(services);
 }
 
-/** Submits services once all controllers run `to`, kills the leader, and cancels the services after recovery. */
+/** Submits services once all controllers run `to`, kills the leader, and cancels them after recovery. */
 function playServicesAfterRollout(seed: number, from: ProgramVersion, to: ProgramVersion): void {
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
   const { clock, random } = scenario.simulation;
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -261,7 +261,7 @@
   return new PlacementCluster(workers, { settings: serviceSettings, jobDefaults, fetchMs: 2000 });
 }
 
-/** A cluster of two machines whose jobs are, by default, arrays of one-GPU tasks with instant image fetches. */
+/** A cluster of two machines; by default, jobs are arrays of one-GPU tasks whose images take no time to fetch. */
 export function batchCluster(runPass?: (placement: Placement) => void): PlacementCluster {
   return new PlacementCluster(workersAlike(2), {
     settings: batchSettings,
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -1,4 +1,7 @@
-/** The whole service in the simulation: without faults, under random faults, and with a leader cut off from workers. */
+/**
+ * The whole service in the simulation: without faults, under random faults, and with a leader that is cut
+ * off from all workers.
+ */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { smallDeployment } from './simulation/deployments/small.js';
--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -60,7 +60,7 @@
   private readonly eventLoop: EventLoop;
 
   /**
-   * @param faultRate - share of the transactions that draw a fault (one in five of these has no effect)
+   * @param faultRate - share of the transactions for which a fault is drawn; one in five draws has no effect
    * @param limits - the limits that the store enforces
    */
   constructor(
--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -1,4 +1,4 @@
-/** Shared set-up of the unit tests of workers/: settings, heartbeats, and `Workers` with a fake record store. */
+/** Shared set-up of the unit tests of workers/: settings, heartbeats and `Workers` with a fake record store. */
 import assert from 'node:assert/strict';
 import { JobTable } from '../src/controller/jobs/job-table.js';
 import { type Job, Machine } from '../src/controller/model/entities.js';
@@ -83,7 +83,7 @@
   private readonly table: JobTable;
   private lastSequence = 0;
 
-  /** @param machineRecord - the stored record of machine `n-1`, which is restored; undefined if there is none */
+  /** @param machineRecord - the stored record of machine `n-1` to restore; undefined if there is none */
   constructor(jobOverrides: Partial<JobSpec> = {}, machineRecord?: unknown) {
     this.runtime.advance(START_MS);
     const eventLoop = new EventLoop(this.runtime, silentLogger);
