--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -85,11 +85,14 @@
   // cancellation older than the bound), a leader renews workers' leases as long as it renews its own.
   it('violates ran_cancelled if a leader answers workers however stale its job watch is', () => {
     const version = presentVersion({ ...defaultProperties(), 'workers.view.ratio': 1000 });
-    const scenario = scenarioNamed('whose watches do not');
+    const scenario = scenarioNamed('refuses the watches of the leader but not its lease renewals');
     assert.throws(() => playScenario(scenario, 1, version), /ran_cancelled/);
   });
 
-  for (const nameFragment of ['right after each response', 'whose responses alone are lost'])
+  for (const nameFragment of [
+    'right after each change',
+    'responses to committed transactions are lost',
+  ])
     it(`violates went_back if a controller caches its responses, in "${nameFragment}"`, () => {
       const version = versionWith(CachingController);
       assert.throws(() => playScenario(scenarioNamed(nameFragment), 1, version), /went_back/);
@@ -97,7 +100,7 @@
 
   it('violates ran_twice or quota if a leader accepts heartbeats of any age', () => {
     const version = versionWith(StaleHeartbeatController);
-    const scenario = scenarioNamed('which arrive 4 s after');
+    const scenario = scenarioNamed('replayed to the next leader 4 s after');
     assert.throws(() => playScenario(scenario, 1, version), /ran_twice|quota/);
   });
 });
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -1,4 +1,4 @@
-/** A deployment with short leases. */
+/** A deployment with short worker leases. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import { defaultPlatformOptions } from '../../platform.js';
 import { longJobs } from '../scenarios/fault-scenario.js';
@@ -8,12 +8,15 @@
 
 const LEASE_S = 10;
 const CANCEL_S = 35;
-/** The one type of machine. */
+/** CPUs, GPUs and memory of the only machine type. */
 const CPUS = 64;
 const GPUS = 8;
 const MEMORY_GB = 400;
 
-/** Leases of half the usual length, controllers in two zones, large machines and none at the start. */
+/**
+ * Three controllers in two zones, leases of half the usual length, and large machines, of which
+ * none exists at the start.
+ */
 export const shortLeases: Deployment = {
   hosts: hostNames(3),
   types: [
@@ -47,10 +50,10 @@
   randomJob,
 };
 
-/** The same where the state store will take less from some moment on. */
+/** The same deployment with lower future limits of the state store. */
 export const shortLeasesWithLowerLimits = withLowerStateLimits(shortLeases, 20);
 
-type Common = Pick<
+type CommonFields = Pick<
   JobSpec,
   | 'id'
   | 'team'
@@ -65,13 +68,16 @@
   | 'zone'
 >;
 
-/** Draws below which a job is of the kind; the rest are print jobs. */
+/** Cumulative probabilities of training and scoring jobs; the remaining jobs are print jobs. */
 const TRAINING_BELOW = 0.3;
 const SCORING_BELOW = 0.8;
 
-/** Gangs of whole machines, arrays of single GPUs that checkpoint, and arrays without GPUs. */
+/**
+ * Returns a gang that uses whole machines, an array with one GPU per task and checkpoints, or an
+ * array without GPUs.
+ */
 function randomJob(random: SeededRandom, id: string): JobSpec {
-  const common: Common = {
+  const common: CommonFields = {
     ...{ id, team: random.pick(['red', 'blue']), types: null, spread: false, deadlineS: null },
     ...{ priority: random.pick(['low', 'normal', 'normal', 'high']), spot: true },
     ...{ imageGb: random.between(1, 4), estimatedRunS: 20, checkpointSaveS: 1 },
@@ -83,7 +89,7 @@
   return printJob(random, common);
 }
 
-function trainingJob(random: SeededRandom, common: Common): JobSpec {
+function trainingJob(random: SeededRandom, common: CommonFields): JobSpec {
   const sizes = common.team === 'red' ? [1, 2] : [1, 2, 3];
   return {
     ...{ ...common, class: 'train', kind: 'gang', tasks: random.pick(sizes) },
@@ -93,7 +99,7 @@
   };
 }
 
-function scoringJob(random: SeededRandom, common: Common): JobSpec {
+function scoringJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'score', kind: 'array', singleZone: false },
     ...{ tasks: Math.ceil(random.between(0, 12)), cpus: 6, gpus: 1 },
@@ -101,7 +107,7 @@
   };
 }
 
-function printJob(random: SeededRandom, common: Common): JobSpec {
+function printJob(random: SeededRandom, common: CommonFields): JobSpec {
   return {
     ...{ ...common, class: 'print', kind: 'array', singleZone: false },
     ...{ tasks: random.pick([1, 3, 10]), cpus: 4, gpus: 0 },
--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -1,38 +1,39 @@
-/** Observes combinations of faults as they come about in a simulation. */
+/** Records which combinations of faults occur in a simulation. */
 import type { SimulatedDeployment } from '../simulated-deployment.js';
 import { NEW_MACHINE_MS } from './observed-events.js';
 
-/** A cancellation this long before or after the lead is given up falls into the hand-over. */
-const HAND_OVER_MS = 3000;
-const HAND_OVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
+/** Maximum time between a cancellation and a handover for them to count as coinciding. */
+const HANDOVER_WINDOW_MS = 3000;
+/** Logged reasons with which a leader steps down in favour of another controller. */
+const HANDOVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
 
-/** Notes combinations of faults as they come about. */
+/** Records each combination of faults that occurs from now on as an observed event. */
 export function observeFaultCombinations(simulation: SimulatedDeployment): void {
   const { checker, clock, stateStore, observedEvents } = simulation;
   let cancelledAt = -Infinity;
-  let handedOverAt = -Infinity;
-  const handOver = (): void => {
-    if (Math.abs(cancelledAt - handedOverAt) <= HAND_OVER_MS)
+  let handoverAt = -Infinity;
+  const recordIfCancelledAtHandover = (): void => {
+    if (Math.abs(cancelledAt - handoverAt) <= HANDOVER_WINDOW_MS)
       observedEvents.record('cancelled at a handover');
   };
-  checker.onVisibleChange.push((_, news) => {
-    if (news !== 'cancelled') return;
+  checker.onVisibleChange.push((_, change) => {
+    if (change !== 'cancelled') return;
     cancelledAt = clock.now;
-    handOver();
+    recordIfCancelledAtHandover();
     const { leader } = simulation;
     if (leader !== null && stateStore.isRefusing(leader))
       observedEvents.record('cancelled while the leader alone is refused');
     if (checker.everyTeamAtLimit) observedEvents.record('cancelled with every team at its limit');
   });
-  simulation.processes.onKill.push((_, leads) => {
-    if (leads && checker.everyTeamAtLimit)
+  simulation.processes.onKill.push((_, wasLeader) => {
+    if (wasLeader && checker.everyTeamAtLimit)
       observedEvents.record('leader killed with every team at its limit');
   });
-  simulation.processes.onLog.push((text, fields) => {
+  simulation.processes.onLog.push((message, fields) => {
     const { reason } = fields as { reason?: string };
-    if (text !== 'no longer leader' || !HAND_OVER_REASONS.includes(reason ?? '')) return;
-    handedOverAt = clock.now;
-    handOver();
+    if (message !== 'no longer leader' || !HANDOVER_REASONS.includes(reason ?? '')) return;
+    handoverAt = clock.now;
+    recordIfCancelledAtHandover();
   });
   checker.onTaskStart.push(({ machine }) => {
     if (simulation.cloud.ageMs(machine) < NEW_MACHINE_MS)
--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -1,37 +1,38 @@
-/** Requests that users should not send. */
+/** Requests that users send by mistake: repeated, without effect or invalid. */
 import { writeJobSpec, type JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Simulation } from '../simulation.js';
 
-/** Time between two such requests. */
-const BETWEEN_MS = { least: 300, most: 900 };
+/** Range of the time between two such requests, in milliseconds. */
+const REQUEST_INTERVAL_MS = { least: 300, most: 900 };
 /** More cores than any machine has. */
 const TOO_MANY_CORES = 1e6;
 
-/** For a time users repeat, cancel what is done, ask for what can't run or leave a field out. */
+/** For `ms`, repeats submissions, cancels jobs that are done, and submits invalid jobs. */
 export function sendUnusualRequests(simulation: Simulation, ms: number): void {
   const { clock, random, checker, users } = simulation;
   const until = clock.now + ms;
-  const again = (): void => {
+  const sendNext = (): void => {
     if (clock.now > until) return;
-    clock.after(random.between(BETWEEN_MS.least, BETWEEN_MS.most), again);
-    const known = checker.jobs.accepted();
-    const id = known.length > 0 ? random.pick(known) : '';
+    clock.after(random.between(REQUEST_INTERVAL_MS.least, REQUEST_INTERVAL_MS.most), sendNext);
+    const acceptedIds = checker.jobs.accepted();
+    const id = acceptedIds.length > 0 ? random.pick(acceptedIds) : '';
     const spec = users.specOf(id);
     if (spec === undefined) return;
     if (checker.visibleState(id).done) users.cancel(id);
     else if (random.next() < 0.5) users.resubmit(id);
-    else submitOdd(simulation, spec);
+    else submitInvalidJob(simulation, spec);
   };
-  again();
+  sendNext();
 }
 
-/** Submits a job like the one given that can't run or lacks a field. */
-function submitOdd(simulation: Simulation, spec: JobSpec): void {
+/** Submits a copy of the job that needs more cores than any machine has, or lacks a field. */
+function submitInvalidJob(simulation: Simulation, spec: JobSpec): void {
   const { random, checker, users } = simulation;
-  const odd = writeJobSpec({ ...spec, id: `req-odd-${users.nextNumber()}` });
-  if (random.next() < 0.5) odd['cores'] = TOO_MANY_CORES;
-  else Reflect.deleteProperty(odd, random.pick(['duties', 'loaners', 'scatter', 'expect_s']));
-  users.sendRequest('POST', '/submissions', odd, (status) => {
-    if (status === 200 || status === 201) checker.invalidJobAccepted(String(odd['id']));
+  const invalidJob = writeJobSpec({ ...spec, id: `req-odd-${users.nextJobNumber()}` });
+  if (random.next() < 0.5) invalidJob['cores'] = TOO_MANY_CORES;
+  else
+    Reflect.deleteProperty(invalidJob, random.pick(['duties', 'loaners', 'scatter', 'expect_s']));
+  users.sendRequest('POST', '/submissions', invalidJob, (status) => {
+    if (status === 200 || status === 201) checker.invalidJobAccepted(String(invalidJob['id']));
   });
 }
--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -1,18 +1,18 @@
-/** The simulated cloud: catalogue, renting, lists that lag, returning. */
+/** The simulated cloud: catalogue, renting, delayed lists of machines, and release. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { MachineContext } from './machine-context.js';
 import type { IncomingRequest, Respond } from '../network.js';
 import { Worker } from './worker.js';
 
-/** Machines that one request gets, or one page lists, at most. */
-const RENTED_AT_ONCE = 50;
-const LISTED_AT_ONCE = 500;
-const SNAPSHOT_MS = 500;
-/** Snapshots are kept for this long beyond four times the lag. */
-const SNAPSHOTS_KEPT_MS = 2000;
-/** Shares of its type's boot time within which a machine is up. */
-const BOOT_SHARES = { least: 0.6, most: 1.5 };
-/** Times within which a machine is up while machines boot quickly. */
+/** Maximum number of machines rented by one request, and listed on one page. */
+const MAX_RENTED_PER_REQUEST = 50;
+const MAX_LISTED_PER_PAGE = 500;
+const SNAPSHOT_INTERVAL_MS = 500;
+/** Time in milliseconds for which snapshots are kept in addition to four times the list lag. */
+const EXTRA_SNAPSHOT_RETENTION_MS = 2000;
+/** Range of the actual boot time of a machine, as a factor of the boot time of its type. */
+const BOOT_TIME_FACTORS = { least: 0.6, most: 1.5 };
+/** Range of the boot time after a call of `bootQuickly`, in milliseconds. */
 const QUICK_BOOT_MS = { least: 200, most: 2000 };
 
 interface RentedMachine {
@@ -24,13 +24,13 @@
   id: string;
 }
 
-/** The machines as they were at a moment. */
+/** The list of machines as of `takenAt`, in virtual time. */
 interface Snapshot {
-  at: number;
+  takenAt: number;
   body: { id: string }[];
 }
 
-/** A request for machines, as on the wire. */
+/** A request to rent machines, as on the wire. */
 interface RentRequest {
   hire: string;
   model: string;
@@ -39,16 +39,16 @@
   how_many: number;
 }
 
-/** Stand-in for the cloud, after PROTOCOL. */
+/** Simulated cloud that follows PROTOCOL. */
 export class Cloud {
   readonly machines = new Map<string, RentedMachine>();
-  /** Ids that were rented, by the request's key. */
-  private readonly answers = new Map<string, string[]>();
+  /** The ids of rented machines, by their request's idempotency key. */
+  private readonly rentedIdsByKey = new Map<string, string[]>();
   private snapshots: Snapshot[] = [];
-  private count = 0;
-  /** Machines rented before then are up within two seconds. */
-  private quickUntil = 0;
-  /** Called when a rented machine is up. */
+  private nextMachineIndex = 0;
+  /** Virtual time until which newly rented machines boot within two seconds. */
+  private quickBootUntil = 0;
+  /** Listeners called when a machine has booted. */
   readonly onBoot: ((id: string) => void)[] = [];
 
   constructor(
@@ -57,16 +57,16 @@
     private readonly types: MachineType[],
     private readonly capacity: number,
     private readonly lagMs: number,
-    /** Chance that a machine never comes up. */
-    private readonly bootFails: number,
+    /** Probability that a rented machine never comes up. */
+    private readonly bootFailureChance: number,
   ) {
     context.network.listen(address, 'cloud', (_, request, respond) => this.serve(request, respond));
-    this.snapshot();
+    this.takeSnapshot();
   }
 
-  /** Rents a machine that is up after `bootMs`; null: never. */
+  /** Adds a machine that is up after `bootMs`, or never if that is null; returns its id. */
   addMachine(type: MachineType, zone: string, spot: boolean, bootMs: number | null): string {
-    const index = this.count++;
+    const index = this.nextMachineIndex++;
     const id = `n-${String(index).padStart(6, '0')}`;
     const { clock } = this.context;
     const machine: RentedMachine = { worker: null, type, zone, spot, rentedAt: clock.now, id };
@@ -76,7 +76,7 @@
         if (this.machines.get(id) !== machine) return;
         const address = `10.1.${index >> 8}.${index & 255}:9000`;
         machine.worker = new Worker(id, address, type, zone, spot, this.context);
-        for (const up of this.onBoot) up(id);
+        for (const listener of this.onBoot) listener(id);
       });
     return id;
   }
@@ -88,18 +88,18 @@
     );
   }
 
-  /** For a time machines are up within two seconds. */
+  /** Makes machines that are rented in the next `ms` boot within two seconds. */
   bootQuickly(ms: number): void {
-    this.quickUntil = this.context.clock.now + ms;
+    this.quickBootUntil = this.context.clock.now + ms;
   }
 
-  /** How long ago the machine was rented. */
+  /** Returns the time since the machine was rented; Infinity if it does not exist. */
   ageMs(id: string): number {
     const machine = this.machines.get(id);
     return machine === undefined ? Infinity : this.context.clock.now - machine.rentedAt;
   }
 
-  /** Takes a machine back. */
+  /** Ends and removes a machine that the controllers release or the cloud interrupts. */
   reclaim(id: string): void {
     this.machines.get(id)?.worker?.die();
     this.machines.delete(id);
@@ -107,23 +107,25 @@
 
   private bootMs(type: MachineType): number | null {
     const { clock, random } = this.context;
-    if (clock.now < this.quickUntil) return random.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
-    if (random.next() < this.bootFails) return null;
-    return type.bootS * 1000 * random.between(BOOT_SHARES.least, BOOT_SHARES.most);
+    if (clock.now < this.quickBootUntil)
+      return random.between(QUICK_BOOT_MS.least, QUICK_BOOT_MS.most);
+    if (random.next() < this.bootFailureChance) return null;
+    return type.bootS * 1000 * random.between(BOOT_TIME_FACTORS.least, BOOT_TIME_FACTORS.most);
   }
 
-  private snapshot(): void {
+  private takeSnapshot(): void {
     const { clock } = this.context;
-    clock.after(SNAPSHOT_MS, () => this.snapshot());
-    const body = [...this.machines.values()].map((machine) => listed(machine, clock.now));
-    this.snapshots.push({ at: clock.now, body });
-    const oldest = clock.now - 4 * this.lagMs - SNAPSHOTS_KEPT_MS;
-    this.snapshots = this.snapshots.filter((snapshot) => snapshot.at > oldest);
+    clock.after(SNAPSHOT_INTERVAL_MS, () => this.takeSnapshot());
+    const body = [...this.machines.values()].map((machine) => toListEntry(machine, clock.now));
+    this.snapshots.push({ takenAt: clock.now, body });
+    const oldest = clock.now - 4 * this.lagMs - EXTRA_SNAPSHOT_RETENTION_MS;
+    this.snapshots = this.snapshots.filter((snapshot) => snapshot.takenAt > oldest);
   }
 
   private serve(request: IncomingRequest, respond: Respond): void {
     const path = request.path.split('?', 1)[0];
-    if (path === '/catalog') respond({ status: 200, body: { models: this.types.map(catalogued) } });
+    if (path === '/catalog')
+      respond({ status: 200, body: { models: this.types.map(toCatalogueEntry) } });
     else if (path === '/machines/release') this.release(request, respond);
     else if (path === '/machines' && request.method === 'GET') this.list(request, respond);
     else this.rent(request.body() as RentRequest, respond);
@@ -136,33 +138,36 @@
 
   private list(request: IncomingRequest, respond: Respond): void {
     const { clock, random } = this.context;
-    const lag = this.lagMs * random.between(1, 2);
-    const snapshot = this.snapshots.filter(({ at }) => at <= clock.now - lag).at(-1);
+    const lagMs = this.lagMs * random.between(1, 2);
+    const snapshot = this.snapshots.filter(({ takenAt }) => takenAt <= clock.now - lagMs).at(-1);
     const query = new URL(request.path, 'http://cloud').searchParams;
-    const from = query.get('from') ?? '';
-    const limit = Math.min(LISTED_AT_ONCE, Number(query.get('limit') ?? LISTED_AT_ONCE));
-    const machines = (snapshot?.body ?? []).filter((machine) => machine.id > from);
+    const afterId = query.get('from') ?? '';
+    const limit = Math.min(MAX_LISTED_PER_PAGE, Number(query.get('limit') ?? MAX_LISTED_PER_PAGE));
+    const machines = (snapshot?.body ?? []).filter((machine) => machine.id > afterId);
     const page = machines.slice(0, limit);
     respond({ status: 200, body: { kilns: page, has_next: page.length < machines.length } });
   }
 
   private rent(request: RentRequest, respond: Respond): void {
-    const before = this.answers.get(request.hire);
-    if (before !== undefined) return respond({ status: 200, body: { kilns: before } });
+    const rentedBefore = this.rentedIdsByKey.get(request.hire);
+    if (rentedBefore !== undefined) return respond({ status: 200, body: { kilns: rentedBefore } });
     const type = this.types.find(({ name }) => name === request.model);
-    const room = this.capacity - this.machines.size;
-    const count = Math.min(request.how_many, RENTED_AT_ONCE, room);
+    const remainingCapacity = this.capacity - this.machines.size;
+    const count = Math.min(request.how_many, MAX_RENTED_PER_REQUEST, remainingCapacity);
     if (type === undefined || count <= 0)
       return respond({ status: 503, body: { error: 'no capacity' } });
     const ids: string[] = [];
     for (let i = 0; i < count; i++)
       ids.push(this.addMachine(type, request.hall, request.loaners, this.bootMs(type)));
-    this.answers.set(request.hire, ids);
+    this.rentedIdsByKey.set(request.hire, ids);
     respond({ status: 200, body: { kilns: ids } });
   }
 }
 
-function listed(machine: RentedMachine, now: number): { id: string } & Record<string, unknown> {
+function toListEntry(
+  machine: RentedMachine,
+  now: number,
+): { id: string } & Record<string, unknown> {
   const { worker } = machine;
   return {
     id: machine.id,
@@ -175,7 +180,7 @@
   };
 }
 
-function catalogued(type: MachineType): Record<string, unknown> {
+function toCatalogueEntry(type: MachineType): Record<string, unknown> {
   return {
     name: type.name,
     cores: type.cpus,
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -1,4 +1,4 @@
-/** The tasks of one simulated machine: images, capacity, run times, checkpoints and ends. */
+/** The tasks of one simulated machine: images, capacity, run times, checkpoints and exits. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { GangMemberRunner } from './gangs.js';
@@ -6,31 +6,34 @@
 import type { Placement } from '../rules/placement.js';
 import { newTask, toHeartbeatTask, type Command, type Task } from './task.js';
 
-/** Capacity that rounding may hide. */
-const ROUNDING = 1e-6;
-/** Share of its run time after which a task that fails ends. */
-const FAILURE_SHARE = 0.3;
-/** Shares of its run time between which a replica ends by itself. */
-const REPLICA_SHARES = { least: 0.5, most: 2 };
+/** Tolerance for rounding errors in comparisons of capacity. */
+const ROUNDING_TOLERANCE = 1e-6;
+/** Fraction of its run time after which a failing task ends. */
+const FAILURE_RUN_SHARE = 0.3;
+/** Range of the time after which a replica ends without a stop, as a factor of its run time. */
+const REPLICA_RUN_FACTORS = { least: 0.5, most: 2 };
 
-/** The machine that tasks run on, as its task runner sees it. */
+/** A machine as seen by its task runner. */
 export interface TaskHost {
   readonly placement: Placement;
   readonly type: MachineType;
-  /** Runs the function once the machine does not hang; never after its end. */
+  /**
+   * Runs the function now or, if the machine hangs, when it resumes. Does not run it after the
+   * machine has ended.
+   */
   whenAwake(run: () => void): void;
-  /** The next heartbeat will have news. */
+  /** Schedules a heartbeat that reports the change. */
   stateChanged(): void;
 }
 
-/** CPUs, GPUs and memory that no task takes. */
+/** Amounts of CPUs, GPUs and memory that are not used by any task. */
 interface Capacity {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Runs the tasks of one machine as its controllers command. */
+/** Runs the tasks of one machine according to the commands of the controllers. */
 export class TaskRunner implements GangMemberRunner {
   private readonly tasks = new Map<string, Task>();
   private readonly images = new Set<string>();
@@ -40,28 +43,28 @@
     private readonly context: MachineContext,
   ) {}
 
-  /** All tasks end at once, and no heartbeat says so. */
+  /** Ends all tasks immediately, without scheduling a heartbeat. */
   killAll(): void {
     for (const task of this.tasks.values()) {
       if (task.status === 'exited') continue;
       task.timer?.cancel();
       task.status = 'exited';
       task.cause = 'killed';
-      this.leaveMachine(task);
+      this.recordEnd(task);
     }
   }
 
-  /** Forgets all tasks. */
+  /** Removes all tasks, so that heartbeats no longer list them. */
   clear(): void {
     this.tasks.clear();
   }
 
-  /** The tasks as the next heartbeat lists them. */
+  /** Returns the tasks in the form in which heartbeats list them. */
   heartbeatTasks(): Record<string, unknown>[] {
     return [...this.tasks.values()].map(toHeartbeatTask);
   }
 
-  /** What no task takes, `except` the one given. */
+  /** Returns the capacity that is not used by any task other than `except`. */
   freeCapacity(except?: Task): Capacity {
     const { cpus, gpus, memoryGb } = this.host.type;
     const free = { cpus, gpus, memoryGb };
@@ -75,7 +78,7 @@
     return free;
   }
 
-  /** Carries out a command. */
+  /** Executes a command of a controller. */
   execute(command: Command): void {
     const existing = this.tasks.get(command.duty);
     this.host.stateChanged();
@@ -97,24 +100,24 @@
     const { fetchGbPerS } = this.host.type;
     const fetchMs = this.images.has(spec.image) ? 0 : (spec.imageGb / fetchGbPerS) * 1000;
     task.timer = this.context.clock.after(fetchMs, () =>
-      this.host.whenAwake(() => this.begin(task, spec)),
+      this.host.whenAwake(() => this.startWithImage(task, spec)),
     );
   }
 
   private hasCapacity(spec: JobSpec, task: Task): boolean {
     const { cpus, gpus, memoryGb } = this.freeCapacity(task);
     return (
-      spec.cpus <= cpus + ROUNDING &&
-      spec.gpus <= gpus + ROUNDING &&
-      spec.memoryGb <= memoryGb + ROUNDING
+      spec.cpus <= cpus + ROUNDING_TOLERANCE &&
+      spec.gpus <= gpus + ROUNDING_TOLERANCE &&
+      spec.memoryGb <= memoryGb + ROUNDING_TOLERANCE
     );
   }
 
-  /** The image is there. */
-  private begin(task: Task, spec: JobSpec): void {
+  /** Starts a task whose image has been fetched. */
+  private startWithImage(task: Task, spec: JobSpec): void {
     if (task.status !== 'pulling') return;
     this.images.add(spec.image);
-    task.onMachine = true;
+    task.started = true;
     this.context.checker.taskStarted(task.jobId, task.index, { ...this.host.placement });
     this.host.stateChanged();
     if (spec.kind === 'gang') this.waitForGang(task, spec);
@@ -125,17 +128,20 @@
   private waitForGang(task: Task, spec: JobSpec): void {
     const { gangs, settings, clock } = this.context;
     task.status = 'waiting';
-    task.timer = clock.after(settings.gangWaitMs, () => {
+    task.timer = clock.after(settings.maxGangWaitMs, () => {
       if (task.status === 'waiting') this.finish(task, 'alone');
     });
     gangs.join(this, task, spec.tasks, this.context.runMs(task.jobId));
   }
 
-  /** Replicas should not end; now and then one does. */
+  /**
+   * Runs a replica. A replica should run until it is stopped, but each simulated one also ends
+   * after a random time with a random cause.
+   */
   private runReplica(task: Task): void {
     const { clock, random } = this.context;
     task.status = 'running';
-    const { least, most } = REPLICA_SHARES;
+    const { least, most } = REPLICA_RUN_FACTORS;
     const endsAfterMs = this.context.runMs(task.jobId) * random.between(least, most);
     const cause = random.pick(['done', 'error', 'other']);
     task.timer = clock.after(endsAfterMs, () =>
@@ -150,47 +156,47 @@
     const { clock, random } = this.context;
     task.status = 'running';
     const fails = random.next() < this.context.taskFailures;
-    const endsAfterMs = this.context.runMs(task.jobId) * (fails ? FAILURE_SHARE : 1);
+    const endsAfterMs = this.context.runMs(task.jobId) * (fails ? FAILURE_RUN_SHARE : 1);
     task.timer = clock.after(endsAfterMs, () =>
       this.host.whenAwake(() => this.finish(task, fails ? 'error' : 'done')),
     );
   }
 
-  /** The last member of the task's gang is there. */
+  /** Starts a waiting gang member; called when all members of its gang are waiting. */
   startGangMember(task: Task): void {
     task.timer?.cancel();
     task.status = 'running';
     this.host.stateChanged();
   }
 
-  /** The task ends, if it hasn't. */
+  /** Ends the task with the given cause, unless it has already ended. */
   finish(task: Task, cause: string): void {
     if (task.status === 'exited') return;
     task.timer?.cancel();
     task.status = 'exited';
     task.cause = cause;
     if (cause === 'done') this.context.checker.taskCompleted(task.jobId, task.index);
-    this.leaveMachine(task);
+    this.recordEnd(task);
     this.host.stateChanged();
   }
 
-  private leaveMachine(task: Task): void {
+  private recordEnd(task: Task): void {
     const { checker, gangs, settings } = this.context;
-    if (task.onMachine) checker.taskStopped(task.jobId, task.index, this.host.placement.machine);
-    task.onMachine = false;
-    gangs.leave(task, settings.gangPeerMs);
+    if (task.started) checker.taskStopped(task.jobId, task.index, this.host.placement.machine);
+    task.started = false;
+    gangs.leave(task, settings.gangPeerExitMs);
   }
 
   private stop(task: Task, graceS: number): void {
     if (task.status === 'exited') return;
     const spec = this.context.specOf(task.jobId);
-    const saves =
+    const savesCheckpoint =
       spec !== undefined &&
       spec.checkpointIntervalS > 0 &&
       task.status === 'running' &&
       graceS >= spec.checkpointSaveS;
     if (task.status === 'flushing' && graceS > 0) return;
-    if (!saves) return this.finish(task, 'stopped');
+    if (!savesCheckpoint) return this.finish(task, 'stopped');
     task.status = 'flushing';
     task.timer?.cancel();
     task.timer = this.context.clock.after(spec.checkpointSaveS * 1000, () => {
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -1,4 +1,4 @@
-/** One simulated machine and its worker: agent epochs, lease, commands, and faults of the machine. */
+/** One simulated machine and its worker: agent epochs, lease, commands, and machine faults. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { MachineContext } from './machine-context.js';
 import type { IncomingRequest, Respond } from '../network.js';
@@ -7,29 +7,33 @@
 import type { Command } from './task.js';
 import { TaskRunner, type TaskHost } from './task-runner.js';
 
-/** A response to a heartbeat counts for so long. */
+/**
+ * Maximum time from sending a heartbeat to handling its response, in milliseconds; a worker ignores
+ * later responses.
+ */
 const RESPONSE_VALID_MS = 4000;
 
-/** A direct command as it arrives. */
+/** A direct command as on the wire: fencing token (`baton`), agent epoch (`tenure`), commands. */
 interface DirectCommand {
   baton?: number;
   tenure?: number;
   orders?: Command[];
 }
 
-/** Stand-in for a machine and its worker, after PROTOCOL. */
+/** Simulated machine and worker that follow PROTOCOL. */
 export class Worker implements HeartbeatSource, TaskHost {
   agentEpoch = 1;
-  /** Hangs until then. */
+  /** Virtual time until which the machine hangs. */
   hungUntil = 0;
   dead = false;
   readonly placement: Placement;
   private heartbeatNumber = 0;
   private fencingToken = 0;
-  private leaseFrom: number;
-  /** When the cloud takes the machine back, where it has said so. */
-  private recalledAt: number | null = null;
-  private blocked: (() => void)[] = [];
+  /** Send time of the last heartbeat that renewed the lease, or start of the agent epoch. */
+  private leaseStartedAt: number;
+  /** Virtual time of the interruption that the cloud has announced; null without a notice. */
+  private interruptionAt: number | null = null;
+  private deferredCalls: (() => void)[] = [];
   private readonly tasks: TaskRunner;
   private readonly heartbeats: HeartbeatLoop;
 
@@ -42,17 +46,17 @@
     private readonly context: MachineContext,
   ) {
     this.placement = { machine: id, type: type.name, zone, spot };
-    this.leaseFrom = context.clock.now;
+    this.leaseStartedAt = context.clock.now;
     context.network.listen(address, id, (_, request, respond) =>
       this.whenAwake(() => this.serve(request, respond)),
     );
     this.tasks = new TaskRunner(this, context);
     this.heartbeats = new HeartbeatLoop(this, context);
-    this.heartbeats.plan();
-    this.watchLease();
+    this.heartbeats.schedule();
+    this.checkLease();
   }
 
-  /** The machine ends with all that is on it. */
+  /** Ends the machine and all its tasks. */
   die(): void {
     if (this.dead) return;
     this.dead = true;
@@ -60,69 +64,78 @@
     this.context.network.remove(this.address);
   }
 
-  /** The machine ends and is back soon, with its name and nothing else: a new agent epoch. */
+  /**
+   * Restarts the machine: it loses its tasks, begins a new agent epoch and does not respond for
+   * `ms`. It keeps its id.
+   */
   restart(ms: number): void {
     if (this.dead) return;
     this.startEpoch();
     this.hang(ms);
   }
 
-  /** The cloud says that it takes the machine back after so long. */
+  /** Announces to the worker that the cloud will interrupt the machine in `ms`. */
   noticeInterruption(ms: number): void {
-    this.recalledAt = this.context.clock.now + ms;
+    this.interruptionAt = this.context.clock.now + ms;
     this.stateChanged();
   }
 
-  /** The machine does nothing for a time; what reaches it meanwhile is taken afterwards. */
+  /**
+   * Makes the machine hang for `ms`; requests and timers that fall into this time are handled
+   * afterwards.
+   */
   hang(ms: number): void {
     const { clock } = this.context;
     this.hungUntil = Math.max(this.hungUntil, clock.now + ms);
     clock.after(ms, () => {
       if (clock.now < this.hungUntil) return;
-      const waiting = this.blocked;
-      this.blocked = [];
-      for (const run of waiting) run();
-      this.heartbeats.plan();
+      const deferredCalls = this.deferredCalls;
+      this.deferredCalls = [];
+      for (const run of deferredCalls) run();
+      this.heartbeats.schedule();
     });
   }
 
-  /** Sends no heartbeat for a time, while direct commands reach it and are answered. */
+  /** Makes all heartbeats fail for `ms`, while direct commands still arrive and are answered. */
   blockHeartbeats(ms: number): void {
     this.heartbeats.block(ms);
   }
 
-  /** What no task takes. */
+  /** The capacity that is not used by any task, with the properties of the machine. */
   get freeCapacity(): FreeCapacity {
     return {
       ...this.tasks.freeCapacity(),
       type: this.type.name,
       zone: this.zone,
       spot: this.spot,
-      interruptionNotice: this.recalledAt !== null,
+      interruptionNotice: this.interruptionAt !== null,
     };
   }
 
-  /** Runs the function now, or once the machine no longer hangs; never after its end. */
+  /**
+   * Runs the function now or, if the machine hangs, when it resumes. Does not run it after the
+   * machine has ended.
+   */
   whenAwake(run: () => void): void {
     if (this.dead) return;
-    if (this.context.clock.now < this.hungUntil) this.blocked.push(run);
+    if (this.context.clock.now < this.hungUntil) this.deferredCalls.push(run);
     else run();
   }
 
-  /** The next heartbeat will have news. */
+  /** Schedules a heartbeat that reports the change. */
   stateChanged(): void {
-    this.heartbeats.changed();
+    this.heartbeats.stateChanged();
   }
 
-  private watchLease(): void {
+  private checkLease(): void {
     if (this.dead) return;
     const { clock, settings } = this.context;
-    if (this.leaseFrom + settings.leaseMs <= clock.now) {
+    if (this.leaseStartedAt + settings.leaseMs <= clock.now) {
       this.context.expiredLeases++;
       this.startEpoch();
     }
-    clock.after(Math.max(1, this.leaseFrom + settings.leaseMs - clock.now), () =>
-      this.watchLease(),
+    clock.after(Math.max(1, this.leaseStartedAt + settings.leaseMs - clock.now), () =>
+      this.checkLease(),
     );
   }
 
@@ -130,14 +143,14 @@
     this.tasks.killAll();
     this.tasks.clear();
     this.agentEpoch++;
-    this.leaseFrom = this.context.clock.now;
+    this.leaseStartedAt = this.context.clock.now;
     this.stateChanged();
   }
 
-  /** The next heartbeat; each has a number of its own. */
+  /** Creates the next heartbeat, with a new sequence number. */
   heartbeat(): unknown {
     this.heartbeatNumber++;
-    const { recalledAt } = this;
+    const { interruptionAt } = this;
     return {
       kiln: this.id,
       address: this.address,
@@ -148,38 +161,43 @@
       tally: this.heartbeatNumber,
       baton: this.fencingToken,
       recall_s:
-        recalledAt === null ? null : Math.max(0, (recalledAt - this.context.clock.now) / 1000),
+        interruptionAt === null
+          ? null
+          : Math.max(0, (interruptionAt - this.context.clock.now) / 1000),
       duties: this.tasks.heartbeatTasks(),
     };
   }
 
-  /** Takes the response to a heartbeat: the fencing token, the lease, commands. */
-  acceptResponse(answer: HeartbeatResponse, session: number, sentAt: number): void {
-    if (session !== this.agentEpoch) return;
-    if (answer.baton === undefined || answer.baton < this.fencingToken) return;
-    // A later response is dropped by the time-out of the call; a hanging machine may find one that
-    // it had received before.
+  /**
+   * Handles the response to a heartbeat: adopts the fencing token, renews the lease and executes
+   * the commands.
+   */
+  acceptResponse(response: HeartbeatResponse, agentEpoch: number, sentAt: number): void {
+    if (agentEpoch !== this.agentEpoch) return;
+    if (response.baton === undefined || response.baton < this.fencingToken) return;
+    // The call's time-out drops later responses. A machine that hung may still find a response that
+    // arrived in time but is now too old.
     if (this.context.clock.now - sentAt > RESPONSE_VALID_MS) return;
-    if (answer.baton > this.fencingToken) this.stateChanged();
-    this.fencingToken = answer.baton;
-    this.leaseFrom = Math.max(this.leaseFrom, sentAt);
-    for (const order of answer.orders) this.tasks.execute(order);
+    if (response.baton > this.fencingToken) this.stateChanged();
+    this.fencingToken = response.baton;
+    this.leaseStartedAt = Math.max(this.leaseStartedAt, sentAt);
+    for (const command of response.orders) this.tasks.execute(command);
   }
 
   private serve(request: IncomingRequest, respond: Respond): void {
-    const command = request.body() as DirectCommand | undefined;
+    const directCommand = request.body() as DirectCommand | undefined;
     if (request.path === '/inspect') return respond({ status: 200, body: this.heartbeat() });
-    if (command?.baton === undefined || command.tenure === undefined)
+    if (directCommand?.baton === undefined || directCommand.tenure === undefined)
       return respond({ status: 400, body: null });
     const { observedEvents } = this.context;
-    if (command.baton < this.fencingToken)
+    if (directCommand.baton < this.fencingToken)
       observedEvents.record('direct command of an older leader');
-    if (command.baton < this.fencingToken || command.tenure !== this.agentEpoch)
+    if (directCommand.baton < this.fencingToken || directCommand.tenure !== this.agentEpoch)
       return respond({ status: 409, body: this.heartbeat() });
     if (this.heartbeats.blocked)
       observedEvents.record('direct command to a machine with blocked heartbeats');
-    this.fencingToken = command.baton;
-    for (const order of command.orders ?? []) this.tasks.execute(order);
+    this.fencingToken = directCommand.baton;
+    for (const command of directCommand.orders ?? []) this.tasks.execute(command);
     respond({ status: 200, body: this.heartbeat() });
   }
 }
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -1,4 +1,7 @@
-/** Rules about what users are told: nothing is invented, forgotten or taken back. */
+/**
+ * Rules about the responses to users: they report no job that nobody submitted and none as done too
+ * early, lose no accepted job, and revert no terminal state.
+ */
 import {
   visibleStateOf,
   type ObservedJob,
@@ -7,106 +10,112 @@
 } from './observed-job.js';
 import type { RuleContext } from './rule-context.js';
 
-/** Faults over, a job counts as forgotten after this time without any response. */
-const UNANSWERED_MS = 75_000;
+/**
+ * Maximum time for which an accepted job may get no useful response after all faults have ended.
+ */
+const MAX_UNANSWERED_MS = 75_000;
 
 const CHANGES: readonly VisibleChange[] = ['accepted', 'done', 'cancelled'];
 
-/** Judges the responses that users get. */
+/** Checks the responses that users get. */
 export class ResponseRules {
-  /** Called when a user is first told that a job is accepted, done or cancelled. */
+  /** Listeners called at the first response that reports a job as accepted, done or cancelled. */
   readonly onVisibleChange: ((id: string, change: VisibleChange) => void)[] = [];
 
   constructor(
     private readonly context: RuleContext,
-    /** Called with each job that a user is told is cancelled, every time. */
+    /** Called at each response that reports a job as cancelled, also at repeated ones. */
     private readonly onCancelled: (job: ObservedJob) => void,
   ) {}
 
-  /** A response arrived, or none within the user's time-out; see `RuleChecker.responseReceived`. */
+  /**
+   * Checks a response, or its absence after the user's time-out; see
+   * `RuleChecker.responseReceived`.
+   */
   responseReceived(
     id: string,
     status: number,
     state: string,
     submission: boolean,
-    before: VisibleState,
+    stateWhenSent: VisibleState,
   ): void {
     const job = this.context.jobs.get(id);
     if (job === undefined) {
       if (status === 200) this.context.violated('invented', id);
       return;
     }
-    const known = visibleStateOf(job);
-    this.judge(job, status, state, submission, before);
-    const now = visibleStateOf(job);
+    const stateBefore = visibleStateOf(job);
+    this.checkResponse(job, status, state, submission, stateWhenSent);
+    const stateAfter = visibleStateOf(job);
     for (const change of CHANGES)
-      if (now[change] && !known[change])
+      if (stateAfter[change] && !stateBefore[change])
         for (const listener of this.onVisibleChange) listener(id, change);
   }
 
-  private judge(
+  private checkResponse(
     job: ObservedJob,
     status: number,
     state: string,
     submission: boolean,
-    before: VisibleState,
+    stateWhenSent: VisibleState,
   ): void {
-    if (before.accepted) this.judgeAccepted(job.spec.id, status, submission);
-    if (status === 200 || status === 201) return this.judgeState(job, state, before);
+    if (stateWhenSent.accepted) this.checkAcceptedJob(job.spec.id, status, submission);
+    if (status === 200 || status === 201) return this.checkReportedState(job, state, stateWhenSent);
     if (job.accepted) job.unansweredSince ??= this.context.now();
     this.checkAnswered(job);
   }
 
-  /** What was accepted is not unknown, and its submission is not refused when it is repeated. */
-  private judgeAccepted(id: string, status: number, submission: boolean): void {
-    if (status === 404) this.context.violated('forgotten', `${id} 404`);
+  /** An accepted job must not be unknown later, and its repeated submission must not be refused. */
+  private checkAcceptedJob(id: string, status: number, submission: boolean): void {
+    if (status === 404) this.context.violated('forgotten', `${id} reported as unknown (404)`);
     if (submission && (status === 400 || status === 422))
-      this.context.violated('forgotten', `${id} ${status}`);
+      this.context.violated('forgotten', `${id}: repeated submission refused with ${status}`);
   }
 
-  private judgeState(job: ObservedJob, state: string, before: VisibleState): void {
+  private checkReportedState(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
     job.unansweredSince = null;
     job.accepted = true;
-    if (state === 'done') this.judgeDone(job);
-    else this.judgeNotDone(job, state, before);
-    if (state === 'aborted') this.judgeCancelled(job);
-    else if (before.cancelled && state !== 'done') this.wentBack(job, `cancelled, then ${state}`);
+    if (state === 'done') this.checkReportedDone(job);
+    else this.checkReportedNotDone(job, state, stateWhenSent);
+    if (state === 'aborted') this.checkReportedCancelled(job);
+    else if (stateWhenSent.cancelled && state !== 'done')
+      this.reportReversal(job, `cancelled, then ${state}`);
   }
 
-  private judgeDone(job: ObservedJob): void {
+  private checkReportedDone(job: ObservedJob): void {
     const { id, tasks } = job.spec;
     if (job.completedTasks.size < tasks) this.context.violated('not_done', id);
-    if (job.cancelledAt !== null) this.wentBack(job, 'cancelled, then done');
+    if (job.cancelledAt !== null) this.reportReversal(job, 'cancelled, then done');
     job.reportedDone = true;
   }
 
-  private judgeNotDone(job: ObservedJob, state: string, before: VisibleState): void {
-    if (before.done || (job.reportedDone && state === 'aborted'))
-      this.wentBack(job, `done, then ${state}`);
+  private checkReportedNotDone(job: ObservedJob, state: string, stateWhenSent: VisibleState): void {
+    if (stateWhenSent.done || (job.reportedDone && state === 'aborted'))
+      this.reportReversal(job, `done, then ${state}`);
   }
 
-  private judgeCancelled(job: ObservedJob): void {
-    if (!job.cancelRequested) this.wentBack(job, 'cancelled by nobody');
+  private checkReportedCancelled(job: ObservedJob): void {
+    if (!job.cancelRequested) this.reportReversal(job, 'cancelled without a request');
     this.onCancelled(job);
     job.cancelledAt ??= this.context.now();
   }
 
-  private wentBack(job: ObservedJob, how: string): void {
-    this.context.violated('went_back', `${job.spec.id} ${how}`);
+  private reportReversal(job: ObservedJob, detail: string): void {
+    this.context.violated('went_back', `${job.spec.id} ${detail}`);
   }
 
-  /** To be called as time passes. */
+  /** Checks the jobs that get no useful response; call it at regular intervals. */
   tick(): void {
     if (this.context.faultsEndedAt === null) return;
     for (const job of this.context.jobs.all()) this.checkAnswered(job);
   }
 
-  /** The operators' rule: faults over, no job goes unanswered for long, however others fare. */
+  /** The operators' rule: after all faults no job stays without a useful response for long. */
   private checkAnswered(job: ObservedJob): void {
     const { faultsEndedAt } = this.context;
     if (faultsEndedAt === null || job.unansweredSince === null) return;
-    const from = Math.max(faultsEndedAt, job.unansweredSince);
-    if (this.context.now() - from > UNANSWERED_MS)
-      this.context.violated('forgotten', `${job.spec.id} unanswered`);
+    const unansweredFrom = Math.max(faultsEndedAt, job.unansweredSince);
+    if (this.context.now() - unansweredFrom > MAX_UNANSWERED_MS)
+      this.context.violated('forgotten', `${job.spec.id} got no useful response for too long`);
   }
 }
--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -1,4 +1,4 @@
-/** Fault scenarios about what is under way at a failover. */
+/** Fault scenarios about operations that are in progress at a failover. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import {
   cancelledWhileRunning,
@@ -8,16 +8,19 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Work of which a few jobs take all that a team may use. */
-const atLimit: Partial<JobSpec> = {
+/** Fields of jobs of which a few use up the limits of a team. */
+const teamFillingJobs: Partial<JobSpec> = {
   ...{ ...longJobs, estimatedRunS: 90, tasks: 10, gpus: 1, priority: 'normal', types: null },
   ...{ zone: null, spot: true },
 };
 
-/** What is under way at a failover: new machines, limits, commands, heartbeats, restarts. */
+/**
+ * Scenarios with a failover while machines boot, team limits are reached, commands or heartbeats
+ * are in transit, or machines restart.
+ */
 export const failoverScenarios: FaultScenario[] = [
   {
-    name: 'a zone with workers and a follower is cut off for longer than lease_s',
+    name: 'a zone with workers and a follower is cut off for longer than lease_s and the leader is killed',
     jobs: longJobs,
     jobCount: 16,
     faults: (between) => [
@@ -32,13 +35,13 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
-      lost: expiredLeases(simulation),
+      expiredLeases: expiredLeases(simulation),
     }),
   },
   {
-    name: 'new machines up at once and put to work while writes lag, and the leader ends',
+    name: 'the leader is killed while machines boot within seconds and state store writes are late',
     jobs: { ...longJobs, estimatedRunS: 30, cpus: 4, gpus: 1 },
     jobCount: 10,
     faults: (between) => [
@@ -52,17 +55,17 @@
       { kind: 'machinesLost', share: 0.4, at: 35 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
-      ended: simulation.observedEvents.count('leader killed beside a new machine'),
-      work: simulation.observedEvents.count('task started on a new machine'),
+      failovers: failovers(simulation),
+      leaderKills: simulation.observedEvents.count('leader killed beside a new machine'),
+      tasksStarted: simulation.observedEvents.count('task started on a new machine'),
     }),
   },
   {
-    name: 'every team at its limit, cancellations whose machines are cut off or hang, a new leader',
-    jobs: { ...atLimit, team: 'red' },
+    name: 'failovers and cancellations on cut-off or hanging machines, with every team at its limit',
+    jobs: { ...teamFillingJobs, team: 'red' },
     jobCount: 3,
     faults: (between) => [
-      { kind: 'jobsSubmitted', count: 4, template: { ...atLimit, team: 'blue' }, at: 0 },
+      { kind: 'jobsSubmitted', count: 4, template: { ...teamFillingJobs, team: 'blue' }, at: 0 },
       { kind: 'jobsCancelled', count: 2, cut: between(5, 50), at: 45 },
       {
         kind: 'controllersKilled',
@@ -70,8 +73,8 @@
         restartAfter: between(0.2, 6),
         at: between(44.5, 47),
       },
-      { kind: 'jobsSubmitted', count: 2, template: { ...atLimit, team: 'red' }, at: 46 },
-      { kind: 'jobsSubmitted', count: 2, template: { ...atLimit, team: 'blue' }, at: 46 },
+      { kind: 'jobsSubmitted', count: 2, template: { ...teamFillingJobs, team: 'red' }, at: 46 },
+      { kind: 'jobsSubmitted', count: 2, template: { ...teamFillingJobs, team: 'blue' }, at: 46 },
       { kind: 'jobsCancelled', count: 2, hang: between(5, 40), at: 75 },
       {
         kind: 'controllersKilled',
@@ -81,13 +84,13 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: simulation.observedEvents.count('cancelled with every team at its limit'),
-      ended: simulation.observedEvents.count('leader killed with every team at its limit'),
+      leaderKills: simulation.observedEvents.count('leader killed with every team at its limit'),
     }),
   },
   {
-    name: 'cancellations while a leader steps down',
+    name: 'jobs are cancelled while a leader steps down',
     jobs: longJobs,
     jobCount: 16,
     faults: () => [
@@ -98,12 +101,12 @@
       { kind: 'cutOffFromWorkers', target: 'leader', at: 65, for: 15 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation) - 1,
+      failovers: failovers(simulation) - 1,
       cancelled: simulation.observedEvents.count('cancelled at a handover'),
     }),
   },
   {
-    name: "direct commands of ended and deposed leaders arrive after the next one's",
+    name: 'direct commands of former leaders arrive after those of the next leader',
     jobs: { estimatedRunS: 12 },
     jobCount: 16,
     faults: (between) => [
@@ -123,13 +126,13 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      late: simulation.network.delayedCommandsDelivered,
-      older: simulation.observedEvents.count('direct command of an older leader'),
-      leaders: failovers(simulation) - 1,
+      delayedCommands: simulation.network.delayedCommandsDelivered,
+      commandsOfOlderLeaders: simulation.observedEvents.count('direct command of an older leader'),
+      failovers: failovers(simulation) - 1,
     }),
   },
   ...[0, 4].map((after): FaultScenario => ({
-    name: `heartbeats replayed to the next leader, which arrive ${after} s after its election`,
+    name: `heartbeats are replayed to the next leader ${after} s after its election`,
     jobs: { estimatedRunS: 12 },
     jobCount: 16,
     faults: (between) => [
@@ -143,12 +146,12 @@
       { kind: 'controllersIsolated', target: 'leader', at: between(45, 50), for: 20 },
     ],
     expectedEvents: (simulation) => ({
-      copies: simulation.network.duplicatesDelivered - 20,
-      leaders: failovers(simulation) - 1,
+      duplicatesDelivered: simulation.network.duplicatesDelivered - 20,
+      failovers: failovers(simulation) - 1,
     }),
   })),
   {
-    name: 'machines and processes back within a second, in the midst of elections too',
+    name: 'machines and controllers restart within a second, also during elections',
     jobs: { estimatedRunS: 25 },
     jobCount: 16,
     faults: (between) => [
@@ -161,12 +164,12 @@
       { kind: 'machinesRestart', share: 0.5, restartAfter: between(0.1, 0.9), at: 40 },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation) - 3,
+      failovers: failovers(simulation) - 3,
       cancelled: cancelledWhileRunning(simulation),
     }),
   },
   {
-    name: 'arrays bound to one zone lose machines and a leader',
+    name: 'machines are lost and the leader is killed while job arrays are bound to one zone',
     jobs: { ...longJobs, estimatedRunS: 60, zone: 'a' },
     jobCount: 14,
     faults: (between) => [
@@ -181,7 +184,7 @@
       { kind: 'jobsCancelled', count: 3, at: between(4, 10) },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       cancelled: cancelledWhileRunning(simulation),
     }),
   },
--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -1,4 +1,4 @@
-/** Fault scenarios about the responses that users get. */
+/** Fault scenarios about the responses to users. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import {
   cancelledWhileRunning,
@@ -7,13 +7,13 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** One-task jobs that are soon done. */
-const brief: Partial<JobSpec> = { ...longJobs, tasks: 1, estimatedRunS: 5 };
+/** Fields of one-task jobs that run for five seconds. */
+const shortJobs: Partial<JobSpec> = { ...longJobs, tasks: 1, estimatedRunS: 5 };
 
-/** What users are told: many polls at once, lost responses, many short jobs, a slow network. */
+/** Scenarios with many polls at once, lost responses, many short jobs or a slow network. */
 export const responseScenarios: FaultScenario[] = [
   {
-    name: 'users poll all controllers and retry right after each response, some cancel at once',
+    name: 'all controllers get polls, retries and cancellations right after each change of a job',
     jobs: { estimatedRunS: 10 },
     jobCount: 8,
     faults: () => [
@@ -27,17 +27,17 @@
       { kind: 'jobsSubmitted', count: 8, at: 55 },
     ],
     expectedEvents: (simulation) => ({
-      looks: simulation.observedEvents.count('poll after a change'),
+      polls: simulation.observedEvents.count('poll after a change'),
       done: simulation.checker.jobs.countEnded('done'),
       cancelled: simulation.checker.jobs.countEnded('cancelled'),
     }),
   },
   {
-    name: 'one-task jobs four a second, a quarter of them cancelled',
-    jobs: brief,
+    name: 'four one-task jobs per second, a quarter of them cancelled, and a failover',
+    jobs: shortJobs,
     jobCount: 4,
     faults: (between) => [
-      { kind: 'jobStream', perSecond: 4, cancelShare: 0.25, template: brief, at: 0, for: 120 },
+      { kind: 'jobStream', perSecond: 4, cancelShare: 0.25, template: shortJobs, at: 0, for: 120 },
       {
         kind: 'controllersKilled',
         target: 'leader',
@@ -46,13 +46,13 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      leaders: failovers(simulation),
+      failovers: failovers(simulation),
       done: simulation.checker.jobs.countEnded('done') - 250,
       cancelled: simulation.checker.jobs.countEnded('cancelled') - 40,
     }),
   },
   {
-    name: 'transactions whose responses alone are lost, while other controllers read what they wrote',
+    name: 'responses to committed transactions are lost while other controllers read the written keys',
     jobs: { estimatedRunS: 10 },
     jobCount: 10,
     faults: (between) => [
@@ -69,13 +69,13 @@
       },
     ],
     expectedEvents: (simulation) => ({
-      read: simulation.stateStore.readsOfUnansweredWrites,
-      looks: simulation.observedEvents.count('poll after a change'),
+      readsOfUnansweredWrites: simulation.stateStore.readsOfUnansweredWrites,
+      polls: simulation.observedEvents.count('poll after a change'),
       cancelled: simulation.checker.jobs.countEnded('cancelled'),
     }),
   },
   {
-    name: 'all users poll during an outage',
+    name: 'all users poll during a state store outage, in which the other controllers restart',
     jobs: { estimatedRunS: 25 },
     jobCount: 20,
     faults: (between) => [
@@ -87,11 +87,11 @@
       { kind: 'jobsSubmitted', count: 6, at: 18 },
     ],
     expectedEvents: (simulation) => ({
-      asked: simulation.observedEvents.count('request in an outage') - 200,
+      requestsInOutage: simulation.observedEvents.count('request in an outage') - 200,
     }),
   },
   {
-    name: 'urgent and other work beyond the capacity over a slow network',
+    name: 'jobs of several priorities exceed the capacity on a slow network',
     jobs: { estimatedRunS: 25 },
     jobCount: 30,
     faults: () => [
@@ -106,7 +106,7 @@
       { kind: 'machinesLost', share: 0.3, at: 25 },
     ],
     expectedEvents: (simulation) => ({
-      started: simulation.checker.startedTasks,
+      startedTasks: simulation.checker.startedTasks,
       cancelled: cancelledWhileRunning(simulation),
     }),
   },
--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -1,22 +1,22 @@
-/** What the simulated state store holds: versioned entries, leases, a log of changes, watches. */
+/** The data of the simulated state store: versioned entries, leases, a change log, and watches. */
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../../src/controller/settings/platform.js';
 import type { Respond } from '../network.js';
 
-/** Changes in the log at most, and how many of the newest are kept when it is cut. */
-const LOG_LENGTH = 20_000;
-const LOG_KEPT = 10_000;
-/** Conditions of a transaction at most, in multiples of its writes. */
-const CONDITIONS_PER_WRITE = 4;
+/** Maximum number of changes in the log, and number of newest changes kept when it is trimmed. */
+const MAX_LOG_LENGTH = 20_000;
+const LOG_LENGTH_AFTER_TRIM = 10_000;
+/** Maximum number of conditions of a transaction, as a multiple of its maximum number of writes. */
+const MAX_CONDITIONS_PER_WRITE = 4;
 
 interface Entry {
   value: unknown;
-  stamp: number;
-  permit: number | null;
+  version: number;
+  leaseId: number | null;
 }
 
 interface Change {
-  stamp: number;
+  revision: number;
   key: string;
   value: unknown;
   deleted: boolean;
@@ -24,26 +24,26 @@
 
 interface Lease {
   lifeMs: number;
-  endsAt: number;
+  expiresAt: number;
 }
 
-/** A controller that waits for changes of keys with a prefix. */
+/** A pending request of a controller for changes of the keys with a prefix. */
 export interface Watch {
   watcher: string;
   prefix: string;
-  /** Changes after this stamp count. */
-  from: number;
+  /** Only changes with a higher revision are reported. */
+  afterRevision: number;
   respond: Respond;
   open: boolean;
 }
 
-/** The version that a key must have; 0: it must not exist. */
+/** The version that a key must have; 0 means that the key must not exist. */
 interface Condition {
   k: string;
   stamp: number;
 }
 
-/** A put or a deletion of one key; a put may be bound to a lease. */
+/** A put or a deletion of one key, as on the wire. A put can be bound to a lease (`permit`). */
 interface Write {
   set?: string;
   delete?: string;
@@ -57,41 +57,43 @@
   writes?: Write[];
 }
 
-/** Whether the state store takes a transaction of this size. */
+/** Returns whether a transaction is within the state store's limits on its size. */
 export function withinLimits(transaction: Transaction, limits: StateLimits): boolean {
   const { writes = [], if: conditions = [] } = transaction;
   const { txnOps, valueKb } = limits;
-  if (writes.length > txnOps || conditions.length > CONDITIONS_PER_WRITE * txnOps) return false;
+  if (writes.length > txnOps || conditions.length > MAX_CONDITIONS_PER_WRITE * txnOps) return false;
   return writes.every(({ value }) => JSON.stringify(value ?? null).length <= valueKb * 1024);
 }
 
-/** Versioned entries, leases that delete them when they expire, and watches on them. */
+/** Stores versioned entries, leases whose expiry deletes the entries bound to them, and watches. */
 export class KeyValueStore {
   readonly entries = new Map<string, Entry>();
   private readonly leases = new Map<number, Lease>();
   private log: Change[] = [];
   private watches: Watch[] = [];
-  private ledger = 0;
-  private lastPermit = 0;
+  private revision = 0;
+  private lastLeaseId = 0;
 
-  /** `onRead` is told of each key that a watch shows to a controller. */
+  /**
+   * Creates an empty store; `onRead` is called for each key that a watch reports to a controller.
+   */
   constructor(
     private readonly now: () => number,
-    private readonly onRead: (by: string, key: string) => void,
+    private readonly onRead: (reader: string, key: string) => void,
   ) {}
 
-  /** A new lease; returns its id. */
+  /** Grants a lease and returns its id. */
   grant(lifeMs: number): number {
-    const id = ++this.lastPermit;
-    this.leases.set(id, { lifeMs, endsAt: this.now() + lifeMs });
+    const id = ++this.lastLeaseId;
+    this.leases.set(id, { lifeMs, expiresAt: this.now() + lifeMs });
     return id;
   }
 
-  /** Whether the lease was there to be renewed. */
+  /** Renews a lease; returns false if it does not exist. */
   renew(id: number): boolean {
     const lease = this.leases.get(id);
     if (lease === undefined) return false;
-    lease.endsAt = this.now() + lease.lifeMs;
+    lease.expiresAt = this.now() + lease.lifeMs;
     return true;
   }
 
@@ -100,61 +102,61 @@
     for (const id of this.leases.keys()) this.renew(id);
   }
 
-  /** Ends the leases whose time is up. */
-  expire(): void {
-    for (const [id, lease] of this.leases) if (this.now() > lease.endsAt) this.revoke(id);
+  /** Revokes the leases that have expired. */
+  expireLeases(): void {
+    for (const [id, lease] of this.leases) if (this.now() > lease.expiresAt) this.revoke(id);
   }
 
-  /** Ends a lease and deletes what was bound to it; false: there is none. */
+  /** Ends a lease and deletes the entries bound to it; returns false if there is no such lease. */
   revoke(id: number): boolean {
     if (!this.leases.delete(id)) return false;
-    const keys = [...this.entries].filter(([, { permit }]) => permit === id).map(([key]) => key);
+    const keys = [...this.entries].filter(([, { leaseId }]) => leaseId === id).map(([key]) => key);
     if (keys.length === 0) return true;
-    this.ledger++;
+    this.revision++;
     for (const key of keys) this.change(key, undefined, null, true);
     this.notify();
     return true;
   }
 
-  /** The response to a read of one key. */
+  /** Returns the response to a read of one key. */
   read(key: string): Reply {
     const entry = this.entries.get(key);
-    if (entry === undefined) return { status: 404, body: { ledger: this.ledger } };
-    return { status: 200, body: { k: key, value: entry.value, stamp: entry.stamp } };
+    if (entry === undefined) return { status: 404, body: { ledger: this.revision } };
+    return { status: 200, body: { k: key, value: entry.value, stamp: entry.version } };
   }
 
-  /** The response to a read of a page of the keys with a prefix, those after `after`. */
+  /** Returns the response to a read of one page: the keys with a prefix that sort after `after`. */
   readPage(prefix: string, after: string, limit: number): Reply {
     const keys = [...this.entries.keys()]
       .filter((key) => key.startsWith(prefix) && key > after)
       .sort();
     const entries = keys.slice(0, limit).map((key) => {
       const entry = this.entries.get(key);
-      return { k: key, value: entry?.value, stamp: entry?.stamp };
+      return { k: key, value: entry?.value, stamp: entry?.version };
     });
-    const body = { entries, has_next: keys.length > entries.length, ledger: this.ledger };
+    const body = { entries, has_next: keys.length > entries.length, ledger: this.revision };
     return { status: 200, body };
   }
 
-  /** Commits a transaction as a whole or not at all; returns the response to it. */
+  /** Commits or rejects a transaction as a whole; returns the response to it. */
   commit(transaction: Transaction): Reply {
     const { writes = [], if: conditions = [] } = transaction;
     if (writes.some(({ permit }) => permit !== undefined && !this.leases.has(permit)))
       return { status: 400, body: { error: 'no such lease' } };
     const failed = this.failedKeys(conditions);
-    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.ledger } };
+    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.revision } };
     if (writes.length > 0) this.apply(writes);
-    return { status: 200, body: { ledger: this.ledger } };
+    return { status: 200, body: { ledger: this.revision } };
   }
 
   private failedKeys(conditions: readonly Condition[]): string[] {
     return conditions
-      .filter(({ k, stamp }) => (this.entries.get(k)?.stamp ?? 0) !== stamp)
+      .filter(({ k, stamp }) => (this.entries.get(k)?.version ?? 0) !== stamp)
       .map(({ k }) => k);
   }
 
   private apply(writes: readonly Write[]): void {
-    this.ledger++;
+    this.revision++;
     for (const write of writes) {
       if (write.set !== undefined) this.change(write.set, write.value, write.permit ?? null, false);
       else if (write.delete !== undefined && this.entries.has(write.delete))
@@ -163,47 +165,50 @@
     this.notify();
   }
 
-  /** Answers the watch as soon as there are changes; false: the log no longer reaches back so far. */
+  /**
+   * Registers a watch, which is answered as soon as there are changes. Returns false if the log no
+   * longer has all changes after its revision.
+   */
   watch(watch: Watch): boolean {
-    const oldest = this.log[0]?.stamp ?? 0;
-    if (watch.from < oldest - 1) return false;
+    const oldest = this.log[0]?.revision ?? 0;
+    if (watch.afterRevision < oldest - 1) return false;
     this.watches.push(watch);
-    this.tryWatch(watch);
+    this.answerIfChanged(watch);
     return true;
   }
 
-  /** Answers a watch that nothing has happened to. */
+  /** Answers a watch with no changes, unless it has been answered already. */
   closeWatch(watch: Watch): void {
     if (!watch.open) return;
     watch.open = false;
-    watch.respond({ status: 200, body: { ledger: this.ledger, log: [] } });
+    watch.respond({ status: 200, body: { ledger: this.revision, log: [] } });
   }
 
-  private change(key: string, value: unknown, permit: number | null, deleted: boolean): void {
+  private change(key: string, value: unknown, leaseId: number | null, deleted: boolean): void {
     if (deleted) this.entries.delete(key);
-    else this.entries.set(key, { value, stamp: this.ledger, permit });
-    this.log.push({ stamp: this.ledger, key, value, deleted });
-    if (this.log.length > LOG_LENGTH) this.log = this.log.slice(-LOG_KEPT);
+    else this.entries.set(key, { value, version: this.revision, leaseId });
+    this.log.push({ revision: this.revision, key, value, deleted });
+    if (this.log.length > MAX_LOG_LENGTH) this.log = this.log.slice(-LOG_LENGTH_AFTER_TRIM);
   }
 
   private notify(): void {
-    for (const watch of this.watches) this.tryWatch(watch);
+    for (const watch of this.watches) this.answerIfChanged(watch);
     this.watches = this.watches.filter((watch) => watch.open);
   }
 
-  private tryWatch(watch: Watch): void {
+  private answerIfChanged(watch: Watch): void {
     if (!watch.open) return;
-    // Newest last: only what came after `from` is looked at.
+    // The log is in order of revision, so the search ends at the first change that is not newer.
     let first = this.log.length;
-    while (first > 0 && (this.log[first - 1]?.stamp ?? 0) > watch.from) first--;
-    const found = this.log.slice(first).filter(({ key }) => key.startsWith(watch.prefix));
-    if (found.length === 0) return;
-    for (const { key } of found) this.onRead(watch.watcher, key);
+    while (first > 0 && (this.log[first - 1]?.revision ?? 0) > watch.afterRevision) first--;
+    const changes = this.log.slice(first).filter(({ key }) => key.startsWith(watch.prefix));
+    if (changes.length === 0) return;
+    for (const { key } of changes) this.onRead(watch.watcher, key);
     watch.open = false;
-    watch.respond({ status: 200, body: { ledger: this.ledger, log: found.map(logged) } });
+    watch.respond({ status: 200, body: { ledger: this.revision, log: changes.map(toLogEntry) } });
   }
 }
 
-function logged({ key, value, stamp, deleted }: Change): Record<string, unknown> {
+function toLogEntry({ key, value, revision: stamp, deleted }: Change): Record<string, unknown> {
   return deleted ? { delete: key, stamp } : { set: key, value, stamp };
 }
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -1,4 +1,4 @@
-/** The simulated state store as controllers reach it: its paths, its limits and its faults. */
+/** The request handling of the simulated state store, with its limits and injected faults. */
 import { TokenBucket } from '../../../src/controller/runtime/token-bucket.js';
 import type { Reply } from '../../../src/controller/runtime/runtime.js';
 import type { StateLimits } from '../../../src/controller/settings/platform.js';
@@ -8,11 +8,17 @@
 import { withinLimits, KeyValueStore, type Transaction, type Watch } from './key-value-store.js';
 import { UnansweredWrites } from './unanswered-writes.js';
 
-const EXPIRE_EVERY_MS = 50;
-/** Share of the responses that are late while the state store is slow, and by how much. */
-const SLOW_SHARE = 0.3;
-const SLOW_MS = { least: 50, most: 2000 };
-/** A late transaction is committed within this time, and not before a sixth of it. */
+const EXPIRY_CHECK_INTERVAL_MS = 50;
+/**
+ * Fraction of the responses that are delayed while the state store is slow, and their delay in
+ * milliseconds.
+ */
+const DELAYED_RESPONSE_SHARE = 0.3;
+const RESPONSE_DELAY_MS = { least: 50, most: 2000 };
+/**
+ * Default for the maximum delay of a delayed transaction, in milliseconds; the minimum is a sixth
+ * of it.
+ */
 const MAX_WRITE_DELAY_MS = 12_000;
 
 const UNAVAILABLE: Reply = { status: 503, body: null };
@@ -20,37 +26,43 @@
 const GONE: Reply = { status: 410, body: null };
 const TOO_MANY: Reply = { status: 429, body: null };
 
-/** Stand-in for the state store (the state service of the protocol). */
+/** Simulated state store (the state service of PROTOCOL). */
 export class StateStoreServer {
   private readonly store: KeyValueStore;
-  private down = false;
+  private unavailable = false;
   private slowUntil = 0;
-  /** Hosts of which all requests are refused. */
-  private readonly refused = new Set<string>();
+  /** Hosts whose requests are all refused. */
+  private readonly refusedHosts = new Set<string>();
   private readonly requestTokens: TokenBucket;
   private readonly putTokens: TokenBucket;
-  /** Transactions refused for their size; copies that the network made of older ones aside. */
+  /**
+   * Number of transactions refused for their size, not counting copies of older ones by the
+   * network.
+   */
   tooLarge = 0;
-  /** Requests served. */
+  /** Number of requests served. */
   requests = 0;
-  /** Puts and deletions in them. */
+  /** Number of puts and deletions in the requests served. */
   puts = 0;
-  /** Requests refused for being too many. */
+  /** Number of requests refused by the rate limits. */
   rateLimited = 0;
-  /** Requests that came in an outage. */
+  /** Number of requests that arrived during an outage. */
   requestsInOutage = 0;
-  /** Share of the transactions that get no response and are committed later. */
-  private lateWrites = 0;
-  /** How late they are at most. */
+  /** Fraction of the transactions that get no response and are committed later. */
+  private delayedWriteShare = 0;
+  /** Maximum delay of such a transaction, in milliseconds. */
   maxWriteDelayMs = MAX_WRITE_DELAY_MS;
-  /** How many of them were committed late, and refused late for their conditions. */
+  /**
+   * Number of delayed transactions that were applied in the end, and that were refused because of
+   * their conditions or the limits.
+   */
   readonly lateCommits = { applied: 0, refused: 0 };
-  /** Share of the transactions that are committed at once and whose response alone is lost. */
-  private lostResponses = 0;
+  /** Fraction of the transactions that are committed immediately but whose response is lost. */
+  private lostResponseShare = 0;
   private readonly unanswered = new UnansweredWrites();
-  /** Hosts whose watches are refused, and nothing else of theirs. */
-  private readonly watchesRefused = new Set<string>();
-  /** Called with the keys of each transaction's writes as it arrives, before it is looked at. */
+  /** Hosts whose watches are refused, while their other requests are served. */
+  private readonly watchRefusedHosts = new Set<string>();
+  /** Called with the keys that a transaction writes, when it arrives and before it is checked. */
   onTransaction: (keys: readonly string[]) => void = () => undefined;
 
   constructor(
@@ -62,93 +74,96 @@
     private readonly pageSize: number,
   ) {
     const now = (): number => clock.now;
-    this.store = new KeyValueStore(now, (host, key) => this.unanswered.wasRead(host, key));
+    this.store = new KeyValueStore(now, (host, key) => this.unanswered.recordRead(host, key));
     this.requestTokens = new TokenBucket(now, limits.rps, limits.rps);
     this.putTokens = new TokenBucket(now, limits.writeRps, limits.writeRps);
     network.listen(address, 'state', (from, request, respond) =>
       this.serve(from, request, respond),
     );
-    this.expire();
+    this.expireLeases();
   }
 
-  /** What is stored, by key. */
+  /** The stored entries by key. */
   get entries(): KeyValueStore['entries'] {
     return this.store.entries;
   }
 
-  /** How often a controller has read what another wrote without getting a response. */
+  /** Number of times that a controller has read a write for which another got no response. */
   get readsOfUnansweredWrites(): number {
     return this.unanswered.readByOthers;
   }
 
-  /** Whether it refuses all requests just now. */
+  /** Whether all requests are currently refused. */
   get inOutage(): boolean {
-    return this.down;
+    return this.unavailable;
   }
 
-  /** Refuses all requests for a time; afterwards all leases run anew. */
+  /** Refuses all requests for `ms`; all leases are renewed at the end. */
   outage(ms: number): void {
-    this.down = true;
+    this.unavailable = true;
     this.clock.after(ms, () => {
-      this.down = false;
+      this.unavailable = false;
       this.store.renewAll();
     });
   }
 
-  /** For a time some responses are late, by up to seconds. */
+  /** Delays some of the responses for `ms`. */
   slowDown(ms: number): void {
     this.slowUntil = Math.max(this.slowUntil, this.clock.now + ms);
   }
 
-  /** Refuses all requests of one host for a time; its leases expire. */
+  /** Refuses all requests of one host for `ms`, so that it cannot renew its leases. */
   refuse(host: string, ms: number): void {
-    this.refused.add(host);
-    this.clock.after(ms, () => this.refused.delete(host));
+    this.refusedHosts.add(host);
+    this.clock.after(ms, () => this.refusedHosts.delete(host));
   }
 
-  /** From now on it takes less. What is stored stays. */
+  /** Replaces the limits by lower ones. Stored entries are not affected. */
   lowerLimits(limits: StateLimits): void {
     this.limits = limits;
     this.requestTokens.setRate(limits.rps, limits.rps);
     this.putTokens.setRate(limits.writeRps, limits.writeRps);
   }
 
-  /** Refuses the watches of one host for a time, and nothing else of it. */
+  /** Refuses the watches of one host for `ms`, while its other requests are served. */
   refuseWatches(host: string, ms: number): void {
-    this.watchesRefused.add(host);
-    this.clock.after(ms, () => this.watchesRefused.delete(host));
+    this.watchRefusedHosts.add(host);
+    this.clock.after(ms, () => this.watchRefusedHosts.delete(host));
   }
 
-  /** For a time a share of the transactions gets no response and is committed later, after newer ones. */
+  /**
+   * For `ms`, a share of the transactions gets no response and is committed later, after newer
+   * ones.
+   */
   delayWrites(share: number, ms: number): void {
-    this.lateWrites = share;
+    this.delayedWriteShare = share;
     this.clock.after(ms, () => {
-      this.lateWrites = 0;
+      this.delayedWriteShare = 0;
     });
   }
 
-  /** For a time a share of the transactions is committed at once and gets no response. */
+  /** For `ms`, a share of the transactions is committed immediately but gets no response. */
   loseResponses(share: number, ms: number): void {
-    this.lostResponses = share;
+    this.lostResponseShare = share;
     this.clock.after(ms, () => {
-      this.lostResponses = 0;
+      this.lostResponseShare = 0;
     });
   }
 
-  /** Whether this host alone is refused. */
+  /** Returns whether requests of this host are refused individually, outside an outage. */
   isRefusing(host: string): boolean {
-    return !this.down && this.refused.has(host);
+    return !this.unavailable && this.refusedHosts.has(host);
   }
 
-  private expire(): void {
-    this.clock.after(EXPIRE_EVERY_MS, () => this.expire());
-    if (!this.down) this.store.expire();
+  private expireLeases(): void {
+    this.clock.after(EXPIRY_CHECK_INTERVAL_MS, () => this.expireLeases());
+    if (!this.unavailable) this.store.expireLeases();
   }
 
-  private serve(from: string, request: IncomingRequest, respondAtOnce: Respond): void {
-    const respond = this.delayed(respondAtOnce);
-    if (this.down) this.requestsInOutage++;
-    if (this.down || this.refused.has(from)) return respond(UNAVAILABLE);
+  private serve(from: string, request: IncomingRequest, respondNow: Respond): void {
+    const respond = this.withRandomDelay(respondNow);
+    if (this.unavailable) this.requestsInOutage++;
+    if (this.unavailable || this.refusedHosts.has(from)) return respond(UNAVAILABLE);
     const transaction = request.path === '/multi' ? (request.body() as Transaction) : null;
     const writes = transaction?.writes ?? [];
     if (transaction !== null)
@@ -158,12 +173,13 @@
     else this.serveOther(from, request, respond);
   }
 
-  /** While the state store is slow some responses are late. */
-  private delayed(respond: Respond): Respond {
-    const slow = this.clock.now < this.slowUntil && this.random.next() < SLOW_SHARE;
-    if (!slow) return respond;
-    const lateMs = this.random.between(SLOW_MS.least, SLOW_MS.most);
-    return (reply) => this.clock.after(lateMs, () => respond(reply));
+  /** Delays a random share of the responses while the state store is slow. */
+  private withRandomDelay(respond: Respond): Respond {
+    const isDelayed =
+      this.clock.now < this.slowUntil && this.random.next() < DELAYED_RESPONSE_SHARE;
+    if (!isDelayed) return respond;
+    const delayMs = this.random.between(RESPONSE_DELAY_MS.least, RESPONSE_DELAY_MS.most);
+    return (reply) => this.clock.after(delayMs, () => respond(reply));
   }
 
   private takeTokens(puts: number): boolean {
@@ -183,21 +199,21 @@
     respond: Respond,
   ): void {
     const { clock, random } = this;
-    if (this.lateWrites > 0 && random.next() < this.lateWrites) {
-      const lateMs = random.between(this.maxWriteDelayMs / 6, this.maxWriteDelayMs);
-      clock.after(lateMs, () => this.commitLate(transaction));
+    if (this.delayedWriteShare > 0 && random.next() < this.delayedWriteShare) {
+      const delayMs = random.between(this.maxWriteDelayMs / 6, this.maxWriteDelayMs);
+      clock.after(delayMs, () => this.commitLate(transaction));
       return;
     }
-    if (this.lostResponses > 0 && random.next() < this.lostResponses) {
+    if (this.lostResponseShare > 0 && random.next() < this.lostResponseShare) {
       if (this.commit(transaction).status === 200) this.unanswered.record(from, transaction);
       return;
     }
-    for (const { k } of transaction.if ?? []) this.unanswered.wasRead(from, k);
+    for (const { k } of transaction.if ?? []) this.unanswered.recordRead(from, k);
     respond(this.commit(transaction, duplicate));
   }
 
   private commitLate(transaction: Transaction): void {
-    if (this.down) return;
+    if (this.unavailable) return;
     if (this.commit(transaction).status === 200) this.lateCommits.applied++;
     else this.lateCommits.refused++;
   }
@@ -211,14 +227,14 @@
   private serveOther(from: string, request: IncomingRequest, respond: Respond): void {
     const url = new URL(request.path, 'http://state');
     const path = url.pathname;
-    const lease = /^\/holds\/(\d+)(\/extend)?$/.exec(path);
+    const leaseMatch = /^\/holds\/(\d+)(\/extend)?$/.exec(path);
     if (path === '/holds') respond(this.grantLease(request));
-    else if (lease !== null) respond(this.serveLease(Number(lease[1]), request));
+    else if (leaseMatch !== null) respond(this.serveLease(Number(leaseMatch[1]), request));
     else if (path === '/follow') this.serveWatch(from, url.searchParams, respond);
     else if (path === '/keys') respond(this.readPage(url.searchParams));
     else {
       const key = path.slice('/keys/'.length);
-      this.unanswered.wasRead(from, key);
+      this.unanswered.recordRead(from, key);
       respond(this.store.read(key));
     }
   }
@@ -229,8 +245,8 @@
   }
 
   private serveLease(id: number, request: IncomingRequest): Reply {
-    const found = request.method === 'DELETE' ? this.store.revoke(id) : this.store.renew(id);
-    return found ? { status: 200, body: { permit: id } } : NOT_FOUND;
+    const exists = request.method === 'DELETE' ? this.store.revoke(id) : this.store.renew(id);
+    return exists ? { status: 200, body: { permit: id } } : NOT_FOUND;
   }
 
   private readPage(query: URLSearchParams): Reply {
@@ -239,17 +255,17 @@
   }
 
   private serveWatch(from: string, query: URLSearchParams, respond: Respond): void {
-    if (this.watchesRefused.has(from)) return respond(UNAVAILABLE);
+    if (this.watchRefusedHosts.has(from)) return respond(UNAVAILABLE);
     const watch: Watch = {
       watcher: from,
       prefix: query.get('starts') ?? '',
-      from: Number(query.get('from')),
+      afterRevision: Number(query.get('from')),
       respond,
       open: true,
     };
     if (!this.store.watch(watch)) return respond(GONE);
     this.clock.after(Number(query.get('hold_ms')), () => {
-      if (!this.down) this.store.closeWatch(watch);
+      if (!this.unavailable) this.store.closeWatch(watch);
     });
   }
 }
--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -1,11 +1,14 @@
-/** One user with one job. */
+/** A simulated user with one job. */
 import type { Timer } from '../../../src/controller/runtime/runtime.js';
 import { writeJobSpec, type JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { RuleChecker } from '../rules/rule-checker.js';
 import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 
-/** Sends a request to a controller, `host` or any; `done` gets status 0 where no response comes. */
+/**
+ * Sends a request to the controller on `host`, by default a random one. `done` receives status 0 if
+ * no response arrives.
+ */
 export type RequestSender = (
   method: 'GET' | 'POST',
   path: string,
@@ -16,22 +19,22 @@
 
 type Action = 'submit' | 'poll' | 'cancel';
 
-/** Chance that a user submits an accepted job once more instead of polling. */
+/** Probability that a user submits an accepted job again instead of polling it. */
 const RETRY_CHANCE = 0.1;
-/** Time from a response to the next request. */
+/** Time from a response to the next request, in milliseconds. */
 const PENDING_ACTION_PAUSE_MS = 1000;
 const UNACCEPTED_PAUSE_MS = 1200;
 const POLL_PAUSE_MS = 4000;
-const ENDED_PAUSE_MS = { least: 10_000, most: 40_000 };
+const TERMINAL_PAUSE_MS = { least: 10_000, most: 40_000 };
 
-/** A user who submits, polls and perhaps cancels one job, one request at a time. */
+/** A user who submits and polls one job, and may cancel it. At most one request is in flight. */
 export class User {
   private accepted = false;
   private requestInFlight = false;
   private nextRequest: Timer | null = null;
-  /** What the user wants to do once the job is accepted. */
-  private wanted: 'cancel' | 'submit' | null = null;
-  /** Where cancellations go; undefined: to any controller. */
+  /** The action that the user takes next once the job is accepted; null: the user polls. */
+  private pendingAction: 'cancel' | 'submit' | null = null;
+  /** The host to which cancellations are sent; undefined for a random one. */
   private cancelHost: string | undefined;
   private readonly body: unknown;
 
@@ -46,55 +49,58 @@
     this.body = writeJobSpec(spec);
     checker.jobSubmitted(spec);
     if (cancelAfterMs !== null) clock.after(cancelAfterMs, () => this.cancel());
-    this.step();
+    this.sendNextRequest();
   }
 
-  /** Cancels the job, at `host` where one is named, until told that it has ended. */
+  /**
+   * Cancels the job, through the controller on `host` if one is given. The request is repeated
+   * until it succeeds.
+   */
   cancel(host?: string): void {
     this.cancelHost = host;
-    this.want('cancel');
+    this.requestAction('cancel');
   }
 
-  /** Polls now, unless a request is on its way. */
+  /** Sends the next request now if the job is accepted and no request is in flight. */
   pollNow(): void {
-    if (this.accepted) this.stepNow();
+    if (this.accepted) this.sendNextRequestNow();
   }
 
-  /** Submits the job once more. */
+  /** Submits the job again. */
   resubmit(): void {
-    this.want('submit');
+    this.requestAction('submit');
   }
 
-  private want(action: 'cancel' | 'submit'): void {
-    if (this.wanted !== 'cancel') this.wanted = action;
-    if (this.accepted) this.stepNow();
+  private requestAction(action: 'cancel' | 'submit'): void {
+    if (this.pendingAction !== 'cancel') this.pendingAction = action;
+    if (this.accepted) this.sendNextRequestNow();
   }
 
-  private stepNow(): void {
+  private sendNextRequestNow(): void {
     if (this.requestInFlight) return;
     this.nextRequest?.cancel();
-    this.step();
+    this.sendNextRequest();
   }
 
-  private step(): void {
+  private sendNextRequest(): void {
     const { id } = this.spec;
     const action = this.nextAction();
     if (action === 'cancel') this.checker.cancelRequested(id);
-    if (action === 'submit' && this.wanted === 'submit') this.wanted = null;
-    const before = this.checker.visibleState(id);
+    if (action === 'submit' && this.pendingAction === 'submit') this.pendingAction = null;
+    const stateBefore = this.checker.visibleState(id);
     this.requestInFlight = true;
     this.send(action, (status, state) => {
       this.requestInFlight = false;
-      this.checker.responseReceived(id, status, state, action === 'submit', before);
-      this.noteResponse(action, status);
-      this.nextRequest = this.clock.after(this.pauseMs(state), () => this.step());
+      this.checker.responseReceived(id, status, state, action === 'submit', stateBefore);
+      this.recordResponse(action, status);
+      this.nextRequest = this.clock.after(this.pauseMs(state), () => this.sendNextRequest());
     });
   }
 
   private nextAction(): Action {
     if (!this.accepted) return 'submit';
-    if (this.wanted !== null) return this.wanted;
-    // Now and then the submission is repeated long after it was accepted.
+    if (this.pendingAction !== null) return this.pendingAction;
+    // Some submissions are repeated long after the job was accepted.
     return this.random.next() < RETRY_CHANCE ? 'submit' : 'poll';
   }
 
@@ -105,20 +111,20 @@
     else this.sendRequest('POST', `${path}/abort`, undefined, done, this.cancelHost);
   }
 
-  private noteResponse(action: Action, status: number): void {
+  private recordResponse(action: Action, status: number): void {
     if (status !== 200 && status !== 201) return;
     this.accepted = true;
-    if (action === 'cancel') this.wanted = null;
+    if (action === 'cancel') this.pendingAction = null;
   }
 
   private pauseMs(state: string): number {
     const pauseMs = this.usualPauseMs(state);
-    return this.accepted && this.wanted !== null ? PENDING_ACTION_PAUSE_MS : pauseMs;
+    return this.accepted && this.pendingAction !== null ? PENDING_ACTION_PAUSE_MS : pauseMs;
   }
 
   private usualPauseMs(state: string): number {
     if (state === 'done' || state === 'aborted')
-      return this.random.between(ENDED_PAUSE_MS.least, ENDED_PAUSE_MS.most);
+      return this.random.between(TERMINAL_PAUSE_MS.least, TERMINAL_PAUSE_MS.most);
     return this.accepted ? POLL_PAUSE_MS : UNACCEPTED_PAUSE_MS;
   }
 }
--- a/test/simulation/virtual-clock.ts
+++ b/test/simulation/virtual-clock.ts
@@ -1,8 +1,8 @@
-/** Virtual time: a queue of events, and a clock that jumps from one to the next. */
+/** Virtual time: a queue of events and a clock that advances from one event to the next. */
 import type { Timer } from '../../src/controller/runtime/runtime.js';
 
 interface Event {
-  at: number;
+  dueAt: number;
   order: number;
   run: () => void;
   cancelled: boolean;
@@ -10,42 +10,45 @@
 
 const doNothing = (): void => undefined;
 
-/** Runs events in order of time, then of scheduling; milliseconds since the start of the run. */
+/**
+ * Runs events in order of their due time; events with the same due time run in the order in which
+ * they were scheduled. Times are in milliseconds since the start of the run.
+ */
 export class VirtualClock {
   now = 0;
-  private order = 0;
+  private nextOrder = 0;
   private readonly heap: Event[] = [];
 
-  /** Runs the function once so much time has passed. */
+  /** Schedules the function to run after `ms`; the returned timer can cancel it. */
   after(ms: number, run: () => void): Timer {
-    const at = this.now + Math.max(0, ms);
-    const event: Event = { at, order: this.order++, run, cancelled: false };
+    const dueAt = this.now + Math.max(0, ms);
+    const event: Event = { dueAt, order: this.nextOrder++, run, cancelled: false };
     this.push(event);
     return {
       cancel: () => {
         event.cancelled = true;
-        // What the event refers to may go at once, though its entry stays until its time.
+        // The event stays in the heap until it is due; the function is released now.
         event.run = doNothing;
       },
     };
   }
 
-  /** Runs all events up to `until`; `check` after each of them. */
+  /** Runs all events that are due up to `until`, and calls `check` after each of them. */
   run(until: number, check: () => void): void {
     for (;;) {
       const first = this.heap[0];
-      if (first === undefined || first.at > until) break;
+      if (first === undefined || first.dueAt > until) break;
       this.pop();
       if (first.cancelled) continue;
-      this.now = first.at;
+      this.now = first.dueAt;
       first.run();
       check();
     }
     this.now = until;
   }
 
-  private less(a: Event, b: Event): boolean {
-    return a.at < b.at || (a.at === b.at && a.order < b.order);
+  private isBefore(a: Event, b: Event): boolean {
+    return a.dueAt < b.dueAt || (a.dueAt === b.dueAt && a.order < b.order);
   }
 
   private push(event: Event): void {
@@ -54,7 +57,7 @@
     while (index > 0) {
       const parentIndex = (index - 1) >> 1;
       const parent = heap[parentIndex];
-      if (parent === undefined || !this.less(event, parent)) break;
+      if (parent === undefined || !this.isBefore(event, parent)) break;
       heap[index] = parent;
       index = parentIndex;
     }
@@ -72,11 +75,11 @@
       const right = heap[childIndex + 1];
       if (left === undefined) break;
       let child = left;
-      if (right !== undefined && this.less(right, left)) {
+      if (right !== undefined && this.isBefore(right, left)) {
         child = right;
         childIndex++;
       }
-      if (!this.less(child, last)) break;
+      if (!this.isBefore(child, last)) break;
       heap[index] = child;
       index = childIndex;
     }
