--- a/test/fake-records.ts
+++ b/test/fake-records.ts
@@ -1,17 +1,17 @@
 import type { RecordStore } from '../src/controller/store/record-store.js';
 
-/** A record store for the tests of single modules: what is set is stored at once. */
-export function immediateRecords(before: Record<string, unknown> = {}): RecordStore {
-  const values = new Map(Object.entries(before));
+/** A fake record store for unit tests, which stores records as soon as they are set. */
+export function immediateRecords(initial: Record<string, unknown> = {}): RecordStore {
+  const values = new Map(Object.entries(initial));
   const records: Pick<RecordStore, 'has' | 'list' | 'set' | 'transact'> = {
     has: (key) => values.has(key),
     *list(prefix) {
       for (const [key, value] of [...values]) if (key.startsWith(prefix)) yield { key, value };
     },
-    set: (key, value, _urgency, stored) => {
+    set: (key, value, _urgency, onStored) => {
       if (value === undefined) values.delete(key);
       else values.set(key, value);
-      stored?.();
+      onStored?.();
     },
     transact: () => undefined,
   };
--- a/test/fakes.ts
+++ b/test/fakes.ts
@@ -1,12 +1,12 @@
-/** Fakes and examples for the unit tests of single modules. */
+/** Fakes and example values for unit tests. */
 import type { Runtime, Logger } from '../src/controller/runtime/runtime.js';
 import { Job } from '../src/controller/model/entities.js';
 import type { JobSpec } from '../src/controller/wire/jobs.js';
 import { silentLogger } from './manual-runtime.js';
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
-/** A clock that the test sets, with a log that discards everything. */
+/** A clock that the test sets, and a log that discards everything. */
 export class FakeClock {
   readonly log: Logger = silentLogger;
 
@@ -17,8 +17,8 @@
   }
 }
 
-/** A job array of two small tasks, but for the given fields. */
-export function arraySpec(part: Partial<JobSpec> = {}): JobSpec {
+/** A job array of two small tasks, with the given fields replaced. */
+export function arraySpec(overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id: 'req-1',
     class: 'c',
@@ -40,26 +40,26 @@
     checkpointIntervalS: 0,
     checkpointSaveS: 0,
     deadlineS: null,
-    ...part,
+    ...overrides,
   };
 }
 
-/** A job that was accepted at time 0. */
-export function acceptedJob(part: Partial<JobSpec> = {}): Job {
-  return new Job(arraySpec(part), 0, 1, 0);
+/** A job accepted at time 0, with the spec of `arraySpec`. */
+export function acceptedJob(overrides: Partial<JobSpec> = {}): Job {
+  return new Job(arraySpec(overrides), 0, 1, 0);
 }
 
-/** A runtime in which no call is answered and no timer fires. */
+/** A runtime that answers no call, fires no timer and runs no deferred function. */
 export function idleRuntime(clock: FakeClock): Runtime {
   return {
     startedAt: -Infinity,
     now: () => clock.time,
     wallClock: () => clock.time,
     random: () => 0.5,
-    defer: ignore,
-    startTimer: () => ({ cancel: ignore }),
-    call: ignore,
+    defer: noop,
+    startTimer: () => ({ cancel: noop }),
+    call: noop,
     hasSpareConnection: () => true,
-    sendPeer: ignore,
+    sendPeer: noop,
   };
 }
--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -1,4 +1,4 @@
-/** A scenario is worth what it catches: controllers with an injected bug violate a rule in it. */
+/** Checks that the fault scenarios detect bugs: a controller with an injected bug has to violate a rule. */
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Controller } from '../src/controller/controller.js';
@@ -10,22 +10,22 @@
 import { playScenario } from './simulation/scenarios/play-scenario.js';
 import { presentVersion, type ProgramVersion } from './simulation/program-version.js';
 
-/** The scenario whose name contains the text. */
-function scenarioNamed(part: string): FaultScenario {
-  const scenario = allScenarios.find(({ name }) => name.includes(part));
-  assert.ok(scenario, part);
+/** Returns the first scenario whose name contains the text. */
+function scenarioNamed(fragment: string): FaultScenario {
+  const scenario = allScenarios.find(({ name }) => name.includes(fragment));
+  assert.ok(scenario, fragment);
   return scenario;
 }
 
 type RequestArguments = Parameters<Controller['request']>;
 type Response = Parameters<RequestArguments[3]>[0];
 
-/** How long the buggy controller caches its responses. */
+/** Time for which `CachingController` caches a response. */
 const CACHE_MS = 1000;
 
-/** Responds to status queries from a cache for a while, whatever other controllers have told since. */
+/** Answers status queries from a cache, even if other controllers have reported a newer state since. */
 class CachingController extends Controller {
-  private readonly cache = new Map<string, { at: number; response: Response }>();
+  private readonly cache = new Map<string, { cachedAt: number; response: Response }>();
   private readonly runtime: Runtime;
 
   constructor(...parts: ConstructorParameters<typeof Controller>) {
@@ -36,16 +36,17 @@
   override request(...[method, path, bytes, respond]: RequestArguments): void {
     const cached = this.cache.get(path);
     const now = this.runtime.now();
-    if (method === 'GET' && cached !== undefined && now - cached.at < CACHE_MS)
+    if (method === 'GET' && cached !== undefined && now - cached.cachedAt < CACHE_MS)
       return respond(cached.response);
     super.request(method, path, bytes, (response) => {
-      if (method === 'GET' && response.status === 200) this.cache.set(path, { at: now, response });
+      if (method === 'GET' && response.status === 200)
+        this.cache.set(path, { cachedAt: now, response });
       respond(response);
     });
   }
 }
 
-/** The part of a heartbeat that tells how new it is, by the names on the wire. */
+/** The fields of a heartbeat that order it among the heartbeats of its worker, by their names on the wire. */
 interface HeartbeatOrder {
   kiln: string;
   tenure: number;
@@ -53,41 +54,48 @@
   baton: number;
 }
 
-/** Takes every heartbeat for the newest, and for one that shows the leader's own term. */
+/**
+ * Accepts stale heartbeats: raises the agent epoch, sequence number and fencing token of each heartbeat so
+ * that it appears to be the worker's newest.
+ */
 class StaleHeartbeatController extends Controller {
   private readonly newest = new Map<string, HeartbeatOrder>();
 
   override request(...[method, path, bytes, respond]: RequestArguments): void {
     if (path !== '/v1/report') return super.request(method, path, bytes, respond);
     const heartbeat = decodeBody(bytes) as HeartbeatOrder;
-    const last = this.newest.get(heartbeat.kiln);
-    if (last !== undefined) {
-      heartbeat.tenure = Math.max(heartbeat.tenure, last.tenure);
-      heartbeat.tally = Math.max(heartbeat.tally, last.tally + 1);
-      heartbeat.baton = Math.max(heartbeat.baton, last.baton);
+    const newest = this.newest.get(heartbeat.kiln);
+    if (newest !== undefined) {
+      heartbeat.tenure = Math.max(heartbeat.tenure, newest.tenure);
+      heartbeat.tally = Math.max(heartbeat.tally, newest.tally + 1);
+      heartbeat.baton = Math.max(heartbeat.baton, newest.baton);
     }
     this.newest.set(heartbeat.kiln, heartbeat);
     super.request(method, path, encodeBody(heartbeat), respond);
   }
 }
 
-/** The present version with another controller. */
+/** The present version with its controller class replaced. */
 function versionWith(BuggyController: typeof Controller): ProgramVersion {
   return { ...presentVersion(), Controller: BuggyController };
 }
 
 describe('an injected bug', () => {
-  // Without its bound a leader renews workers for as long as its lease is renewed.
-  it('violates ran_cancelled if a leader serves workers on a job watch of any staleness', () => {
+  // Without the bound on the watch's staleness (invariant 8: whoever answers a worker knows of every
+  // cancellation older than the bound), a leader renews workers' leases as long as it renews its own.
+  it('violates ran_cancelled if a leader answers workers however stale its job watch is', () => {
     const version = presentVersion({ ...defaultProperties(), 'workers.view.ratio': 1000 });
     const scenario = scenarioNamed('refuses the watches of the leader but not its lease renewals');
     assert.throws(() => playScenario(scenario, 1, version), /ran_cancelled/);
   });
 
-  for (const part of ['right after each change', 'responses to committed transactions are lost'])
-    it(`violates went_back if a controller caches its responses, in "${part}"`, () => {
+  for (const nameFragment of [
+    'right after each change',
+    'responses to committed transactions are lost',
+  ])
+    it(`violates went_back if a controller caches its responses, in "${nameFragment}"`, () => {
       const version = versionWith(CachingController);
-      assert.throws(() => playScenario(scenarioNamed(part), 1, version), /went_back/);
+      assert.throws(() => playScenario(scenarioNamed(nameFragment), 1, version), /went_back/);
     });
 
   it('violates ran_twice or quota if a leader accepts heartbeats of any age', () => {
--- a/test/manual-runtime.ts
+++ b/test/manual-runtime.ts
@@ -1,17 +1,17 @@
-/** A runtime and a log for the tests of single modules. */
+/** A runtime driven by the test, and a silent log, for unit tests. */
 import type { Call, Logger, Reply, Runtime, Timer } from '../src/controller/runtime/runtime.js';
 
 interface PendingTimer {
-  at: number;
+  dueAt: number;
   run: () => void;
   cancelled: boolean;
 }
 
-/** A runtime without time or network of its own: the test moves the clock and answers the calls. */
+/** A runtime in which the test moves the clock and answers the calls. */
 export class ManualRuntime implements Runtime {
-  /** Calls without response, the oldest first. */
+  /** Calls that have not been answered, oldest first. */
   readonly calls: { call: Call; done: (reply: Reply) => void }[] = [];
-  /** Long ago: nothing that depends on the age of the process waits. */
+  /** Long ago, so that no code waits for the process to reach a minimum age. */
   readonly startedAt = -Infinity;
   private time = 0;
   private readonly deferred: (() => void)[] = [];
@@ -34,7 +34,7 @@
   }
 
   startTimer(ms: number, fn: () => void): Timer {
-    const timer = { at: this.time + ms, run: fn, cancelled: false };
+    const timer = { dueAt: this.time + ms, run: fn, cancelled: false };
     this.timers.push(timer);
     return {
       cancel: () => {
@@ -52,24 +52,24 @@
   }
 
   sendPeer(): void {
-    // No peers.
+    // There are no peers.
   }
 
-  /** Answers the oldest open call and runs what was deferred. Returns the call. */
+  /** Answers the oldest pending call, runs the deferred functions, and returns the call. */
   answer(status: number, body: unknown = null): Call {
-    const open = this.calls.shift();
-    if (open === undefined) throw new Error('no open call');
-    open.done({ status, body });
+    const pending = this.calls.shift();
+    if (pending === undefined) throw new Error('no call is pending');
+    pending.done({ status, body });
     this.runDeferred();
-    return open.call;
+    return pending.call;
   }
 
-  /** Moves the clock and runs the timers that are due by then, and what was deferred. */
+  /** Advances the clock, then runs the timers that are due and the deferred functions. */
   advance(ms: number): void {
     this.time += ms;
-    const due = this.timers.filter((timer) => timer.at <= this.time && !timer.cancelled);
-    this.timers = this.timers.filter((timer) => timer.at > this.time && !timer.cancelled);
-    for (const timer of due.sort((a, b) => a.at - b.at)) timer.run();
+    const due = this.timers.filter((timer) => timer.dueAt <= this.time && !timer.cancelled);
+    this.timers = this.timers.filter((timer) => timer.dueAt > this.time && !timer.cancelled);
+    for (const timer of due.sort((a, b) => a.dueAt - b.dueAt)) timer.run();
     this.runDeferred();
   }
 
@@ -78,14 +78,14 @@
   }
 }
 
-function ignore(): void {
-  // Nothing is recorded.
+function noop(): void {
+  // Log entries are discarded.
 }
 
-/** A log that keeps nothing. */
+/** A log that discards everything. */
 export const silentLogger: Logger = {
-  info: ignore,
-  debug: ignore,
-  warn: ignore,
-  error: ignore,
+  info: noop,
+  debug: noop,
+  warn: noop,
+  error: noop,
 };
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -1,4 +1,4 @@
-/** Services that run during or after a rollout, and on through failovers. */
+/** Services that keep running during a rollout, or through a failover after one. */
 import assert from 'node:assert/strict';
 import { it } from 'node:test';
 import { presentVersion, type ProgramVersion } from '../simulation/program-version.js';
@@ -6,15 +6,15 @@
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
 
 const SERVICES = 3;
-/** After a failover, this long until the services are expected to be complete. */
-const RECOVERY_MS = 1000;
+/** Time after an election before the services are checked for recovery, in milliseconds. */
+const MIN_RECOVERY_MS = 1000;
 
-/** Whether there is a leader, and all replicas run. */
+/** Whether there is a leader and all replicas run. */
 function isServing(scenario: MixedVersionScenario, services: readonly string[]): boolean {
   return scenario.simulation.leader !== null && scenario.allReplicasRun(services);
 }
 
-/** Services are submitted once all run `to`, keep running in a failover, and are cancelled. */
+/** Submits services once all controllers run `to`, kills the leader, and cancels them after recovery. */
 function playServicesAfterRollout(seed: number, from: ProgramVersion, to: ProgramVersion): void {
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
   const { clock, random } = scenario.simulation;
@@ -24,42 +24,48 @@
   clock.after(completeMs, () => {
     scenario.assertAllRun(to);
     services = scenario.submitServices(SERVICES);
-    scenario.when(
+    scenario.runWhen(
       0,
       () => isServing(scenario, services),
       () => failOver(scenario, services, () => (survived = true)),
     );
   });
   scenario.finish([{ kind: 'jobsCancelled', count: 3, at: random.between(1, 5) }]);
-  assert.ok(survived, 'services did not run through a failover');
+  assert.ok(survived, 'the services did not recover after a failover');
   assertCancelled(scenario, services);
 }
 
-/** Ends the leader while all replicas run: until there is another, replicas end only by themselves. */
+/**
+ * Kills the leader while all replicas run. Until another leader is elected, replicas may end only because
+ * their own processes exit.
+ */
 function failOver(
   scenario: MixedVersionScenario,
   services: readonly string[],
-  survived: () => void,
+  onSurvived: () => void,
 ): void {
   const { simulation } = scenario;
   const electionsBefore = simulation.processes.electedVersions.length;
   const endedBefore = simulation.replicasEnded;
   assert.ok(simulation.leader !== null);
   simulation.kill(simulation.leader, LONGEST_RESTART_MS);
-  const elected = (): boolean => simulation.processes.electedVersions.length > electionsBefore;
-  scenario.when(0, elected, () => {
+  const isElected = (): boolean => simulation.processes.electedVersions.length > electionsBefore;
+  scenario.runWhen(0, isElected, () => {
     const running = scenario.replicaCounts(services).reduce((sum, count) => sum + count, 0);
     const ended = simulation.replicasEnded - endedBefore;
-    assert.ok(running + ended >= SERVICES * REPLICAS, 'replicas were lost with the leader');
-    const recovered = (): boolean => scenario.allReplicasRun(services);
-    scenario.when(RECOVERY_MS, recovered, () => {
-      survived();
+    assert.ok(
+      running + ended >= SERVICES * REPLICAS,
+      'the failover ended replicas that had not exited',
+    );
+    const hasRecovered = (): boolean => scenario.allReplicasRun(services);
+    scenario.runWhen(MIN_RECOVERY_MS, hasRecovered, () => {
+      onSurvived();
       for (const id of services) simulation.cancel(id);
     });
   });
 }
 
-/** Services run from before the rollout until after it, with leaders of both versions, and are cancelled. */
+/** Runs services from before a rollout until after it, under leaders of both versions, then cancels them. */
 function playServicesDuringRollout(seed: number, from: ProgramVersion, to: ProgramVersion): void {
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
   const { simulation } = scenario;
@@ -71,32 +77,33 @@
     assert.equal(simulation.processes.electedVersions.at(-1), from);
     let complete = false;
     simulation.clock.after(scenario.rollingUpdate(to).completeMs, () => (complete = true));
-    const finished = (): boolean => {
+    const isFinished = (): boolean => {
       fewestReplicas = Math.min(fewestReplicas, ...scenario.replicaCounts(services));
       return complete && isServing(scenario, services);
     };
-    scenario.when(0, finished, () => {
+    scenario.runWhen(0, isFinished, () => {
       survived = true;
       for (const id of services) simulation.cancel(id);
     });
   };
-  scenario.when(0, () => isServing(scenario, services), rollOut);
+  scenario.runWhen(0, () => isServing(scenario, services), rollOut);
   scenario.finish([{ kind: 'jobsCancelled', count: 3, at: simulation.random.between(1, 5) }]);
-  assert.ok(survived, 'services did not run through the rollout');
-  assert.ok(fewestReplicas > 0, 'a service had no replica for a while');
-  const elected = simulation.processes.electedVersions.slice(electionsBefore);
-  assert.ok(elected.includes(to), `${to.name} never led with services`);
+  assert.ok(survived, 'the services were not complete after the rollout');
+  assert.ok(fewestReplicas > 0, 'a service had no running replica at some time');
+  const electedVersions = simulation.processes.electedVersions.slice(electionsBefore);
+  assert.ok(electedVersions.includes(to), `${to.name} was never elected while services ran`);
   scenario.assertAllRun(to);
   assertCancelled(scenario, services);
 }
 
 function assertCancelled(scenario: MixedVersionScenario, services: readonly string[]): void {
   const { checker } = scenario.simulation;
-  for (const id of services) assert.ok(checker.visibleState(id).cancelled, `${id} not cancelled`);
+  for (const id of services)
+    assert.ok(checker.visibleState(id).cancelled, `${id} is not reported as cancelled`);
   const replicas = scenario.replicaCounts(services);
   assert.ok(
     replicas.every((count) => count === 0),
-    'replicas left',
+    'replicas of cancelled services still run',
   );
 }
 
@@ -104,7 +111,7 @@
   const present = presentVersion();
   const { rare } = seedCountsFor(name);
 
-  // Services are submitted only once all versions that serve know them.
+  // Services are submitted only when all running versions support them.
   it('keep services running through a failover after a rollout', () => {
     playSeeds(rare, (seed) => playServicesAfterRollout(seed, older, present));
   });
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -6,43 +6,47 @@
 import { longJobs } from './simulation/scenarios/fault-scenario.js';
 import { Simulation } from './simulation/simulation.js';
 
-/** In the deployment with short leases a worker's takes 10 s, and the leader's 1.3 s. */
+/** Longer than the leases of the deployment, which are 10 s for a worker and 1.3 s for the leader. */
 const OUTAGE_MS = 20_000;
-/** Jobs run by then. */
-const FIRST_JOBS_MS = 65_000;
-/** Time after the outage in which the leader renews its lease. */
-const RENEWAL_MS = 5000;
-const CHECK_EVERY_MS = 5;
+/** Time before the outage in which machines boot and jobs start. */
+const WARM_UP_MS = 65_000;
+/** Time after the outage within which the leader has to renew its lease. */
+const LEASE_RENEWAL_MS = 5000;
+/** Interval at which the controllers that answer workers are counted. */
+const CHECK_INTERVAL_MS = 5;
 
-/** Checks all the time that no two controllers answer workers, which the leader's fence relies on. */
-function checkSingleAnswerer(simulation: Simulation): void {
+/** Checks repeatedly that at most one controller answers workers; the leader's fencing relies on this. */
+function checkSingleResponder(simulation: Simulation): void {
   const { clock, processes } = simulation;
-  const check = (): void => {
+  const checkNow = (): void => {
     const hosts = processes.answeringWorkers();
     assert.ok(hosts.length <= 1, hosts.join(' and '));
-    if (!simulation.faultsStopped) clock.after(CHECK_EVERY_MS, check);
+    if (!simulation.faultsStopped) clock.after(CHECK_INTERVAL_MS, checkNow);
   };
-  check();
+  checkNow();
 }
 
-/** Plays jobs and an outage; `inOutage` is called as it begins. */
+/**
+ * Runs jobs through an outage of the state store.
+ * @param onOutageStart - called when the outage starts
+ */
 function playOutage(
   seed: number,
-  inOutage: (simulation: Simulation) => void = () => undefined,
+  onOutageStart: (simulation: Simulation) => void = () => undefined,
 ): Simulation {
   const simulation = new Simulation(shortLeases, seed, noFaults);
   const job = { ...longJobs, spot: true, zone: null, cpus: 1, memoryGb: 1 };
   for (let i = 0; i < 8; i++) simulation.submit(simulation.jobWith(job), null);
-  simulation.play(FIRST_JOBS_MS);
+  simulation.play(WARM_UP_MS);
   simulation.stateStore.outage(OUTAGE_MS);
-  checkSingleAnswerer(simulation);
-  inOutage(simulation);
-  simulation.play(OUTAGE_MS + RENEWAL_MS);
+  checkSingleResponder(simulation);
+  onOutageStart(simulation);
+  simulation.play(OUTAGE_MS + LEASE_RENEWAL_MS);
   return simulation;
 }
 
-/** Controllers end or stop for a while at random times of the outage and shortly after it. */
-function disturbControllers({ clock, random, processes }: Simulation): void {
+/** Kills or freezes random controllers at random times during the outage and shortly after it. */
+function killOrFreezeControllers({ clock, random, processes }: Simulation): void {
   for (let i = 0; i < 12; i++)
     clock.after(random.between(0, OUTAGE_MS + 3000), () => {
       const host = random.pick(shortLeases.hosts);
@@ -52,8 +56,8 @@
 }
 
 describe('an outage of the state store longer than the leases of workers', () => {
-  // Recorded days of the third deployment lost all running tasks in each outage of 20 s: the leader
-  // stopped answering with the end of its own lease.
+  // Guards against a failure in recorded runs of the third deployment: each outage of 20 s lost all
+  // running tasks, because the leader stopped answering workers when its own lease expired.
   for (const seed of [1, 2, 3])
     it(`expires no worker's lease while all controllers run, seed ${seed}`, () => {
       const simulation = playOutage(seed);
@@ -62,7 +66,7 @@
       assert.equal(simulation.expiredLeases, 0);
     });
 
-  it("expires workers' leases when a controller is down, which can't grant the leader's", () => {
+  it("expires workers' leases when one controller is down and can't grant the leader more time", () => {
     const simulation = playOutage(1, ({ leader, processes }) => {
       const follower = shortLeases.hosts.find((host) => host !== leader) ?? '';
       processes.kill(follower, OUTAGE_MS);
@@ -71,8 +75,8 @@
   });
 
   for (const seed of [1, 2, 3, 4])
-    it(`keeps the rules when controllers end and restart during it, seed ${seed}`, () => {
-      const simulation = playOutage(seed, disturbControllers);
+    it(`violates no rule when controllers crash or freeze during it, seed ${seed}`, () => {
+      const simulation = playOutage(seed, killOrFreezeControllers);
       simulation.stopFaults(10_000);
       simulation.play(400_000);
       assert.deepEqual(simulation.checker.jobs.unfinished(), []);
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -1,4 +1,4 @@
-/** A small cluster for the tests of placement: the leader's modules, with simulated workers. */
+/** A small cluster for placement tests: the leader's real modules with simulated workers. */
 import assert from 'node:assert/strict';
 import { JobTable } from '../src/controller/jobs/job-table.js';
 import { type Job } from '../src/controller/model/entities.js';
@@ -16,7 +16,7 @@
 import { immediateRecords } from './fake-records.js';
 import { standalonePlatform } from './platform.js';
 import {
-  belongsTo,
+  isCurrentTaskOf,
   machineType,
   newWorker,
   TERM,
@@ -25,25 +25,26 @@
   type WorkerOptions,
 } from './placement-worker.js';
 
-/** Time between two heartbeats of each worker, and between two passes. */
+/** Interval between heartbeats of a worker, and between placement passes. */
 export const STEP_MS = 1000;
 
-/** GPUs of the team `owner`: its guarantee and, with `serviceSettings`, its limit. */
+/** The guaranteed GPUs of the team `owner`; with `serviceSettings` also its GPU limit. */
 export const OWNER_GPUS = 4;
 
-const ignore = (): void => undefined;
+const noop = (): void => undefined;
 
-/** What the clusters of the tests differ in. */
+/** Options of a test cluster. */
 export interface ClusterOptions {
   settings: Settings;
-  /** Fields of jobs that a test does not give. */
+  /** Values of job fields that a test does not set. */
   jobDefaults: Partial<JobSpec>;
-  /** What a worker takes to fetch an image. */
+  /** Time that a worker needs to fetch an image. */
   fetchMs: number;
+  /** Replaces the call of `Placement.runPass`. */
   runPass?: (placement: Placement) => void;
 }
 
-/** Jobs, workers and placement, with records that are stored at once. */
+/** Jobs, workers and placement over a record store that stores records immediately. */
 export class PlacementCluster {
   readonly table: JobTable;
   readonly workers: Workers;
@@ -63,23 +64,23 @@
     const records = immediateRecords();
     const noClient = {} as unknown as StateStoreClient;
     this.table = new JobTable(eventLoop, settings, noClient, records, {
-      ...{ onIncompleteGang: ignore, onJobAdded: ignore, onTasksPending: ignore },
-      ...{ onCompletionRecorded: ignore, onTerminalState: ignore },
+      ...{ onIncompleteGang: noop, onJobAdded: noop, onTasksPending: noop },
+      ...{ onCompletionRecorded: noop, onTerminalState: noop },
       onRecordRemoved: (job) => this.workers.stopAll(job, 'job ended'),
       onJobTerminated: (job) => this.workers.jobTerminated(job),
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
       findMachineType: () => machineType,
-      ...{ higherTermSeen: ignore, placementInputChanged: ignore, taskCompleted: ignore },
+      ...{ higherTermSeen: noop, placementInputChanged: noop, taskCompleted: noop },
     });
     const estimator = new DurationEstimator();
     const noHeadroom = { memoryMs: 1000, maxShare: 0, spareDeviations: 0 };
     const headroom = new ClassHeadroom(noHeadroom, estimator, 0, () => null);
     this.placement = new Placement(
       ...([eventLoop, settings, this.table, this.workers, records, estimator, headroom] as const),
-      { attemptsExhausted: ignore },
+      { attemptsExhausted: noop },
     );
-    for (const { id, images } of this.simulated) this.noteImages(id, images);
+    for (const { id, images } of this.simulated) this.addImages(id, images);
     this.run(2);
   }
 
@@ -87,61 +88,61 @@
     return this.clock.time;
   }
 
-  private noteImages(machineId: string, images: Iterable<string>): void {
+  private addImages(machineId: string, images: Iterable<string>): void {
     const machine = this.workers.getOrCreateMachine(machineId);
     for (const image of images) machine.images.set(image, 1);
   }
 
-  /** A job of one small task, but for the cluster's defaults and what is given. */
-  add(part: Partial<JobSpec> = {}): Job {
+  /** Adds a job with one small task; the cluster's defaults and then `overrides` replace its fields. */
+  add(overrides: Partial<JobSpec> = {}): Job {
     const spec = arraySpec({
       ...{ id: `req-${this.table.jobs.size}`, team: 'guest', tasks: 1 },
       ...this.options.jobDefaults,
-      ...part,
+      ...overrides,
     });
     this.table.add(spec.id, { job: writeJobSpec(spec), at: this.now }, 1);
     return this.table.jobs.get(spec.id) ?? assert.fail(`${spec.id} was not added`);
   }
 
-  /** A further machine like the first, on which nothing runs, with the image at hand. */
+  /** Adds a machine `id` like `machineId`, without tasks and with only the given image. */
   addMachineLike(machineId: string, id: string, image: string): void {
     const worker = this.worker(machineId);
     this.simulated.push({ ...worker, id, tasks: [], images: new Set([image]) });
-    this.noteImages(id, [image]);
+    this.addImages(id, [image]);
   }
 
   worker(id: string): SimulatedWorker {
     return this.simulated.find((worker) => worker.id === id) ?? assert.fail(`no worker ${id}`);
   }
 
-  /** Tasks of the job that are on machines, by machine. */
+  /** Number of the job's tasks on each machine that has any. */
   tasksByMachine(job: Job): Map<string, number> {
-    const found = new Map<string, number>();
+    const taskCounts = new Map<string, number>();
     for (const { id, tasks } of this.simulated) {
-      const count = tasks.filter((task) => belongsTo(task, job.spec.id)).length;
-      if (count > 0) found.set(id, count);
+      const count = tasks.filter((task) => isCurrentTaskOf(task, job.spec.id)).length;
+      if (count > 0) taskCounts.set(id, count);
     }
-    return found;
+    return taskCounts;
   }
 
-  /** Tasks of the job that are on machines. */
+  /** Number of the job's tasks on all machines. */
   taskCount(jobId: string): number {
     const tasks = this.simulated.flatMap((worker) => worker.tasks);
-    return tasks.filter((task) => belongsTo(task, jobId)).length;
+    return tasks.filter((task) => isCurrentTaskOf(task, jobId)).length;
   }
 
-  /** A task of the job ends by itself. */
+  /** Makes a task of the job on that machine exit with the given cause. */
   exit(job: Job, cause: ExitCause, machineId: string): void {
     const { tasks } = this.worker(machineId);
-    const index = tasks.findIndex((task) => belongsTo(task, job.spec.id));
+    const index = tasks.findIndex((task) => isCurrentTaskOf(task, job.spec.id));
     tasks.splice(index, 1, { ...(tasks[index] ?? assert.fail()), state: 'exited', cause });
   }
 
-  /** One running task of the job completes; false if none runs. */
+  /** Completes one running task of the job; returns false if none is running. */
   complete(jobId: string): boolean {
     for (const { tasks } of this.simulated) {
-      const running = (task: TaskStatus): boolean => task.state === 'running';
-      const index = tasks.findIndex((task) => belongsTo(task, jobId) && running(task));
+      const isRunning = (task: TaskStatus): boolean => task.state === 'running';
+      const index = tasks.findIndex((task) => isCurrentTaskOf(task, jobId) && isRunning(task));
       const task = tasks[index];
       if (task === undefined) continue;
       tasks.splice(index, 1, { ...task, state: 'exited', cause: 'done' });
@@ -150,11 +151,11 @@
     return false;
   }
 
-  /** What every machine has, in words. */
+  /** Describes each machine and its tasks as a line of text. */
   describe(): string[] {
     return this.simulated.map(({ id, tasks }) => {
-      const words = tasks.map(({ name, attempt, state }) => `${name}@${attempt} ${state}`);
-      return [id, ...words.sort()].join(' ');
+      const taskTexts = tasks.map(({ name, attempt, state }) => `${name}@${attempt} ${state}`);
+      return [id, ...taskTexts.sort()].join(' ');
     });
   }
 
@@ -162,7 +163,10 @@
     for (let i = 0; i < seconds; i++) this.step();
   }
 
-  /** A second: every responsive worker sends a heartbeat and does as it is told, then a pass. */
+  /**
+   * Simulates one interval: every responsive worker sends a heartbeat and executes the commands in the
+   * response, then a placement pass runs.
+   */
   step(): void {
     this.clock.time += STEP_MS;
     for (const worker of this.simulated) if (!worker.unresponsive) this.sendHeartbeat(worker);
@@ -177,24 +181,24 @@
     if (worker.spotNoticeS !== null) worker.spotNoticeS -= STEP_MS / 1000;
     this.endFetches(worker);
     const { id, zone, spot, agentEpoch, fencingToken, spotNoticeS, tasks } = worker;
-    const answer = this.workers.handleHeartbeat({
+    const response = this.workers.handleHeartbeat({
       ...{ machine: id, addr: 'x:1', type: machineType.name, zone, spot, agentEpoch },
       ...{ sequence: ++this.sequence, fencingToken, spotNoticeS },
       tasks: tasks.map((task) => ({ ...task })),
     });
-    if (answer.status !== 200) {
+    if (response.status !== 200) {
       worker.agentEpoch++;
       worker.tasks = [];
       return;
     }
-    const { baton, orders } = answer.body as { baton: number; orders: SentCommand[] };
+    const { baton, orders } = response.body as { baton: number; orders: SentCommand[] };
     worker.fencingToken = baton;
     for (const command of orders) this.execute(worker, command);
   }
 
-  private endFetches({ tasks, images, fetchedAt }: SimulatedWorker): void {
+  private endFetches({ tasks, images, fetchEndsAt }: SimulatedWorker): void {
     for (const task of tasks)
-      if (task.state === 'fetching' && (fetchedAt.get(task.name) ?? 0) <= this.now) {
+      if (task.state === 'fetching' && (fetchEndsAt.get(task.name) ?? 0) <= this.now) {
         task.state = 'running';
         images.add(this.imageOf(task.name));
       }
@@ -206,12 +210,12 @@
   }
 
   private execute(worker: SimulatedWorker, { verb, duty, try: attempt }: SentCommand): void {
-    const { tasks, images, fetchedAt } = worker;
+    const { tasks, images, fetchEndsAt } = worker;
     const index = tasks.findIndex((task) => task.name === duty);
     const task = tasks[index];
     if (verb === 'run') {
       const fetchMs = images.has(this.imageOf(duty)) ? 0 : this.options.fetchMs;
-      fetchedAt.set(duty, this.now + fetchMs);
+      fetchEndsAt.set(duty, this.now + fetchMs);
       const state = fetchMs === 0 ? 'running' : 'fetching';
       tasks.push({ name: duty, attempt, state, cause: null, checkpointSaved: false });
     } else if (task !== undefined && verb === 'stop')
@@ -220,7 +224,7 @@
   }
 }
 
-/** So many workers that are alike. */
+/** Returns the options of `count` identical workers. */
 export function workersAlike(count: number, options: WorkerOptions = {}): WorkerOptions[] {
   return Array.from({ length: count }, () => options);
 }
@@ -230,7 +234,7 @@
   return new Settings(standalonePlatform(teams), properties);
 }
 
-/** Settings of the clusters of services: a team with a limit, and one without a guarantee. */
+/** Settings of `serviceCluster`: a team with a guarantee and a limit, and a team without a guarantee. */
 export const serviceSettings = settingsWith(`
 [[params.teams]]
 name = "owner"
@@ -249,7 +253,7 @@
 gpus = 1.0
 `);
 
-/** A cluster whose jobs are services of the highest priority unless a test says otherwise. */
+/** A cluster whose jobs are, by default, services of the highest priority. */
 export function serviceCluster(workers: WorkerOptions[]): PlacementCluster {
   const jobDefaults: Partial<JobSpec> = {
     ...{ kind: 'service', priority: 'production', estimatedRunS: 0 },
@@ -257,7 +261,7 @@
   return new PlacementCluster(workers, { settings: serviceSettings, jobDefaults, fetchMs: 2000 });
 }
 
-/** Two machines and job arrays of tasks with a GPU each, whose images take no time to fetch. */
+/** A cluster of two machines; by default, jobs are arrays of one-GPU tasks whose images take no time to fetch. */
 export function batchCluster(runPass?: (placement: Placement) => void): PlacementCluster {
   return new PlacementCluster(workersAlike(2), {
     settings: batchSettings,
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -1,6 +1,7 @@
 /**
- * The bytes of stored records and of messages between controllers, as version 0.1.0 writes them. They
- * can't change: a leader reads what an older one has left, and versions serve beside each other.
+ * The formats of stored records and of messages between controllers, byte for byte as version 0.1.0 writes
+ * them. They must not change: a leader reads records that an older version wrote, and controllers of
+ * different versions exchange messages during a rollout.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -34,33 +35,34 @@
 import { acceptedJob, FakeClock, idleRuntime } from './fakes.js';
 import { immediateRecords } from './fake-records.js';
 
-const FIXTURE = new URL('fixtures/stored-forms.json', import.meta.url);
-const forms = JSON.parse(readFileSync(FIXTURE, 'utf8')) as StoredForms;
+const FIXTURE_URL = new URL('fixtures/stored-forms.json', import.meta.url);
+const fixture = JSON.parse(readFileSync(FIXTURE_URL, 'utf8')) as StoredForms;
 const settings = new Settings(standalonePlatform(), defaultProperties());
+/** Size limit of a value at the state store, in bytes. */
 const VALUE_BYTES = 16 * 1024;
 
-function valueOf(kind: string): unknown {
-  return decodeBody(Buffer.from(forms.values[kind]?.bytes ?? '', 'hex'));
+function decodedValue(kind: string): unknown {
+  return decodeBody(Buffer.from(fixture.values[kind]?.bytes ?? '', 'hex'));
 }
 
 function assertSameBytes(kind: string, value: unknown): void {
-  assert.equal(encodeBody(value).toString('hex'), forms.values[kind]?.bytes);
+  assert.equal(encodeBody(value).toString('hex'), fixture.values[kind]?.bytes);
 }
 
-function recordOf(kind: string): { key: string; value: unknown; text: string } {
-  const { key = '', text = '' } = forms.records[kind] ?? {};
+function parsedRecord(kind: string): { key: string; value: unknown; text: string } {
+  const { key = '', text = '' } = fixture.records[kind] ?? {};
   return { key, text, value: JSON.parse(text) as unknown };
 }
 
-/** A time of day later than all in the fixture. */
-const WALL_CLOCK = 1.8e12;
+/** A wall-clock time later than all in the fixture, in milliseconds. */
+const WALL_CLOCK_MS = 1.8e12;
 
-/** The store of machines over these records; it takes in the tasks that they tell of. */
+/** A store of machines over the given records, which restores the recorded assignments. */
 function machineStore(records: RecordStore): { registry: MachineRegistry; store: MachineStore } {
-  const clock = new FakeClock(WALL_CLOCK);
+  const clock = new FakeClock(WALL_CLOCK_MS);
   const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
-  const sync = new FencingTokenSync(eventLoop, 1);
-  const registry = new MachineRegistry(eventLoop, settings, sync, () => undefined);
+  const tokenSync = new FencingTokenSync(eventLoop, 1);
+  const registry = new MachineRegistry(eventLoop, settings, tokenSync, () => undefined);
   const store = new MachineStore(eventLoop, settings, records, registry, {
     taskRestored: (machine, task, assignedAt) => {
       const assignment = restoreAssignment(task, null, machine, assignedAt);
@@ -71,47 +73,47 @@
   return { registry, store };
 }
 
-describe('the forms that the present version writes', () => {
-  it('are to the byte as in the fixture', async () => {
-    assert.deepEqual(await storedFormsOf(digestScenarios.slice(3, 5)), forms);
+describe('the formats that the present version writes', () => {
+  it('match the fixture byte for byte', async () => {
+    assert.deepEqual(await storedFormsOf(digestScenarios.slice(3, 5)), fixture);
   });
 
-  it('are all in the fixture', () => {
+  it('all have an example in the fixture', () => {
     const values = ['catalogue', 'final/ cancelled', 'final/ done', 'lead', 'live/', 'page/'];
-    assert.deepEqual(Object.keys(forms.values).sort(), values);
+    assert.deepEqual(Object.keys(fixture.values).sort(), values);
     const records = ['h/', 'i/', 'learned/', 'm/', 'p/'];
-    const kinds = Object.keys(forms.records).filter((kind) => !kind.endsWith(' deleted'));
+    const kinds = Object.keys(fixture.records).filter((kind) => !kind.endsWith(' deleted'));
     assert.deepEqual(kinds.sort(), records);
     const fields = ['accepted', 'finals', 'progress', 'reply', 'request', 'status'];
-    for (const field of fields) assert.ok(forms.messages[field] !== undefined, field);
+    for (const field of fields) assert.ok(fixture.messages[field] !== undefined, field);
   });
 });
 
-describe('a value of the state store in the fixture', () => {
-  it('names the leader, and is written alike', () => {
-    const leader = readLeaderRecord(valueOf('lead'), 7);
+describe('a state store value in the fixture', () => {
+  it('with the leader record is read, and written to the same bytes', () => {
+    const leader = readLeaderRecord(decodedValue('lead'), 7);
     assert.ok(leader !== null);
     assert.equal(leader.term, 7);
     assertSameBytes('lead', writeLeaderRecord(leader));
   });
 
   for (const state of ['done', 'cancelled'] as const)
-    it(`has the end of a job that is ${state}, and is written alike`, () => {
-      const value = valueOf(`final/ ${state}`);
+    it(`with the terminal state of a ${state} job is read, and written to the same bytes`, () => {
+      const value = decodedValue(`final/ ${state}`);
       assert.equal(readTerminalState(value), state);
       assertSameBytes(`final/ ${state}`, terminalRecord(state, (value as { at: number }).at));
     });
 
-  it('has an accepted job, and is written alike', () => {
-    const { job, at } = valueOf('live/') as { job: unknown; at: number };
+  it('with an accepted job is read, and written to the same bytes', () => {
+    const { job, at } = decodedValue('live/') as { job: unknown; at: number };
     const spec = readJobSpec(job);
-    assert.equal(`live/${spec.id}`, forms.values['live/']?.key);
+    assert.equal(`live/${spec.id}`, fixture.values['live/']?.key);
     assert.equal(typeof at, 'number');
     assertSameBytes('live/', { job: writeJobSpec(spec), at });
   });
 
-  it('has the machine types, and is written alike', () => {
-    const types = readCatalogue(valueOf('catalogue'));
+  it('with the machine types is read, and written to the same bytes', () => {
+    const types = readCatalogue(decodedValue('catalogue'));
     assert.deepEqual(
       types.map(({ name }) => name),
       ['big', 'small'],
@@ -119,24 +121,24 @@
     assertSameBytes('catalogue', writeCatalogue(types));
   });
 
-  it('has a page of records, and is written alike but for deleted records', () => {
-    const { key = '' } = forms.values['page/'] ?? {};
-    const value = valueOf('page/') as { seq: number; entries: (string | null)[] };
+  it('with a page of records is read, and written back without deleted records', () => {
+    const { key = '' } = fixture.values['page/'] ?? {};
+    const value = decodedValue('page/') as { seq: number; entries: (string | null)[] };
     const pages = new PageTable(() => VALUE_BYTES);
     pages.load([{ key, value, version: 3 }]);
     const page = pages.pages.get(key);
     assert.ok(page !== undefined);
-    const live = value.entries.flatMap((entry, i) =>
+    const liveEntries = value.entries.flatMap((entry, i) =>
       i % 2 === 0 && value.entries[i + 1] !== null ? [entry, value.entries[i + 1]] : [],
     );
-    // No other page has an older value of a deleted record, so the deletion is dropped as the page is read.
-    assert.deepEqual(encodePage(page, value.seq), { seq: value.seq, entries: live });
+    // No other page has an older value of a deleted record, so reading the page drops the deletion.
+    assert.deepEqual(encodePage(page, value.seq), { seq: value.seq, entries: liveEntries });
   });
 });
 
-describe('a record of a page in the fixture', () => {
-  it('has the tasks on a machine, and is written alike', () => {
-    const { key, value, text } = recordOf('m/');
+describe('a page record in the fixture', () => {
+  it("with a machine's tasks is read, and written to the same text", () => {
+    const { key, value, text } = parsedRecord('m/');
     const records = immediateRecords({ [key]: value });
     const { registry, store } = machineStore(records);
     store.restore();
@@ -148,8 +150,8 @@
     assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
   });
 
-  it('has the done tasks of a job, and is written alike', () => {
-    const { key, value, text } = recordOf('p/');
+  it("with a job's completed tasks is read, and written as the same value", () => {
+    const { key, value, text } = parsedRecord('p/');
     const id = key.split('/')[1] ?? '';
     const tasks = Buffer.from(value as string, 'base64').length * 8;
     const job = acceptedJob({ id, tasks });
@@ -164,8 +166,8 @@
     assert.deepEqual([...records.list('')], [{ key, value: JSON.parse(text) as unknown }]);
   });
 
-  it('has the images on a machine, and is written alike', () => {
-    const { key, value } = recordOf('i/');
+  it("with a machine's images is read, and written as the same value", () => {
+    const { key, value } = parsedRecord('i/');
     const records = immediateRecords({ [key]: value });
     const { registry, store } = machineStore(records);
     store.restore();
@@ -177,8 +179,8 @@
     assert.deepEqual([...records.list('')], [{ key, value }]);
   });
 
-  it('has the machines that a gang has reserved', () => {
-    const { key, value } = recordOf('h/');
+  it("with a gang's reserved machines is read", () => {
+    const { key, value } = parsedRecord('h/');
     const id = key.slice('h/'.length);
     const job = acceptedJob({ id, kind: 'gang' });
     const clock = new FakeClock(1000);
@@ -191,32 +193,35 @@
     assert.deepEqual(job.reservation?.machines, value);
   });
 
-  it('has the learned statistics of a class, and is written alike', () => {
-    const { key, value, text } = recordOf('learned/');
+  it('with the learned statistics of a class is read, and written to the same text', () => {
+    const { key, value, text } = parsedRecord('learned/');
     const { since } = (value as { arrivals: { since: number } }).arrivals;
-    // The process starts as the record does, and its clock is the time of day.
+    // The process starts when the recorded arrivals start, and its monotonic clock equals the wall clock.
     const clock = new FakeClock(since);
-    const learned = new LearnedStatistics(new EventLoop(idleRuntime(clock), clock.log), settings);
+    const statistics = new LearnedStatistics(
+      new EventLoop(idleRuntime(clock), clock.log),
+      settings,
+    );
     clock.time += 600_000;
-    learned.load(immediateRecords({ [key]: value }), []);
+    statistics.load(immediateRecords({ [key]: value }), []);
     const records = immediateRecords();
-    learned.save(records);
+    statistics.save(records);
     assert.equal(JSON.stringify([...records.list('')]), `[{"key":"${key}","value":${text}}]`);
   });
 });
 
 describe('a message between controllers in the fixture', () => {
-  for (const [fields, hex] of Object.entries(forms.messages))
-    it(`of ${fields === '' ? 'nothing' : fields} is read, and written alike`, () => {
+  for (const [fields, hex] of Object.entries(fixture.messages))
+    it(`with ${fields === '' ? 'no fields' : fields} is read, and written to the same bytes`, () => {
       const message = decodePeerMessage(Buffer.from(hex, 'hex'));
-      const filled = Object.entries(message).filter(([, value]) =>
+      const filledFields = Object.entries(message).filter(([, value]) =>
         Array.isArray(value) ? value.length > 0 : value !== null,
       );
-      assert.equal(filled.map(([name]) => name).join('+'), fields);
+      assert.equal(filledFields.map(([name]) => name).join('+'), fields);
       assert.equal(encodePeerMessage(message).toString('hex'), hex);
     });
 
-  it('that requests a lease grant has the term in CBOR', () => {
+  it('that requests a lease grant contains the term in CBOR', () => {
     const body = Buffer.from('a1647465726d1a0001e240', 'hex');
     assert.equal(decodeLeaseGrantRequest(body), 123_456);
     assert.deepEqual(encodeLeaseGrantRequest(123_456), body);
