--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -22,7 +22,7 @@
 const KEY_PREFIX = 'h/';
 
 /** Minimum lead of preemption before a reservation is expected to be filled, in heartbeat intervals. */
-const PREEMPTION_LEAD_INTERVALS = 3;
+const PREEMPTION_LEAD_TIME_INTERVALS = 3;
 
 /** Time allowed for the victims to save their checkpoints, as a multiple of the longest save time. */
 const SAVE_MARGIN = 1.5;
@@ -120,7 +120,7 @@
     const { heartbeatIntervalMs } = this.parts.settings;
     const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.checkpointSaveS)) * 1000;
     return Math.max(
-      heartbeatIntervalMs * PREEMPTION_LEAD_INTERVALS,
+      heartbeatIntervalMs * PREEMPTION_LEAD_TIME_INTERVALS,
       heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN,
     );
   }
