--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -107,7 +107,7 @@
     setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${places}` : '');
     // Preempting is useful only if it lets the whole gang start soon. While the gang also waits for other
     // tasks to end, the victims may keep running.
-    const fillsSoon = fillAt - pass.now <= this.preemptionLeadMs(victims);
+    const fillsSoon = fillAt - pass.now <= this.preemptionLeadTimeMs(victims);
     if (capacities.length === tasks && fillsSoon) preemptor.preemptAll(victims, job);
   }
 
@@ -116,7 +116,7 @@
    * includes the saves of their checkpoints: with short heartbeat intervals a save takes many of them, and
    * a lead in heartbeat intervals alone would never be reached.
    */
-  private preemptionLeadMs(victims: readonly Assignment[]): number {
+  private preemptionLeadTimeMs(victims: readonly Assignment[]): number {
     const { heartbeatIntervalMs } = this.parts.settings;
     const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.checkpointSaveS)) * 1000;
     return Math.max(
