--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -25,7 +25,7 @@
 const PREEMPTION_LEAD_TIME_INTERVALS = 3;
 
 /** Time allowed for the victims to save their checkpoints, as a multiple of the longest save time. */
-const SAVE_MARGIN = 1.5;
+const SAVE_MARGIN_FACTOR = 1.5;
 
 /** Returns the key of the record that holds a gang's reservation. */
 export function reservationKey(jobId: string): string {
@@ -121,7 +121,7 @@
     const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.checkpointSaveS)) * 1000;
     return Math.max(
       heartbeatIntervalMs * PREEMPTION_LEAD_TIME_INTERVALS,
-      heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN,
+      heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN_FACTOR,
     );
   }
 
