--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -102,9 +102,9 @@
     for (const capacity of capacities) capacity.claimForTask(resourceRequestOf(job.spec), fillAt);
     const longWaitMs = settings.get('placement.cannot.fill.s') * 1000;
     const machineCount = new Set(capacities).size;
-    const places = `${capacities.length} of ${tasks} places on ${machineCount} machines`;
+    const reservationSummary = `${capacities.length} of ${tasks} places on ${machineCount} machines`;
     const hasWaitedLong = pass.now - job.waitingSince > longWaitMs;
-    setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${places}` : '');
+    setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${reservationSummary}` : '');
     // Preempting is useful only if it lets the whole gang start soon. While the gang also waits for other
     // tasks to end, the victims may keep running.
     const fillsSoon = fillAt - pass.now <= this.preemptionLeadTimeMs(victims);
