--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -9,7 +9,7 @@
 import { spreadAllowance } from '../capacity/zones.js';
 
 /** A replica is stopped at least this many heartbeat intervals before its machine is interrupted. */
-const MIGRATION_LEAD_INTERVALS = 1.5;
+const MIGRATION_LEAD_TIME_INTERVALS = 1.5;
 
 /**
  * Evicts tasks from machines that are about to be interrupted or released, if they would not end in time.
@@ -72,7 +72,7 @@
     timeLeftOnMachineMs: number,
     now: number,
   ): boolean {
-    if (timeLeftOnMachineMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD_INTERVALS)
+    if (timeLeftOnMachineMs < this.settings.heartbeatIntervalMs * MIGRATION_LEAD_TIME_INTERVALS)
       return true;
     const destination = this.findDestination(assignment, job, now);
     if (destination === null) return false;
