--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -31,16 +31,16 @@
    * covered by its team's guarantee and the task runs on capacity borrowed by another team.
    */
   mayPreempt(job: Job, now: number, task: Assignment): boolean {
-    const owner = task.job;
-    if (owner === null || owner.gangRestarting || owner.terminalState !== null) return false;
+    const taskJob = task.job;
+    if (taskJob === null || taskJob.gangRestarting || taskJob.terminalState !== null) return false;
     // A service needs all of its replicas, since a job cannot state that fewer are enough.
-    if (owner.spec.kind === 'service') return false;
+    if (taskJob.spec.kind === 'service') return false;
     if (now - task.assignedAt < this.settings.get('placement.victim.age.s') * 1000) return false;
     const isOtherTeam = task.team !== job.spec.team;
     // A job covered by its team's guarantee is never preempted for another team (m03 §7).
-    if (owner.guaranteed && isOtherTeam) return false;
-    if (owner.level < job.level) return true;
-    return job.guaranteed && isOtherTeam && !owner.guaranteed && this.teamUsage.borrows(task);
+    if (taskJob.guaranteed && isOtherTeam) return false;
+    if (taskJob.level < job.level) return true;
+    return job.guaranteed && isOtherTeam && !taskJob.guaranteed && this.teamUsage.borrows(task);
   }
 
   /**
