--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -26,7 +26,7 @@
 }
 
 /** Compares two jobs by their position in the queue of a pass. */
-function compareTurns(a: Job, b: Job, now: number): number {
+function comparePositions(a: Job, b: Job, now: number): number {
   return compareQueued(queuedJob(a, settings, now), queuedJob(b, settings, now));
 }
 
@@ -102,7 +102,7 @@
     victim.preemptionCount = 1;
     const gang = submitted({}, 5000);
     gang.preemptionClaimUntil = 30_000;
-    assert.ok(compareTurns(gang, victim, 20_000) < 0);
-    assert.ok(compareTurns(gang, victim, 40_000) > 0);
+    assert.ok(comparePositions(gang, victim, 20_000) < 0);
+    assert.ok(comparePositions(gang, victim, 40_000) > 0);
   });
 });
