--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -16,8 +16,8 @@
 let jobCount = 0;
 
 /** Creates a job with a higher id than all jobs created before. */
-function submitted(part: Partial<JobSpec>, submittedAt: number): Job {
-  return gpuJob({ id: `req-${jobCount++}`, ...part }, submittedAt);
+function submitted(overrides: Partial<JobSpec>, submittedAt: number): Job {
+  return gpuJob({ id: `req-${jobCount++}`, ...overrides }, submittedAt);
 }
 
 /** Compares two jobs by rank. */
