--- a/src/controller/placement/guarantees.test.ts
+++ b/src/controller/placement/guarantees.test.ts
@@ -7,7 +7,7 @@
 
 describe("placement of a job covered by its team's guarantee", () => {
   it('starts all tasks although other teams have borrowed the capacity', () => {
-    const owned = fc.record({
+    const anyOwnerJob = fc.record({
       kind: fc.constantFrom('array', 'gang'),
       tasks: fc.integer({ min: 1, max: 4 }),
       priority: fc.constantFrom('low', 'normal', 'high'),
@@ -21,7 +21,7 @@
     fc.assert(
       fc.property(
         fc.array(borrowed, { minLength: 1, maxLength: 4 }),
-        owned,
+        anyOwnerJob,
         (guestJobs, ownerJob) => {
           const cluster = batchCluster();
           cluster.run(3);
