--- a/src/controller/placement/guarantees.test.ts
+++ b/src/controller/placement/guarantees.test.ts
@@ -12,7 +12,7 @@
       tasks: fc.integer({ min: 1, max: 4 }),
       priority: fc.constantFrom('low', 'normal', 'high'),
     });
-    const borrowed = fc.record({
+    const anyGuestJob = fc.record({
       kind: fc.constantFrom('array', 'gang'),
       tasks: fc.integer({ min: 1, max: 8 }),
       gpus: fc.constantFrom(1, 2),
@@ -20,7 +20,7 @@
     });
     fc.assert(
       fc.property(
-        fc.array(borrowed, { minLength: 1, maxLength: 4 }),
+        fc.array(anyGuestJob, { minLength: 1, maxLength: 4 }),
         anyOwnerJob,
         (guestJobs, ownerJob) => {
           const cluster = batchCluster();
