--- a/src/controller/placement/replica-placement.test.ts
+++ b/src/controller/placement/replica-placement.test.ts
@@ -34,15 +34,15 @@
     ]);
     const job = cluster.add({ tasks: 4 });
     cluster.run(4);
-    const [lost = assert.fail()] = [...cluster.tasksByMachine(job).keys()].filter(
+    const [failedMachineId = assert.fail()] = [...cluster.tasksByMachine(job).keys()].filter(
       (id) => cluster.worker(id).zone === 'b',
     );
-    cluster.exit(job, 'error', lost);
+    cluster.exit(job, 'error', failedMachineId);
     cluster.run(4);
     assert.equal(job.runningCount, 4);
     assert.ok(largestCount(cluster.tasksByMachine(job)) <= 2);
     assert.ok(
-      !cluster.tasksByMachine(job).has(lost),
+      !cluster.tasksByMachine(job).has(failedMachineId),
       'the replica is not replaced on the machine where it has just failed',
     );
   });
