--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -67,9 +67,9 @@
     cluster.run(6);
     assert.equal(job.runningCount, OWNER_GPUS);
     const laterJob = cluster.add({ team: 'owner', tasks: 1, gpus: 1 });
-    const [lost = ''] = cluster.tasksByMachine(job).keys();
-    const replicasOnLostMachine = cluster.tasksByMachine(job).get(lost) ?? 0;
-    cluster.worker(lost).unresponsive = true;
+    const [lostMachineId = ''] = cluster.tasksByMachine(job).keys();
+    const replicasOnLostMachine = cluster.tasksByMachine(job).get(lostMachineId) ?? 0;
+    cluster.worker(lostMachineId).unresponsive = true;
     for (let i = 0; i < serviceSettings.workerLeaseExpiryMs / STEP_MS + 10; i++) {
       cluster.step();
       assert.ok(cluster.workers.assignedCount <= OWNER_GPUS);
