--- a/src/controller/leader/failover-recovery.ts
+++ b/src/controller/leader/failover-recovery.ts
@@ -14,7 +14,7 @@
   jobs: KeyValue[];
   /** The state store's revision when the jobs were read. */
   revision: number;
-  /** Time at which the read of the jobs was sent, on this node's monotonic clock. */
+  /** When the read of the jobs was sent, on this node's monotonic clock in ms. */
   sentAt: number;
   /** Pages, which contain all other records. */
   pages: KeyValue[];
--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -2,8 +2,8 @@
 import type { PeerStatus } from '../peers/message.js';
 
 /**
- * Least rate of heartbeats received by peers that shows that the workers are running, as a share of the rate
- * at which all machines together send heartbeats.
+ * The workers are considered running if peers receive heartbeats at no less than this share of the rate at
+ * which all machines together send them.
  */
 const MIN_REDIRECTED_SHARE = 0.1;
 /** The leader is isolated if a larger share of the machines is overdue while peers receive heartbeats. */
@@ -25,9 +25,10 @@
 /**
  * Whether the workers cannot reach this node although they are running. An isolated leader keeps renewing
  * its lease, so no other node would answer the workers, and every task would be stopped when its worker's
- * lease expires. Heartbeats that workers send to peers are the evidence. If no peer sends a status either,
- * missing heartbeats are sufficient, but only of machines that have sent one in this term: if others were
- * counted, a leader could not distinguish its own isolation from a loss of the machines.
+ * lease expires. The evidence is that workers send heartbeats to peers instead. If no peer sends a status,
+ * there is no such evidence, and missing heartbeats alone are sufficient. In this case only machines that
+ * have sent a heartbeat in this term are counted: otherwise a leader could not distinguish its own isolation
+ * from a loss of the machines.
  */
 export function isIsolated(
   workers: WorkerReachability,
--- a/src/controller/leader/leader-context.ts
+++ b/src/controller/leader/leader-context.ts
@@ -42,8 +42,8 @@
    */
   readonly mayActAsLeader: boolean;
   /**
-   * Whether this node may answer workers. It may do so even beyond its lease, while all other controllers
-   * have promised not to act as leader (design.md, invariant 1).
+   * Whether this node may answer workers. The conditions are those of `mayActAsLeader`, but the lease is not
+   * needed while all other controllers have promised not to act as leader (design.md, invariant 1).
    */
   readonly mayAnswerWorkers: boolean;
   /** Whether this node is the leader and has recovered the state that previous leaders stored. */
--- a/src/controller/leader/leader-role.ts
+++ b/src/controller/leader/leader-role.ts
@@ -8,7 +8,7 @@
   private term: LeaderTerm | null = null;
 
   /**
-   * @param environment - May still lack components when it is passed in, because it is not used before the
+   * @param environment - Some components may still be missing when it is passed in. It is not used before the
    * controller starts.
    */
   constructor(private readonly environment: LeaderEnvironment) {}
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -14,7 +14,7 @@
 
 /** The leader hands over if the staleness of its job watch exceeds the allowed staleness times this factor. */
 const MAX_STALENESS_FACTOR = 1.5;
-/** The learned statistics are recorded this many times in the duration of a worker lease. */
+/** The learned statistics are recorded this many times per duration of a worker lease. */
 const STATISTICS_RECORDS_PER_LEASE = 4;
 /** Time after its election in which a leader does not check for isolation, as a share of a worker lease. */
 const SETTLING_LEASE_SHARE = 0.5;
@@ -121,7 +121,7 @@
   /**
    * Does the periodic work of the leader.
    * @param peerStatuses - Recent statuses of the other controllers.
-   * @param tickMs - Time between two calls; there are several calls per heartbeat interval.
+   * @param tickMs - Time between two calls in ms; there are several calls per heartbeat interval.
    */
   tick(peerStatuses: readonly PeerStatus[], tickMs: number): void {
     if (!this.isRecovered) return;
@@ -141,8 +141,8 @@
   private handOverReason(peerStatuses: readonly PeerStatus[]): HandOverReason | null {
     const { leadership, settings } = this.environment;
     const maxStalenessMs = settings.maxWatchStalenessMs * MAX_STALENESS_FACTOR;
-    // A leader with a stale job watch may not act (design.md, invariant 8), while its lease keeps every other
-    // node from becoming leader.
+    // With a stale job watch a leader might not know every confirmed cancellation, so it may not act
+    // (design.md, invariant 8). But as long as it holds its lease, no other node can become leader.
     if (leadership.holdsLease && this.jobWatch.stalenessMs > maxStalenessMs)
       return 'no view of the jobs';
     if (this.role.mayActAsLeader && this.isIsolated(peerStatuses))
@@ -153,8 +153,8 @@
   private isIsolated(peerStatuses: readonly PeerStatus[]): boolean {
     const { eventLoop, settings } = this.environment;
     const { workers } = this.components;
-    // Not shortly after the election: each failover interrupts the answers to workers, and several in
-    // succession would leave the workers without answers for too long.
+    // Isolation is not checked shortly after the election: each failover interrupts the answers to workers,
+    // and several failovers in succession would leave the workers without answers for too long.
     const settlingMs = settings.workerLeaseMs * SETTLING_LEASE_SHARE;
     const isSettled = eventLoop.now() - this.startedAt > settlingMs;
     if (settings.platform.peers.length === 0 || !isSettled) return false;
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -1,4 +1,4 @@
-/** Statistics of job classes, which are recorded so that the next leader can continue with them. */
+/** Statistics of job classes. They are recorded so that the next leader can continue with them. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Job } from '../model/entities.js';
 import { DurationEstimator } from '../placement/estimates/duration-estimator.js';
@@ -41,8 +41,9 @@
   }
 
   /**
-   * Loads the statistics that previous leaders recorded, and then counts the active jobs, which must have
-   * been read before. If the jobs were counted first, the recorded statistics would look outdated.
+   * Loads the statistics that previous leaders recorded, and then counts the first active job of each class
+   * without a record. The active jobs must have been read before. If they were counted first, their statistics
+   * would be newer than the recorded ones, which would then be ignored.
    */
   load(records: Pick<RecordStore, 'list'>, activeJobs: Iterable<Job>): void {
     const classRecords = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
@@ -58,8 +59,8 @@
 
   /**
    * Records the statistics, with one record per class because all classes together may exceed the state
-   * store's value limit. Deletes the single record with all classes that older versions wrote; they can read
-   * the new records, because they read every key that begins with `learned`.
+   * store's value limit. Deletes the single record of all classes that older versions wrote. Older versions
+   * can read the new records, because they read every key that begins with `learned`.
    */
   save(records: Pick<RecordStore, 'set'>): void {
     const ratios = this.estimates.exportStatistics();
--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -56,7 +56,7 @@
     assert.equal(seen.begun, 2);
   });
 
-  it('waits for the interval, and for three times the duration of the last pass', () => {
+  it('waits before the next pass for the interval, and for three times the duration of the last pass', () => {
     const durationMs = intervalMs;
     const { runtime, seen, scheduler } = setUp(1, durationMs);
     scheduler.step();
--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -3,7 +3,7 @@
 import type { Placement } from '../placement/placement.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Least time from the end of a pass to the start of the next, as a multiple of the duration of its slices. */
+/** Minimum pause after a pass, as a multiple of the total duration of its slices. */
 const PASS_REST_FACTOR = 3;
 
 /** The methods of `Placement` that the scheduler calls. */
