--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -8,7 +8,7 @@
 /** A lease that the state store granted for an election. */
 interface Candidacy {
   leaseId: number;
-  /** Time at which the lease was requested, on this node's monotonic clock. */
+  /** When the lease was requested, on this node's monotonic clock in ms. */
   requestedAt: number;
 }
 
--- a/src/controller/leadership/leader-lease.ts
+++ b/src/controller/leadership/leader-lease.ts
@@ -6,33 +6,34 @@
 import type { WonElection } from './election.js';
 import { LeaseExtension, type RequestLeaseGrant } from './lease-extension.js';
 
-/** Name of the timers' event in the log. */
+/** Name of the renewal timer in the log. */
 const RENEW_EVENT = 'renew-lease';
 
 /** After a failed renewal the delay before the next one is the usual interval divided by this factor. */
 const RETRY_FACTOR = 4;
 
-/** Events of the lease, and what the lease asks of its owner. */
+/** Callbacks of the lease to its owner. */
 export interface LeaderLeaseEvents {
   /** The lease no longer exists at the state store. */
   expired(): void;
-  /** The lease was renewed after it had run out on this node's clock. */
+  /** The lease was renewed after it had run out on this node's monotonic clock. */
   recovered(): void;
   /** Whether it is useful to extend the right to answer workers beyond the lease. */
   shouldExtend(): boolean;
 }
 
 /**
- * Renews the lease periodically until it is closed. A leader acts only while it holds its lease (design.md,
- * invariant 1). The lease counts as held from the time at which the last successful renewal was _sent_, on
- * this node's clock, for its time to live less the clock drift and a margin.
+ * Renews the lease periodically until `close` is called. A leader acts only while it holds its lease
+ * (design.md, invariant 1). The lease counts as held for its time to live, less the clock drift and a margin.
+ * This time is counted on this node's monotonic clock, from when the last successful renewal was _sent_ (at
+ * first, from when the lease was requested).
  */
 export class LeaderLease {
   /** Term of the leader that holds the lease. */
   readonly term: number;
   private readonly leaseId: number;
   private readonly extension: LeaseExtension;
-  /** Time until which this node holds the lease, on its monotonic clock. */
+  /** Time until which this node holds the lease, on its monotonic clock in ms. */
   private heldUntil: number;
   private isClosed = false;
 
--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -7,7 +7,7 @@
 import { HandOverBackoff } from './hand-over-backoff.js';
 import { LEADER_KEY, readLeaderRecord, type LeaderRecord } from './leader-record.js';
 
-/** Name of the timers' event in the log. */
+/** Name in the log of the timer that reads the leader key again. */
 const OBSERVE_EVENT = 'observe-leader';
 
 /** Smallest delay before the key is read again, as a share of the duration of the leader's lease. */
@@ -15,9 +15,9 @@
 /** Largest random jitter added to that delay, as a share of the duration of the leader's lease. */
 const RETRY_JITTER_RATIO = 0.04;
 
-/** Events of the watch, and what it asks of its owner. */
+/** Callbacks of the watch to its owner. */
 export interface LeaderWatchEvents {
-  /** Whether this node is not the leader and has no election in progress. Only then is the key observed. */
+  /** Whether this node is not the leader and has no election in progress. Otherwise the key is not observed. */
   isFollower(): boolean;
   /** The leader key was read or has changed; null if its value is not a leader record. */
   leaderChanged(leader: LeaderRecord | null): void;
@@ -84,7 +84,7 @@
     this.watch(item.version);
   }
 
-  /** Whether an earlier process of this host created the key. It has ended: only one runs at a time. */
+  /** Whether an earlier process on this host created the key. That process has ended: only one runs at a time. */
   private isOfPreviousProcess(leader: LeaderRecord): boolean {
     return leader.host === this.settings.platform.host && leader.identity !== this.identity;
   }
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -10,7 +10,7 @@
 import type { LeaseGrantor } from './lease-grant-exchange.js';
 import { LeaseGrant } from './lease-grant.js';
 
-/** Name of the timer's event in the log. */
+/** Name in the log of the timer that begins the term. */
 const BEGIN_TERM_EVENT = 'begin-term';
 
 /** Why a leader steps down in favour of another node, as logged. */
@@ -28,11 +28,11 @@
   /** The lease no longer exists at the state store. */
   | 'lease ended';
 
-/** Events of this node's own terms, and what `Leadership` asks about them. */
+/** Callbacks of `Leadership` about this node's own terms. */
 export interface LeadershipEvents {
   /** This node has become the leader, and no earlier leader may still answer workers. */
   elected(term: number): void;
-  /** The lease was renewed after it had run out on this node's clock; the term continues. */
+  /** The lease was renewed after it had run out on this node's monotonic clock; the term continues. */
   leaseRecovered(): void;
   /** This node is no longer the leader. */
   deposed(): void;
@@ -45,7 +45,7 @@
  * that is bound to a lease of the state store. The version of this key at its creation is the leader's
  * term, and part of the fencing tokens that workers check. Versions increase with every change at the
  * state store, so a later leader always has a higher term. Only one leader acts at a time: it acts only
- * while it holds its lease, and beyond it may at most answer workers (design.md, invariant 1).
+ * while it holds its lease, and beyond its lease it may at most answer workers (design.md, invariant 1).
  */
 export class Leadership implements LeaseGrantor {
   private knownLeader: LeaderInfo | null = null;
@@ -121,8 +121,8 @@
 
   /**
    * Handles a peer's report of the current leader. The report is only a hint, but sufficient to redirect
-   * workers to that leader. If its term is higher than this node's own, this node steps down. It may learn
-   * of the later leader only in this way while it gets no responses from the state store.
+   * workers to that leader. If the reported term is higher than this node's own, this node steps down: while
+   * it gets no responses from the state store, it may learn of a later leader only in this way.
    */
   peerReportedLeader(host: string, term: number): void {
     if (host === '') return;
@@ -200,7 +200,7 @@
 
   /**
    * Begins the term once the lease grant that this node has given expires. Until then the previous leader
-   * may answer workers, so this node must not read or do anything as leader.
+   * may answer workers, so this node must neither read the stored state nor act as leader.
    */
   private beginTermOnceGrantExpires(lease: LeaderLease): void {
     if (this.lease !== lease) return;
--- a/src/controller/leadership/lease-extension.test.ts
+++ b/src/controller/leadership/lease-extension.test.ts
@@ -54,7 +54,8 @@
     assert.ok(!extension.isActive);
   });
 
-  // In the gap another controller may have acted as leader and restarted, so that its grant does not show it.
+  // In the gap another controller may have acted as leader. If it has restarted since then, it gives grants as
+  // if it had not.
   it('stops requesting grants after a gap between the lease and the grants', () => {
     const { runtime, extension, reply, requests } = setUp(50);
     runtime.advance(60);
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -5,14 +5,14 @@
  * The leader periodically requests a lease grant from every other controller: a promise not to act as
  * leader for a short time. Once all have granted it, the leader may answer workers for that time, counted
  * from when it sent the requests. So at every moment since its last renewal, either the leader held its
- * lease or all other controllers were bound by grants, and no other leader has acted. If there was a gap
- * between the lease and the grants, or between two rounds of grants, the extension lapses, and there is
- * none until the lease has been renewed (design.md, invariant 1: only one leader acts at a time).
+ * lease or all other controllers were bound by grants. In both cases no other leader has acted. If there was
+ * a gap between the lease and the grants, or between two rounds of grants, the extension lapses, and no other
+ * begins until the lease has been renewed (design.md, invariant 1: only one leader acts at a time).
  */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Number of rounds of grant requests in the duration of one grant. */
+/** Number of rounds of grant requests per duration of a grant. */
 const ROUNDS_PER_GRANT = 3;
 
 /** Requests a lease grant from the controller on a host; `done` receives whether it was given. */
@@ -27,7 +27,7 @@
 export interface ExtensionRequest {
   /** Term of the leader. */
   term: number;
-  /** Returns the time until which the leader holds its lease, on its monotonic clock. */
+  /** Returns the time until which the leader holds its lease, on its monotonic clock in ms. */
   leaseHeldUntil: () => number;
   /** Called before each round of requests; the extension ends if it returns false. */
   isUseful: () => boolean;
@@ -37,7 +37,7 @@
 interface RunningExtension {
   kind: 'running';
   request: ExtensionRequest;
-  /** Time until which all other controllers are bound by their grants, on the leader's monotonic clock. */
+  /** Until when all other controllers are bound by their grants, on the leader's monotonic clock in ms. */
   grantedUntil: number;
 }
 
@@ -99,7 +99,7 @@
 
   private allGranted(extension: RunningExtension, requestedAt: number): void {
     const coveredUntil = Math.max(extension.request.leaseHeldUntil(), extension.grantedUntil);
-    // If this time has passed, another controller may have acted as leader since.
+    // If this time has passed, another controller may have acted as leader since then.
     const hasLapsed = this.eventLoop.now() >= coveredUntil;
     if (hasLapsed) this.state = { kind: 'lapsed' };
     else
--- a/src/controller/leadership/lease-grant.ts
+++ b/src/controller/leadership/lease-grant.ts
@@ -4,7 +4,7 @@
 
 /** Factor that covers the difference between two hosts' clocks, each of which may drift either way. */
 const CLOCK_DRIFT_FACTOR = 1 + 4 * MAX_CLOCK_DRIFT;
-/** Extra time in milliseconds, because timers may fire early by a fraction of a millisecond. */
+/** Extra time in ms, because timers may fire early by a fraction of 1 ms. */
 const TIMER_MARGIN_MS = 2;
 
 /**
@@ -14,7 +14,7 @@
  * given one when it started.
  */
 export class LeaseGrant {
-  /** Time until which this controller is bound by a grant, on its monotonic clock. */
+  /** Time until which this controller is bound by a grant, on its monotonic clock in ms. */
   private grantedUntil: number;
 
   constructor(
@@ -26,7 +26,7 @@
     this.grantedUntil = eventLoop.runtime.startedAt + this.durationMs;
   }
 
-  /** How long a grant binds this controller: longer than the leader relies on it, by a margin for clock drift. */
+  /** How long a grant binds this controller, in ms: longer than the leader relies on it, because of clock drift. */
   private get durationMs(): number {
     return this.settings.leaseGrantMs * CLOCK_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
@@ -36,7 +36,7 @@
     this.grantedUntil = Math.max(this.grantedUntil, this.eventLoop.now() + this.durationMs);
   }
 
-  /** Time in milliseconds until this controller is no longer bound by a grant; 0 if it is not bound. */
+  /** Time in ms until this controller is no longer bound by a grant; 0 if it is not bound. */
   get remainingMs(): number {
     return Math.max(0, this.grantedUntil - this.eventLoop.now());
   }
