--- a/src/controller/placement/capacity/capacity-claim.ts
+++ b/src/controller/placement/capacity/capacity-claim.ts
@@ -18,14 +18,17 @@
   level: number;
   /**
    * The headroom binds a task of another class only if the dominant share of a task of this class is at
-   * least this many times as large.
+   * least this many times the dominant share of that task.
    */
   minSizeRatio: number;
 }
 
 /** Claimed capacity of one machine. */
 export interface CapacityClaim extends ResourceRequest {
-  /** When the whole reservation or headroom that this is a part of should be free, on the controller's clock. */
+  /**
+   * When the claimed capacity should be free, on the controller's monotonic clock in ms. For a gang: when the
+   * capacity of its whole reservation should be free.
+   */
   fillAt: number;
   /** null if the capacity is claimed for a waiting job. */
   headroom: HeadroomClaim | null;
@@ -36,9 +39,9 @@
   spec: JobSpec;
   /** Priority level of the job. */
   level: number;
-  /** When the tasks are expected to end, on the controller's clock; `Infinity` for a service. */
+  /** When the tasks are expected to end, on the controller's monotonic clock in ms; `Infinity` for a service. */
   endsAt: number;
-  /** A task may backfill a claim if it ends within this ratio of the time until `fillAt`. */
+  /** A task may backfill a claim if it ends within this fraction of the time until `fillAt`. */
   backfillRatio: number;
   now: number;
 }
@@ -67,7 +70,10 @@
   return wouldIntrude(headroom, spec, type);
 }
 
-/** Returns whether the headroom is kept from tasks of this size and class, whatever their priority. */
+/**
+ * Returns whether the headroom is kept from tasks of this size and class, whatever their priority. Headroom
+ * for job arrays is kept only from tasks without GPUs.
+ */
 export function wouldIntrude(
   headroom: HeadroomClaim,
   spec: JobSpec,
--- a/src/controller/placement/capacity/machine-forecast.ts
+++ b/src/controller/placement/capacity/machine-forecast.ts
@@ -4,7 +4,7 @@
 /** When a task is expected to end if it is not preempted. */
 export interface ExpectedEnd {
   assignment: Assignment;
-  /** On the controller's clock; `Infinity` if the task is not expected to end. */
+  /** On the controller's monotonic clock in ms; `Infinity` if the task is not expected to end. */
   endsAt: number;
 }
 
@@ -14,7 +14,7 @@
   expectedEnds: ExpectedEnd[];
   /** Whether any task is being stopped. */
   hasStopping: boolean;
-  /** The longest time, in ms, that any of the tasks needs to save a checkpoint when it is stopped. */
+  /** The longest time in ms that any of the tasks needs to save a checkpoint when it is stopped. */
   longestSaveMs: number;
   /** Lowest priority level of the tasks that are old enough to be preempted; `Infinity` if there are none. */
   lowestLevel: number;
--- a/src/controller/placement/capacity/schedulable-machines.test.ts
+++ b/src/controller/placement/capacity/schedulable-machines.test.ts
@@ -7,7 +7,7 @@
 describe('isSchedulable', () => {
   const responsiveWorkers = { isAlive: () => true };
 
-  it('accepts a machine whose worker is responsive and has acknowledged its token', () => {
+  it('accepts a machine whose worker is responsive and has acknowledged the fencing token', () => {
     assert.ok(isSchedulable(bigMachine(), 0, responsiveWorkers));
   });
 
--- a/src/controller/placement/capacity/schedulable-machines.ts
+++ b/src/controller/placement/capacity/schedulable-machines.ts
@@ -9,7 +9,8 @@
 
 /**
  * Returns whether tasks may be placed on the machine now: its type is known, its worker is responsive and has
- * acknowledged its token, and it is not quarantined, failed, being released or about to be interrupted.
+ * acknowledged the fencing token, and the machine is not quarantined, failed, being released or about to be
+ * interrupted.
  */
 export function isSchedulable(machine: Machine, now: number, workers: WorkerLiveness): boolean {
   return (
--- a/src/controller/placement/capacity/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -7,8 +7,8 @@
 export type TasksByZone = Map<string, number>;
 
 /**
- * Counts the job's tasks by zone. A task counts until it is proven to be no longer on its machine
- * (invariant 5).
+ * Counts the job's tasks by zone. A task counts until it is proven to be no longer on its machine (design.md,
+ * invariant 5).
  */
 export function tasksByZone(job: Job): TasksByZone {
   const counts: TasksByZone = new Map();
--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Stops the task, and with it its whole gang, unless it is expected to end in time. A replica of a service
-   * is stopped only when its migration is due.
+   * Stops the task, or its whole gang if it belongs to one, unless the task is expected to end in time. A
+   * replica of a service is stopped only when its migration is due.
    */
   private evictUnlessDoneInTime(
     assignment: Assignment,
@@ -64,7 +64,7 @@
 
   /**
    * Returns whether the replica is to be stopped now: as soon as another machine can start it without delay,
-   * and otherwise shortly before the interruption. Reserves capacity on that other machine.
+   * and otherwise shortly before the interruption. In the first case, reserves capacity on the other machine.
    */
   private migratesNow(
     assignment: Assignment,
--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -7,7 +7,7 @@
 
 describe('estimated image fetch', () => {
   // Guards against estimates that ignore concurrent fetches: two gangs with different images on one machine
-  // each fetched for 50 s instead of the estimated 25 s.
+  // each fetched for 50 s instead of 25 s.
   it('adds the images fetched at the same time, and is 0 if the image is cached', () => {
     const machine = bigMachine();
     const estimator = new DurationEstimator();
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -6,7 +6,7 @@
 /** Weight of the newest run in the moving averages of its class. */
 const NEWEST_RUN_WEIGHT = 0.15;
 
-/** Observed ratios of actual to estimated run time are limited to this value, and to its inverse from below. */
+/** Upper bound of the observed ratios of actual to estimated run time; the lower bound is its inverse. */
 const MAX_RUN_TIME_RATIO = 4;
 
 /** Maximum number of classes with statistics. Users choose class names, so there could be any number. */
@@ -24,13 +24,13 @@
 /** Lower bound of the standard deviation used in estimates. */
 const MIN_DEVIATION = 0.1;
 
-/** Lower bound, in ms, of the estimated time until a task that is being stopped has ended. */
+/** Lower bound in ms of the estimated time until a task that is being stopped has ended. */
 const MIN_STOP_MS = 500;
 
-/** Lower bound, in ms, of the remaining run time of a task whose job has no run time estimate. */
+/** Lower bound in ms of the remaining run time of a task whose job has no run time estimate. */
 const MIN_REMAINING_RUN_MS = 1000;
 
-/** Ratio of remaining to elapsed run time, used without an estimate or if the median overflows. */
+/** Ratio of remaining to elapsed run time that is assumed without an estimate or if the median overflows. */
 const REMAINING_TO_ELAPSED_RATIO = 1 / 4;
 
 /** Mean and variance of the logarithm of the ratio of actual to estimated run time, for one class. */
@@ -98,19 +98,20 @@
     }
   }
 
-  /** Returns the estimated run time of a task of the job in ms; `Infinity` for a service. */
+  /** Returns the estimated run time in ms of a task of the job; `Infinity` for a service. */
   runMs(spec: JobSpec): number {
     if (spec.kind === 'service') return Infinity;
     return spec.estimatedRunS * 1000 * Math.exp(this.statisticsOf(spec.class).mean);
   }
 
-  /** Returns how long, in ms, a task assigned to the machine now would wait for its image. */
+  /** Returns the time in ms that a task assigned to the machine now would wait for its image. */
   fetchMs(spec: JobSpec, machine: Machine, now: number): number {
     if (machine.images.has(spec.image)) return 0;
     const gbPerS = machine.type?.fetchGbPerS ?? 0;
     if (gbPerS <= 0) return 0;
-    // Images that are fetched at the same time share the fetch rate, so each adds at most its own size.
-    // A machine fetches an image only once, so a task waits for a fetch that is already in progress.
+    // Images that are fetched at the same time share the fetch rate, so each of the others adds at most its own
+    // size and at most the size of this image. A machine fetches an image only once, so a task waits for a
+    // fetch that is already in progress.
     let fetchGb = spec.imageGb;
     let fetchStartedAt = now;
     let otherImages: Set<string> | null = null;
@@ -136,7 +137,7 @@
     return true;
   }
 
-  /** Returns the estimated time, in ms, until the task ends if it is not preempted. */
+  /** Returns the estimated time in ms until the task ends if it is not preempted. */
   remainingMs(assignment: Assignment, now: number): number {
     if (assignment.stop !== null || assignment.job === null)
       return Math.max(
@@ -152,7 +153,7 @@
   /**
    * Returns the median of the remaining run time after `elapsedMs`, for run times with a log-logistic
    * distribution around the estimate. A task of a class with unreliable estimates is therefore not assumed
-   * to end soon because its estimated run time is almost over or has passed.
+   * to end soon merely because its estimated run time is almost over or has passed.
    */
   private remainingRunMs(spec: JobSpec, elapsedMs: number): number {
     const runMs = this.runMs(spec);
--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -3,7 +3,7 @@
 import type { Settings } from '../../settings/settings.js';
 import type { DurationEstimator } from './duration-estimator.js';
 
-/** Start deadlines leave time for a run of this many times its estimate. */
+/** A start deadline leaves time for a run that takes this many times its estimate. */
 const RUN_TIME_MARGIN_FACTOR = 1.3;
 
 /** The settings that determine start deadlines. */
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -11,7 +11,7 @@
 
 /** Settings that determine how much headroom is kept. */
 export interface HeadroomSettings {
-  /** Time constant, in ms, with which the counts of submitted tasks decay. */
+  /** Time constant in ms with which the counts of submitted tasks decay. */
   memoryMs: number;
   /**
    * Limits the headroom of a class: it and the tasks of the class together take at most this fraction of the
@@ -65,9 +65,10 @@
 }
 
 /**
- * Keeps capacity free for gangs and for job arrays that need GPUs. Without it, small tasks would fragment
- * the free capacity until no large task fits. How much is kept for a class follows from the rate at which
- * its jobs are submitted and from how long its tasks run; it also covers the next job of the class.
+ * Keeps capacity free for gangs and for job arrays that need GPUs (segregation by shape; m03 §6, §9).
+ * Without this headroom, small tasks would fragment the free capacity until no large task fits. How much is
+ * kept for a class follows from the rate at which its jobs are submitted and from how long its tasks occupy
+ * their machines. The headroom also covers the next job of the class.
  */
 export class ClassHeadroom {
   private readonly statistics: ClassStatisticsTable;
@@ -92,15 +93,15 @@
     this.statistics.recordOccupancy(spec, occupancyMs);
   }
 
-  /** Returns the records to be stored for the next leader, by class name: the most recently submitted classes. */
+  /** Returns records of the most recently submitted classes for the next leader, by class name. */
   exportStatistics(now: number, wallClockMs: number): Map<string, unknown> {
     return writeStatistics(this.statistics, { now, wallClockMs });
   }
 
   /**
-   * Restores the statistics that earlier leaders recorded. A class that has active jobs but no record
-   * starts from the first of them. A new leader without statistics would keep no headroom, and small tasks
-   * would fill the machines that classes of large tasks need.
+   * Restores the statistics that earlier leaders recorded. If a class has active jobs but no record, its
+   * statistics start with the first of these jobs. A new leader without statistics would keep no headroom,
+   * and small tasks would fill the machines that classes of large tasks need.
    */
   restore(
     recorded: Iterable<unknown>,
--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -7,13 +7,13 @@
 /** Maximum number of classes that are recorded: those with the most recently submitted jobs. */
 const MAX_RECORDED_CLASSES = 12;
 
-/** The same instant on the controller's steady clock (`now`) and on the wall clock, in ms. */
+/** The same instant on the controller's monotonic clock (`now`) and on the wall clock, in ms. */
 export interface ClockReading {
   now: number;
   wallClockMs: number;
 }
 
-/** Returns records of the most recently submitted classes, by class name. Times in them are wall-clock times. */
+/** Returns records of the most recently submitted classes, by class name. Their times are on the wall clock. */
 export function writeStatistics(
   table: ClassStatisticsTable,
   { now, wallClockMs }: ClockReading,
--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -11,13 +11,13 @@
   level: number;
   /** Exponentially decaying count of the submitted tasks, as of `updatedAt`. */
   weight: number;
-  /** When the latest job was submitted, on the controller's clock. */
+  /** When the latest job was submitted, on the controller's monotonic clock in ms. */
   updatedAt: number;
   /** Decaying maximum of the number of tasks in one job, at most `MAX_LARGEST_JOB_TASKS`. */
   largestJobTasks: number;
   /** Decaying number of jobs, by image. */
   images: Map<string, number>;
-  /** Moving average of the time from the assignment to the end of a task; 0 until a task has ended. */
+  /** Moving average of the time in ms from the assignment to the end of a task; 0 until a task has ended. */
   occupancyMs: number;
 }
 
@@ -41,10 +41,13 @@
   private readonly classes = new Map<string, ClassStatistics>();
 
   constructor(
-    /** Time constant, in ms, with which the counts of submitted tasks decay. */
+    /** Time constant in ms with which the counts of submitted tasks decay. */
     private readonly memoryMs: number,
     private readonly estimator: Pick<DurationEstimator, 'runMs'>,
-    /** Since when this leader or its predecessors have observed submissions, on the controller's clock. */
+    /**
+     * Since when this leader or its predecessors have observed submissions, on the controller's monotonic
+     * clock in ms.
+     */
     private observedSince: number,
   ) {}
 
@@ -89,12 +92,12 @@
     this.classes.set(spec.class, statistics);
   }
 
-  /** Extends the observation period back to the time since which an earlier leader observed classes. */
+  /** Extends the observation period back to `since`, when an earlier leader began to observe submissions. */
   extendObservation(since: number): void {
     this.observedSince = Math.min(this.observedSince, since);
   }
 
-  /** How long submissions have been observed, in ms. */
+  /** Time in ms for which submissions have been observed. */
   observedMs(now: number): number {
     return now - this.observedSince;
   }
@@ -111,8 +114,8 @@
   }
 
   /**
-   * Returns the expected number of tasks of the class on machines at one time, by Little's law: their
-   * arrival rate times the mean time that a task occupies its machine.
+   * Returns the expected number of tasks of the class that occupy machines at one time, by Little's law: the
+   * arrival rate of tasks times the mean time that a task occupies its machine.
    */
   expectedTasks(statistics: ClassStatistics, now: number): number {
     const { memoryMs } = this;
--- a/src/controller/placement/image-affinity.test.ts
+++ b/src/controller/placement/image-affinity.test.ts
@@ -3,8 +3,8 @@
 import { batchCluster } from '../../../test/placement-cluster.js';
 
 describe('placement of a job array whose image is not on the free machine', () => {
-  // Guards against array tasks that start on the first free machine regardless of images: in fleet
-  // test days a third of all GPUs then waited for images that another machine had.
+  // Guards against array tasks that start on the first free machine regardless of images: in benchmark
+  // scenarios with hundreds of machines, a third of all GPUs then waited for images that another machine had.
   it('lets a job whose image is there go first if the start deadline is far away', () => {
     const cluster = batchCluster();
     cluster.run(3);
--- a/src/controller/placement/pass/negative-search-cache.test.ts
+++ b/src/controller/placement/pass/negative-search-cache.test.ts
@@ -15,7 +15,7 @@
     assert.ok(!cache.hasNoCapacity({ request: request, kinds: '0' }));
   });
 
-  it('reports no victims only for jobs that may not preempt more than the failed one', () => {
+  it('reports no victims only for jobs that may not preempt more than the job whose search failed', () => {
     const cache = new NegativeSearchCache();
     const query = { request: request, kinds: '0', team: 'red', guaranteed: false, level: 1 };
     cache.addNoVictims(query);
--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -33,7 +33,7 @@
   return kinds.map(([first]) => first?.index ?? -1).join();
 }
 
-/** Records the failed searches of one pass and tells whether another search must fail as well. */
+/** Records the failed searches of one pass, and determines whether another search must fail as well. */
 export class NegativeSearchCache {
   /** Requests that fit on no machine, even if claims are ignored. */
   private readonly failedCapacityQueries: CapacityQuery[] = [];
--- a/src/controller/placement/pass/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -19,7 +19,7 @@
   private nextIndex = 0;
 
   constructor(
-    /** When the current slice of the pass began, on the controller's clock. */
+    /** When the current slice of the pass began, on the controller's monotonic clock in ms. */
     public now: number,
     readonly cluster: ClusterCapacity,
     private readonly queue: QueuedJob[],
--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -96,7 +96,7 @@
 
 describe('order of the queue of a pass', () => {
   // Guards against gangs of two teams that preempt each other repeatedly: a preempted gang used to be
-  // placed before the gang that preempted it. Seen in the test day "rough" (caroni).
+  // placed before the gang that preempted it. Seen in the benchmark scenario "rough" of the deployment caroni.
   it('puts a gang before its victim while the preemption is recent', () => {
     const victim = submitted({}, 0);
     victim.preemptionCount = 1;
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -4,13 +4,13 @@
 
 /** Settings that determine the rank of jobs. */
 export interface RankSettings {
-  /** Waiting this long, in milliseconds, raises a job's rank by one priority class (aging, m03 §7). */
+  /** Waiting time in ms that raises a job's rank by one priority class (aging, m03 §7). */
   agingMs: number;
   /** Amount by which each preemption of a job raises its rank, as a fraction of a priority class. */
   preemptionBonus: number;
   /** Amount by which missing all start deadlines lowers a job's rank, as a fraction of a priority class. */
   missedDeadlinePenalty: number;
-  /** Returns the latest start for each of the job's objectives, in ms since submission, in any order. */
+  /** Returns the job's start deadlines, in ms since its submission and in no particular order. */
   startDeadlines(job: Job): readonly number[];
 }
 
@@ -22,7 +22,7 @@
  *
  * Within a priority, jobs with earlier start deadlines go first. When a job misses a deadline, it is ranked
  * by its next one; when it misses the last one, its rank is lowered by a fixed amount. Each of these steps
- * is bounded and taken once. It lets jobs go first that can still meet their deadlines.
+ * is bounded and taken once. The steps let jobs that can still meet their deadlines go first.
  */
 export function rankTime(job: Job, settings: RankSettings, now: number): number {
   const deadlines = settings.startDeadlines(job);
@@ -48,7 +48,10 @@
   job: Job;
   /** Result of `rankTime`; the lower value goes first. */
   rank: number;
-  /** Whether tasks were preempted for the job within the last worker lease and not all of its tasks have started. */
+  /**
+   * Whether tasks were preempted for the job less than the duration of a worker lease ago, and not all of its
+   * tasks have started since then.
+   */
   hasPreempted: boolean;
   /**
    * Whether this is the second entry of the job in the pass, in which its tasks may also start on machines
@@ -97,7 +100,9 @@
  *    back in the next pass.
  * 3. Jobs covered by their team's guarantee, which must not wait for capacity that other teams borrow or
  *    reserve.
- * 4. All other jobs. Jobs of the same group are ordered by rank.
+ * 4. All other jobs.
+ *
+ * Within each group, jobs are ordered by rank.
  */
 export function compareQueued(a: QueuedJob, b: QueuedJob): number {
   return (
--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Continues the pass until it is finished or the time `deadline` (on the controller's clock) is reached.
-   * At least one job is processed per call. Returns whether the pass is finished.
+   * Continues the pass until it is finished or `deadline` is reached, a time on the controller's monotonic
+   * clock in ms. At least one job is processed per call. Returns whether the pass is finished.
    */
   advance(deadline: number): boolean {
     const pass = this.current;
--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -10,7 +10,7 @@
 import type { TeamUsage } from '../../workers/team-usage.js';
 import { addTasks, zoneAllowance, zoneChoices, type TasksByZone } from '../capacity/zones.js';
 
-/** A gang does not wait to avoid an image fetch of at most this length, in heartbeat intervals. */
+/** A gang never waits in order to avoid an image fetch that takes at most this many heartbeat intervals. */
 const SHORT_FETCH_INTERVALS = 2;
 
 /**
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -21,7 +21,7 @@
 /** Prefix of the keys of reservation records; the job id follows it. */
 const KEY_PREFIX = 'h/';
 
-/** Minimum lead of preemption before a reservation is expected to be filled, in heartbeat intervals. */
+/** Minimum lead time of preemption, in heartbeat intervals before the expected fill of a reservation. */
 const PREEMPTION_LEAD_TIME_INTERVALS = 3;
 
 /** Time allowed for the victims to save their checkpoints, as a multiple of the longest save time. */
@@ -112,9 +112,10 @@
   }
 
   /**
-   * Returns how long before a reservation is expected to be filled its victims are preempted. The time
-   * includes the saves of their checkpoints: with short heartbeat intervals a save takes many of them, and
-   * a lead in heartbeat intervals alone would never be reached.
+   * Returns the time in ms by which the preemption of the victims precedes the expected fill of a reservation.
+   * It allows for the victims' checkpoint saves, which the expected fill includes: with short heartbeat
+   * intervals a save takes many of them, and preemption would never begin if the lead time were a fixed
+   * number of heartbeat intervals.
    */
   private preemptionLeadTimeMs(victims: readonly Assignment[]): number {
     const { heartbeatIntervalMs } = this.parts.settings;
@@ -175,7 +176,7 @@
 
   /**
    * Searches the zones in which the gang may run, separately if it needs a single zone. Returns the result
-   * with the most candidates; among equal ones, that which is filled earliest.
+   * with the most candidates; among equal ones, the one that is filled earliest.
    */
   private bestCandidates(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -87,7 +87,7 @@
     return unplaced;
   }
 
-  /** Returns whether the job may preempt tasks, and its last search for victims is long enough ago. */
+  /** Returns whether the job may preempt tasks and its last search for victims was long enough ago. */
   private mayPreempt(pass: PlacementPass, job: Job): boolean {
     const { settings } = this.parts;
     const refreshMs = settings.heartbeatIntervalMs * settings.get('placement.hold.refresh.ratio');
--- a/src/controller/placement/preemption/capacity-plan.ts
+++ b/src/controller/placement/preemption/capacity-plan.ts
@@ -3,7 +3,7 @@
 
 /** A plan of how a machine gets free capacity for one task. */
 export interface CapacityPlan {
-  /** When the task is expected to fit, on the controller's clock. */
+  /** When the task is expected to fit, on the controller's monotonic clock in ms. */
   fillAt: number;
   /** The tasks to preempt. */
   victims: readonly Assignment[];
@@ -15,7 +15,7 @@
 
 /** A search for capacity for one job. */
 export interface CapacitySearch {
-  /** Time of the search, on the controller's clock. */
+  /** Time of the search, on the controller's monotonic clock in ms. */
   now: number;
   job: Job;
   /**
@@ -25,7 +25,7 @@
   onlyByPreemption: boolean;
 }
 
-/** Preemption must let a job start at least this many ms earlier for each ms of work that it loses. */
+/** Preemption must let a job start at least this many ms earlier for each ms of work that is lost. */
 export const LOST_WORK_WEIGHT = 0.15;
 
 const NO_VICTIMS: readonly Assignment[] = [];
--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -15,10 +15,7 @@
 import type { PreemptionPolicy } from './preemption-policy.js';
 import { VictimSelector } from './victim-selector.js';
 
-/**
- * Maximum number of tasks per machine that a plan with preemption waits for because the job may not preempt
- * them.
- */
+/** A plan with preemption waits for at most this many tasks of the machine that the job may not preempt. */
 const MAX_AWAITED_TASKS = 4;
 
 /** Plans when machines will have free capacity, and which tasks to preempt for it. */
@@ -64,8 +61,8 @@
     if (hypothetical.fits(job.spec)) return planWithoutVictims(now);
     const forecast = this.forecaster.forecast(capacity, now);
     const waitingPlan = this.planByWaiting(forecast, job.spec);
-    // Preemption does not help if the request never fits (null): not even the end of all tasks that ever
-    // end is enough. It is not needed if enough tasks end within a heartbeat interval.
+    // If waiting is never enough (null), preemption does not help either, because it only ends tasks that
+    // would also end by themselves. It is not needed if enough tasks end within a heartbeat interval.
     if (waitingPlan === null || waitingPlan.fillAt - now < this.settings.heartbeatIntervalMs)
       return waitingPlan;
     const fillAtByWaiting = waitingPlan.fillAt;
--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -5,7 +5,10 @@
 import type { ExpectedEnd, MachineForecast } from '../capacity/machine-forecast.js';
 import type { TeamUsage } from '../../workers/team-usage.js';
 
-/** Upper bound of the run time that a task with checkpoints is assumed to lose, in checkpoint save times. */
+/**
+ * Upper bound of the run time that a preempted task with checkpoints is assumed to lose, as a multiple of its
+ * checkpoint save time.
+ */
 const MAX_LOST_SAVE_MULTIPLE = 2;
 
 /** The rules of preemption (PROTOCOL, "Preemption"; m03 §7). */
@@ -16,7 +19,7 @@
     private readonly teamUsage: Pick<TeamUsage, 'borrows'>,
   ) {}
 
-  /** Returns the latest time of assignment at which a task is old enough now to be preempted. */
+  /** Returns the latest assignment time at which a task is old enough to be preempted now. */
   latestEligibleStart(now: number): number {
     return now - this.settings.get('placement.victim.age.s') * 1000;
   }
@@ -56,8 +59,8 @@
   }
 
   /**
-   * Estimates the cost of preempting a task, in ms: the run time lost since its last checkpoint, and the
-   * time that it takes to start again.
+   * Estimates the cost in ms of preempting a task: the run time lost since its last checkpoint, and the time
+   * that it takes to start again.
    */
   lostWorkMs(task: Assignment, now: number): number {
     if (task.job === null || task.state === 'fetching' || task.state === null) return 0;
--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -1,10 +1,10 @@
-/** Preemption of tasks, limited to a share of all tasks per worker lease. */
+/** Preemption of tasks, limited to a share of all tasks per duration of a worker lease. */
 import type { EventLoop } from '../../runtime/event-loop.js';
 import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
 
-/** Lower bound of the number of tasks that may be preempted within a worker lease. */
+/** Lower bound of the limit of tasks preempted within the duration of a worker lease. */
 const MIN_LIMIT = 4;
 
 /** Stops tasks on their workers. */
@@ -16,15 +16,15 @@
 }
 
 /**
- * Preempts tasks for jobs that take precedence, up to a share of all assigned tasks within any worker
- * lease.
+ * Preempts tasks for jobs that take precedence, up to a share of all assigned tasks within the duration of a
+ * worker lease.
  */
 export class Preemptor {
   /** Number of tasks preempted in this term. */
   count = 0;
-  /** Times of the preemptions within the last worker lease. */
+  /** Times of the preemptions less than the duration of a worker lease ago, on the monotonic clock in ms. */
   private recentTimes: number[] = [];
-  /** When it was last logged that the limit is reached. */
+  /** When a warning of the reached limit was last logged, on the monotonic clock in ms. */
   private throttleLoggedAt = -Infinity;
 
   constructor(
@@ -35,8 +35,8 @@
   ) {}
 
   /**
-   * Preempts all of the victims, or none if that would exceed the limit. Returns false only in the latter
-   * case.
+   * Preempts all of the victims and returns true; or preempts none and returns false if all of them would
+   * exceed the limit.
    */
   preemptAll(victims: readonly Assignment[], preempting: Job): boolean {
     if (victims.length === 0) return true;
@@ -67,7 +67,7 @@
         victims: victims.map((victim) => victim.jobId),
         lostTaskSeconds: Math.round(lostWorkMs / 1000),
       },
-      'preemption limit reached, so the job keeps waiting; a higher placement.preempt.share raises the limit',
+      'preemption throttled: the job keeps waiting; a higher placement.preempt.share raises the limit',
     );
   }
 
--- a/src/controller/placement/search/candidate-finder.test.ts
+++ b/src/controller/placement/search/candidate-finder.test.ts
@@ -14,7 +14,7 @@
 describe('CandidateFinder', () => {
   const finder = new CandidateFinder(defaultSettings, new DurationEstimator());
 
-  it('puts machines with the image first, and leaves out the others if only warm ones are wanted', () => {
+  it('puts machines with the image first, and leaves out the others if `warmOnly` is set', () => {
     const warm = bigMachine('n-2');
     warm.recordImageUse('i', 1);
     const pass = passOver([bigMachine(), warm]);
--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -25,11 +25,11 @@
   request: ResourceRequest;
   /** Whether to consider only machines that have the job's image or are already fetching it. */
   warmOnly: boolean;
-  /** A backfilling task must be expected to end within this fraction of the time until a claim is filled. */
+  /** A task may backfill a claim if it ends within this fraction of the time until the claim is filled. */
   backfillRatio: number;
   /** Space that the tasks take in the machine's record. */
   record: RecordSpace;
-  /** When a task that needs no image fetch is expected to end, on the controller's clock. */
+  /** When a task that needs no image fetch is expected to end, on the controller's monotonic clock in ms. */
   endsAtWithoutFetch: number;
 }
 
@@ -88,7 +88,7 @@
     };
   }
 
-  /** Returns null if no task of the job can start there, given the claims of other jobs. */
+  /** Returns null if no task of the job can start on the machine, given the claims on its capacity. */
   private evaluate(search: CandidateSearch, capacity: FreeCapacity): Candidate | null {
     const { job, now, record, backfillRatio } = search;
     const { machine } = capacity;
--- a/src/controller/placement/search/machine-penalty.ts
+++ b/src/controller/placement/search/machine-penalty.ts
@@ -1,6 +1,7 @@
 /**
- * Penalties of machines for a job, which are added to the time of its image fetch there. When tasks can
- * start now, one point of penalty weighs as much as one second of fetch time.
+ * Penalties of machines for a job, which are added to the time of its image fetch there. In a search for
+ * machines where tasks can start now, one point of penalty weighs as much as 1 s of fetch time; in a search
+ * for machines to reserve, as much as 1 ms.
  */
 import type { Job } from '../../model/entities.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
@@ -20,7 +21,10 @@
 /** Penalty of a machine for a gang that would use headroom kept for another class. */
 const INTRUSION_PENALTY = 25;
 
-/** Penalty per share of the machine that would stay free beside one task, so that tight fits are preferred. */
+/**
+ * Multiplied by the share of the machine's GPUs (or of its CPUs, if the job needs no GPUs) that would stay
+ * free beside one task, so that tight fits are preferred.
+ */
 const LEFTOVER_PENALTY = 10;
 
 /** Returns the penalty of a machine for the job; lower is better. */
--- a/src/controller/placement/search/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * Yields a machine for one replica of a service at a time, best first, so that the failure of a machine or
- * a zone affects few replicas. Machines that have the image come before better spreading, except that a
+ * Yields one machine at a time, each for one replica of the service, best first, so that the failure of a
+ * machine or a zone affects few replicas. Whether a machine has the image counts more than the spread, but a
  * machine with at least half of the replicas comes after all others. If the caller starts no replica on a
  * yielded machine, that machine is not yielded again.
  */
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -44,7 +44,8 @@
 
 /**
  * Finds machines to reserve for a job, and tasks to preempt for it. The cost of a machine is the time at
- * which the task could run there, including its image fetch, plus the weighted loss of preempted work.
+ * which the task could run there, including its image fetch, plus the weighted loss of preempted work and the
+ * machine's penalty. It is lower for a machine that the job has already reserved.
  */
 export class ReservationCandidateFinder {
   private readonly forecaster: MachineForecaster;
@@ -110,12 +111,12 @@
     return bestIndex;
   }
 
-  /** How much later than another machine a reserved one may be ready without losing its reservation, in ms. */
+  /** By how many ms a reserved machine may be ready later than another without losing its reservation. */
   private get stickinessMs(): number {
     return this.settings.heartbeatIntervalMs * this.settings.get('placement.hold.kept.ratio');
   }
 
-  /** Returns the cost of a machine for one more task, in ms; `Infinity` if it cannot be used. */
+  /** Returns the cost in ms of a machine for one more task; `Infinity` if it cannot be used. */
   private cost(
     search: ReservationSearch,
     capacity: FreeCapacity | undefined,
@@ -129,7 +130,7 @@
     if (search.onlyByPreemption && plan.victims.length === 0 && !plan.hasStopping) return Infinity;
     const { machine } = capacity;
     // A reserved machine is replaced only by a clearly better one. The longest save is added because tasks
-    // may already be saving checkpoints there for this job, which would be useless on another machine.
+    // there may already be saving checkpoints for this job, in vain if it reserved another machine instead.
     const reservedBonusMs = reserved.has(machine.id)
       ? this.stickinessMs + this.forecaster.forecast(capacity, search.now).longestSaveMs
       : 0;
