--- a/src/controller/leader/leader-context.ts
+++ b/src/controller/leader/leader-context.ts
@@ -1,4 +1,4 @@
-/** Interfaces between the terms of this node as leader and the rest of the controller. */
+/** Interfaces between the terms of this node as leader and the other components of the controller. */
 import type { MachineTypeCatalogue } from '../fleet/machine-type-catalogue.js';
 import type { Frontend } from '../jobs/frontend.js';
 import type { ProgressCache } from '../jobs/job-progress.js';
--- a/src/controller/leader/leader-role.ts
+++ b/src/controller/leader/leader-role.ts
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Whether the state is fresh. With stale state this node may not answer workers even within its lease
-   * (design.md, invariant 8), so an extension would be useless.
+   * Whether the state is fresh. With stale state this node might not know every confirmed cancellation, so it
+   * may not answer workers even within its lease (design.md, invariant 8), and an extension would be useless.
    */
   shouldExtendLease(): boolean {
     return this.hasFreshState;
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -73,7 +73,7 @@
     new FailoverRecovery(this.environment.eventLoop, this.environment.client, this).start();
   }
 
-  /** Adds the active jobs, which are read before the rest of the state. */
+  /** Adds the active jobs, which are read before the pages. */
   activeJobsRead(jobs: readonly KeyValue[]): void {
     this.activeJobs.add(jobs);
   }
