--- a/src/controller/placement/search/candidate-finder.test.ts
+++ b/src/controller/placement/search/candidate-finder.test.ts
@@ -15,9 +15,9 @@
   const finder = new CandidateFinder(defaultSettings, new DurationEstimator());
 
   it('puts machines with the image first, and leaves out the others if `warmOnly` is set', () => {
-    const warm = bigMachine('n-2');
-    warm.recordImageUse('i', 1);
-    const pass = passOver([bigMachine(), warm]);
+    const warmMachine = bigMachine('n-2');
+    warmMachine.recordImageUse('i', 1);
+    const pass = passOver([bigMachine(), warmMachine]);
     const ids = (candidates: Candidate[]): string[] =>
       candidates.map(({ capacity }) => capacity.machine.id);
     assert.deepEqual(ids(finder.find(pass, gpuJob())), ['n-2', 'n-1']);
