--- a/src/controller/leadership/lease-grant.ts
+++ b/src/controller/leadership/lease-grant.ts
@@ -26,7 +26,7 @@
     this.grantedUntil = eventLoop.runtime.startedAt + this.durationMs;
   }
 
-  /** How long a grant binds this controller, in ms: longer than the leader relies on it, because of clock drift. */
+  /** How long in ms a grant binds this controller: longer than the leader relies on it, due to clock drift. */
   private get durationMs(): number {
     return this.settings.leaseGrantMs * CLOCK_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -32,7 +32,7 @@
   return `${KEY_PREFIX}${jobId}`;
 }
 
-/** The capacity that a gang reserves, and the tasks to preempt for it. */
+/** The capacity that a gang reserves, and the tasks to preempt for it. Times are on the monotonic clock in ms. */
 export interface GangCapacity {
   /** One entry per task; fewer if there are not enough machines. A machine may occur several times. */
   capacities: FreeCapacity[];
@@ -44,7 +44,7 @@
   victims: readonly Assignment[];
 }
 
-/** The candidates found for a gang. */
+/** The candidates found for a gang. Times are on the monotonic clock in ms. */
 interface GangCandidates {
   /** One per task; fewer if there are not enough machines. */
   candidates: ReservationCandidate[];
