--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -77,9 +77,9 @@
    * failed according to the cloud are not expected to send heartbeats, and are not counted. If
    * `excludeUnseen` is true, machines that have sent no heartbeat in this term are not counted.
    */
-  overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
+  overdueShare(minOverdueMs: number, excludeUnseen: boolean): number {
     const allowedMs =
-      this.settings.heartbeatIntervalMs * MAX_HEARTBEAT_INTERVAL_RATIO + overdueByMs;
+      this.settings.heartbeatIntervalMs * MAX_HEARTBEAT_INTERVAL_RATIO + minOverdueMs;
     let expected = 0;
     let overdue = 0;
     for (const machine of this.machines.values()) {
