--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -77,7 +77,7 @@
    * failed according to the cloud are not expected to send heartbeats, and are not counted. If
    * `excludeUnseen` is true, machines that have sent no heartbeat in this term are not counted.
    */
-  overdueShare(minOverdueMs: number, excludeUnseen: boolean): number {
+  overdueShare(minOverdueMs: number, onlySeenInThisTerm: boolean): number {
     const allowedMs =
       this.settings.heartbeatIntervalMs * MAX_HEARTBEAT_INTERVAL_RATIO + minOverdueMs;
     let expected = 0;
@@ -85,7 +85,7 @@
     for (const machine of this.machines.values()) {
       if (machine.agentEpoch < machine.lowestValidAgentEpoch || machine.cloudState === 'failed')
         continue;
-      if (excludeUnseen && machine.lastHeartbeatAt === -Infinity) continue;
+      if (onlySeenInThisTerm && machine.lastHeartbeatAt === -Infinity) continue;
       expected++;
       if (this.unresponsiveMs(machine) > allowedMs) overdue++;
     }
