--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -228,8 +228,8 @@
   /**
    * Share of machines whose heartbeats are overdue by `overdueByMs`; see `Liveness.overdueShare`.
    */
-  overdueShare(overdueByMs: number, excludeUnseen: boolean): number {
-    return this.liveness.overdueShare(overdueByMs, excludeUnseen);
+  overdueShare(minOverdueMs: number, excludeUnseen: boolean): number {
+    return this.liveness.overdueShare(minOverdueMs, excludeUnseen);
   }
 
   /** Returns true if the machine sent a heartbeat recently and its agent epoch has not ended. */
