--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -228,8 +228,8 @@
   /**
    * Share of machines whose heartbeats are overdue by `overdueByMs`; see `Liveness.overdueShare`.
    */
-  overdueShare(minOverdueMs: number, excludeUnseen: boolean): number {
-    return this.liveness.overdueShare(minOverdueMs, excludeUnseen);
+  overdueShare(minOverdueMs: number, onlySeenInThisTerm: boolean): number {
+    return this.liveness.overdueShare(minOverdueMs, onlySeenInThisTerm);
   }
 
   /** Returns true if the machine sent a heartbeat recently and its agent epoch has not ended. */
