--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -28,7 +28,7 @@
    * Time of removal (steady clock, ms) by the name of the removed machine, oldest first. The cloud
    * never reuses a name.
    */
-  private readonly removedAtByName = new Map<string, number>();
+  private readonly removedAtById = new Map<string, number>();
 
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'now'>,
@@ -72,20 +72,20 @@
   /** Removes a machine that is permanently gone, and keeps its name for the retention time. */
   remove(machine: Machine): void {
     this.machines.delete(machine.id);
-    this.removedAtByName.set(machine.id, this.eventLoop.now());
+    this.removedAtById.set(machine.id, this.eventLoop.now());
     this.forgetRemoved();
   }
 
   private forgetRemoved(): void {
     const retentionMs = this.settings.workerLeaseMs * REMOVED_MACHINE_RETENTION_LEASES;
-    for (const [id, removedAt] of this.removedAtByName) {
+    for (const [id, removedAt] of this.removedAtById) {
       if (this.eventLoop.now() - removedAt <= retentionMs) return;
-      this.removedAtByName.delete(id);
+      this.removedAtById.delete(id);
     }
   }
 
   /** Returns true if a machine with this name was removed within the retention time. */
   wasRemoved(id: string): boolean {
-    return this.removedAtByName.has(id);
+    return this.removedAtById.has(id);
   }
 }
