--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -30,7 +30,7 @@
       },
       {
         placementInputChanged: () => undefined,
-        taskCompleted: (_, tookMs) => this.events.push(`completed in ${tookMs}`),
+        taskCompleted: (_, runMs) => this.events.push(`completed in ${runMs}`),
         recordDue: () => undefined,
         commandDue: ({ id }) => this.events.push(`command ${id}`),
       },
