--- a/src/controller/jobs/job-watch.test.ts
+++ b/src/controller/jobs/job-watch.test.ts
@@ -84,13 +84,13 @@
 
   it('is fresh after an interruption only once a read that was sent afterwards is answered', () => {
     const { runtime, watch } = fixture;
-    const requestBeforeGap = fixture.lastRequest;
+    const requestBeforeInterruption = fixture.lastRequest;
     runtime.advance(100);
     watch.requireFreshRead();
     assert.ok(!watch.isFresh);
     assert.equal(fixture.lastRequest.holdMs, 0);
     assert.equal(fixture.lastRequest.revision, REVISION);
-    requestBeforeGap.done({ kind: 'ok', value: { revision: 8, events: [] } });
+    requestBeforeInterruption.done({ kind: 'ok', value: { revision: 8, events: [] } });
     assert.ok(!watch.isFresh, 'a read sent before the interruption made the watch fresh');
     fixture.answer(8);
     assert.ok(watch.isFresh);
