--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -27,7 +27,7 @@
 
 /** The components of a controller that exist independently of its terms as leader. */
 export class ControllerComponents implements LeaderEnvironment, ApiContext {
-  /** Null until it is set. That happens after the start, which loading the module would delay. */
+  /** Null until it is set, after the start, because loading the module would delay the start. */
   metrics: MetricsSink | null = null;
   readonly redirectedHeartbeats: DecayingRate;
   readonly learned: LearnedStatistics;
@@ -116,7 +116,7 @@
     return job === undefined ? this.progress.status(id) : job.status();
   }
 
-  /** Returns the status of this node that is sent to its peers. */
+  /** Returns this node's status, as it is sent to the peers. */
   private ownStatus(): PeerStatus {
     const { client, leadership } = this;
     const { sinceSuccessMs } = client.health;
--- a/src/controller/model/entities.ts
+++ b/src/controller/model/entities.ts
@@ -26,7 +26,7 @@
 export interface StopRequest {
   /** Seconds that the task has to save a checkpoint. */
   readonly graceS: number;
-  /** When the stop was requested, on the steady clock in ms. */
+  /** When the stop was requested, on the monotonic clock in ms. */
   readonly requestedAt: number;
   /** Reason of the stop, used only in log lines. */
   readonly reason: string;
@@ -62,17 +62,21 @@
   readonly agentEpoch: number;
   phase: AssignmentPhase;
   /**
-   * State of the task in the last heartbeat that listed it; null if none has since the start was
-   * sent.
+   * State of the task in the last heartbeat that listed it; null if no heartbeat has listed it
+   * since the start was sent.
    */
   state: TaskState | null;
   /**
-   * Sequence number of the heartbeat whose response carried the start, or of the response to a
-   * direct start. Only messages with a higher number can prove that the task is missing. null if
-   * this leader has not sent the start.
+   * Only heartbeats with a higher sequence number than this can prove that the task is missing. It
+   * is the number of the heartbeat whose response carried the start. For a direct start it is the
+   * number of the worker's response, and until that arrives, of the last heartbeat before the call.
+   * null if this leader has not sent the start.
    */
   startSentSequence: number | bigint | null;
-  /** When this leader first saw the task running, on the steady clock in ms. */
+  /**
+   * When this leader first saw the task running, on the monotonic clock in ms; null if it has not,
+   * or if an earlier leader sent the start.
+   */
   runningAt: number | null;
   /**
    * Number of the last heartbeat that listed the task; see `HeartbeatInProgress.heartbeatNumber`.
--- a/src/controller/model/job.test.ts
+++ b/src/controller/model/job.test.ts
@@ -60,7 +60,7 @@
     });
   });
 
-  it('counts replicas of a service that do not run as missing, and no tasks of other kinds', () => {
+  it('reports replicas that are not running as missing, but no tasks of other kinds of job', () => {
     const missing = (['service', 'array'] as const).map((kind) => {
       const job = acceptedJob({ kind, tasks: 3 });
       assign(job, 0, 'running');
--- a/src/controller/model/job.ts
+++ b/src/controller/model/job.ts
@@ -12,17 +12,17 @@
 };
 
 /**
- * Machines whose capacity is reserved for a waiting gang. Times are on the leader's steady clock,
- * in ms.
+ * Machines whose capacity is reserved for a waiting gang. Times are on the leader's monotonic
+ * clock, in ms.
  */
 export interface GangReservation {
-  /** Names of the machines, one entry for each task of the gang that has a place reserved. */
+  /** Ids of the machines, one entry for each task of the gang that has reserved capacity. */
   machines: string[];
   /** When the reservation was made. */
   reservedAt: number;
-  /** When all reserved machines are expected to have room for the gang. */
+  /** When all reserved machines are expected to have enough free capacity for the gang. */
   fillAt: number;
-  /** When the gang is expected to be able to run on them, with its image fetched. */
+  /** When the gang is expected to run: all its tasks fit and its image has been fetched. */
   readyAt: number;
   /** When the scheduler last searched for machines for this reservation. */
   searchedAt: number;
@@ -33,7 +33,8 @@
   /** Number of replicas that have exited on the machine. */
   replicaExits: number;
   /**
-   * No replica of the service is placed on it before this time on the leader's steady clock, in ms.
+   * No replica of the service is placed on the machine before this time on the leader's monotonic
+   * clock, in ms.
    */
   until: number;
 }
@@ -53,7 +54,7 @@
 
 /**
  * The leader's state of an active job, with assignments of the type `TAssignment`. All times are in
- * milliseconds on the leader's steady clock.
+ * milliseconds on the leader's monotonic clock.
  */
 export class JobBase<TAssignment extends TaskAssignment> {
   // ---- tasks
@@ -71,7 +72,7 @@
   readonly pending: PendingTasks;
   /** The assignment of the latest attempt, for each task that has one. */
   readonly currentAssignments = new Map<number, TAssignment>();
-  /** All assignments of its tasks on record, including older attempts and ended assignments. */
+  /** All assignments of its tasks, including older attempts and ended ones still on record. */
   readonly allAssignments = new Set<TAssignment>();
   /** Number of ended attempts of its tasks, by exit cause. */
   exitCounts: Record<string, number> = {};
@@ -82,7 +83,7 @@
 
   /** Why the job is about to end; none of its tasks is placed while this is set. */
   ending: JobEnding | null = null;
-  /** How the job has ended; null while it is active. An ended job is in no job table any more. */
+  /** How the job has ended; null while it is active. Ended jobs are not in the job table. */
   terminalState: TerminalState | null = null;
 
   // ---- placement
@@ -92,9 +93,9 @@
   /** No task of the job is placed before this time; set after failures. */
   backoffUntil = 0;
   errorCount = 0;
-  /** Names of machines on which tasks of the job have failed. */
+  /** Ids of machines on which tasks of the job have failed. */
   readonly failedMachines = new Set<string>();
-  /** Machines that the service avoids temporarily, by name. */
+  /** Machines that the service avoids temporarily, by machine id. */
   readonly avoidedMachines = new Map<string, MachineAvoidance>();
   /** Whether the job was within the guarantee of its team in the last placement pass. */
   guaranteed = false;
@@ -107,11 +108,11 @@
   reservation: GangReservation | null = null;
   /** Reason why the job waits, shown to its user; empty if there is none. */
   blockedReason = '';
-  /** How often its tasks were preempted for other jobs; each preemption raises its rank. */
+  /** How often its tasks were preempted for other jobs; each preemption raises the job's rank. */
   preemptionCount = 0;
   /**
    * Until this time the job is placed before all other jobs, because tasks were preempted for it.
-   * Otherwise the preempted jobs, whose rank has risen, would take the freed capacity back.
+   * Otherwise the preempted jobs, whose rank has risen, would occupy the freed capacity again.
    */
   preemptionClaimUntil = -Infinity;
   /** When the scheduler last searched for tasks to preempt in favour of this array job. */
@@ -124,9 +125,9 @@
   /**
    * @param spec - the submitted specification of the job
    * @param submittedAt - the time at which the job was accepted
-   * @param recordVersion - the version of its active record, on which the write that ends the job
-   * is conditional
-   * @param now - the present time on the steady clock, in ms
+   * @param recordVersion - the version of its active record; the write that ends the job is
+   * conditional on it
+   * @param now - the present time on the monotonic clock, in ms
    */
   constructor(
     readonly spec: JobSpec,
--- a/src/controller/model/machine-record-size.ts
+++ b/src/controller/model/machine-record-size.ts
@@ -1,7 +1,7 @@
 /**
  * Estimates how many bytes the tasks of a machine take in its record, which has to fit in one value
- * of the state store. The count is updated with each added or removed task, because placement needs
- * it before each assignment. All sizes are upper bounds.
+ * of the state store. The estimate is updated with each added or removed task, because placement
+ * needs it before each assignment. All sizes are upper bounds.
  */
 import type { Settings } from '../settings/settings.js';
 import { adjustCount } from './keyed-counts.js';
@@ -42,7 +42,7 @@
 /** The fields of an assignment that affect the size of a machine's record. */
 export interface RecordedAssignment extends RecordedJob {
   readonly attempt: number;
-  /** Time of the assignment on this node's steady clock, in ms. */
+  /** Time of the assignment on this node's monotonic clock, in ms. */
   readonly assignedAt: number;
 }
 
--- a/src/controller/model/machine.ts
+++ b/src/controller/model/machine.ts
@@ -15,7 +15,7 @@
 
 /**
  * A machine, its worker's agent epoch and the assignments to it, which have the type `TAssignment`.
- * All times are on the steady clock, in ms.
+ * All times are on the monotonic clock, in ms.
  */
 export class MachineState<TAssignment extends MachineAssignment> {
   // Properties reported by heartbeats and by the cloud's list.
@@ -38,9 +38,9 @@
 
   // The worker's agent epoch and lease.
 
-  /** The worker increments it after each lease that ended; 0 before the first heartbeat. */
+  /** Incremented by the worker after each of its leases has ended; 0 before the first heartbeat. */
   agentEpoch = 0;
-  /** Agent epochs below this one have ended, even if the worker has not begun a new one yet. */
+  /** Agent epochs below this number have ended, even if the worker has not begun a new one yet. */
   lowestValidAgentEpoch = 0;
   /** Sequence number of the last heartbeat in the present agent epoch. */
   lastHeartbeatSequence: number | bigint = 0;
@@ -57,7 +57,10 @@
 
   // Fencing tokens, which also show whether responses reach the worker; see `FencingTokenSync`.
 
-  /** Low part of the fencing token; raised to invalidate the direct commands sent before. */
+  /**
+   * Low part of the fencing token; raised to invalidate direct commands that were sent before, or
+   * to check whether responses reach the worker.
+   */
   fencingEpoch = 0;
   /** The fencing token that the worker has to report before tasks are placed on the machine. */
   expectedToken = 0;
@@ -77,10 +80,10 @@
   /** `HeartbeatInProgress.heartbeatNumber` of the last of these heartbeats. */
   lastLostStartHeartbeat = 0;
   /**
-   * Attempts started by direct commands in this agent epoch, with the fencing token of the command.
-   * Until the worker reports a higher token, it may still carry out a copy of the command. Until
-   * then, a heartbeat without the task does not prove that it is gone, and `clear` has to carry a
-   * higher token (invariant 6).
+   * Fencing tokens of the direct commands that started attempts in this agent epoch, by attempt
+   * (see `attemptKey`). Until the worker reports a higher token, it may still carry out a copy of
+   * the command. Until then, a heartbeat without the task does not prove that the task is gone, and
+   * `clear` has to carry a higher token (invariant 6).
    */
   readonly directStartTokens = new Map<string, number>();
   /** Number of calls with direct commands that have not been answered. */
@@ -105,8 +108,8 @@
   /** Images known to be cached on the machine with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
   /**
-   * Ids of jobs that failed on the machine since a task was last completed on it or it was last
-   * quarantined.
+   * Ids of jobs that have failed on the machine since its last quarantine, and since a task was
+   * last completed on it.
    */
   readonly failedJobs = new Set<string>();
   /** Number of quarantines since a task was last completed on the machine. */
@@ -165,7 +168,7 @@
   }
 
   /**
-   * Removes the least recently used images from the list until the rest fit in the machine's cache.
+   * Removes the least recently used images until the remaining ones fit in the machine's cache.
    * The most recently used image is always kept.
    */
   private evictImages(cacheGb: number): void {
--- a/src/controller/model/pending-tasks.ts
+++ b/src/controller/model/pending-tasks.ts
@@ -2,7 +2,7 @@
 
 /**
  * The tasks of a job that wait to be placed. Each is queued at most once. Requeued tasks come
- * first, the one requeued last before the others, and then the remaining tasks in ascending order.
+ * first, starting with the most recently requeued; then all others follow in ascending order.
  */
 export class PendingTasks {
   /** The pending tasks in reverse order: the last element is the next task. */
--- a/src/controller/model/resource-request.ts
+++ b/src/controller/model/resource-request.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * Amounts are decimal fractions; comparisons of their sums allow for rounding errors up to this
- * amount.
+ * Rounding error that comparisons of amounts tolerate, in CPUs, GPUs or GB. Amounts are decimal
+ * fractions, so their sums are not exact.
  */
 export const AMOUNT_TOLERANCE = 1e-6;
 
