--- a/src/controller/jobs/admission.ts
+++ b/src/controller/jobs/admission.ts
@@ -1,6 +1,6 @@
 /**
- * Admission of submitted jobs. A job is refused only if it could never run. One that merely has to
- * wait for capacity is admitted.
+ * Admission of submitted jobs. A job is refused only if it could never run. A job that merely has
+ * to wait for capacity is admitted.
  */
 import type { Team } from '../settings/platform.js';
 import { Settings } from '../settings/settings.js';
--- a/src/controller/jobs/api-response.ts
+++ b/src/controller/jobs/api-response.ts
@@ -15,7 +15,7 @@
   encodedBody?: EncodedBody;
   /** Value of the Retry-After header in seconds. */
   retryAfterS?: number;
-  /** Value of the Allow header: the method that the path supports, if the request had another. */
+  /** Value of the Allow header: the method that the path supports; set if the request's differs. */
   allow?: string;
 }
 
--- a/src/controller/jobs/bounded-map.ts
+++ b/src/controller/jobs/bounded-map.ts
@@ -8,7 +8,7 @@
   /** @param maxEntries - maximum number of entries */
   constructor(private readonly maxEntries: number) {}
 
-  /** Returns the value of the key, or undefined if it was never set, deleted or dropped. */
+  /** Returns the value of the key, or undefined if the map does not contain the key. */
   get(key: string): Value | undefined {
     return this.entries.get(key);
   }
--- a/src/controller/jobs/completion-records.ts
+++ b/src/controller/jobs/completion-records.ts
@@ -2,7 +2,7 @@
 import type { RecordStore } from '../store/record-store.js';
 import type { Job } from '../model/entities.js';
 
-/** Number of tasks covered by one record, which is called a chunk here. */
+/** Number of tasks covered by one record. The tasks covered by one record are called a chunk. */
 const TASKS_PER_RECORD = 8192;
 const BITS_PER_BYTE = 8;
 const KEY_PREFIX = 'p/';
@@ -28,7 +28,7 @@
   return bits.toString('base64');
 }
 
-/** Marks the tasks as done whose bits are set in a chunk's record. */
+/** Marks as done the tasks whose bits are set in the chunk's record. */
 function decodeChunk(job: Job, chunk: number, value: string): void {
   const bits = Buffer.from(value, 'base64');
   const firstTask = chunk * TASKS_PER_RECORD;
@@ -59,7 +59,7 @@
   ) {}
 
   /**
-   * Marks the tasks as done that previous leaders have recorded as completed, and removes the
+   * Marks as done the tasks whose completion previous leaders have recorded, and removes the
    * records of jobs that are no longer active.
    *
    * @param jobs - all active jobs by id
--- a/src/controller/jobs/frontend-context.ts
+++ b/src/controller/jobs/frontend-context.ts
@@ -8,11 +8,11 @@
 import type { Respond } from './api-response.js';
 import type { JobStateCache } from './job-state-cache.js';
 
-/** Queries and notifications of the frontend to the other parts of the controller. */
+/** Queries and notifications from the frontend to the other modules of the controller. */
 export interface FrontendHooks {
   /** Returns the machine types of the cloud, or null if they have not been loaded yet. */
   machineTypes(): MachineType[] | null;
-  /** Returns the job's last known progress for display, or null if this node has received none. */
+  /** Returns the job's last known progress for display, or null if this node knows none. */
   progress(id: string): JobStatus | null;
   /** This node has accepted a job. */
   onAccepted(id: string): void;
@@ -23,7 +23,7 @@
 /** Time-out of calls to the state store that a user's request waits for, in milliseconds. */
 export const CALL_TIMEOUT_MS = 1500;
 
-/** Minimum delay before a retry while the state store is unavailable, in milliseconds. */
+/** Minimum retry delay given to users while the state store is unavailable, in milliseconds. */
 const UNAVAILABLE_RETRY_MS = 1000;
 
 /** Dependencies and caches of submissions, status queries and cancellations. */
@@ -33,11 +33,11 @@
   readonly client: StateStoreClient;
   readonly hooks: FrontendHooks;
   readonly jobStates: JobStateCache;
-  /** Writes of submissions and cancellations, many in one transaction. */
+  /** Combines the writes of several submissions and cancellations into one transaction. */
   readonly writes: GroupCommit;
 }
 
-/** Responds with 503 and the time after which the state store is expected to take the request. */
+/** Responds with 503 and the delay after which the state store is expected to be available. */
 export function respondRetryLater({ writes, client }: FrontendContext, respond: Respond): void {
   const waitMs = Math.max(writes.waitMs(), client.health.isUnavailable ? UNAVAILABLE_RETRY_MS : 0);
   const retryAfterS = Math.max(1, Math.ceil(waitMs / 1000));
--- a/src/controller/jobs/job-progress.ts
+++ b/src/controller/jobs/job-progress.ts
@@ -38,7 +38,7 @@
   }
 }
 
-/** Returns the progress of the jobs that have changed since the last call. */
+/** Returns the progress of each job whose progress may have changed since the last call. */
 export function takeChangedProgress(jobs: Iterable<Job>): JobProgress[] {
   const changedProgress: JobProgress[] = [];
   for (const job of jobs) {
--- a/src/controller/jobs/job-state-cache.ts
+++ b/src/controller/jobs/job-state-cache.ts
@@ -2,7 +2,7 @@
 import type { TerminalState } from '../wire/jobs.js';
 import { BoundedMap } from './bounded-map.js';
 
-/** Stored for an active record that exists, but whose version this node doesn't know. */
+/** Value in `activeVersions` of a job that is active, but whose version this node doesn't know. */
 const VERSION_UNKNOWN = 0;
 
 /**
@@ -14,7 +14,7 @@
   /** Versions of active records, for the conditions of transactions that replace them. */
   private readonly activeVersions: BoundedMap<number>;
 
-  /** @param maxJobs - maximum number of terminal jobs, and also of active jobs */
+  /** @param maxJobs - maximum number of terminal jobs and, counted separately, of active jobs */
   constructor(maxJobs: number) {
     this.terminalStates = new BoundedMap(maxJobs);
     this.activeVersions = new BoundedMap(maxJobs);
--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -100,7 +100,7 @@
         assert.deepEqual(fixture.events, []);
       });
 
-    it('computes its age from the recorded time of acceptance, and never a negative age', () => {
+    it('computes the age of a job from its recorded time of acceptance, but never below 0', () => {
       const { runtime, table } = fixture;
       runtime.advance(5000);
       const ages = [2000, 9000].map((acceptedAt) => {
@@ -194,8 +194,9 @@
     });
   });
 
-  // World seed 5: a leader that did not know yet that it had been replaced saw its successor remove
-  // the active record of a job that had ended. It must not infer the terminal state from that.
+  // Found with simulation seed 5: a leader that did not know yet that it had been replaced saw its
+  // successor remove the active record of a job that had ended. From this removal alone it must not
+  // infer how the job ended.
   describe('when the active record of a job is removed', () => {
     it('reports the terminal state only after reading it', () => {
       fixture.add();
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -10,7 +10,7 @@
 import { JobEndRecorder } from './job-end-recorder.js';
 import { readActiveRecord, type ActiveRecord } from './job-records.js';
 
-/** Notifications of the table to the other parts of the leader. */
+/** Notifications from the job table to the other modules of the leader. */
 export interface JobTableHooks {
   /** A job was added to the table. */
   onJobAdded(job: Job): void;
@@ -28,7 +28,7 @@
   onJobTerminated(job: Job): void;
 }
 
-/** All active jobs that the leader knows. */
+/** All active jobs that are known to the leader. */
 export class JobTable {
   /** Active jobs by id. */
   readonly jobs = new Map<string, Job>();
@@ -103,7 +103,7 @@
 
   /**
    * Reports a gang that is incomplete or mixes attempts, so that it is stopped. Its tasks become
-   * pending, all together, only after the remaining members are gone.
+   * pending together, but only after all members that are still assigned are gone.
    */
   private recoverGang(job: Job): void {
     const assignments = [...job.currentAssignments.values()];
@@ -120,9 +120,9 @@
   }
 
   /**
-   * Marks a task as done that a heartbeat has reported as done. The worker may be sent the command
-   * to clear it only after the completion has been recorded (invariant 4). Has no effect on
-   * replicas of services, which are never done.
+   * Marks a task as done, because a heartbeat has reported its completion or that of another member
+   * of its gang. The worker may be sent the command to clear the task only after the completion has
+   * been recorded (invariant 4). Has no effect on replicas of services, which are never done.
    */
   markDone(job: Job, task: number): void {
     if (job.terminalState !== null || job.isService || job.done[task] === 1) return;
@@ -149,7 +149,7 @@
     this.hooks.onTasksPending();
   }
 
-  /** Writes the completions since the last call. Called once per batch of events. */
+  /** Writes the completions added since the last call. Called once per batch of events. */
   flushCompletions(): void {
     this.completionRecords.flush();
   }
@@ -169,7 +169,7 @@
     this.endRecorder.readTerminalState(job);
   }
 
-  /** Ends a job whose cancellation was confirmed by a node. */
+  /** Ends a job whose cancellation was recorded by any of the controllers. */
   markCancelled(id: string): void {
     const job = this.jobs.get(id);
     if (job !== undefined) this.terminate(job, 'cancelled');
--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -24,7 +24,7 @@
 const SNAPSHOTS_PER_HEARTBEAT = 10;
 
 /**
- * Follows the active records in the state store, and measures how stale the result may be.
+ * Follows the active records in the state store, and measures how stale its view of them may be.
  *
  * A worker that receives a response keeps its tasks running for another worker lease. A node may
  * therefore answer a worker only if it knows every cancellation that was confirmed to a user more
@@ -72,8 +72,8 @@
   }
 
   /**
-   * True if the view is recent enough to answer workers, send commands and place tasks
-   * (invariant 8: no cancellation may be unknown that was confirmed longer ago than the limit).
+   * True if the view is recent enough to answer workers, send commands and place tasks (invariant
+   * 8: every cancellation that was confirmed longer ago than the maximum staleness is known).
    */
   get isFresh(): boolean {
     return (
--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -18,18 +18,18 @@
 export type RecordedStateCallback = (state: RecordedState) => void;
 
 /**
- * Maximum number of transactions of each of the two kinds per heartbeat interval. Full transactions
- * are sent in addition.
+ * Maximum number of query transactions per heartbeat interval for active jobs, and the same number
+ * for all other jobs. Transactions that are full are sent in addition.
  */
 const QUERIES_PER_HEARTBEAT = 25;
 
 /**
  * Queries the state store for the states of jobs. One transaction, which only compares versions,
- * serves many queries. A job that is known as active takes one comparison and any other job takes
- * two, so the two kinds are sent in separate transactions.
+ * serves many queries. A job that is known to be active takes one comparison and any other job
+ * takes two, so the two kinds are sent in separate transactions.
  */
 export class RecordedStates {
-  /** Queries for jobs that this node knows as active. */
+  /** Queries for jobs that this node knows to be active. */
   private readonly activeJobQueries: GroupCommit;
   /** Queries for all other jobs. */
   private readonly otherJobQueries: GroupCommit;
--- a/src/controller/jobs/submissions.test.ts
+++ b/src/controller/jobs/submissions.test.ts
@@ -39,7 +39,7 @@
   ];
   for (const [condition, body, status] of cases) {
     it(`that ${condition} gets ${status}`, () => assert.equal(statusOfSubmission(body), status));
-    // The job may have been accepted by another version, or before the settings were changed.
+    // The job may have been accepted by another version of the program or under other settings.
     it(`that ${condition} gets 200 if its job is already active`, () =>
       assert.equal(statusOfSubmission(body, [ID]), 200));
   }
@@ -67,7 +67,7 @@
   });
 });
 
-describe('a submission based on a valid service', () => {
+describe('a valid submission of a service that is changed', () => {
   const refusalCases: [condition: string, overrides: object, status: number][] = [
     ['is a gang without an estimated run time', { shape: 'gang' }, 400],
     ['is an array without an estimated run time', { shape: 'batch' }, 400],
@@ -79,6 +79,6 @@
     ['must be spread but has only one usable zone', { scatter: true }, 422],
   ];
   for (const [condition, overrides, status] of refusalCases)
-    it(`that ${condition} gets ${status}`, () =>
+    it(`so that it ${condition} gets ${status}`, () =>
       assert.equal(statusOfSubmission({ ...serviceSubmission, ...overrides }), status));
 });
