--- a/src/controller/workers/agent-epochs.ts
+++ b/src/controller/workers/agent-epochs.ts
@@ -1,6 +1,6 @@
 /**
  * Agent epochs of workers. A worker begins a new agent epoch after its lease has expired; the
- * leader ends an epoch once its lease has certainly expired.
+ * leader ends the worker's epoch once that lease has certainly expired.
  */
 import type { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
@@ -32,8 +32,8 @@
    */
   begin(machine: Machine, agentEpoch: number): void {
     this.assignments.endBeforeEpoch(machine, agentEpoch);
-    // Without an earlier epoch no new token is needed: the machine still has to acknowledge this
-    // term.
+    // If no earlier epoch is known, no new token is needed: the worker has not acknowledged the
+    // first token of this term yet.
     const hadEarlierEpoch = machine.agentEpoch > 0;
     machine.agentEpoch = agentEpoch;
     machine.directStartTokens.clear();
--- a/src/controller/workers/assignments.test.ts
+++ b/src/controller/workers/assignments.test.ts
@@ -37,9 +37,7 @@
     );
   }
 
-  /**
-   * Assigns the task, and puts the assignment in the phase that follows after its start was sent.
-   */
+  /** Assigns the task, and sets the phase of the assignment as if its start had been sent. */
   start(task: number): Assignment {
     this.assignments.assign(this.job, task, ATTEMPT, this.machine);
     const assignment = this.job.currentAssignments.get(task);
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -29,10 +29,10 @@
 }
 
 /**
- * All tasks that may be on a machine. A task is counted, against its team's limits too, until it is
- * proven gone (invariants 5 and 7): the agent epoch has advanced, the worker's lease has certainly
- * expired, the cloud has confirmed the release, or a heartbeat that was sent under this leader's
- * term and after the start was settled does not list the task.
+ * All tasks that may be on a machine. A task is counted, also against its team's limits, until one
+ * of these facts proves it gone (invariants 5 and 7): the agent epoch has advanced, the worker's
+ * lease has certainly expired, the cloud has confirmed the release, or a heartbeat that was sent
+ * under this leader's term and after the start was settled does not list the task.
  */
 export class Assignments {
   /** Number of tasks that are not yet proven gone, by job class. */
@@ -110,7 +110,7 @@
     this.restartGang(job);
   }
 
-  /** Stops all attempts of an ended job, including older attempts that are only on record. */
+  /** Stops all attempts of an ended job, including older attempts that are still on record. */
   stopAll(job: Job, reason: string): void {
     this.stopJob(job, 0, reason);
     for (const assignment of [...job.allAssignments]) this.stop(assignment, 0, reason);
@@ -129,8 +129,8 @@
   }
 
   /**
-   * Removes the assignment of a task whose completion has been recorded; from now on the worker may
-   * be told to clear the task.
+   * Removes the assignment of a task whose completion has been recorded. From now on the worker may
+   * be sent the command to clear the task.
    */
   completionRecorded(job: Job, task: number): void {
     const assignment = job.currentAssignments.get(task);
@@ -178,7 +178,7 @@
     for (let task = 0; task < job.spec.tasks; task++) this.jobTable.markDone(job, task);
   }
 
-  /** Counts the exit of a task that was not completed, and has the task run again. */
+  /** Counts the exit of a task that was not completed, and requeues the task or its whole gang. */
   private requeue(assignment: Assignment, job: Job, outcome: AssignmentOutcome): void {
     const { machine, task } = assignment;
     if (outcome !== 'unsent') this.jobTable.countExit(job, outcome);
@@ -189,8 +189,8 @@
   }
 
   /**
-   * Handles the loss of a gang member: stops the other members. As soon as none is left, all tasks
-   * of the gang are requeued.
+   * Handles the loss of a gang member: stops the other members. As soon as no member is left, all
+   * tasks of the gang are requeued.
    */
   private handleLostGangMember(job: Job): void {
     if (job.gangRestarting || job.isComplete) {
@@ -255,10 +255,9 @@
 }
 
 /**
- * Makes the assignment the current one of its task unless the task already has one of a later
- * attempt. An earlier leader may have reassigned a task to a second machine before it removed the
- * task from the record of the first. Both assignments count until heartbeats prove one of them
- * gone.
+ * Makes the assignment the current one of its task, unless the current one is of a later attempt.
+ * An earlier leader may have reassigned a task to a second machine before it removed the task from
+ * the record of the first machine. Both assignments count until one of the tasks is proven gone.
  */
 function attachLatestAttempt(job: Job, assignment: Assignment): void {
   const current = job.currentAssignments.get(assignment.task);
--- a/src/controller/workers/commands.test.ts
+++ b/src/controller/workers/commands.test.ts
@@ -46,7 +46,7 @@
     assert.deepEqual(commandsFor(assignment), []);
   });
 
-  it('stops a task without grace if its save takes too long or no checkpoint is needed', () => {
+  it('stops a saving task at once if the save takes too long or the stop allows no time', () => {
     const assignment = assignmentWith({ phase: 'seen', state: 'saving', stop: { ...STOP } });
     const { gangPeerExitS } = settings.platform.workers;
     const allowedMs = (10 * 2 + gangPeerExitS) * 1000 + settings.heartbeatIntervalMs;
--- a/src/controller/workers/commands.ts
+++ b/src/controller/workers/commands.ts
@@ -4,7 +4,9 @@
 import type { Heartbeat, WorkerCommand } from '../wire/workers.js';
 
 /**
- * A task may take this many times the job's declared checkpoint time to save; then it is stopped.
+ * Time that a task may take to save a checkpoint, as a multiple of the time declared by its job.
+ * `gang_peer_s` and one heartbeat interval are added to it. A task that takes longer after a stop
+ * was requested is stopped without a checkpoint.
  */
 const MAX_SAVE_TIME_RATIO = 2;
 
@@ -46,8 +48,8 @@
 }
 
 /**
- * Returns true if a task has exceeded its time to save, or was stopped without time for a
- * checkpoint.
+ * Returns true if a task that is saving a checkpoint has exceeded the allowed time, or if the stop
+ * allows no time for a checkpoint.
  */
 function isSaveOverdue(
   { checkpointSaveS }: Assignment,
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -19,7 +19,8 @@
 const KEY = attemptKey('req-1/0', ATTEMPT);
 
 /**
- * A machine that has acknowledged its token and has one recorded assignment; records calls to it.
+ * A machine that has acknowledged its token and has one recorded assignment. The calls to it are in
+ * `runtime.calls`.
  */
 class Fixture {
   readonly runtime = new ManualRuntime();
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -39,8 +39,8 @@
 /** Events that `DirectCommands` raises. */
 export interface DirectCommandEvents {
   /**
-   * A worker refused commands with a fencing token of this term, so it has seen a leader of that
-   * term.
+   * A worker refused commands and reported a fencing token of this term, so it has seen a leader of
+   * that term.
    */
   higherTermSeen(term: number): void;
 }
--- a/src/controller/workers/failure-tracker.test.ts
+++ b/src/controller/workers/failure-tracker.test.ts
@@ -43,14 +43,14 @@
     assert.ok(job.backoffUntil <= NOW + settings.workerLeaseMs * 2);
   });
 
-  it('pauses a machine without room for one heartbeat interval, but not the job', () => {
+  it('pauses the machine, not the job, for one heartbeat interval after a no_room exit', () => {
     const job = acceptedJob();
     failureTracker.recordFailure(machine, job, 'no_room');
     assert.equal(machine.unschedulableUntil, NOW + settings.heartbeatIntervalMs);
     assert.equal(job.backoffUntil, 0);
   });
 
-  it('makes a service avoid a machine on which its replicas exited, for a doubling time', () => {
+  it('makes a service avoid a machine on which its replicas exited, longer after each exit', () => {
     const service = acceptedJob({ kind: 'service' });
     failureTracker.recordFailure(machine, service, 'done');
     failureTracker.recordFailure(machine, service, 'other');
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -32,7 +32,10 @@
   'other',
 ]);
 
-/** Outcomes that do not count as a failure; the job pauses for one heartbeat interval. */
+/**
+ * Outcomes that do not count as a failure. Except for a service, no task of the job is placed for
+ * one heartbeat interval after them.
+ */
 const UNEXPLAINED_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'busy',
   'unknown',
@@ -69,8 +72,8 @@
   private recordError(machine: Machine, job: Job, now: number): void {
     job.failedMachines.add(machine.id);
     if (job.isService) {
-      // The replica may start on another machine immediately; the service backs off only if it has
-      // failed on several machines.
+      // The replica may start on another machine immediately. The service backs off only if it has
+      // failed on more than `fleet.strikes` machines.
       if (this.isFaulty(job)) job.backoffUntil = now + this.settings.heartbeatIntervalMs;
     } else {
       job.errorCount++;
--- a/src/controller/workers/fencing-token-sync.test.ts
+++ b/src/controller/workers/fencing-token-sync.test.ts
@@ -37,13 +37,13 @@
     assert.ok(fencingTokens.acknowledge(machine, TOKEN + 1));
   });
 
-  it('raises the fencing epoch once to void a direct start, until the raised token is reported', () => {
+  it('raises the fencing epoch only once to void a direct start, until a heartbeat reports it', () => {
     assert.ok(!fencingTokens.voidDirectStart(machine, 'req-1/0', 9));
     machine.directStartTokens.set(attemptKey('req-1/0', 9), fencingTokens.currentToken(machine));
     assert.ok(fencingTokens.voidDirectStart(machine, 'req-1/0', 9));
     assert.ok(
       fencingTokens.voidDirectStart(machine, 'req-1/0', 9),
-      'void until the raised token is reported',
+      'the start may be carried out until the raised token is reported',
     );
     assert.equal(machine.fencingEpoch, 1);
     fencingTokens.acknowledge(machine, TOKEN + 1);
--- a/src/controller/workers/fencing-token-sync.ts
+++ b/src/controller/workers/fencing-token-sync.ts
@@ -1,6 +1,6 @@
 /**
- * Raises the fencing tokens of workers. The tokens in heartbeats show to which workers the leader's
- * responses get through.
+ * Raises the fencing tokens of workers. The tokens in heartbeats show which workers receive the
+ * leader's responses.
  */
 import { attemptKey, type Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Returns true if the token is of this term, so that the worker that reported it has seen this
-   * leader.
+   * Returns true if the token is of this term. The worker that reported it has then received a
+   * message from this leader.
    */
   isOfThisTerm(token: number | bigint): boolean {
     return termOfToken(token) === this.term;
--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -12,8 +12,8 @@
 
 /**
  * The response to a heartbeat. Only status 200 renews the worker's lease. A heartbeat that arrives
- * out of order, or that belongs to an agent epoch that has ended, must not renew it and is answered
- * with 503.
+ * out of order, that belongs to an agent epoch that has ended, or whose machine was removed, must
+ * not renew the lease and is answered with 503.
  */
 export type HeartbeatResponse = { status: 200; body: unknown } | { status: 503 };
 
@@ -23,6 +23,7 @@
 export interface HeartbeatEvents {
   /**
    * A heartbeat carried a fencing token of this term, so the worker has seen a leader of that term.
+   * Raised for every heartbeat; the term need not be higher than this leader's own.
    */
   higherTermSeen(term: number): void;
   /** The set of usable machines may have changed: a placement pass is needed. */
@@ -51,7 +52,7 @@
   handle(heartbeat: Heartbeat): HeartbeatResponse {
     this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
     // The network may deliver copies of a heartbeat after the cloud has confirmed that the machine
-    // is gone; such a copy must not register the machine again.
+    // is gone. Such a copy must not register the machine again.
     if (this.registry.wasRemoved(heartbeat.machine)) return REFUSED;
     const machine = this.registry.getOrCreate(heartbeat.machine);
     if (isOutdated(heartbeat, machine)) return REFUSED;
@@ -89,8 +90,8 @@
   private reconcile(inProgress: HeartbeatInProgress, now: number): void {
     const { machine, heartbeat, heartbeatNumber, sentUnderThisTerm, commands } = inProgress;
     for (const task of heartbeat.tasks) this.reconciliation.reconcileReportedTask(inProgress, task);
-    // Assignments that end are deleted from the map during the loop; iteration over a Map allows
-    // that.
+    // Assignments that end are deleted from the map during the loop, which iteration over a Map
+    // allows.
     for (const assignment of machine.assignments.values()) {
       const isMissing =
         assignment.lastHeartbeatNumber !== heartbeatNumber && assignment.phase !== 'ended';
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -45,7 +45,7 @@
     this.lastTickAt = now;
   }
 
-  /** Time in ms for which the machine has sent no heartbeat although this node could answer one. */
+  /** Time in ms without a heartbeat of the machine although this node could have answered one. */
   unresponsiveMs(machine: Machine): number {
     const unresponsiveSince = Math.max(
       machine.lastHeartbeatAt,
@@ -57,7 +57,7 @@
 
   /**
    * Time in ms for which the machine has not acknowledged its fencing token although this node
-   * could answer its heartbeats; 0 if it has acknowledged the token.
+   * could have answered its heartbeats; 0 if it has acknowledged the token.
    */
   unacknowledgedMs(machine: Machine): number {
     if (machine.tokenAcknowledged) return 0;
@@ -72,10 +72,11 @@
   }
 
   /**
-   * Share, from 0 to 1, of machines whose heartbeats are overdue by more than `overdueByMs`
-   * although this node could have answered them. Machines whose agent epoch has ended or that have
-   * failed according to the cloud are not expected to send heartbeats, and are not counted. If
-   * `excludeUnseen` is true, machines that have sent no heartbeat in this term are not counted.
+   * Returns the share, from 0 to 1, of the machines whose heartbeats are overdue by more than
+   * `minOverdueMs` although this node could have answered them. Machines whose agent epoch has
+   * ended or that have failed according to the cloud are not expected to send heartbeats, and are
+   * not counted. With `onlySeenInThisTerm` only machines that have sent a heartbeat in this term
+   * are counted.
    */
   overdueShare(minOverdueMs: number, onlySeenInThisTerm: boolean): number {
     const allowedMs =
--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -58,7 +58,7 @@
   return encodeMachineRecord(machine, settings, NOW, WALL_CLOCK_NOW);
 }
 
-describe('Machine record', () => {
+describe('a machine record', () => {
   it('preserves each task, its request, and its time within two heartbeat intervals', () => {
     fc.assert(
       fc.property(assignedTasks, (tasks) => {
@@ -81,7 +81,7 @@
     );
   });
 
-  it('is no larger than the tracked size, which is 0 after all tasks are removed', () => {
+  it('takes at most the tracked size for its tasks, which is 0 after all tasks are removed', () => {
     fc.assert(
       fc.property(assignedTasks, (tasks) => {
         const machine = machineWith(tasks);
--- a/src/controller/workers/machine-record.ts
+++ b/src/controller/workers/machine-record.ts
@@ -1,6 +1,6 @@
 /**
  * Encodes and decodes the two records of a machine: one holds the machine and its assignments, the
- * other its cached images. The format of both lists is fixed, because leaders that run other
+ * other its cached images. Both are lists in a fixed format, because leaders that run other
  * versions of the program read them.
  */
 import type { Assignment, Machine, RecordedTask } from '../model/entities.js';
@@ -29,8 +29,8 @@
 /**
  * Encodes the machine's record: agent epoch, type, zone, 1 for a spot machine or else 0, address,
  * and for each job its tasks, grouped by attempt and time of assignment. Times are wall-clock
- * milliseconds, because the steady clocks of controllers cannot be compared. The record is encoded
- * each time a task is added or removed, so this function builds no string per task.
+ * milliseconds, because the monotonic clocks of controllers cannot be compared. The record is
+ * encoded each time a task is added or removed, so this function builds no string per task.
  */
 export function encodeMachineRecord(
   machine: Machine,
--- a/src/controller/workers/machine-registry.test.ts
+++ b/src/controller/workers/machine-registry.test.ts
@@ -31,9 +31,9 @@
     assert.equal(machine.zone, 'b');
   });
 
-  // Guards against dropping names by number instead of age: in a large fleet, a late copy of an old
+  // Guards against dropping ids because there are too many: in a large fleet, a late copy of an old
   // heartbeat could then register a removed machine again.
-  it('keeps the names of removed machines for minutes, regardless of their number', () => {
+  it('keeps the ids of removed machines for minutes, regardless of their number', () => {
     for (let i = 1; i <= 30_000; i++) registry.remove(registry.getOrCreate(`n-${i}`));
     assert.equal(registry.machines.size, 0);
     assert.ok(registry.wasRemoved('n-1'));
--- a/src/controller/workers/machine-registry.ts
+++ b/src/controller/workers/machine-registry.ts
@@ -1,4 +1,4 @@
-/** Registry of the machines known to the leader and of the names of removed machines. */
+/** Registry of the machines known to the leader and of the ids of removed machines. */
 import { Machine } from '../model/entities.js';
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
@@ -6,9 +6,9 @@
 import type { FencingTokenSync } from './fencing-token-sync.js';
 
 /**
- * Time for which the name of a removed machine is kept, in worker leases. The network may deliver
- * copies of its heartbeats for minutes, so names are dropped by age only, never because there are
- * too many.
+ * Time for which the id of a removed machine is kept, in worker leases. The network may deliver
+ * copies of its heartbeats for minutes, so ids are dropped by age only, never because there are too
+ * many.
  */
 const REMOVED_MACHINE_RETENTION_LEASES = 60;
 
@@ -21,12 +21,12 @@
   addr: string;
 }
 
-/** Holds the machines by name, and the names of machines that were removed recently. */
+/** Holds the machines by id, and the ids of machines that were removed recently. */
 export class MachineRegistry {
   readonly machines = new Map<string, Machine>();
   /**
-   * Time of removal (steady clock, ms) by the name of the removed machine, oldest first. The cloud
-   * never reuses a name.
+   * Time of removal (monotonic clock, ms) by the id of the removed machine, oldest first. The cloud
+   * never reuses an id.
    */
   private readonly removedAtById = new Map<string, number>();
 
@@ -37,7 +37,7 @@
     private readonly findType: (name: string) => MachineType | undefined,
   ) {}
 
-  /** Returns the machine with this name, and creates it if it does not exist. */
+  /** Returns the machine with this id, and creates it if it does not exist. */
   getOrCreate(id: string): Machine {
     const existing = this.machines.get(id);
     if (existing !== undefined) return existing;
@@ -69,7 +69,7 @@
     if (changed) this.setDescription(machine, reported);
   }
 
-  /** Removes a machine that is permanently gone, and keeps its name for the retention time. */
+  /** Removes a machine that is permanently gone, and keeps its id for the retention time. */
   remove(machine: Machine): void {
     this.machines.delete(machine.id);
     this.removedAtById.set(machine.id, this.eventLoop.now());
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Returns true if a machine with this name was removed within the retention time. */
+  /** Returns true if the machine with this id was removed within the retention time. */
   wasRemoved(id: string): boolean {
     return this.removedAtById.has(id);
   }
--- a/src/controller/workers/machine-store.ts
+++ b/src/controller/workers/machine-store.ts
@@ -31,7 +31,8 @@
 /** Events that `MachineStore` raises after records were read or stored. */
 export interface MachineStoreEvents {
   /**
-   * A task was found in the machine's record. `assignedAt` is on this node's steady clock, in ms.
+   * A task was found in the machine's record. `assignedAt` is on this node's monotonic clock, in
+   * ms.
    */
   taskRestored(machine: Machine, task: RecordedTask, assignedAt: number): void;
   /**
--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -84,7 +84,7 @@
     assert.equal(fixture.assignment.phase, 'sent');
   });
 
-  it('clears a failed task at once, but a completed task only when that is recorded', () => {
+  it('clears a failed task at once, a completed task only after its completion is recorded', () => {
     const fixture = new Fixture();
     const commandsForFailure = fixture.reconcileReportedTask({ state: 'exited', cause: 'error' });
     assert.deepEqual(commandsForFailure, ['forget req-1/0']);
@@ -108,7 +108,7 @@
     assert.ok(fixture.events.includes('end done'));
   });
 
-  it('restarts a gang member that stopped waiting only while others fetch their image', () => {
+  it('restarts a gang member that stopped waiting, but only while others fetch their image', () => {
     const fixture = new Fixture(acceptedJob({ kind: 'gang' }));
     const other = planAssignment(fixture.job, 1, ATTEMPT, newMachine('n-2'), 0);
     fixture.job.currentAssignments.set(1, other);
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -19,8 +19,8 @@
   readonly heartbeatNumber: number;
   /**
    * Whether the worker had seen this leader's term when it sent the heartbeat. If not, the
-   * heartbeat may be arbitrarily old, and the previous leader may since have started a task that it
-   * does not list.
+   * heartbeat may be arbitrarily old, and the previous leader may since have started a task that
+   * the heartbeat does not list.
    */
   readonly sentUnderThisTerm: boolean;
   /** Commands for the response; reconciliation appends to this list. */
@@ -36,7 +36,8 @@
 }
 
 /**
- * Updates assignments from the tasks that a heartbeat lists and from assigned tasks that it lacks.
+ * Updates assignments from the tasks that a heartbeat lists, and from the assigned tasks that are
+ * missing from it.
  */
 export class Reconciliation {
   constructor(
@@ -48,7 +49,8 @@
   ) {}
 
   /**
-   * Updates the assignment of a task that the heartbeat lists, or stops the task if it has none.
+   * Updates the assignment of a task that the heartbeat lists, or stops the task if it is not
+   * assigned to the machine. Tells the worker to clear the task if it has exited.
    */
   reconcileReportedTask(inProgress: HeartbeatInProgress, task: TaskStatus): void {
     const { machine } = inProgress;
@@ -86,7 +88,7 @@
     if (startSentSequence !== null && heartbeat.sequence <= startSentSequence) return;
     // A start that this leader sent and that never arrived may be sent again. A start that an
     // earlier leader sent may have arrived, and the task may have ended and been cleared since, so
-    // that attempt is ended.
+    // the attempt is ended.
     if (phase === 'seen' || startSentSequence === null || assignment.stop !== null) {
       this.assignments.end(assignment, 'lost');
       return;
@@ -122,8 +124,8 @@
 
   /**
    * Restarts a gang member that stopped waiting for its peers while other members still fetch their
-   * image. It keeps the same attempt: stopping the whole gang would discard the fetches in
-   * progress.
+   * image. The member keeps its attempt: a new attempt would require stopping the whole gang, which
+   * would discard the fetches in progress.
    */
   private restartGangMember(
     { machine, commands }: HeartbeatInProgress,
--- a/src/controller/workers/workers.test.ts
+++ b/src/controller/workers/workers.test.ts
@@ -143,7 +143,7 @@
   });
 
   for (const cause of ['done', 'error', 'other'] as const)
-    it(`replaces a replica that exited with ${cause} immediately, and avoids its machine`, () => {
+    it(`immediately replaces a replica that exited with ${cause}, and avoids its machine`, () => {
       const fixture = new WorkersFixture({ kind: 'service', tasks: 2, estimatedRunS: 0 });
       const { job, runtime } = fixture;
       fixture.receiveHeartbeat(0);
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -22,11 +22,14 @@
 import { Reconciliation, type ReconciliationEvents } from './reconciliation.js';
 import { TeamUsage } from './team-usage.js';
 
-/** Queries and events through which `Workers` uses the other modules of a leader. */
+/** Queries and events from `Workers` to the other modules of the leader. */
 export interface WorkersEvents {
   /** Returns the machine type with this name, or undefined if the catalogue does not contain it. */
   findMachineType(name: string): MachineType | undefined;
-  /** A worker has reported a fencing token of this term, so it has seen a leader of that term. */
+  /**
+   * A worker has reported a fencing token of this term, so it has seen a leader of that term.
+   * Raised for every heartbeat; the term need not be higher than this leader's own.
+   */
   higherTermSeen(term: number): void;
   /** Capacity, tasks or machines changed: a placement pass is needed. */
   placementInputChanged(): void;
@@ -120,7 +123,7 @@
     return this.assignments.count;
   }
 
-  /** Returns the machine with this name, and creates it if it does not exist. */
+  /** Returns the machine with this id, and creates it if it does not exist. */
   getOrCreateMachine(id: string): Machine {
     return this.registry.getOrCreate(id);
   }
@@ -145,7 +148,7 @@
     this.assignments.assign(job, task, attempt, machine);
   }
 
-  /** Stops one task; it has `graceS` seconds to save a checkpoint. */
+  /** Stops one task, which has `graceS` seconds to save a checkpoint. */
   stop(assignment: Assignment, graceS: number, reason: string): void {
     this.assignments.stop(assignment, graceS, reason);
   }
@@ -158,7 +161,7 @@
     this.assignments.stopJob(job, graceS, reason);
   }
 
-  /** Stops all attempts of an ended job, including older attempts that are only on record. */
+  /** Stops all attempts of an ended job, including older attempts that are still on record. */
   stopAll(job: Job, reason: string): void {
     this.assignments.stopAll(job, reason);
   }
@@ -172,8 +175,8 @@
   }
 
   /**
-   * Removes the assignment of a task whose completion has been recorded; from now on the worker may
-   * be told to clear the task.
+   * Removes the assignment of a task whose completion has been recorded. From now on the worker may
+   * be sent the command to clear the task.
    */
   completionRecorded(job: Job, task: number): void {
     this.assignments.completionRecorded(job, task);
@@ -212,21 +215,22 @@
     this.liveness.setAnswering(mayAnswer, intervalMs);
   }
 
-  /** Time in ms for which the machine has sent no heartbeat although this node could answer one. */
+  /** Time in ms without a heartbeat of the machine although this node could have answered one. */
   unresponsiveMs(machine: Machine): number {
     return this.liveness.unresponsiveMs(machine);
   }
 
   /**
    * Time in ms for which the machine has not acknowledged its fencing token although this node
-   * could answer its heartbeats; 0 if it has acknowledged the token.
+   * could have answered its heartbeats; 0 if it has acknowledged the token.
    */
   unacknowledgedMs(machine: Machine): number {
     return this.liveness.unacknowledgedMs(machine);
   }
 
   /**
-   * Share of machines whose heartbeats are overdue by `overdueByMs`; see `Liveness.overdueShare`.
+   * Returns the share, from 0 to 1, of the machines whose heartbeats are overdue by more than
+   * `minOverdueMs`; see `Liveness.overdueShare`.
    */
   overdueShare(minOverdueMs: number, onlySeenInThisTerm: boolean): number {
     return this.liveness.overdueShare(minOverdueMs, onlySeenInThisTerm);
