--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -53,8 +53,8 @@
       if (machine !== undefined) machine.releasing = true;
     }
     this.send(batch, reason);
-    const rest = machineIds.slice(MAX_MACHINES_PER_REQUEST);
-    if (rest.length > 0) this.release(rest, reason);
+    const remainingIds = machineIds.slice(MAX_MACHINES_PER_REQUEST);
+    if (remainingIds.length > 0) this.release(remainingIds, reason);
   }
 
   private send(batch: string[], reason: string): void {
