--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -31,11 +31,11 @@
    * twice the previous one, up to a limit; if the cloud has launched some machines, it is the shortest again.
    */
   recordShortage(kind: MachineKind, now: number, someLaunched: boolean): void {
-    const previous = this.pauses.get(machineKindKey(kind));
+    const previousPause = this.pauses.get(machineKindKey(kind));
     const durationMs =
-      previous === undefined || someLaunched
+      previousPause === undefined || someLaunched
         ? this.firstPauseMs
-        : Math.min(previous.durationMs * 2, this.firstPauseMs * MAX_PAUSE_FACTOR);
+        : Math.min(previousPause.durationMs * 2, this.firstPauseMs * MAX_PAUSE_FACTOR);
     this.pauses.set(machineKindKey(kind), { until: now + durationMs, durationMs });
   }
 
