--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -39,7 +39,7 @@
   it('measures the time without jobs only from the end of an interruption', () => {
     const { arrivals, lastAt } = monitorAfterArrivals(GAP_MS, 400_000);
     const resumedAt = lastAt + 60_000;
-    arrivals.noteInterruption(resumedAt);
+    arrivals.recordInterruption(resumedAt);
     assert.ok(!arrivals.haveStopped(resumedAt + GAP_MS));
     assert.ok(arrivals.haveStopped(resumedAt + 15 * GAP_MS));
   });
--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -56,7 +56,7 @@
    * Restarts the current gap after an interruption in which no job could arrive, such as an outage or a stall
    * of this process.
    */
-  noteInterruption(now: number): void {
+  recordInterruption(now: number): void {
     this.gapStart = now;
   }
 
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -109,7 +109,7 @@
 
   private observeArrivals(now: number): void {
     const interruptionMs = this.settings.leaderLeaseMs * INTERRUPTION_LEASES;
-    if (now - this.lastStepAt > interruptionMs) this.arrivals.noteInterruption(now);
+    if (now - this.lastStepAt > interruptionMs) this.arrivals.recordInterruption(now);
     this.lastStepAt = now;
     this.arrivals.observe(this.submissionTimes(), now);
   }
