--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -82,13 +82,13 @@
 
   /** Returns how many more machines may be selected now; 0 or less if none. */
   private releaseBudget(now: number): number {
-    const share = this.settings.get('fleet.replicas.silent.share');
+    const maxShare = this.settings.get('fleet.replicas.silent.share');
     // If many machines are unresponsive, the network is probably at fault, possibly at this node.
-    if (this.workers.overdueShare(0, false) > share) return 0;
+    if (this.workers.overdueShare(0, false) > maxShare) return 0;
     this.selectionTimes = this.selectionTimes.filter(
       (selectedAt) => now - selectedAt < this.settings.workerLeaseMs,
     );
-    return Math.ceil(this.workers.machines.size * share) - this.selectionTimes.length;
+    return Math.ceil(this.workers.machines.size * maxShare) - this.selectionTimes.length;
   }
 
   private isUnresponsive(machine: Machine, now: number): boolean {
