--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -11,7 +11,11 @@
 const unresponsiveLimitMs = settings.workerLeaseExpiryMs * settings.get('fleet.silent.ratio');
 const idleLimitMs = settings.workerLeaseMs * settings.get('fleet.idle.ratio');
 const bootMs = plainType.bootS * 1000;
-const steady: WorkloadState = { noWork: false, scaleOutRefused: false, arrivalsStopped: false };
+const steadyWorkload: WorkloadState = {
+  noWork: false,
+  scaleOutRefused: false,
+  arrivalsStopped: false,
+};
 
 describe('UnusedMachines', () => {
   let workers: FleetFixture['workers'];
@@ -34,7 +38,7 @@
     workers.unresponsive.set('unresponsive', unresponsiveLimitMs + 1);
     workers.add('up');
     booting.set('late', { ...bootingMachine, knownSince: 0, listedAsRunning: false });
-    assert.deepEqual(unused.find(0, steady), ['late', 'failed', 'unresponsive']);
+    assert.deepEqual(unused.find(0, steadyWorkload), ['late', 'failed', 'unresponsive']);
     assert.equal(booting.size, 0);
   });
 
@@ -42,33 +46,33 @@
   // run but have no record yet.
   it('gives a machine that is listed as running time to find this leader', () => {
     booting.set('partitioned', { ...bootingMachine, knownSince: 0, listedAsRunning: true });
-    assert.deepEqual(unused.find(unresponsiveLimitMs, steady), []);
-    assert.deepEqual(unused.find(unresponsiveLimitMs + 1, steady), ['partitioned']);
+    assert.deepEqual(unused.find(unresponsiveLimitMs, steadyWorkload), []);
+    assert.deepEqual(unused.find(unresponsiveLimitMs + 1, steadyWorkload), ['partitioned']);
   });
 
   it('removes an unresponsive machine that the cloud no longer lists', () => {
     workers.add('gone').cloudState = 'absent';
     workers.unresponsive.set('gone', unresponsiveLimitMs + 1);
-    assert.deepEqual(unused.find(unresponsiveLimitMs * 2, steady), []);
+    assert.deepEqual(unused.find(unresponsiveLimitMs * 2, steadyWorkload), []);
     assert.equal(workers.machines.size, 1);
-    assert.deepEqual(unused.find(unresponsiveLimitMs * 2 + 1, steady), []);
+    assert.deepEqual(unused.find(unresponsiveLimitMs * 2 + 1, steadyWorkload), []);
     assert.equal(workers.machines.size, 0);
   });
 
   it('keeps one idle machine of each type and market unless there is no work', () => {
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
-    assert.deepEqual(unused.find(idleLimitMs, steady), []);
-    assert.deepEqual(unused.find(idleLimitMs + 1, steady), ['n-1', 'n-2']);
-    const remaining = unused.find(idleLimitMs + 1, { ...steady, noWork: true });
+    assert.deepEqual(unused.find(idleLimitMs, steadyWorkload), []);
+    assert.deepEqual(unused.find(idleLimitMs + 1, steadyWorkload), ['n-1', 'n-2']);
+    const remaining = unused.find(idleLimitMs + 1, { ...steadyWorkload, noWork: true });
     assert.ok(remaining.includes('n-3'));
   });
 
   // Idle machines cost as much as busy ones, so they are not kept for jobs that no longer arrive.
   it('keeps idle machines no longer than a boot takes once arrivals have stopped', () => {
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
-    const stopped = { ...steady, arrivalsStopped: true };
+    const stopped = { ...steadyWorkload, arrivalsStopped: true };
     assert.deepEqual(unused.find(bootMs, stopped), []);
-    assert.deepEqual(unused.find(bootMs + 1, steady), []);
+    assert.deepEqual(unused.find(bootMs + 1, steadyWorkload), []);
     assert.deepEqual(unused.find(bootMs + 1, stopped), ['n-1', 'n-2']);
   });
 });
