--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -70,9 +70,9 @@
   // Idle machines cost as much as busy ones, so they are not kept for jobs that no longer arrive.
   it('keeps idle machines no longer than a boot takes once arrivals have stopped', () => {
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
-    const stopped = { ...steadyWorkload, arrivalsStopped: true };
-    assert.deepEqual(unused.find(bootMs, stopped), []);
+    const stoppedWorkload = { ...steadyWorkload, arrivalsStopped: true };
+    assert.deepEqual(unused.find(bootMs, stoppedWorkload), []);
     assert.deepEqual(unused.find(bootMs + 1, steadyWorkload), []);
-    assert.deepEqual(unused.find(bootMs + 1, stopped), ['n-1', 'n-2']);
+    assert.deepEqual(unused.find(bootMs + 1, stoppedWorkload), ['n-1', 'n-2']);
   });
 });
