--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -63,8 +63,8 @@
     for (const id of ['n-1', 'n-2', 'n-3']) workers.add(id);
     assert.deepEqual(unused.find(idleLimitMs, steadyWorkload), []);
     assert.deepEqual(unused.find(idleLimitMs + 1, steadyWorkload), ['n-1', 'n-2']);
-    const remaining = unused.find(idleLimitMs + 1, { ...steadyWorkload, noWork: true });
-    assert.ok(remaining.includes('n-3'));
+    const idsWithoutWork = unused.find(idleLimitMs + 1, { ...steadyWorkload, noWork: true });
+    assert.ok(idsWithoutWork.includes('n-3'));
   });
 
   // Idle machines cost as much as busy ones, so they are not kept for jobs that no longer arrive.
