--- a/src/controller/fleet/headroom.test.ts
+++ b/src/controller/fleet/headroom.test.ts
@@ -18,13 +18,13 @@
   it('demands capacity for expected tasks that do not fit, until the class is forgotten', () => {
     const headroom = new Headroom({ ratio: 0.5, retentionMs: 1000 });
     headroom.observeClass(spec, 0);
-    const running = new Map([['c', 10]]);
+    const runningByClass = new Map([['c', 10]]);
     assert.deepEqual(
-      headroom.demand(1000, [freeMachine()], running).map((demand) => demand.tasks),
+      headroom.demand(1000, [freeMachine()], runningByClass).map((demand) => demand.tasks),
       [3],
     );
-    assert.deepEqual(headroom.demand(1001, [freeMachine()], running), []);
-    assert.deepEqual(headroom.demand(1000, [], running), []);
+    assert.deepEqual(headroom.demand(1001, [freeMachine()], runningByClass), []);
+    assert.deepEqual(headroom.demand(1000, [], runningByClass), []);
   });
 
   it('demands nothing when the expected tasks fit on the machines', () => {
