--- a/src/controller/fleet/scale-out.test.ts
+++ b/src/controller/fleet/scale-out.test.ts
@@ -17,10 +17,10 @@
     scaleOut.observeJob(arraySpec({ cpus: 4, spot: false }), 0);
     scaleOut.step(0, types, true);
     assert.ok(scaleOut.hasOpenRequests);
-    const first = runtime.answer(0);
+    const firstCall = runtime.answer(0);
     const second = runtime.answer(200, { kilns: [] });
-    assert.deepEqual(second.body, first.body);
-    assert.equal((first.body as { hire: string }).hire, 't7-1');
+    assert.deepEqual(second.body, firstCall.body);
+    assert.equal((firstCall.body as { hire: string }).hire, 't7-1');
     assert.ok(!scaleOut.hasOpenRequests);
     assert.ok(scaleOut.capacityRefused(0));
     scaleOut.step(0, types, true);
