--- a/src/controller/fleet/scale-out.test.ts
+++ b/src/controller/fleet/scale-out.test.ts
@@ -18,8 +18,8 @@
     scaleOut.step(0, types, true);
     assert.ok(scaleOut.hasOpenRequests);
     const firstCall = runtime.answer(0);
-    const second = runtime.answer(200, { kilns: [] });
-    assert.deepEqual(second.body, firstCall.body);
+    const retryCall = runtime.answer(200, { kilns: [] });
+    assert.deepEqual(retryCall.body, firstCall.body);
     assert.equal((firstCall.body as { hire: string }).hire, 't7-1');
     assert.ok(!scaleOut.hasOpenRequests);
     assert.ok(scaleOut.capacityRefused(0));
