--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -57,11 +57,11 @@
   // Guards against truncating a list without saying so: once, the response held only the first 200 machines
   // and nothing showed that there were more.
   it('stays within the response size limit and names the truncated lists', () => {
-    const first = view();
-    assert.ok(JSON.stringify(first).length < MAX_RESPONSE_BYTES);
-    assert.equal(first.machine_count, MACHINE_COUNT);
-    assert.equal(first.holds[0]?.machine_count, 30);
-    assert.deepEqual(first.cut, ['machines', 'holds', 'services', 'lacking']);
+    const firstView = view();
+    assert.ok(JSON.stringify(firstView).length < MAX_RESPONSE_BYTES);
+    assert.equal(firstView.machine_count, MACHINE_COUNT);
+    assert.equal(firstView.holds[0]?.machine_count, 30);
+    assert.deepEqual(firstView.cut, ['machines', 'holds', 'services', 'lacking']);
   });
 
   it('lists all machines over several responses when `after` is the last listed id', () => {
