--- a/src/controller/operators/readiness.ts
+++ b/src/controller/operators/readiness.ts
@@ -7,7 +7,7 @@
  * Largest time since the state store last served a node for it to count as served, as a ratio to the leader's
  * lease. It applies to this node and to its peers.
  */
-const UNSERVED_LEASE_SHARE = 0.4;
+const SERVED_LEASE_RATIO = 0.4;
 
 /**
  * Readiness of this node. It becomes ready once it knows the machine types and the state store has served one
@@ -31,7 +31,7 @@
       this.wasReady = this.typesKnown() && Number.isFinite(this.health.sinceSuccessMs);
       return this.wasReady;
     }
-    const maxSinceSuccessMs = this.settings.leaderLeaseMs * UNSERVED_LEASE_SHARE;
+    const maxSinceSuccessMs = this.settings.leaderLeaseMs * SERVED_LEASE_RATIO;
     return (
       this.health.sinceSuccessMs < maxSinceSuccessMs ||
       !this.health.isUnavailable ||
