--- a/src/controller/node/peer-server.ts
+++ b/src/controller/node/peer-server.ts
@@ -17,8 +17,8 @@
   onError: (err: Error) => void,
 ): void {
   const server = net.createServer((socket) => readPeerConnection(socket, controller));
-  const share = Math.floor(platform.quota.maxSockets * SOCKETS_SHARE);
-  server.maxConnections = Math.max(MIN_SOCKETS, share);
+  const socketsShare = Math.floor(platform.quota.maxSockets * SOCKETS_SHARE);
+  server.maxConnections = Math.max(MIN_SOCKETS, socketsShare);
   server.on('error', onError);
   const { host, port } = splitAddress(platform.internalAddr);
   server.listen(port, host);
