--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -43,11 +43,11 @@
 
 /** Reads a key with its value and version. */
 export function readKeyValue(body: unknown): KeyValue {
-  const map = requireStateMap(body);
+  const fields = requireStateMap(body);
   return {
-    key: readText(map, 'k'),
-    value: map['value'],
-    version: readSmallInt(map, 'stamp', 0, MAX_INTEGER),
+    key: readText(fields, 'k'),
+    value: fields['value'],
+    version: readSmallInt(fields, 'stamp', 0, MAX_INTEGER),
   };
 }
 
