--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -61,11 +61,11 @@
 
 /** Reads a response with one page of the keys that start with a prefix. */
 export function readRange(body: unknown): RangePage {
-  const map = requireStateMap(body);
+  const fields = requireStateMap(body);
   return {
-    items: readList(map, 'entries').map(readKeyValue),
-    more: readOptionalBoolean(map, 'has_next'),
-    revision: readSmallInt(map, 'ledger', 0, MAX_INTEGER),
+    items: readList(fields, 'entries').map(readKeyValue),
+    more: readOptionalBoolean(fields, 'has_next'),
+    revision: readSmallInt(fields, 'ledger', 0, MAX_INTEGER),
   };
 }
 
