--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -92,10 +92,10 @@
 
 /** Reads a response to a watch request. */
 export function readWatchEvents(body: unknown): WatchEvents {
-  const map = requireStateMap(body);
+  const fields = requireStateMap(body);
   return {
-    events: readList(map, 'log').map(readWatchEvent),
-    revision: readSmallInt(map, 'ledger', 0, MAX_INTEGER),
+    events: readList(fields, 'log').map(readWatchEvent),
+    revision: readSmallInt(fields, 'ledger', 0, MAX_INTEGER),
   };
 }
 
