--- a/src/controller/wire/jobs.test.ts
+++ b/src/controller/wire/jobs.test.ts
@@ -36,8 +36,8 @@
       assert.equal(writeJobSpec(readJobSpec({ ...submission, shape }))['shape'], shape));
 
   it('reads absent optional fields as null and ignores unknown fields', () => {
-    const absent = { hall: undefined, due_s: undefined, models: undefined };
-    const spec = readJobSpec({ ...submission, ...absent, unknown_field: 1 });
+    const absentFields = { hall: undefined, due_s: undefined, models: undefined };
+    const spec = readJobSpec({ ...submission, ...absentFields, unknown_field: 1 });
     assert.equal(spec.zone, null);
     assert.equal(spec.types, null);
     assert.equal(spec.deadlineS, null);
