--- a/src/controller/fleet/booting-machines.ts
+++ b/src/controller/fleet/booting-machines.ts
@@ -3,7 +3,7 @@
 
 /** A booting machine. Times are readings of the monotonic clock in ms. */
 export interface BootingMachine extends MachineKind {
-  /** When the launch was requested; for machines of another term computed from the age in the cloud's list. */
+  /** When the launch was requested; computed from the age in the cloud's list if another term requested it. */
   requestedAt: number;
   /** When this leader learned of the machine; for its own launches, when it requested them. */
   knownSince: number;
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -14,15 +14,15 @@
 
 const CALL_TIMEOUT_MS = 5000;
 const LIST_PAGE_SIZE = 500;
-/** Shortest delay before a page of the list that got no rate-limit token tries again. */
+/** Shortest delay before the next attempt to read a page of the list when no rate-limit token was available. */
 const MIN_TOKEN_WAIT_MS = 5;
-/** For this time after the cloud has answered 429, no rate-limit token is available. */
+/** Time after a response with status 429 in which no rate-limit token is available. */
 const RATE_LIMIT_PAUSE_MS = 500;
-/** Share of the cloud's rate limit for the leader; the rest is left for catalogue reads by followers. */
+/** Share of the cloud's rate limit that the leader uses; followers read the catalogue with the remaining share. */
 const LEADER_RATE_SHARE = 0.8;
-/** Largest share of the leader's calls used for listing machines, however many machines there are. */
+/** Largest share of the leader's calls that list machines, however many machines there are. */
 const LIST_RATE_SHARE = 0.4;
-/** Share of the token bucket's burst that launches leave for lists and releases. */
+/** Fraction of the token bucket's burst that launches leave for lists and releases. */
 const LAUNCH_TOKEN_RESERVE = 0.2;
 
 const STATUS_OK = 200;
@@ -46,7 +46,7 @@
 /** Outcome of listing all machines: `failed` if any page could not be read. */
 export type ListResult = { kind: 'listed'; machines: ListedMachine[] } | { kind: 'failed' };
 
-/** Outcome of reading one page of the machine list; `more`: whether another page follows. */
+/** Outcome of reading one page of the machine list; `more` says whether another page follows. */
 type PageResult = { kind: 'page'; machines: ListedMachine[]; more: boolean } | { kind: 'failed' };
 
 /** Makes the leader's calls to the cloud. */
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -16,8 +16,8 @@
 import { UnusedMachines, type WorkloadState } from './unused-machines.js';
 
 /**
- * If two steps are further apart than this many leader leases, the time between them counts as an
- * interruption of the service, in which no job could arrive.
+ * If more than this many leader leases pass between two steps, that time counts as an interruption of the
+ * service, in which no job could arrive.
  */
 const INTERRUPTION_LEASES = 2;
 /**
--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -10,7 +10,7 @@
 
 /** How much free capacity is kept for each job class, and for how long after its last job. */
 export interface HeadroomSettings {
-  /** Tasks to keep capacity for, at least one, as a ratio to the class's running tasks; 0 turns headroom off. */
+  /** Tasks to keep capacity for, as a ratio to the class's running tasks; at least one task. 0 turns headroom off. */
   ratio: number;
   /** A class is forgotten this long after it last had an unfinished job. */
   retentionMs: number;
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Returns the demand for those expected tasks that do not fit on the machines. Each class is expected to need
-   * capacity for a ratio of its running tasks, and for at least one task.
+   * Returns the demand for those expected tasks that do not fit on the machines. The expected tasks of a class
+   * are its running tasks times `HeadroomSettings.ratio`, and at least one.
    *
    * @param now - current time of the monotonic clock in ms
    * @param machines - machines whose free capacity counts
--- a/src/controller/fleet/machine-inventory.test.ts
+++ b/src/controller/fleet/machine-inventory.test.ts
@@ -32,7 +32,7 @@
     return { runtime, inventory, workers, booting, released: releasedIds };
   }
 
-  it('updates known machines, releases other failed ones and adds the rest as booting', () => {
+  it('updates known machines, releases unknown failed ones and adds other unknown ones as booting', () => {
     const { inventory, workers, booting, released } = readList(
       [{ id: 'n-1' }, { id: 'n-2', state: 'failed' }, { id: 'n-3' }, { id: 'n-4' }],
       ['n-1'],
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -10,11 +10,12 @@
 
 /** Smallest number of heartbeat intervals between two reads of the list. */
 const HEARTBEATS_PER_LIST = 2;
-/** After a failed read the next one starts earlier by this share of the list's lag. */
+/** After a failed read, the next read is due earlier by this fraction of the list's lag. */
 const RETRY_LAG_SHARE = 0.7;
 /**
- * A machine missing from the list counts as absent after this many times the lag of the list, or the time
- * between two lists that the rate limit requires, whichever is longer, plus a heartbeat interval.
+ * A machine that is missing from the list counts as absent after this many times the larger of two durations,
+ * plus a heartbeat interval. The durations are the lag of the list and the shortest time between two reads of
+ * the list that the rate limit allows.
  */
 const ABSENT_LAGS = 4;
 
@@ -24,6 +25,7 @@
   cloud: Pick<CloudClient, 'listIntervalMs' | 'listMachines'>;
   scaleIn: Pick<ScaleIn, 'isReleasing' | 'release'>;
   booting: BootingMachines;
+  /** Returns the machine types, or null until they have been read. */
   types(): MachineType[] | null;
   /**
    * Whether this node may act as leader: it holds the lease at the state store (invariant 1), and its recovered
@@ -37,7 +39,7 @@
   /** Whether a list has been read and applied in this term. */
   synced = false;
   private readInProgress = false;
-  /** When the last read ended; earlier by a share of the lag if it failed. */
+  /** When the last read ended; set earlier by a fraction of the lag if the read failed. */
   private lastReadAt = -Infinity;
 
   constructor(
@@ -130,8 +132,8 @@
 
   /**
    * Marks machines as absent once they have been missing from the list for long. The cloud lists a machine as
-   * long as it exists, but a list can show an older state than the previous one, so a machine that is missing
-   * once may still exist.
+   * long as it exists, but a list can show an older state than the previous list did. A machine that is missing
+   * from one list may therefore still exist.
    */
   private markAbsent(listedIds: ReadonlySet<string>, now: number): void {
     const listStalenessMs = Math.max(this.lagMs, this.context.cloud.listIntervalMs(listedIds.size));
--- a/src/controller/fleet/machine-type-catalogue.test.ts
+++ b/src/controller/fleet/machine-type-catalogue.test.ts
@@ -11,7 +11,7 @@
 describe('MachineTypeCatalogue', () => {
   const body = { models: [{ name: 'plain', cores: 8, mem_gb: 64, halls: ['a'] }] };
 
-  /** Loads a catalogue while the state store has none, so that it asks the cloud. */
+  /** Loads a catalogue while the state store has none, so that the types are read from the cloud. */
   function loadCatalogue() {
     const { runtime, eventLoop } = fleetFixture();
     const client = {
@@ -29,7 +29,7 @@
     return { runtime, catalogue };
   }
 
-  it('asks the cloud until it sends the types, and again when they are too old', () => {
+  it('requests the types from the cloud until it has them, and again once they are too old', () => {
     const { runtime, catalogue } = loadCatalogue();
     runtime.answer(503);
     assert.equal(catalogue.types, null);
--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -1,6 +1,6 @@
 /**
  * The machine types that the cloud offers. Every controller reads them at startup and refreshes them
- * periodically; the leader stores them in the state store for the others.
+ * periodically; the leader stores them in the state store for the other controllers.
  */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
@@ -42,7 +42,7 @@
     return this.knownTypes;
   }
 
-  /** Reads the catalogue from the state store or, if that has none, from the cloud. */
+  /** Reads the catalogue from the state store or, if none can be read there, from the cloud. */
   load(): void {
     this.client.budget.requestTokens.forceTake();
     this.client.read(CATALOGUE_KEY, STATE_STORE_TIMEOUT_MS, (result) => {
--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -27,7 +27,7 @@
 
 /** Releases machines and remembers which are being released. */
 export class ScaleIn {
-  /** Ids of machines that are being released, or were and may still be in the cloud's list. */
+  /** Ids of machines that are being released, or have been released and may still be in the cloud's list. */
   private readonly releasingIds = new Set<string>();
 
   constructor(
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Releases the machines. No task is placed on them from now on, but the tasks that they have count as gone
+   * Releases the machines. From now on no task is placed on them, but the tasks already on them count as gone
    * only once the cloud has confirmed the release (invariant 5).
    */
   release(machineIds: readonly string[], reason: string): void {
--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -4,7 +4,7 @@
 /** Longest pause, as a multiple of the first one. */
 const MAX_PAUSE_FACTOR = 8;
 
-/** Pause of the requests for one kind of machine; `until` is a time of the monotonic clock in ms. */
+/** Pause of the requests for one kind of machine; `until` is a time on the monotonic clock in ms. */
 interface Pause {
   until: number;
   durationMs: number;
@@ -28,7 +28,8 @@
 
   /**
    * Starts a pause of the kind, because the cloud has launched fewer machines than requested. The pause is
-   * twice the previous one, up to a limit; if the cloud has launched some machines, it is the shortest again.
+   * twice as long as the previous one, up to a limit. If the cloud has launched some machines, the pause has its
+   * first length again.
    */
   recordShortage(kind: MachineKind, now: number, someLaunched: boolean): void {
     const previousPause = this.pauses.get(machineKindKey(kind));
--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -15,7 +15,10 @@
 const UNUSED_GPU_PRICE_FACTOR = 3;
 /** Relative price increase per machine already in the zone, for jobs that ask to be spread over zones. */
 const SPREAD_ZONE_WEIGHT = 1;
-/** The same for other jobs: small, since it should decide only between equal prices. */
+/**
+ * Relative price increase per machine already in the zone, for other jobs. It is small, since it should decide
+ * only between equal prices.
+ */
 const ZONE_WEIGHT = 1e-3;
 
 /** Tasks of one job that need capacity. */
--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -37,7 +37,7 @@
 export class ScaleOut {
   private readonly backoff: ScaleOutBackoff;
   private readonly headroom: Headroom;
-  /** Number of launch requests made in this term, which is part of their names. */
+  /** Number of launch requests made in this term, which makes their names unique. */
   private launchCount = 0;
   private openRequests = 0;
 
@@ -125,8 +125,8 @@
   private launch(planned: PlannedLaunch, now: number): void {
     if (!this.context.cloud.acquireLaunchToken()) return;
     this.launchCount++;
-    // The name is unique, since no other leader has this term. Late copies of the request and retries
-    // therefore launch nothing more (invariant 2).
+    // The name is unique, since no other leader has this term. Retries and late copies of the request
+    // therefore launch no further machines (invariant 2).
     const name = `t${this.context.workers.term}-${this.launchCount}`;
     this.openRequests++;
     this.send({ name, ...planned }, now, MAX_RETRIES);
@@ -135,7 +135,7 @@
   private send(request: LaunchRequest, requestedAt: number, retries: number): void {
     this.context.cloud.launch(request, (result) => {
       if (result.kind === 'unconfirmed' && retries > 0 && this.context.mayActAsLeader()) {
-        // Safe even if the request was carried out: the cloud launches nothing twice for one name.
+        // Safe even if the request was carried out: the cloud carries out each name only once.
         this.send(request, requestedAt, retries - 1);
         return;
       }
--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -29,7 +29,7 @@
   now = 0;
   private sequence = 0;
   readonly unresponsive = new Set<string>();
-  /** Unresponsive machines that answer probes nevertheless. */
+  /** Machines that answer probes although they are unresponsive. */
   readonly answeringProbes = new Set<string>();
   /** Machines in the order in which they were probed. */
   readonly probed: string[] = [];
@@ -160,7 +160,7 @@
     });
   }
 
-  /** Delivers replies and runs timers that are due. */
+  /** Delivers the replies and runs the timers that are due. */
   private runDue(): void {
     for (const pending of this.replies.splice(0))
       if (pending.dueAt <= this.now) pending.done(pending.reply);
--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -4,10 +4,10 @@
 import type { Assignment, Machine } from '../model/entities.js';
 import type { Workers } from '../workers/workers.js';
 
-/** Timeout of a probe, as a ratio of the heartbeat interval. */
+/** Time-out of a probe, as a ratio to the heartbeat interval. */
 const PROBE_TIMEOUT_RATIO = 0.2;
 
-/** A release request waits for this ratio of the heartbeat interval to include further machines. */
+/** Delay of a release request so that it includes further machines, as a ratio to the heartbeat interval. */
 const BATCH_DELAY_RATIO = 0.01;
 
 /** Path of the request that probes a worker. */
@@ -18,11 +18,11 @@
 /**
  * Selects unresponsive machines for release, so that their service replicas need not wait until the worker's
  * lease has expired. Once the cloud has confirmed the release, all tasks of the machine are gone, and the
- * replicas may start elsewhere (invariant 5). A machine is probed before it is selected: it may be working
- * while only its heartbeat was lost.
+ * replicas may start elsewhere (invariant 5). A machine is probed before it is selected, because it may still
+ * be working and only a heartbeat may have been lost.
  */
 export class UnresponsiveReplicaHosts {
-  /** Times of the selections within the last worker lease, whose number is limited. */
+  /** Times of the selections within the last worker lease; `releaseBudget` limits their number. */
   private selectionTimes: number[] = [];
   /** Machines selected for the next release request. */
   private readonly selected: Machine[] = [];
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Whether a release lets replicas restart clearly sooner than the expiry of the worker's lease would, without
-   * ending a gang that is still running.
+   * Whether a release lets replicas restart clearly sooner than they could after the expiry of the worker's
+   * lease, without ending a gang that is still running.
    */
   private isWorthReleasing(machine: Machine, now: number): boolean {
     if (machine.releasing || machine.agentEpoch < machine.lowestValidAgentEpoch) return false;
--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -42,9 +42,9 @@
     assert.equal(booting.size, 0);
   });
 
-  // A new leader reads the cloud's list before all workers have found it. It must not release machines that
-  // run but have no record yet.
-  it('gives a machine that is listed as running time to find this leader', () => {
+  // A new leader reads the cloud's list before all workers have found the leader. It must not release machines
+  // that are running but have no record yet.
+  it('gives a machine time to find this leader if the cloud lists it as running', () => {
     booting.set('partitioned', { ...bootingMachine, knownSince: 0, listedAsRunning: true });
     assert.deepEqual(unused.find(unresponsiveLimitMs, steadyWorkload), []);
     assert.deepEqual(unused.find(unresponsiveLimitMs + 1, steadyWorkload), ['partitioned']);
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -10,8 +10,8 @@
 /** Factor on the idle limit while idle machines may use up the cloud quota that a waiting job needs. */
 const BLOCKED_JOB_IDLE_FACTOR = 1 / 8;
 /**
- * An idle machine is released only if its type and market have at least this many idle machines: the last one
- * would soon have to be launched again.
+ * While there is work, an idle machine is released only if its type and market (spot or not) have at least this
+ * many idle machines: the last one would soon have to be launched again.
  */
 const MIN_IDLE_OF_KIND = 2;
 
@@ -36,7 +36,7 @@
   arrivalsStopped: boolean;
 }
 
-/** Returns a key of the machine's type and market; idle machines with the same key are interchangeable. */
+/** Returns a key of the machine's type and market. Idle machines with equal keys are interchangeable. */
 function typeAndMarketKey(machine: Machine): string {
   return `${machine.typeName} ${machine.spot ? 1 : 0}`;
 }
@@ -92,7 +92,7 @@
   /**
    * Returns the ids of booting machines that take too long. Machines that have sent a heartbeat no longer count
    * as booting. A machine that the cloud lists as running may not have found this leader yet or may be
-   * partitioned, so it gets as much time as an unresponsive one.
+   * partitioned, so it gets as much time as an unresponsive machine.
    */
   private findFailedBoots(now: number, unresponsiveLimitMs: number): string[] {
     const { booting, workers } = this.context;
@@ -146,7 +146,7 @@
     return workers.unresponsiveMs(machine) > limitMs || workers.unacknowledgedMs(machine) > limitMs;
   }
 
-  /** Whether to release an unresponsive machine. If it no longer exists, it is removed instead. */
+  /** Whether to release an unresponsive machine. A machine that no longer exists is removed instead. */
   private shouldReleaseUnresponsive(machine: Machine, now: number, limitMs: number): boolean {
     if (machine.cloudState === 'absent' || machine.cloudStateAt === -Infinity) {
       // The machine no longer exists, and its worker's lease has surely expired: its tasks are gone
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Whether to release an idle machine: only if another idle one of its type and market stays, or there is
-   * no work. Marks the machine as being released if so.
+   * Whether to release an idle machine: only if another idle machine of its type and market remains, or if there
+   * is no work. Marks the machine as being released if so.
    */
   private shouldReleaseIdle(
     machine: Machine,
