--- a/src/controller/store/batch.ts
+++ b/src/controller/store/batch.ts
@@ -6,7 +6,7 @@
 export interface BatchEntry {
   conditions: Condition[];
   writes: Write[];
-  /** Called when the entry is sent. Requests that arrive later need a new entry. */
+  /** Called when the entry is sent. Requests that arrive after that need a new entry. */
   onSent?: () => void;
   /** Called once with the outcome. */
   done: (result: TransactionResult) => void;
@@ -19,7 +19,7 @@
 const MAX_TRANSACTION_SIZE = 60 * 1024;
 
 /**
- * Limit on the conditions of a transaction, as a multiple of the largest number of writes that the store
+ * Largest number of conditions in a transaction, as a multiple of the largest number of writes that the store
  * accepts in a transaction.
  */
 export const MAX_CONDITIONS_PER_WRITE = 4;
@@ -40,19 +40,22 @@
     return this.entries.length === 0;
   }
 
-  /** Returns whether the transaction stays within the limits with an entry of this size. */
+  /**
+   * Returns whether an entry of this size can be added: the transaction stays within its limits, and no other
+   * entry in it has a condition on one of the same keys.
+   */
   fits(entry: Entry, size: number): boolean {
     const conditionCount = this.conditions.length + entry.conditions.length;
     return (
       conditionCount <= MAX_CONDITIONS_PER_WRITE * this.maxWrites &&
       this.writes.length + entry.writes.length <= this.maxWrites &&
       this.size + size <= MAX_TRANSACTION_SIZE &&
-      // Two entries with conditions on a key would share their outcome; the second needs another batch.
+      // Two entries with conditions on the same key would share their outcome; the second needs another batch.
       !entry.conditions.some(({ key }) => this.keys.has(key))
     );
   }
 
-  /** Adds an entry. It must fit, unless it is the first: that one may have any size. */
+  /** Adds an entry. It must fit, unless it is the first entry, which may have any size. */
   add(entry: Entry, size: number): void {
     this.entries.push(entry);
     this.conditions.push(...entry.conditions);
--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -156,7 +156,7 @@
       assert.equal(client.health.stalledMs, 40);
     });
 
-    it('pauses requests and writes after a response with status 429', () => {
+    it('counts no failure for a response with status 429, after which requests and writes pause', () => {
       read(429);
       const { requestTokens, writeTokens } = client.budget;
       assert.ok(requestTokens.waitMs() > 0);
--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -42,13 +42,12 @@
 const KEYS_PER_REQUEST = 1000;
 
 /**
- * Time after the end of a watch at which it times out without a response, as a ratio of the leader's
- * lease. It bounds by how much a lost response delays an election, and is short compared with the
- * workers' lease.
+ * A watch request times out this long after the end of its hold time, as a ratio to the leader's lease. This
+ * bounds by how much a lost response delays an election. It is short compared with the workers' lease.
  */
 const WATCH_GRACE_RATIO = 0.7;
 
-/** Kinds of calls. They name the events that handle the responses. */
+/** Kinds of calls. Each is also the name of the event that handles the response. */
 type Operation =
   'transact' | 'read' | 'read-prefix' | 'grant-lease' | 'renew-lease' | 'revoke-lease' | 'watch';
 
--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -12,14 +12,14 @@
  */
 const MAX_TRANSACTION_SIZE = 56 * 1024;
 
-/** Upper bound of the size of the fencing condition and of the encoding around the lists. */
+/** Upper bound of the size of the fencing condition and of the encoding around the lists, in the same unit. */
 const FRAME_SIZE = 512;
 
 /** Pages and transactions that are written together in one transaction of the state store. */
 export interface Commit {
   conditions: Condition[];
   pages: Page[];
-  /** Entries of the pages whose newest value has not been sent yet, or is sent again after a failure. */
+  /** Those entries of the pages whose newest values are sent for the first time, or again after a failure. */
   entries: RecordEntry[];
   transactions: PendingTransaction[];
 }
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Adds an entry, and its page if `mayAddPage` is true. Returns false if the entry does not fit, or if
-   * its page is not in the commit and may not be added.
+   * Adds an entry. If its page is not in the commit yet, adds the page too, provided that `mayAddPage` is true.
+   * Returns false if the entry does not fit, or if its page would have to be added and may not be.
    */
   tryAddEntry(entry: RecordEntry, mayAddPage: boolean): boolean {
     const page = this.context.pages.allocator.targetPage(entry);
--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -6,13 +6,13 @@
 
 /**
  * Longest time for which deferrable entries get no pages of their own while urgent entries are waiting,
- * as a ratio of the workers' lease.
+ * as a ratio to the workers' lease.
  */
 const MAX_DEFERRAL_RATIO = 0.25;
 
 /**
- * Share of the leader's write rate that pages use while urgent entries are always waiting. The rest is
- * for the transactions that end jobs, so that neither kind of write starves the other.
+ * Largest share of the leader's write rate that pages use, even if urgent entries are always waiting. The
+ * remaining share is for the transactions that end jobs, so that neither kind of write starves the other.
  */
 const PAGE_WRITES_RATIO = 0.45;
 
@@ -20,14 +20,15 @@
 export interface DueWrites {
   /** Whether pages may be committed. */
   pages: boolean;
-  /** Whether pages may be committed that have only deferrable entries to write. */
+  /** Whether this includes pages that have only deferrable entries to write. */
   deferrable: boolean;
 }
 
 /** Divides the writes between pages and transactions, and among entries by their priority. */
 export class CommitPlanner {
-  /** Earliest times of the next commit of pages: of any, and of those with only deferrable entries. */
+  /** Earliest time of the next commit that contains pages. */
   private pagesDueAt = 0;
+  /** Earliest time of the next commit with pages that have only deferrable entries to write. */
   private deferrableDueAt = 0;
   /** Time of the last commit in which deferrable entries could have pages of their own. */
   private deferrablePagesAt = 0;
@@ -110,9 +111,8 @@
   }
 
   /**
-   * Skips an entry that exceeds the store's limits. An earlier leader recorded it under other limits. The
-   * stored value stays as an upper bound of the running tasks (invariant 4) until a value is set that
-   * fits.
+   * Skips an entry that exceeds the store's limits. An earlier leader recorded it under other limits. Until a
+   * value that fits is set, the stored value stays as an upper bound of the running tasks (invariant 4).
    */
   private skipOversized(entry: RecordEntry): void {
     const { pending, eventLoop } = this.context;
--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -10,10 +10,10 @@
 
 /** Pause in milliseconds after a refused commit or a failed read. */
 const REFUSED_PAUSE_MS = 100;
-/** Pause in milliseconds after any other failed commit, except one that conflicted. */
+/** Pause in milliseconds after any other failed commit. There is none after a conflict. */
 const FAILED_PAUSE_MS = 20;
 
-/** Time-out of a commit or a read, as a ratio of the leader's lease. */
+/** Time-out of a commit or a read, as a ratio to the leader's lease. */
 const TIMEOUT_RATIO = 1 / 4;
 
 /** A page that was sent, and the keys that the sent copy contains. */
@@ -98,8 +98,8 @@
     const { pages, pending, eventLoop } = this.context;
     const failedKeys = new Set(result.kind === 'conflict' ? result.failedKeys : []);
     for (const { page, keys } of sent.sentPages) {
-      // Without a response the page is sent again with the same version as its condition, so that only
-      // one of the two writes can succeed. If the first did, the second fails and the page is reread.
+      // After a write without a response, the page is sent again on condition of the same version, so that
+      // only one of the two writes can succeed. If the first did, the second fails and the page is reread.
       if (failedKeys.has(page.key)) page.versionUnknown = true;
       if (result.kind === 'unknown') pages.markPossiblyWritten(page, keys);
     }
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -15,13 +15,13 @@
 
 /** Priority of a group commit among the users of the rate budget, and its time limits. */
 export interface GroupCommitOptions {
-  /** Ratio of the burst that is reserved for calls of higher priority. */
+  /** Fraction of the burst that is reserved for calls of higher priority. */
   tokenReserve: number;
   /** Time-out of a transaction. */
   timeoutMs: number;
   /** Longest time that an entry may wait to be sent. */
   maxQueueMs: number;
-  /** Shortest time from a transaction to the next one that is not full, so that more entries share it. */
+  /** Shortest time until the next transaction, unless it is full; so that more entries share a transaction. */
   minIntervalMs: number;
 }
 
@@ -39,7 +39,7 @@
   private inFlight = false;
   /** Whether entries are sent one by one, to find the one that makes a transaction fail. */
   private oneByOne = false;
-  /** Whether a timer is running. The event that it posts causes a batch, which ends with a flush. */
+  /** Whether a timer is running. The event that the timer posts causes a batch, which ends with a flush. */
   private timerRunning = false;
 
   constructor(
@@ -50,7 +50,7 @@
     eventLoop.onBatchEnd(() => this.flush());
   }
 
-  /** Queues an entry. Returns false, without queueing it, if it could not be sent within `maxQueueMs`. */
+  /** Queues an entry. Returns false and does not queue it if it could not be sent within `maxQueueMs`. */
   add(entry: BatchEntry): boolean {
     const { maxQueueMs } = this.options;
     if (this.waitMs(entry.writes.length) > maxQueueMs) return false;
@@ -66,7 +66,7 @@
     this.client.budget.queuedWrites += writes.length * sign;
   }
 
-  /** Whether the queued entries fill a transaction, so that waiting for more has no benefit. */
+  /** Whether the queued entries fill a transaction, so that waiting for more entries has no benefit. */
   private get hasFullBatch(): boolean {
     const { txnOps } = this.client.budget.limits.current;
     return (
@@ -146,7 +146,7 @@
 
   private settle(entries: QueuedEntry[], result: TransactionResult): void {
     if (entries.length > 1 && result.kind === 'too-large') {
-      // A fault of one entry must not fail the others in the transaction.
+      // A fault of one entry must not make the other entries of the transaction fail.
       this.oneByOne = true;
       this.requeue(entries);
     } else if (entries.length > 1 && result.kind === 'conflict') {
@@ -168,7 +168,8 @@
       if (entry.conditions.some(({ key }) => failedKeys.has(key))) entry.done(result);
       else unaffected.push(entry);
     }
-    // If the store has named no key of any entry, the conflicting entry is found by sending one by one.
+    // If no entry has a condition on a key that the store has named, the entries are sent one by one to find
+    // the one that conflicts.
     this.oneByOne = unaffected.length === entries.length;
     this.requeue(unaffected);
   }
--- a/src/controller/store/limits.ts
+++ b/src/controller/store/limits.ts
@@ -1,12 +1,14 @@
 /** The limits of the state store, and the detection that they have changed. */
 import type { Platform, StateLimits } from '../settings/platform.js';
 
-/** Number of rate refusals within the window after which the upcoming rates are considered in force. */
+/** Number of rate refusals within the refusal window after which the upcoming rates are considered in force. */
 const REFUSALS_FOR_UPCOMING_RATES = 3;
+/** Time after which a rate refusal no longer counts, in milliseconds. */
 const REFUSAL_WINDOW_MS = 5000;
 
-/** Smallest sizes of values and transactions that size refusals lead to. */
+/** Size refusals do not lower the largest value below this size, in KiB. */
 const MIN_VALUE_KB = 1;
+/** Size refusals do not lower the limit on the writes of a transaction below this number. */
 const MIN_TRANSACTION_WRITES = 2;
 /** Largest number of times that the sizes are halved. */
 const MAX_HALVINGS = 6;
@@ -15,9 +17,9 @@
 
 /**
  * The limits of the state store that this process complies with. Sizes are kept within the smaller of the
- * present and the upcoming limits from the start. This costs little, and values written before the limits
- * fall can be written again afterwards. Rates are scarce, so they are used in full until the store refuses
- * calls.
+ * present and the upcoming limits from the start. This costs little, and values that were written before the
+ * limits are lowered can still be rewritten afterwards. Rates are scarce, so the present rates are used in full
+ * until the store refuses calls.
  */
 export class StateStoreLimits {
   private rates: { rps: number; writeRps: number };
--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -2,15 +2,16 @@
 import { EMPTY_PAGE_SIZE, newPage, type Page, type RecordEntry } from './page.js';
 import { pageKey } from './page-codec.js';
 
-/** New entries fill a page to this ratio of the largest value, since small pages are cheap to rewrite. */
+/** A page is filled up to this fraction of the largest value size, since small pages are cheap to rewrite. */
 const FILL_RATIO = 0.4;
 /**
- * If the largest value is small, pages are filled further, so that each put carries as much as possible:
- * up to `SMALL_VALUE_SIZE`, but no more than this ratio of the largest value.
+ * If the largest value size is small, pages are filled further, so that each put carries as much as possible:
+ * up to `SMALL_VALUE_SIZE`, but no more than this fraction of the largest value size.
  */
 const SMALL_VALUE_FILL_RATIO = 0.8;
+/** See `SMALL_VALUE_FILL_RATIO`; in the unit of `storedSize`. */
 const SMALL_VALUE_SIZE = 2048;
-/** A page is filled again if its size is at most this ratio of the size to which pages are filled. */
+/** A page may be filled again if its size is at most this fraction of the size to which pages are filled. */
 const REUSE_RATIO = 0.25;
 
 /** The entries, and the pages from which the allocator chooses and to which it adds new ones. */
@@ -96,9 +97,10 @@
   }
 
   /**
-   * Returns whether the page's stored copy contains the last value known to be stored of an entry that has
-   * moved to another page, whose write has not succeeded yet. If the page were rewritten without the entry
-   * and the leader ended before the other write, the record would be lost to its successor.
+   * Returns whether this page's stored copy is the only one that is known to contain the last stored value of
+   * some entry: the entry has moved to another page, and the write of that page has not succeeded yet. If this
+   * page were rewritten without the entry and the leader ended before the other write, the next leader would
+   * not find the record.
    */
   private holdsLastDurableCopy(page: Page): boolean {
     for (const key of page.storedKeys) {
--- a/src/controller/store/page-codec.ts
+++ b/src/controller/store/page-codec.ts
@@ -1,4 +1,4 @@
-/** The stored form of pages of records. It must not change: other versions of the program read it. */
+/** The stored form of pages of records. It must not change, because other versions of the program read it. */
 import { isMap } from '../wire/cbor.js';
 import type { Page } from './page.js';
 
@@ -18,7 +18,7 @@
 /** The stored value of a page. */
 export interface StoredPage {
   kind: 'page';
-  /** Number of the commit that wrote the page. If several pages contain a key, the latest one is valid. */
+  /** Number of the commit that wrote the page. If several pages contain a key, the highest number prevails. */
   sequence: number;
   /** Alternating keys and values. Each value is JSON, or null for a deletion. */
   keysAndJson: readonly unknown[];
--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Drops a deletion that is stored, unless another page may contain an older value: until that page has
-   * been overwritten, a new leader needs the deletion to ignore the older value.
+   * Drops a deletion that is stored, unless another page may contain an older value of the key. Until that page
+   * has been overwritten, a new leader needs the deletion in order to ignore the older value.
    */
   private dropIfObsolete(entry: RecordEntry): void {
     const { page } = entry;
--- a/src/controller/store/page.ts
+++ b/src/controller/store/page.ts
@@ -15,7 +15,7 @@
   durablePage: Page | null;
   /** Whether the newest value has not been sent. */
   dirty: boolean;
-  /** Whether a value has been sent and its response is missing. */
+  /** Whether a value has been sent and the response has not arrived yet. */
   inFlight: boolean;
 }
 
@@ -30,7 +30,7 @@
   version: number;
   /** Keys that the stored copy may contain. */
   readonly storedKeys: Set<string>;
-  /** Whether a write failed because of another version; the page must be reread before the next write. */
+  /** Whether a write failed because of a different version; the page must be reread before the next write. */
   versionUnknown: boolean;
 }
 
--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -13,7 +13,7 @@
 /** By entry, the callbacks to call once the value that a commit writes is stored. */
 export type StoredCallbacks = Map<RecordEntry, StoredCallback[]>;
 
-/** Entries whose newest value has not been sent, by priority, and the callbacks of entries not stored. */
+/** Entries whose newest value has not been sent, by priority, and the callbacks of values not stored yet. */
 export class PendingWrites {
   /** All entries that are not deferrable, including the immediate ones. */
   readonly urgent = new Set<RecordEntry>();
@@ -70,7 +70,7 @@
     for (const entry of entries) {
       for (const callback of sentCallbacks.get(entry) ?? []) callback();
       if (entry.dirty) continue;
-      // Callbacks that were added for the same value while it was in flight are due as well.
+      // Callbacks that were added for the same value while it was in flight have to be called as well.
       const newerCallbacks = this.callbacks.get(entry);
       this.callbacks.delete(entry);
       for (const callback of newerCallbacks ?? []) callback();
--- a/src/controller/store/rate-budget.ts
+++ b/src/controller/store/rate-budget.ts
@@ -6,7 +6,7 @@
 import { writeShare, type WriteDemand } from './write-share.js';
 
 /**
- * By kind of call, the ratio of the burst that is reserved for calls of higher priority. When tokens are
+ * By kind of call, the fraction of the burst that is reserved for calls of higher priority. When tokens are
  * scarce, the kinds with the largest reserve are delayed or refused first. Calls for the leader's lease
  * take their tokens without waiting (`TokenBucket.forceTake`).
  */
@@ -59,7 +59,7 @@
     this.setRole(false);
   }
 
-  /** Sets the role. Followers split a fixed share of the requests evenly; the leader has the rest. */
+  /** Sets the role. Followers split a fixed share of the requests evenly; the leader has the remainder. */
   setRole(isLeader: boolean): void {
     const { peers } = this.settings.platform;
     const followersRatio = this.settings.get('state.followers.requests.ratio');
@@ -71,7 +71,7 @@
     this.updateWriteShare([]);
   }
 
-  /** Ratio of the store's rate limits that all controllers together may use. */
+  /** Fraction of the store's rate limits that all controllers together may use. */
   private get usableRatio(): number {
     return this.settings.get('state.headroom.ratio');
   }
@@ -82,7 +82,7 @@
     return { isLeader: this.isLeader, writesPerSecond };
   }
 
-  /** Sets this node's share of the writes by its own demand and those that peers reported recently. */
+  /** Sets this node's share of the writes by its own demand and the demands that peers reported recently. */
   updateWriteShare(reportedDemands: readonly WriteDemand[]): void {
     const { peers } = this.settings.platform;
     const limit = this.limits.current.writeRps * this.usableRatio;
--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('writeShare', () => {
-  it('is fixed by role if no demand of a peer is known', () => {
+  it('is fixed by the role if the demand of no peer is known', () => {
     const unknownDemands = [null, null, null, null];
     assert.ok(Math.abs(shareOf(demand(true, 50), unknownDemands) - 0.7) < 1e-9);
     assert.ok(Math.abs(shareOf(demand(false, 50), unknownDemands) - 0.075) < 1e-9);
