--- a/src/controller/wire/fields.ts
+++ b/src/controller/wire/fields.ts
@@ -14,7 +14,7 @@
  */
 export type Int = number | bigint;
 
-/** Returns the body as a map; throws a `WireError` that calls it `name` if it is not a map. */
+/** Returns the body as a map; throws a `WireError` that refers to it as `name` if it is not a map. */
 export function requireMap(body: unknown, name: string): Fields {
   if (!isMap(body)) throw new WireError(`${name}: expected a map`);
   return body;
--- a/src/controller/wire/jobs.ts
+++ b/src/controller/wire/jobs.ts
@@ -60,7 +60,7 @@
 /** Largest number of tasks of a job. */
 export const MAX_TASKS = 100_000;
 const JOB_ID = /^req-[0-9A-Za-z._-]{1,64}$/;
-/** Largest length of a name in a submission: of a class, team, image or zone. */
+/** Largest length of a name in a submission (class, team, image or zone), in characters. */
 const MAX_NAME_LENGTH = 200;
 
 const kindsByName: Record<string, JobKind> = { batch: 'array', gang: 'gang', standing: 'service' };
@@ -105,8 +105,8 @@
 }
 
 /**
- * Largest number of machine types in a submission, and largest length of their names. These limits keep the
- * record of a job far below the largest value that the state store accepts.
+ * Largest number of machine types in a submission, and largest length of their names in characters. These
+ * limits keep the record of a job far below the largest value that the state store accepts.
  */
 const MAX_TYPES = 64;
 const MAX_TYPE_NAME_LENGTH = 64;
--- a/src/controller/wire/state-requests.ts
+++ b/src/controller/wire/state-requests.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * Request to read up to `limit` keys that start with `prefix`: those that sort after the key `after`, or the
- * first ones if it is null.
+ * Request to read up to `limit` keys that start with `prefix`: the first ones that sort after the key `after`,
+ * or the first ones of all if `after` is null.
  */
 export function readRangeRequest(
   prefix: string,
@@ -54,7 +54,7 @@
   return { method: 'POST', path: `/holds/${lease}/extend`, body: {} };
 }
 
-/** Request to end a lease, which deletes all keys that are bound to it. */
+/** Request to revoke a lease, which deletes all keys that are bound to it. */
 export function revokeLeaseRequest(lease: number): StateRequest {
   return { method: 'DELETE', path: `/holds/${lease}` };
 }
--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -29,7 +29,7 @@
 export type WatchEvent =
   { kind: 'put'; key: string; value: unknown; version: number } | { kind: 'delete'; key: string };
 
-/** Largest accepted revision, version or lease id. No deployment lives long enough to come near 2^53. */
+/** Largest accepted revision, version or lease id. No deployment runs long enough to come near 2^53. */
 const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
 
 function requireStateMap(body: unknown): Fields {
@@ -84,7 +84,7 @@
   return readSmallInt(requireStateMap(body), 'permit', 0, MAX_INTEGER);
 }
 
-/** All changes up to `revision` that a response to a watch request reports. */
+/** The changes up to `revision` that a response to a watch request reports. */
 export interface WatchEvents {
   events: WatchEvent[];
   revision: number;
--- a/src/controller/wire/workers.ts
+++ b/src/controller/wire/workers.ts
@@ -52,7 +52,7 @@
   agentEpoch: number;
   /** Number of the heartbeat, which increases with each heartbeat of the same epoch. */
   sequence: Int;
-  /** The highest fencing token that the worker has seen. It rejects lower ones (invariant 6). */
+  /** The highest fencing token that the worker has seen. The worker rejects lower tokens (invariant 6). */
   fencingToken: Int;
   /** Time until the spot machine is interrupted; null if no interruption notice was given. */
   spotNoticeS: number | null;
