--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -42,7 +42,7 @@
 export interface WorkerTimes {
   /** Time between two heartbeats. */
   heartbeatIntervalS: number;
-  /** A worker stops its tasks this long after it sent the last heartbeat that was answered. */
+  /** A worker stops its tasks this long after it sent the last heartbeat that got a response. */
   leaseS: number;
   /** How long a gang member that is ready to start waits for the other members to fetch their image. */
   gangFetchWaitS: number;
--- a/src/controller/settings/properties.ts
+++ b/src/controller/settings/properties.ts
@@ -11,7 +11,7 @@
 
 const propertyNames = Object.keys(propertyDefinitions) as PropertyName[];
 
-/** Returns the values of the properties that the operators' file does not set. */
+/** Returns the default of every property. It applies unless the operators' file sets another value. */
 export function defaultProperties(): Properties {
   return Object.fromEntries(
     propertyNames.map((name) => [name, propertyDefinitions[name].default]),
--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -5,7 +5,7 @@
 import { propertyDefinitions, type PropertyName } from './property-definitions.js';
 import { SettingsError } from './settings-error.js';
 
-/** Largest drift between the steady clocks of two hosts, as a ratio to the elapsed time (PROTOCOL). */
+/** Largest drift between the monotonic clocks of two hosts, as a ratio to the elapsed time (PROTOCOL). */
 export const MAX_CLOCK_DRIFT = 0.0005;
 
 /** A worker ignores a response that arrives more than this time after it sent the heartbeat (PROTOCOL). */
@@ -30,8 +30,8 @@
   /**
    * Largest staleness of the leader's job watch with which it may answer a worker (F in invariant 8: whoever
    * answers a worker knows every cancellation confirmed more than F ago). A worker that is answered without
-   * knowledge of a cancellation may run the job's tasks for one more worker lease. So this bound, the worker
-   * lease and the time until a stop takes effect (`HEARTBEAT_RESPONSE_LIMIT_MS`) add up to less than
+   * knowledge of a cancellation may run the job's tasks for one more worker lease. Therefore this bound, the
+   * worker lease and the time until a stop takes effect (`HEARTBEAT_RESPONSE_LIMIT_MS`) add up to less than
    * `cancel_s`, the time within which the tasks of a cancelled job must be gone.
    */
   readonly maxWatchStalenessMs: number;
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Returns the configured leader lease, shortened if `cancel_s` leaves little time for watch staleness. The
-   * watch becomes fresh only with each read, and a leader cannot keep its staleness below two leader leases.
+   * Returns the configured leader lease, shortened if `cancel_s` leaves little time for watch staleness: the
+   * watch becomes fresh only with each read, and its staleness cannot be kept below two leader leases.
    * Throws a `SettingsError` if the lease would fall below the smallest allowed ratio to the worker lease.
    */
   private computeLeaderLeaseMs(): number {
@@ -103,7 +103,7 @@
 
   /**
    * Time after a worker's last answered heartbeat at which its lease has expired even with the largest clock
-   * drift, plus a margin (invariant 5: its tasks are then gone).
+   * drift, plus a margin (invariant 5: the worker's tasks are then gone).
    */
   get workerLeaseExpiryMs(): number {
     return this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT + this.get('workers.lease.margin.ratio'));
@@ -130,8 +130,8 @@
    * Returns the objectives that apply to a job, as times since its submission in milliseconds: its tasks
    * should start within each of `starts`, and the job should end within each of `ends`.
    *
-   * @param className - The job's class.
-   * @param deadlineS - The job's own deadline in seconds since its submission; null if it has none.
+   * @param className - the job's class
+   * @param deadlineS - the job's own deadline in seconds since its submission; null if it has none
    */
   objectivesFor(
     className: string,
--- a/src/controller/settings/toml-fields.ts
+++ b/src/controller/settings/toml-fields.ts
@@ -53,7 +53,7 @@
   const match = IPV4_ADDRESS.exec(value);
   if (match === null || Number(match[1]) > MAX_PORT)
     throw new SettingsError(
-      `${path}${name}: expected an IPv4 address with a port, such as 10.0.0.1:8080`,
+      `${path}${name}: expected an IPv4 address with a port, such as 10.0.0.1:8080, got ${JSON.stringify(value)}`,
     );
   return value;
 }
@@ -69,6 +69,8 @@
   const value = parent[name] ?? fallback;
   const number = typeof value === 'bigint' ? Number(value) : value;
   if (typeof number !== 'number' || !Number.isFinite(number) || number < min)
-    throw new SettingsError(`${path}${name}: expected a number of at least ${min}`);
+    throw new SettingsError(
+      `${path}${name}: expected a number of at least ${min}, got ${JSON.stringify(number)}`,
+    );
   return number;
 }
