--- a/src/controller/node/api-server.ts
+++ b/src/controller/node/api-server.ts
@@ -9,15 +9,15 @@
 import { splitAddress } from '../runtime/address.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Largest request line and headers of a request. */
+/** Largest size of the request line and the headers of a request together. */
 const MAX_HEAD_BYTES = 16 * 1024;
-/** Largest body of a request. */
+/** Largest size of the body of a request. */
 const MAX_BODY_BYTES = 64 * 1024;
 /** Time within which a request must arrive completely. */
 const READ_TIMEOUT_MS = 10_000;
-/** Idle timeout of a connection whose last request was not a heartbeat. */
+/** Idle time-out of a connection whose last request was not a heartbeat. */
 const USER_IDLE_TIMEOUT_MS = 60_000;
-/** Idle timeout of a worker's connection, in heartbeat intervals. */
+/** Idle time-out of a worker's connection, in heartbeat intervals. */
 const WORKER_IDLE_HEARTBEATS = 2.5;
 
 /** Creates the API server. It does not accept connections until `listen` is called. */
--- a/src/controller/node/logger.test.ts
+++ b/src/controller/node/logger.test.ts
@@ -12,7 +12,7 @@
     [undefined, 'info'],
   ];
   for (const [value, expected] of levels)
-    it(`reads ${value ?? 'no value'} as ${expected}`, () => {
+    it(`reads the value "${value ?? '(not set)'}" as ${expected}`, () => {
       assert.equal(readLogLevel(value), expected);
     });
 });
--- a/src/controller/node/node-runtime.ts
+++ b/src/controller/node/node-runtime.ts
@@ -9,9 +9,9 @@
 
 /** Largest number of connections to one address. */
 const MAX_CONNECTIONS_PER_HOST = 12;
-/** Idle timeout of an outgoing connection. */
+/** Idle time-out of an outgoing connection. */
 const CONNECTION_IDLE_MS = 30_000;
-/** Largest response body that is accepted. */
+/** Largest size of a response body that is accepted. */
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /** Options of a `NodeRuntime`. */
@@ -69,7 +69,7 @@
     return { cancel: () => clearTimeout(timeout) };
   }
 
-  /** Sends a request. A response whose body is not valid CBOR counts as no response, which is status 0. */
+  /** Sends a request. A response whose body is not valid CBOR counts as no response: its status is 0. */
   call(call: Call, done: (reply: Reply) => void): void {
     const body = call.body === undefined ? null : encodeBody(call.body);
     this.client.request(call.to, call.method, call.path, body, call.timeoutMs, (response) =>
--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -20,7 +20,7 @@
 const HEAP_CHECK_INTERVAL_MS = 1000;
 /** Largest number of attempts to connect to a peer per heartbeat interval. */
 const PEER_ATTEMPTS_PER_HEARTBEAT = 3;
-/** Heartbeat intervals between the start and the loading of the metrics library, to keep the start short. */
+/** Delay of loading the metrics library after the start, in heartbeat intervals; it keeps the start short. */
 const METRICS_DELAY_HEARTBEATS = 3;
 
 /** Starts a controller, which runs until the process is killed. */
--- a/src/controller/operators/api-client.ts
+++ b/src/controller/operators/api-client.ts
@@ -5,7 +5,7 @@
 
 /** Time limit for one request and its response. */
 const TIMEOUT_MS = 5000;
-/** Idle timeout of the connection; short, because a command sends only one request. */
+/** Idle time-out of the connection; short, because a command sends only one request. */
 const IDLE_TIMEOUT_MS = 10;
 const MAX_RESPONSE_BYTES = 1024 * 1024;
 
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -26,11 +26,11 @@
   settings: Settings;
   term: number;
   /**
-   * Whether the leader may act: it is within its lease (invariant 1: only then may it act), and its knowledge
-   * of cancellations is not older than the freshness bound (invariant 8).
+   * Whether this node may act as leader: it holds the lease at the state store (invariant 1), and its recovered
+   * state includes every cancellation confirmed longer ago than the freshness bound (invariant 8).
    */
   mayActAsLeader: boolean;
-  /** Current time on the leader's steady clock, in milliseconds. */
+  /** Current time on the leader's monotonic clock, in milliseconds. */
   now: number;
   types: MachineType[];
   table: Pick<JobTable, 'jobs'>;
@@ -158,7 +158,7 @@
   }));
 }
 
-/** The fields of the view that give a job's first machines and the number of all its machines. */
+/** Returns the fields that give a job's first machines and the number of all its machines. */
 function machineFields(machineIds: readonly string[]): {
   machines: string[];
   machine_count: number;
@@ -166,7 +166,7 @@
   return { machines: machineIds.slice(0, MAX_MACHINES_OF_JOB), machine_count: machineIds.length };
 }
 
-/** The largest requests that could be placed now on the machines of one type. */
+/** Returns the largest requests that could be placed now on the machines of one type. */
 function placeableView(source: ClusterViewSource, machines: Machine[], type: MachineType): unknown {
   const usable = machines.filter(
     (machine) =>
--- a/src/controller/operators/readiness.ts
+++ b/src/controller/operators/readiness.ts
@@ -4,14 +4,14 @@
 import type { CallHealth } from '../store/call-health.js';
 
 /**
- * Largest time since the state store last served a node for it to count as served, as a ratio to the leader's
- * lease. It applies to this node and to its peers.
+ * A node counts as served by the state store for this long after the store has last served it, as a ratio to
+ * the leader's lease. The same limit applies to this node and to its peers.
  */
 const SERVED_LEASE_RATIO = 0.4;
 
 /**
- * Readiness of this node. It becomes ready once it knows the machine types and the state store has served one
- * of its calls. After that it is unready only while the state store serves other nodes but not this one: if
+ * Readiness of this node. The node becomes ready once it knows the machine types and the state store has served
+ * one of its calls. After that it is unready only while the state store serves other nodes but not this one: if
  * the store serves no node, removing all nodes from the load balancer would only make the outage worse.
  */
 export class Readiness {
--- a/src/controller/runtime/heap-budget.ts
+++ b/src/controller/runtime/heap-budget.ts
@@ -18,12 +18,12 @@
 const YOUNG_GENERATION_MB = 48;
 
 /**
- * Share of the remaining memory that the old generation may fill before a collection. The rest is left
- * because the heap keeps growing while a collection marks live objects.
+ * Fraction of the memory available to the old generation that it may fill before a collection. The remainder
+ * is kept free because the heap keeps growing while a collection marks live objects.
  */
 const PLANNED_RATIO = 0.65;
 
-/** Smallest size of the old generation with which a leader can be expected to run. */
+/** Smallest size in MB of the old generation with which a leader can be expected to run. */
 const MIN_OLD_GENERATION_MB = 32;
 
 /** Bounds of the heap's growth until the next collection, in percent of its size after the last one. */
@@ -44,7 +44,7 @@
 /**
  * Returns by how many percent the heap may grow beyond its size after a collection. That size is at
  * most `usedMb`, so the heap stays within `budgetMb` as long as `usedMb` plus `MIN_GROWTH_PERCENT` does
- * not exceed it.
+ * not exceed `budgetMb`.
  */
 export function growthPercent(usedMb: number, budgetMb: number): number {
   const percent = Math.floor((budgetMb / Math.max(1, usedMb) - 1) * 100);
--- a/src/controller/runtime/runtime.ts
+++ b/src/controller/runtime/runtime.ts
@@ -11,7 +11,7 @@
 
 /** The response to a call. */
 export interface Reply {
-  /** HTTP status, or 0 without a response: the request may have been carried out, or may be later. */
+  /** HTTP status; 0 without a response: the request may have been carried out, or may be carried out later. */
   status: number;
   /** The decoded body, or null if there is none. */
   body: unknown;
@@ -23,7 +23,7 @@
   to: string;
   method: 'GET' | 'POST' | 'DELETE';
   path: string;
-  /** Sent encoded as CBOR. If undefined, the request has no body. */
+  /** Sent encoded as CBOR; undefined if the request has no body. */
   body?: unknown;
   /** Time without a response after which the call ends with status 0. */
   timeoutMs: number;
@@ -46,8 +46,8 @@
   /** Sends a request. Calls `done` exactly once: with the reply, or at the time-out. */
   call(call: Call, done: (reply: Reply) => void): void;
   /**
-   * Returns whether a dispensable call to the address may be made: either sockets are not scarce, or
-   * an idle connection to the address is open.
+   * Returns whether a call to the address that can be omitted may be made: either sockets are not scarce,
+   * or an idle connection to the address is open.
    */
   hasSpareConnection(to: string): boolean;
   /** Sends a frame to another controller without confirmation; it may be lost. */
--- a/src/controller/runtime/token-bucket.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -4,7 +4,7 @@
 
 /**
  * Limits calls to an average of `ratePerS` and a burst of `burst`. A caller of low priority leaves
- * `reserve` tokens (a ratio of the burst) to callers of higher priority. Under load, status polls are
+ * `reserve` tokens (a fraction of the burst) to callers of higher priority. Under load, status polls are
  * therefore delayed before submissions, and submissions before the leader's records and its lease.
  */
 export class TokenBucket {
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Takes `count` tokens if at least `reserve` (a ratio of the burst) remains. Otherwise takes none and
+   * Takes `count` tokens if at least `reserve` (a fraction of the burst) remains. Otherwise takes none and
    * returns false.
    */
   tryTake(count = 1, reserve = 0): boolean {
@@ -65,7 +65,7 @@
 
   /**
    * Removes all tokens and grants none for `pauseMs`. To be called when the service has refused a call
-   * for its rate, because then it has counted more calls than this bucket.
+   * for its rate: the service has then counted more calls than this bucket.
    */
   pauseFor(pauseMs: number): void {
     this.refill();
