--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -29,7 +29,7 @@
     assert.ok(!arrivals.haveStopped(lastAt + 17 * GAP_MS));
   });
 
-  it('reports no stop within the shortest delay, in which users retry, however frequent jobs were', () => {
+  it('reports no stop within the time in which users retry, however often jobs arrived before', () => {
     const { arrivals, lastAt } = monitorAfterArrivals(100, 60_000);
     assert.ok(!arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS));
     assert.ok(arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS + 1));
--- a/src/controller/runtime/runtime.ts
+++ b/src/controller/runtime/runtime.ts
@@ -46,8 +46,8 @@
   /** Sends a request. Calls `done` exactly once: with the reply, or at the time-out. */
   call(call: Call, done: (reply: Reply) => void): void;
   /**
-   * Returns whether a call to the address that can be omitted may be made: either sockets are not scarce,
-   * or an idle connection to the address is open.
+   * Returns whether an optional call to the address may be made: either sockets are not scarce, or an idle
+   * connection to the address is open.
    */
   hasSpareConnection(to: string): boolean;
   /** Sends a frame to another controller without confirmation; it may be lost. */
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -21,7 +21,7 @@
   timeoutMs: number;
   /** Longest time that an entry may wait to be sent. */
   maxQueueMs: number;
-  /** Shortest time until the next transaction, unless it is full; so that more entries share a transaction. */
+  /** Shortest time between two transactions. A full transaction does not wait for it; others wait to collect entries. */
   minIntervalMs: number;
 }
 
--- a/src/controller/store/transaction-queue.ts
+++ b/src/controller/store/transaction-queue.ts
@@ -46,7 +46,7 @@
     this.budget.queuedWrites += transaction.writes.length;
   }
 
-  /** Removes the queued writes from the budget when nothing is sent any more. Must be called only once. */
+  /** Removes the queued writes from the budget, because nothing more is sent. Must be called only once. */
   close(): void {
     for (const { writes } of this.transactions) this.budget.queuedWrites -= writes.length;
   }
--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -22,13 +22,13 @@
     assert.equal(shareOf(demand(true, 0), []), 1);
   });
 
-  it('depends on the known demands', () => {
+  it("increases with the controller's part of the known demand", () => {
     const idle = demand(false, 0);
     const share = shareOf(demand(false, 20), [demand(true, 5), idle, idle, idle]);
     assert.ok(share > 0.6, `the follower with most of the demand may use ${share}`);
   });
 
-  it('adds up to at most 1, whether all demands are known or none', () => {
+  it('gives shares that add up to at most 1, whether all demands are known or none', () => {
     const rates = fc.array(fc.double({ min: 0, max: 100, noNaN: true }), {
       minLength: 1,
       maxLength: 7,
