--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -11,8 +11,8 @@
 const MAX_DEFERRAL_RATIO = 0.25;
 
 /**
- * Largest share of the leader's write rate that pages use, even if urgent entries are always waiting. The
- * remaining share is for the transactions that end jobs, so that neither kind of write starves the other.
+ * Share of the leader's write rate that pages use while urgent entries are always waiting. The remaining
+ * share is for the transactions that end jobs, so that neither kind of write starves the other.
  */
 const PAGE_WRITES_RATIO = 0.45;
 
@@ -20,7 +20,7 @@
 export interface DueWrites {
   /** Whether pages may be committed. */
   pages: boolean;
-  /** Whether this includes pages that have only deferrable entries to write. */
+  /** Whether pages that have only deferrable entries to write may be committed too. */
   deferrable: boolean;
 }
 
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -21,7 +21,7 @@
   timeoutMs: number;
   /** Longest time that an entry may wait to be sent. */
   maxQueueMs: number;
-  /** Shortest time between two transactions. A full transaction does not wait for it; others wait to collect entries. */
+  /** Shortest time between two transactions, to collect entries. A full transaction is sent sooner. */
   minIntervalMs: number;
 }
 
--- a/src/controller/store/write-share.ts
+++ b/src/controller/store/write-share.ts
@@ -14,10 +14,10 @@
 const IDLE_WEIGHT_RATIO = 0.15;
 
 /**
- * Returns the share of the state store's writes that a controller may use, from 0 to 1. Each controller
- * has a fixed share by its role: `followersShare` is split evenly among the followers, and the leader has
- * the remaining share. The fixed shares of the controllers with known demands are pooled and divided by demand. A
- * peer whose demand is unknown (`null`) may use its full fixed share. The shares therefore add up to at
+ * Returns the share of the state store's writes that a controller may use, from 0 to 1. Each controller has
+ * a fixed share by its role: `followersShare` is split evenly among the followers, and the leader has the
+ * remaining share. The fixed shares of the controllers with known demands are pooled and divided by demand.
+ * A peer whose demand is unknown (`null`) may use its full fixed share. The shares therefore add up to at
  * most 1, regardless of which demands each controller knows.
  *
  * @param own - the demand of this controller
