--- a/src/launcher/build-cache.ts
+++ b/src/launcher/build-cache.ts
@@ -3,5 +3,5 @@
 import { join } from 'node:path';
 import { APPLICATION_FILE, cachePath, createCache } from './application.js';
 
-const application = join(__dirname, APPLICATION_FILE);
-writeFileSync(cachePath(application), createCache(application));
+const applicationPath = join(__dirname, APPLICATION_FILE);
+writeFileSync(cachePath(applicationPath), createCache(applicationPath));
