--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -169,10 +169,10 @@
 
   /** Removes the first bytes from `buffered` and returns them. */
   private takeBytes(size: number): Buffer {
-    const part = this.buffered.subarray(0, size);
+    const taken = this.buffered.subarray(0, size);
     this.buffered = this.buffered.length === size ? EMPTY : this.buffered.subarray(size);
     this.scannedBytes = 0;
-    return part;
+    return taken;
   }
 
   /** Returns the next line without its line end, or null if its end has not arrived. */
