--- a/src/controller/api/heartbeat-endpoint.ts
+++ b/src/controller/api/heartbeat-endpoint.ts
@@ -38,7 +38,7 @@
     const { redirectedHeartbeats, leadership, settings } = this.context;
     redirectedHeartbeats.count(1);
     const { leader } = leadership;
-    const isElsewhere = leader !== null && leader.host !== settings.platform.host;
-    respond({ status: 421, body: isElsewhere ? { foreman: leader.host } : {} });
+    const isOtherNode = leader !== null && leader.host !== settings.platform.host;
+    respond({ status: 421, body: isOtherNode ? { foreman: leader.host } : {} });
   }
 }
