--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -69,8 +69,8 @@
       fc.property(fc.array(pieces, { maxLength: 12 }), (parts) => {
         const parser = new HttpParser('request', limits);
         try {
-          for (const part of parts) {
-            parser.push(part);
+          for (const piece of parts) {
+            parser.push(piece);
             while (parser.next() !== null);
           }
         } catch (err) {
