--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -66,10 +66,10 @@
         .map((s) => Buffer.from(s)),
     );
     fc.assert(
-      fc.property(fc.array(pieces, { maxLength: 12 }), (parts) => {
+      fc.property(fc.array(pieces, { maxLength: 12 }), (input) => {
         const parser = new HttpParser('request', limits);
         try {
-          for (const piece of parts) {
+          for (const piece of input) {
             parser.push(piece);
             while (parser.next() !== null);
           }
