--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -89,12 +89,12 @@
   const present = presentVersion();
   const { frequent, rare } = seedCountsFor(name);
   for (const event of rolloutEvents) {
-    const seeds = event.rare === true ? rare : frequent;
+    const seedCount = event.rare === true ? rare : frequent;
     it(`violate no rule and finish all jobs during a rollout with ${event.name}`, () => {
-      playSeeds(seeds, (seed) => playRollout(seed, older, present, event));
+      playSeeds(seedCount, (seed) => playRollout(seed, older, present, event));
     });
     it(`violate no rule and finish all jobs during a rollback with ${event.name}`, () => {
-      playSeeds(seeds, (seed) => playRollout(seed, present, older, event));
+      playSeeds(seedCount, (seed) => playRollout(seed, present, older, event));
     });
   }
 });
