--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -58,12 +58,12 @@
     // Leaves time for the crash between the restart of the first process and the kill of the second.
     pauseMs: RESTART_PAUSE_MS,
     rare: true,
-    plan: planCrashOfAll,
+    plan: planKillOfAll,
   },
 ];
 
 /** Kills all controllers at once while one of them runs the other version; each restarts with its version. */
-function planCrashOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
+function planKillOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
   const { simulation, starts } = scenario;
   const { clock, random, hosts } = simulation;
   let versionsRunning = 0;
