--- a/src/command-line/input-files.ts
+++ b/src/command-line/input-files.ts
@@ -15,7 +15,7 @@
 
 /**
  * Reads and checks both settings files. Throws a `CommandError` that names a file that cannot be read, or an
- * invalid field and its file. If fields contradict one another, the message names only the field.
+ * invalid field and its file. If fields contradict one another, the message names fields but no file.
  */
 export function loadSettings(files: SettingsFiles): Settings {
   const platform = readSettingsFile(files.config, readPlatform);
--- a/src/launcher/application.test.ts
+++ b/src/launcher/application.test.ts
@@ -32,7 +32,7 @@
     assert.equal(compileApplication(file).cachedDataRejected, true);
   });
 
-  it('is rejected if it is corrupt, and may be missing', () => {
+  it('is rejected if it is corrupt, and is not required', () => {
     const corrupt = writeBundle('corrupt.cjs', 'module.exports = { corrupt: true };');
     writeFileSync(cachePath(corrupt), Buffer.alloc(10));
     assert.equal(compileApplication(corrupt).cachedDataRejected, true);
--- a/src/launcher/application.ts
+++ b/src/launcher/application.ts
@@ -11,7 +11,7 @@
 /** Suffix that is appended to a bundle's name to get the name of its code cache file. */
 const CACHE_SUFFIX = '.cache';
 
-/** The function that `Module.wrap` makes of the source of a CommonJS module. */
+/** The function whose source `Module.wrap` returns for a CommonJS module. */
 type ModuleFunction = (
   exports: object,
   require: NodeJS.Require,
@@ -54,8 +54,8 @@
 }
 
 /**
- * Creates the code cache of a bundle, with every function compiled. V8 accepts a cache only if the same flags
- * are set as when it was made, so lazy compilation is switched on again before the cache is made.
+ * Creates the code cache of a bundle, with every function compiled. V8 accepts a cache only if the flags are
+ * the same as at the call of `createCachedData`, so lazy compilation is switched on again before that call.
  */
 export function createCache(file: string): Buffer {
   setFlagsFromString('--no-lazy');
