--- a/src/controller/api/endpoints.ts
+++ b/src/controller/api/endpoints.ts
@@ -7,13 +7,13 @@
 import { HEARTBEAT_PATH, HeartbeatEndpoint } from './heartbeat-endpoint.js';
 import { MetricsEndpoint } from './metrics-endpoint.js';
 
-/** Matches the path of a job's status and that of its cancellation. */
+/** Matches the paths of a job's status and of its cancellation. */
 const JOB_PATH = /^\/submissions\/([^/]+)(\/abort)?$/;
 
-/** Answers the requests to one path, which must have one method. */
+/** Answers the requests to one path. Requests with another method than `method` are refused. */
 export interface Endpoint {
   method: 'GET' | 'POST';
-  /** Answers a request; `query` holds the query parameters of its target. */
+  /** Answers a request; `query` holds the parameters of its query string. */
   serve: (body: Buffer, respond: Respond, query: URLSearchParams) => void;
 }
 
--- a/src/controller/api/heartbeat-endpoint.ts
+++ b/src/controller/api/heartbeat-endpoint.ts
@@ -24,16 +24,16 @@
     const { role, catalogue } = this.context;
     const term = role.currentTerm;
     if (term === null) return this.redirect(respond);
-    // This node is elected but may not answer: the state is not recovered yet, the lease has expired without
-    // an extension by all other controllers (invariant 1), or the job watch is older than the freshness
-    // bound (invariant 8).
+    // This node is elected but may not answer: the state is not recovered yet, the lease has expired and the
+    // other controllers have not all granted more time (invariant 1), or the job watch is older than the
+    // freshness bound (invariant 8).
     if (!role.mayAnswerWorkers || catalogue.types === null) return respond(unavailable());
     const response = term.components.workers.handleHeartbeat(heartbeat);
     const hasSteppedDown = role.currentTerm !== term;
     respond(response.status === 200 && !hasSteppedDown ? response : unavailable());
   }
 
-  /** Responds with the leader's host if another node is known to be leader. */
+  /** Responds with status 421, and with the leader's host if another node is known to be leader. */
   private redirect(respond: Respond): void {
     const { redirectedHeartbeats, leadership, settings } = this.context;
     redirectedHeartbeats.count(1);
--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -110,7 +110,7 @@
       assert.equal(forwarded.length, 0);
     });
 
-  it('asks a peer if this node is late and its calls stall, and sends the first response', () => {
+  it('asks a peer if this node does not respond in time and its calls stall, and sends the first response', () => {
     const { runtime, responses, forwarded, answerLocally } = start({ stalledMs: HEDGE_DELAY_MS });
     runtime.advance(HEDGE_DELAY_MS);
     assert.equal(forwarded.length, 1);
@@ -119,7 +119,7 @@
     assert.deepEqual(responses, [OK]);
   });
 
-  it('asks no peer if this node is late but its calls do not stall', () => {
+  it('asks no peer if this node does not respond in time but its calls do not stall', () => {
     const { runtime, forwarded } = start({ stalledMs: HEDGE_DELAY_MS - 1 });
     runtime.advance(HEDGE_DELAY_MS);
     assert.equal(forwarded.length, 0);
--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -21,8 +21,8 @@
  */
 const HEDGE_DELAY_DIVISOR = 25;
 /**
- * Longest time since the state store last served a peer for the peer to be asked: a heartbeat interval
- * divided by this.
+ * A peer is asked only if the state store has served it recently: within a heartbeat interval divided by
+ * this.
  */
 const PEER_FRESHNESS_DIVISOR = 2;
 /** Time-out of a request that is forwarded to a peer: a heartbeat interval divided by this. */
@@ -44,7 +44,7 @@
 /** One request, which gets exactly one response: that of this node or that of a peer. */
 export class HedgedRequest {
   private isAnswered = false;
-  /** Whether the request has been forwarded to a peer and neither a reply nor the time-out has come. */
+  /** Whether the request has been forwarded to a peer that has neither replied nor timed out. */
   private isPeerReplyPending = false;
   /** This node's 503 response; sent if no peer gives a better one. */
   private localFailure: ApiResponse | null = null;
@@ -61,7 +61,7 @@
   start(answerLocally: AnswerLocally): void {
     this.hedgeTimer = this.context.eventLoop.after(
       this.hedgeDelayMs,
-      'late',
+      'hedge-delay',
       () => void this.askPeer(),
     );
     answerLocally(this.request, (response) => this.handleLocalResponse(response));
--- a/src/controller/api/router.test.ts
+++ b/src/controller/api/router.test.ts
@@ -10,7 +10,7 @@
 
 const NO_BODY = Buffer.alloc(0);
 
-describe('API of a node without leader and state store', () => {
+describe('the API of a node without a leader or a state store', () => {
   let runtime = new ManualRuntime();
   let controller: Controller;
 
@@ -71,7 +71,7 @@
 });
 
 describe('toApiResponse', () => {
-  it('returns status 503 if the body of a reply can not be decoded', () => {
+  it('returns status 503 if the body of a reply cannot be decoded', () => {
     assert.deepEqual(toApiResponse({ id: 1, status: 200, body: Buffer.from([0xff]) }), {
       status: 503,
       body: { error: 'broken answer of a peer' },
--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -10,8 +10,9 @@
 /** Time-out of a request that is forwarded to the leader: a heartbeat interval divided by this. */
 const LEADER_TIMEOUT_DIVISOR = 2;
 
-/** First path segments of the requests that another node may answer. */
+/** First path segment of users' requests, which a peer may answer. */
 const SUBMISSIONS_ROUTE = 'submissions';
+/** First path segment of requests for the view of the cluster, which only the leader can answer. */
 const CLUSTER_ROUTE = 'cluster';
 /** Route label of requests to unknown paths in the metrics. */
 const UNKNOWN_ROUTE = 'other';
