--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -13,7 +13,7 @@
   maxConnectionsPerHost: number;
   /** Time after which an idle connection is closed. */
   idleTimeoutMs: number;
-  /** Largest response body that is accepted. */
+  /** Largest response body that is accepted, in bytes. */
   maxBodyBytes: number;
 }
 
--- a/src/controller/http/formatting.ts
+++ b/src/controller/http/formatting.ts
@@ -25,13 +25,13 @@
   body: Buffer;
   /** Content type of the body; application/cbor if absent. */
   contentType?: string;
-  /** Seconds of the Retry-After header, rounded up to at least 1; without the header if absent. */
+  /** Retry-After in seconds, which is rounded up to a whole number of at least 1; no header if absent. */
   retryAfterS?: number;
   /** Value of the Allow header: the method that the path allows, in responses with status 405. */
   allow?: string;
 }
 
-/** Returns the bytes of a response; `close` adds the header that announces the end of the connection. */
+/** Returns the bytes of a response; `close` adds the header `Connection: close`. */
 export function formatResponse(response: HttpResponse, close: boolean): Buffer {
   const { status, body, contentType, retryAfterS, allow } = response;
   let head = `HTTP/1.1 ${status} ${reasonPhrases[status] ?? 'Status'}\r\nContent-Length: ${body.length}\r\n`;
--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -75,12 +75,12 @@
   private buffered: Buffer = EMPTY;
   private stage: Stage = 'head';
   private message: HttpMessage | null = null;
-  /** Length of the body or of the chunk that is parsed next. */
+  /** Length in bytes of the body or of the chunk that is parsed next. */
   private bytesNeeded = 0;
   private chunks: Buffer[] = [];
   /** Sum of the announced lengths of the current message's chunks so far. */
   private chunkedBytes = 0;
-  /** Bytes at the start of `buffered` that are known not to contain the line end that is searched for. */
+  /** Number of bytes at the start of `buffered` in which a search has found no line end. */
   private scannedBytes = 0;
 
   constructor(
--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -7,7 +7,7 @@
 
 const port = 39_471;
 
-describe('HTTP server and client over loopback', () => {
+describe('over a loopback connection', () => {
   let server: HttpServer;
   before(
     () =>
@@ -42,7 +42,7 @@
       socket.write(text);
     });
 
-  it('responds with 400 to malformed bytes and with 413 to a body above the limit, and closes', async () => {
+  it('the server responds with 400 to malformed bytes and 413 to a body above the limit, and closes', async () => {
     assert.match(await sendRaw('\0\0\0\0\r\n\r\n'), /^HTTP\/1\.1 400 /);
     assert.match(
       await sendRaw('POST / HTTP/1.1\r\nContent-Length: 999\r\n\r\n'),
@@ -50,13 +50,13 @@
     );
   });
 
-  it('closes a connection without a response if its request is incomplete at the time-out', async () => {
+  it('the server closes without a response if a request is incomplete at the time-out', async () => {
     assert.equal(await sendRaw('POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nab'), '');
   });
 
   // Guards against refused connections: with 885 workers at one node and a limit of 1200 sockets, the node
   // refused new connections, workers' connections included.
-  it('closes the longest idle connections when the budget is exhausted, and serves new ones', async () => {
+  it('the server closes the longest idle connections when its budget is exhausted, and serves new ones', async () => {
     const closed: number[] = [];
     const openSockets: net.Socket[] = [];
     const openAndRequest = (i: number): Promise<void> =>
@@ -73,7 +73,7 @@
     for (const s of openSockets) s.destroy();
   });
 
-  it('reuses a connection, and returns null for a time-out or an unreachable address', async () => {
+  it('the client reuses a connection, and returns null for a time-out or an unreachable address', async () => {
     const client = new HttpClient({
       ...{
         sockets: new SocketBudget(10),
--- a/src/controller/http/socket-budget.ts
+++ b/src/controller/http/socket-budget.ts
@@ -1,6 +1,6 @@
 /**
  * Counts the open sockets of the process, whose number the platform limits. Servers and clients share the
- * budget without fixed shares: if a new socket exceeds it, an idle connection is closed, so that a new
+ * budget without fixed shares: if a new socket exceeds the budget, an idle connection is closed, so that a new
  * connection can be accepted at any time. The other end of a closed connection reconnects when it next has
  * something to send.
  */
@@ -21,9 +21,9 @@
   }
 
   /**
-   * Registers the server or client whose `closeIdle` closes its longest idle connection and returns whether
-   * it had one. When the budget is exceeded, the functions are called in the order of registration until one
-   * returns true.
+   * Registers a function that closes the longest idle connection of a server or client, and that returns
+   * false if no connection is idle. When the budget is exceeded, the functions are called in the order of
+   * registration until one returns true.
    */
   onExhausted(closeIdle: () => boolean): void {
     this.idleClosers.push(closeIdle);
