--- a/src/controller/peers/avro-validation.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -40,7 +40,7 @@
 }
 
 const DOUBLE_BYTES = 8;
-/** Length of the longest encoded integer: 64 bits, 7 in each byte. */
+/** Length in bytes of the longest encoded integer, which has 64 bits, 7 in each byte. */
 const MAX_INTEGER_BYTES = 10;
 
 /** Throws an `AvroEncodingError` unless the bytes encode exactly one value of the schema. */
--- a/src/controller/peers/message-codec.test.ts
+++ b/src/controller/peers/message-codec.test.ts
@@ -34,7 +34,7 @@
     );
   });
 
-  it('encodes arbitrary messages so that decodePeerMessage restores them', () => {
+  it('encodes any decoded message to the bytes from which it was decoded', () => {
     const text = fc.string({ unit: 'binary', maxLength: 20 });
     const int = fc.integer({ min: -(2 ** 31), max: 2 ** 31 - 1 });
     const long = fc.maxSafeInteger();
@@ -100,7 +100,7 @@
   });
 
   // Guards against memory exhaustion: without validation, avsc allocates memory for all announced items
-  // first, so that a message of a few bytes ended the process.
+  // before it reads them, and a message of a few bytes ended the process.
   const counts = [
     [0xfe, 0xff, 0xff, 0xff, 0x0f],
     [0xff, 0xff, 0xff, 0xff, 0x0f, 2],
@@ -109,12 +109,12 @@
   for (const [field, prefix] of Object.entries({ finals: [0], accepted: [0, 0] }))
     for (const count of counts) {
       const hex = Buffer.from(count).toString('hex');
-      it(`throws if ${field} announces more items than bytes (count ${hex})`, () => {
+      it(`throws if ${field} announces more items than it has bytes (count ${hex})`, () => {
         assert.throws(() => decodePeerMessage(Buffer.from([...prefix, ...count])), /more items/);
       });
     }
 
-  it('throws on a string whose announced length is above that of the message', () => {
+  it('throws on a string whose announced length is above the length of the message', () => {
     const longText = Buffer.from([2, 0xfe, 0xff, 0xff, 0xff, 0x0f]);
     assert.throws(() => decodePeerMessage(longText), /length/);
   });
--- a/src/controller/peers/message.ts
+++ b/src/controller/peers/message.ts
@@ -5,8 +5,8 @@
 import type { JobState, TerminalState } from '../wire/jobs.js';
 
 /**
- * Status of a controller, which it sends to its peers at regular intervals. No invariant depends on it; it
- * only saves requests to the state store.
+ * The status that a controller sends to its peers at regular intervals. No invariant depends on it: it only
+ * saves requests to the state store.
  */
 export interface PeerStatus {
   host: string;
@@ -38,7 +38,7 @@
   done: number;
   /** Number of running tasks. */
   running: number;
-  /** Number of runs that have ended, by cause. */
+  /** Number of task attempts that have ended, by exit cause. */
   exits: Record<string, number>;
   /** Reason why the job does not start; empty if no reason is known. */
   blocked: string;
--- a/src/controller/peers/peers.test.ts
+++ b/src/controller/peers/peers.test.ts
@@ -23,9 +23,9 @@
 }
 
 describe('Peers', () => {
-  // Guards against wrong replies: a process that was restarted within a fraction of a second used the same
-  // ids, from 1, as the process before it, to whose requests replies could still arrive.
-  it('assigns request ids that the previous process on its host has not used', () => {
+  // Guards against replies to the wrong request: when every process numbered its requests from 1, a process
+  // that restarted within a fraction of a second could get replies to requests of the process before it.
+  it('assigns request ids that the previous process on the same host has not used', () => {
     const ids: number[] = [];
     for (const seed of [1, 2]) {
       const peers = createPeers({
--- a/src/controller/peers/request-forwarder.ts
+++ b/src/controller/peers/request-forwarder.ts
@@ -23,7 +23,7 @@
     this.lastId = Math.floor(eventLoop.runtime.random() * MAX_INITIAL_ID);
   }
 
-  /** Forwards a request to the peer on `host`. `done` is called once, with null after `timeoutMs`. */
+  /** Forwards a request to the peer on `host`. `done` is called once, with null if no reply arrives in time. */
   forward(
     host: string,
     request: Omit<ForwardedRequest, 'id'>,
