--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -74,7 +74,7 @@
     assert.equal(forwarded.length, 0);
   });
 
-  it('responds with the reply of a peer if the state store serves the peer and fails this node', () => {
+  it('responds with the reply of a peer if the state store serves the peer but not this node', () => {
     const { responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
     answerLocally(UNAVAILABLE);
     assert.deepEqual(responses, []);
@@ -99,7 +99,10 @@
     });
 
   const casesWithoutForwarding: [string, StartOptions][] = [
-    ['the state store serves this node, whose rate share is used up', { consecutiveFailures: 0 }],
+    [
+      "this node's share of the request rate is used up but no call failed",
+      { consecutiveFailures: 0 },
+    ],
     ['the state store serves no peer', { consecutiveFailures: 1, servedHost: null }],
   ];
   for (const [title, startOptions] of casesWithoutForwarding)
--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -1,6 +1,6 @@
 /**
- * Hedging of users' requests: if the state store fails this node or does not respond in time, the request
- * is also forwarded to a peer that the state store serves. During a network partition between this node and
+ * Hedging of users' requests: if this node's calls to the state store fail or get no response in time, the
+ * request is also forwarded to a peer that the state store serves. During a network partition between this node and
  * the state store, users then still get a response, with a short delay.
  */
 import type { ApiResponse, Respond } from '../jobs/api-response.js';
--- a/src/controller/api/peer-response.ts
+++ b/src/controller/api/peer-response.ts
@@ -3,7 +3,7 @@
 import type { ForwardedReply } from '../peers/message.js';
 import { decodeBody } from '../wire/cbor.js';
 
-/** Converts a peer's reply to a response; its status is 503 if the body of the reply can't be decoded. */
+/** Converts a peer's reply to a response; its status is 503 if the body of the reply cannot be decoded. */
 export function toApiResponse({ status, body }: ForwardedReply): ApiResponse {
   if (body.length === 0) return { status };
   try {
--- a/src/controller/peers/peer-connection.ts
+++ b/src/controller/peers/peer-connection.ts
@@ -13,7 +13,7 @@
   peerConnectionFailed(err: Error): void;
 }
 
-/** Reads frames from a connection until it ends or a frame can't be decoded, then closes it. Does not throw. */
+/** Reads frames from a connection until it ends or a frame cannot be decoded, then closes it. Does not throw. */
 export function readPeerConnection(socket: net.Socket, handler: PeerFrameHandler): void {
   const decoder = new FrameDecoder();
   let failed = false;
--- a/src/controller/peers/peer-link.ts
+++ b/src/controller/peers/peer-link.ts
@@ -20,7 +20,7 @@
     private readonly retryMs: number,
   ) {}
 
-  /** Sends a frame. Drops it if the peer can't be reached or reads too slowly. */
+  /** Sends a frame. Drops it if the peer cannot be reached or reads too slowly. */
   send(frame: Buffer): void {
     const socket = this.socket ?? this.connect();
     if (socket === null || socket.writableLength > MAX_BACKLOG_BYTES) return;
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -116,7 +116,7 @@
 
   // ---- receiving
 
-  /** Handles a message of another controller. Drops, logs and counts it if it can't be decoded. */
+  /** Handles a message of another controller. Drops, logs and counts it if it cannot be decoded. */
   receive(bytes: Buffer): void {
     let message: PeerMessage;
     try {
