--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -51,18 +51,18 @@
   return { faults: [], occurred: () => scenario.limitsDecrease?.leader === null };
 }
 
-/** Lowers the limits after the rollout, as a version without support for upcoming limits would exceed them. */
+/** Lowers the limits after the rollout, since the older version ignores upcoming limits and would exceed them. */
 function decreaseAfterRollout(moment: LimitsDecreaseMoment): RolloutEvent {
   return limitsDecreaseEvent(moment, 1, ({ completeMs }) => completeMs);
 }
 
-/** Lowers the limits while both versions serve. */
+/** Lowers the limits while both versions run. */
 function decreaseDuringRollout(moment: LimitsDecreaseMoment): RolloutEvent {
   const fromMs = ({ firstRestartMs }: RollingUpdate): number => firstRestartMs + LONGEST_RESTART_MS;
   return { ...limitsDecreaseEvent(moment, 2, fromMs), pauseMs: RESTART_PAUSE_MS };
 }
 
-/** @param versionsRunning - the expected number of versions that serve when the limits are lowered */
+/** @param versionsRunning - the expected number of different versions that run when the limits are lowered */
 function limitsDecreaseEvent(
   moment: LimitsDecreaseMoment,
   versionsRunning: number,
@@ -119,10 +119,10 @@
       continue;
     }
     const event = decreaseDuringRollout(moment);
-    it(`exceed no size limit when the limits are lowered in a rollout, ${moment.name}`, () => {
+    it(`exceed no size limit when the limits are lowered during a rollout, ${moment.name}`, () => {
       playSeeds(rare, (seed) => playRollout(seed, older, present, event));
     });
-    it(`exceed no size limit when the limits are lowered in a rollback, ${moment.name}`, () => {
+    it(`exceed no size limit when the limits are lowered during a rollback, ${moment.name}`, () => {
       playSeeds(rare, (seed) => playRollout(seed, present, older, event));
     });
   }
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -13,7 +13,7 @@
 const START_MS = 15_000;
 /** Duration of the phase after `START_MS`, in which both versions run and faults are injected. */
 const BOTH_VERSIONS_MS = 200_000;
-/** Longest time between the end of a process and its restart in a rolling update. */
+/** Longest time between the kill of a process and its restart in a rolling update. */
 export const LONGEST_RESTART_MS = 6000;
 /** Interval at which a condition that a scenario waits for is evaluated. */
 const CONDITION_INTERVAL_MS = 10;
@@ -85,7 +85,7 @@
 
   private versionToStart(host: string): ProgramVersion {
     const version = this.versions.get(host);
-    assert.ok(version, host);
+    assert.ok(version, `no version for ${host}`);
     this.starts.push({ host, version });
     return version;
   }
--- a/test/mixed-versions/older-versions.ts
+++ b/test/mixed-versions/older-versions.ts
@@ -35,7 +35,7 @@
   defineTests: (older: OlderVersion) => void,
 ): Promise<void> {
   for (const entry of await olderVersions())
-    describe(`controllers of version "${entry.name}" and of the present version: ${subject}`, () => {
+    describe(`controllers of version "${entry.name}" and of the present version (${subject})`, () => {
       if ('older' in entry) defineTests(entry.older);
       else it('violate no rule', { skip: entry.reason });
     });
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -1,6 +1,6 @@
 /**
  * Rollouts and rollbacks between an older version and the present one, with faults during the update.
- * Operators roll out a new version while an older one serves, and roll back if it fails. So each version
+ * Operators roll out a new version while an older one runs, and roll back if the new one fails. So each version
  * has to read the other's records and take over leadership from it. Rules are checked after every step.
  */
 import assert from 'node:assert/strict';
@@ -18,7 +18,7 @@
 /** Events during a rolling update, which takes 9 to 45 s. */
 const rolloutEvents: RolloutEvent[] = [
   {
-    name: 'a leader that crashes before its update and restarts with the old version',
+    name: 'a leader that is killed before its update and restarts with the old version',
     plan: ({ simulation: { random }, starts }) => {
       const restartAfter = random.between(0.1, 2);
       const at = random.between(0.5, 2.5);
@@ -54,15 +54,15 @@
     }),
   },
   {
-    name: 'a simultaneous crash of all controllers',
-    // Leaves time for the crash between the restart of the first process and the kill of the second.
+    name: 'a simultaneous kill of all controllers',
+    // Leaves time for the event between the restart of the first process and the kill of the second.
     pauseMs: RESTART_PAUSE_MS,
     rare: true,
     plan: planKillOfAll,
   },
 ];
 
-/** Kills all controllers at once while one of them runs the other version; each restarts with its version. */
+/** Kills all controllers at once while one runs the new version; each restarts with the version that it ran. */
 function planKillOfAll(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent {
   const { simulation, starts } = scenario;
   const { clock, random, hosts } = simulation;
@@ -78,7 +78,7 @@
       assert.equal(
         starts.length - startsBefore,
         hosts.length,
-        'number of processes that restarted after the crash of all controllers',
+        'number of processes that restarted after the kill of all controllers',
       );
     });
   });
--- a/test/mixed-versions/rollout.ts
+++ b/test/mixed-versions/rollout.ts
@@ -1,10 +1,10 @@
-/** Rollouts from one version to another, each with an event during the rolling update. */
+/** Rollouts from one version to another, each with an event during the rolling update or after it. */
 import assert from 'node:assert/strict';
 import type { Fault } from '../simulation/faults/scripted/fault.js';
 import type { ProgramVersion } from '../simulation/program-version.js';
 import { MixedVersionScenario, type RollingUpdate } from './mixed-version-scenario.js';
 
-/** Pause between two restarts in which both versions run, for events that need time, in milliseconds. */
+/** Pause between two restarts, in milliseconds, for events that need both versions to run for some time. */
 export const RESTART_PAUSE_MS = 8000;
 
 /** The faults of an event, and whether the event occurred as planned. */
@@ -13,7 +13,7 @@
   occurred: () => boolean;
 }
 
-/** An event during a rollout. */
+/** An event during or after a rolling update. */
 export interface RolloutEvent {
   name: string;
   /** Time between two restarts in addition to the random interval, in milliseconds. */
@@ -24,7 +24,7 @@
   plan(scenario: MixedVersionScenario, update: RollingUpdate): PlannedEvent;
 }
 
-/** Plays a rolling update of all controllers from version `from` to `to`, with an event during the update. */
+/** Plays a rolling update of all controllers from version `from` to version `to`, with an event. */
 export function playRollout(
   seed: number,
   from: ProgramVersion,
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -14,7 +14,7 @@
   return scenario.simulation.leader !== null && scenario.allReplicasRun(services);
 }
 
-/** Submits services once all controllers run `to`, kills the leader, and cancels them after recovery. */
+/** Submits services once all controllers run `to`, kills the leader, and cancels the recovered services. */
 function playServicesAfterRollout(seed: number, from: ProgramVersion, to: ProgramVersion): void {
   const scenario = new MixedVersionScenario(seed, [from, from, from]);
   const { clock, random } = scenario.simulation;
@@ -55,7 +55,7 @@
     const ended = simulation.replicasEnded - endedBefore;
     assert.ok(
       running + ended >= SERVICES * REPLICAS,
-      'the failover ended replicas that had not exited',
+      `${running} replicas run and ${ended} exited, expected ${SERVICES * REPLICAS} in total`,
     );
     const hasRecovered = (): boolean => scenario.allReplicasRun(services);
     scenario.runWhen(MIN_RECOVERY_MS, hasRecovered, () => {
