--- a/test/failover-scenarios.test.ts
+++ b/test/failover-scenarios.test.ts
@@ -4,7 +4,10 @@
 import { responseScenarios } from './simulation/scenarios/response-scenarios.js';
 
 testScenarios(
-  'the service violates no rule and finishes all jobs when faults coincide with failovers',
+  'the service violates no rule and finishes all jobs in the failover scenario:',
   failoverScenarios,
 );
-testScenarios('the service answers users consistently under coinciding faults', responseScenarios);
+testScenarios(
+  'the service answers users consistently in the response scenario:',
+  responseScenarios,
+);
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -16,7 +16,7 @@
 const GANG_COUNT = 8;
 const IMAGE_COUNT = 3;
 
-/** The recorded arrivals of a job class: the weight of the work submitted, and its images. */
+/** The recorded arrivals of a job class: the decaying count of its tasks, and the images of its jobs. */
 interface RecordedArrivals {
   weight: number;
   images: string[];
@@ -80,7 +80,7 @@
       );
       const after = recordedArrivals(simulation);
       assert.deepEqual(after.images, before.images);
-      // No job was submitted since, so the weight is the same: it decays only when it is used.
+      // The stored weight changes only when a job is submitted, and none was since the first record.
       assert.equal(after.weight, before.weight);
     });
 });
--- a/test/fault-scenarios.test.ts
+++ b/test/fault-scenarios.test.ts
@@ -7,6 +7,6 @@
 import { testScenarios } from './simulation/scenarios/play-scenario.js';
 
 testScenarios(
-  'the service violates no rule and finishes all jobs under coinciding faults',
+  'the service violates no rule and finishes all jobs in the fault scenario:',
   faultScenarios,
 );
--- a/test/fleet-fixture.ts
+++ b/test/fleet-fixture.ts
@@ -8,6 +8,7 @@
 import { ManualRuntime, silentLogger } from './manual-runtime.js';
 import { standalonePlatform } from './platform.js';
 
+/** The settings of a controller without peers, with the default properties. */
 export const settings = new Settings(standalonePlatform(), defaultProperties());
 
 /** Longest time by which the cloud's list of machines may be out of date, in milliseconds. */
@@ -21,6 +22,7 @@
   };
 }
 
+/** The type of the machines that `FakeWorkers` adds: without GPUs. */
 export const plainType = machineType('plain', 0, 1);
 
 /** A fake of `Workers`; the test sets for how long each machine has been unresponsive. */
@@ -28,6 +30,7 @@
   readonly machines = new Map<string, Machine>();
   readonly assignedCountByClass = new Map<string, number>();
   readonly term = 7;
+  /** Time since each unresponsive machine last responded, in milliseconds, by machine id. */
   readonly unresponsive = new Map<string, number>();
 
   /** Adds a running machine of `plainType`. */
--- a/test/frontend-fixture.ts
+++ b/test/frontend-fixture.ts
@@ -28,7 +28,7 @@
 /** Time after which the token buckets of the state store client allow a call, in milliseconds. */
 const TOKEN_REFILL_MS = 60_000;
 
-/** Longer than any entry waits for its group commit, in milliseconds. */
+/** Time after which every group commit has been sent, in milliseconds. */
 const GROUP_COMMIT_MS = 1000;
 
 /** The body of a valid submission of a job array. */
--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -13,7 +13,7 @@
 /** Returns the first scenario whose name contains the text. */
 function scenarioNamed(fragment: string): FaultScenario {
   const scenario = allScenarios.find(({ name }) => name.includes(fragment));
-  assert.ok(scenario, fragment);
+  assert.ok(scenario, `no scenario name contains "${fragment}"`);
   return scenario;
 }
 
@@ -93,7 +93,7 @@
     'right after each change',
     'responses to committed transactions are lost',
   ])
-    it(`violates went_back if a controller caches its responses, in "${nameFragment}"`, () => {
+    it(`violates went_back if a controller caches its responses, in the scenario "${nameFragment}"`, () => {
       const version = versionWith(CachingController);
       assert.throws(() => playScenario(scenarioNamed(nameFragment), 1, version), /went_back/);
     });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -17,8 +17,14 @@
     it(`violates no rule and finishes all jobs under faults, seed ${seed}`, () => {
       const simulation = playLargeFleet(MACHINES, seed);
       const { cloud, checker, stateStore } = simulation;
-      assert.ok(cloud.workers.length > MACHINES * 0.6, `${cloud.workers.length} machines are left`);
-      assert.ok(checker.startedTasks > MACHINES, `only ${checker.startedTasks} tasks started`);
+      assert.ok(
+        cloud.workers.length > MACHINES * 0.6,
+        `only ${cloud.workers.length} of ${MACHINES} machines are left`,
+      );
+      assert.ok(
+        checker.startedTasks > MACHINES,
+        `only ${checker.startedTasks} tasks started, expected more than ${MACHINES}`,
+      );
       // The leader packs records into pages: apart from the three puts per job, one put covers several tasks.
       assert.ok(
         stateStore.puts < checker.startedTasks,
--- a/test/manual-runtime.ts
+++ b/test/manual-runtime.ts
@@ -1,4 +1,4 @@
-/** A runtime driven by the test, and a silent log, for unit tests. */
+/** A runtime whose clock and replies the test controls, and a silent log, for unit tests. */
 import type { Call, Logger, Reply, Runtime, Timer } from '../src/controller/runtime/runtime.js';
 
 interface PendingTimer {
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -60,7 +60,7 @@
   return Number(result.stdout);
 }
 
-describe('memory of a controller', () => {
+describe('the memory of a controller', () => {
   const directory = mkdtempSync(join(tmpdir(), 'bitternvale-'));
   after(() => rmSync(directory, { recursive: true }));
 
@@ -75,7 +75,7 @@
     });
   }
 
-  it('has a heap limit that grows with the quota, which check-config prints', () => {
+  it('is bounded by a heap limit that grows with the quota and that check-config prints', () => {
     const smallQuota = checkConfig(146);
     assert.equal(smallQuota.status, 0);
     assert.match(smallQuota.stdout, /^heap keeps at most 52 MB of 146 MB$/m);
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -20,7 +20,7 @@
   const { clock, processes } = simulation;
   const checkNow = (): void => {
     const hosts = processes.answeringWorkers();
-    assert.ok(hosts.length <= 1, hosts.join(' and '));
+    assert.ok(hosts.length <= 1, `${hosts.join(' and ')} answer workers at the same time`);
     if (!simulation.faultsStopped) clock.after(CHECK_INTERVAL_MS, checkNow);
   };
   checkNow();
@@ -66,7 +66,7 @@
       assert.equal(simulation.expiredLeases, 0);
     });
 
-  it("expires workers' leases when one controller is down and can't grant the leader more time", () => {
+  it("expires workers' leases when one controller is down and cannot grant the leader more time", () => {
     const simulation = playOutage(1, ({ leader, processes }) => {
       const follower = shortLeases.hosts.find((host) => host !== leader) ?? '';
       processes.kill(follower, OUTAGE_MS);
@@ -75,7 +75,7 @@
   });
 
   for (const seed of [1, 2, 3, 4])
-    it(`violates no rule when controllers crash or freeze during it, seed ${seed}`, () => {
+    it(`violates no rule when controllers are killed or frozen during it, seed ${seed}`, () => {
       const simulation = playOutage(seed, killOrFreezeControllers);
       simulation.stopFaults(10_000);
       simulation.play(400_000);
--- a/test/pages.test.ts
+++ b/test/pages.test.ts
@@ -45,7 +45,7 @@
         const exists = path.includes('/')
           ? PREFIXES.some((prefix) => existsSync(join(root, prefix + path)))
           : existsSync(join(root, path)) || files.some((file) => file.endsWith(`/${path}`));
-        assert.ok(exists, `${page} names ${path}`);
+        assert.ok(exists, `${page} names ${path}, which does not exist`);
       }
     });
 
@@ -56,13 +56,16 @@
         const memberExists = declaringSources.some((source) =>
           new RegExp(`\\b${member}\\b`).test(source),
         );
-        assert.ok(memberExists, `${page} names ${type}.${member}`);
+        assert.ok(memberExists, `${page} names ${type}.${member}, which does not exist`);
       }
     });
 
     it(`links only to pages that exist: ${page}`, () => {
       for (const [, target = ''] of matchesIn(page, LINK))
-        assert.ok(existsSync(join(root, dirname(page), target)), `${page} links to ${target}`);
+        assert.ok(
+          existsSync(join(root, dirname(page), target)),
+          `${page} links to ${target}, which does not exist`,
+        );
     });
   }
 });
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -83,7 +83,7 @@
   ['is empty', Buffer.alloc(0)],
   ['is truncated', wellFormed.subarray(0, wellFormed.length - 3)],
   ['has an unknown type in a union', Buffer.concat([Buffer.from([4]), wellFormed.subarray(1)])],
-  ['declares more array items than it has bytes', Buffer.from([0, 0xfe, 0xff, 0xff, 0xff, 0x0f])],
+  ['announces more array items than it has bytes', Buffer.from([0, 0xfe, 0xff, 0xff, 0xff, 0x0f])],
 ];
 
 describe('a controller that receives peer messages', () => {
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -28,7 +28,7 @@
 /** Interval between heartbeats of a worker, and between placement passes. */
 export const STEP_MS = 1000;
 
-/** The guaranteed GPUs of the team `owner`; with `serviceSettings` also its GPU limit. */
+/** Number of GPUs guaranteed to the team `owner`; in `serviceSettings` also its GPU limit. */
 export const OWNER_GPUS = 4;
 
 const noop = (): void => undefined;
@@ -115,7 +115,7 @@
     return this.simulated.find((worker) => worker.id === id) ?? assert.fail(`no worker ${id}`);
   }
 
-  /** Number of the job's tasks on each machine that has any. */
+  /** Number of the job's tasks by machine id, for the machines that have any. */
   tasksByMachine(job: Job): Map<string, number> {
     const taskCounts = new Map<string, number>();
     for (const { id, tasks } of this.simulated) {
--- a/test/placement-fixtures.ts
+++ b/test/placement-fixtures.ts
@@ -16,7 +16,7 @@
 /** Size limit of a machine's record, large enough for every test. */
 const RECORD_LIMIT_BYTES = 10_000;
 
-/** A machine type with room for four tasks of `gpuArraySpec`. */
+/** A machine type with capacity for four tasks of `gpuArraySpec`. */
 export const bigMachineType: MachineType = {
   ...{ name: 'big', cpus: 16, gpus: 4, memoryGb: 64, cacheGb: 10 },
   ...{ fetchGbPerS: 1, price: 1, spotPrice: 1, bootS: 10, zones: ['a', 'b'] },
--- a/test/rule-checker-fixture.ts
+++ b/test/rule-checker-fixture.ts
@@ -9,13 +9,17 @@
   ...{ id: 'req-1', class: 'train', team: 'red', kind: 'gang', gpus: 2 },
   ...{ types: ['big'], singleZone: true, spot: false },
 });
+/** The machine on which the gang's tasks start. */
 export const placement: Placement = { machine: 'n-1', type: 'big', zone: 'a', spot: false };
+/** A machine with free capacity for the whole gang. */
 export const freeMachine: FreeCapacity = {
   ...{ type: 'big', zone: 'a', spot: false, interruptionNotice: false },
   ...{ cpus: 16, gpus: 4, memoryGb: 128 },
 };
 const team = { name: 'red', guaranteedCpus: 0, guaranteedGpus: 0, maxCpus: 0, maxGpus: 4 };
+/** Longest time that tasks may run after the cancellation of their job is confirmed, in milliseconds. */
 export const CANCEL_MS = 45_000;
+/** The numbers of the gang's tasks. */
 export const BOTH_TASKS = [0, 1];
 
 /** The events that a test reports to the checker after the gang's submission. */
--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -132,7 +132,7 @@
 const responseViolations: Violation[] = [
   {
     rule: 'forgotten',
-    when: 'a later status query answers that an accepted job is unknown',
+    when: 'the response to a later status query reports an accepted job as unknown',
     play: (checker) => {
       accept(checker);
       checker.responseReceived('req-1', 404, '', false);
@@ -148,7 +148,7 @@
   },
   {
     rule: 'forgotten',
-    when: 'a status query answers that a job accepted before it was sent is unknown',
+    when: 'a job that was accepted before a status query was sent is reported as unknown',
     play: (checker) => {
       accept(checker);
       const acceptedState = checker.visibleState('req-1');
@@ -157,7 +157,7 @@
   },
   {
     rule: 'invented',
-    when: 'a response gives a state to a job that nobody submitted',
+    when: 'a response reports the state of a job that nobody submitted',
     play: (checker) => checker.responseReceived('req-9', 200, 'pending', false),
   },
   {
@@ -176,7 +176,7 @@
   },
   {
     rule: 'went_back',
-    when: 'a job is reported as cancelled although nobody requested it',
+    when: 'a job is reported as cancelled although nobody requested its cancellation',
     play: (checker) => checker.responseReceived('req-1', 200, 'aborted', false),
   },
   {
@@ -253,14 +253,14 @@
 ];
 
 const violations: [string, Violation[]][] = [
-  ['in the placement of tasks', placementViolations],
-  ['in responses to users', responseViolations],
-  ['in the treatment of jobs after the last fault', neglectViolations],
+  ['the placement of tasks', placementViolations],
+  ['responses to users', responseViolations],
+  ['the treatment of jobs after the last fault', neglectViolations],
 ];
 for (const [subject, cases] of violations)
-  describe(`the rule checker reports a violation ${subject}`, () => {
+  describe(`the rule checker, checking ${subject},`, () => {
     for (const { rule, when, play } of cases)
-      it(`${rule}, when ${when}`, () => {
+      it(`reports a violation of the rule ${rule} when ${when}`, () => {
         assert.ok(violatedRules(play).includes(rule));
       });
   });
--- a/test/short-leases.test.ts
+++ b/test/short-leases.test.ts
@@ -9,12 +9,12 @@
 const SEEDS = 1;
 
 testScenarios(
-  'the service violates no rule and finishes all jobs with short leases',
+  'with short leases, the service violates no rule and finishes all jobs in the scenario:',
   allScenarios.map(withShortLeases),
   SEEDS,
 );
 testScenarios(
-  'the service violates no rule and finishes all jobs with short leases and one controller in a zone',
+  'with short leases and a single controller in a zone, the service violates no rule and finishes all jobs when',
   singleControllerZone,
   SEEDS,
 );
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -56,7 +56,10 @@
   simulation.play(RECOVERY_MS);
   assert.deepEqual(checker.jobs.unfinished(), [], 'accepted jobs that never finished');
   assert.deepEqual(checker.jobs.neglected(), []);
-  assert.ok(checker.startedTasks > JOBS / 2, 'fewer tasks started than half the number of jobs');
+  assert.ok(
+    checker.startedTasks > JOBS / 2,
+    `only ${checker.startedTasks} tasks started, expected more than ${JOBS / 2}`,
+  );
 }
 
 /** Cuts the connections between the leader and all workers; the other controllers still reach them. */
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -6,7 +6,7 @@
 import { submitSteadily } from './simulation/scenarios/steady-work.js';
 import { Simulation } from './simulation/simulation.js';
 
-/** Largest number of machines in the fleet; more would only make the test slow. */
+/** Largest number of machines in the fleet; more of them would only make the test slower. */
 const MACHINES = 200;
 const FIRST_JOBS = 30;
 /** Mean time between two submissions, chosen so that most of the machines are busy. */
@@ -30,7 +30,7 @@
   return simulation;
 }
 
-/** Runs on without new faults and asserts that all accepted jobs ended and none was neglected. */
+/** Continues without new faults and asserts that all accepted jobs ended and none was neglected. */
 function assertCompletes(simulation: Simulation): void {
   simulation.stopFaults(60_000);
   simulation.play(400_000);
@@ -75,7 +75,7 @@
 ];
 
 describe('a fleet of hundreds of machines', () => {
-  it('sends few requests and writes to the state store, within its limits', () => {
+  it('sends few requests and writes to the state store, and stays within its rate limits', () => {
     let before: Usage = { puts: 0, requests: 0, startedTasks: 0 };
     const measureMs = 60_000;
     const measure: TimedAction = [measureMs, (simulation) => (before = usageOf(simulation))];
@@ -87,7 +87,10 @@
     const putsPerTask = (after.puts - before.puts) / tasks;
     assert.ok(putsPerTask < 2, `${putsPerTask} puts per task, expected less than 2`);
     const requestsPerSecond = (after.requests - before.requests) / (measureMs / 1000);
-    assert.ok(requestsPerSecond < REQUESTS_PER_SECOND);
+    assert.ok(
+      requestsPerSecond < REQUESTS_PER_SECOND,
+      `${requestsPerSecond} requests per second, limit ${REQUESTS_PER_SECOND}`,
+    );
     assert.equal(simulation.stateStore.rateLimited, 0);
     assertCompletes(simulation);
   });
@@ -99,7 +102,7 @@
     assertCompletes(simulation);
   });
 
-  it('finishes all jobs after losses of many machines, an outage and crashes of all controllers', () => {
+  it('finishes all jobs after losses of many machines, an outage and kills of all controllers', () => {
     assertCompletes(playFleet(3, 240_000, massFaults));
   });
 });
--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Draws the fault of a transaction; null for none. A transaction that is not refused gets no response,
-   * and is applied almost at once, up to `MAX_DELAY_MS` later, or never.
+   * Draws the fault of a transaction, or null for none. A transaction with a fault is refused, or gets no
+   * response and is applied after 2 ms, within `MAX_DELAY_MS`, or never.
    */
   private nextFault(): 'refused' | { appliedAfterMs: number | null } | null {
     const draw = this.random() < this.faultRate ? this.random() : 1;
