--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -87,11 +87,11 @@
     const action = this.nextAction();
     if (action === 'cancel') this.checker.cancelRequested(id);
     if (action === 'submit' && this.pendingAction === 'submit') this.pendingAction = null;
-    const stateBefore = this.checker.visibleState(id);
+    const stateWhenSent = this.checker.visibleState(id);
     this.requestInFlight = true;
     this.send(action, (status, state) => {
       this.requestInFlight = false;
-      this.checker.responseReceived(id, status, state, action === 'submit', stateBefore);
+      this.checker.responseReceived(id, status, state, action === 'submit', stateWhenSent);
       this.recordResponse(action, status);
       this.nextRequest = this.clock.after(this.pauseMs(state), () => this.sendNextRequest());
     });
