--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -50,7 +50,7 @@
   jobsSubmitted: (simulation, { count, template = {} }) => {
     for (let i = 0; i < count; i++) simulation.submit(simulation.jobWith(template), null);
   },
-  jobStream: submitSteadily,
+  jobStream: submitJobStream,
   jobsCancelled: cancelRunningJobs,
   jobsCancelledAsTheyEnd: cancelAsTheyEnd,
   jobsCancelledAtHandovers: cancelAtHandovers,
@@ -60,7 +60,7 @@
   unusualRequests: (simulation, _, ms) => sendUnusualRequests(simulation, ms),
 };
 
-function submitSteadily(
+function submitJobStream(
   simulation: Simulation,
   { perSecond, cancelShare, template }: JobStream & FaultTiming,
   durationMs: number,
