--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -43,7 +43,7 @@
 /** Maximum time from the submission of a job of a stream to its cancellation. */
 const MAX_CANCEL_DELAY_MS = 12_000;
 /** Time between two polls of a user by `everyonePolls`. */
-const POLL_EVERY_MS = 1000;
+const POLL_INTERVAL_MS = 1000;
 
 /** Injectors of the actions of users. */
 export const userActions: Injectors<UserActions> = {
@@ -56,7 +56,7 @@
   jobsCancelledAtHandovers: cancelAtHandovers,
   pollsAfterChanges: (simulation, { cancelShare }, ms) =>
     pollAfterChanges(simulation, cancelShare, ms),
-  everyonePolls: ({ users }, _, ms) => users.everyonePolls(POLL_EVERY_MS, ms),
+  everyonePolls: ({ users }, _, ms) => users.everyonePolls(POLL_INTERVAL_MS, ms),
   unusualRequests: (simulation, _, ms) => sendUnusualRequests(simulation, ms),
 };
 
