--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -27,7 +27,7 @@
 const LOST_ZONE = 'b';
 const ZONE_LOST_MS = 30_000;
 /** Time between the restarts of two controllers in the rolling restart. */
-const RESTART_EVERY_MS = 4000;
+const RESTART_INTERVAL_MS = 4000;
 /** Mean time between two submissions, multiplied by the number of machines; milliseconds. */
 const MACHINE_MS_PER_JOB = 450_000;
 
@@ -55,7 +55,9 @@
     const inside = deployment.hosts.filter((host) => simulation.zoneOf(host) === LOST_ZONE);
     simulation.connectionFaults.cutZone(LOST_ZONE, inside, ZONE_LOST_MS);
   });
-  clock.after(SCHEDULE.rollingRestart, () => simulation.processes.rollingRestart(RESTART_EVERY_MS));
+  clock.after(SCHEDULE.rollingRestart, () =>
+    simulation.processes.rollingRestart(RESTART_INTERVAL_MS),
+  );
   simulation.play(SCHEDULE.end);
   return simulation;
 }
