--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -13,7 +13,7 @@
   outage: 30_000,
   spotReclaimed: 45_000,
   allKilled: 60_000,
-  zoneLost: 85_000,
+  zoneCutOff: 85_000,
   rollingRestart: 120_000,
   end: 150_000,
 } as const;
@@ -51,7 +51,7 @@
   clock.after(SCHEDULE.allKilled, () => {
     for (const host of deployment.hosts) simulation.kill(host, RESTART_MS);
   });
-  clock.after(SCHEDULE.zoneLost, () => {
+  clock.after(SCHEDULE.zoneCutOff, () => {
     const inside = deployment.hosts.filter((host) => simulation.zoneOf(host) === LOST_ZONE);
     simulation.connectionFaults.cutZone(LOST_ZONE, inside, ZONE_LOST_MS);
   });
