--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -24,7 +24,7 @@
 const RECLAIM_WINDOW_MS = 8000;
 /** Time from the kill of a controller to its restart. */
 const RESTART_MS = 6000;
-const LOST_ZONE = 'b';
+const CUT_OFF_ZONE = 'b';
 const ZONE_LOST_MS = 30_000;
 /** Time between the restarts of two controllers in the rolling restart. */
 const RESTART_INTERVAL_MS = 4000;
@@ -52,8 +52,8 @@
     for (const host of deployment.hosts) simulation.kill(host, RESTART_MS);
   });
   clock.after(SCHEDULE.zoneCutOff, () => {
-    const inside = deployment.hosts.filter((host) => simulation.zoneOf(host) === LOST_ZONE);
-    simulation.connectionFaults.cutZone(LOST_ZONE, inside, ZONE_LOST_MS);
+    const inside = deployment.hosts.filter((host) => simulation.zoneOf(host) === CUT_OFF_ZONE);
+    simulation.connectionFaults.cutZone(CUT_OFF_ZONE, inside, ZONE_LOST_MS);
   });
   clock.after(SCHEDULE.rollingRestart, () =>
     simulation.processes.rollingRestart(RESTART_INTERVAL_MS),
