--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -25,7 +25,7 @@
 /** Time from the kill of a controller to its restart. */
 const RESTART_MS = 6000;
 const CUT_OFF_ZONE = 'b';
-const ZONE_LOST_MS = 30_000;
+const ZONE_CUT_OFF_MS = 30_000;
 /** Time between the restarts of two controllers in the rolling restart. */
 const RESTART_INTERVAL_MS = 4000;
 /** Mean time between two submissions, multiplied by the number of machines; milliseconds. */
@@ -53,7 +53,7 @@
   });
   clock.after(SCHEDULE.zoneCutOff, () => {
     const inside = deployment.hosts.filter((host) => simulation.zoneOf(host) === CUT_OFF_ZONE);
-    simulation.connectionFaults.cutZone(CUT_OFF_ZONE, inside, ZONE_LOST_MS);
+    simulation.connectionFaults.cutZone(CUT_OFF_ZONE, inside, ZONE_CUT_OFF_MS);
   });
   clock.after(SCHEDULE.rollingRestart, () =>
     simulation.processes.rollingRestart(RESTART_INTERVAL_MS),
