--- a/test/simulation/scenarios/steady-work.ts
+++ b/test/simulation/scenarios/steady-work.ts
@@ -9,7 +9,7 @@
 }
 
 /** Range of the intervals between submissions, as multiples of the mean interval. */
-const JITTER = { least: 0.3, most: 1.7 };
+const INTERVAL_FACTORS = { least: 0.3, most: 1.7 };
 /** Share of the jobs submitted after the start that are cancelled. */
 const CANCEL_SHARE = 0.04;
 /** Time from the submission of such a job to its cancellation. */
@@ -26,7 +26,10 @@
     if (clock.now > untilMs) return;
     const job = simulation.randomJob();
     simulation.submit(job, random.next() < CANCEL_SHARE ? CANCEL_AFTER_MS : null);
-    clock.after(random.between(JITTER.least, JITTER.most) * meanIntervalMs, submitNext);
+    clock.after(
+      random.between(INTERVAL_FACTORS.least, INTERVAL_FACTORS.most) * meanIntervalMs,
+      submitNext,
+    );
   };
   submitNext();
 }
