--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -30,9 +30,9 @@
   const simulation = new Simulation(deployment, seed, rates, { versionOf: () => version });
   const { clock, random } = simulation;
   if (warmUpJob !== undefined) simulation.submit(simulation.jobWith(warmUpJob), null);
-  const submittedMs = startMs - START_MS;
+  const firstSubmissionMs = startMs - START_MS;
   for (let i = 0; i < scenario.jobCount; i++)
-    clock.after(submittedMs + random.between(0, START_MS / 2), () =>
+    clock.after(firstSubmissionMs + random.between(0, START_MS / 2), () =>
       simulation.submit(simulation.jobWith(scenario.jobs), null),
     );
   simulation.play(startMs);
