--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -44,8 +44,8 @@
 }
 
 function nonEmptyFieldNames(frame: Uint8Array): string {
-  const message = Object.entries(decodePeerMessage(Buffer.from(frame)));
-  const nonEmptyFields = message.filter(([, value]) =>
+  const fields = Object.entries(decodePeerMessage(Buffer.from(frame)));
+  const nonEmptyFields = fields.filter(([, value]) =>
     Array.isArray(value) ? value.length > 0 : value !== null,
   );
   return nonEmptyFields.map(([name]) => name).join('+');
