--- a/test/simulation/deployments/deployment.ts
+++ b/test/simulation/deployments/deployment.ts
@@ -25,13 +25,13 @@
   /** Maximum number of entries on one page of a read from the state store. */
   pageSize: number;
   /**
-   * Virtual time in milliseconds at which the work of a fault scenario runs, late enough for rented
-   * machines to be up.
+   * Virtual time in milliseconds from which a fault scenario injects faults; late enough for rented
+   * machines to be up and run the jobs of the scenario.
    */
   startMs?: number;
-  /** Fields of a job that makes controllers rent machines before the jobs of a fault scenario. */
+  /** Fields of a job that a fault scenario submits first, so that controllers rent machines. */
   warmUpJob?: Partial<JobSpec>;
-  /** Probability that a rented machine never comes up, in a fault scenario. */
+  /** Probability that a rented machine never boots, in a fault scenario. */
   bootFailures?: number;
   /** Factor by which the CPUs and memory in the job fields of a fault scenario are multiplied. */
   taskScale?: number;
@@ -39,12 +39,12 @@
   randomJob(random: SeededRandom, id: string): JobSpec;
 }
 
-/** Returns the names of `count` hosts of controllers. */
+/** Returns the names of `count` hosts that each run a controller. */
 export function hostNames(count: number): string[] {
   return Array.from({ length: count }, (_, i) => `kiln-${i}`);
 }
 
-/** Returns the deployment with settings that announce lower future limits of the state store. */
+/** Returns the deployment with settings that announce lower upcoming limits of the state store. */
 export function withLowerStateLimits(deployment: Deployment, writeRps: number): Deployment {
   const limits = ['value_kb = 2.0', 'txn_ops = 6', `write_rps = ${writeRps.toFixed(1)}`];
   const upcomingLimitsToml = ['[params.state.next]', ...limits, ''].join('\n');
--- a/test/simulation/deployments/fleets.ts
+++ b/test/simulation/deployments/fleets.ts
@@ -16,8 +16,8 @@
 interface FleetShape {
   zones: string[];
   /**
-   * The machines that exist from the start, as fractions of the capacity; the rest is rented when
-   * needed.
+   * The machines that exist from the start, as fractions of the capacity; the remaining machines
+   * are rented when they are needed.
    */
   groups: readonly { type: 'big' | 'small'; spot: boolean; share: number }[];
   teams: Readonly<Record<'red' | 'blue', GpuShares>>;
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -6,6 +6,7 @@
 import { hostNames, withLowerStateLimits, type Deployment } from './deployment.js';
 import { teamToml } from './teams.js';
 
+/** Platform settings `lease_s` and `cancel_s`, in seconds. */
 const LEASE_S = 10;
 const CANCEL_S = 35;
 /** CPUs, GPUs and memory of the only machine type. */
@@ -50,7 +51,7 @@
   randomJob,
 };
 
-/** The same deployment with lower future limits of the state store. */
+/** The same deployment with lower upcoming limits of the state store. */
 export const shortLeasesWithLowerLimits = withLowerStateLimits(shortLeases, 20);
 
 type CommonFields = Pick<
--- a/test/simulation/deployments/small.ts
+++ b/test/simulation/deployments/small.ts
@@ -26,7 +26,7 @@
   randomJob,
 };
 
-/** The small deployment with lower future limits of the state store. */
+/** The small deployment with lower upcoming limits of the state store. */
 export const smallWithLowerLimits = withLowerStateLimits(smallDeployment, 25);
 
 function randomJob(random: SeededRandom, id: string): JobSpec {
--- a/test/simulation/deployments/teams.ts
+++ b/test/simulation/deployments/teams.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * An objective: at least this fraction of a class's jobs must wait no longer than `withinS`
- * (`wait`), or be finished within it (`finished`).
+ * An objective: at least the fraction `share` of the jobs of a class must wait no longer than
+ * `withinS` seconds (kind `wait`), or finish within that time (kind `finished`).
  */
 export interface Objective {
   kind: 'wait' | 'finished';
