--- a/test/simulation/digest/digest-scenarios.ts
+++ b/test/simulation/digest/digest-scenarios.ts
@@ -15,13 +15,14 @@
   rates: FaultRates;
   /** Number of random jobs, submitted at random times in the first four fifths of the scenario. */
   randomJobs: number;
-  /** Faults and jobs that are injected at given times. */
+  /** Faults and actions of users that occur at given times. */
   faults: Fault[];
   /**
-   * Time between two interruptions of spot instances, in milliseconds; undefined for no
+   * Time between two interruptions of spot instances, in milliseconds; undefined if there are no
    * interruptions.
    */
   interruptionIntervalMs?: number;
+  /** Duration of the scenario in virtual milliseconds. */
   playMs: number;
 }
 
@@ -55,7 +56,7 @@
   checkpointSaveS: 2,
 };
 
-/** All digest scenarios; each takes at most a few seconds to run. */
+/** All digest scenarios; each runs in a few seconds of real time at most. */
 export const digestScenarios: DigestScenario[] = [
   {
     name: 'quiet',
--- a/test/simulation/digest/expected-digests.ts
+++ b/test/simulation/digest/expected-digests.ts
@@ -5,6 +5,7 @@
 import { digestOf, type ScenarioDigest } from './play-digest-scenario.js';
 
 const EXPECTED_DIGESTS_FILE = new URL('../../digests.json', import.meta.url);
+/** Length of the hash of all digests, in hexadecimal digits. */
 const SHORT_HASH_LENGTH = 12;
 
 /** Digests by scenario name. */
--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -4,7 +4,7 @@
 import type { DigestScenario } from './digest-scenarios.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-/** Fraction of a scenario, from its start, in which the random jobs are submitted. */
+/** Fraction of a scenario's duration, from its start, in which the random jobs are submitted. */
 const SUBMISSION_SHARE = 0.8;
 /**
  * Fraction of the random jobs that are cancelled, and maximum time from submission to cancellation
@@ -13,6 +13,7 @@
 const CANCELLED_SHARE = 0.2;
 const MAX_CANCEL_DELAY_MS = 40_000;
 
+/** Time between two rounds of queries to every controller, in milliseconds. */
 const QUERY_INTERVAL_MS = 11_000;
 /**
  * Paths that operators query: existing pages, one that does not allow GET, one that does not exist.
@@ -20,7 +21,7 @@
 const QUERIED_PATHS = ['/ready', '/cluster', '/cluster?after=cloud-2', '/submissions', '/nowhere'];
 /** Time from the interruption notice to the interruption of a spot instance, in milliseconds. */
 const INTERRUPTION_NOTICE_MS = 15_000;
-/** Time allowed for the request for the metrics at the end, in virtual milliseconds. */
+/** Virtual time for which the final requests for the metrics are awaited, in milliseconds. */
 const SCRAPE_WAIT_MS = 100;
 
 /** Interrupts one spot instance per interval, each after a notice. */
@@ -82,7 +83,7 @@
   for (const host of simulation.hosts)
     simulation.sendRequest('GET', '/metrics', undefined, () => undefined, host);
   simulation.play(SCRAPE_WAIT_MS);
-  // The metrics text is produced by promises, which are not part of virtual time.
+  // Controllers produce the metrics text in promises, which settle outside virtual time.
   await new Promise(setImmediate);
 }
 
--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -1,6 +1,6 @@
 /**
- * Collects an example of each form in which controllers store records or send messages to each
- * other.
+ * Collects an example of each form of the records that controllers store and of the messages that
+ * they send to each other.
  */
 import { decodePeerMessage } from '../../../src/controller/peers/message-codec.js';
 import { decodeBody, encodeBody } from '../../../src/controller/wire/cbor.js';
@@ -23,9 +23,9 @@
 
 /** The longest example of each form. */
 export interface StoredForms {
-  /** Values in the state store by key prefix, and for ended jobs by state too. */
+  /** Values in the state store by key prefix; those of ended jobs by state as well. */
   values: Record<string, StoredExample>;
-  /** Records in pages by key prefix; deleted records are listed separately. */
+  /** Records in pages by key prefix; deleted records have entries of their own. */
   records: Record<string, RecordExample>;
   /** Messages between controllers in hex, by the names of their non-empty fields. */
   messages: Record<string, string>;
@@ -37,7 +37,7 @@
   return slash < 0 ? key : key.slice(0, slash + 1);
 }
 
-/** Returns the key prefix, and for the record of an ended job its state too. */
+/** Returns the key prefix, followed by the job's state if the value is that of an ended job. */
 function valueForm(key: string, value: unknown): string {
   const prefix = keyPrefix(key);
   return prefix === 'final/' ? `${prefix} ${(value as { state: string }).state}` : prefix;
@@ -90,7 +90,7 @@
   }
 }
 
-/** Runs the scenarios and returns the forms that the current version writes. */
+/** Runs the scenarios and returns the forms that the current version stores and sends. */
 export async function storedFormsOf(scenarios: readonly DigestScenario[]): Promise<StoredForms> {
   const collector = new StoredFormsCollector();
   for (const scenario of scenarios) await playDigestScenario(scenario, collector);
--- a/test/simulation/digest/traffic-digest.ts
+++ b/test/simulation/digest/traffic-digest.ts
@@ -10,7 +10,7 @@
 type Respond = Parameters<Controller['request']>[3];
 
 const NO_BYTES = Buffer.alloc(0);
-/** The only metric that depends on the machine that runs the test and not on the scenario. */
+/** The only metric whose value depends on the machine that runs the test. */
 const MEMORY_METRIC = /^(bitternvale_memory_bytes) .*$/m;
 
 /** Returns the encoded body, or no bytes if there is no body. */
@@ -23,8 +23,8 @@
 }
 
 /**
- * Hashes the messages to and from controllers with the times of their clocks. Log lines are not
- * included.
+ * Hashes the messages to and from controllers, each with the time of the controller's clocks. Log
+ * lines are not included.
  */
 export class TrafficDigest {
   private readonly hash = createHash('sha256');
