--- a/test/simulation/faults/connection-faults.ts
+++ b/test/simulation/faults/connection-faults.ts
@@ -15,7 +15,10 @@
     private readonly workers: () => Worker[],
   ) {}
 
-  /** Cuts both directions between two hosts for `ms`; messages are held back or lost, at random. */
+  /**
+   * Cuts both directions between two hosts for `ms`. Whether the messages are held back or lost is
+   * drawn at random.
+   */
   cutFor(a: string, b: string, ms: number): void {
     this.network.cut(a, b, this.drawCut());
     this.clock.after(ms, () => this.network.heal(a, b));
@@ -67,13 +70,16 @@
         if ((worker.zone === zone) !== inside.includes(host)) cut(worker.id, host);
   }
 
-  /** Blocks responses and commands to a machine, while its heartbeats arrive. */
+  /**
+   * Blocks responses and commands to a machine, while its heartbeats arrive. Without `mode`, it is
+   * drawn at random whether the blocked messages are held back or lost.
+   */
   blockInbound(worker: Worker, ms: number, mode?: CutMode): void {
     for (const host of this.hosts) this.network.cutOneWay(host, worker.id, mode ?? this.drawCut());
     this.healWorker(worker, ms);
   }
 
-  /** Holds back heartbeats and responses of a machine, while messages to it arrive. */
+  /** Holds back the heartbeats and responses of a machine, while messages to the machine arrive. */
   holdOutbound(worker: Worker, ms: number): void {
     for (const host of this.hosts) this.network.cutOneWay(worker.id, host, 'hold');
     this.healWorker(worker, ms);
--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -2,12 +2,12 @@
 import type { SimulatedDeployment } from '../simulated-deployment.js';
 import { NEW_MACHINE_MS } from './observed-events.js';
 
-/** Maximum time between a cancellation and a handover for them to count as coinciding. */
+/** Maximum time between a cancellation and a handover that count as coinciding, in milliseconds. */
 const HANDOVER_WINDOW_MS = 3000;
-/** Logged reasons with which a leader steps down in favour of another controller. */
+/** Logged reasons for which a leader steps down in favour of another controller. */
 const HANDOVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
 
-/** Records each combination of faults that occurs from now on as an observed event. */
+/** From now on, records each combination of faults that occurs as an observed event. */
 export function observeFaultCombinations(simulation: SimulatedDeployment): void {
   const { checker, clock, stateStore, observedEvents } = simulation;
   let cancelledAt = -Infinity;
--- a/test/simulation/faults/fault-rates.ts
+++ b/test/simulation/faults/fault-rates.ts
@@ -1,12 +1,12 @@
-/** Rates of faults that occur without being part of a scenario. */
+/** Rates of faults that occur in addition to those that a scenario or test injects. */
 
-/** Rates of random faults in a simulation. */
+/** Rates and probabilities of random faults in a simulation. */
 export interface FaultRates {
-  /** Mean time between faults in milliseconds; Infinity if there are none. */
+  /** Mean time between two faults of `injectRandomFaults` in milliseconds; Infinity for none. */
   meanIntervalMs: number;
-  /** Probability that a request arrives a second time. */
+  /** Probability that a POST request arrives a second time. */
   duplicated: number;
-  /** Probability that a task fails. */
+  /** Probability that a task of a job array fails. */
   taskFailures: number;
   /** Probability that a rented machine never boots. */
   bootFailures: number;
--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -1,4 +1,4 @@
-/** Counts combinations of faults and actions, which tests require to have occurred. */
+/** Counts combinations of faults and actions, so that tests can check that they occurred. */
 
 /** Combinations of faults and actions that a scenario can cause. */
 export type ObservedEvent =
@@ -31,5 +31,5 @@
   }
 }
 
-/** Time after its rental for which a machine counts as new. */
+/** Time from its rental for which a machine counts as new, in milliseconds. */
 export const NEW_MACHINE_MS = 5000;
--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -4,7 +4,7 @@
 
 /** Number of requests to each controller after a change. */
 const REQUESTS_PER_CONTROLLER = 3;
-/** Time after the change within which the requests are sent. */
+/** Time after the change within which the requests are sent, in milliseconds. */
 const REQUEST_WINDOW_MS = 40;
 /** Share of the requests that repeat the submission instead of polling. */
 const RESUBMISSION_SHARE = 0.3;
@@ -27,9 +27,9 @@
 }
 
 /**
- * For `ms`, polls a job and repeats its submission at every controller within milliseconds after
- * the job was first reported as accepted, done or cancelled, or completed its last task. With
- * probability `cancelShare` also cancels the job then.
+ * For `ms`, reacts to each change of a job: when the job is first reported as accepted, done or
+ * cancelled, and when it completes its last task. Within milliseconds of the change, polls the job
+ * or repeats its submission at every controller and, with probability `cancelShare`, cancels it.
  */
 export function pollAfterChanges(simulation: Simulation, cancelShare: number, ms: number): void {
   const { checker, clock, random } = simulation;
--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -2,9 +2,9 @@
 import type { Worker } from '../machines/worker.js';
 import type { SimulatedDeployment } from '../simulated-deployment.js';
 
-/** Time from the interruption notice of a spot instance until the cloud reclaims it. */
+/** Time from the interruption notice of a spot instance to its reclamation, in milliseconds. */
 const INTERRUPTION_NOTICE_MS = 10_000;
-/** Time from the kill of a controller to its restart, unless a short one is drawn. */
+/** Time from the kill of a controller to its restart in ms, unless a shorter time is drawn. */
 const RESTART_MS = 6000;
 
 /** The random parameters of a fault. */
@@ -42,7 +42,7 @@
   interruptSpotMachine,
 ];
 
-/** Injects random faults, `meanIntervalMs` apart on average, until the simulation stops faults. */
+/** Injects random faults, `meanIntervalMs` apart on average, until `faultsStopped` is set. */
 export function injectRandomFaults(simulation: SimulatedDeployment, meanIntervalMs: number): void {
   const { clock, random } = simulation;
   clock.after(meanIntervalMs * random.between(0.3, 1.7), () => {
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -12,10 +12,14 @@
 interface ZoneCut {
   zone: string;
   /**
-   * Selects the controllers inside the zone that is cut off. If the deployment assigns no zones to
-   * controllers: the leader, or else one other controller, inside `zone`. If it does: all
-   * controllers in the zone of the leader or of a follower, which is cut off instead of `zone`, or
-   * with `single` all controllers in `zone`.
+   * Selects the zone that is cut off and the controllers inside it.
+   *
+   * If the deployment assigns controllers to zones, `leader` and `follower` cut off the zone of the
+   * leader or of one follower, whatever `zone` is, and `single` cuts off `zone`. All controllers of
+   * the zone are inside it.
+   *
+   * If the deployment assigns no zones, `zone` is cut off, and the leader or one follower counts as
+   * inside it. `single` is meant only for deployments that assign zones.
    */
   inside: 'leader' | 'follower' | 'single';
 }
@@ -23,25 +27,25 @@
 /** Parameters of the faults of controllers. */
 export interface ControllerFaults {
   controllersKilled: OnControllers & Restart;
-  /** Kills the leader while machines that were just rented boot or start tasks. */
+  /** Kills the leader shortly after a new machine has booted or has started a task. */
   leaderKilledBesideNewMachines: Restart;
-  /** Repeatedly kills whoever has just been elected leader. */
+  /** Kills the current leader repeatedly, at random intervals. */
   repeatedElections: object;
   controllersFrozen: OnControllers;
   /** Cuts controllers off from the state store and their peers, but not from workers and users. */
   controllersIsolated: OnControllers;
   cutOffFromWorkers: OnControllers;
   peerConnectionsRefused: object;
-  /** Makes this controller the leader: kills all others, which restart after `restartAfter`. */
+  /** Makes the controller on `host` the leader: kills the others, which then restart. */
   leaderMoved: Restart & { host: string };
   zoneCutOff: ZoneCut;
 }
 
-/** How many times `repeatedElections` kills the current leader. */
+/** Number of times that `repeatedElections` kills the current leader. */
 const LEADER_KILLS = 10;
-/** Maximum time from the boot of a new machine to the kill of the leader. */
+/** Maximum time from the boot of a new machine to the kill of the leader, in milliseconds. */
 const KILL_AFTER_BOOT_MS = 1500;
-/** Maximum time from the start of a task on a new machine to the kill of the leader. */
+/** Maximum time from a task start on a new machine to the kill of the leader, in milliseconds. */
 const KILL_AFTER_TASK_START_MS = 300;
 
 /** Injectors of the faults of controllers. */
@@ -70,7 +74,7 @@
   zoneCutOff: cutZone,
 };
 
-/** Kills the leader shortly after a new machine has booted or a task has started on one. */
+/** Kills the leader shortly after a new machine has booted or a task has started on a new machine. */
 function killLeaderBesideNewMachines(
   simulation: Simulation,
   restartMs: number,
@@ -105,7 +109,7 @@
   observeZoneCut(simulation, hostsInside, ms);
 }
 
-/** Records the position of the leader, elections and task starts while a zone is cut off. */
+/** Records whether the leader is alone in the zone that is cut off, then elections and task starts. */
 function observeZoneCut(
   simulation: Simulation,
   hostsInside: readonly string[],
--- a/test/simulation/faults/scripted/fault.ts
+++ b/test/simulation/faults/scripted/fault.ts
@@ -10,7 +10,7 @@
 export interface FaultParameters
   extends StateStoreFaults, ControllerFaults, MessageFaults, MachineOutages, UserActions {}
 
-/** The names of the kinds of faults in scenarios. */
+/** The kinds of faults that scenarios can inject. */
 export type FaultKind = keyof FaultParameters;
 
 /** A fault of the kind `K`, by default of any kind. */
--- a/test/simulation/faults/scripted/injectors.ts
+++ b/test/simulation/faults/scripted/injectors.ts
@@ -1,4 +1,4 @@
-/** Types of the functions that inject scripted faults; each group of faults has its own. */
+/** Types of the functions that inject scripted faults. */
 import type { Simulation } from '../../simulation.js';
 
 /** Start of a fault, counted from the call of `injectFaults`, and its duration; in seconds. */
@@ -7,7 +7,7 @@
   for?: number;
 }
 
-/** For each fault of a group, a function that starts the fault when it is called. */
+/** The functions that start the faults of one group, by kind of fault. */
 export type Injectors<Faults> = {
   [K in keyof Faults]: (
     simulation: Simulation,
--- a/test/simulation/faults/scripted/machine-outages.ts
+++ b/test/simulation/faults/scripted/machine-outages.ts
@@ -18,7 +18,7 @@
   commandsHeldBack: OnMachines;
   /** Holds back all messages from machines, and delivers them at the end of the fault. */
   responsesHeldBack: OnMachines;
-  /** Makes rented machines boot within two seconds. */
+  /** Makes machines that are rented during the fault boot within two seconds. */
   fastBoots: object;
 }
 
--- a/test/simulation/faults/scripted/message-faults.ts
+++ b/test/simulation/faults/scripted/message-faults.ts
@@ -13,14 +13,14 @@
 /** Parameters of the faults of messages. */
 export interface MessageFaults {
   slowNetwork: object;
-  /** Delivers a copy of a share of the heartbeats, seconds later. */
+  /** Delivers copies of a share of the heartbeats seconds later. */
   duplicatedHeartbeats: { share: number };
-  /** Delays a share of the direct commands by seconds, and loses their responses. */
+  /** Delays a share of the direct commands by several seconds, and loses their responses. */
   delayedCommands: { share: number };
   heartbeatsReplayedToTheNextLeader: HeartbeatReplay;
 }
 
-/** Maximum latency of a message while the network is slow. */
+/** Maximum one-way latency of a message while the network is slow, in milliseconds. */
 const SLOW_MAX_LATENCY_MS = 400;
 
 /** Injectors of the faults of messages. */
--- a/test/simulation/faults/scripted/state-store-faults.ts
+++ b/test/simulation/faults/scripted/state-store-faults.ts
@@ -11,9 +11,9 @@
   stateStoreLimitsLowered: object;
   stateStoreOutage: object;
   slowStateStore: object;
-  /** Commits a share of the transactions later, and sends no response to them. */
+  /** Delays the commits of a share of the transactions, which get no response. */
   lateWrites: { share: number };
-  /** Commits a share of the transactions at once, but loses the responses. */
+  /** Commits a share of the transactions immediately, but loses their responses. */
   lostResponses: { share: number };
 }
 
--- a/test/simulation/faults/scripted/targets.ts
+++ b/test/simulation/faults/scripted/targets.ts
@@ -2,7 +2,7 @@
 import type { Worker } from '../../machines/worker.js';
 import type { Simulation } from '../../simulation.js';
 
-/** Selects controllers by their role when the fault begins. */
+/** The controllers that a fault affects, by their role when the fault begins. */
 export type ControllerTarget = 'leader' | 'others' | 'all';
 
 /** Parameter of a fault that affects controllers. */
@@ -22,7 +22,7 @@
   return hosts.filter((host) => (target === 'leader') === (host === leader));
 }
 
-/** Draws the workers of a share of the machines, at least one if there are any. */
+/** Draws a share of the machines and returns their workers; at least one if there are machines. */
 export function drawWorkers(simulation: Simulation, share: number): Worker[] {
   const workers = simulation.workers;
   const drawn = workers.filter(() => simulation.random.next() < share);
--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -18,7 +18,7 @@
 
 interface JobStream {
   perSecond: number;
-  /** Share of the jobs that are cancelled, some of them before or after they run. */
+  /** Share of the jobs that users cancel, partly before the jobs start or after they end. */
   cancelShare: number;
   template: Partial<JobSpec>;
 }
@@ -29,20 +29,20 @@
   jobStream: JobStream;
   jobsCancelled: Cancellations;
   jobsCancelledAsTheyEnd: { share: number };
-  /** Cancels running jobs shortly after a leader has stepped down. */
+  /** Cancels running jobs shortly after a leader has stepped down; `count` at each handover. */
   jobsCancelledAtHandovers: { count: number };
   pollsAfterChanges: { cancelShare: number };
   everyonePolls: object;
   unusualRequests: object;
 }
 
-/** Maximum delay of a cancellation by `jobsCancelled`; the delays are random. */
+/** Maximum delay of a cancellation by `jobsCancelled`, in milliseconds; the delays are random. */
 const CANCEL_WINDOW_MS = 200;
-/** Maximum time from the handover of the leadership to a cancellation. */
+/** Maximum time from the handover of the leadership to a cancellation, in milliseconds. */
 const MAX_CANCEL_DELAY_AFTER_HANDOVER_MS = 2500;
-/** Maximum time from the submission of a job of a stream to its cancellation. */
+/** Maximum time from the submission to the cancellation of a job of a stream, in milliseconds. */
 const MAX_CANCEL_DELAY_MS = 12_000;
-/** Time between two polls of a user by `everyonePolls`. */
+/** Time between two polls of each user by `everyonePolls`, in milliseconds. */
 const POLL_INTERVAL_MS = 1000;
 
 /** Injectors of the actions of users. */
@@ -74,7 +74,7 @@
     });
 }
 
-/** Cancels running jobs; if requested, their machines hang or are cut off from then on. */
+/** Cancels running jobs; with `hang` or `cut`, their machines then hang or are cut off. */
 function cancelRunningJobs(
   simulation: Simulation,
   { count, hang = 0, cut = 0, elsewhere = false }: Cancellations,
--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -1,13 +1,13 @@
-/** Requests that users send by mistake: repeated, without effect or invalid. */
+/** Requests that users send by mistake: repeated, ineffective or invalid requests. */
 import { writeJobSpec, type JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Simulation } from '../simulation.js';
 
-/** Range of the time between two such requests, in milliseconds. */
+/** Range of the time between two unusual requests, in milliseconds. */
 const REQUEST_INTERVAL_MS = { least: 300, most: 900 };
-/** More cores than any machine has. */
+/** A number of cores that no machine has. */
 const TOO_MANY_CORES = 1e6;
 
-/** For `ms`, repeats submissions, cancels jobs that are done, and submits invalid jobs. */
+/** For `ms`, submits accepted jobs again, cancels jobs that are done, and submits invalid jobs. */
 export function sendUnusualRequests(simulation: Simulation, ms: number): void {
   const { clock, random, checker, users } = simulation;
   const until = clock.now + ms;
