--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -74,7 +74,7 @@
   zoneCutOff: cutZone,
 };
 
-/** Kills the leader shortly after a new machine has booted or a task has started on a new machine. */
+/** Kills the leader shortly after the boot of a new machine or the start of a task on one. */
 function killLeaderBesideNewMachines(
   simulation: Simulation,
   restartMs: number,
@@ -109,7 +109,7 @@
   observeZoneCut(simulation, hostsInside, ms);
 }
 
-/** Records whether the leader is alone in the zone that is cut off, then elections and task starts. */
+/** Records during a zone cut: a leader alone in the zone, elections outside it, and task starts. */
 function observeZoneCut(
   simulation: Simulation,
   hostsInside: readonly string[],
