--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -4,15 +4,16 @@
 import type { IncomingRequest, Respond } from '../network.js';
 import { Worker } from './worker.js';
 
-/** Maximum number of machines rented by one request, and listed on one page. */
+/** Maximum number of machines that one request rents, and that one page of a list contains. */
 const MAX_RENTED_PER_REQUEST = 50;
 const MAX_LISTED_PER_PAGE = 500;
+/** Time between two snapshots of the list of machines, in milliseconds. */
 const SNAPSHOT_INTERVAL_MS = 500;
-/** Time in milliseconds for which snapshots are kept in addition to four times the list lag. */
+/** Time for which snapshots are kept in addition to four times the list lag, in milliseconds. */
 const EXTRA_SNAPSHOT_RETENTION_MS = 2000;
-/** Range of the actual boot time of a machine, as a factor of the boot time of its type. */
+/** Range of the actual boot time of a machine, as multiples of the boot time of its type. */
 const BOOT_TIME_FACTORS = { least: 0.6, most: 1.5 };
-/** Range of the boot time after a call of `bootQuickly`, in milliseconds. */
+/** Range of the boot time of machines rented while `bootQuickly` applies, in milliseconds. */
 const QUICK_BOOT_MS = { least: 200, most: 2000 };
 
 interface RentedMachine {
@@ -42,7 +43,7 @@
 /** Simulated cloud that follows PROTOCOL. */
 export class Cloud {
   readonly machines = new Map<string, RentedMachine>();
-  /** The ids of rented machines, by their request's idempotency key. */
+  /** The ids of the machines that a request rented, by its idempotency key. */
   private readonly rentedIdsByKey = new Map<string, string[]>();
   private snapshots: Snapshot[] = [];
   private nextMachineIndex = 0;
@@ -55,16 +56,18 @@
     private readonly context: MachineContext,
     address: string,
     private readonly types: MachineType[],
+    /** Maximum number of machines that exist at the same time, in any status. */
     private readonly capacity: number,
+    /** Minimum age of the snapshot that a list is taken from; the maximum is twice this time. */
     private readonly lagMs: number,
-    /** Probability that a rented machine never comes up. */
+    /** Probability that a rented machine never boots. */
     private readonly bootFailureChance: number,
   ) {
     context.network.listen(address, 'cloud', (_, request, respond) => this.serve(request, respond));
     this.takeSnapshot();
   }
 
-  /** Adds a machine that is up after `bootMs`, or never if that is null; returns its id. */
+  /** Adds a machine that boots in `bootMs`, or never boots if that is null; returns its id. */
   addMachine(type: MachineType, zone: string, spot: boolean, bootMs: number | null): string {
     const index = this.nextMachineIndex++;
     const id = `n-${String(index).padStart(6, '0')}`;
--- a/test/simulation/machines/gangs.ts
+++ b/test/simulation/machines/gangs.ts
@@ -1,4 +1,4 @@
-/** The gangs whose members are on simulated machines. */
+/** The gangs whose members are tasks on simulated machines. */
 import type { VirtualClock } from '../virtual-clock.js';
 import type { Task } from './task.js';
 
@@ -19,8 +19,8 @@
   constructor(private readonly clock: VirtualClock) {}
 
   /**
-   * Adds a waiting member to its gang. When `size` members are waiting, all of them start; after
-   * `runMs` they complete if none has left.
+   * Adds a waiting member to its gang. When `size` members are waiting, all of them start. They
+   * complete after `runMs` if no member has left the gang by then.
    */
   join(runner: GangMemberRunner, task: Task, size: number, runMs: number): void {
     const key = keyOf(task);
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Removes a member that has ended. Unless it ended with `done`, the running members end after
-   * `peerExitMs`.
+   * Removes a member that has ended. If its cause is not `done`, the members that are running end
+   * after `peerExitMs`.
    */
   leave(task: Task, peerExitMs: number): void {
     const gang = this.members.get(keyOf(task));
--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -3,18 +3,20 @@
 import type { MachineContext } from './machine-context.js';
 import type { Command } from './task.js';
 
-/** Minimum time from a heartbeat to one that reports a change, in milliseconds. */
+/** Minimum time between a heartbeat and a later one that reports a change, in milliseconds. */
 const MIN_INTERVAL_MS = 500;
+/** Time without a response after which a heartbeat has failed, in milliseconds. */
 const HEARTBEAT_TIMEOUT_MS = 4000;
+/** Time from a failed heartbeat to the next one, which goes to another controller, in ms. */
 const RETRY_DELAY_MS = 1000;
 /** Maximum time from a redirection to the leader to the next heartbeat, in milliseconds. */
 const MAX_REDIRECT_DELAY_MS = 500;
-/** Range of the time to the next regular heartbeat, as a factor of the heartbeat interval. */
+/** Range of the time to the next regular heartbeat, as multiples of the heartbeat interval. */
 const INTERVAL_FACTORS = { least: 0.75, most: 1.25 };
 
 /**
- * The response of a controller that accepts a heartbeat, as on the wire: fencing token and
- * commands.
+ * The response of a controller that accepts a heartbeat, as on the wire: fencing token (`baton`)
+ * and commands (`orders`).
  */
 export interface HeartbeatResponse {
   baton?: number;
@@ -57,12 +59,12 @@
     this.regularAt = clock.now;
   }
 
-  /** Whether the worker can currently reach no controller. */
+  /** Whether the worker's heartbeats currently reach no controller. */
   get blocked(): boolean {
     return this.context.clock.now < this.blockedUntil;
   }
 
-  /** Makes all controllers unreachable for the worker for `ms`. */
+  /** Makes all heartbeats fail for `ms`, as if no controller could be reached. */
   block(ms: number): void {
     this.blockedUntil = Math.max(this.blockedUntil, this.context.clock.now + ms);
   }
--- a/test/simulation/machines/machine-context.ts
+++ b/test/simulation/machines/machine-context.ts
@@ -11,7 +11,7 @@
 export interface WorkerSettings {
   heartbeatIntervalMs: number;
   leaseMs: number;
-  /** Maximum time for which a gang member waits for the other members. */
+  /** Maximum time for which a gang member waits for the other members to be ready to start. */
   maxGangWaitMs: number;
   /** Time from the failure of a gang member to the exit of the other members. */
   gangPeerExitMs: number;
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -6,11 +6,11 @@
 import type { Placement } from '../rules/placement.js';
 import { newTask, toHeartbeatTask, type Command, type Task } from './task.js';
 
-/** Tolerance for rounding errors in comparisons of capacity. */
+/** Tolerance for rounding errors in free CPUs, GPUs and gigabytes of memory. */
 const ROUNDING_TOLERANCE = 1e-6;
 /** Fraction of its run time after which a failing task ends. */
 const FAILURE_RUN_SHARE = 0.3;
-/** Range of the time after which a replica ends without a stop, as a factor of its run time. */
+/** Range of the time after which a replica ends without a stop, as multiples of its run time. */
 const REPLICA_RUN_FACTORS = { least: 0.5, most: 2 };
 
 /** A machine as seen by its task runner. */
@@ -43,7 +43,7 @@
     private readonly context: MachineContext,
   ) {}
 
-  /** Ends all tasks immediately, without scheduling a heartbeat. */
+  /** Ends all tasks immediately; does not schedule a heartbeat. */
   killAll(): void {
     for (const task of this.tasks.values()) {
       if (task.status === 'exited') continue;
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -1,4 +1,4 @@
-/** One simulated machine and its worker: agent epochs, lease, commands, and machine faults. */
+/** One simulated machine and its worker: agent epochs, lease, commands and faults. */
 import type { MachineType } from '../../../src/controller/wire/cloud.js';
 import type { MachineContext } from './machine-context.js';
 import type { IncomingRequest, Respond } from '../network.js';
@@ -74,7 +74,7 @@
     this.hang(ms);
   }
 
-  /** Announces to the worker that the cloud will interrupt the machine in `ms`. */
+  /** Notifies the worker that the cloud will interrupt the machine in `ms`. */
   noticeInterruption(ms: number): void {
     this.interruptionAt = this.context.clock.now + ms;
     this.stateChanged();
@@ -175,8 +175,8 @@
   acceptResponse(response: HeartbeatResponse, agentEpoch: number, sentAt: number): void {
     if (agentEpoch !== this.agentEpoch) return;
     if (response.baton === undefined || response.baton < this.fencingToken) return;
-    // The call's time-out drops later responses. A machine that hung may still find a response that
-    // arrived in time but is now too old.
+    // The call's time-out drops responses that arrive too late. A response that arrived in time
+    // while the machine hung may be too old by the time at which the machine resumes.
     if (this.context.clock.now - sentAt > RESPONSE_VALID_MS) return;
     if (response.baton > this.fencingToken) this.stateChanged();
     this.fencingToken = response.baton;
