--- a/test/simulation/rules/cancellation-rule.ts
+++ b/test/simulation/rules/cancellation-rule.ts
@@ -2,7 +2,7 @@
 import type { ObservedJob } from './observed-job.js';
 import type { RuleContext } from './rule-context.js';
 
-/** Checks cancelled jobs until none of their tasks is on a machine. */
+/** Checks cancelled jobs until none of their tasks is on a machine any more. */
 export class CancellationRule {
   /** Cancelled jobs whose tasks may still be on machines. */
   private readonly cancelledJobs = new Set<ObservedJob>();
@@ -14,7 +14,8 @@
   constructor(
     private readonly context: RuleContext,
     /**
-     * How long tasks may stay on machines after their job was reported as cancelled; milliseconds.
+     * Maximum time for which tasks may stay on machines after a response has reported their job as
+     * cancelled, in milliseconds.
      */
     private readonly cancelMs: number,
   ) {}
@@ -32,7 +33,11 @@
   /** Checks one job; call it when a task of the job starts. */
   check(job: ObservedJob): void {
     if (job.cancelledAt === null || this.context.now() <= job.cancelledAt + this.cancelMs) return;
-    if (job.tasksOnMachines > 0) this.context.violated('ran_cancelled', job.spec.id);
+    if (job.tasksOnMachines > 0)
+      this.context.violated(
+        'ran_cancelled',
+        `${job.spec.id} has ${job.tasksOnMachines} tasks on machines more than ${this.cancelMs / 1000} s after it was reported as cancelled`,
+      );
     else this.cancelledJobs.delete(job);
   }
 
--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -1,15 +1,16 @@
 /** Finds groups of jobs that were served too little over a whole scenario. */
 import type { ObservedJob } from './observed-job.js';
 
-/** Maximum time from the submission to the start of a class's largest jobs. */
+/** Maximum time from the submission to the start of a class's largest jobs, in milliseconds. */
 const LARGEST_MAX_WAIT_MS = 240_000;
 /** Share of the jobs of a class, those with the most tasks, that count as its largest. */
 const LARGEST_SHARE = 0.1;
 
 /**
- * Checks the operators' rule for a whole scenario: of every class, of every team and of the largest
- * jobs of every class at least half have completed all tasks, and the largest jobs started within
- * four minutes of their submission. Returns a description of each violation.
+ * Checks the operators' rule for a whole scenario. At least half of the jobs of every class, of
+ * every team, and of the largest jobs of every class must have completed all tasks. The largest
+ * jobs of every class must also have started within four minutes of their submission. Returns a
+ * description of each violation.
  */
 export function findNeglectedJobs(jobs: readonly ObservedJob[]): string[] {
   const violations: string[] = [];
--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -9,7 +9,7 @@
   cancelled: boolean;
 }
 
-/** What a response reports about a job for the first time. */
+/** A fact about a job that a response reports for the first time. */
 export type VisibleChange = keyof VisibleState;
 
 /** A submitted job: what users requested, what responses reported, and the state of its tasks. */
@@ -22,19 +22,22 @@
   reportedDone: boolean;
   completedTasks: Set<number>;
   /**
-   * When a request about the accepted job first failed to get a useful response since the last
-   * useful one; null if none has failed since.
+   * Since when requests about the accepted job have got no useful response (200 or 201); null if
+   * the latest request got one.
    */
   unansweredSince: number | null;
   /** Number of tasks on machines, by zone. */
   tasksByZone: Map<string, number>;
   /** Number of tasks on machines in all zones. */
   tasksOnMachines: number;
-  /** When all tasks of a gang, or the first task of another job, were on machines; null before. */
+  /**
+   * When all tasks of a gang, or the first task of another job, were first on machines; null
+   * before.
+   */
   startedAt: number | null;
   /**
-   * Since when the job has waited, or as a service lacked a replica, although there was capacity
-   * for it; null if that is not the case.
+   * Since when the job has waited although there was capacity for it; a service waits while it
+   * lacks a replica. Null if the job does not wait or there is no capacity for it.
    */
   runnableSince: number | null;
 }
@@ -49,7 +52,7 @@
 }
 
 /**
- * Returns what responses have reported about the job; `undefined` is a job that nobody submitted.
+ * Returns what responses have reported about the job, which is undefined if nobody submitted it.
  */
 export function visibleStateOf(job: ObservedJob | undefined): VisibleState {
   return {
--- a/test/simulation/rules/observed-jobs.ts
+++ b/test/simulation/rules/observed-jobs.ts
@@ -22,21 +22,21 @@
     return this.byId.values();
   }
 
-  /** Returns the ids of jobs with tasks on machines whose cancellation nobody has requested. */
+  /** Returns the ids of jobs that have tasks on machines and that nobody has asked to cancel. */
   running(): string[] {
     return [...this.byId.values()]
       .filter((job) => job.tasksOnMachines > 0 && !job.cancelRequested)
       .map((job) => job.spec.id);
   }
 
-  /** Returns the ids of accepted jobs whose cancellation nobody has requested. */
+  /** Returns the ids of accepted jobs that nobody has asked to cancel. */
   accepted(): string[] {
     return this.notCancelled().map((job) => job.spec.id);
   }
 
   /**
-   * Returns the ids of accepted jobs whose cancellation nobody has requested and that have not
-   * completed all tasks. Services are left out, because they never complete.
+   * Returns the ids of accepted jobs that nobody has asked to cancel and that have not completed
+   * all tasks. Services are left out, because they never complete.
    */
   unfinished(): string[] {
     return this.notCancelled()
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -1,6 +1,7 @@
 /**
- * Rules about the responses to users: they report no job that nobody submitted and none as done too
- * early, lose no accepted job, and revert no terminal state.
+ * Rules about the responses to users: no response reports a job that nobody submitted, or reports a
+ * job as done before all its tasks are; accepted jobs are not lost, and terminal states do not
+ * change.
  */
 import {
   visibleStateOf,
@@ -11,7 +12,8 @@
 import type { RuleContext } from './rule-context.js';
 
 /**
- * Maximum time for which an accepted job may get no useful response after all faults have ended.
+ * Maximum time for which requests about an accepted job may get no useful response after all faults
+ * have ended, in milliseconds.
  */
 const MAX_UNANSWERED_MS = 75_000;
 
@@ -24,7 +26,7 @@
 
   constructor(
     private readonly context: RuleContext,
-    /** Called at each response that reports a job as cancelled, also at repeated ones. */
+    /** Called at every response that reports a job as cancelled, not only at the first. */
     private readonly onCancelled: (job: ObservedJob) => void,
   ) {}
 
@@ -41,7 +43,7 @@
   ): void {
     const job = this.context.jobs.get(id);
     if (job === undefined) {
-      if (status === 200) this.context.violated('invented', id);
+      if (status === 200) this.context.violated('invented', `${id} was never submitted`);
       return;
     }
     const stateBefore = visibleStateOf(job);
@@ -84,7 +86,11 @@
 
   private checkReportedDone(job: ObservedJob): void {
     const { id, tasks } = job.spec;
-    if (job.completedTasks.size < tasks) this.context.violated('not_done', id);
+    if (job.completedTasks.size < tasks)
+      this.context.violated(
+        'not_done',
+        `${id} reported as done with ${job.completedTasks.size} of ${tasks} tasks completed`,
+      );
     if (job.cancelledAt !== null) this.reportReversal(job, 'cancelled, then done');
     job.reportedDone = true;
   }
@@ -104,18 +110,21 @@
     this.context.violated('went_back', `${job.spec.id} ${detail}`);
   }
 
-  /** Checks the jobs that get no useful response; call it at regular intervals. */
+  /** Checks how long jobs have got no useful response; call it at regular intervals. */
   tick(): void {
     if (this.context.faultsEndedAt === null) return;
     for (const job of this.context.jobs.all()) this.checkAnswered(job);
   }
 
-  /** The operators' rule: after all faults no job stays without a useful response for long. */
+  /** The operators' rule: once all faults have ended, users soon get useful responses again. */
   private checkAnswered(job: ObservedJob): void {
     const { faultsEndedAt } = this.context;
     if (faultsEndedAt === null || job.unansweredSince === null) return;
     const unansweredFrom = Math.max(faultsEndedAt, job.unansweredSince);
     if (this.context.now() - unansweredFrom > MAX_UNANSWERED_MS)
-      this.context.violated('forgotten', `${job.spec.id} got no useful response for too long`);
+      this.context.violated(
+        'forgotten',
+        `${job.spec.id} got no useful response for more than ${MAX_UNANSWERED_MS / 1000} s`,
+      );
   }
 }
--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -28,8 +28,7 @@
   /** Number of task starts on all machines. */
   startedTasks = 0;
   /**
-   * Listeners called when an accepted job, whose cancellation nobody has requested, completes its
-   * last task.
+   * Listeners called when an accepted job that nobody has asked to cancel completes its last task.
    */
   readonly onLastTaskCompleted: ((id: string) => void)[] = [];
   /** Listeners called when a task starts on a machine. */
@@ -103,9 +102,9 @@
   }
 
   /**
-   * Checks the response to a submission, a poll or a cancellation; status 0 means that none came.
-   * `stateWhenSent` is what responses had reported when the request was sent: whichever controller
-   * answers, the response must not report an earlier state.
+   * Checks the response to a submission, a poll or a cancellation; status 0 means that no response
+   * arrived. `stateWhenSent` is what responses had reported about the job when the request was
+   * sent: whichever controller answers, the response must not report an earlier state.
    */
   responseReceived(
     id: string,
@@ -117,14 +116,14 @@
     this.responses.responseReceived(id, status, state, submission, stateWhenSent);
   }
 
-  /** Records that a submission was accepted that can't run or lacks a field. */
+  /** Records that a controller accepted a job that cannot run or that lacks a field. */
   invalidJobAccepted(id: string): void {
-    this.context.violated('accepted_odd', id);
+    this.context.violated('accepted_odd', `${id} was accepted although it is invalid`);
   }
 
   /**
-   * Records that the task, whose image has been pulled, starts on the machine, and checks the rules
-   * of placement, team limits and cancellation.
+   * Records that the task starts on the machine, which has pulled its image. Checks the rules about
+   * placement, team limits and cancellation.
    */
   taskStarted(id: string, index: number, placement: Placement): void {
     this.startedTasks++;
@@ -162,7 +161,7 @@
     this.usage.count(job.spec, delta);
   }
 
-  /** Records that the task has completed its work. */
+  /** Records that the task has completed; has no effect for services, which never complete. */
   taskCompleted(id: string, index: number): void {
     const job = this.jobs.get(id);
     if (job === undefined || job.spec.kind === 'service') return;
@@ -176,7 +175,7 @@
     return this.placements.machinesOf(id);
   }
 
-  /** Checks the rules that time alone can violate; call it at regular intervals. */
+  /** Checks the rules that the passing of time can violate; call it at regular intervals. */
   tick(): void {
     this.cancellation.tick();
     this.responses.tick();
--- a/test/simulation/rules/rule-context.ts
+++ b/test/simulation/rules/rule-context.ts
@@ -1,7 +1,9 @@
 /** State that the rules share: the jobs, the clock and the list of violations. */
 import { ObservedJobs } from './observed-jobs.js';
 
-/** Names of the checked rules: those of the protocol under its own names, and the operators'. */
+/**
+ * Names of the checked rules: the protocol's rules, under its names for them, and the operators'.
+ */
 export type Rule =
   | 'accepted_odd'
   | 'forgotten'
--- a/test/simulation/rules/team-usage.ts
+++ b/test/simulation/rules/team-usage.ts
@@ -31,13 +31,13 @@
     if (team === undefined || usage === undefined) return [];
     const exceeded: string[] = [];
     if (team.maxCpus > 0 && usage.cpus > team.maxCpus + ROUNDING_TOLERANCE)
-      exceeded.push(`${name} uses ${usage.cpus} CPUs, which exceeds its limit`);
+      exceeded.push(`${name} uses ${usage.cpus} CPUs; its limit is ${team.maxCpus}`);
     if (team.maxGpus > 0 && usage.gpus > team.maxGpus + ROUNDING_TOLERANCE)
-      exceeded.push(`${name} uses ${usage.gpus} GPUs, which exceeds its limit`);
+      exceeded.push(`${name} uses ${usage.gpus} GPUs; its limit is ${team.maxGpus}`);
     return exceeded;
   }
 
-  /** Whether the limits of the job's team allow this many more tasks of the job on machines. */
+  /** Whether the limits of the job's team allow `tasks` more tasks of the job on machines. */
   allows(spec: JobSpec, tasks: number): boolean {
     const team = this.team(spec.team);
     if (team === undefined) return false;
--- a/test/simulation/rules/waiting-rule.ts
+++ b/test/simulation/rules/waiting-rule.ts
@@ -5,14 +5,18 @@
 import type { RuleContext } from './rule-context.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Maximum time that a job may wait while there is capacity for it, after all faults have ended. */
+/**
+ * Maximum time for which a job may wait while there is capacity for it, once all faults have ended;
+ * in milliseconds.
+ */
 const MAX_WAITING_MS = 90_000;
 /**
- * Maximum time that a service may lack a replica while there is capacity for it, after all faults.
+ * Maximum time for which a service may lack a replica while there is capacity for it, once all
+ * faults have ended; in milliseconds.
  */
 const MAX_REPLICA_MISSING_MS = 30_000;
 
-/** Measures how long jobs wait although they could run. */
+/** Measures how long jobs wait while there is free capacity for them. */
 export class WaitingRule {
   constructor(
     private readonly context: RuleContext,
@@ -20,8 +24,8 @@
   ) {}
 
   /**
-   * Records the jobs that have waited too long while there was capacity for them within their
-   * team's limits. Called at regular intervals after all faults have ended.
+   * Reports the jobs that have waited too long while there was capacity for them within their
+   * team's limits. Called at regular intervals once all faults have ended.
    */
   check(free: readonly FreeCapacity[]): void {
     for (const job of this.context.jobs.all()) this.checkJob(job, free);
@@ -36,7 +40,7 @@
     if (job.runnableSince !== null && now - job.runnableSince > maxMs)
       this.context.violated(
         'left_waiting',
-        `${spec.id} waits beside free capacity (${spec.kind} of ${spec.tasks} tasks)`,
+        `${spec.id} (${spec.kind}, ${spec.tasks} tasks) waited for more than ${maxMs / 1000} s while there was capacity for it`,
       );
   }
 
