--- a/test/simulation/scenarios/controller-scenarios.ts
+++ b/test/simulation/scenarios/controller-scenarios.ts
@@ -7,7 +7,7 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Scenarios in which controllers are killed, freeze, hand over, or lose connections or a zone. */
+/** Scenarios in which controllers are killed, freeze or are cut off, alone or with their zone. */
 export const controllerScenarios: FaultScenario[] = [
   {
     name: 'the leader freezes and resumes while jobs are cancelled at other controllers',
--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -8,7 +8,7 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Fields of jobs of which a few use up the limits of a team. */
+/** Fields of large job arrays, a few of which use up a team's limits. */
 const teamFillingJobs: Partial<JobSpec> = {
   ...{ ...longJobs, estimatedRunS: 90, tasks: 10, gpus: 1, priority: 'normal', types: null },
   ...{ zone: null, spot: true },
@@ -61,7 +61,7 @@
     }),
   },
   {
-    name: 'failovers and cancellations on cut-off or hanging machines, with every team at its limit',
+    name: 'jobs on cut-off or hanging machines are cancelled at failovers, with every team at its limit',
     jobs: { ...teamFillingJobs, team: 'red' },
     jobCount: 3,
     faults: (between) => [
--- a/test/simulation/scenarios/fault-scenario.ts
+++ b/test/simulation/scenarios/fault-scenario.ts
@@ -1,24 +1,28 @@
-/** The parts of a fault scenario, and counters that show whether its faults had an effect. */
+/** The description of a fault scenario, and counters that show whether its faults had an effect. */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Deployment } from '../deployments/deployment.js';
 import type { Fault } from '../faults/scripted/fault.js';
 import type { Simulation } from '../simulation.js';
 
-/** A combination of faults, and counters that show that it occurred. */
+/** Jobs, a combination of faults, and counters that show that the combination occurred. */
 export interface FaultScenario {
   name: string;
-  /** Fields that all jobs of the scenario share; the other fields are drawn at random. */
+  /** Fields of the jobs that run when the faults begin; other fields are drawn at random. */
   jobs: Partial<JobSpec>;
+  /** Number of these jobs. */
   jobCount: number;
   /** The simulated deployment; the small one if absent. */
   deployment?: Deployment;
-  /** Returns the faults; times count in seconds from when jobs run, `between` draws at random. */
+  /**
+   * Returns the faults, with times in seconds from the start of their injection, when the jobs run.
+   * `between` draws a random number.
+   */
   faults(between: (from: number, to: number) => number): Fault[];
   /** Returns counters that must all be above 0 at the end of the scenario. */
   expectedEvents(simulation: Simulation): Record<string, number>;
 }
 
-/** Fields of job arrays that run for two minutes and are small enough to run all at one time. */
+/** Fields of job arrays that run for two minutes and are so small that all run at the same time. */
 export const longJobs: Partial<JobSpec> = {
   ...{ estimatedRunS: 120, kind: 'array', tasks: 3, singleZone: false, spread: false },
   ...{ cpus: 1, gpus: 0, memoryGb: 1 },
@@ -27,7 +31,7 @@
 /** Number of elections of a leader after the first one. */
 export const failovers = (simulation: Simulation): number =>
   (simulation.processes.logCounts.get('elected leader') ?? 0) - 1;
-/** How often a leader renewed its lease after it had run out by the clock of the leader. */
+/** Number of times that a leader renewed its lease after the lease had expired by its own clock. */
 export const leaseGaps = (simulation: Simulation): number =>
   simulation.processes.logCounts.get('lease renewed after a gap') ?? 0;
 /** Number of jobs with tasks on machines when a response first reported them as cancelled. */
--- a/test/simulation/scenarios/fault-scenarios.ts
+++ b/test/simulation/scenarios/fault-scenarios.ts
@@ -6,7 +6,7 @@
 import { stateStoreScenarios } from './state-store-scenarios.js';
 import { workloadScenarios } from './workload-scenarios.js';
 
-/** Scenarios with cancellations, outages, unresponsive machines and late messages at failovers. */
+/** Scenarios about the state store, controllers, machines and workloads. */
 export const faultScenarios = [
   ...stateStoreScenarios,
   ...controllerScenarios,
@@ -14,5 +14,5 @@
   ...workloadScenarios,
 ];
 
-/** All scenarios: also those about operations in progress at a failover, and about responses. */
+/** All fault scenarios, with those about operations in progress at a failover and responses. */
 export const allScenarios = [...faultScenarios, ...failoverScenarios, ...responseScenarios];
--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -1,4 +1,4 @@
-/** A scenario with thousands of machines in which large parts of the system fail one by one. */
+/** A scenario with thousands of machines in which large parts of the system fail in turn. */
 import { largeFleet } from '../deployments/fleets.js';
 import { rareFaults } from '../faults/fault-rates.js';
 import { Simulation } from '../simulation.js';
@@ -19,19 +19,19 @@
 } as const;
 
 const OUTAGE_MS = 8000;
-/** Share of the spot instances that the cloud reclaims, and the time within which it does so. */
+/** Share of the spot instances that the cloud reclaims, and maximum time that this takes, in ms. */
 const RECLAIMED_SPOT_SHARE = 0.75;
 const RECLAIM_WINDOW_MS = 8000;
-/** Time from the kill of a controller to its restart. */
+/** Time from the kill of a controller to its restart, in milliseconds. */
 const RESTART_MS = 6000;
 const CUT_OFF_ZONE = 'b';
 const ZONE_CUT_OFF_MS = 30_000;
-/** Time between the restarts of two controllers in the rolling restart. */
+/** Time between the restarts of two controllers in the rolling restart, in milliseconds. */
 const RESTART_INTERVAL_MS = 4000;
-/** Mean time between two submissions, multiplied by the number of machines; milliseconds. */
+/** Mean time between two submissions in milliseconds, multiplied by the number of machines. */
 const MACHINE_MS_PER_JOB = 450_000;
 
-/** Plays the scenario with this many machines, until after its last fault. */
+/** Plays the scenario in a fleet with a capacity of `machines`, until after its last fault. */
 export function playLargeFleet(machines: number, seed: number): Simulation {
   const deployment = largeFleet(machines);
   const simulation = new Simulation(deployment, seed, rareFaults);
--- a/test/simulation/scenarios/machine-scenarios.ts
+++ b/test/simulation/scenarios/machine-scenarios.ts
@@ -8,8 +8,8 @@
 } from './fault-scenario.js';
 
 /**
- * Scenarios in which machines are lost or cut off or hang, or commands, responses and heartbeats
- * are late.
+ * Scenarios in which machines are lost, are cut off or hang, or in which commands, responses and
+ * heartbeats are late.
  */
 export const machineScenarios: FaultScenario[] = [
   {
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -8,16 +8,16 @@
 import { presentVersion, type ProgramVersion } from '../program-version.js';
 import { Simulation } from '../simulation.js';
 
-/** Time from the submission of the first jobs to the first fault; jobs run by then. */
+/** Time from the first submissions to the first fault, when jobs run; in milliseconds. */
 const START_MS = 15_000;
-/** Time within which all faults of a scenario begin and end. */
+/** Time within which all faults of a scenario begin and end, in milliseconds. */
 const FAULTS_MS = 200_000;
-/** Time after the faults within which all jobs have to complete. */
+/** Time after the faults within which all jobs have to complete, in milliseconds. */
 const RECOVERY_MS = 400_000;
 
 /**
- * Plays a scenario; besides its faults only some requests are duplicated and, if the deployment
- * says so, some boots fail. Throws an error if a rule is violated.
+ * Plays a scenario. Apart from its faults, only some requests are duplicated and, if the deployment
+ * sets `bootFailures`, some boots fail. Throws an error if a rule is violated.
  */
 export function playScenario(
   scenario: FaultScenario,
@@ -53,7 +53,7 @@
   const simulation = playScenario(scenario, seed);
   assert.deepEqual(simulation.checker.jobs.unfinished(), [], 'accepted jobs have not completed');
   for (const [event, count] of Object.entries(scenario.expectedEvents(simulation)))
-    assert.ok(count > 0, `expected event did not happen or too rarely: ${event}`);
+    assert.ok(count > 0, `expected event ${event}: counter is ${count}, must be above 0`);
 }
 
 /** Defines a test for each scenario, which plays it with several seeds. */
--- a/test/simulation/scenarios/response-scenarios.ts
+++ b/test/simulation/scenarios/response-scenarios.ts
@@ -33,7 +33,7 @@
     }),
   },
   {
-    name: 'four one-task jobs per second, a quarter of them cancelled, and a failover',
+    name: 'four one-task jobs are submitted per second, a quarter are cancelled, and the leader is killed',
     jobs: shortJobs,
     jobCount: 4,
     faults: (between) => [
@@ -75,7 +75,7 @@
     }),
   },
   {
-    name: 'all users poll during a state store outage, in which the other controllers restart',
+    name: 'all users poll during a state store outage, in which all controllers but the leader restart',
     jobs: { estimatedRunS: 25 },
     jobCount: 20,
     faults: (between) => [
--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -1,4 +1,4 @@
-/** Adapts the fault scenarios to the deployment with short leases. */
+/** The fault scenarios in the deployment with short leases, and some of its own. */
 import { defaultPlatformOptions } from '../../platform.js';
 import { shortLeases, shortLeasesWithLowerLimits } from '../deployments/short-leases.js';
 import type { Fault } from '../faults/scripted/fault.js';
@@ -10,9 +10,10 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
+/** Values of `lease_s` and `cancel_s` in this deployment, as fractions of their default values. */
 const LEASE_RATIO = shortLeases.platform.leaseS / defaultPlatformOptions.leaseS;
 const CANCEL_RATIO = shortLeases.platform.cancelDeadlineS / defaultPlatformOptions.cancelDeadlineS;
-/** Times up to this one, in seconds, scale with the lease; later ones shift by the same amount. */
+/** Times up to this number of seconds scale with the lease; later times shift by a constant. */
 const SCALED_UNTIL_S = 10;
 
 /** Converts the time at which a fault begins, in seconds, to the deployment with short leases. */
@@ -22,8 +23,8 @@
 }
 
 /**
- * Converts a duration in seconds. One longer than `cancel_s` scales with `cancel_s`, so that it
- * stays longer; others scale with the lease.
+ * Converts a duration in seconds. A duration longer than `cancel_s` scales with `cancel_s`, so that
+ * it stays longer than that setting; other durations scale with the lease.
  */
 function scaledDuration(seconds: number): number {
   return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
@@ -39,8 +40,8 @@
 }
 
 /**
- * Faults whose duration matters in relation to the leases. The duration of other faults only limits
- * how long an activity lasts, and is not scaled.
+ * Faults whose effect depends on how long they last compared with a lease. The durations of other
+ * faults only bound the time of an activity and are not scaled.
  */
 const LEASE_RELATED: ReadonlySet<Fault['kind']> = new Set([
   ...([
--- a/test/simulation/scenarios/state-store-scenarios.ts
+++ b/test/simulation/scenarios/state-store-scenarios.ts
@@ -15,7 +15,7 @@
  */
 export const stateStoreScenarios: FaultScenario[] = [
   {
-    name: 'jobs are cancelled while the state store refuses only the leader, then an outage beyond cancel_s',
+    name: 'jobs are cancelled while the state store refuses only the leader, before an outage longer than cancel_s',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
@@ -29,7 +29,7 @@
     }),
   },
   {
-    name: 'jobs are cancelled while the state store and peers refuse the leader, then a shorter outage',
+    name: 'jobs are cancelled while the state store and peers refuse the leader, before an outage shorter than lease_s',
     jobs: longJobs,
     jobCount: 14,
     faults: (between) => [
--- a/test/simulation/scenarios/steady-work.ts
+++ b/test/simulation/scenarios/steady-work.ts
@@ -1,10 +1,11 @@
 /** Submits jobs at a steady rate. */
 import type { Simulation } from '../simulation.js';
 
-/** Number, rate and end of the submissions. */
+/** Number of submissions at the start, and rate and end of the later submissions. */
 export interface SteadyWork {
   jobsAtStart: number;
   meanIntervalMs: number;
+  /** Virtual time after which no job is submitted. */
   untilMs: number;
 }
 
@@ -12,10 +13,10 @@
 const INTERVAL_FACTORS = { least: 0.3, most: 1.7 };
 /** Share of the jobs submitted after the start that are cancelled. */
 const CANCEL_SHARE = 0.04;
-/** Time from the submission of such a job to its cancellation. */
+/** Time from the submission to the cancellation of such a job, in milliseconds. */
 const CANCEL_AFTER_MS = 20_000;
 
-/** Submits random jobs, some at once and then one after each interval; some are cancelled. */
+/** Submits `jobsAtStart` random jobs, then one after each interval; some of these are cancelled. */
 export function submitSteadily(
   simulation: Simulation,
   { jobsAtStart, meanIntervalMs, untilMs }: SteadyWork,
--- a/test/simulation/scenarios/workload-scenarios.ts
+++ b/test/simulation/scenarios/workload-scenarios.ts
@@ -1,10 +1,10 @@
 /** Fault scenarios about kinds of jobs, team limits, scarce capacity and the ends of jobs. */
 import { cancelledWhileRunning, failovers, type FaultScenario } from './fault-scenario.js';
 
-/** Scenarios with gangs, services, team limits, scarce capacity and ending jobs at failovers. */
+/** Scenarios about job arrays, gangs, services, team limits, scarce capacity and ending jobs. */
 export const workloadScenarios: FaultScenario[] = [
   {
-    name: 'failovers and cut-off machines while the tasks of job arrays end at different times',
+    name: 'leaders are killed and machines are cut off while the tasks of job arrays end at different times',
     jobs: { tasks: 3, kind: 'array', estimatedRunS: 40 },
     jobCount: 14,
     faults: (between) => [
@@ -20,7 +20,7 @@
     expectedEvents: (simulation) => ({ failovers: failovers(simulation) }),
   },
   {
-    name: 'failovers and duplicated heartbeats while gangs of two tasks end',
+    name: 'leaders are killed and heartbeats are duplicated while gangs of two tasks end',
     jobs: { tasks: 2, kind: 'gang', estimatedRunS: 25, cpus: 1, gpus: 1, memoryGb: 1 },
     jobCount: 14,
     faults: (between) => [
@@ -45,7 +45,7 @@
     expectedEvents: (simulation) => ({ startedTasks: simulation.checker.startedTasks }),
   },
   {
-    name: 'a failover, cut-off machines and cancellations with a team at its limit',
+    name: 'machines are cut off, the leader is killed and jobs are cancelled with a team at its limit',
     jobs: {
       estimatedRunS: 100,
       team: 'red',
@@ -68,7 +68,7 @@
     }),
   },
   {
-    name: 'cancellations as the last task of a job ends, with repeated and invalid requests',
+    name: 'jobs are cancelled as their last tasks end, and users send repeated and invalid requests',
     jobs: { estimatedRunS: 10 },
     jobCount: 25,
     faults: () => [
@@ -81,7 +81,7 @@
     }),
   },
   {
-    name: 'machine losses, failovers, an outage and cancellations while services run',
+    name: 'machines are lost, leaders are killed, the state store has an outage and services are cancelled',
     jobs: {
       ...{
         kind: 'service',
