--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -138,7 +138,7 @@
     return { status: 200, body };
   }
 
-  /** Commits or rejects a transaction as a whole; returns the response to it. */
+  /** Commits or rejects a transaction as a whole, and returns the response to it. */
   commit(transaction: Transaction): Reply {
     const { writes = [], if: conditions = [] } = transaction;
     if (writes.some(({ permit }) => permit !== undefined && !this.leases.has(permit)))
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -8,6 +8,7 @@
 import { withinLimits, KeyValueStore, type Transaction, type Watch } from './key-value-store.js';
 import { UnansweredWrites } from './unanswered-writes.js';
 
+/** Time between two checks for expired leases, in milliseconds. */
 const EXPIRY_CHECK_INTERVAL_MS = 50;
 /**
  * Fraction of the responses that are delayed while the state store is slow, and their delay in
@@ -16,8 +17,8 @@
 const DELAYED_RESPONSE_SHARE = 0.3;
 const RESPONSE_DELAY_MS = { least: 50, most: 2000 };
 /**
- * Default for the maximum delay of a delayed transaction, in milliseconds; the minimum is a sixth
- * of it.
+ * Default maximum delay of a delayed transaction, in milliseconds; the minimum is a sixth of the
+ * maximum.
  */
 const MAX_WRITE_DELAY_MS = 12_000;
 
@@ -36,8 +37,8 @@
   private readonly requestTokens: TokenBucket;
   private readonly putTokens: TokenBucket;
   /**
-   * Number of transactions refused for their size, not counting copies of older ones by the
-   * network.
+   * Number of transactions refused for their size, not counting duplicates that the network
+   * delivers.
    */
   tooLarge = 0;
   /** Number of requests served. */
@@ -50,11 +51,11 @@
   requestsInOutage = 0;
   /** Fraction of the transactions that get no response and are committed later. */
   private delayedWriteShare = 0;
-  /** Maximum delay of such a transaction, in milliseconds. */
+  /** Maximum delay of these transactions, in milliseconds. */
   maxWriteDelayMs = MAX_WRITE_DELAY_MS;
   /**
-   * Number of delayed transactions that were applied in the end, and that were refused because of
-   * their conditions or the limits.
+   * Number of delayed transactions that were applied in the end, and number of those that were
+   * refused because of their conditions or the limits.
    */
   readonly lateCommits = { applied: 0, refused: 0 };
   /** Fraction of the transactions that are committed immediately but whose response is lost. */
@@ -88,7 +89,7 @@
     return this.store.entries;
   }
 
-  /** Number of times that a controller has read a write for which another got no response. */
+  /** Number of reads by a controller of a write for which another controller got no response. */
   get readsOfUnansweredWrites(): number {
     return this.unanswered.readByOthers;
   }
@@ -132,8 +133,8 @@
   }
 
   /**
-   * For `ms`, a share of the transactions gets no response and is committed later, after newer
-   * ones.
+   * For `ms`, a share of the transactions gets no response and is committed later, possibly after
+   * newer ones. A transaction whose delay ends during an outage is lost.
    */
   delayWrites(share: number, ms: number): void {
     this.delayedWriteShare = share;
@@ -150,7 +151,7 @@
     });
   }
 
-  /** Returns whether requests of this host are refused individually, outside an outage. */
+  /** Returns whether the requests of this host are refused while there is no general outage. */
   isRefusing(host: string): boolean {
     return !this.unavailable && this.refusedHosts.has(host);
   }
--- a/test/simulation/state-store/unanswered-writes.ts
+++ b/test/simulation/state-store/unanswered-writes.ts
@@ -5,9 +5,9 @@
 
 /** Counts the reads by a controller of a write for which another controller got no response. */
 export class UnansweredWrites {
-  /** By key, the host that last wrote it without getting a response. */
+  /** The host that last wrote a key without getting a response, by key. */
   private readonly writers = new Map<string, string>();
-  /** Number of reads of such keys by another host than the writer. */
+  /** Number of reads of such a key by a host other than the writer. */
   readByOthers = 0;
 
   /** Records a transaction that was committed but whose response was lost. */
