--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -9,11 +9,12 @@
 import type { StateStoreServer } from '../state-store/state-store-server.js';
 import { User, type RequestSender } from './user.js';
 
+/** Time without a response after which a GET or a POST request ends, in milliseconds. */
 const POLL_TIMEOUT_MS = 2000;
 const POST_TIMEOUT_MS = 5000;
 /**
- * Range of a service's lifetime in milliseconds, and range of other tasks' run time as a factor of
- * the estimate.
+ * Range of a service's run time in milliseconds, and range of the run time of other jobs' tasks as
+ * multiples of the estimate.
  */
 const SERVICE_LIFETIME_MS = { least: 20_000, most: 200_000 };
 const RUN_TIME_FACTORS = { least: 0.4, most: 1.8 };
@@ -43,7 +44,7 @@
 
   constructor(private readonly context: UserContext) {}
 
-  /** Returns a unique number for a job's name. */
+  /** Returns a unique number for the id of a job. */
   nextJobNumber(): number {
     return this.jobCount++;
   }
@@ -74,7 +75,9 @@
     return this.jobs.get(id)?.spec;
   }
 
-  /** Returns the actual run time of the job's tasks; undefined if no user has submitted it. */
+  /**
+   * Returns the actual run time of the job's tasks in ms; undefined if no user submitted the job.
+   */
   runMsOf(id: string): number | undefined {
     return this.jobs.get(id)?.runMs;
   }
--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -32,9 +32,9 @@
   private accepted = false;
   private requestInFlight = false;
   private nextRequest: Timer | null = null;
-  /** The action that the user takes next once the job is accepted; null: the user polls. */
+  /** The requested action, which is taken once the job is accepted; null if there is none. */
   private pendingAction: 'cancel' | 'submit' | null = null;
-  /** The host to which cancellations are sent; undefined for a random one. */
+  /** The host to whose controller cancellations are sent; undefined for a random host. */
   private cancelHost: string | undefined;
   private readonly body: unknown;
 
