--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -63,7 +63,7 @@
   delayedCommands = 0;
   /** Number of delayed direct commands delivered so far. */
   delayedCommandsDelivered = 0;
-  /** Fraction of the heartbeats of which a copy is retained, to be replayed to the next leader. */
+  /** Fraction of the heartbeats of which a copy is retained for `deliverRetained`. */
   retainedHeartbeats = 0;
   private retainedRequests: { from: string; request: IncomingRequest }[] = [];
   /** Current maximum one-way latency, in milliseconds. */
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Delivers each retained heartbeat to all the given addresses, at random times from `afterMs` to
-   * 50 ms after that.
+   * Delivers each retained heartbeat once to each of the addresses, at random times between
+   * `afterMs` and `afterMs + 50` from now.
    */
   deliverRetained(addresses: readonly string[], afterMs: number): void {
     const { retainedRequests } = this;
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Delays the call if it is a direct command that is drawn for a delay; it is then delivered once,
-   * 2 to 16 s later, and gets no response. Returns whether the call is delayed.
+   * Delays a random share of the direct commands: a delayed command is delivered once, 2 to 16 s
+   * later, and gets no response. Returns whether the call is delayed.
    */
   private tryDelay(call: Call, deliver: (respond: Respond) => void): boolean {
     if (call.path !== '/do' || this.delayedCommands === 0) return false;
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Kills the leader several times in succession, so that new leaders are killed while they take
-   * over. Each process restarts after 50 to 400 ms.
+   * Kills the current leader several times at random intervals, so that some leaders are killed
+   * soon after their election. Each process restarts after 50 to 400 ms.
    * @param rounds - The number of times that the current leader is killed.
    * @param durationMs - The approximate total time of all rounds, in milliseconds.
    */
--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -18,7 +18,7 @@
   name: string;
   /**
    * Whether the version supports jobs of the kind `service` and keeps its writes within the
-   * announced future limits of the state store.
+   * announced upcoming limits of the state store.
    */
   knowsServicesAndLimits: boolean;
   version: ProgramVersion;
@@ -31,7 +31,7 @@
 /** The commit of the previous landing on the main branch. */
 const PREVIOUS_LANDING = '41e660f42774fdcc4b541cb925a56407228d98fd';
 
-/** The commit that introduced services and the announced future limits of the state store. */
+/** The commit that introduced services and the announcement of upcoming state store limits. */
 const SERVICES_AND_LIMITS_SINCE = 'f1ae35564a838d29cfab08cf281fba7d5f513b43';
 
 const root = fileURLToPath(new URL('../../', import.meta.url));
@@ -60,7 +60,7 @@
 
 /**
  * Extracts a commit's sources below target/ and returns their directory. The directory is renamed
- * into place when it is complete, so that a partial one is never used.
+ * into place when it is complete, so that a partial directory is never used.
  */
 function extractSources(commit: string): string {
   const target = join(root, 'target');
--- a/test/simulation/simulated-deployment.ts
+++ b/test/simulation/simulated-deployment.ts
@@ -1,4 +1,4 @@
-/** The interface through which faults and their observers access a simulation. */
+/** The interface through which random faults and their observers access a simulation. */
 import type { ConnectionFaults } from './faults/connection-faults.js';
 import type { MachineFaults } from './faults/machine-faults.js';
 import type { ObservedEvents } from './faults/observed-events.js';
@@ -11,7 +11,8 @@
 import type { VirtualClock } from './virtual-clock.js';
 
 /**
- * A simulated deployment as seen by faults, which do not depend on how a simulation is assembled.
+ * A simulated deployment as seen by random faults and the observer of fault combinations, which do
+ * not depend on how a simulation is assembled.
  */
 export interface SimulatedDeployment {
   readonly clock: VirtualClock;
--- a/test/simulation/simulation-parts.ts
+++ b/test/simulation/simulation-parts.ts
@@ -11,11 +11,11 @@
 import type { VirtualClock } from './virtual-clock.js';
 
 /**
- * Maximum delay of a transaction that gets no response and is committed late, as a multiple of a
- * worker's lease.
+ * Maximum delay of a transaction that gets no response and is committed late, as a multiple of the
+ * duration of a worker's lease.
  */
 const MAX_WRITE_DELAY_LEASES = 0.6;
-/** Maximum delay of a duplicated message, as a multiple of a worker's lease. */
+/** Maximum delay of a duplicate of a request, as a multiple of the duration of a worker's lease. */
 const MAX_DUPLICATE_DELAY_LEASES = 3;
 /** Boot time of the machines that exist from the start, in milliseconds. */
 const INITIAL_BOOT_MS = 100;
@@ -28,7 +28,7 @@
   error: () => undefined,
 };
 
-/** Creates the network, which duplicates messages at the given rate. */
+/** Creates the network, which duplicates POST requests at the given rate. */
 export function createNetwork(
   clock: VirtualClock,
   random: SeededRandom,
@@ -41,7 +41,7 @@
   return network;
 }
 
-/** Creates the state store with the current limits in the platform settings. */
+/** Creates the state store with the present limits of the platform settings. */
 export function createStateStore(
   clock: VirtualClock,
   random: SeededRandom,
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -62,7 +62,7 @@
   readonly users: UserPopulation;
   readonly connectionFaults: ConnectionFaults;
   readonly machineFaults: MachineFaults;
-  /** The future limits of the state store that the controllers' settings announce. */
+  /** The upcoming limits of the state store that the controllers' settings announce. */
   readonly upcomingStateLimits: StateLimits;
   /** Whether the injection of new faults has been stopped. */
   faultsStopped = false;
