--- a/.dependency-cruiser.mjs
+++ b/.dependency-cruiser.mjs
@@ -1,9 +1,9 @@
 /**
- * The layers of the program: a module may import from its own layer and from those below. See
- * docs/architecture.md.
+ * The dependency rules of the program. Its directories form layers: a module may import from its own
+ * directory and from the layers below. See docs/architecture.md.
  */
 
-/** Lowest first; the directories of one layer don't import each other. */
+/** The layers, lowest first. The directories of one layer do not import from each other. */
 const LAYERS = [
   ['runtime', 'wire'],
   ['http', 'settings'],
@@ -22,7 +22,10 @@
 
 const pathOf = (directories) => `^${CONTROLLER}/(${directories.join('|')})/`;
 
-/** One rule for each directory: nothing of its own layer beside it, nothing of the layers above. */
+/**
+ * One rule for each directory: its modules import neither from the other directories of its layer,
+ * nor from the layers above, nor from node/ or the files directly below the controller's directory.
+ */
 const layerRules = LAYERS.flatMap((layer, index) =>
   layer.map((directory) => {
     const above = LAYERS.slice(index + 1).flat();
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -26,10 +26,10 @@
         { selector: 'import', format: ['camelCase', 'PascalCase'] },
         { selector: 'typeLike', format: ['PascalCase'] },
         { selector: 'variable', modifiers: ['const'], format: ['camelCase', 'UPPER_CASE'] },
-        // Classes that are passed as values.
+        // Destructured variables and parameters may be classes that are passed as values.
         { selector: ['parameter', 'variable'], modifiers: ['destructured'], format: null },
         { selector: 'parameter', format: ['camelCase', 'PascalCase'], leadingUnderscore: 'allow' },
-        // Names of protocols, records, metrics and settings.
+        // Properties may have the names of protocols, records, metrics and settings.
         {
           selector: ['objectLiteralProperty', 'objectLiteralMethod', 'typeProperty'],
           modifiers: ['requiresQuotes'],
@@ -45,14 +45,14 @@
   {
     files: ['src/**/*.ts', 'test/**/*.ts'],
     rules: {
-      // The lowest that all of the code passes.
+      // The lowest complexity limit that all of the code passes.
       complexity: ['error', 12],
       'max-lines': ['error', { max: 300 }],
     },
   },
   {
     files: ['src/**/*.ts', 'test/**/*.ts'],
-    // In tests the callbacks of `describe` are functions that hold a whole suite.
+    // In test files the callback of `describe` contains a whole suite, which may be longer.
     ignores: ['**/*.test.ts'],
     rules: { 'max-lines-per-function': ['error', { max: 40 }] },
   },
@@ -80,7 +80,7 @@
   {
     files: ['**/*.test.ts', 'test/**/*.ts'],
     rules: {
-      // node:test's describe and it return promises that nobody awaits.
+      // `describe` and `it` of node:test return promises, which the tests do not await.
       '@typescript-eslint/no-floating-promises': 'off',
     },
   },
