--- a/test/simulation/digest/traffic-digest.ts
+++ b/test/simulation/digest/traffic-digest.ts
@@ -100,13 +100,15 @@
 
     override request(method: string, path: string, body: Buffer, respond: Respond): void {
       this.add('request', [method, path], body);
-      super.request(method, path, body, (answer) => {
-        const { status, retryAfterS = '', allow = '', encodedBody } = answer;
+      super.request(method, path, body, (response) => {
+        const { status, retryAfterS = '', allow = '', encodedBody } = response;
         const details = [method, path, status, retryAfterS, allow, encodedBody?.contentType ?? ''];
         const bytes =
-          encodedBody === undefined ? bytesOf(answer.body) : withoutMemoryMetric(encodedBody.bytes);
+          encodedBody === undefined
+            ? bytesOf(response.body)
+            : withoutMemoryMetric(encodedBody.bytes);
         this.add('answer', details, bytes);
-        respond(answer);
+        respond(response);
       });
     }
   };
