--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -122,8 +122,10 @@
   simulation.processes.onLog.push((message) => {
     if (message !== 'elected leader' || clock.now > until) return;
     clock.after(0, () => {
-      const outside = simulation.processes.leaders().some((host) => !hostsInside.includes(host));
-      if (outside) observedEvents.record('leader elected outside a zone that is cut off');
+      const hasLeaderOutside = simulation.processes
+        .leaders()
+        .some((host) => !hostsInside.includes(host));
+      if (hasLeaderOutside) observedEvents.record('leader elected outside a zone that is cut off');
     });
   });
   checker.onTaskStart.push(() => {
