--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -107,10 +107,10 @@
 
 async function findVersion(name: string, revision: string): Promise<VersionLookup> {
   let commit: string;
-  let hasServicesAndLimits: boolean;
+  let supportsServicesAndLimits: boolean;
   try {
     commit = git('rev-parse', '--verify', `${revision}^{commit}`).toString().trim();
-    hasServicesAndLimits = knowsServicesAndLimits(commit);
+    supportsServicesAndLimits = knowsServicesAndLimits(commit);
   } catch (err) {
     const { message } = err as Error;
     return {
@@ -119,7 +119,7 @@
     };
   }
   const version = await load(name, commit);
-  return { name, older: { name, knowsServicesAndLimits: hasServicesAndLimits, version } };
+  return { name, older: { name, knowsServicesAndLimits: supportsServicesAndLimits, version } };
 }
 
 /**
