--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -9,7 +9,7 @@
   | 'poll after a change'
   | 'direct command of an older leader'
   | 'direct command to a machine with blocked heartbeats'
-  | 'leader killed beside a new machine'
+  | 'leader killed while a new machine starts'
   | 'leader killed with every team at its limit'
   | 'leader alone in its zone'
   | 'leader elected outside a zone that is cut off'
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -28,7 +28,7 @@
 export interface ControllerFaults {
   controllersKilled: OnControllers & Restart;
   /** Kills the leader shortly after a new machine has booted or has started a task. */
-  leaderKilledBesideNewMachines: Restart;
+  leaderKilledWhileMachinesStart: Restart;
   /** Kills the current leader repeatedly, at random intervals. */
   repeatedElections: object;
   controllersFrozen: OnControllers;
@@ -53,8 +53,8 @@
   controllersKilled: (simulation, { target, restartAfter }) => {
     for (const host of hostsOf(simulation, target)) simulation.kill(host, restartAfter * 1000);
   },
-  leaderKilledBesideNewMachines: (simulation, { restartAfter }, ms) =>
-    killLeaderBesideNewMachines(simulation, restartAfter * 1000, ms),
+  leaderKilledWhileMachinesStart: (simulation, { restartAfter }, ms) =>
+    killLeaderWhileMachinesStart(simulation, restartAfter * 1000, ms),
   repeatedElections: ({ processes }, _, ms) => processes.killElected(LEADER_KILLS, ms),
   controllersFrozen: (simulation, { target }, ms) => {
     for (const host of hostsOf(simulation, target)) simulation.processes.freeze(host, ms);
@@ -75,7 +75,7 @@
 };
 
 /** Kills the leader shortly after the boot of a new machine or the start of a task on one. */
-function killLeaderBesideNewMachines(
+function killLeaderWhileMachinesStart(
   simulation: Simulation,
   restartMs: number,
   durationMs: number,
@@ -90,7 +90,7 @@
       killScheduled = false;
       const { leader } = simulation;
       if (leader === null) return;
-      simulation.observedEvents.record('leader killed beside a new machine');
+      simulation.observedEvents.record('leader killed while a new machine starts');
       simulation.kill(leader, restartMs);
     });
   };
@@ -109,7 +109,7 @@
   observeZoneCut(simulation, hostsInside, ms);
 }
 
-/** Records during a zone cut: a leader alone in the zone, elections outside it, and task starts. */
+/** Records a leader alone in the zone that is cut off, elections outside it, and task starts. */
 function observeZoneCut(
   simulation: Simulation,
   hostsInside: readonly string[],
