--- a/src/controller/api/hedged-request.test.ts
+++ b/src/controller/api/hedged-request.test.ts
@@ -74,7 +74,7 @@
     assert.equal(forwarded.length, 0);
   });
 
-  it('responds with the reply of a peer if the state store serves the peer and fails this node', () => {
+  it('responds with the reply of a peer if the state store serves the peer but not this node', () => {
     const { responses, forwarded, answerLocally } = start({ consecutiveFailures: 1 });
     answerLocally(UNAVAILABLE);
     assert.deepEqual(responses, []);
@@ -99,7 +99,10 @@
     });
 
   const casesWithoutForwarding: [string, StartOptions][] = [
-    ['the state store serves this node, whose rate share is used up', { consecutiveFailures: 0 }],
+    [
+      "this node's share of the request rate is used up but no call failed",
+      { consecutiveFailures: 0 },
+    ],
     ['the state store serves no peer', { consecutiveFailures: 1, servedHost: null }],
   ];
   for (const [title, startOptions] of casesWithoutForwarding)
@@ -110,7 +113,7 @@
       assert.equal(forwarded.length, 0);
     });
 
-  it('asks a peer if this node is late and its calls stall, and sends the first response', () => {
+  it('asks a peer if this node does not respond in time and its calls stall, and sends the first response', () => {
     const { runtime, responses, forwarded, answerLocally } = start({ stalledMs: HEDGE_DELAY_MS });
     runtime.advance(HEDGE_DELAY_MS);
     assert.equal(forwarded.length, 1);
@@ -119,7 +122,7 @@
     assert.deepEqual(responses, [OK]);
   });
 
-  it('asks no peer if this node is late but its calls do not stall', () => {
+  it('asks no peer if this node does not respond in time but its calls do not stall', () => {
     const { runtime, forwarded } = start({ stalledMs: HEDGE_DELAY_MS - 1 });
     runtime.advance(HEDGE_DELAY_MS);
     assert.equal(forwarded.length, 0);
--- a/src/controller/fleet/arrival-monitor.test.ts
+++ b/src/controller/fleet/arrival-monitor.test.ts
@@ -29,7 +29,7 @@
     assert.ok(!arrivals.haveStopped(lastAt + 17 * GAP_MS));
   });
 
-  it('reports no stop within the shortest delay, in which users retry, however frequent jobs were', () => {
+  it('reports no stop within the time in which users retry, however often jobs arrived before', () => {
     const { arrivals, lastAt } = monitorAfterArrivals(100, 60_000);
     assert.ok(!arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS));
     assert.ok(arrivals.haveStopped(lastAt + MIN_STOP_DELAY_MS + 1));
@@ -39,7 +39,7 @@
   it('measures the time without jobs only from the end of an interruption', () => {
     const { arrivals, lastAt } = monitorAfterArrivals(GAP_MS, 400_000);
     const resumedAt = lastAt + 60_000;
-    arrivals.noteInterruption(resumedAt);
+    arrivals.recordInterruption(resumedAt);
     assert.ok(!arrivals.haveStopped(resumedAt + GAP_MS));
     assert.ok(arrivals.haveStopped(resumedAt + 15 * GAP_MS));
   });
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -16,8 +16,8 @@
 import { UnusedMachines, type WorkloadState } from './unused-machines.js';
 
 /**
- * If two steps are further apart than this many leader leases, the time between them counts as an
- * interruption of the service, in which no job could arrive.
+ * If more than this many leader leases pass between two steps, that time counts as an interruption of the
+ * service, in which no job could arrive.
  */
 const INTERRUPTION_LEASES = 2;
 /**
@@ -109,7 +109,7 @@
 
   private observeArrivals(now: number): void {
     const interruptionMs = this.settings.leaderLeaseMs * INTERRUPTION_LEASES;
-    if (now - this.lastStepAt > interruptionMs) this.arrivals.noteInterruption(now);
+    if (now - this.lastStepAt > interruptionMs) this.arrivals.recordInterruption(now);
     this.lastStepAt = now;
     this.arrivals.observe(this.submissionTimes(), now);
   }
--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -27,7 +27,7 @@
 
 /** Releases machines and remembers which are being released. */
 export class ScaleIn {
-  /** Ids of machines that are being released, or were and may still be in the cloud's list. */
+  /** Ids of machines that are being released, or have been released and may still be in the cloud's list. */
   private readonly releasingIds = new Set<string>();
 
   constructor(
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Releases the machines. No task is placed on them from now on, but the tasks that they have count as gone
+   * Releases the machines. From now on no task is placed on them, but the tasks already on them count as gone
    * only once the cloud has confirmed the release (invariant 5).
    */
   release(machineIds: readonly string[], reason: string): void {
@@ -53,8 +53,8 @@
       if (machine !== undefined) machine.releasing = true;
     }
     this.send(batch, reason);
-    const rest = machineIds.slice(MAX_MACHINES_PER_REQUEST);
-    if (rest.length > 0) this.release(rest, reason);
+    const remainingIds = machineIds.slice(MAX_MACHINES_PER_REQUEST);
+    if (remainingIds.length > 0) this.release(remainingIds, reason);
   }
 
   private send(batch: string[], reason: string): void {
--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -66,11 +66,11 @@
         .map((s) => Buffer.from(s)),
     );
     fc.assert(
-      fc.property(fc.array(pieces, { maxLength: 12 }), (parts) => {
+      fc.property(fc.array(pieces, { maxLength: 12 }), (input) => {
         const parser = new HttpParser('request', limits);
         try {
-          for (const part of parts) {
-            parser.push(part);
+          for (const piece of input) {
+            parser.push(piece);
             while (parser.next() !== null);
           }
         } catch (err) {
--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -16,8 +16,8 @@
 let jobCount = 0;
 
 /** Creates a job with a higher id than all jobs created before. */
-function submitted(part: Partial<JobSpec>, submittedAt: number): Job {
-  return gpuJob({ id: `req-${jobCount++}`, ...part }, submittedAt);
+function submitted(overrides: Partial<JobSpec>, submittedAt: number): Job {
+  return gpuJob({ id: `req-${jobCount++}`, ...overrides }, submittedAt);
 }
 
 /** Compares two jobs by rank. */
@@ -26,7 +26,7 @@
 }
 
 /** Compares two jobs by their position in the queue of a pass. */
-function compareTurns(a: Job, b: Job, now: number): number {
+function comparePositions(a: Job, b: Job, now: number): number {
   return compareQueued(queuedJob(a, settings, now), queuedJob(b, settings, now));
 }
 
@@ -96,13 +96,13 @@
 
 describe('order of the queue of a pass', () => {
   // Guards against gangs of two teams that preempt each other repeatedly: a preempted gang used to be
-  // placed before the gang that preempted it. Seen in the test day "rough" (caroni).
+  // placed before the gang that preempted it. Seen in the benchmark scenario "rough" of the deployment caroni.
   it('puts a gang before its victim while the preemption is recent', () => {
     const victim = submitted({}, 0);
     victim.preemptionCount = 1;
     const gang = submitted({}, 5000);
     gang.preemptionClaimUntil = 30_000;
-    assert.ok(compareTurns(gang, victim, 20_000) < 0);
-    assert.ok(compareTurns(gang, victim, 40_000) > 0);
+    assert.ok(comparePositions(gang, victim, 20_000) < 0);
+    assert.ok(comparePositions(gang, victim, 40_000) > 0);
   });
 });
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -21,18 +21,18 @@
 /** Prefix of the keys of reservation records; the job id follows it. */
 const KEY_PREFIX = 'h/';
 
-/** Minimum lead of preemption before a reservation is expected to be filled, in heartbeat intervals. */
-const PREEMPTION_LEAD_INTERVALS = 3;
+/** Minimum lead time of preemption, in heartbeat intervals before the expected fill of a reservation. */
+const PREEMPTION_LEAD_TIME_INTERVALS = 3;
 
 /** Time allowed for the victims to save their checkpoints, as a multiple of the longest save time. */
-const SAVE_MARGIN = 1.5;
+const SAVE_MARGIN_FACTOR = 1.5;
 
 /** Returns the key of the record that holds a gang's reservation. */
 export function reservationKey(jobId: string): string {
   return `${KEY_PREFIX}${jobId}`;
 }
 
-/** The capacity that a gang reserves, and the tasks to preempt for it. */
+/** The capacity that a gang reserves, and the tasks to preempt for it. Times are on the monotonic clock in ms. */
 export interface GangCapacity {
   /** One entry per task; fewer if there are not enough machines. A machine may occur several times. */
   capacities: FreeCapacity[];
@@ -44,7 +44,7 @@
   victims: readonly Assignment[];
 }
 
-/** The candidates found for a gang. */
+/** The candidates found for a gang. Times are on the monotonic clock in ms. */
 interface GangCandidates {
   /** One per task; fewer if there are not enough machines. */
   candidates: ReservationCandidate[];
@@ -102,26 +102,27 @@
     for (const capacity of capacities) capacity.claimForTask(resourceRequestOf(job.spec), fillAt);
     const longWaitMs = settings.get('placement.cannot.fill.s') * 1000;
     const machineCount = new Set(capacities).size;
-    const places = `${capacities.length} of ${tasks} places on ${machineCount} machines`;
+    const reservationSummary = `${capacities.length} of ${tasks} places on ${machineCount} machines`;
     const hasWaitedLong = pass.now - job.waitingSince > longWaitMs;
-    setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${places}` : '');
+    setBlockedReason(job, hasWaitedLong ? `cannot fill yet: holds ${reservationSummary}` : '');
     // Preempting is useful only if it lets the whole gang start soon. While the gang also waits for other
     // tasks to end, the victims may keep running.
-    const fillsSoon = fillAt - pass.now <= this.preemptionLeadMs(victims);
+    const fillsSoon = fillAt - pass.now <= this.preemptionLeadTimeMs(victims);
     if (capacities.length === tasks && fillsSoon) preemptor.preemptAll(victims, job);
   }
 
   /**
-   * Returns how long before a reservation is expected to be filled its victims are preempted. The time
-   * includes the saves of their checkpoints: with short heartbeat intervals a save takes many of them, and
-   * a lead in heartbeat intervals alone would never be reached.
+   * Returns the time in ms by which the preemption of the victims precedes the expected fill of a reservation.
+   * It allows for the victims' checkpoint saves, which the expected fill includes: with short heartbeat
+   * intervals a save takes many of them, and preemption would never begin if the lead time were a fixed
+   * number of heartbeat intervals.
    */
-  private preemptionLeadMs(victims: readonly Assignment[]): number {
+  private preemptionLeadTimeMs(victims: readonly Assignment[]): number {
     const { heartbeatIntervalMs } = this.parts.settings;
     const longestSaveMs = Math.max(0, ...victims.map((victim) => victim.checkpointSaveS)) * 1000;
     return Math.max(
-      heartbeatIntervalMs * PREEMPTION_LEAD_INTERVALS,
-      heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN,
+      heartbeatIntervalMs * PREEMPTION_LEAD_TIME_INTERVALS,
+      heartbeatIntervalMs + longestSaveMs * SAVE_MARGIN_FACTOR,
     );
   }
 
@@ -175,7 +176,7 @@
 
   /**
    * Searches the zones in which the gang may run, separately if it needs a single zone. Returns the result
-   * with the most candidates; among equal ones, that which is filled earliest.
+   * with the most candidates; among equal ones, the one that is filled earliest.
    */
   private bestCandidates(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -29,7 +29,7 @@
 export type WatchEvent =
   { kind: 'put'; key: string; value: unknown; version: number } | { kind: 'delete'; key: string };
 
-/** Largest accepted revision, version or lease id. No deployment lives long enough to come near 2^53. */
+/** Largest accepted revision, version or lease id. No deployment runs long enough to come near 2^53. */
 const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
 
 function requireStateMap(body: unknown): Fields {
@@ -43,11 +43,11 @@
 
 /** Reads a key with its value and version. */
 export function readKeyValue(body: unknown): KeyValue {
-  const map = requireStateMap(body);
+  const fields = requireStateMap(body);
   return {
-    key: readText(map, 'k'),
-    value: map['value'],
-    version: readSmallInt(map, 'stamp', 0, MAX_INTEGER),
+    key: readText(fields, 'k'),
+    value: fields['value'],
+    version: readSmallInt(fields, 'stamp', 0, MAX_INTEGER),
   };
 }
 
@@ -61,11 +61,11 @@
 
 /** Reads a response with one page of the keys that start with a prefix. */
 export function readRange(body: unknown): RangePage {
-  const map = requireStateMap(body);
+  const fields = requireStateMap(body);
   return {
-    items: readList(map, 'entries').map(readKeyValue),
-    more: readOptionalBoolean(map, 'has_next'),
-    revision: readSmallInt(map, 'ledger', 0, MAX_INTEGER),
+    items: readList(fields, 'entries').map(readKeyValue),
+    more: readOptionalBoolean(fields, 'has_next'),
+    revision: readSmallInt(fields, 'ledger', 0, MAX_INTEGER),
   };
 }
 
@@ -84,7 +84,7 @@
   return readSmallInt(requireStateMap(body), 'permit', 0, MAX_INTEGER);
 }
 
-/** All changes up to `revision` that a response to a watch request reports. */
+/** The changes up to `revision` that a response to a watch request reports. */
 export interface WatchEvents {
   events: WatchEvent[];
   revision: number;
@@ -92,10 +92,10 @@
 
 /** Reads a response to a watch request. */
 export function readWatchEvents(body: unknown): WatchEvents {
-  const map = requireStateMap(body);
+  const fields = requireStateMap(body);
   return {
-    events: readList(map, 'log').map(readWatchEvent),
-    revision: readSmallInt(map, 'ledger', 0, MAX_INTEGER),
+    events: readList(fields, 'log').map(readWatchEvent),
+    revision: readSmallInt(fields, 'ledger', 0, MAX_INTEGER),
   };
 }
 
--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -1,4 +1,4 @@
-/** Counts combinations of faults and actions, which tests require to have occurred. */
+/** Counts combinations of faults and actions, so that tests can check that they occurred. */
 
 /** Combinations of faults and actions that a scenario can cause. */
 export type ObservedEvent =
@@ -9,7 +9,7 @@
   | 'poll after a change'
   | 'direct command of an older leader'
   | 'direct command to a machine with blocked heartbeats'
-  | 'leader killed beside a new machine'
+  | 'leader killed while a new machine starts'
   | 'leader killed with every team at its limit'
   | 'leader alone in its zone'
   | 'leader elected outside a zone that is cut off'
@@ -31,5 +31,5 @@
   }
 }
 
-/** Time after its rental for which a machine counts as new. */
+/** Time from its rental for which a machine counts as new, in milliseconds. */
 export const NEW_MACHINE_MS = 5000;
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -12,10 +12,14 @@
 interface ZoneCut {
   zone: string;
   /**
-   * Selects the controllers inside the zone that is cut off. If the deployment assigns no zones to
-   * controllers: the leader, or else one other controller, inside `zone`. If it does: all
-   * controllers in the zone of the leader or of a follower, which is cut off instead of `zone`, or
-   * with `single` all controllers in `zone`.
+   * Selects the zone that is cut off and the controllers inside it.
+   *
+   * If the deployment assigns controllers to zones, `leader` and `follower` cut off the zone of the
+   * leader or of one follower, whatever `zone` is, and `single` cuts off `zone`. All controllers of
+   * the zone are inside it.
+   *
+   * If the deployment assigns no zones, `zone` is cut off, and the leader or one follower counts as
+   * inside it. `single` is meant only for deployments that assign zones.
    */
   inside: 'leader' | 'follower' | 'single';
 }
@@ -23,25 +27,25 @@
 /** Parameters of the faults of controllers. */
 export interface ControllerFaults {
   controllersKilled: OnControllers & Restart;
-  /** Kills the leader while machines that were just rented boot or start tasks. */
-  leaderKilledBesideNewMachines: Restart;
-  /** Repeatedly kills whoever has just been elected leader. */
+  /** Kills the leader shortly after a new machine has booted or has started a task. */
+  leaderKilledWhileMachinesStart: Restart;
+  /** Kills the current leader repeatedly, at random intervals. */
   repeatedElections: object;
   controllersFrozen: OnControllers;
   /** Cuts controllers off from the state store and their peers, but not from workers and users. */
   controllersIsolated: OnControllers;
   cutOffFromWorkers: OnControllers;
   peerConnectionsRefused: object;
-  /** Makes this controller the leader: kills all others, which restart after `restartAfter`. */
+  /** Makes the controller on `host` the leader: kills the others, which then restart. */
   leaderMoved: Restart & { host: string };
   zoneCutOff: ZoneCut;
 }
 
-/** How many times `repeatedElections` kills the current leader. */
+/** Number of times that `repeatedElections` kills the current leader. */
 const LEADER_KILLS = 10;
-/** Maximum time from the boot of a new machine to the kill of the leader. */
+/** Maximum time from the boot of a new machine to the kill of the leader, in milliseconds. */
 const KILL_AFTER_BOOT_MS = 1500;
-/** Maximum time from the start of a task on a new machine to the kill of the leader. */
+/** Maximum time from a task start on a new machine to the kill of the leader, in milliseconds. */
 const KILL_AFTER_TASK_START_MS = 300;
 
 /** Injectors of the faults of controllers. */
@@ -49,8 +53,8 @@
   controllersKilled: (simulation, { target, restartAfter }) => {
     for (const host of hostsOf(simulation, target)) simulation.kill(host, restartAfter * 1000);
   },
-  leaderKilledBesideNewMachines: (simulation, { restartAfter }, ms) =>
-    killLeaderBesideNewMachines(simulation, restartAfter * 1000, ms),
+  leaderKilledWhileMachinesStart: (simulation, { restartAfter }, ms) =>
+    killLeaderWhileMachinesStart(simulation, restartAfter * 1000, ms),
   repeatedElections: ({ processes }, _, ms) => processes.killElected(LEADER_KILLS, ms),
   controllersFrozen: (simulation, { target }, ms) => {
     for (const host of hostsOf(simulation, target)) simulation.processes.freeze(host, ms);
@@ -70,8 +74,8 @@
   zoneCutOff: cutZone,
 };
 
-/** Kills the leader shortly after a new machine has booted or a task has started on one. */
-function killLeaderBesideNewMachines(
+/** Kills the leader shortly after the boot of a new machine or the start of a task on one. */
+function killLeaderWhileMachinesStart(
   simulation: Simulation,
   restartMs: number,
   durationMs: number,
@@ -86,7 +90,7 @@
       killScheduled = false;
       const { leader } = simulation;
       if (leader === null) return;
-      simulation.observedEvents.record('leader killed beside a new machine');
+      simulation.observedEvents.record('leader killed while a new machine starts');
       simulation.kill(leader, restartMs);
     });
   };
@@ -105,7 +109,7 @@
   observeZoneCut(simulation, hostsInside, ms);
 }
 
-/** Records the position of the leader, elections and task starts while a zone is cut off. */
+/** Records a leader alone in the zone that is cut off, elections outside it, and task starts. */
 function observeZoneCut(
   simulation: Simulation,
   hostsInside: readonly string[],
@@ -118,8 +122,10 @@
   simulation.processes.onLog.push((message) => {
     if (message !== 'elected leader' || clock.now > until) return;
     clock.after(0, () => {
-      const outside = simulation.processes.leaders().some((host) => !hostsInside.includes(host));
-      if (outside) observedEvents.record('leader elected outside a zone that is cut off');
+      const hasLeaderOutside = simulation.processes
+        .leaders()
+        .some((host) => !hostsInside.includes(host));
+      if (hasLeaderOutside) observedEvents.record('leader elected outside a zone that is cut off');
     });
   });
   checker.onTaskStart.push(() => {
--- a/test/simulation/scenarios/failover-scenarios.ts
+++ b/test/simulation/scenarios/failover-scenarios.ts
@@ -8,7 +8,7 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Fields of jobs of which a few use up the limits of a team. */
+/** Fields of large job arrays, a few of which use up a team's limits. */
 const teamFillingJobs: Partial<JobSpec> = {
   ...{ ...longJobs, estimatedRunS: 90, tasks: 10, gpus: 1, priority: 'normal', types: null },
   ...{ zone: null, spot: true },
@@ -50,18 +50,18 @@
       { kind: 'slowStateStore', at: 0, for: 100 },
       { kind: 'lateWrites', share: 0.2, at: 0, for: 60 },
       { kind: 'jobsSubmitted', count: 12, at: 1 },
-      { kind: 'leaderKilledBesideNewMachines', restartAfter: between(0.1, 6), at: 0, for: 60 },
+      { kind: 'leaderKilledWhileMachinesStart', restartAfter: between(0.1, 6), at: 0, for: 60 },
       { kind: 'jobsSubmitted', count: 12, at: 30 },
       { kind: 'machinesLost', share: 0.4, at: 35 },
     ],
     expectedEvents: (simulation) => ({
       failovers: failovers(simulation),
-      leaderKills: simulation.observedEvents.count('leader killed beside a new machine'),
+      leaderKills: simulation.observedEvents.count('leader killed while a new machine starts'),
       tasksStarted: simulation.observedEvents.count('task started on a new machine'),
     }),
   },
   {
-    name: 'failovers and cancellations on cut-off or hanging machines, with every team at its limit',
+    name: 'jobs on cut-off or hanging machines are cancelled at failovers, with every team at its limit',
     jobs: { ...teamFillingJobs, team: 'red' },
     jobCount: 3,
     faults: (between) => [
--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -1,4 +1,4 @@
-/** A scenario with thousands of machines in which large parts of the system fail one by one. */
+/** A scenario with thousands of machines in which large parts of the system fail in turn. */
 import { largeFleet } from '../deployments/fleets.js';
 import { rareFaults } from '../faults/fault-rates.js';
 import { Simulation } from '../simulation.js';
@@ -13,25 +13,25 @@
   outage: 30_000,
   spotReclaimed: 45_000,
   allKilled: 60_000,
-  zoneLost: 85_000,
+  zoneCutOff: 85_000,
   rollingRestart: 120_000,
   end: 150_000,
 } as const;
 
 const OUTAGE_MS = 8000;
-/** Share of the spot instances that the cloud reclaims, and the time within which it does so. */
+/** Share of the spot instances that the cloud reclaims, and maximum time that this takes, in ms. */
 const RECLAIMED_SPOT_SHARE = 0.75;
 const RECLAIM_WINDOW_MS = 8000;
-/** Time from the kill of a controller to its restart. */
+/** Time from the kill of a controller to its restart, in milliseconds. */
 const RESTART_MS = 6000;
-const LOST_ZONE = 'b';
-const ZONE_LOST_MS = 30_000;
-/** Time between the restarts of two controllers in the rolling restart. */
-const RESTART_EVERY_MS = 4000;
-/** Mean time between two submissions, multiplied by the number of machines; milliseconds. */
+const CUT_OFF_ZONE = 'b';
+const ZONE_CUT_OFF_MS = 30_000;
+/** Time between the restarts of two controllers in the rolling restart, in milliseconds. */
+const RESTART_INTERVAL_MS = 4000;
+/** Mean time between two submissions in milliseconds, multiplied by the number of machines. */
 const MACHINE_MS_PER_JOB = 450_000;
 
-/** Plays the scenario with this many machines, until after its last fault. */
+/** Plays the scenario in a fleet with a capacity of `machines`, until after its last fault. */
 export function playLargeFleet(machines: number, seed: number): Simulation {
   const deployment = largeFleet(machines);
   const simulation = new Simulation(deployment, seed, rareFaults);
@@ -51,11 +51,13 @@
   clock.after(SCHEDULE.allKilled, () => {
     for (const host of deployment.hosts) simulation.kill(host, RESTART_MS);
   });
-  clock.after(SCHEDULE.zoneLost, () => {
-    const inside = deployment.hosts.filter((host) => simulation.zoneOf(host) === LOST_ZONE);
-    simulation.connectionFaults.cutZone(LOST_ZONE, inside, ZONE_LOST_MS);
+  clock.after(SCHEDULE.zoneCutOff, () => {
+    const inside = deployment.hosts.filter((host) => simulation.zoneOf(host) === CUT_OFF_ZONE);
+    simulation.connectionFaults.cutZone(CUT_OFF_ZONE, inside, ZONE_CUT_OFF_MS);
   });
-  clock.after(SCHEDULE.rollingRestart, () => simulation.processes.rollingRestart(RESTART_EVERY_MS));
+  clock.after(SCHEDULE.rollingRestart, () =>
+    simulation.processes.rollingRestart(RESTART_INTERVAL_MS),
+  );
   simulation.play(SCHEDULE.end);
   return simulation;
 }
--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -32,9 +32,9 @@
   private accepted = false;
   private requestInFlight = false;
   private nextRequest: Timer | null = null;
-  /** The action that the user takes next once the job is accepted; null: the user polls. */
+  /** The requested action, which is taken once the job is accepted; null if there is none. */
   private pendingAction: 'cancel' | 'submit' | null = null;
-  /** The host to which cancellations are sent; undefined for a random one. */
+  /** The host to whose controller cancellations are sent; undefined for a random host. */
   private cancelHost: string | undefined;
   private readonly body: unknown;
 
@@ -87,11 +87,11 @@
     const action = this.nextAction();
     if (action === 'cancel') this.checker.cancelRequested(id);
     if (action === 'submit' && this.pendingAction === 'submit') this.pendingAction = null;
-    const stateBefore = this.checker.visibleState(id);
+    const stateWhenSent = this.checker.visibleState(id);
     this.requestInFlight = true;
     this.send(action, (status, state) => {
       this.requestInFlight = false;
-      this.checker.responseReceived(id, status, state, action === 'submit', stateBefore);
+      this.checker.responseReceived(id, status, state, action === 'submit', stateWhenSent);
       this.recordResponse(action, status);
       this.nextRequest = this.clock.after(this.pauseMs(state), () => this.sendNextRequest());
     });
