--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -12,6 +12,7 @@
 const TOKEN_RETRY_MS = 500;
 /** The cloud's list may show a released machine for this many times the list's lag, plus the margin below. */
 const RELEASED_LISTED_LAGS = 4;
+/** Margin on the time for which the cloud's list may show a released machine. */
 const RELEASED_LISTED_MARGIN_MS = 5000;
 
 /** Parts of the leader that scale-in depends on. */
--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -1,4 +1,4 @@
-/** Planning of when a machine has free capacity for a task, with or without preemption. */
+/** Finds out when a machine will have free capacity for a task, with or without preemption. */
 import type { Settings } from '../../settings/settings.js';
 import type { Assignment } from '../../model/entities.js';
 import type { ResourceRequest } from '../../model/resource-request.js';
--- a/src/controller/runtime/heap-budget.ts
+++ b/src/controller/runtime/heap-budget.ts
@@ -26,8 +26,9 @@
 /** Smallest size in MB of the old generation with which a leader can be expected to run. */
 const MIN_OLD_GENERATION_MB = 32;
 
-/** Bounds of the heap's growth until the next collection, in percent of its size after the last one. */
+/** Smallest growth of the heap until the next collection, in percent of its size after the last one. */
 const MIN_GROWTH_PERCENT = 10;
+/** Largest growth of the heap until the next collection, in percent of its size after the last one. */
 const MAX_GROWTH_PERCENT = 100;
 
 /** The memory that the platform grants the process. */
--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -11,8 +11,9 @@
 const MAX_DEFERRAL_RATIO = 0.25;
 
 /**
- * Share of the leader's write rate that pages use while urgent entries are always waiting. The remaining
- * share is for the transactions that end jobs, so that neither kind of write starves the other.
+ * Share of the leader's write rate that pages use while urgent entries are always waiting, if each commit of
+ * pages contains one page; commits with several pages use more. The remaining share is for the transactions
+ * that end jobs, so that neither kind of write starves the other.
  */
 const PAGE_WRITES_RATIO = 0.45;
 
@@ -54,7 +55,10 @@
     this.pagesDueAt = 0;
   }
 
-  /** Shortest interval between commits of pages that keeps them within their share of the write rate. */
+  /**
+   * Shortest interval between commits of pages. With it, commits that contain one page each keep within
+   * `PAGE_WRITES_RATIO` of the write rate.
+   */
   private get minPageIntervalMs(): number {
     return 1000 / (this.context.client.budget.writeTokens.perSecond * PAGE_WRITES_RATIO);
   }
@@ -111,8 +115,10 @@
   }
 
   /**
-   * Skips an entry that exceeds the store's limits. An earlier leader recorded it under other limits. Until a
-   * value that fits is set, the stored value stays as an upper bound of the running tasks (invariant 4).
+   * Skips an entry whose value exceeds the largest value size. Either this leader has set such a value, or it
+   * was set under higher limits, for instance by an earlier leader. Until a value that fits is set, the stored value stays
+   * unchanged, and callbacks that wait for the new value are not called. So no start command is sent for what
+   * only the new value lists, and the stored value remains an upper bound of the running tasks (invariant 4).
    */
   private skipOversized(entry: RecordEntry): void {
     const { pending, eventLoop } = this.context;
--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -10,7 +10,7 @@
 /** Called once a value, or a newer one of the same key, is stored. */
 export type StoredCallback = () => void;
 
-/** By entry, the callbacks to call once the value that a commit writes is stored. */
+/** For each entry in a commit: the callbacks to call once the value that the commit writes is stored. */
 export type StoredCallbacks = Map<RecordEntry, StoredCallback[]>;
 
 /** Entries whose newest value has not been sent, by priority, and the callbacks of values not stored yet. */
--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -23,8 +23,9 @@
   onFenced: () => void;
 }
 
-/** Delays in milliseconds before the next attempt to write when the lease or write tokens are missing. */
+/** Delay before the next attempt to write when the lease does not allow writes, in milliseconds. */
 const NO_LEASE_RETRY_MS = 50;
+/** Delay before the next attempt to write when write tokens are missing, in milliseconds. */
 const NO_TOKENS_RETRY_MS = 10;
 /** Shortest delay of the timer for the next flush, in milliseconds. */
 const MIN_TIMER_MS = 5;
--- a/src/controller/wire/jobs.ts
+++ b/src/controller/wire/jobs.ts
@@ -105,10 +105,11 @@
 }
 
 /**
- * Largest number of machine types in a submission, and largest length of their names in characters. These
- * limits keep the record of a job far below the largest value that the state store accepts.
+ * Largest number of machine types in a submission. With `MAX_TYPE_NAME_LENGTH`, it keeps the record of a job
+ * far below the largest value that the state store accepts.
  */
 const MAX_TYPES = 64;
+/** Largest length of the name of a machine type, in characters. */
 const MAX_TYPE_NAME_LENGTH = 64;
 
 function readTypeNames(map: Fields): string[] | null {
--- a/test/simulation/deployments/fleet-jobs.ts
+++ b/test/simulation/deployments/fleet-jobs.ts
@@ -10,8 +10,9 @@
   'id' | 'types' | 'zone' | 'spread' | 'deadlineS' | 'imageGb' | 'estimatedRunS'
 >;
 
-/** Cumulative probabilities of training and scoring jobs; the remaining jobs are print jobs. */
+/** A job is a training job if its random draw is below this. */
 const TRAINING_BELOW = 0.2;
+/** A job is a scoring job if its draw is below this but not below `TRAINING_BELOW`; others are print jobs. */
 const SCORING_BELOW = 0.6;
 
 /** Returns a random job for a fleet. */
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -6,12 +6,15 @@
 import { hostNames, withLowerStateLimits, type Deployment } from './deployment.js';
 import { teamToml } from './teams.js';
 
-/** Platform settings `lease_s` and `cancel_s`, in seconds. */
+/** The platform setting `lease_s`, in seconds. */
 const LEASE_S = 10;
+/** The platform setting `cancel_s`, in seconds. */
 const CANCEL_S = 35;
-/** CPUs, GPUs and memory of the only machine type. */
+/** CPUs of the only machine type. */
 const CPUS = 64;
+/** GPUs of the only machine type. */
 const GPUS = 8;
+/** Memory of the only machine type. */
 const MEMORY_GB = 400;
 
 /**
@@ -69,8 +72,9 @@
   | 'zone'
 >;
 
-/** Cumulative probabilities of training and scoring jobs; the remaining jobs are print jobs. */
+/** A job is a training job if its random draw is below this. */
 const TRAINING_BELOW = 0.3;
+/** A job is a scoring job if its draw is below this but not below `TRAINING_BELOW`; others are print jobs. */
 const SCORING_BELOW = 0.8;
 
 /**
--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -6,11 +6,9 @@
 
 /** Fraction of a scenario's duration, from its start, in which the random jobs are submitted. */
 const SUBMISSION_SHARE = 0.8;
-/**
- * Fraction of the random jobs that are cancelled, and maximum time from submission to cancellation
- * in milliseconds.
- */
+/** Fraction of the random jobs that are cancelled. */
 const CANCELLED_SHARE = 0.2;
+/** Maximum time from the submission of a job to its cancellation, in milliseconds. */
 const MAX_CANCEL_DELAY_MS = 40_000;
 
 /** Time between two rounds of queries to every controller, in milliseconds. */
--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -4,8 +4,9 @@
 import type { IncomingRequest, Respond } from '../network.js';
 import { Worker } from './worker.js';
 
-/** Maximum number of machines that one request rents, and that one page of a list contains. */
+/** Maximum number of machines that one request rents. */
 const MAX_RENTED_PER_REQUEST = 50;
+/** Maximum number of machines that one page of the list contains. */
 const MAX_LISTED_PER_PAGE = 500;
 /** Time between two snapshots of the list of machines, in milliseconds. */
 const SNAPSHOT_INTERVAL_MS = 500;
--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -19,8 +19,9 @@
 } as const;
 
 const OUTAGE_MS = 8000;
-/** Share of the spot instances that the cloud reclaims, and maximum time that this takes, in ms. */
+/** Share of the spot instances that the cloud reclaims. */
 const RECLAIMED_SPOT_SHARE = 0.75;
+/** Time within which the cloud reclaims these instances, in milliseconds. */
 const RECLAIM_WINDOW_MS = 8000;
 /** Time from the kill of a controller to its restart, in milliseconds. */
 const RESTART_MS = 6000;
--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -10,8 +10,9 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Values of `lease_s` and `cancel_s` in this deployment, as fractions of their default values. */
+/** Value of `lease_s` in this deployment, as a fraction of its default value. */
 const LEASE_RATIO = shortLeases.platform.leaseS / defaultPlatformOptions.leaseS;
+/** Value of `cancel_s` in this deployment, as a fraction of its default value. */
 const CANCEL_RATIO = shortLeases.platform.cancelDeadlineS / defaultPlatformOptions.cancelDeadlineS;
 /** Times up to this number of seconds scale with the lease; later times shift by a constant. */
 const SCALED_UNTIL_S = 10;
--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -3,8 +3,9 @@
 import type { StateLimits } from '../../../src/controller/settings/platform.js';
 import type { Respond } from '../network.js';
 
-/** Maximum number of changes in the log, and number of newest changes kept when it is trimmed. */
+/** Maximum number of changes in the log; a longer log is trimmed. */
 const MAX_LOG_LENGTH = 20_000;
+/** Number of newest changes that are kept when the log is trimmed. */
 const LOG_LENGTH_AFTER_TRIM = 10_000;
 /** Maximum number of conditions of a transaction, as a multiple of its maximum number of writes. */
 const MAX_CONDITIONS_PER_WRITE = 4;
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -10,11 +10,9 @@
 
 /** Time between two checks for expired leases, in milliseconds. */
 const EXPIRY_CHECK_INTERVAL_MS = 50;
-/**
- * Fraction of the responses that are delayed while the state store is slow, and their delay in
- * milliseconds.
- */
+/** Fraction of the responses that are delayed while the state store is slow. */
 const DELAYED_RESPONSE_SHARE = 0.3;
+/** Range of the delay of such a response, in milliseconds. */
 const RESPONSE_DELAY_MS = { least: 50, most: 2000 };
 /**
  * Default maximum delay of a delayed transaction, in milliseconds; the minimum is a sixth of the
--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -9,14 +9,13 @@
 import type { StateStoreServer } from '../state-store/state-store-server.js';
 import { User, type RequestSender } from './user.js';
 
-/** Time without a response after which a GET or a POST request ends, in milliseconds. */
+/** Time without a response after which a GET request ends, in milliseconds. */
 const POLL_TIMEOUT_MS = 2000;
+/** Time without a response after which a POST request ends, in milliseconds. */
 const POST_TIMEOUT_MS = 5000;
-/**
- * Range of a service's run time in milliseconds, and range of the run time of other jobs' tasks as
- * multiples of the estimate.
- */
+/** Range of the run time of a service, in milliseconds. */
 const SERVICE_LIFETIME_MS = { least: 20_000, most: 200_000 };
+/** Range of the run time of other jobs' tasks, as multiples of the estimate. */
 const RUN_TIME_FACTORS = { least: 0.4, most: 1.8 };
 
 /** The context that all users of a simulation share. */
--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -21,10 +21,13 @@
 
 /** Probability that a user submits an accepted job again instead of polling it. */
 const RETRY_CHANCE = 0.1;
-/** Time from a response to the next request, in milliseconds. */
+/** Time from a response to the next request while an action on an accepted job is pending, in ms. */
 const PENDING_ACTION_PAUSE_MS = 1000;
+/** Time from a response to the next request while the job is not accepted, in milliseconds. */
 const UNACCEPTED_PAUSE_MS = 1200;
+/** Time from a response to the next request while the job is active, in milliseconds. */
 const POLL_PAUSE_MS = 4000;
+/** Range of the time from a response to the next request once the job has ended, in milliseconds. */
 const TERMINAL_PAUSE_MS = { least: 10_000, most: 40_000 };
 
 /** A user who submits and polls one job, and may cancel it. At most one request is in flight. */
