--- a/src/controller/placement/service-cancellation.test.ts
+++ b/src/controller/placement/service-cancellation.test.ts
@@ -31,7 +31,7 @@
     const job = cluster.add({ tasks: 2 });
     cluster.run(2);
     assert.ok(
-      cluster.simulated.some(({ tasks }) => tasks.some(({ state }) => state === 'fetching')),
+      cluster.simulatedWorkers.some(({ tasks }) => tasks.some(({ state }) => state === 'fetching')),
     );
     assertCancelled(cluster, job);
   });
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -49,7 +49,7 @@
   readonly table: JobTable;
   readonly workers: Workers;
   readonly placement: Placement;
-  readonly simulated: SimulatedWorker[];
+  readonly simulatedWorkers: SimulatedWorker[];
   private readonly clock = new FakeClock(0);
   private sequence = 0;
 
@@ -58,7 +58,7 @@
     private readonly options: ClusterOptions,
   ) {
     const { settings } = options;
-    this.simulated = workers.map((worker, i) => newWorker(worker, `n-${i}`));
+    this.simulatedWorkers = workers.map((worker, i) => newWorker(worker, `n-${i}`));
     const runtime = { ...idleRuntime(this.clock), hasSpareConnection: () => false };
     const eventLoop = new EventLoop(runtime, this.clock.log);
     const records = immediateRecords();
@@ -80,7 +80,7 @@
       ...([eventLoop, settings, this.table, this.workers, records, estimator, headroom] as const),
       { attemptsExhausted: noop },
     );
-    for (const { id, images } of this.simulated) this.addImages(id, images);
+    for (const { id, images } of this.simulatedWorkers) this.addImages(id, images);
     this.run(2);
   }
 
@@ -107,18 +107,20 @@
   /** Adds a machine `id` like `machineId`, without tasks and with only the given image. */
   addMachineLike(machineId: string, id: string, image: string): void {
     const worker = this.worker(machineId);
-    this.simulated.push({ ...worker, id, tasks: [], images: new Set([image]) });
+    this.simulatedWorkers.push({ ...worker, id, tasks: [], images: new Set([image]) });
     this.addImages(id, [image]);
   }
 
   worker(id: string): SimulatedWorker {
-    return this.simulated.find((worker) => worker.id === id) ?? assert.fail(`no worker ${id}`);
+    return (
+      this.simulatedWorkers.find((worker) => worker.id === id) ?? assert.fail(`no worker ${id}`)
+    );
   }
 
   /** Number of the job's tasks by machine id, for the machines that have any. */
   tasksByMachine(job: Job): Map<string, number> {
     const taskCounts = new Map<string, number>();
-    for (const { id, tasks } of this.simulated) {
+    for (const { id, tasks } of this.simulatedWorkers) {
       const count = tasks.filter((task) => isCurrentTaskOf(task, job.spec.id)).length;
       if (count > 0) taskCounts.set(id, count);
     }
@@ -127,7 +129,7 @@
 
   /** Number of the job's tasks on all machines. */
   taskCount(jobId: string): number {
-    const tasks = this.simulated.flatMap((worker) => worker.tasks);
+    const tasks = this.simulatedWorkers.flatMap((worker) => worker.tasks);
     return tasks.filter((task) => isCurrentTaskOf(task, jobId)).length;
   }
 
@@ -140,7 +142,7 @@
 
   /** Completes one running task of the job; returns false if none is running. */
   complete(jobId: string): boolean {
-    for (const { tasks } of this.simulated) {
+    for (const { tasks } of this.simulatedWorkers) {
       const isRunning = (task: TaskStatus): boolean => task.state === 'running';
       const index = tasks.findIndex((task) => isCurrentTaskOf(task, jobId) && isRunning(task));
       const task = tasks[index];
@@ -153,7 +155,7 @@
 
   /** Describes each machine and its tasks as a line of text. */
   describe(): string[] {
-    return this.simulated.map(({ id, tasks }) => {
+    return this.simulatedWorkers.map(({ id, tasks }) => {
       const taskTexts = tasks.map(({ name, attempt, state }) => `${name}@${attempt} ${state}`);
       return [id, ...taskTexts.sort()].join(' ');
     });
@@ -169,7 +171,8 @@
    */
   step(): void {
     this.clock.time += STEP_MS;
-    for (const worker of this.simulated) if (!worker.unresponsive) this.sendHeartbeat(worker);
+    for (const worker of this.simulatedWorkers)
+      if (!worker.unresponsive) this.sendHeartbeat(worker);
     this.workers.setAnswering(true, STEP_MS);
     this.workers.expireLeases();
     if (this.options.runPass === undefined) this.placement.runPass();
