--- a/src/controller/placement/replica-placement.test.ts
+++ b/src/controller/placement/replica-placement.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { serviceCluster, workersAlike } from '../../../test/placement-cluster.js';
+import { serviceCluster, identicalWorkers } from '../../../test/placement-cluster.js';
 
 const largestCount = (counts: Map<string, number>): number => Math.max(...counts.values());
 
 describe('placement of replicas', () => {
   it('puts each replica on its own machine if there are enough machines', () => {
-    const cluster = serviceCluster(workersAlike(5));
+    const cluster = serviceCluster(identicalWorkers(5));
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
     assert.equal(job.runningCount, 4);
@@ -15,8 +15,8 @@
 
   it('divides replicas evenly between zones with different numbers of machines', () => {
     const cluster = serviceCluster([
-      ...workersAlike(6, { zone: 'a' }),
-      ...workersAlike(2, { zone: 'b' }),
+      ...identicalWorkers(6, { zone: 'a' }),
+      ...identicalWorkers(2, { zone: 'b' }),
     ]);
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
@@ -29,8 +29,8 @@
 
   it('replaces a lost replica where machine and zone have the fewest replicas of the service', () => {
     const cluster = serviceCluster([
-      ...workersAlike(3, { zone: 'a', images: ['i'] }),
-      ...workersAlike(2, { zone: 'b', images: ['i'] }),
+      ...identicalWorkers(3, { zone: 'a', images: ['i'] }),
+      ...identicalWorkers(2, { zone: 'b', images: ['i'] }),
     ]);
     const job = cluster.add({ tasks: 4 });
     cluster.run(4);
@@ -48,7 +48,7 @@
   });
 
   it('puts at most half of the replicas on the only machine with the image', () => {
-    const cluster = serviceCluster([{ images: ['i'] }, ...workersAlike(4)]);
+    const cluster = serviceCluster([{ images: ['i'] }, ...identicalWorkers(4)]);
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
     assert.equal(job.runningCount, 4);
@@ -56,7 +56,7 @@
   });
 
   it('puts all replicas on one machine if no other has capacity', () => {
-    const cluster = serviceCluster(workersAlike(1));
+    const cluster = serviceCluster(identicalWorkers(1));
     const job = cluster.add({ tasks: 4 });
     cluster.run(6);
     assert.equal(job.runningCount, 4);
@@ -64,8 +64,8 @@
 
   it('puts all replicas into one zone if the job requires a single zone', () => {
     const cluster = serviceCluster([
-      ...workersAlike(3, { zone: 'a' }),
-      ...workersAlike(3, { zone: 'b' }),
+      ...identicalWorkers(3, { zone: 'a' }),
+      ...identicalWorkers(3, { zone: 'b' }),
     ]);
     const job = cluster.add({ tasks: 3, singleZone: true });
     cluster.run(6);
@@ -77,7 +77,10 @@
   });
 
   it('prefers on-demand machines even if the service may use spot machines', () => {
-    const cluster = serviceCluster([...workersAlike(2, { spot: true }), ...workersAlike(2)]);
+    const cluster = serviceCluster([
+      ...identicalWorkers(2, { spot: true }),
+      ...identicalWorkers(2),
+    ]);
     const job = cluster.add({ tasks: 2 });
     cluster.run(6);
     for (const id of cluster.tasksByMachine(job).keys()) assert.ok(!cluster.worker(id).spot);
--- a/src/controller/placement/service-cancellation.test.ts
+++ b/src/controller/placement/service-cancellation.test.ts
@@ -4,7 +4,7 @@
   STEP_MS,
   serviceCluster,
   serviceSettings,
-  workersAlike,
+  identicalWorkers,
   type PlacementCluster,
 } from '../../../test/placement-cluster.js';
 import type { Job } from '../model/entities.js';
@@ -27,7 +27,7 @@
   });
 
   it('ends a service whose image is being fetched', () => {
-    const cluster = serviceCluster(workersAlike(2));
+    const cluster = serviceCluster(identicalWorkers(2));
     const job = cluster.add({ tasks: 2 });
     cluster.run(2);
     assert.ok(
@@ -37,7 +37,7 @@
   });
 
   it('ends a running service, and none of its replicas starts again', () => {
-    const cluster = serviceCluster(workersAlike(2));
+    const cluster = serviceCluster(identicalWorkers(2));
     const job = cluster.add({ tasks: 2 });
     cluster.run(6);
     assert.equal(job.runningCount, 2);
@@ -65,7 +65,7 @@
     { condition: 'when the worker lease of its unresponsive machine has expired', recovers: false },
   ])
     it(`ends a service ${condition}`, () => {
-      const cluster = serviceCluster(workersAlike(1));
+      const cluster = serviceCluster(identicalWorkers(1));
       const job = cluster.add({ tasks: 2 });
       cluster.run(6);
       const worker = cluster.worker('n-0');
--- a/src/controller/placement/service-preemption.test.ts
+++ b/src/controller/placement/service-preemption.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { STEP_MS, serviceCluster, workersAlike } from '../../../test/placement-cluster.js';
+import { STEP_MS, serviceCluster, identicalWorkers } from '../../../test/placement-cluster.js';
 
 describe('preemption that involves services', () => {
   it('never preempts a replica, not even of a low-priority service', () => {
-    const cluster = serviceCluster(workersAlike(2));
+    const cluster = serviceCluster(identicalWorkers(2));
     const service = cluster.add({ tasks: 2, cpus: 6, priority: 'low', team: 'guest' });
     cluster.run(20);
     assert.equal(service.runningCount, 2);
@@ -23,7 +23,7 @@
   });
 
   it('preempts a task of lower priority for a replica that fits on no machine', () => {
-    const cluster = serviceCluster(workersAlike(1));
+    const cluster = serviceCluster(identicalWorkers(1));
     const array = cluster.add({
       kind: 'array',
       tasks: 1,
--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -5,12 +5,12 @@
   STEP_MS,
   serviceCluster,
   serviceSettings,
-  workersAlike,
+  identicalWorkers,
 } from '../../../test/placement-cluster.js';
 
 describe('restart of service replicas', () => {
   it('does not complete a service, even if all its replicas end as done repeatedly', () => {
-    const cluster = serviceCluster(workersAlike(6));
+    const cluster = serviceCluster(identicalWorkers(6));
     const job = cluster.add({ tasks: 2 });
     cluster.run(5);
     for (let round = 0; round < 3; round++) {
@@ -25,7 +25,7 @@
   });
 
   it('tries all other machines before it reuses one on which a replica has ended', () => {
-    const cluster = serviceCluster(workersAlike(3, { images: ['i'] }));
+    const cluster = serviceCluster(identicalWorkers(3, { images: ['i'] }));
     const job = cluster.add({ tasks: 1 });
     const other = cluster.add({ tasks: 3 });
     cluster.run(3);
@@ -41,7 +41,7 @@
   });
 
   it('waits before reusing the only machine, with pauses that grow up to a limit', () => {
-    const cluster = serviceCluster(workersAlike(1, { images: ['i'] }));
+    const cluster = serviceCluster(identicalWorkers(1, { images: ['i'] }));
     const job = cluster.add({ tasks: 1 });
     const longestPauseMs = 2 * serviceSettings.workerLeaseMs;
     let previousPauseMs = 0;
@@ -62,7 +62,7 @@
   });
 
   it('waits until the lost replica is proven gone if the team is at its limit', () => {
-    const cluster = serviceCluster(workersAlike(3));
+    const cluster = serviceCluster(identicalWorkers(3));
     const job = cluster.add({ team: 'owner', tasks: OWNER_GPUS, gpus: 1 });
     cluster.run(6);
     assert.equal(job.runningCount, OWNER_GPUS);
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -228,7 +228,7 @@
 }
 
 /** Returns the options of `count` identical workers. */
-export function workersAlike(count: number, options: WorkerOptions = {}): WorkerOptions[] {
+export function identicalWorkers(count: number, options: WorkerOptions = {}): WorkerOptions[] {
   return Array.from({ length: count }, () => options);
 }
 
@@ -266,7 +266,7 @@
 
 /** A cluster of two machines; by default, jobs are arrays of one-GPU tasks whose images take no time to fetch. */
 export function batchCluster(runPass?: (placement: Placement) => void): PlacementCluster {
-  return new PlacementCluster(workersAlike(2), {
+  return new PlacementCluster(identicalWorkers(2), {
     settings: batchSettings,
     jobDefaults: { gpus: 1, imageGb: 0, estimatedRunS: 500 },
     fetchMs: 0,
