--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -126,7 +126,7 @@
     for (let i = 0; i < 5; i++) store.records.set(`k/${i}`, 'y'.repeat(900), 'urgent');
     store.run(2000);
     store.limits = { ...stateLimits, valueKb: 2, txnOps: 8 };
-    store.knownLimits = store.limitsKnownAs(stateLimits, store.limits);
+    store.knownLimits = store.createKnownLimits(stateLimits, store.limits);
     const nextLeaderRecords = store.electLeader();
     assert.equal(recordsOf(nextLeaderRecords).get('k/large'), large);
     let storedCount = 0;
--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -68,7 +68,7 @@
     private readonly faultRate: number,
     public limits: StateLimits = stateLimits,
   ) {
-    this.knownLimits = this.limitsKnownAs(limits, limits);
+    this.knownLimits = this.createKnownLimits(limits, limits);
     this.random = seededRandom(seed);
     this.eventLoop = new EventLoop(this.createRuntime(), silentLogger);
     this.eventLoop.onBatchEnd(() => this.records.flush());
@@ -76,7 +76,7 @@
   }
 
   /** Returns the limits that a leader assumes before any refusal, given those in its settings. */
-  limitsKnownAs(present: StateLimits, upcoming: StateLimits): StateStoreLimits {
+  createKnownLimits(present: StateLimits, upcoming: StateLimits): StateStoreLimits {
     const platform = { stateLimits: present, upcomingStateLimits: upcoming };
     return new StateStoreLimits(platform, () => this.now, SIZE_RETRY_MS);
   }
