--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -102,7 +102,7 @@
 };
 
 await describeOlderVersions('lower limits of the state store', (olderVersion) => {
-  const { name, version: older, knowsServicesAndLimits } = olderVersion;
+  const { name, version: older, supportsServicesAndLimits: knowsServicesAndLimits } = olderVersion;
   const present = presentVersion();
   const { frequent, rare } = seedCountsFor(name);
 
--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -20,7 +20,7 @@
    * Whether the version supports jobs of the kind `service` and keeps its writes within the
    * announced upcoming limits of the state store.
    */
-  knowsServicesAndLimits: boolean;
+  supportsServicesAndLimits: boolean;
   version: ProgramVersion;
 }
 
@@ -119,7 +119,7 @@
     };
   }
   const version = await load(name, commit);
-  return { name, older: { name, knowsServicesAndLimits: supportsServicesAndLimits, version } };
+  return { name, older: { name, supportsServicesAndLimits: supportsServicesAndLimits, version } };
 }
 
 /**
