--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -80,7 +80,7 @@
     );
     this.workers = new Workers(this.eventLoop, settings, TERM, records, this.table, {
       findMachineType: () => undefined,
-      ...{ higherTermSeen: noOp, placementInputChanged: noOp, taskCompleted: noOp },
+      ...{ termReported: noOp, placementInputChanged: noOp, taskCompleted: noOp },
     });
     this.replicaHosts = new UnresponsiveReplicaHosts(
       this.eventLoop,
--- a/src/controller/leader/leader-components.ts
+++ b/src/controller/leader/leader-components.ts
@@ -59,7 +59,7 @@
     const { eventLoop, settings, catalogue, leadership, learned } = this.environment;
     return new Workers(eventLoop, settings, this.term, this.records, this.table, {
       findMachineType: (name) => catalogue.types?.find((type) => type.name === name),
-      higherTermSeen: (term) => leadership.observeTerm(term),
+      termReported: (term) => leadership.observeTerm(term),
       placementInputChanged: () => this.role.requestPlacement(),
       taskCompleted: (assignment, runTimeMs) => {
         if (assignment.job === null) return;
--- a/src/controller/workers/direct-commands.test.ts
+++ b/src/controller/workers/direct-commands.test.ts
@@ -24,7 +24,7 @@
  */
 class Fixture {
   readonly runtime = new ManualRuntime();
-  readonly higherTerms: number[] = [];
+  readonly reportedTerms: number[] = [];
   readonly machine = newMachine();
   readonly assignment: Assignment;
   private readonly commands: DirectCommands;
@@ -37,7 +37,7 @@
       settings,
       new FencingTokenSync(eventLoop, TERM),
       { isAlive: () => true },
-      { higherTermSeen: (term) => this.higherTerms.push(term) },
+      { termReported: (term) => this.reportedTerms.push(term) },
     );
     this.machine.addr = '10.1.0.1:9';
     this.machine.agentEpoch = 1;
@@ -107,7 +107,7 @@
     const fixture = new Fixture();
     fixture.send();
     fixture.respond(409, TERM + 1);
-    assert.deepEqual(fixture.higherTerms, [TERM + 1]);
+    assert.deepEqual(fixture.reportedTerms, [TERM + 1]);
     assert.equal(fixture.assignment.phase, 'recorded');
     assert.ok(!fixture.machine.directStartTokens.has(KEY));
   });
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -42,7 +42,7 @@
    * A worker refused commands and reported a fencing token of this term, so it has seen a leader of
    * that term.
    */
-  higherTermSeen(term: number): void;
+  termReported(term: number): void;
 }
 
 /**
@@ -147,7 +147,7 @@
       );
       return;
     }
-    if (status === CONFLICT) this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
+    if (status === CONFLICT) this.events.termReported(termOfToken(heartbeat.fencingToken));
     if (machine.agentEpoch !== batch.agentEpoch) return;
     for (const assignment of batch.startedAssignments) {
       if (status === CONFLICT) revertStart(machine, assignment);
--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -25,7 +25,7 @@
    * A heartbeat carried a fencing token of this term, so the worker has seen a leader of that term.
    * Raised for every heartbeat; the term need not be higher than this leader's own.
    */
-  higherTermSeen(term: number): void;
+  termReported(term: number): void;
   /** The set of usable machines may have changed: a placement pass is needed. */
   placementInputChanged(): void;
 }
@@ -50,7 +50,7 @@
 
   /** Applies the state in the heartbeat. A response with status 200 renews the worker's lease. */
   handle(heartbeat: Heartbeat): HeartbeatResponse {
-    this.events.higherTermSeen(termOfToken(heartbeat.fencingToken));
+    this.events.termReported(termOfToken(heartbeat.fencingToken));
     // The network may deliver copies of a heartbeat after the cloud has confirmed that the machine
     // is gone. Such a copy must not register the machine again.
     if (this.registry.wasRemoved(heartbeat.machine)) return REFUSED;
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -30,7 +30,7 @@
    * A worker has reported a fencing token of this term, so it has seen a leader of that term.
    * Raised for every heartbeat; the term need not be higher than this leader's own.
    */
-  higherTermSeen(term: number): void;
+  termReported(term: number): void;
   /** Capacity, tasks or machines changed: a placement pass is needed. */
   placementInputChanged(): void;
   /** A task was completed; `runMs` is the time since this leader first saw it running. */
@@ -107,7 +107,7 @@
     const { listener } = this;
     return {
       placementInputChanged: () => listener.placementInputChanged(),
-      higherTermSeen: (term) => listener.higherTermSeen(term),
+      termReported: (term) => listener.termReported(term),
       taskCompleted: (assignment, runMs) => listener.taskCompleted(assignment, runMs),
       recordDue: (machine) => this.machineStore.markChanged(machine),
       commandDue: (machine) => this.commands.request(machine),
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -71,7 +71,7 @@
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
       findMachineType: () => machineType,
-      ...{ higherTermSeen: noop, placementInputChanged: noop, taskCompleted: noop },
+      ...{ termReported: noop, placementInputChanged: noop, taskCompleted: noop },
     });
     const estimator = new DurationEstimator();
     const noHeadroom = { memoryMs: 1000, maxShare: 0, spareDeviations: 0 };
--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -102,7 +102,7 @@
     });
     this.workers = new Workers(eventLoop, settings, TERM, records, this.table, {
       findMachineType: () => undefined,
-      higherTermSeen: () => undefined,
+      termReported: () => undefined,
       placementInputChanged: () => undefined,
       taskCompleted: () => undefined,
     });
