--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -99,7 +99,7 @@
 }
 
 /** Returns whether the commit is or descends from `SERVICES_AND_LIMITS_SINCE`. */
-function isSinceServicesAndLimits(commit: string): boolean {
+function includesServicesAndLimits(commit: string): boolean {
   return (
     git('rev-list', '--max-count=1', `${SERVICES_AND_LIMITS_SINCE}^!`, `^${commit}`).length === 0
   );
@@ -110,7 +110,7 @@
   let supportsServicesAndLimits: boolean;
   try {
     commit = git('rev-parse', '--verify', `${revision}^{commit}`).toString().trim();
-    supportsServicesAndLimits = isSinceServicesAndLimits(commit);
+    supportsServicesAndLimits = includesServicesAndLimits(commit);
   } catch (err) {
     const { message } = err as Error;
     return {
