--- a/src/controller/settings/toml-fields.ts
+++ b/src/controller/settings/toml-fields.ts
@@ -70,7 +70,9 @@
   const number = typeof value === 'bigint' ? Number(value) : value;
   if (typeof number !== 'number' || !Number.isFinite(number) || number < min)
     throw new SettingsError(
-      `${path}${name}: expected a number of at least ${min}, got ${JSON.stringify(number)}`,
+      `${path}${name}: expected a number of at least ${min}, got ${
+        typeof number === 'number' ? String(number) : JSON.stringify(number)
+      }`,
     );
   return number;
 }
