--- a/src/controller/api/heartbeat-endpoint.ts
+++ b/src/controller/api/heartbeat-endpoint.ts
@@ -17,7 +17,7 @@
 
   /**
    * Answers a heartbeat. Throws a `WireError` if the body is not a valid heartbeat.
-   * @param body - The decoded body of the request.
+   * @param body - the decoded body of the request
    */
   handle(body: unknown, respond: Respond): void {
     const heartbeat = readHeartbeat(body);
--- a/src/controller/leader/leader-role.ts
+++ b/src/controller/leader/leader-role.ts
@@ -8,8 +8,8 @@
   private term: LeaderTerm | null = null;
 
   /**
-   * @param environment - Some components may still be missing when it is passed in. It is not used before the
-   * controller starts.
+   * @param environment - the other components of the node; some may still be missing when it is passed in. It
+   *   is not used before the controller starts.
    */
   constructor(private readonly environment: LeaderEnvironment) {}
 
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -120,8 +120,8 @@
 
   /**
    * Does the periodic work of the leader.
-   * @param peerStatuses - Recent statuses of the other controllers.
-   * @param tickMs - Time between two calls in ms; there are several calls per heartbeat interval.
+   * @param peerStatuses - recent statuses of the other controllers
+   * @param tickMs - time between two calls in ms; there are several calls per heartbeat interval
    */
   tick(peerStatuses: readonly PeerStatus[], tickMs: number): void {
     if (!this.isRecovered) return;
--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -21,7 +21,7 @@
   /** Total duration of the slices of the latest pass so far. */
   private passDurationMs = 0;
 
-  /** @param onPassFinished - Called at the end of a pass with the total duration of its slices. */
+  /** @param onPassFinished - called at the end of a pass with the total duration of its slices */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
--- a/src/controller/leadership/election.ts
+++ b/src/controller/leadership/election.ts
@@ -29,7 +29,7 @@
 export class Election {
   private isRunning = false;
 
-  /** @param identity - Distinguishes this process from earlier processes on the same host. */
+  /** @param identity - distinguishes this process from earlier processes on the same host */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
--- a/src/controller/leadership/hand-over-backoff.test.ts
+++ b/src/controller/leadership/hand-over-backoff.test.ts
@@ -12,7 +12,7 @@
     assert.equal(backoff.shouldWait(0), false);
   });
 
-  it('waits once after a hand-over, but not a second time if the key is still free', () => {
+  it('waits once after a handover, but not a second time if the key is still free', () => {
     backoff.begin(100);
     assert.equal(backoff.shouldWait(10), true);
     assert.equal(backoff.shouldWait(60), false);
--- a/src/controller/leadership/hand-over-backoff.ts
+++ b/src/controller/leadership/hand-over-backoff.ts
@@ -8,7 +8,7 @@
   private endsAt = -Infinity;
   private hasWaited = false;
 
-  /** Starts a back-off after a hand-over. From `endsAt` on (monotonic clock, ms) this node no longer waits. */
+  /** Starts a back-off after a handover. From `endsAt` on (monotonic clock, ms) this node no longer waits. */
   begin(endsAt: number): void {
     this.endsAt = endsAt;
     this.hasWaited = false;
--- a/src/controller/leadership/leader-lease.ts
+++ b/src/controller/leadership/leader-lease.ts
@@ -37,7 +37,7 @@
   private heldUntil: number;
   private isClosed = false;
 
-  /** @param requestGrant - Requests a lease grant from another controller. */
+  /** @param requestGrant - requests a lease grant from another controller */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -32,7 +32,7 @@
   private isObserving = false;
   private readonly backoff = new HandOverBackoff();
 
-  /** @param identity - Distinguishes this process from earlier processes on the same host. */
+  /** @param identity - distinguishes this process from earlier processes on the same host */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly settings: Settings,
@@ -59,7 +59,7 @@
     this.observeAfter(leaderLeaseMs * (RETRY_RATIO + jitter));
   }
 
-  /** After a hand-over: makes this node wait once before it takes a free key, so that others can take it first. */
+  /** After a handover: makes this node wait once before it takes a free key, so that others can take it first. */
   backOff(): void {
     this.backoff.begin(this.eventLoop.now() + this.settings.workerLeaseMs);
   }
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -58,8 +58,8 @@
   private readonly leaseGrant: LeaseGrant;
 
   /**
-   * @param identity - Distinguishes this process from earlier processes on the same host.
-   * @param requestGrant - Requests a lease grant from another controller.
+   * @param identity - distinguishes this process from earlier processes on the same host
+   * @param requestGrant - requests a lease grant from another controller
    */
   constructor(
     private readonly eventLoop: EventLoop,
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -51,7 +51,7 @@
 export class LeaseExtension {
   private state: ExtensionState = { kind: 'idle' };
 
-  /** @param peerHosts - The hosts of all other controllers. */
+  /** @param peerHosts - the hosts of all other controllers */
   constructor(
     private readonly eventLoop: Pick<EventLoop, 'after' | 'now'>,
     private readonly settings: Pick<Settings, 'leaseGrantMs'>,
--- a/src/controller/peers/peer-link.ts
+++ b/src/controller/peers/peer-link.ts
@@ -12,8 +12,8 @@
   private retryAt = 0;
 
   /**
-   * @param addr - The `host:port` of the peer.
-   * @param retryMs - The shortest time between two attempts to connect, in milliseconds.
+   * @param addr - the `host:port` of the peer
+   * @param retryMs - the shortest time between two attempts to connect, in milliseconds
    */
   constructor(
     private readonly addr: string,
--- a/src/controller/peers/peer-publisher.ts
+++ b/src/controller/peers/peer-publisher.ts
@@ -20,8 +20,8 @@
   private announcementScheduled = false;
 
   /**
-   * @param hosts - The hosts of all other controllers.
-   * @param announcementDelayMs - How long an announcement is delayed so that later ones share its message.
+   * @param hosts - the hosts of all other controllers
+   * @param announcementDelayMs - how long an announcement is delayed so that later ones share its message
    */
   constructor(
     private readonly eventLoop: EventLoop,
--- a/src/controller/peers/peer-statuses.ts
+++ b/src/controller/peers/peer-statuses.ts
@@ -11,7 +11,7 @@
 export class PeerStatuses {
   private readonly latest = new Map<string, ReceivedStatus>();
 
-  /** @param now - Returns the time of the monotonic clock in milliseconds. */
+  /** @param now - returns the time of the monotonic clock in milliseconds */
   constructor(private readonly now: () => number) {}
 
   /** Stores a status that has just arrived. */
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -62,7 +62,7 @@
   private readonly publisher: PeerPublisher;
   private readonly forwarder: RequestForwarder;
 
-  /** @param ownStatus - Returns the current status of this controller; called for each message that needs it. */
+  /** @param ownStatus - returns the current status of this controller; called for each message that needs it */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly options: PeersOptions,
--- a/src/controller/peers/request-forwarder.ts
+++ b/src/controller/peers/request-forwarder.ts
@@ -13,7 +13,7 @@
   private readonly pendingReplies = new Map<number, ReplyHandler>();
   private lastId: number;
 
-  /** @param send - Sends a request to the peer on `host`. */
+  /** @param send - sends a request to the peer on `host` */
   constructor(
     private readonly eventLoop: EventLoop,
     private readonly send: (host: string, request: ForwardedRequest) => void,
--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -116,9 +116,10 @@
 
   /**
    * Skips an entry whose value exceeds the largest value size. Either this leader has set such a value, or it
-   * was set under higher limits, for instance by an earlier leader. Until a value that fits is set, the stored value stays
-   * unchanged, and callbacks that wait for the new value are not called. So no start command is sent for what
-   * only the new value lists, and the stored value remains an upper bound of the running tasks (invariant 4).
+   * was set under higher limits, for instance by an earlier leader. Until a value that fits is set, the stored
+   * value stays unchanged, and callbacks that wait for the new value are not called. So no start command is
+   * sent for what only the new value lists, and the stored value remains an upper bound of the running tasks
+   * (invariant 4).
    */
   private skipOversized(entry: RecordEntry): void {
     const { pending, eventLoop } = this.context;
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -28,7 +28,8 @@
   findMachineType(name: string): MachineType | undefined;
   /**
    * A worker has reported a fencing token of this term, so it has seen a leader of that term.
-   * Raised for every heartbeat; the term need not be higher than this leader's own.
+   * Raised for every heartbeat and every refused direct command; the term need not be higher than this
+   * leader's own.
    */
   termReported(term: number): void;
   /** Capacity, tasks or machines changed: a placement pass is needed. */
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -147,8 +147,8 @@
   /**
    * Kills the current leader several times at random intervals, so that some leaders are killed
    * soon after their election. Each process restarts after 50 to 400 ms.
-   * @param rounds - The number of times that the current leader is killed.
-   * @param durationMs - The approximate total time of all rounds, in milliseconds.
+   * @param rounds - the number of times that the current leader is killed
+   * @param durationMs - the approximate total time of all rounds, in milliseconds
    */
   killElected(rounds = 4, durationMs = 6000): void {
     const { clock, random } = this.context;
