--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Starts a pause of the kind, because the cloud has launched fewer machines than requested. The pause is
-   * twice as long as the previous one, up to a limit. If the cloud has launched some machines, the pause has its
-   * first length again.
+   * Pauses requests for machines of the kind, because the cloud has launched fewer of them than requested. The
+   * pause is twice as long as the previous one, up to a limit. If the cloud has launched some machines, the
+   * pause is as short as a first one.
    */
   recordShortage(kind: MachineKind, now: number, someLaunched: boolean): void {
     const previousPause = this.pauses.get(machineKindKey(kind));
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -16,7 +16,7 @@
   onJobAdded(job: Job): void;
   /** More tasks wait to be placed. */
   onTasksPending(): void;
-  /** Recovery found a gang that is incomplete or mixes attempts. All its members must stop. */
+  /** Recovery found a gang with missing members or members of different attempts. All members must stop. */
   onIncompleteGang(job: Job): void;
   /** The completion of this task has been recorded in the state store. */
   onCompletionRecorded(job: Job, task: number): void;
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Reports a gang that is incomplete or mixes attempts, so that it is stopped. Its tasks become
-   * pending together, but only after all members that are still assigned are gone.
+   * Reports a gang with missing members or members of different attempts, so that it is stopped. Its
+   * tasks become pending together, but only after all members that are still assigned are gone.
    */
   private recoverGang(job: Job): void {
     const assignments = [...job.currentAssignments.values()];
--- a/src/controller/leader/active-jobs.ts
+++ b/src/controller/leader/active-jobs.ts
@@ -20,7 +20,7 @@
     for (const { key, value, version } of records) this.addJob(key, value, version);
   }
 
-  /** Given the records of all active jobs: adds their jobs, and removes the jobs that have no record. */
+  /** Adds the jobs of `records`, which are those of all active jobs, and removes jobs without a record. */
   replaceAll(records: readonly KeyValue[]): void {
     const activeKeys = new Set(records.map((record) => record.key));
     this.add(records);
--- a/src/controller/model/machine.ts
+++ b/src/controller/model/machine.ts
@@ -77,7 +77,7 @@
    * Number of consecutive heartbeats that lacked a task whose start was sent to the worker before.
    */
   lostStartHeartbeats = 0;
-  /** `HeartbeatInProgress.heartbeatNumber` of the last of these heartbeats. */
+  /** `HeartbeatInProgress.heartbeatNumber` of the last heartbeat counted in `lostStartHeartbeats`. */
   lastLostStartHeartbeat = 0;
   /**
    * Fencing tokens of the direct commands that started attempts in this agent epoch, by attempt
@@ -108,8 +108,8 @@
   /** Images known to be cached on the machine with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
   /**
-   * Ids of jobs that have failed on the machine since its last quarantine, and since a task was
-   * last completed on it.
+   * Ids of jobs that have failed on the machine. Cleared when the machine is quarantined and when a
+   * task is completed on it.
    */
   readonly failedJobs = new Set<string>();
   /** Number of quarantines since a task was last completed on the machine. */
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -38,7 +38,7 @@
   capacities: FreeCapacity[];
   /** When all of them are expected to have free capacity; `Infinity` if that is never expected. */
   fillAt: number;
-  /** When the gang is expected to run there, after all image fetches. */
+  /** When the gang is expected to run on these machines, after all image fetches. */
   readyAt: number;
   /** The tasks to preempt. */
   victims: readonly Assignment[];
--- a/src/controller/settings/class-objectives.ts
+++ b/src/controller/settings/class-objectives.ts
@@ -3,11 +3,11 @@
 
 /** Objectives for the jobs of one class. Times are in milliseconds since the submission of a job. */
 export interface ClassObjectives {
-  /** Tasks should start within each of these times. */
+  /** Times within which tasks should start, one for each objective. */
   readonly starts: number[];
-  /** Jobs should end within each of these times. */
+  /** Times within which jobs should end, one for each objective. */
   readonly ends: number[];
-  /** Jobs with a deadline should end within each of these multiples of it. */
+  /** Multiples of the deadline within which jobs with a deadline should end, one for each objective. */
   readonly deadlineFactors: number[];
 }
 
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -10,8 +10,8 @@
 const MAX_HEARTBEAT_INTERVAL_RATIO = 1.35;
 
 /**
- * If the time between two calls of `setAnswering` exceeds this many call intervals, the controller
- * process itself was stalled.
+ * The controller process itself was stalled if the time between two calls of `setAnswering` exceeds
+ * this many of the usual intervals between its calls.
  */
 const STALL_INTERVALS = 3;
 
--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -102,7 +102,7 @@
 };
 
 await describeOlderVersions('lower limits of the state store', (olderVersion) => {
-  const { name, version: older, supportsServicesAndLimits: knowsServicesAndLimits } = olderVersion;
+  const { name, version: older, supportsServicesAndLimits } = olderVersion;
   const present = presentVersion();
   const { frequent, rare } = seedCountsFor(name);
 
@@ -111,7 +111,7 @@
     playSeeds(frequent, (seed) => playRollout(seed, older, present, decreaseNearFailover));
   });
   for (const moment of decreaseMoments) {
-    if (!knowsServicesAndLimits) {
+    if (!supportsServicesAndLimits) {
       it(`exceed no size limit when the limits are lowered after a rollout, ${moment.name}`, () => {
         const event = decreaseAfterRollout(moment);
         playSeeds(rare, (seed) => playRollout(seed, older, present, event));
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -107,22 +107,19 @@
   );
 }
 
-await describeOlderVersions(
-  'services',
-  ({ name, version: older, supportsServicesAndLimits: knowsServicesAndLimits }) => {
-    const present = presentVersion();
-    const { rare } = seedCountsFor(name);
+await describeOlderVersions('services', ({ name, version: older, supportsServicesAndLimits }) => {
+  const present = presentVersion();
+  const { rare } = seedCountsFor(name);
 
-    // Services are submitted only when all running versions support them.
-    it('keep services running through a failover after a rollout', () => {
-      playSeeds(rare, (seed) => playServicesAfterRollout(seed, older, present));
-    });
-    if (!knowsServicesAndLimits) return;
-    it('keep services running during a rollout', () => {
-      playSeeds(rare, (seed) => playServicesDuringRollout(seed, older, present));
-    });
-    it('keep services running during a rollback', () => {
-      playSeeds(rare, (seed) => playServicesDuringRollout(seed, present, older));
-    });
-  },
-);
+  // Services are submitted only when all running versions support them.
+  it('keep services running through a failover after a rollout', () => {
+    playSeeds(rare, (seed) => playServicesAfterRollout(seed, older, present));
+  });
+  if (!supportsServicesAndLimits) return;
+  it('keep services running during a rollout', () => {
+    playSeeds(rare, (seed) => playServicesDuringRollout(seed, older, present));
+  });
+  it('keep services running during a rollback', () => {
+    playSeeds(rare, (seed) => playServicesDuringRollout(seed, present, older));
+  });
+});
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -63,7 +63,7 @@
   delayedCommands = 0;
   /** Number of delayed direct commands delivered so far. */
   delayedCommandsDelivered = 0;
-  /** Fraction of the heartbeats of which a copy is retained for `deliverRetained`. */
+  /** Fraction of the heartbeats that are copied; `deliverRetained` delivers the copies later. */
   retainedHeartbeats = 0;
   private retainedRequests: { from: string; request: IncomingRequest }[] = [];
   /** Current maximum one-way latency, in milliseconds. */
@@ -115,7 +115,7 @@
 
   /**
    * Delivers a message after a random latency. If the connection is cut, the message is held, or
-   * lost with a call of `onLost`.
+   * it is lost and `onLost` is called.
    */
   send(from: string, to: string, deliver: () => void, onLost: () => void): void {
     const cut = this.cutOf(from, to);
--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -119,7 +119,7 @@
     };
   }
   const version = await load(name, commit);
-  return { name, older: { name, supportsServicesAndLimits: supportsServicesAndLimits, version } };
+  return { name, older: { name, supportsServicesAndLimits, version } };
 }
 
 /**
--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -31,8 +31,8 @@
   /** Number of tasks on machines in all zones. */
   tasksOnMachines: number;
   /**
-   * When all tasks of a gang, or the first task of another job, were first on machines; null
-   * before.
+   * When the job started: a gang starts when all its tasks are on machines for the first time, any
+   * other job with its first task. Null before.
    */
   startedAt: number | null;
   /**
--- a/test/simulation/rules/rule-context.ts
+++ b/test/simulation/rules/rule-context.ts
@@ -1,9 +1,7 @@
 /** State that the rules share: the jobs, the clock and the list of violations. */
 import { ObservedJobs } from './observed-jobs.js';
 
-/**
- * Names of the checked rules: the protocol's rules, under its names for them, and the operators'.
- */
+/** Names of the checked rules. A rule of the protocol has the protocol's name; the others are the operators'. */
 export type Rule =
   | 'accepted_odd'
   | 'forgotten'
--- a/test/simulation/state-store/unanswered-writes.ts
+++ b/test/simulation/state-store/unanswered-writes.ts
@@ -7,7 +7,7 @@
 export class UnansweredWrites {
   /** The host that last wrote a key without getting a response, by key. */
   private readonly writers = new Map<string, string>();
-  /** Number of reads of such a key by a host other than the writer. */
+  /** Number of reads of a key in `writers` by a host other than the writer. */
   readByOthers = 0;
 
   /** Records a transaction that was committed but whose response was lost. */
