--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -107,7 +107,7 @@
   );
 }
 
-await describeOlderVersions('services', ({ name, version: older, knowsServicesAndLimits }) => {
+await describeOlderVersions('services', ({ name, version: older, supportsServicesAndLimits }) => {
   const present = presentVersion();
   const { rare } = seedCountsFor(name);
 
@@ -115,7 +115,7 @@
   it('keep services running through a failover after a rollout', () => {
     playSeeds(rare, (seed) => playServicesAfterRollout(seed, older, present));
   });
-  if (!knowsServicesAndLimits) return;
+  if (!supportsServicesAndLimits) return;
   it('keep services running during a rollout', () => {
     playSeeds(rare, (seed) => playServicesDuringRollout(seed, older, present));
   });
