--- a/src/controller/leader/active-jobs.test.ts
+++ b/src/controller/leader/active-jobs.test.ts
@@ -27,7 +27,7 @@
     assert.deepEqual(calls, ['add req-1 4']);
   });
 
-  it('replaceAll adds the jobs of all records, and then removes the jobs without a record', () => {
+  it('adds the jobs of all records in `replaceAll`, and then removes the jobs without a record', () => {
     const { calls, activeJobs } = setUp(['req-1', 'req-3']);
     activeJobs.replaceAll([record('req-1', 4), record('req-2', 6)]);
     assert.deepEqual(calls, ['add req-1 4', 'add req-2 6', 'removed req-3']);
--- a/src/controller/leader/active-jobs.ts
+++ b/src/controller/leader/active-jobs.ts
@@ -15,12 +15,12 @@
     private readonly table: Pick<JobTable, 'add' | 'handleRecordRemoved' | 'jobs'>,
   ) {}
 
-  /** Adds the jobs of the given records. */
+  /** Adds the jobs of the given records, except jobs that are known to have ended. */
   add(records: readonly KeyValue[]): void {
     for (const { key, value, version } of records) this.addJob(key, value, version);
   }
 
-  /** Adds the jobs of `records`, which are those of all active jobs, and removes jobs without a record. */
+  /** Adds the jobs of `records`, which must contain all active jobs, and removes all other jobs. */
   replaceAll(records: readonly KeyValue[]): void {
     const activeKeys = new Set(records.map((record) => record.key));
     this.add(records);
@@ -28,7 +28,7 @@
       if (!activeKeys.has(ACTIVE_PREFIX + id)) this.table.handleRecordRemoved(id);
   }
 
-  /** Applies changes of the records in the given order. */
+  /** Applies changes of the records of active jobs to the job table, in the given order. */
   apply(events: readonly WatchEvent[]): void {
     for (const event of events) {
       if (event.kind === 'put') this.addJob(event.key, event.value, event.version);
--- a/src/controller/leader/failover-recovery.test.ts
+++ b/src/controller/leader/failover-recovery.test.ts
@@ -8,7 +8,7 @@
 
 type ReadPrefixDone = Parameters<StateStoreClient['readPrefix']>[2];
 
-/** Records the calls of the recovery. */
+/** Records the calls that the recovery makes to its target. */
 class RecordingTarget implements RecoveryTarget {
   closed = false;
   activeJobCount = 0;
--- a/src/controller/leader/failover-recovery.ts
+++ b/src/controller/leader/failover-recovery.ts
@@ -16,7 +16,7 @@
   revision: number;
   /** When the read of the jobs was sent, on this node's monotonic clock in ms. */
   sentAt: number;
-  /** Pages, which contain all other records. */
+  /** The pages, which contain all records except those of active jobs. */
   pages: KeyValue[];
 }
 
--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -2,13 +2,16 @@
 import type { PeerStatus } from '../peers/message.js';
 
 /**
- * The workers are considered running if peers receive heartbeats at no less than this share of the rate at
- * which all machines together send them.
+ * If peers receive at least this share of the heartbeats that all machines should send, the workers are
+ * considered running.
  */
 const MIN_REDIRECTED_SHARE = 0.1;
-/** The leader is isolated if a larger share of the machines is overdue while peers receive heartbeats. */
+/** If peers receive heartbeats, the leader is isolated if more than this share of the machines is overdue. */
 const OVERDUE_SHARE = 0.5;
-/** The leader is isolated if a larger share of the machines is overdue while no peer sends a status. */
+/**
+ * If no peer sends a status, the leader is isolated if more than this share of the machines is overdue by
+ * more than a heartbeat interval. Only machines that have sent a heartbeat in this term are counted.
+ */
 const UNRESPONSIVE_SHARE = 0.9;
 
 /** How well the workers reach the leader. */
@@ -25,10 +28,10 @@
 /**
  * Whether the workers cannot reach this node although they are running. An isolated leader keeps renewing
  * its lease, so no other node would answer the workers, and every task would be stopped when its worker's
- * lease expires. The evidence is that workers send heartbeats to peers instead. If no peer sends a status,
- * there is no such evidence, and missing heartbeats alone are sufficient. In this case only machines that
- * have sent a heartbeat in this term are counted: otherwise a leader could not distinguish its own isolation
- * from a loss of the machines.
+ * lease expires. Heartbeats that workers send to peers instead are the evidence that the workers are running.
+ * If no peer sends a status, this evidence is not available, and missing heartbeats alone are sufficient.
+ * Only machines that have sent a heartbeat in this term are then counted: otherwise a leader could not
+ * distinguish its own isolation from a loss of the machines.
  */
 export function isIsolated(
   workers: WorkerReachability,
--- a/src/controller/leader/leader-context.ts
+++ b/src/controller/leader/leader-context.ts
@@ -42,8 +42,10 @@
    */
   readonly mayActAsLeader: boolean;
   /**
-   * Whether this node may answer workers. The conditions are those of `mayActAsLeader`, but the lease is not
-   * needed while all other controllers have promised not to act as leader (design.md, invariant 1).
+   * Whether this node may answer workers. It must have recovered the state, and know every cancellation that
+   * was confirmed longer ago than the allowed staleness of its job watch (design.md, invariant 8). It must
+   * also hold the leader's lease, or all other controllers must have promised not to act as leader
+   * (invariant 1).
    */
   readonly mayAnswerWorkers: boolean;
   /** Whether this node is the leader and has recovered the state that previous leaders stored. */
--- a/src/controller/leader/leader-role.ts
+++ b/src/controller/leader/leader-role.ts
@@ -8,8 +8,8 @@
   private term: LeaderTerm | null = null;
 
   /**
-   * @param environment - the other components of the node; some may still be missing when it is passed in. It
-   *   is not used before the controller starts.
+   * @param environment - the other components of the node. They are not used before the controller starts, so
+   *   some of them may be created after this object.
    */
   constructor(private readonly environment: LeaderEnvironment) {}
 
@@ -70,8 +70,9 @@
   }
 
   /**
-   * Whether the state is fresh. With stale state this node might not know every confirmed cancellation, so it
-   * may not answer workers even within its lease (design.md, invariant 8), and an extension would be useless.
+   * Whether it is useful to extend the right to answer workers. It is useful only while the state is fresh:
+   * with stale state this node might not know every confirmed cancellation, so it may not answer workers even
+   * within its lease (design.md, invariant 8).
    */
   shouldExtendLease(): boolean {
     return this.hasFreshState;
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -16,7 +16,7 @@
 const MAX_STALENESS_FACTOR = 1.5;
 /** The learned statistics are recorded this many times per duration of a worker lease. */
 const STATISTICS_RECORDS_PER_LEASE = 4;
-/** Time after its election in which a leader does not check for isolation, as a share of a worker lease. */
+/** A new leader does not check for isolation during this share of the duration of a worker lease. */
 const SETTLING_LEASE_SHARE = 0.5;
 
 /** The state and work of one term. Created when the node is elected, and closed when it steps down. */
@@ -142,7 +142,8 @@
     const { leadership, settings } = this.environment;
     const maxStalenessMs = settings.maxWatchStalenessMs * MAX_STALENESS_FACTOR;
     // With a stale job watch a leader might not know every confirmed cancellation, so it may not act
-    // (design.md, invariant 8). But as long as it holds its lease, no other node can become leader.
+    // (design.md, invariant 8). It hands over because no other node can become leader until it gives up its
+    // lease.
     if (leadership.holdsLease && this.jobWatch.stalenessMs > maxStalenessMs)
       return 'no view of the jobs';
     if (this.role.mayActAsLeader && this.isIsolated(peerStatuses))
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -42,8 +42,9 @@
 
   /**
    * Loads the statistics that previous leaders recorded, and then counts the first active job of each class
-   * without a record. The active jobs must have been read before. If they were counted first, their statistics
-   * would be newer than the recorded ones, which would then be ignored.
+   * without a record. Recorded statistics are loaded first because they would be ignored if the class already
+   * had newer ones, from a counted job.
+   * @param activeJobs - all active jobs; they must have been read before
    */
   load(records: Pick<RecordStore, 'list'>, activeJobs: Iterable<Job>): void {
     const classRecords = [...records.list(LEARNED_KEY)].map(({ value }) => value).filter(isMap);
--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -56,7 +56,7 @@
     assert.equal(seen.begun, 2);
   });
 
-  it('waits before the next pass for the interval, and for three times the duration of the last pass', () => {
+  it('waits after a pass for three times its duration if that exceeds the interval between passes', () => {
     const durationMs = intervalMs;
     const { runtime, seen, scheduler } = setUp(1, durationMs);
     scheduler.step();
