--- a/src/controller/leadership/leader-lease.ts
+++ b/src/controller/leadership/leader-lease.ts
@@ -111,7 +111,7 @@
   }
 
   private renewed(sentAt: number): void {
-    // Also reported if the lease ran out only while this renewal was in flight.
+    // Also true if the lease ran out only while this renewal was in flight.
     const hadExpired = !this.isHeld;
     this.heldUntil = Math.max(this.heldUntil, sentAt + this.settings.usableLeaderLeaseMs);
     this.extension.end();
--- a/src/controller/leadership/leader-record.ts
+++ b/src/controller/leadership/leader-record.ts
@@ -1,7 +1,7 @@
 /** The record of the current leader in the state store. */
 import { isMap, type Fields } from '../wire/cbor.js';
 
-/** Key of the leader record, which is bound to the leader's lease. */
+/** Key of the leader record. The key is bound to the leader's lease, so it exists no longer than the lease. */
 export const LEADER_KEY = 'lead';
 
 /** The current leader according to the leader record or to a peer. */
@@ -16,9 +16,9 @@
 
 /** The contents of the leader record. */
 export interface LeaderRecord extends LeaderInfo {
-  /** Distinguishes the processes that have run on the same host. */
+  /** Distinguishes the leader's process from other processes that have run on the same host. */
   identity: string;
-  /** The lease of the state store to which the key is bound. */
+  /** Id of the lease at the state store to which the leader key is bound. */
   leaseId: number;
 }
 
@@ -31,7 +31,7 @@
   return { host, identity, leaseId: lease, term: version };
 }
 
-/** Returns the value to store under the leader key. The term is not part of it: it is the key's version. */
+/** Returns the value to store under the leader key. The term is not included, as it is the key's version. */
 export function writeLeaderRecord(leader: Omit<LeaderRecord, 'term'>): Fields {
   return { host: leader.host, identity: leader.identity, lease: leader.leaseId };
 }
--- a/src/controller/leadership/leader-watch.ts
+++ b/src/controller/leadership/leader-watch.ts
@@ -10,14 +10,17 @@
 /** Name in the log of the timer that reads the leader key again. */
 const OBSERVE_EVENT = 'observe-leader';
 
-/** Smallest delay before the key is read again, as a share of the duration of the leader's lease. */
+/** Minimum delay before the leader key is read again, as a share of the duration of the leader's lease. */
 const RETRY_RATIO = 0.04;
-/** Largest random jitter added to that delay, as a share of the duration of the leader's lease. */
+/**
+ * Maximum random jitter added to the delay before the leader key is read again, as a share of the duration of
+ * the leader's lease.
+ */
 const RETRY_JITTER_RATIO = 0.04;
 
 /** Callbacks of the watch to its owner. */
 export interface LeaderWatchEvents {
-  /** Whether this node is not the leader and has no election in progress. Otherwise the key is not observed. */
+  /** Whether this node is not the leader and has no election in progress. Only then is the key observed. */
   isFollower(): boolean;
   /** The leader key was read or has changed; null if its value is not a leader record. */
   leaderChanged(leader: LeaderRecord | null): void;
@@ -59,7 +62,10 @@
     this.observeAfter(leaderLeaseMs * (RETRY_RATIO + jitter));
   }
 
-  /** After a handover: makes this node wait once before it takes a free key, so that others can take it first. */
+  /**
+   * Called after a handover. This node then waits once before it takes a free leader key, so that another node
+   * can take the key first.
+   */
   backOff(): void {
     this.backoff.begin(this.eventLoop.now() + this.settings.workerLeaseMs);
   }
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -157,8 +157,8 @@
     lease.close();
     this.forgetLeader();
     this.client.budget.setRole(false);
-    // Without this, a delayed copy of the request that created the leader key could create the key again,
-    // under a lease that nobody renews.
+    // If the lease were not revoked, a delayed copy of the request that created the leader key could create
+    // the key again, under a lease that nobody renews.
     lease.revoke();
     this.events.deposed();
     this.watch.retry();
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -6,8 +6,8 @@
  * leader for a short time. Once all have granted it, the leader may answer workers for that time, counted
  * from when it sent the requests. So at every moment since its last renewal, either the leader held its
  * lease or all other controllers were bound by grants. In both cases no other leader has acted. If there was
- * a gap between the lease and the grants, or between two rounds of grants, the extension lapses, and no other
- * begins until the lease has been renewed (design.md, invariant 1: only one leader acts at a time).
+ * a gap between the lease and the grants, or between two rounds of grants, the extension lapses. No further
+ * extension begins until the lease has been renewed (design.md, invariant 1: only one leader acts at a time).
  */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
@@ -99,7 +99,7 @@
 
   private allGranted(extension: RunningExtension, requestedAt: number): void {
     const coveredUntil = Math.max(extension.request.leaseHeldUntil(), extension.grantedUntil);
-    // If this time has passed, another controller may have acted as leader since then.
+    // If `coveredUntil` has passed, another controller may have acted as leader since then.
     const hasLapsed = this.eventLoop.now() >= coveredUntil;
     if (hasLapsed) this.state = { kind: 'lapsed' };
     else
--- a/src/controller/leadership/lease-grant-exchange.ts
+++ b/src/controller/leadership/lease-grant-exchange.ts
@@ -1,4 +1,4 @@
-/** Requests lease grants from other controllers and answers such requests. */
+/** Requests lease grants from other controllers, and answers the requests of other controllers. */
 import type { Peers } from '../peers/peers.js';
 import type { RequestLeaseGrant } from './lease-extension.js';
 import {
--- a/src/controller/leadership/lease-grant.ts
+++ b/src/controller/leadership/lease-grant.ts
@@ -2,16 +2,16 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import { MAX_CLOCK_DRIFT, type Settings } from '../settings/settings.js';
 
-/** Factor that covers the difference between two hosts' clocks, each of which may drift either way. */
+/** Factor by which a grant is prolonged, because the clocks of two hosts may drift in opposite directions. */
 const CLOCK_DRIFT_FACTOR = 1 + 4 * MAX_CLOCK_DRIFT;
-/** Extra time in ms, because timers may fire early by a fraction of 1 ms. */
+/** Time in ms by which a grant is prolonged, because timers may fire early by a fraction of 1 ms. */
 const TIMER_MARGIN_MS = 2;
 
 /**
  * This controller does not act as leader until its grant expires, even if it is elected: meanwhile the
  * leader that holds the grant may answer workers beyond its lease (design.md, invariant 1). The previous
  * process on this host may have given a grant just before it ended, so every process behaves as if it had
- * given one when it started.
+ * given a grant when it started.
  */
 export class LeaseGrant {
   /** Time until which this controller is bound by a grant, on its monotonic clock in ms. */
@@ -26,7 +26,7 @@
     this.grantedUntil = eventLoop.runtime.startedAt + this.durationMs;
   }
 
-  /** How long in ms a grant binds this controller: longer than the leader relies on it, due to clock drift. */
+  /** How long a grant binds this controller, in ms: longer than the leader uses it, since clocks may drift. */
   private get durationMs(): number {
     return this.settings.leaseGrantMs * CLOCK_DRIFT_FACTOR + TIMER_MARGIN_MS;
   }
