--- a/src/controller/placement/capacity/capacity-claim.test.ts
+++ b/src/controller/placement/capacity/capacity-claim.test.ts
@@ -67,7 +67,7 @@
 });
 
 describe('countClaimedSlots', () => {
-  it('counts partly claimed slots as claimed, for the resource with the most claimed slots', () => {
+  it('counts partly claimed slots as claimed, and returns the count of the most claimed resource', () => {
     const claim = (cpus: number, gpus: number): CapacityClaim => ({
       ...{ cpus, gpus, memoryGb: 0, fillAt: 0, headroom: null },
     });
--- a/src/controller/placement/capacity/capacity-claim.ts
+++ b/src/controller/placement/capacity/capacity-claim.ts
@@ -17,8 +17,8 @@
   /** Priority level of the class. */
   level: number;
   /**
-   * The headroom binds a task of another class only if the dominant share of a task of this class is at
-   * least this many times the dominant share of that task.
+   * Minimum ratio of the dominant share of a task of this class to the dominant share of another task. The
+   * headroom binds the other task only if the ratio is at least this high.
    */
   minSizeRatio: number;
 }
@@ -30,7 +30,7 @@
    * capacity of its whole reservation should be free.
    */
   fillAt: number;
-  /** null if the capacity is claimed for a waiting job. */
+  /** The class that headroom is claimed for; null if the capacity is claimed for a waiting job. */
   headroom: HeadroomClaim | null;
 }
 
@@ -97,7 +97,7 @@
   );
 }
 
-/** Returns how many slots of the size of the request the claims take in whole or in part. */
+/** Returns how many slots the claims take in whole or in part. A slot has the size of the request. */
 export function countClaimedSlots(
   claims: readonly CapacityClaim[],
   request: ResourceRequest,
--- a/src/controller/placement/capacity/free-capacity.ts
+++ b/src/controller/placement/capacity/free-capacity.ts
@@ -19,13 +19,13 @@
 /** Used for queries without `record`, which do not check the size of the machine's record. */
 const NO_RECORD_SPACE: RecordSpace = { bytesPerJob: 0, bytesPerTask: 1 };
 
-/** Determines how many tasks of a job fit on a machine. */
+/** A query for the number of tasks of a job that fit on a machine. */
 export interface FitQuery extends ClaimQuery {
   /** Bytes that the tasks take in the machine's record; if missing, the size of the record is ignored. */
   record?: RecordSpace;
 }
 
-/** The free capacity of one machine. The amounts always reflect the tasks that it now has. */
+/** The free capacity of one machine. The amounts always reflect the tasks that the machine has now. */
 export class FreeCapacity {
   /** Whether placement on the machine is excluded. */
   unschedulable = false;
--- a/src/controller/placement/capacity/hypothetical-capacity.ts
+++ b/src/controller/placement/capacity/hypothetical-capacity.ts
@@ -13,7 +13,7 @@
 
   /**
    * Starts from the free capacity of the machine, less the claims of waiting jobs and less `plannedTasks`
-   * tasks of the job. Headroom claims are not subtracted, since a reservation may use headroom.
+   * tasks with the given request. Headroom claims are not subtracted, since a reservation may use headroom.
    */
   reset(capacity: FreeCapacity, request: ResourceRequest, plannedTasks: number): void {
     this.cpus = capacity.cpus - request.cpus * plannedTasks;
--- a/src/controller/placement/capacity/machine-forecast.ts
+++ b/src/controller/placement/capacity/machine-forecast.ts
@@ -10,7 +10,7 @@
 
 /** When the tasks of a machine are expected to end, and whether some of them might be preempted. */
 export interface MachineForecast {
-  /** Sorted by time, earliest first. */
+  /** The expected ends of all tasks of the machine, earliest first. */
   expectedEnds: ExpectedEnd[];
   /** Whether any task is being stopped. */
   hasStopping: boolean;
@@ -18,6 +18,6 @@
   longestSaveMs: number;
   /** Lowest priority level of the tasks that are old enough to be preempted; `Infinity` if there are none. */
   lowestLevel: number;
-  /** Whether any of the tasks that are old enough to be preempted is outside its team's guarantee. */
+  /** Whether any task that is old enough to be preempted is of a job not covered by its team's guarantee. */
   hasUnguaranteed: boolean;
 }
--- a/src/controller/placement/capacity/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -42,7 +42,7 @@
 }
 
 /**
- * Returns the zones to search one after the other for a single-zone gang. For other jobs, returns a single
+ * Returns the zones to search one after the other for a single-zone job. For other jobs, returns a single
  * null, which stands for all zones together.
  */
 export function zoneChoices(cluster: ClusterCapacity, spec: JobSpec): (string | null)[] {
--- a/src/controller/placement/draining/migrations.ts
+++ b/src/controller/placement/draining/migrations.ts
@@ -2,7 +2,7 @@
 import type { Assignment, Job, Machine } from '../../model/entities.js';
 import type { ResourceRequest } from '../../model/resource-request.js';
 
-/** A replica that was stopped because another machine can start it without delay. */
+/** The migration of a replica that is stopped because another machine can start it without delay. */
 interface Migration {
   oldAssignment: Assignment;
   job: Job;
--- a/src/controller/placement/estimates/duration-estimator.test.ts
+++ b/src/controller/placement/estimates/duration-estimator.test.ts
@@ -5,10 +5,10 @@
 import type { Assignment } from '../../model/entities.js';
 import { DurationEstimator } from './duration-estimator.js';
 
-describe('estimated image fetch', () => {
+describe('estimated time of an image fetch', () => {
   // Guards against estimates that ignore concurrent fetches: two gangs with different images on one machine
   // each fetched for 50 s instead of 25 s.
-  it('adds the images fetched at the same time, and is 0 if the image is cached', () => {
+  it('includes the images fetched at the same time, and is 0 if the image is cached', () => {
     const machine = bigMachine();
     const estimator = new DurationEstimator();
     const spec = gpuArraySpec({ image: 'x', imageGb: 10 });
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -12,7 +12,7 @@
 /** Maximum number of classes with statistics. Users choose class names, so there could be any number. */
 const MAX_TRACKED_CLASSES = 40;
 
-/** The statistics of classes with names of more characters are not exported. */
+/** Maximum length in characters of the names of classes whose statistics are exported. */
 const MAX_EXPORTED_NAME_LENGTH = 64;
 
 /**
@@ -21,7 +21,10 @@
  */
 const PRIOR_DEVIATION = 0.5;
 
-/** Lower bound of the standard deviation used in estimates. */
+/**
+ * Lower bound, used in estimates, of the standard deviation of the logarithm of the ratio of actual to
+ * estimated run time.
+ */
 const MIN_DEVIATION = 0.1;
 
 /** Lower bound in ms of the estimated time until a task that is being stopped has ended. */
@@ -30,7 +33,10 @@
 /** Lower bound in ms of the remaining run time of a task whose job has no run time estimate. */
 const MIN_REMAINING_RUN_MS = 1000;
 
-/** Ratio of remaining to elapsed run time that is assumed without an estimate or if the median overflows. */
+/**
+ * Ratio of remaining to elapsed run time that is assumed if the job has no run time estimate, or if the
+ * computation of the median overflows.
+ */
 const REMAINING_TO_ELAPSED_RATIO = 1 / 4;
 
 /** Mean and variance of the logarithm of the ratio of actual to estimated run time, for one class. */
@@ -109,7 +115,7 @@
     if (machine.images.has(spec.image)) return 0;
     const gbPerS = machine.type?.fetchGbPerS ?? 0;
     if (gbPerS <= 0) return 0;
-    // Images that are fetched at the same time share the fetch rate, so each of the others adds at most its own
+    // Images that are fetched at the same time share the fetch rate. So each other image adds at most its own
     // size and at most the size of this image. A machine fetches an image only once, so a task waits for a
     // fetch that is already in progress.
     let fetchGb = spec.imageGb;
@@ -129,7 +135,7 @@
     return Math.max(0, (fetchGb / gbPerS) * 1000 - (now - fetchStartedAt));
   }
 
-  /** Returns whether the image of the task is neither cached on the machine nor being fetched there. */
+  /** Returns whether the image of the task is neither cached on the machine nor being fetched by it. */
   needsFetch(spec: JobSpec, machine: Machine): boolean {
     if (machine.images.has(spec.image)) return false;
     for (const assignment of machine.assignments.values())
--- a/src/controller/placement/estimates/start-deadlines.ts
+++ b/src/controller/placement/estimates/start-deadlines.ts
@@ -21,7 +21,8 @@
 
   /**
    * Returns the job's start deadlines, in ms since its submission and in no particular order: one for each
-   * start objective of its class, for its team's guarantee, and for each time by which the job should end.
+   * start objective of its class, one for its team's guarantee if the job is covered by it, and one for each
+   * time by which the job should end.
    */
   of(job: Job): number[] {
     const { spec } = job;
--- a/src/controller/placement/guarantees.ts
+++ b/src/controller/placement/guarantees.ts
@@ -5,8 +5,8 @@
 
 /**
  * Marks the jobs covered by the guarantee of their team. A job is covered if its unfinished tasks fit into
- * the guarantee together with those of all jobs that the team submitted earlier (PROTOCOL, "How aims are
- * counted"). A guarantee of 0 means that the team has no guarantee for that resource.
+ * the guarantee together with the unfinished tasks of all jobs that the team submitted earlier (PROTOCOL, "How
+ * aims are counted"). A guarantee of 0 means that the team has no guarantee for that resource.
  */
 export class Guarantees {
   constructor(private readonly teams: readonly Team[]) {}
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -14,8 +14,8 @@
   /** Time constant in ms with which the counts of submitted tasks decay. */
   memoryMs: number;
   /**
-   * Limits the headroom of a class: it and the tasks of the class together take at most this fraction of the
-   * slots on the machines that the class may use.
+   * The headroom and the tasks of a class together take at most this fraction of the slots on the machines that
+   * the class may use.
    */
   maxShare: number;
   /** Margin added to the expected number of tasks, in standard deviations. */
@@ -23,8 +23,8 @@
 }
 
 /**
- * Headroom of a class is kept only from smaller tasks: the dominant share of the machine that a task of the
- * class takes has to be at least this many times that of the other task.
+ * Headroom of a class is kept only from smaller tasks. The dominant share of a task of the class must be at
+ * least this many times the dominant share of the smaller task.
  */
 const MIN_SIZE_RATIO = 1.5;
 
@@ -49,7 +49,7 @@
 /** A machine with slots that are not used by tasks of the class. */
 interface ScoredMachine {
   capacity: FreeCapacity;
-  /** Slots of the machine, without those that tasks of the class use. */
+  /** Slots of the machine that no task of the class uses, whether or not they are free. */
   unusedSlots: number;
   /** Machines with higher scores are claimed first. */
   score: number;
@@ -163,8 +163,9 @@
   }
 
   /**
-   * Returns how many slots to claim besides those in use. All slots of the class together should cover the
-   * expected tasks, a margin, and its largest recent job, within the maximum share of the slots.
+   * Returns how many slots to claim for a class, besides those that its tasks use. Claimed and used slots
+   * together should cover the expected tasks, a margin and the largest recent job of the class, but must not
+   * exceed the maximum share of the slots.
    */
   private slotsToKeep(statistics: ClassStatistics, slots: ClassSlots, now: number): number {
     const { maxShare, spareDeviations } = this.settings;
@@ -180,7 +181,7 @@
   return kind === 'gang' || (kind === 'array' && gpus > 0);
 }
 
-/** Orders classes with fewer allowed machines first, and among equals those of higher priority. */
+/** Puts classes with fewer allowed machines first; among equally many machines, classes of higher priority. */
 function compareByMachinesAndPriority(a: ClassWithMachines, b: ClassWithMachines): number {
   return a.capacities.length - b.capacities.length || b.statistics.level - a.statistics.level;
 }
@@ -206,8 +207,9 @@
 }
 
 /**
- * Scores how well the machine suits the class: images of the class are cached there, a task fits now, it is
- * a spot machine that the class may use, and a task takes much of it, so that less is left for other classes.
+ * Scores how well the machine suits the class. The score is higher if the machine caches images of the class,
+ * if a task fits now, if it is a spot machine that the class may use, and if a task takes much of the machine,
+ * because the machine is then less useful to other classes.
  */
 function scoreMachine({ spec, images }: ClassStatistics, capacity: FreeCapacity): number {
   const { machine } = capacity;
--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -13,7 +13,7 @@
   weight: number;
   /** When the latest job was submitted, on the controller's monotonic clock in ms. */
   updatedAt: number;
-  /** Decaying maximum of the number of tasks in one job, at most `MAX_LARGEST_JOB_TASKS`. */
+  /** Decaying maximum of the number of tasks in one job, limited to the number that headroom is kept for. */
   largestJobTasks: number;
   /** Decaying number of jobs, by image. */
   images: Map<string, number>;
@@ -30,7 +30,10 @@
 /** Maximum number of tasks of the next job that headroom is kept for. */
 const MAX_LARGEST_JOB_TASKS = 4;
 
-/** A class with less weight is removed, which happens several decay time constants after its last job. */
+/**
+ * Minimum decaying count of the submitted tasks of a class. A class below it is removed, which happens several
+ * decay time constants after its last job.
+ */
 const MIN_WEIGHT = 0.005;
 
 /** Minimum observation time used for arrival rates, as a fraction of the decay time constant. */
--- a/src/controller/placement/pass/negative-search-cache.ts
+++ b/src/controller/placement/pass/negative-search-cache.ts
@@ -40,22 +40,22 @@
   /** Requests for which no task could be preempted. */
   private readonly failedVictimQueries: VictimQuery[] = [];
 
-  /** Returns whether a recorded failure shows that the request fits on no machine of these kinds. */
+  /** Returns whether a recorded failure shows that the request fits on no machine of the given kinds. */
   hasNoCapacity({ request, kinds }: CapacityQuery): boolean {
     return this.failedCapacityQueries.some(
       (failed) => failed.kinds === kinds && isAtLeast(request, failed.request),
     );
   }
 
-  /** Records that the request fits on no machine of these kinds, even if claims are ignored. */
+  /** Records that the request fits on no machine of the given kinds, even if claims are ignored. */
   addNoCapacity(query: CapacityQuery): void {
     this.failedCapacityQueries.push(query);
   }
 
   /**
-   * Returns whether a recorded failure shows that no task on machines of these kinds can be preempted for
-   * the request. The failed query must have the same team and `guaranteed`, and the same or a higher level,
-   * because a job of higher level may preempt more tasks.
+   * Returns whether a recorded failure shows that no task on machines of the given kinds can be preempted for
+   * the request. The failed query must have the same values of `team` and `guaranteed`, and the same or a
+   * higher level, because a job of higher level may preempt more tasks.
    */
   hasNoVictims({ request, kinds, team, guaranteed, level }: VictimQuery): boolean {
     return this.failedVictimQueries.some(
@@ -68,7 +68,7 @@
     );
   }
 
-  /** Records that no task on machines of these kinds could be preempted for the request. */
+  /** Records that no task on machines of the given kinds could be preempted for the request. */
   addNoVictims(query: VictimQuery): void {
     this.failedVictimQueries.push(query);
   }
--- a/src/controller/placement/pass/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -7,7 +7,7 @@
 /** The tasks of a job for which a pass found no free capacity. */
 export interface Shortage {
   job: Job;
-  /** Number of these tasks. */
+  /** Number of tasks of the job without free capacity. */
   tasks: number;
 }
 
@@ -54,7 +54,7 @@
     this.queue.push(queued);
   }
 
-  /** Refreshes the state of the machines after an interruption, in which heartbeats may have arrived. */
+  /** Refreshes the state of the machines after an interruption of the pass, in which heartbeats may arrive. */
   resume(now: number, isSchedulable: (machine: Machine) => boolean): void {
     this.now = now;
     this.negativeSearches.clear();
--- a/src/controller/placement/pass/rank.test.ts
+++ b/src/controller/placement/pass/rank.test.ts
@@ -77,7 +77,7 @@
     ...settings,
     startDeadlines: () => [10_000, 60_000],
   };
-  it('ranks by the next deadline that can be met, and puts a job that missed one after others', () => {
+  it('follows the next deadline that can be met, and puts a job that missed a deadline after others', () => {
     const old = submitted({}, 0);
     const young = submitted({}, 5000);
     assert.ok(compareByRank(old, young, settingsWithDeadlines, 0) < 0);
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -21,8 +21,8 @@
  * job starves.
  *
  * Within a priority, jobs with earlier start deadlines go first. When a job misses a deadline, it is ranked
- * by its next one; when it misses the last one, its rank is lowered by a fixed amount. Each of these steps
- * is bounded and taken once. The steps let jobs that can still meet their deadlines go first.
+ * by its next deadline. When it misses its last deadline, its rank is lowered by a fixed amount. Each of these
+ * changes is bounded and happens once. They let jobs that can still meet their deadlines go first.
  */
 export function rankTime(job: Job, settings: RankSettings, now: number): number {
   const deadlines = settings.startDeadlines(job);
--- a/src/controller/placement/placers/blocked-reason.ts
+++ b/src/controller/placement/placers/blocked-reason.ts
@@ -1,4 +1,4 @@
-/** The reason shown to users for why a job is waiting. */
+/** The reason why a job is waiting, which is shown to users. */
 import type { Job } from '../../model/entities.js';
 
 /** Sets the reason why the job is waiting; the empty string means that there is none to report. */
--- a/src/controller/placement/placers/gang-placer.test.ts
+++ b/src/controller/placement/placers/gang-placer.test.ts
@@ -50,7 +50,7 @@
     assert.equal(gang.blockedReason, "its team's limit is used up");
   });
 
-  it('puts half of a spread gang into each zone, and returns null if the zone has too little capacity', () => {
+  it('puts half of a spread gang into each zone, and returns null if one zone has too little capacity', () => {
     const pass = passOver([bigMachine('n-1', 'a'), bigMachine('n-2', 'b')]);
     const candidates = ['n-1', 'n-2'].map((id) => candidate(capacityIn(pass, id), 4));
     const picked = pickForGang(gpuJob({ tasks: 4, spread: true }), candidates, null);
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -21,7 +21,10 @@
 /** Prefix of the keys of reservation records; the job id follows it. */
 const KEY_PREFIX = 'h/';
 
-/** Minimum lead time of preemption, in heartbeat intervals before the expected fill of a reservation. */
+/**
+ * Preemption may always begin this many heartbeat intervals before the expected fill of a reservation, and
+ * earlier if the victims need longer to save their checkpoints.
+ */
 const PREEMPTION_LEAD_TIME_INTERVALS = 3;
 
 /** Time allowed for the victims to save their checkpoints, as a multiple of the longest save time. */
@@ -36,9 +39,9 @@
 export interface GangCapacity {
   /** One entry per task; fewer if there are not enough machines. A machine may occur several times. */
   capacities: FreeCapacity[];
-  /** When all of them are expected to have free capacity; `Infinity` if that is never expected. */
+  /** When all machines are expected to have free capacity; `Infinity` if that is never expected. */
   fillAt: number;
-  /** When the gang is expected to run on these machines, after all image fetches. */
+  /** When the gang is expected to start running, after all image fetches on its machines. */
   readyAt: number;
   /** The tasks to preempt. */
   victims: readonly Assignment[];
@@ -46,9 +49,9 @@
 
 /** The candidates found for a gang. Times are on the monotonic clock in ms. */
 interface GangCandidates {
-  /** One per task; fewer if there are not enough machines. */
+  /** One candidate per task; fewer if there are not enough machines. */
   candidates: ReservationCandidate[];
-  /** When all of them are expected to have free capacity; `Infinity` if there are too few. */
+  /** When all candidates are expected to have free capacity; `Infinity` if there are too few candidates. */
   fillAt: number;
 }
 
@@ -112,10 +115,9 @@
   }
 
   /**
-   * Returns the time in ms by which the preemption of the victims precedes the expected fill of a reservation.
-   * It allows for the victims' checkpoint saves, which the expected fill includes: with short heartbeat
-   * intervals a save takes many of them, and preemption would never begin if the lead time were a fixed
-   * number of heartbeat intervals.
+   * Returns how long before the expected fill of a reservation the victims may be preempted, in ms. The
+   * expected fill includes the time in which the victims save their checkpoints. A save can take many
+   * heartbeat intervals, so preemption would never begin if the lead time were a fixed number of them.
    */
   private preemptionLeadTimeMs(victims: readonly Assignment[]): number {
     const { heartbeatIntervalMs } = this.parts.settings;
--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -53,9 +53,9 @@
 
   /**
    * Returns whether the next start deadline is far enough away for the job to prefer machines that have its
-   * image. Such a job tries the other machines at the end of the same pass, so that no machine stays idle
-   * because of the preference. Jobs that may have their image there go first. The preference ends well
-   * before the deadline.
+   * image. The job then tries the other machines only at the end of the pass. Before that, these machines may
+   * start jobs whose images they have. No machine stays idle because of the preference. The preference ends
+   * well before the deadline.
    */
   private canWaitForImage(job: Job, now: number): boolean {
     const waitedMs = now - job.submittedAt;
--- a/src/controller/placement/placers/task-starter.ts
+++ b/src/controller/placement/placers/task-starter.ts
@@ -9,7 +9,7 @@
 /** Assigns tasks to machines in the current term. */
 export type TaskAssigner = Pick<Workers, 'assign' | 'term'>;
 
-/** Starts tasks and numbers their attempts. The numbers contain the term, so no two leaders share one. */
+/** Starts tasks and numbers their attempts. The numbers contain the term, so they differ between leaders. */
 export class TaskStarter {
   private attempts = 0;
 
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Starts up to `count` pending tasks of the job on a machine. For a gang, whose tasks share one attempt
-   * number, `attempt` is that number.
+   * Starts up to `count` pending tasks of the job on a machine.
+   * @param attempt - the attempt number that all tasks of a gang share; missing if the job is not a gang
    */
   start(job: Job, capacity: FreeCapacity, count: number, attempt?: number): void {
     capacity.forecast = null;
--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -62,7 +62,7 @@
     const forecast = this.forecaster.forecast(capacity, now);
     const waitingPlan = this.planByWaiting(forecast, job.spec);
     // If waiting is never enough (null), preemption does not help either, because it only ends tasks that
-    // would also end by themselves. It is not needed if enough tasks end within a heartbeat interval.
+    // would also end by themselves. Nor is it needed if enough tasks end within a heartbeat interval.
     if (waitingPlan === null || waitingPlan.fillAt - now < this.settings.heartbeatIntervalMs)
       return waitingPlan;
     const fillAtByWaiting = waitingPlan.fillAt;
--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -1,4 +1,4 @@
-/** Policy of preemption: which tasks a job may preempt, in which order, and how much work that loses. */
+/** Policy of preemption: which tasks a job may preempt, in which order, and how much work is lost. */
 import type { Assignment, Job } from '../../model/entities.js';
 import type { Settings } from '../../settings/settings.js';
 import type { DurationEstimator } from '../estimates/duration-estimator.js';
--- a/src/controller/placement/preemption/preemptor.ts
+++ b/src/controller/placement/preemption/preemptor.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../../settings/settings.js';
 import type { Workers } from '../../workers/workers.js';
 
-/** Lower bound of the limit of tasks preempted within the duration of a worker lease. */
+/** This many tasks may always be preempted within the duration of a worker lease, however few are assigned. */
 const MIN_LIMIT = 4;
 
 /** Stops tasks on their workers. */
--- a/src/controller/placement/preemption/victim-selector.test.ts
+++ b/src/controller/placement/preemption/victim-selector.test.ts
@@ -36,7 +36,7 @@
 }
 
 describe('VictimSelector', () => {
-  it('preempts tasks in the given order until the request fits, and includes their save times', () => {
+  it('preempts tasks in the given order until the request fits, and waits for their checkpoint saves', () => {
     const [first, second, third] = [task(1, 9000), task(1, 9000), task(2, 9000)];
     const { select } = setUp([first, second, third]);
     assert.deepEqual(select(2, NOW), {
@@ -45,7 +45,7 @@
     });
   });
 
-  it('drops victims that are not needed because of a later, larger one', () => {
+  it('drops victims that are not needed because a larger victim is selected later', () => {
     const [small, large] = [task(1, 9000), task(3, 9000)];
     const { select } = setUp([small, large]);
     assert.deepEqual(select(3, NOW)?.victims, [large.assignment]);
--- a/src/controller/placement/search/candidate-finder.ts
+++ b/src/controller/placement/search/candidate-finder.ts
@@ -12,7 +12,7 @@
 /** A machine where tasks of a job can start now. */
 export interface Candidate {
   capacity: FreeCapacity;
-  /** Number of tasks that can start there. */
+  /** Number of tasks of the job that can start on the machine now. */
   count: number;
   /** Time of the image fetch plus penalties, in seconds; lower is better. */
   score: number;
--- a/src/controller/placement/search/machine-penalty.ts
+++ b/src/controller/placement/search/machine-penalty.ts
@@ -1,7 +1,7 @@
 /**
- * Penalties of machines for a job, which are added to the time of its image fetch there. In a search for
- * machines where tasks can start now, one point of penalty weighs as much as 1 s of fetch time; in a search
- * for machines to reserve, as much as 1 ms.
+ * Penalties of machines for a job, in points. They are added to the time that the machine needs to fetch the
+ * job's image. In a search for machines where tasks can start now, one point weighs as much as 1 s of fetch
+ * time. In a search for machines to reserve, it weighs as much as 1 ms.
  */
 import type { Job } from '../../model/entities.js';
 import type { FreeCapacity } from '../capacity/free-capacity.js';
--- a/src/controller/placement/search/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -4,7 +4,7 @@
 
 /** A machine that can take replicas, with the values by which it is compared with others. */
 interface SpreadCandidate extends Candidate {
-  /** Whether the image has to be fetched there. */
+  /** Whether the machine has to fetch the image. */
   needsFetch: boolean;
   /** Number of replicas of the service on the machine. */
   replicas: number;
@@ -44,7 +44,7 @@
   }
 }
 
-/** Counts the service's replicas by machine and zone, including replicas that are not proven gone. */
+/** Counts the service's replicas by machine and by zone. A replica counts until it is proven gone. */
 function countReplicas(job: Job): { machines: Map<string, number>; zones: Map<string, number> } {
   const machines = new Map<string, number>();
   const zones = new Map<string, number>();
--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -13,7 +13,7 @@
 import { ReservationCandidateFinder } from './reservation-candidate-finder.js';
 import { TeamUsage } from '../../workers/team-usage.js';
 
-/** Adds a task of the team to the machine that has been running since time 0. */
+/** Adds a task of the team to the machine. The task has been running since time 0. */
 function runOn(
   machine: Machine,
   team: string,
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -38,14 +38,14 @@
   plannedVictims: Set<Assignment>;
   /** Number of tasks planned for each zone. */
   zones: TasksByZone;
-  /** Names of the machines that the job has already reserved. */
+  /** Ids of the machines that the job has already reserved. */
   reserved: Set<string>;
 }
 
 /**
  * Finds machines to reserve for a job, and tasks to preempt for it. The cost of a machine is the time at
- * which the task could run there, including its image fetch, plus the weighted loss of preempted work and the
- * machine's penalty. It is lower for a machine that the job has already reserved.
+ * which the task could run on it, including its image fetch, plus the weighted loss of preempted work and the
+ * machine's penalty. The cost is lower for a machine that the job has already reserved.
  */
 export class ReservationCandidateFinder {
   private readonly forecaster: MachineForecaster;
@@ -129,8 +129,9 @@
     if (plan === null) return Infinity;
     if (search.onlyByPreemption && plan.victims.length === 0 && !plan.hasStopping) return Infinity;
     const { machine } = capacity;
-    // A reserved machine is replaced only by a clearly better one. The longest save is added because tasks
-    // there may already be saving checkpoints for this job, in vain if it reserved another machine instead.
+    // A reserved machine is replaced only by a clearly better one. The longest save is added because tasks on
+    // the machine may already be saving checkpoints to make way for this job. If the job reserved another
+    // machine instead, they would have been stopped in vain.
     const reservedBonusMs = reserved.has(machine.id)
       ? this.stickinessMs + this.forecaster.forecast(capacity, search.now).longestSaveMs
       : 0;
--- a/src/controller/placement/service-restarts.test.ts
+++ b/src/controller/placement/service-restarts.test.ts
@@ -9,7 +9,7 @@
 } from '../../../test/placement-cluster.js';
 
 describe('restart of service replicas', () => {
-  it('does not complete a service, even if all its replicas end as done repeatedly', () => {
+  it('does not complete a service, even if all its replicas repeatedly end as done', () => {
     const cluster = serviceCluster(identicalWorkers(6));
     const job = cluster.add({ tasks: 2 });
     cluster.run(5);
