--- a/src/controller/leader/pass-scheduler.ts
+++ b/src/controller/leader/pass-scheduler.ts
@@ -4,7 +4,7 @@
 import type { Settings } from '../settings/settings.js';
 
 /** Minimum pause after a pass, as a multiple of the total duration of its slices. */
-const PASS_REST_FACTOR = 3;
+const PASS_PAUSE_FACTOR = 3;
 
 /** The methods of `Placement` that the scheduler calls. */
 export type SlicedPlacement = Pick<Placement, 'passInProgress' | 'begin' | 'advance'>;
@@ -67,7 +67,7 @@
       this.settings.heartbeatIntervalMs * this.settings.get('placement.interval.ratio');
     return Math.max(
       this.passStartedAt + minIntervalMs - now,
-      this.lastSliceEndedAt + this.passDurationMs * PASS_REST_FACTOR - now,
+      this.lastSliceEndedAt + this.passDurationMs * PASS_PAUSE_FACTOR - now,
     );
   }
 
