--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -13,14 +13,14 @@
 /** Creates a scheduler of passes that take `sliceCount` slices of `sliceMs` each. */
 function setUp(sliceCount: number, sliceMs: number) {
   const runtime = new ManualRuntime();
-  const seen = { begun: 0, finished: [] as number[] };
+  const passes = { begun: 0, finished: [] as number[] };
   let slicesLeft = 0;
   const placement = {
     get passInProgress(): boolean {
       return slicesLeft > 0;
     },
     begin: () => {
-      seen.begun++;
+      passes.begun++;
       slicesLeft = sliceCount;
     },
     advance: () => {
@@ -30,9 +30,9 @@
   };
   const eventLoop = new EventLoop(runtime, silentLogger);
   const scheduler = new PassScheduler(eventLoop, settings, placement, (durationMs) =>
-    seen.finished.push(durationMs),
+    passes.finished.push(durationMs),
   );
-  return { runtime, seen, scheduler };
+  return { runtime, seen: passes, scheduler };
 }
 
 describe('PassScheduler', () => {
