--- a/src/controller/leader/isolation.test.ts
+++ b/src/controller/leader/isolation.test.ts
@@ -62,6 +62,6 @@
       statuses: peers(0),
     },
   ];
-  for (const { title, expected, reach, statuses } of cases)
-    it(title, () => assert.equal(isIsolated(reach, statuses), expected));
+  for (const { title, expected, reach: reachability, statuses } of cases)
+    it(title, () => assert.equal(isIsolated(reachability, statuses), expected));
 });
