--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -46,7 +46,8 @@
   { now, wallClockMs }: ClockReading,
 ): void {
   if (!isMap(value) || !Array.isArray(value['classes'])) return;
-  const toControllerClock = (at: unknown): number => now - Math.max(0, wallClockMs - Number(at));
+  const toControllerClock = (wallClockTime: unknown): number =>
+    now - Math.max(0, wallClockMs - Number(wallClockTime));
   table.extendObservation(toControllerClock(value['since']));
   // Earlier versions stored several classes in one record.
   for (const record of value['classes'] as unknown[]) {
