--- a/src/controller/placement/placement.ts
+++ b/src/controller/placement/placement.ts
@@ -82,16 +82,16 @@
       isSchedulable(machine, now, workers),
     );
     this.preemptor = new Preemptor(eventLoop, settings, workers, policy);
-    const parts = {
+    const sharedDependencies = {
       ...{ eventLoop, settings, records, teamUsage, estimator, startDeadlines },
       preemptor: this.preemptor,
       candidateFinder: new CandidateFinder(settings, estimator),
       reservationCandidateFinder: new ReservationCandidateFinder(settings, estimator, policy),
       taskStarter: new TaskStarter(workers, () => hooks.attemptsExhausted()),
     };
-    this.reservations = new GangReservations(parts);
-    this.gangPlacer = new GangPlacer({ ...parts, reservations: this.reservations });
-    this.independentTaskPlacer = new IndependentTaskPlacer(parts);
+    this.reservations = new GangReservations(sharedDependencies);
+    this.gangPlacer = new GangPlacer({ ...sharedDependencies, reservations: this.reservations });
+    this.independentTaskPlacer = new IndependentTaskPlacer(sharedDependencies);
   }
 
   /** Restores the reservations recorded by earlier leaders; called after a failover. */
