--- a/src/controller/leader/isolation.test.ts
+++ b/src/controller/leader/isolation.test.ts
@@ -26,42 +26,42 @@
     {
       title: 'is true if most machines are overdue and peers redirect a tenth of all heartbeats',
       expected: true,
-      reach: workers(0.6, 0),
+      reachability: workers(0.6, 0),
       statuses: peers(4, 6),
     },
     {
       title: 'is false if peers redirect less than a tenth of all heartbeats',
       expected: false,
-      reach: workers(0.6, 0),
+      reachability: workers(0.6, 0),
       statuses: peers(4, 5),
     },
     {
       title: 'is false if peers redirect heartbeats but only half of the machines are overdue',
       expected: false,
-      reach: workers(0.5, 1),
+      reachability: workers(0.5, 1),
       statuses: peers(100),
     },
     {
       title:
         'is true if no peer sends a status and more than nine tenths of the machines are unresponsive',
       expected: true,
-      reach: workers(0, 0.95),
+      reachability: workers(0, 0.95),
       statuses: peers(),
     },
     {
       title: 'is false if no peer sends a status and a tenth of the machines respond',
       expected: false,
-      reach: workers(0, 0.9),
+      reachability: workers(0, 0.9),
       statuses: peers(),
     },
     {
       title:
         'is false if more than nine tenths of the machines are unresponsive but a peer sends its status',
       expected: false,
-      reach: workers(0, 0.95),
+      reachability: workers(0, 0.95),
       statuses: peers(0),
     },
   ];
-  for (const { title, expected, reach: reachability, statuses } of cases)
+  for (const { title, expected, reachability, statuses } of cases)
     it(title, () => assert.equal(isIsolated(reachability, statuses), expected));
 });
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -42,8 +42,8 @@
 
   /**
    * Loads the statistics that previous leaders recorded, and then counts the first active job of each class
-   * without a record. Recorded statistics are loaded first because they would be ignored if the class already
-   * had newer ones, from a counted job.
+   * without a record. Recorded statistics are loaded first: they would be ignored if a counted job had
+   * already given the class newer statistics.
    * @param activeJobs - all active jobs; they must have been read before
    */
   load(records: Pick<RecordStore, 'list'>, activeJobs: Iterable<Job>): void {
--- a/src/controller/leader/pass-scheduler.test.ts
+++ b/src/controller/leader/pass-scheduler.test.ts
@@ -32,40 +32,40 @@
   const scheduler = new PassScheduler(eventLoop, settings, placement, (durationMs) =>
     passes.finished.push(durationMs),
   );
-  return { runtime, seen: passes, scheduler };
+  return { runtime, passes, scheduler };
 }
 
 describe('PassScheduler', () => {
   it('runs one slice in each step and reports the total duration of the slices', () => {
-    const { seen, scheduler } = setUp(3, 10);
+    const { passes, scheduler } = setUp(3, 10);
     scheduler.step();
     scheduler.step();
-    assert.deepEqual(seen.finished, []);
+    assert.deepEqual(passes.finished, []);
     scheduler.step();
-    assert.deepEqual(seen, { begun: 1, finished: [30] });
+    assert.deepEqual(passes, { begun: 1, finished: [30] });
   });
 
   it('starts no second pass until one is requested', () => {
-    const { runtime, seen, scheduler } = setUp(1, 1);
+    const { runtime, passes, scheduler } = setUp(1, 1);
     scheduler.step();
     runtime.advance(intervalMs * 10);
     scheduler.step();
-    assert.equal(seen.begun, 1);
+    assert.equal(passes.begun, 1);
     scheduler.request();
     scheduler.step();
-    assert.equal(seen.begun, 2);
+    assert.equal(passes.begun, 2);
   });
 
   it('waits after a pass for three times its duration if that exceeds the interval between passes', () => {
     const durationMs = intervalMs;
-    const { runtime, seen, scheduler } = setUp(1, durationMs);
+    const { runtime, passes, scheduler } = setUp(1, durationMs);
     scheduler.step();
     scheduler.request();
     runtime.advance(durationMs * 3 - 1);
     scheduler.step();
-    assert.equal(seen.begun, 1);
+    assert.equal(passes.begun, 1);
     runtime.advance(1);
     scheduler.step();
-    assert.equal(seen.begun, 2);
+    assert.equal(passes.begun, 2);
   });
 });
--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -59,7 +59,7 @@
 /** Returns null if the value is not a class record of this version. */
 function readClassStatistics(
   record: unknown,
-  toControllerClock: (at: unknown) => number,
+  toControllerClock: (wallClockTime: unknown) => number,
 ): ClassStatistics | null {
   if (!isMap(record) || !isMap(record['images'])) return null;
   const images = Object.entries(record['images']);
--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -13,7 +13,10 @@
   weight: number;
   /** When the latest job was submitted, on the controller's monotonic clock in ms. */
   updatedAt: number;
-  /** Decaying maximum of the number of tasks in one job, limited to the number that headroom is kept for. */
+  /**
+   * Decaying maximum of the number of tasks in one job, but at most `MAX_LARGEST_JOB_TASKS`, the number of
+   * tasks of one job that headroom is kept for.
+   */
   largestJobTasks: number;
   /** Decaying number of jobs, by image. */
   images: Map<string, number>;
@@ -31,8 +34,8 @@
 const MAX_LARGEST_JOB_TASKS = 4;
 
 /**
- * Minimum decaying count of the submitted tasks of a class. A class below it is removed, which happens several
- * decay time constants after its last job.
+ * Minimum decaying count of the submitted tasks of a class. A class with a lower count is removed. This
+ * happens several decay time constants after its last job.
  */
 const MIN_WEIGHT = 0.005;
 
--- a/src/controller/placement/image-affinity.test.ts
+++ b/src/controller/placement/image-affinity.test.ts
@@ -5,7 +5,7 @@
 describe('placement of a job array whose image is not on the free machine', () => {
   // Guards against array tasks that start on the first free machine regardless of images: in benchmark
   // scenarios with hundreds of machines, a third of all GPUs then waited for images that another machine had.
-  it('lets a job whose image is on the machine go first if its own start deadline is far away', () => {
+  it('lets a job whose image is on the machine go first if the start deadline of the array is far away', () => {
     const cluster = batchCluster();
     cluster.run(3);
     const array = { deadlineS: 50_000, estimatedRunS: 500 };
@@ -18,13 +18,13 @@
     assert.ok(cluster.complete('req-x'));
     cluster.run(4);
     assert.deepEqual([cluster.taskCount('req-first'), cluster.taskCount('req-second')], [0, 1]);
-    // No other job waits for the next freed machine, so req-first starts on it although the image differs.
+    // No other job waits for the next freed machine, so req-first starts on it and fetches its image.
     assert.ok(cluster.complete('req-x'));
     cluster.run(4);
     assert.equal(cluster.taskCount('req-first'), 1);
   });
 
-  it('uses the machine in order of rank if its own start deadline is close', () => {
+  it('uses the machine in order of rank if the start deadline of the array is close', () => {
     const cluster = batchCluster();
     cluster.run(3);
     const array = { deadlineS: 50_000, estimatedRunS: 500 };
--- a/src/controller/placement/pass/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -7,7 +7,7 @@
 /** The tasks of a job for which a pass found no free capacity. */
 export interface Shortage {
   job: Job;
-  /** Number of tasks of the job without free capacity. */
+  /** Number of tasks of the job for which the pass found no free capacity. */
   tasks: number;
 }
 
--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -92,8 +92,8 @@
 }
 
 /**
- * Picks machines for all of the gang's tasks, in the order of `candidates`. If `zone` is not null, it picks
- * only machines of this zone. Returns null if the machines have too little capacity for the whole gang.
+ * Picks machines for all of the gang's tasks, in the order of `candidates`. If `zone` is not null, skips
+ * the machines of other zones. Returns null if the machines have too little capacity for the whole gang.
  */
 export function pickForGang(
   { spec }: Job,
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -22,8 +22,8 @@
 const KEY_PREFIX = 'h/';
 
 /**
- * Preemption may always begin this many heartbeat intervals before the expected fill of a reservation, and
- * earlier if the victims need longer to save their checkpoints.
+ * Minimum lead time of preemption before the expected fill of a reservation, in heartbeat intervals. The lead
+ * time is longer if the victims need more time to save their checkpoints.
  */
 const PREEMPTION_LEAD_TIME_INTERVALS = 3;
 
