--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -2,11 +2,11 @@
  * Lets a leader answer workers beyond its lease during an outage of the state store. Workers stop their
  * tasks if they get no answer for the duration of a worker lease, and an outage may last longer.
  *
- * The leader periodically requests a lease grant from every other controller: a promise not to act as
- * leader for a short time. Once all have granted it, the leader may answer workers for that time, counted
- * from when it sent the requests. So at every moment since its last renewal, either the leader held its
- * lease or all other controllers were bound by grants. In both cases no other leader has acted. If there was
- * a gap between the lease and the grants, or between two rounds of grants, the extension lapses. No further
+ * The leader periodically requests a lease grant from every other controller: a promise not to act as leader
+ * for a short time. Once all have granted it, the leader may answer workers for that time, counted from when
+ * it sent the requests. So at every moment since the lease was last renewed, either the leader held its lease
+ * or all other controllers were bound by grants. In both cases no other leader has acted. If there was a gap
+ * between the lease and the grants, or between two rounds of grants, the extension lapses. No further
  * extension begins until the lease has been renewed (design.md, invariant 1: only one leader acts at a time).
  */
 import type { EventLoop } from '../runtime/event-loop.js';
--- a/src/controller/placement/capacity/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -29,7 +29,7 @@
   return Math.ceil(spec.tasks / 2);
 }
 
-/** Returns how many more tasks of a spread job are allowed in a zone that has `tasks` of them. */
+/** Returns how many more tasks of a spread job are allowed in a zone that has `tasks` tasks of the job. */
 export function spreadAllowance(spec: JobSpec, tasks: number): number {
   return spreadLimit(spec) - tasks;
 }
--- a/src/controller/placement/pass/placement-pass.ts
+++ b/src/controller/placement/pass/placement-pass.ts
@@ -24,8 +24,8 @@
     readonly cluster: ClusterCapacity,
     private readonly queue: QueuedJob[],
     /**
-     * Lowest priority level among the jobs with assigned tasks. A job at this level or below outranks none
-     * of them by its priority.
+     * Lowest priority level among the jobs with assigned tasks. The priority of a job at this level or below
+     * does not allow it to preempt any task.
      */
     readonly lowestLevel: number,
   ) {
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Returns the rank of a job as a virtual submission time: when a job of the lowest priority without start
- * deadlines would have to be submitted to get the same rank. All jobs age at the same rate, so the order of
+ * Returns the rank of a job as a virtual submission time. A job of the lowest priority without start
+ * deadlines that is submitted at this time has the same rank. All jobs age at the same rate, so the order of
  * two jobs rarely changes while they wait. Every job eventually ranks before all newly submitted jobs, so no
  * job starves.
  *
--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Returns whether a gang that fits now should wait nevertheless, because it can run earlier on machines
-   * that will be free soon than on the picked ones, which have to fetch its image.
+   * Returns whether a gang that fits now should wait nevertheless. The picked machines have to fetch its image,
+   * so the gang may run earlier on other machines that will be free soon.
    */
   private worthWaiting(pass: PlacementPass, job: Job, picked: readonly Candidate[]): boolean {
     const { estimator, reservations, settings } = this.parts;
--- a/src/controller/placement/search/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -11,10 +11,10 @@
 }
 
 /**
- * Yields one machine at a time, each for one replica of the service, best first, so that the failure of a
- * machine or a zone affects few replicas. Whether a machine has the image counts more than the spread, but a
- * machine with at least half of the replicas comes after all others. If the caller starts no replica on a
- * yielded machine, that machine is not yielded again.
+ * Yields machines for the replicas of the service, one per replica, best first. The replicas are spread so
+ * that the failure of a machine or a zone affects few of them. Whether a machine has the image counts more
+ * than the spread, but a machine with at least half of the replicas comes after all others. If the caller
+ * starts no replica on a yielded machine, that machine is not yielded again.
  */
 export function* spreadReplicas(job: Job, candidates: readonly Candidate[]): Generator<Candidate> {
   const { machines, zones } = countReplicas(job);
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -111,7 +111,7 @@
     return bestIndex;
   }
 
-  /** By how many ms a reserved machine may be ready later than another without losing its reservation. */
+  /** A reserved machine is kept unless another machine can be ready earlier by more than this many ms. */
   private get stickinessMs(): number {
     return this.settings.heartbeatIntervalMs * this.settings.get('placement.hold.kept.ratio');
   }
