--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -27,7 +27,10 @@
 
 /** The components of a controller that exist independently of its terms as leader. */
 export class ControllerComponents implements LeaderEnvironment, ApiContext {
-  /** Null until it is set, after the start, because loading the module would delay the start. */
+  /**
+   * Sink for this node's metrics; null until it is set, after the start, because loading it takes
+   * time.
+   */
   metrics: MetricsSink | null = null;
   readonly redirectedHeartbeats: DecayingRate;
   readonly learned: LearnedStatistics;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -36,7 +36,7 @@
     this.router = new Router(this.components);
   }
 
-  /** The sink for this node's metrics. Loading it would delay the start, so it is set afterwards. */
+  /** Sink for this node's metrics. It is set after the start, because loading it takes time. */
   set metrics(metrics: MetricsSink) {
     this.components.metrics = metrics;
   }
--- a/src/controller/jobs/api-response.ts
+++ b/src/controller/jobs/api-response.ts
@@ -9,13 +9,15 @@
 /** A response to one request. */
 export interface ApiResponse {
   status: number;
-  /** Encoded as CBOR. The response has an empty body if this is absent. */
+  /**
+   * The body before it is encoded as CBOR; absent if the response has no body or an encoded one.
+   */
   body?: unknown;
-  /** Sent instead of `body`. */
+  /** A body that is already encoded, which is sent instead of `body`. */
   encodedBody?: EncodedBody;
   /** Value of the Retry-After header in seconds. */
   retryAfterS?: number;
-  /** Value of the Allow header: the method that the path supports; set if the request's differs. */
+  /** Value of the Allow header: the supported method, if the request used another one. */
   allow?: string;
 }
 
--- a/src/controller/jobs/job-end-recorder.ts
+++ b/src/controller/jobs/job-end-recorder.ts
@@ -7,9 +7,12 @@
 import type { TerminalState } from '../wire/jobs.js';
 import { activeKey, terminalKey, terminalRecord, terminalStateIn } from './job-records.js';
 
-/** Delay before a failed attempt to record or read a terminal state is repeated, in ms. */
+/** Delay in ms before recording or reading a terminal state is tried again. */
 const READ_RETRY_MS = 200;
-/** The same delay while the state store is unavailable, in ms. */
+/**
+ * Delay in ms before recording or reading a terminal state is tried again while the state store is
+ * unavailable.
+ */
 const READ_RETRY_UNAVAILABLE_MS = 1000;
 
 /** Time-out for reading a terminal record, as a ratio of the leader's lease. */
@@ -18,8 +21,8 @@
 /**
  * Records that jobs are done, and reads the terminal states of jobs that another node has ended. A
  * terminal state never changes once reported (invariant 3), so it is never inferred from the
- * removal of an active record. A leader that has not noticed yet that it was replaced also sees its
- * successor remove active records, and the jobs of these records may be done, not cancelled.
+ * removal of an active record. The removal need not be due to a cancellation: a leader that has not
+ * noticed yet that it was replaced also sees its successor remove the active records of done jobs.
  */
 export class JobEndRecorder {
   /** @param onTerminal - called, possibly more than once, when a terminal state has been recorded */
@@ -54,9 +57,9 @@
   }
 
   /**
-   * Reads the terminal record of a job that another node has ended or may have ended. If it is not
-   * found, retries after a delay: reads it again if the active record was removed by another
-   * writer, or else tries again to record that the job is done.
+   * Reads the terminal record of a job that another node has ended or may have ended. Retries after
+   * a delay if it gets no terminal state. If another writer removed the active record, the retry
+   * reads the terminal record again. Otherwise it tries again to record that the job is done.
    */
   readTerminalState(job: Job): void {
     const timeoutMs = this.settings.leaderLeaseMs * READ_TIMEOUT_RATIO;
--- a/src/controller/jobs/job-state-cache.ts
+++ b/src/controller/jobs/job-state-cache.ts
@@ -46,7 +46,7 @@
     if (!this.isActive(id)) this.activeVersions.set(id, VERSION_UNKNOWN);
   }
 
-  /** Removes the job from the active ones, since its record is gone or has another version. */
+  /** Forgets that the job is active. Called if its record is gone or has another version. */
   forgetActive(id: string): void {
     this.activeVersions.delete(id);
   }
--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -85,7 +85,7 @@
   });
 
   describe('when a job is added', () => {
-    it('adds it only once, and reports pending tasks', () => {
+    it('contains the job only once, and reports pending tasks', () => {
       const record = activeRecord(arraySpec({ id: ID }), 0);
       fixture.table.add(ID, record, VERSION);
       fixture.table.add(ID, record, VERSION + 1);
@@ -113,7 +113,7 @@
   });
 
   describe('when tasks are done', () => {
-    it('records each with the next flush, and the end of the job when all are done', () => {
+    it('records each task at the next flush, and the end of the job when all tasks are done', () => {
       const job = fixture.add();
       fixture.table.markDone(job, 0);
       fixture.table.markDone(job, 0);
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -14,7 +14,7 @@
 export interface JobTableHooks {
   /** A job was added to the table. */
   onJobAdded(job: Job): void;
-  /** More tasks wait to be placed. */
+  /** At least one task was added to those that wait to be placed. */
   onTasksPending(): void;
   /** Recovery found a gang with missing members or members of different attempts. All members must stop. */
   onIncompleteGang(job: Job): void;
@@ -120,9 +120,10 @@
   }
 
   /**
-   * Marks a task as done, because a heartbeat has reported its completion or that of another member
-   * of its gang. The worker may be sent the command to clear the task only after the completion has
-   * been recorded (invariant 4). Has no effect on replicas of services, which are never done.
+   * Marks a task as done. Called when a heartbeat has reported the completion of the task or of
+   * another member of its gang. The worker may be sent the command to clear the task only after the
+   * completion has been recorded (invariant 4). Has no effect on replicas of services, which are
+   * never done.
    */
   markDone(job: Job, task: number): void {
     if (job.terminalState !== null || job.isService || job.done[task] === 1) return;
@@ -157,9 +158,9 @@
   // ---- end
 
   /**
-   * Handles the removal of a job's active record. Does nothing if that was handled before, or if
-   * this leader is recording the end of the job itself. In most cases a user has cancelled the job,
-   * but it may also have been completed by a successor of this leader.
+   * Handles the removal of a job's active record. Does nothing if the removal was handled before,
+   * or if this leader is recording the end of the job itself. In most cases a user has cancelled
+   * the job, but a successor of this leader may also have recorded that the job is done.
    */
   handleRecordRemoved(id: string): void {
     const job = this.jobs.get(id);
--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -30,8 +30,8 @@
  * therefore answer a worker only if it knows every cancellation that was confirmed to a user more
  * than `Settings.maxWatchStalenessMs` ago (invariant 8). Holding the leader's lease doesn't
  * guarantee this, because the lease may be renewed while watch requests are refused, delayed or
- * slow. An answered read of the state store does: it shows everything that was confirmed before the
- * read was sent.
+ * slow. An answered read of the state store guarantees it, because the response shows everything
+ * that was confirmed before the read was sent.
  */
 export class JobWatch {
   /** When the latest answered read was sent, by this node's monotonic clock. */
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Makes the view stale until a read that is sent from now on has been answered. Called after an
+   * Treats the view as stale until a read that is sent after this call is answered. Called after an
    * interruption, for instance when the leader's lease had expired before it was renewed.
    */
   requireFreshRead(): void {
@@ -119,7 +119,7 @@
     });
   }
 
-  /** Reads all active records, because the state store has dropped changes since the last read. */
+  /** Reads all active records. Called if the state store lacks changes since the last read. */
   private readSnapshot(): void {
     const requestNumber = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -18,8 +18,8 @@
 export type RecordedStateCallback = (state: RecordedState) => void;
 
 /**
- * Maximum number of query transactions per heartbeat interval for active jobs, and the same number
- * for all other jobs. Transactions that are full are sent in addition.
+ * Maximum number of query transactions per heartbeat interval. It applies separately to active jobs
+ * and to all other jobs. Full transactions are sent without regard to this maximum.
  */
 const QUERIES_PER_HEARTBEAT = 25;
 
--- a/src/controller/jobs/submissions.test.ts
+++ b/src/controller/jobs/submissions.test.ts
@@ -67,7 +67,7 @@
   });
 });
 
-describe('a valid submission of a service that is changed', () => {
+describe('a valid submission of a service', () => {
   const refusalCases: [condition: string, overrides: object, status: number][] = [
     ['is a gang without an estimated run time', { shape: 'gang' }, 400],
     ['is an array without an estimated run time', { shape: 'batch' }, 400],
@@ -79,6 +79,6 @@
     ['must be spread but has only one usable zone', { scatter: true }, 422],
   ];
   for (const [condition, overrides, status] of refusalCases)
-    it(`so that it ${condition} gets ${status}`, () =>
+    it(`gets ${status} if it is changed so that it ${condition}`, () =>
       assert.equal(statusOfSubmission({ ...serviceSubmission, ...overrides }), status));
 });
