--- a/src/controller/model/entities.ts
+++ b/src/controller/model/entities.ts
@@ -67,10 +67,10 @@
    */
   state: TaskState | null;
   /**
-   * Only heartbeats with a higher sequence number than this can prove that the task is missing. It
-   * is the number of the heartbeat whose response carried the start. For a direct start it is the
-   * number of the worker's response, and until that arrives, of the last heartbeat before the call.
-   * null if this leader has not sent the start.
+   * Sequence number that a heartbeat must exceed to prove that the task is missing; null if this
+   * leader has not sent the start. After a start in the response to a heartbeat, it is the number of
+   * that heartbeat. After a direct start, it is the number of the last heartbeat before the call
+   * until the worker responds, and then the number in the response.
    */
   startSentSequence: number | bigint | null;
   /**
@@ -79,7 +79,8 @@
    */
   runningAt: number | null;
   /**
-   * Number of the last heartbeat that listed the task; see `HeartbeatInProgress.heartbeatNumber`.
+   * Number of the last heartbeat that listed the task, among the heartbeats of all machines in this
+   * term; 0 if none has listed it.
    */
   lastHeartbeatNumber: number;
   /** The stop that has been requested; null if there is none. */
--- a/src/controller/model/job.ts
+++ b/src/controller/model/job.ts
@@ -47,7 +47,7 @@
  */
 export type JobEnding = 'recording-done' | 'record-removed';
 
-/** The part of an assignment that a job uses. */
+/** The fields of an assignment that a job uses. */
 interface TaskAssignment {
   readonly state: TaskState | null;
 }
@@ -60,23 +60,26 @@
   // ---- tasks
 
   /**
-   * Indexed by task: 1 if a heartbeat has reported the task as done, or if its completion was on
-   * record.
+   * Indexed by task: 1 if the task is done according to a heartbeat, or to a record of an earlier
+   * leader.
    */
   readonly done: Uint8Array;
   /** Indexed by task: 1 if the completion of the task is recorded in the state store. */
   readonly doneRecorded: Uint8Array;
   doneCount = 0;
   doneRecordedCount = 0;
-  /** Tasks that are neither done nor assigned. */
+  /** Tasks that wait to be placed. */
   readonly pending: PendingTasks;
   /** The assignment of the latest attempt, for each task that has one. */
   readonly currentAssignments = new Map<number, TAssignment>();
-  /** All assignments of its tasks, including older attempts and ended ones still on record. */
+  /**
+   * All assignments of the job's tasks, also older attempts and ended ones that are still on
+   * record.
+   */
   readonly allAssignments = new Set<TAssignment>();
-  /** Number of ended attempts of its tasks, by exit cause. */
+  /** Number of ended attempts of the job's tasks, by exit cause. */
   exitCounts: Record<string, number> = {};
-  /** Whether its status may have changed since it was last sent to the other controllers. */
+  /** Whether the job's status may have changed since it was last sent to the other controllers. */
   progressChanged = true;
 
   // ---- end
@@ -108,7 +111,7 @@
   reservation: GangReservation | null = null;
   /** Reason why the job waits, shown to its user; empty if there is none. */
   blockedReason = '';
-  /** How often its tasks were preempted for other jobs; each preemption raises the job's rank. */
+  /** How often the job's tasks were preempted for other jobs; each time raises the job's rank. */
   preemptionCount = 0;
   /**
    * Until this time the job is placed before all other jobs, because tasks were preempted for it.
@@ -117,7 +120,7 @@
   preemptionClaimUntil = -Infinity;
   /** When the scheduler last searched for tasks to preempt in favour of this array job. */
   preemptionSearchedAt = -Infinity;
-  /** Attempt number shared by tasks that are started individually; 0 if none was drawn yet. */
+  /** Attempt number shared by tasks that are started individually; 0 before the first one. */
   private sharedAttempt = 0;
   /** Tasks that were assigned with the number `sharedAttempt`. */
   private readonly startedInAttempt = new Set<number>();
@@ -142,8 +145,8 @@
   }
 
   /**
-   * Whether the job is a service: its tasks run until it is cancelled, and each that ends is
-   * replaced.
+   * Whether the job is a service. The replicas of a service run until the job is cancelled, and a
+   * replica that ends is replaced.
    */
   get isService(): boolean {
     return this.spec.kind === 'service';
--- a/src/controller/model/machine.ts
+++ b/src/controller/model/machine.ts
@@ -5,7 +5,7 @@
 import { adjustCount } from './keyed-counts.js';
 import { MachineRecordSize, type RecordedAssignment } from './machine-record-size.js';
 
-/** The part of an assignment that a machine uses. */
+/** The fields of an assignment that a machine uses. */
 interface MachineAssignment extends RecordedAssignment {
   readonly job: { readonly spec: Pick<JobSpec, 'class'> } | null;
 }
@@ -74,16 +74,20 @@
   /** The highest fencing token that the worker has reported. */
   highestAcknowledgedToken: number | bigint = 0;
   /**
-   * Number of consecutive heartbeats that lacked a task whose start was sent to the worker before.
+   * Number of heartbeats that lacked a task whose start had been sent to the worker. Reset when a
+   * heartbeat shows that a message of the leader has reached the worker.
    */
   lostStartHeartbeats = 0;
-  /** `HeartbeatInProgress.heartbeatNumber` of the last heartbeat counted in `lostStartHeartbeats`. */
+  /**
+   * Number of the last heartbeat that was counted in `lostStartHeartbeats`, among the heartbeats of
+   * all machines in this term; 0 before the first.
+   */
   lastLostStartHeartbeat = 0;
   /**
    * Fencing tokens of the direct commands that started attempts in this agent epoch, by attempt
    * (see `attemptKey`). Until the worker reports a higher token, it may still carry out a copy of
-   * the command. Until then, a heartbeat without the task does not prove that the task is gone, and
-   * `clear` has to carry a higher token (invariant 6).
+   * the command, so a heartbeat without the task does not prove that the task is gone. `clear` has
+   * to carry a higher token, because workers refuse lower tokens than they have seen (invariant 6).
    */
   readonly directStartTokens = new Map<string, number>();
   /** Number of calls with direct commands that have not been answered. */
--- a/src/controller/runtime/event-loop.ts
+++ b/src/controller/runtime/event-loop.ts
@@ -9,7 +9,7 @@
   handle: Handler;
 }
 
-/** Largest number of events that are handled before the batch-end hooks run. */
+/** Maximum number of events that are handled before the batch-end hooks run. */
 const DEFAULT_BATCH_LIMIT = 64;
 
 /**
--- a/src/controller/runtime/heap-budget.ts
+++ b/src/controller/runtime/heap-budget.ts
@@ -44,8 +44,8 @@
 
 /**
  * Returns by how many percent the heap may grow beyond its size after a collection. That size is at
- * most `usedMb`, so the heap stays within `budgetMb` as long as `usedMb` plus `MIN_GROWTH_PERCENT` does
- * not exceed `budgetMb`.
+ * most `usedMb`, so the heap stays within `budgetMb` as long as `usedMb`, increased by `MIN_GROWTH_PERCENT`
+ * percent, does not exceed `budgetMb`.
  */
 export function growthPercent(usedMb: number, budgetMb: number): number {
   const percent = Math.floor((budgetMb / Math.max(1, usedMb) - 1) * 100);
--- a/src/controller/runtime/runtime.ts
+++ b/src/controller/runtime/runtime.ts
@@ -1,5 +1,5 @@
 /**
- * Interfaces of the process that a controller depends on: clocks, timers, random numbers, network and
+ * Interfaces through which a controller uses its process: clocks, timers, random numbers, network and
  * log. `node/` implements them with Node.js; the tests and the simulation use virtual time.
  */
 
@@ -11,7 +11,10 @@
 
 /** The response to a call. */
 export interface Reply {
-  /** HTTP status; 0 without a response: the request may have been carried out, or may be carried out later. */
+  /**
+   * HTTP status; 0 if no response arrived. The request may nevertheless have been carried out, or may be
+   * carried out later.
+   */
   status: number;
   /** The decoded body, or null if there is none. */
   body: unknown;
@@ -35,7 +38,9 @@
   readonly startedAt: number;
   /** Monotonic clock in milliseconds. Its origin is arbitrary, so values are local to this process. */
   now(): number;
-  /** Milliseconds since the Unix epoch. The clock may be set, so use it only to record or display times. */
+  /**
+   * Milliseconds since the Unix epoch. The clock may be adjusted, so use it only to record or display times.
+   */
   wallClock(): number;
   /** A random number, uniform in [0, 1). */
   random(): number;
--- a/src/controller/runtime/token-bucket.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -3,9 +3,9 @@
 const MS_PER_S = 1000;
 
 /**
- * Limits calls to an average of `ratePerS` and a burst of `burst`. A caller of low priority leaves
- * `reserve` tokens (a fraction of the burst) to callers of higher priority. Under load, status polls are
- * therefore delayed before submissions, and submissions before the leader's records and its lease.
+ * Limits calls to an average of `ratePerS` and a burst of `burst`. A caller of low priority passes a
+ * `reserve`: the fraction of the burst that it leaves to callers of higher priority. Under load, status polls
+ * are therefore delayed before submissions, and submissions before the leader's records and its lease.
  */
 export class TokenBucket {
   /** Number of tokens at `refilledAt`. It can be negative after `forceTake`. */
@@ -18,7 +18,7 @@
    *
    * @param now - monotonic clock in milliseconds
    * @param ratePerS - number of tokens that are added per second
-   * @param burst - largest number of tokens that the bucket holds
+   * @param burst - maximum number of tokens that the bucket holds
    */
   constructor(
     private readonly now: () => number,
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Removes all tokens and grants none for `pauseMs`. To be called when the service has refused a call
-   * for its rate: the service has then counted more calls than this bucket.
+   * Removes all tokens and grants none for `pauseMs`. Called when the service has refused a call
+   * because of the rate, which shows that the service has counted more calls than this bucket.
    */
   pauseFor(pauseMs: number): void {
     this.refill();
--- a/src/controller/wire/cbor.ts
+++ b/src/controller/wire/cbor.ts
@@ -28,7 +28,7 @@
   return value;
 }
 
-/** Returns whether a decoded value is a map. */
+/** Returns true if a decoded value is a map. */
 export function isMap(value: unknown): value is Fields {
   return (
     typeof value === 'object' &&
@@ -38,7 +38,7 @@
   );
 }
 
-/** Returns whether a decoded value is a list. */
+/** Returns true if a decoded value is a list. */
 export function isList(value: unknown): value is unknown[] {
   return Array.isArray(value);
 }
--- a/src/controller/wire/cloud.ts
+++ b/src/controller/wire/cloud.ts
@@ -17,15 +17,15 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Disk space for cached images. */
+  /** Disk space for cached images, in GB. */
   cacheGb: number;
-  /** Rate at which a machine fetches images. */
+  /** Rate at which a machine fetches images, in GB per second. */
   fetchGbPerS: number;
   /** Price per hour. */
   price: number;
   /** Price per hour of a spot machine. */
   spotPrice: number;
-  /** Nominal time from the launch of a machine until it runs. */
+  /** Nominal time from the launch of a machine until it runs, in seconds. */
   bootS: number;
   /** The zones in which the type is offered. */
   zones: string[];
@@ -39,7 +39,7 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Time since the launch was requested. */
+  /** Time since the launch was requested, in seconds. */
   ageS: number;
 }
 
--- a/src/controller/wire/jobs.ts
+++ b/src/controller/wire/jobs.ts
@@ -47,20 +47,20 @@
   spread: boolean;
   /** Whether the tasks may run on spot machines. */
   spot: boolean;
-  /** The submitter's estimate of how long a task runs. */
+  /** The submitter's estimate of how long a task runs, in seconds. */
   estimatedRunS: number;
-  /** Time between two checkpoints of a running task; 0 if tasks save none while they run. */
+  /** Seconds between two checkpoints of a running task; 0 if tasks save none while they run. */
   checkpointIntervalS: number;
-  /** Time that a task needs to save a checkpoint when it is stopped; 0 if it saves none. */
+  /** Seconds that a task needs to save a checkpoint when it is stopped; 0 if it saves none. */
   checkpointSaveS: number;
-  /** Time since the submission within which the job should end; null if it has no deadline. */
+  /** Seconds after the submission by which the job should end; null if it has no deadline. */
   deadlineS: number | null;
 }
 
-/** Largest number of tasks of a job. */
+/** Maximum number of tasks of a job. */
 export const MAX_TASKS = 100_000;
 const JOB_ID = /^req-[0-9A-Za-z._-]{1,64}$/;
-/** Largest length of a name in a submission (class, team, image or zone), in characters. */
+/** Maximum length of a name in a submission (class, team, image or zone), in characters. */
 const MAX_NAME_LENGTH = 200;
 
 const kindsByName: Record<string, JobKind> = { batch: 'array', gang: 'gang', standing: 'service' };
@@ -84,7 +84,7 @@
   cancelled: 'aborted',
 };
 
-/** Returns whether a string has the form of a job id. */
+/** Returns true if the string has the form of a job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
@@ -105,11 +105,11 @@
 }
 
 /**
- * Largest number of machine types in a submission. With `MAX_TYPE_NAME_LENGTH`, it keeps the record of a job
- * far below the largest value that the state store accepts.
+ * Maximum number of machine types in a submission. Together with `MAX_TYPE_NAME_LENGTH`, it keeps the
+ * record of a job far below the largest value that the state store accepts.
  */
 const MAX_TYPES = 64;
-/** Largest length of the name of a machine type, in characters. */
+/** Maximum length of the name of a machine type, in characters. */
 const MAX_TYPE_NAME_LENGTH = 64;
 
 function readTypeNames(map: Fields): string[] | null {
--- a/src/controller/wire/state-requests.ts
+++ b/src/controller/wire/state-requests.ts
@@ -20,8 +20,8 @@
 }
 
 /**
- * Request to read up to `limit` keys that start with `prefix`: the first ones that sort after the key `after`,
- * or the first ones of all if `after` is null.
+ * Request to read up to `limit` keys that start with `prefix`, in ascending order: the first ones after the
+ * key `after`, or from the first key on if `after` is null.
  */
 export function readRangeRequest(
   prefix: string,
--- a/src/controller/wire/state.ts
+++ b/src/controller/wire/state.ts
@@ -29,7 +29,7 @@
 export type WatchEvent =
   { kind: 'put'; key: string; value: unknown; version: number } | { kind: 'delete'; key: string };
 
-/** Largest accepted revision, version or lease id. No deployment runs long enough to come near 2^53. */
+/** Maximum accepted revision, version or lease id. No deployment runs long enough to come near 2^53. */
 const MAX_INTEGER = Number.MAX_SAFE_INTEGER;
 
 function requireStateMap(body: unknown): Fields {
@@ -74,7 +74,7 @@
   return readTexts(requireStateMap(body), 'failed');
 }
 
-/** Returns whether the body of a response with status 400 says that the lease no longer exists. */
+/** Returns true if the body of a response with status 400 says that the lease no longer exists. */
 export function isLeaseNotFound(body: unknown): boolean {
   return isMap(body) && body['error'] === 'no such lease';
 }
--- a/src/controller/wire/workers.ts
+++ b/src/controller/wire/workers.ts
@@ -25,7 +25,7 @@
   | 'no_room'
   | 'busy'
   | 'unknown'
-  /** A cause that this version does not know; such an exit is treated like an unexplained one. */
+  /** A cause that this version does not know. It is treated like the cause `unknown`. */
   | 'other';
 
 /** State of one task in a heartbeat. */
@@ -52,15 +52,15 @@
   agentEpoch: number;
   /** Number of the heartbeat, which increases with each heartbeat of the same epoch. */
   sequence: Int;
-  /** The highest fencing token that the worker has seen. The worker rejects lower tokens (invariant 6). */
+  /** The highest fencing token that the worker has seen. The worker refuses lower tokens (invariant 6). */
   fencingToken: Int;
-  /** Time until the spot machine is interrupted; null if no interruption notice was given. */
+  /** Seconds until the spot machine is interrupted; null if no interruption notice was given. */
   spotNoticeS: number | null;
   tasks: TaskStatus[];
 }
 
 /**
- * A command to a worker about the task with this name. After `stop` the task has `graceS` seconds to save a
+ * A command to a worker about the task `name`. After `stop` the task has `graceS` seconds to save a
  * checkpoint. `forget` removes an exited task from the worker.
  */
 export type WorkerCommand =
