--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -39,8 +39,8 @@
 /** Events that `DirectCommands` raises. */
 export interface DirectCommandEvents {
   /**
-   * A worker refused commands and reported a fencing token of this term, so it has seen a leader of
-   * that term.
+   * A worker refused commands and reported a fencing token of the term `term`, so it has seen the
+   * leader of that term.
    */
   termReported(term: number): void;
 }
@@ -48,8 +48,8 @@
 /**
  * Sends starts and stops to workers without delay. Responses to heartbeats repeat them until they
  * take effect. Starts are sent only to a worker that has acknowledged this term in its agent epoch.
- * Such a worker can carry out a late copy of the call only until it sees a raised fencing token or
- * its agent epoch ends (invariant 6: workers refuse tokens lower than the highest they have seen).
+ * The worker can carry out a late copy of the call until a higher fencing token reaches it or its
+ * agent epoch ends (invariant 6: workers refuse tokens lower than the highest they have seen).
  */
 export class DirectCommands {
   private readonly dueMachines = new Set<Machine>();
--- a/src/controller/workers/failure-tracker.ts
+++ b/src/controller/workers/failure-tracker.ts
@@ -22,7 +22,8 @@
 const BACKOFF_MAX_DOUBLINGS = 5;
 
 /**
- * Outcomes of a service replica after which the service avoids the machine, which may be the cause.
+ * Outcomes of a replica after which its service avoids the machine, because the machine may be the
+ * cause.
  */
 const REPLICA_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'done',
@@ -33,8 +34,8 @@
 ]);
 
 /**
- * Outcomes that do not count as a failure. Except for a service, no task of the job is placed for
- * one heartbeat interval after them.
+ * Outcomes that do not count as failures. After one of them, no task of the job is placed for one
+ * heartbeat interval, unless the job is a service.
  */
 const UNEXPLAINED_EXITS: ReadonlySet<AssignmentOutcome> = new Set<AssignmentOutcome>([
   'busy',
@@ -84,7 +85,8 @@
 
   /**
    * Makes the service avoid the machine on which a replica exited, so that the replica runs on
-   * another machine. The time doubles with each such exit.
+   * another machine. The time for which the machine is avoided doubles with each exit of a replica
+   * on it, up to a maximum.
    */
   private avoidMachine(machine: Machine, job: Job, now: number): void {
     const replicaExits = (job.avoidedMachines.get(machine.id)?.replicaExits ?? 0) + 1;
--- a/src/controller/workers/fencing-token-sync.test.ts
+++ b/src/controller/workers/fencing-token-sync.test.ts
@@ -16,7 +16,7 @@
     machine.expectedToken = fencingTokens.currentToken(machine);
   });
 
-  it('treats the token as acknowledged once a heartbeat reports the expected one of this term', () => {
+  it('treats the token as acknowledged once a heartbeat reports the expected token', () => {
     assert.ok(!fencingTokens.acknowledge(machine, makeFencingToken(TERM - 1, 9)));
     const laterLeaderToken = makeFencingToken(TERM + 1, 0);
     assert.ok(
@@ -37,7 +37,7 @@
     assert.ok(fencingTokens.acknowledge(machine, TOKEN + 1));
   });
 
-  it('raises the fencing epoch only once to void a direct start, until a heartbeat reports it', () => {
+  it('voids a direct start by raising the fencing epoch once, until a heartbeat reports that epoch', () => {
     assert.ok(!fencingTokens.voidDirectStart(machine, 'req-1/0', 9));
     machine.directStartTokens.set(attemptKey('req-1/0', 9), fencingTokens.currentToken(machine));
     assert.ok(fencingTokens.voidDirectStart(machine, 'req-1/0', 9));
--- a/src/controller/workers/fencing-token-sync.ts
+++ b/src/controller/workers/fencing-token-sync.ts
@@ -7,8 +7,9 @@
 import { FENCING_EPOCH_LIMIT, makeFencingToken, termOfToken } from './fencing-token.js';
 
 /**
- * Number of consecutive heartbeats without a task whose start was sent, after which the leader
- * assumes that its responses do not reach the machine.
+ * Number of heartbeats without a task whose start was sent, after which the leader assumes that its
+ * responses do not reach the machine. Counting begins again when a heartbeat shows that a message
+ * has reached the worker.
  */
 const LOST_START_LIMIT = 2;
 
@@ -66,7 +67,7 @@
 
   /**
    * Ensures that the response to the heartbeat being handled invalidates all direct starts of the
-   * attempt. Returns true if the worker may still carry out such a start.
+   * attempt. Returns true if the worker may still carry out a direct start of the attempt.
    */
   voidDirectStart(machine: Machine, name: string, attempt: number | bigint): boolean {
     const token = machine.directStartTokens.get(attemptKey(name, attempt));
--- a/src/controller/workers/heartbeat-handler.ts
+++ b/src/controller/workers/heartbeat-handler.ts
@@ -11,9 +11,9 @@
 import type { HeartbeatInProgress, Reconciliation } from './reconciliation.js';
 
 /**
- * The response to a heartbeat. Only status 200 renews the worker's lease. A heartbeat that arrives
- * out of order, that belongs to an agent epoch that has ended, or whose machine was removed, must
- * not renew the lease and is answered with 503.
+ * The response to a heartbeat. Only status 200 renews the worker's lease. Status 503 is sent if the
+ * heartbeat arrives out of order, its agent epoch has ended or its machine was removed, because the
+ * lease must not be renewed in these cases.
  */
 export type HeartbeatResponse = { status: 200; body: unknown } | { status: 503 };
 
@@ -22,8 +22,8 @@
 /** Events that `HeartbeatHandler` raises. */
 export interface HeartbeatEvents {
   /**
-   * A heartbeat carried a fencing token of this term, so the worker has seen a leader of that term.
-   * Raised for every heartbeat; the term need not be higher than this leader's own.
+   * A heartbeat carried a fencing token of the term `term`, so the worker has seen the leader of
+   * that term. Raised for every heartbeat; `term` need not be higher than this leader's own.
    */
   termReported(term: number): void;
   /** The set of usable machines may have changed: a placement pass is needed. */
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -10,8 +10,8 @@
 const MAX_HEARTBEAT_INTERVAL_RATIO = 1.35;
 
 /**
- * The controller process itself was stalled if the time between two calls of `setAnswering` exceeds
- * this many of the usual intervals between its calls.
+ * Time between two calls of `setAnswering` beyond which the controller process itself counts as
+ * stalled, as a multiple of the interval at which it has to be called.
  */
 const STALL_INTERVALS = 3;
 
@@ -34,8 +34,8 @@
   }
 
   /**
-   * Records whether this node may answer workers. Must be called every `intervalMs`; a call that is
-   * much later shows that the process was stalled.
+   * Records whether this node may answer workers. Must be called every `intervalMs`; a call that
+   * comes much later shows that the process was stalled.
    */
   setAnswering(mayAnswer: boolean, intervalMs: number): void {
     const now = this.eventLoop.now();
@@ -45,7 +45,7 @@
     this.lastTickAt = now;
   }
 
-  /** Time in ms without a heartbeat of the machine although this node could have answered one. */
+  /** Time in ms for which this node could have answered the machine's heartbeats but received none. */
   unresponsiveMs(machine: Machine): number {
     const unresponsiveSince = Math.max(
       machine.lastHeartbeatAt,
--- a/src/controller/workers/machine-record.test.ts
+++ b/src/controller/workers/machine-record.test.ts
@@ -81,7 +81,7 @@
     );
   });
 
-  it('takes at most the tracked size for its tasks, which is 0 after all tasks are removed', () => {
+  it('uses at most the tracked number of bytes for tasks, which is 0 without tasks', () => {
     fc.assert(
       fc.property(assignedTasks, (tasks) => {
         const machine = machineWith(tasks);
--- a/src/controller/workers/reconciliation.test.ts
+++ b/src/controller/workers/reconciliation.test.ts
@@ -84,7 +84,7 @@
     assert.equal(fixture.assignment.phase, 'sent');
   });
 
-  it('clears a failed task at once, a completed task only after its completion is recorded', () => {
+  it('clears a failed task at once, but a completed one only after its completion is recorded', () => {
     const fixture = new Fixture();
     const commandsForFailure = fixture.reconcileReportedTask({ state: 'exited', cause: 'error' });
     assert.deepEqual(commandsForFailure, ['forget req-1/0']);
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -50,7 +50,7 @@
 
   /**
    * Updates the assignment of a task that the heartbeat lists, or stops the task if it is not
-   * assigned to the machine. Tells the worker to clear the task if it has exited.
+   * assigned to the machine. Adds the command to clear the task if it has exited.
    */
   reconcileReportedTask(inProgress: HeartbeatInProgress, task: TaskStatus): void {
     const { machine } = inProgress;
@@ -139,7 +139,7 @@
     assignment.startSentSequence = machine.lastHeartbeatSequence;
   }
 
-  /** Tells the worker to clear an exited task, unless its completion has not been recorded yet. */
+  /** Adds the command to clear an exited task, unless its completion is not recorded yet. */
   private clearExited({ machine, commands }: HeartbeatInProgress, task: TaskStatus): void {
     if (task.cause === 'done' && this.isCompletionUnrecorded(task)) return;
     this.fencingTokens.voidDirectStart(machine, task.name, task.attempt);
--- a/src/controller/workers/team-usage.ts
+++ b/src/controller/workers/team-usage.ts
@@ -66,9 +66,9 @@
     const usage = this.usageByTeam.get(teamName);
     if (usage === undefined) return false;
     const { guaranteedCpus, guaranteedGpus } = usage.team;
-    // If the team has guaranteed GPUs and the task uses GPUs, only GPUs are compared. Otherwise
-    // CPUs are compared under the same condition. A task that uses no resource with a guarantee
-    // always runs on borrowed capacity.
+    // If the team has guaranteed GPUs and the task uses GPUs, only GPUs are compared. Otherwise, if
+    // the team has guaranteed CPUs and the task uses CPUs, only CPUs are compared. A task that uses
+    // no resource with a guarantee always runs on borrowed capacity.
     if (guaranteedGpus > 0 && request.gpus > 0)
       return usage.gpus - request.gpus >= guaranteedGpus - AMOUNT_TOLERANCE;
     if (guaranteedCpus > 0 && request.cpus > 0)
--- a/src/controller/workers/workers.ts
+++ b/src/controller/workers/workers.ts
@@ -27,9 +27,9 @@
   /** Returns the machine type with this name, or undefined if the catalogue does not contain it. */
   findMachineType(name: string): MachineType | undefined;
   /**
-   * A worker has reported a fencing token of this term, so it has seen a leader of that term.
-   * Raised for every heartbeat and every refused direct command; the term need not be higher than this
-   * leader's own.
+   * A worker has reported a fencing token of the term `term`, so it has seen the leader of that
+   * term. Raised for every heartbeat and every refused call with direct commands; `term` need not
+   * be higher than this leader's own.
    */
   termReported(term: number): void;
   /** Capacity, tasks or machines changed: a placement pass is needed. */
@@ -216,7 +216,7 @@
     this.liveness.setAnswering(mayAnswer, intervalMs);
   }
 
-  /** Time in ms without a heartbeat of the machine although this node could have answered one. */
+  /** Time in ms for which this node could have answered the machine's heartbeats but received none. */
   unresponsiveMs(machine: Machine): number {
     return this.liveness.unresponsiveMs(machine);
   }
