--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -13,7 +13,7 @@
  * While there is work, an idle machine is released only if its type and market (spot or not) have at least this
  * many idle machines: the last one would soon have to be launched again.
  */
-const MIN_IDLE_OF_KIND = 2;
+const MIN_IDLE_OF_TYPE_AND_MARKET = 2;
 
 /** Parts of the leader that the search for unused machines depends on. */
 export interface UnusedMachinesContext {
@@ -169,7 +169,7 @@
   ): boolean {
     const key = typeAndMarketKey(machine);
     const idleCount = idleCounts.get(key) ?? 0;
-    if (idleCount < MIN_IDLE_OF_KIND && !noWork) return false;
+    if (idleCount < MIN_IDLE_OF_TYPE_AND_MARKET && !noWork) return false;
     idleCounts.set(key, idleCount - 1);
     machine.releasing = true;
     this.eventLoop.log.info({ machine: machine.id }, 'idle machine selected for release');
