--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -71,7 +71,7 @@
       this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
     const defaultIdleLimitMs = this.defaultIdleLimitMs(now, workload);
     const machineIds = this.findFailedBoots(now, unresponsiveLimitMs);
-    const idleCounts = this.countIdleByKind();
+    const idleCounts = this.countIdleByTypeAndMarket();
     for (const machine of [...this.context.workers.machines.values()]) {
       if (this.context.scaleIn.isReleasing(machine.id)) continue;
       if (machine.cloudState === 'failed') machineIds.push(machine.id);
@@ -130,7 +130,7 @@
     return jobBlocked ? idleMs * BLOCKED_JOB_IDLE_FACTOR : idleMs;
   }
 
-  private countIdleByKind(): Map<string, number> {
+  private countIdleByTypeAndMarket(): Map<string, number> {
     const { workers } = this.context;
     const counts = new Map<string, number>();
     for (const machine of workers.machines.values()) {
