--- a/src/controller/fleet/booting-machines.ts
+++ b/src/controller/fleet/booting-machines.ts
@@ -3,9 +3,12 @@
 
 /** A booting machine. Times are readings of the monotonic clock in ms. */
 export interface BootingMachine extends MachineKind {
-  /** When the launch was requested; computed from the age in the cloud's list if another term requested it. */
+  /**
+   * When the launch was requested; computed from the age in the cloud's list for a machine first seen in that
+   * list.
+   */
   requestedAt: number;
-  /** When this leader learned of the machine; for its own launches, when it requested them. */
+  /** When this leader requested the machine, or first saw it in the cloud's list. */
   knownSince: number;
   /** Whether the cloud lists the machine as running although no heartbeat has arrived. */
   listedAsRunning: boolean;
--- a/src/controller/fleet/cloud-client.test.ts
+++ b/src/controller/fleet/cloud-client.test.ts
@@ -51,8 +51,8 @@
       assert.deepEqual(results, [{ kind: 'failed' }]);
     });
 
-  // A list of several thousand machines needs more calls than the token bucket holds. If the list fails at
-  // the first page without a token, no machine is launched.
+  // A list of several thousand machines needs more tokens than the bucket holds. If reading the list failed at
+  // the first page without a token, no machine would ever be launched.
   it('reads a list of any length within the rate limit and leaves calls for launches', () => {
     const pages = 24;
     const results: ListResult[] = [];
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -29,7 +29,9 @@
 const STATUS_TOO_MANY_REQUESTS = 429;
 const STATUS_NO_RESPONSE = 0;
 
-/** Machines of one kind to launch. The cloud carries out each `name` only once, so retries are idempotent. */
+/**
+ * Machines of one kind to launch. The cloud carries out only one request per `name`, so retries are idempotent.
+ */
 export interface LaunchRequest {
   name: string;
   kind: MachineKind;
@@ -76,8 +78,8 @@
   }
 
   /**
-   * Reads a page and all that follow. Each page waits until it gets a token, since a long list needs more
-   * tokens than the bucket holds.
+   * Reads one page of the list, and then the pages after it. Each read waits for a rate-limit token, since a
+   * long list needs more tokens than the bucket holds.
    */
   private listPage(
     listedMachines: ListedMachine[],
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -16,13 +16,13 @@
 import { UnusedMachines, type WorkloadState } from './unused-machines.js';
 
 /**
- * If more than this many leader leases pass between two steps, that time counts as an interruption of the
- * service, in which no job could arrive.
+ * A time of more than this many leader leases between two steps counts as an interruption of the service,
+ * during which no job could arrive.
  */
 const INTERRUPTION_LEASES = 2;
 /**
- * Arrivals count as stopped no sooner than this many worker leases after the last one: users retry a failed
- * submission within that time.
+ * Arrivals count as stopped no sooner than this many worker leases after the last arrival, because users retry
+ * a failed submission within that time.
  */
 const MIN_STOP_DELAY_LEASES = 2;
 
--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Returns the demand for those expected tasks that do not fit on the machines. The expected tasks of a class
-   * are its running tasks times `HeadroomSettings.ratio`, and at least one.
+   * Returns the demand of the expected tasks that do not fit on the machines. The number of expected tasks of a
+   * class is the number of its running tasks times `HeadroomSettings.ratio`, and at least 1.
    *
    * @param now - current time of the monotonic clock in ms
    * @param machines - machines whose free capacity counts
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -10,12 +10,12 @@
 
 /** Smallest number of heartbeat intervals between two reads of the list. */
 const HEARTBEATS_PER_LIST = 2;
-/** After a failed read, the next read is due earlier by this fraction of the list's lag. */
+/** Fraction of the list's lag by which the next read is due earlier after a failed read. */
 const RETRY_LAG_SHARE = 0.7;
 /**
- * A machine that is missing from the list counts as absent after this many times the larger of two durations,
- * plus a heartbeat interval. The durations are the lag of the list and the shortest time between two reads of
- * the list that the rate limit allows.
+ * A machine that is missing from the list counts as absent after this many times the staleness of the list,
+ * plus a heartbeat interval. The staleness is the lag of the list, or the shortest interval between reads that
+ * the rate limit allows, whichever is longer.
  */
 const ABSENT_LAGS = 4;
 
@@ -39,7 +39,10 @@
   /** Whether a list has been read and applied in this term. */
   synced = false;
   private readInProgress = false;
-  /** When the last read ended; set earlier by a fraction of the lag if the read failed. */
+  /**
+   * When the last read ended. If that read failed, `RETRY_LAG_SHARE` of the list's lag is subtracted, so that
+   * the next read is due earlier.
+   */
   private lastReadAt = -Infinity;
 
   constructor(
--- a/src/controller/fleet/machine-type-catalogue.ts
+++ b/src/controller/fleet/machine-type-catalogue.ts
@@ -11,7 +11,7 @@
 const CATALOGUE_KEY = 'catalogue';
 const STATE_STORE_TIMEOUT_MS = 1500;
 const CLOUD_TIMEOUT_MS = 3000;
-/** Shortest delay before a retry; random jitter adds up to the same time again. */
+/** Shortest delay before a retry. Random jitter makes the delay up to twice as long. */
 const RETRY_DELAY_MS = 500;
 /** The catalogue is read again when it is older than this many worker leases. */
 const REFRESH_LEASES = 3;
@@ -26,7 +26,7 @@
 /** Holds the machine types that this controller has read. */
 export class MachineTypeCatalogue {
   private knownTypes: MachineType[] | null = null;
-  /** When the types were last read, or when a refresh was last started if that is later. */
+  /** When the types were last read or a refresh was last started, whichever is later. */
   private lastRefreshAt = -Infinity;
 
   constructor(
--- a/src/controller/fleet/scale-in.ts
+++ b/src/controller/fleet/scale-in.ts
@@ -10,9 +10,12 @@
 const RETRY_MS = 1000;
 /** Delay before the next attempt when no rate-limit token was available. */
 const TOKEN_RETRY_MS = 500;
-/** The cloud's list may show a released machine for this many times the list's lag, plus the margin below. */
+/**
+ * The cloud's list may show a released machine for this many times the list's lag, plus
+ * `RELEASED_LISTED_MARGIN_MS`.
+ */
 const RELEASED_LISTED_LAGS = 4;
-/** Margin on the time for which the cloud's list may show a released machine. */
+/** Margin added to the time for which the cloud's list may show a released machine. */
 const RELEASED_LISTED_MARGIN_MS = 5000;
 
 /** Parts of the leader that scale-in depends on. */
--- a/src/controller/fleet/scale-out-backoff.ts
+++ b/src/controller/fleet/scale-out-backoff.ts
@@ -28,8 +28,9 @@
 
   /**
    * Pauses requests for machines of the kind, because the cloud has launched fewer of them than requested. The
-   * pause is twice as long as the previous one, up to a limit. If the cloud has launched some machines, the
-   * pause is as short as a first one.
+   * first pause lasts `firstPauseMs`. Each further pause is twice as long as the one before, up to
+   * `MAX_PAUSE_FACTOR` times `firstPauseMs`. If the cloud has launched some of the machines, the pause lasts
+   * `firstPauseMs`.
    */
   recordShortage(kind: MachineKind, now: number, someLaunched: boolean): void {
     const previousPause = this.pauses.get(machineKindKey(kind));
--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -11,7 +11,10 @@
 const MAX_MACHINES_PER_LAUNCH = 50;
 /** Largest number of launch requests in one plan. */
 const MAX_LAUNCHES = 4;
-/** Factor on the price of GPU machines for tasks without GPUs, which would block the GPUs for other tasks. */
+/**
+ * Factor on the price of a GPU machine for tasks without GPUs, because they would block its GPUs for other
+ * tasks.
+ */
 const UNUSED_GPU_PRICE_FACTOR = 3;
 /** Relative price increase per machine already in the zone, for jobs that ask to be spread over zones. */
 const SPREAD_ZONE_WEIGHT = 1;
@@ -109,7 +112,7 @@
 /** Builds the list of launches for a sequence of demands. */
 class ScaleOutPlan {
   readonly launches: PlannedLaunch[] = [];
-  /** The latest launch of each kind, which takes further machines until it is full. */
+  /** The latest launch of each kind. Machines are added to it until it has `MAX_MACHINES_PER_LAUNCH`. */
   private readonly openLaunches = new Map<MachineKind, PlannedLaunch>();
   /** Free capacity of the booting machines and of the machines planned so far. */
   private readonly machines: FreeCapacity[];
@@ -135,7 +138,7 @@
     }
   }
 
-  /** Takes capacity of the booting and the planned machines, and returns how many of the tasks fit there. */
+  /** Takes capacity of the booting and the planned machines for the tasks, and returns how many of them fit. */
   private takeExistingCapacity({ spec, tasks }: CapacityDemand, request: ResourceRequest): number {
     let takenTasks = 0;
     for (const machine of this.machines) {
@@ -146,7 +149,7 @@
     return takenTasks;
   }
 
-  /** Adds one machine of the offer's kind. Returns false if that needs more launches than are allowed. */
+  /** Adds one machine of the offer's kind. Returns false if that needs more than `MAX_LAUNCHES`. */
   private addMachine(offer: InstanceOffer): boolean {
     let launch = this.openLaunches.get(offer.kind);
     if (launch === undefined || launch.count >= MAX_MACHINES_PER_LAUNCH) {
@@ -162,8 +165,8 @@
 }
 
 /**
- * Plans launches for the tasks that do not fit on the booting machines, in the order of the demands.
- * Increments `machinesInZone` of an offer for each machine that it plans from it.
+ * Plans launches for the tasks that do not fit on the booting machines, in the order of the demands. For each
+ * planned machine, increments `machinesInZone` of the offer that was chosen.
  */
 export function planScaleOut(
   demands: readonly CapacityDemand[],
--- a/src/controller/fleet/scale-out.ts
+++ b/src/controller/fleet/scale-out.ts
@@ -135,7 +135,7 @@
   private send(request: LaunchRequest, requestedAt: number, retries: number): void {
     this.context.cloud.launch(request, (result) => {
       if (result.kind === 'unconfirmed' && retries > 0 && this.context.mayActAsLeader()) {
-        // Safe even if the request was carried out: the cloud carries out each name only once.
+        // Safe even if the request was carried out: the cloud carries out only one request per name.
         this.send(request, requestedAt, retries - 1);
         return;
       }
--- a/src/controller/fleet/unresponsive-replica-hosts.test.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.test.ts
@@ -220,7 +220,7 @@
     assert.deepEqual(cluster.released, []);
   });
 
-  it('is kept while a gang with a member on it is running, since it may only be partitioned', () => {
+  it('is kept while a gang with a member on it is running, since it may be working but partitioned', () => {
     const cluster = new Cluster();
     cluster.startJob({}, ['n-0']);
     const gang = cluster.startJob({ kind: 'gang', estimatedRunS: 900 }, ['n-0', 'n-1']);
--- a/src/controller/fleet/unresponsive-replica-hosts.ts
+++ b/src/controller/fleet/unresponsive-replica-hosts.ts
@@ -7,7 +7,10 @@
 /** Time-out of a probe, as a ratio to the heartbeat interval. */
 const PROBE_TIMEOUT_RATIO = 0.2;
 
-/** Delay of a release request so that it includes further machines, as a ratio to the heartbeat interval. */
+/**
+ * Delay of a release request, as a ratio to the heartbeat interval. Machines selected during the delay are
+ * released with the same request.
+ */
 const BATCH_DELAY_RATIO = 0.01;
 
 /** Path of the request that probes a worker. */
@@ -107,8 +110,8 @@
   }
 
   /**
-   * Whether a release lets replicas restart clearly sooner than they could after the expiry of the worker's
-   * lease, without ending a gang that is still running.
+   * Whether replicas can restart clearly sooner after a release than after the expiry of the worker's lease,
+   * and the release ends no gang that is still running.
    */
   private isWorthReleasing(machine: Machine, now: number): boolean {
     if (machine.releasing || machine.agentEpoch < machine.lowestValidAgentEpoch) return false;
@@ -125,8 +128,9 @@
 }
 
 /**
- * Whether the task belongs to a gang that is running on other machines too. If this machine had hung or
- * failed, the other members would exit; while they run, the machine may only be partitioned from the leader.
+ * Whether the task belongs to a gang that is running on other machines too. If this machine had hung or failed,
+ * the other members would exit; while they run, the machine may be working and only be partitioned from the
+ * leader.
  */
 function isMemberOfRunningGang({ job }: Assignment): boolean {
   return (
--- a/src/controller/fleet/unused-machines.test.ts
+++ b/src/controller/fleet/unused-machines.test.ts
@@ -43,7 +43,7 @@
   });
 
   // A new leader reads the cloud's list before all workers have found the leader. It must not release machines
-  // that are running but have no record yet.
+  // that are running but have not sent it a heartbeat yet.
   it('gives a machine time to find this leader if the cloud lists it as running', () => {
     booting.set('partitioned', { ...bootingMachine, knownSince: 0, listedAsRunning: true });
     assert.deepEqual(unused.find(unresponsiveLimitMs, steadyWorkload), []);
--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -42,8 +42,8 @@
 }
 
 /**
- * Returns how long the machine may be idle. Once jobs have stopped arriving, that is no longer than a new
- * machine of its type takes to boot.
+ * Returns how long the machine may be idle. Once jobs have stopped arriving, the limit is at most the boot time
+ * of a new machine of its type.
  */
 function machineIdleLimitMs(
   machine: Machine,
@@ -116,9 +116,9 @@
   }
 
   /**
-   * Returns how long a machine may be idle. The limit is reduced once a job has lacked capacity for long and
-   * the cloud refuses to launch machines, because idle machines may use up the quota that the job, for
-   * instance a gang, needs. It is not reduced earlier, because a released machine loses its cached images.
+   * Returns how long a machine may be idle. The limit is reduced once a job, such as a gang, has lacked
+   * capacity for long and the cloud refuses to launch machines. Idle machines may then use up the quota that
+   * the job needs. The limit is not reduced earlier, because a released machine loses its cached images.
    */
   private defaultIdleLimitMs(now: number, workload: WorkloadState): number {
     if (workload.noWork) return 0;
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Whether to release an idle machine: only if another idle machine of its type and market remains, or if there
-   * is no work. Marks the machine as being released if so.
+   * Whether to release an idle machine: only if another idle machine of its type and market remains, or if
+   * there is no work. Marks a machine that is to be released as `releasing`.
    */
   private shouldReleaseIdle(
     machine: Machine,
