--- a/src/controller/node/logger.ts
+++ b/src/controller/node/logger.ts
@@ -7,7 +7,10 @@
 /** The lowest level of the lines that are logged. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** Reads the environment variable LOG_LEVEL; returns `info` if it is not set or not the name of a level. */
+/**
+ * Reads the value of the environment variable LOG_LEVEL. Returns `info` unless the value is the name of a
+ * level.
+ */
 export function readLogLevel(value: string | undefined): LogLevel {
   return LOG_LEVELS.find((level) => level === value) ?? 'info';
 }
--- a/src/controller/node/node-runtime.ts
+++ b/src/controller/node/node-runtime.ts
@@ -94,7 +94,7 @@
   try {
     return { status, body: body.length > 0 ? decodeBody(body) : null };
   } catch {
-    // As without a response, it is unknown whether the request was carried out.
+    // As when no response arrives, the request may or may not have been carried out.
     return NO_REPLY;
   }
 }
--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -12,15 +12,18 @@
 import { listenToPeers } from './peer-server.js';
 
 /**
- * Number of random bytes that seed the process's random numbers and, as part of its identity, distinguish it
- * from other processes on the same host.
+ * Number of random bytes in the process's identity, which distinguish it from other processes on the same host.
+ * The first four of them also seed the process's random numbers.
  */
 const SEED_BYTES = 8;
 /** Time between two adjustments of V8's heap growth factor; see `HeapBudget`. */
 const HEAP_CHECK_INTERVAL_MS = 1000;
 /** Largest number of attempts to connect to a peer per heartbeat interval. */
 const PEER_ATTEMPTS_PER_HEARTBEAT = 3;
-/** Delay of loading the metrics library after the start, in heartbeat intervals; it keeps the start short. */
+/**
+ * Time from the start until the metrics library is loaded, in heartbeat intervals. The delay keeps the start
+ * short.
+ */
 const METRICS_DELAY_HEARTBEATS = 3;
 
 /** Starts a controller, which runs until the process is killed. */
--- a/src/controller/operators/gauges.ts
+++ b/src/controller/operators/gauges.ts
@@ -7,8 +7,8 @@
 import type { Metrics } from './metrics.js';
 
 /**
- * The methods of `Metrics` that a controller calls. The controller depends on this type only, because the
- * module of `Metrics` is loaded some time after the start.
+ * The methods of `Metrics` that a controller calls. The controller imports only this type, because the module
+ * of `Metrics` is loaded some time after the start.
  */
 export type MetricsSink = Pick<
   Metrics,
--- a/src/controller/peers/avro-validation.ts
+++ b/src/controller/peers/avro-validation.ts
@@ -34,13 +34,13 @@
   symbols: string[];
 }
 
-/** The bytes do not encode a value of the schema. */
+/** Thrown if bytes do not encode exactly one value of a schema. */
 export class AvroEncodingError extends Error {
   override readonly name = 'AvroEncodingError';
 }
 
 const DOUBLE_BYTES = 8;
-/** Length in bytes of the longest encoded integer, which has 64 bits, 7 in each byte. */
+/** Length of the longest encoded integer, in bytes. Each byte holds 7 of its 64 bits. */
 const MAX_INTEGER_BYTES = 10;
 
 /** Throws an `AvroEncodingError` unless the bytes encode exactly one value of the schema. */
@@ -88,7 +88,7 @@
     throw new AvroEncodingError(`integer too long: more than ${MAX_INTEGER_BYTES} bytes`);
   }
 
-  /** Reads the index of a union's type or an enum's symbol, of which there are `count`. */
+  /** Reads the index of a type in a union or of a symbol in an enum, from 0 to `count` - 1. */
   readIndex(count: number): number {
     const index = this.readInteger();
     if (index < 0 || index >= count)
@@ -143,7 +143,8 @@
 
 /**
  * Skips the items of an array or a map. They are encoded in blocks, each with its item count; a block of 0
- * items ends the list. Every item takes at least one byte, so a count above the remaining bytes is invalid.
+ * items ends the array or map. Every item takes at least one byte, so a count above the remaining bytes is
+ * invalid.
  */
 function skipBlocks(reader: AvroReader, skipItem: () => void): void {
   for (;;) {
--- a/src/controller/peers/framing.ts
+++ b/src/controller/peers/framing.ts
@@ -5,7 +5,7 @@
 /** Size, in bytes, of the length at the start of a frame. */
 const LENGTH_BYTES = 4;
 
-/** The length of a frame is above `MAX_FRAME_BYTES`. */
+/** Thrown if the length of a message in a frame is above `MAX_FRAME_BYTES`. */
 export class FrameTooLargeError extends Error {
   override readonly name = 'FrameTooLargeError';
 
@@ -14,7 +14,7 @@
   }
 }
 
-/** A connection has ended before all bytes of a frame arrived. */
+/** Reported if a connection ends before all bytes of a frame have arrived. */
 export class TruncatedFrameError extends Error {
   override readonly name = 'TruncatedFrameError';
 
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Adds bytes that have arrived and returns the messages that they complete. Throws a
-   * `FrameTooLargeError` if the length of a frame is above `MAX_FRAME_BYTES`.
+   * Adds bytes that have arrived and returns the messages that they complete. Throws a `FrameTooLargeError` if
+   * the length of a message is above `MAX_FRAME_BYTES`.
    */
   push(bytes: Buffer): Buffer[] {
     this.buffered = this.buffered.length === 0 ? bytes : Buffer.concat([this.buffered, bytes]);
--- a/src/controller/peers/message-codec.ts
+++ b/src/controller/peers/message-codec.ts
@@ -6,7 +6,7 @@
 
 const messageType = avsc.Type.forSchema(PEER_MESSAGE_SCHEMA);
 
-/** Bytes from another controller do not encode exactly one message; `cause` is the decoding error. */
+/** Thrown if bytes from another controller do not encode exactly one message. `cause` is the decoding error. */
 export class UnreadablePeerMessageError extends Error {
   override readonly name = 'UnreadablePeerMessageError';
 
--- a/src/controller/peers/message-schema.ts
+++ b/src/controller/peers/message-schema.ts
@@ -1,7 +1,7 @@
 /**
- * The Avro schema of the messages between controllers. Messages carry no version number, and controllers
- * that still run an older version of the program use the same schema, so the names, types and order of
- * its fields must not change.
+ * The Avro schema of the messages between controllers. The names, types and order of the fields must not
+ * change: messages carry no version number, and controllers that still run an older version of the program use
+ * the same schema.
  */
 import type { RecordSchema, Schema } from './avro-validation.js';
 
--- a/src/controller/peers/message.ts
+++ b/src/controller/peers/message.ts
@@ -10,13 +10,13 @@
  */
 export interface PeerStatus {
   host: string;
-  /** Identifies the process, to distinguish it from other processes on the same host. */
+  /** Identifies the sender's process, to distinguish it from other processes on the same host. */
   identity: string;
   /** Milliseconds since the state store last served the sender; -1 if it never has. */
   stateOkAgeMs: number;
   /** Host of the leader that the sender knows; empty if it knows none. */
   leaderHost: string;
-  /** Term of that leader; 0 if the sender knows none. */
+  /** Term of the leader that the sender knows; 0 if it knows none. */
   term: number;
   /** Rate at which the sender needs to write to the state store, in puts and deletes per second. */
   wantedWrites: number;
@@ -44,7 +44,9 @@
   blocked: string;
 }
 
-/** A request that the receiver has to answer: a client's, or a leader's request for a lease grant. */
+/**
+ * A request that the receiver has to answer: a request of a client, or a leader's request for a lease grant.
+ */
 export interface ForwardedRequest {
   /** Host of the sender, to which the reply is sent. */
   from: string;
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -10,7 +10,7 @@
 
 /** Number of statuses that a controller sends in one heartbeat interval. */
 const STATUSES_PER_HEARTBEAT = 3;
-/** The delay of an announcement is a heartbeat interval divided by this. */
+/** Announcements are delayed by one heartbeat interval divided by this number. */
 const ANNOUNCEMENTS_PER_HEARTBEAT = 15;
 
 /** Handlers of the messages of the other controllers. */
--- a/src/controller/peers/request-forwarder.ts
+++ b/src/controller/peers/request-forwarder.ts
@@ -2,13 +2,13 @@
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { ForwardedReply, ForwardedRequest } from './message.js';
 
-/** Request ids start above a random number between 0 and this. */
+/** Request ids start after a random number below this limit. */
 const MAX_INITIAL_ID = 2 ** 48;
 
 /** Handles the peer's reply, or null if no reply arrived within the time-out. */
 export type ReplyHandler = (reply: ForwardedReply | null) => void;
 
-/** Assigns ids to forwarded requests and passes the matching reply, or the time-out, to each handler. */
+/** Assigns ids to forwarded requests. Passes each handler the matching reply, or null after the time-out. */
 export class RequestForwarder {
   private readonly pendingReplies = new Map<number, ReplyHandler>();
   private lastId: number;
--- a/src/controller/settings/class-objectives.ts
+++ b/src/controller/settings/class-objectives.ts
@@ -1,13 +1,19 @@
 /** Groups the platform's service-level objectives by job class. */
 import type { Objective } from './platform.js';
 
-/** Objectives for the jobs of one class. Times are in milliseconds since the submission of a job. */
+/** Objectives for the jobs of one class. */
 export interface ClassObjectives {
-  /** Times within which tasks should start, one for each objective. */
+  /**
+   * Milliseconds since a job's submission within which its tasks should start; one value per objective of kind
+   * `wait`.
+   */
   readonly starts: number[];
-  /** Times within which jobs should end, one for each objective. */
+  /**
+   * Milliseconds since a job's submission within which the job should end; one value per objective of kind
+   * `finished`.
+   */
   readonly ends: number[];
-  /** Multiples of the deadline within which jobs with a deadline should end, one for each objective. */
+  /** Multiples of its deadline within which a job should end; one value per objective of kind `deadline`. */
   readonly deadlineFactors: number[];
 }
 
--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -54,11 +54,11 @@
 
 /** Limits of the state store: rates, and sizes of values and transactions. */
 export interface StateLimits {
-  /** Requests per second. */
+  /** Largest number of requests per second. */
   rps: number;
-  /** Puts and deletes per second. */
+  /** Largest number of puts and deletes per second. */
   writeRps: number;
-  /** Largest value, in KiB. */
+  /** Size of the largest value, in KiB. */
   valueKb: number;
   /** Largest number of writes in a transaction. */
   txnOps: number;
@@ -66,7 +66,7 @@
 
 /** Limits of the cloud's machine API. */
 export interface CloudLimits {
-  /** Requests per second. */
+  /** Largest number of requests per second. */
   rps: number;
   /** The machine list may be out of date by up to this many seconds. */
   listLagS: number;
@@ -83,7 +83,7 @@
 /** A service-level objective. Objectives of kinds that this version does not know are read but not used. */
 export interface Objective {
   kind: string;
-  /** The job class to which it applies; null for all classes. */
+  /** The job class to which the objective applies; null for all classes. */
   class: string | null;
   /** Time limit in seconds; null if the settings give none. */
   withinS: number | null;
@@ -96,9 +96,9 @@
   name: string;
   guaranteedCpus: number;
   guaranteedGpus: number;
-  /** 0 means no cap. */
+  /** Largest number of CPUs that the team may use; 0 means no cap. */
   maxCpus: number;
-  /** 0 means no cap. */
+  /** Largest number of GPUs that the team may use; 0 means no cap. */
   maxGpus: number;
 }
 
--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -55,9 +55,10 @@
   }
 
   /**
-   * Returns the configured leader lease, shortened if `cancel_s` leaves little time for watch staleness: the
-   * watch becomes fresh only with each read, and its staleness cannot be kept below two leader leases.
-   * Throws a `SettingsError` if the lease would fall below the smallest allowed ratio to the worker lease.
+   * Returns the configured leader lease, shortened if `cancel_s` leaves little time for watch staleness. The
+   * watch is fresh only after a read, and its staleness cannot be kept below `MIN_STALENESS_LEASES` leader
+   * leases. Throws a `SettingsError` if the lease would be shorter than the smallest value of
+   * `leadership.lease.ratio` allows.
    */
   private computeLeaderLeaseMs(): number {
     const { cancelDeadlineS, leaseS } = this.platform.workers;
@@ -109,7 +110,7 @@
     return this.workerLeaseMs * (1 + 2 * MAX_CLOCK_DRIFT + this.get('workers.lease.margin.ratio'));
   }
 
-  /** Time since submission within which tasks of the class should start; null without such an objective. */
+  /** Time since submission within which tasks of the class should start; null if no objective gives a time. */
   startObjectiveMs(className: string): number | null {
     const objective = this.platform.objectives.find(
       (candidate) => candidate.kind === 'wait' && candidate.class === className,
@@ -118,8 +119,8 @@
   }
 
   /**
-   * Time since submission within which tasks covered by their team's guarantee should start; null without
-   * such an objective.
+   * Time since submission within which tasks covered by their team's guarantee should start; null if no
+   * objective gives a time.
    */
   get guaranteeObjectiveMs(): number | null {
     const objective = this.platform.objectives.find(({ kind }) => kind === 'guarantee');
@@ -127,8 +128,9 @@
   }
 
   /**
-   * Returns the objectives that apply to a job, as times since its submission in milliseconds: its tasks
-   * should start within each of `starts`, and the job should end within each of `ends`.
+   * Returns the objectives that apply to a job, as times since its submission in milliseconds: its tasks should
+   * start within each of `starts`, and the job should end within each of `ends`. If there is no objective for
+   * its end, a job with a deadline should end by the deadline.
    *
    * @param className - the job's class
    * @param deadlineS - the job's own deadline in seconds since its submission; null if it has none
