--- a/src/controller/store/batch.ts
+++ b/src/controller/store/batch.ts
@@ -6,15 +6,17 @@
 export interface BatchEntry {
   conditions: Condition[];
   writes: Write[];
-  /** Called when the entry is sent. Requests that arrive after that need a new entry. */
+  /**
+   * Called when the entry is sent. A request that arrives later cannot share its outcome and needs a new entry.
+   */
   onSent?: () => void;
   /** Called once with the outcome. */
   done: (result: TransactionResult) => void;
 }
 
 /**
- * Largest total size of the entries of a transaction, in the unit of `storedSize`. It is below the store's
- * limit of 64 KiB to leave space for the encoding.
+ * Largest total size of the entries of a transaction, in characters of JSON (`storedSize`). It is below the
+ * store's limit of 64 KiB to leave space for the encoding.
  */
 const MAX_TRANSACTION_SIZE = 60 * 1024;
 
@@ -41,8 +43,8 @@
   }
 
   /**
-   * Returns whether an entry of this size can be added: the transaction stays within its limits, and no other
-   * entry in it has a condition on one of the same keys.
+   * Returns whether an entry of this size can be added: the transaction stays within its limits, and none of
+   * its entries has a condition on one of the same keys.
    */
   fits(entry: Entry, size: number): boolean {
     const conditionCount = this.conditions.length + entry.conditions.length;
--- a/src/controller/store/client.test.ts
+++ b/src/controller/store/client.test.ts
@@ -28,14 +28,14 @@
   });
 
   describe('watch', () => {
-    /** Returns how long after its end a watch without a response times out. */
+    /** Returns how long after the end of its hold time a watch without a response times out. */
     function graceMs(leaseS: number, cancelS: number): number {
       const holdMs = 1000;
       createClient(leaseS, cancelS).watch('lead', 1, holdMs, () => undefined);
       return (runtime.calls.shift()?.call.timeoutMs ?? NaN) - holdMs;
     }
 
-    it('times out after a grace period proportional to the lease: 2 s for a lease of 22 s', () => {
+    it('times out one grace period after its hold time: 2 s for a worker lease of 22 s, less for a shorter lease', () => {
       assert.equal(Math.round(graceMs(22, 50) / 10) * 10, 2000);
       assert.ok(graceMs(10, 35) < 1000);
     });
@@ -156,7 +156,7 @@
       assert.equal(client.health.stalledMs, 40);
     });
 
-    it('counts no failure for a response with status 429, after which requests and writes pause', () => {
+    it('does not count a response with status 429 as a failure, and pauses requests and writes after it', () => {
       read(429);
       const { requestTokens, writeTokens } = client.budget;
       assert.ok(requestTokens.waitMs() > 0);
--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -42,8 +42,9 @@
 const KEYS_PER_REQUEST = 1000;
 
 /**
- * A watch request times out this long after the end of its hold time, as a ratio to the leader's lease. This
- * bounds by how much a lost response delays an election. It is short compared with the workers' lease.
+ * A watch request times out this long after the end of its hold time, as a ratio to the leader's lease. The
+ * grace period bounds by how much a lost response delays an election. It is short compared with the workers'
+ * lease.
  */
 const WATCH_GRACE_RATIO = 0.7;
 
@@ -128,7 +129,7 @@
     readAfter(null);
   }
 
-  /** Requests a lease with a time to live of `ttlMs`. The value is its id. */
+  /** Requests a lease with a time to live of `ttlMs`. The value of the result is the id of the lease. */
   grantLease(ttlMs: number, timeoutMs: number, done: (result: ReadResult<number>) => void): void {
     this.budget.requestTokens.forceTake();
     this.call('grant-lease', grantLeaseRequest(ttlMs), timeoutMs, (reply) => {
--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -7,19 +7,24 @@
 import type { PendingTransaction } from './transaction-queue.js';
 
 /**
- * Largest size of a transaction, in the unit of `storedSize`. It is below the store's limit of 64 KiB to
- * leave space for the encoding.
+ * Largest size of a transaction, in characters of JSON (`storedSize`). It is below the store's limit of 64 KiB
+ * to leave space for the encoding.
  */
 const MAX_TRANSACTION_SIZE = 56 * 1024;
 
-/** Upper bound of the size of the fencing condition and of the encoding around the lists, in the same unit. */
+/**
+ * Upper bound of the size of the fencing condition and of the encoding around the lists, in characters of JSON.
+ */
 const FRAME_SIZE = 512;
 
 /** Pages and transactions that are written together in one transaction of the state store. */
 export interface Commit {
   conditions: Condition[];
   pages: Page[];
-  /** Those entries of the pages whose newest values are sent for the first time, or again after a failure. */
+  /**
+   * The entries of the pages whose newest values have not been sent yet, or have to be sent again after a
+   * failure.
+   */
   entries: RecordEntry[];
   transactions: PendingTransaction[];
 }
@@ -58,7 +63,7 @@
 
   /**
    * Adds an entry. If its page is not in the commit yet, adds the page too, provided that `mayAddPage` is true.
-   * Returns false if the entry does not fit, or if its page would have to be added and may not be.
+   * Returns false if the entry does not fit, or if its page is not in the commit and `mayAddPage` is false.
    */
   tryAddEntry(entry: RecordEntry, mayAddPage: boolean): boolean {
     const page = this.context.pages.allocator.targetPage(entry);
--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -11,9 +11,9 @@
 const MAX_DEFERRAL_RATIO = 0.25;
 
 /**
- * Share of the leader's write rate that pages use while urgent entries are always waiting, if each commit of
- * pages contains one page; commits with several pages use more. The remaining share is for the transactions
- * that end jobs, so that neither kind of write starves the other.
+ * Largest share of the leader's write rate that commits with one page each may use. Commits with several pages
+ * may use more. The remaining share is for the transactions that end jobs, so that neither kind of write
+ * starves the other.
  */
 const PAGE_WRITES_RATIO = 0.45;
 
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Adds deferrable entries. To save writes, they are added to pages that are written anyway. They get
-   * pages of their own only if no urgent entry is left or if they have waited too long.
+   * Adds deferrable entries. To save writes, they are added to pages that are written anyway. They get pages of
+   * their own only if the commit contains all urgent entries or if they have waited too long.
    */
   private addDeferrable(builder: CommitBuilder, isDue: boolean, now: number): void {
     const { pending, settings } = this.context;
@@ -115,11 +115,11 @@
   }
 
   /**
-   * Skips an entry whose value exceeds the largest value size. Either this leader has set such a value, or it
-   * was set under higher limits, for instance by an earlier leader. Until a value that fits is set, the stored
-   * value stays unchanged, and callbacks that wait for the new value are not called. So no start command is
-   * sent for what only the new value lists, and the stored value remains an upper bound of the running tasks
-   * (invariant 4).
+   * Skips an entry whose value exceeds the largest value size. The value was set by this leader, or under
+   * higher limits, for instance by an earlier leader. Until a value that fits is set, the stored value stays
+   * unchanged, and the callbacks of the oversized value are not called. Therefore no start command is sent for
+   * a task that only the oversized value lists, and the stored value remains an upper bound of the running
+   * tasks (invariant 4).
    */
   private skipOversized(entry: RecordEntry): void {
     const { pending, eventLoop } = this.context;
--- a/src/controller/store/commit-sender.ts
+++ b/src/controller/store/commit-sender.ts
@@ -10,7 +10,10 @@
 
 /** Pause in milliseconds after a refused commit or a failed read. */
 const REFUSED_PAUSE_MS = 100;
-/** Pause in milliseconds after any other failed commit. There is none after a conflict. */
+/**
+ * Pause in milliseconds after a commit that failed for a reason other than a refusal or a conflict. After a
+ * conflict there is no pause.
+ */
 const FAILED_PAUSE_MS = 20;
 
 /** Time-out of a commit or a read, as a ratio to the leader's lease. */
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -39,7 +39,10 @@
   private inFlight = false;
   /** Whether entries are sent one by one, to find the one that makes a transaction fail. */
   private oneByOne = false;
-  /** Whether a timer is running. The event that the timer posts causes a batch, which ends with a flush. */
+  /**
+   * Whether a timer is running. The timer posts an event, and `flush` is called at the end of its batch of
+   * events.
+   */
   private timerRunning = false;
 
   constructor(
--- a/src/controller/store/limits.ts
+++ b/src/controller/store/limits.ts
@@ -25,7 +25,7 @@
   private rates: { rps: number; writeRps: number };
   /** Times of the rate refusals within the window. */
   private rateRefusals: number[] = [];
-  /** Number of times that sizes had been halved at `halvedAt`. */
+  /** Number of halvings that applied to the sizes after the last size refusal, which was at `halvedAt`. */
   private halvingCount = 0;
   private halvedAt = -Infinity;
 
@@ -61,7 +61,7 @@
     };
   }
 
-  /** Size of the largest value that may be written now, in the unit of `storedSize`. */
+  /** Size of the largest value that may be written now, in characters of JSON (`storedSize`). */
   get maxValueSize(): number {
     return this.current.valueKb * BYTES_PER_KB;
   }
--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -5,16 +5,19 @@
 /** A page is filled up to this fraction of the largest value size, since small pages are cheap to rewrite. */
 const FILL_RATIO = 0.4;
 /**
- * If the largest value size is small, pages are filled further, so that each put carries as much as possible:
- * up to `SMALL_VALUE_SIZE`, but no more than this fraction of the largest value size.
+ * If the largest value size is small, pages are filled up to `SMALL_VALUE_SIZE`, so that each put carries as
+ * much as possible. They are never filled beyond this fraction of the largest value size.
  */
 const SMALL_VALUE_FILL_RATIO = 0.8;
-/** See `SMALL_VALUE_FILL_RATIO`; in the unit of `storedSize`. */
+/**
+ * Size to which pages are filled if `FILL_RATIO` would give a smaller one, in characters of JSON
+ * (`storedSize`).
+ */
 const SMALL_VALUE_SIZE = 2048;
 /** A page may be filled again if its size is at most this fraction of the size to which pages are filled. */
 const REUSE_RATIO = 0.25;
 
-/** The entries, and the pages from which the allocator chooses and to which it adds new ones. */
+/** The entries and the pages. The allocator chooses among the pages and adds new ones. */
 export interface AllocatedPages {
   readonly entries: ReadonlyMap<string, RecordEntry>;
   readonly pages: Map<string, Page>;
@@ -97,10 +100,10 @@
   }
 
   /**
-   * Returns whether this page's stored copy is the only one that is known to contain the last stored value of
-   * some entry: the entry has moved to another page, and the write of that page has not succeeded yet. If this
-   * page were rewritten without the entry and the leader ended before the other write, the next leader would
-   * not find the record.
+   * Returns whether only this page's stored copy is known to contain the last stored value of some entry. This
+   * is so if the entry has moved to another page and the write of that page has not succeeded yet. If the
+   * leader rewrote this page without the entry and ended before the other write, the next leader would not find
+   * the record.
    */
   private holdsLastDurableCopy(page: Page): boolean {
     for (const key of page.storedKeys) {
--- a/src/controller/store/page-codec.ts
+++ b/src/controller/store/page-codec.ts
@@ -18,7 +18,10 @@
 /** The stored value of a page. */
 export interface StoredPage {
   kind: 'page';
-  /** Number of the commit that wrote the page. If several pages contain a key, the highest number prevails. */
+  /**
+   * Number of the commit that wrote the page. If several pages contain a key, the value in the page with the
+   * highest number is the newest.
+   */
   sequence: number;
   /** Alternating keys and values. Each value is JSON, or null for a deletion. */
   keysAndJson: readonly unknown[];
@@ -31,7 +34,7 @@
   return { seq: sequence, entries: keysAndJson };
 }
 
-/** Decodes the stored value of a page. The caller has to check the elements of its list. */
+/** Decodes the stored value of a page. The caller has to check the elements of `keysAndJson`. */
 export function decodePage(value: unknown): StoredPage | { kind: 'malformed' } {
   if (!isMap(value)) return { kind: 'malformed' };
   const { seq, entries } = value;
--- a/src/controller/store/page.ts
+++ b/src/controller/store/page.ts
@@ -5,13 +5,16 @@
   readonly key: string;
   /** The newest value as JSON, or null for a deletion. */
   json: string | null;
-  /** Upper bound of the entry's size in its page, in the unit of `storedSize`. */
+  /** Upper bound of the entry's size in its page, in characters of JSON (`storedSize`). */
   size: number;
-  /** The page that contains the newest value, or will contain it once the value is written. */
+  /**
+   * The page that contains the newest value, or will once the value is written; null if none has been chosen
+   * yet.
+   */
   page: Page | null;
   /** Number of pages whose stored copy may contain any value of the key. */
   storedCopies: number;
-  /** The page whose stored copy contains the newest value that is known to be stored. */
+  /** The page whose stored copy contains the newest value that is known to be stored; null if none is. */
   durablePage: Page | null;
   /** Whether the newest value has not been sent. */
   dirty: boolean;
@@ -24,22 +27,25 @@
   readonly key: string;
   /** The entries whose newest value is in this page, or will be once it is written. */
   readonly entries: Set<RecordEntry>;
-  /** Upper bound of the page's size with its current entries, in the unit of `storedSize`. */
+  /** Upper bound of the page's size with its current entries, in characters of JSON (`storedSize`). */
   size: number;
   /** Last known version at the state store; 0 if the page does not exist there. */
   version: number;
   /** Keys that the stored copy may contain. */
   readonly storedKeys: Set<string>;
-  /** Whether a write failed because of a different version; the page must be reread before the next write. */
+  /**
+   * Whether a write failed because the stored version was not `version`. The page must be reread before the
+   * next write.
+   */
   versionUnknown: boolean;
 }
 
-/** Upper bound of the size of the JSON of a page without entries. */
+/** Upper bound of the size of a page without entries, in characters of JSON. */
 export const EMPTY_PAGE_SIZE = 40;
 
-/** Upper bound of the size of the JSON of an entry, excluding its key and value. */
+/** Upper bound of the size of an entry without its key and value, in characters of JSON. */
 const ENTRY_OVERHEAD = 8;
-/** Size of the JSON of `null`. */
+/** Size of `null`, in characters of JSON. */
 const NULL_SIZE = 4;
 
 /** Returns the size of a value in the unit of the state store's limits: characters of its JSON. */
--- a/src/controller/store/record-store.test.ts
+++ b/src/controller/store/record-store.test.ts
@@ -82,7 +82,7 @@
     ['small', { ...stateLimits, valueKb: 2, txnOps: 4 }, 60, 700],
   ];
   for (const [valueSizes, limits, keyCount, maxLength] of sizes)
-    it(`lets the next leader load all values reported as stored, or newer ones: ${valueSizes} values`, () => {
+    it(`lets the next leader load all ${valueSizes} values that were reported as stored, or newer ones`, () => {
       let callbacks = 0;
       fc.assert(
         fc.property(fc.nat(1e9), (seed) => {
--- a/src/controller/store/record-store.ts
+++ b/src/controller/store/record-store.ts
@@ -35,9 +35,9 @@
  * once this value or a newer one is stored. Records are packed into pages (page-table.ts). At most one
  * transaction is in flight.
  *
- * Invariant: every write is conditional on the leader key and on the version of the page that it
- * replaces. A copy that the network delivers late therefore fails, because either the leader or the
- * version has changed, and cannot replace a list of assignments by an older one.
+ * Invariant: every write is conditional on the leader key and on the version of the page that it replaces. A
+ * copy that the network delivers late therefore fails, because the leader key or the version of the page has
+ * changed. It cannot replace a list of assignments by an older one.
  */
 export class RecordStore {
   private readonly pages: PageTable;
@@ -84,7 +84,9 @@
     this.pages.load(items);
   }
 
-  /** Lists the newest values of all keys with a prefix. New keys are not seen during the iteration. */
+  /**
+   * Lists the newest values of all keys with a prefix. Keys that are added during the iteration are not listed.
+   */
   *list(prefix: string): Iterable<{ key: string; value: unknown }> {
     for (const { key, json } of [...this.pages.entries.values()])
       if (json !== null && key.startsWith(prefix))
@@ -108,8 +110,8 @@
   }
 
   /**
-   * Writes keys that other nodes write too. All writes are carried out if the given conditions and the
-   * leader's own hold, and none otherwise.
+   * Writes keys that other nodes write too. All writes are carried out if the given conditions and the fencing
+   * condition hold, and none otherwise.
    */
   transact(conditions: Condition[], writes: Write[], done: PendingTransaction['done']): void {
     this.transactions.push({ conditions, writes, done });
@@ -152,7 +154,7 @@
     return null;
   }
 
-  /** Starts a timer whose event causes a batch; the owner calls `flush` after each batch of events. */
+  /** Starts a timer that posts an event. The owner calls `flush` after each batch of events. */
   private flushLater(delayMs: number): void {
     const waitMs = Math.max(MIN_TIMER_MS, delayMs);
     const flushAt = this.eventLoop.now() + waitMs;
--- a/src/controller/store/write-share.test.ts
+++ b/src/controller/store/write-share.test.ts
@@ -22,7 +22,7 @@
     assert.equal(shareOf(demand(true, 0), []), 1);
   });
 
-  it('exceeds the fixed share of a follower with most of the known demand', () => {
+  it('gives a follower with most of the known demand more than its fixed share', () => {
     const idle = demand(false, 0);
     const share = shareOf(demand(false, 20), [demand(true, 5), idle, idle, idle]);
     assert.ok(share > 0.6, `the follower with most of the demand may use ${share}`);
--- a/src/controller/store/write-share.ts
+++ b/src/controller/store/write-share.ts
@@ -3,7 +3,7 @@
 /** A controller's role, and the rate of writes that it would make without limits. */
 export interface WriteDemand {
   isLeader: boolean;
-  /** Number of puts and deletes that it would make per second. */
+  /** Number of puts and deletes that the controller would make per second without limits. */
   writesPerSecond: number;
 }
 
