--- a/src/controller/operators/cluster-view.test.ts
+++ b/src/controller/operators/cluster-view.test.ts
@@ -54,8 +54,8 @@
 
   const view = (after = ''): View => clusterView(source(after)) as View;
 
-  // Guards against truncating a list without saying so: a response once contained only the first 200 machines
-  // and did not show that there were more.
+  // Guards against lists that are truncated without notice: a response once contained only the first 200
+  // machines and did not show that there were more.
   it('stays within the response size limit and names the truncated lists', () => {
     const firstView = view();
     assert.ok(JSON.stringify(firstView).length < MAX_RESPONSE_BYTES);
--- a/src/controller/store/page-table.ts
+++ b/src/controller/store/page-table.ts
@@ -22,7 +22,7 @@
     this.allocator = new PageAllocator(this, maxValueSize);
   }
 
-  /** Loads all stored pages. A malformed page is treated as empty. */
+  /** Loads all stored pages. A malformed page is treated as empty, and a malformed entry is skipped. */
   load(items: readonly KeyValue[]): void {
     const newestSequence = new Map<string, number>();
     for (const item of items) {
