--- a/src/controller/api/cluster-endpoint.ts
+++ b/src/controller/api/cluster-endpoint.ts
@@ -3,14 +3,14 @@
 import { clusterView } from '../operators/cluster-view.js';
 import type { ApiContext } from './api-context.js';
 
-/** Retry-After in seconds of the 503 response while no leader is available. */
+/** Value, in seconds, of the Retry-After header of the 503 response while no leader is available. */
 const RETRY_AFTER_S = 1;
 
 /** Answers operators' requests for the view of the cluster. */
 export class ClusterEndpoint {
   constructor(private readonly context: ApiContext) {}
 
-  /** Responds with the view of the cluster, with only the machines whose ids come after `afterMachine`. */
+  /** Responds with the view of the cluster. It lists only the machines whose ids come after `afterMachine`. */
   handle(afterMachine: string, respond: Respond): void {
     const { eventLoop, settings, role, catalogue } = this.context;
     const leaderTerm = role.recoveredTerm;
--- a/src/controller/api/heartbeat-endpoint.ts
+++ b/src/controller/api/heartbeat-endpoint.ts
@@ -24,9 +24,9 @@
     const { role, catalogue } = this.context;
     const term = role.currentTerm;
     if (term === null) return this.redirect(respond);
-    // This node is elected but may not answer: the state is not recovered yet, the lease has expired and the
-    // other controllers have not all granted more time (invariant 1), or the job watch is older than the
-    // freshness bound (invariant 8).
+    // This node is elected but may not answer, for one of these reasons: the state is not recovered yet; the
+    // lease has expired and the other controllers have not all granted more time (invariant 1); the job watch
+    // is older than the freshness bound (invariant 8); or the machine types are not known yet.
     if (!role.mayAnswerWorkers || catalogue.types === null) return respond(unavailable());
     const response = term.components.workers.handleHeartbeat(heartbeat);
     const hasSteppedDown = role.currentTerm !== term;
--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -17,7 +17,7 @@
 
 /**
  * Delay after which a request without a response may be forwarded to a peer: a heartbeat interval divided by
- * this. The same delay is the shortest stall of a call to the state store that justifies forwarding.
+ * this. A call to the state store counts as stalled after the same delay.
  */
 const HEDGE_DELAY_DIVISOR = 25;
 /**
--- a/src/controller/api/metrics-endpoint.ts
+++ b/src/controller/api/metrics-endpoint.ts
@@ -4,7 +4,7 @@
 import type { ApiContext } from './api-context.js';
 
 const CONTENT_TYPE = 'text/plain; version=0.0.4';
-/** Retry-After in seconds of the response while the metrics module is not loaded yet. */
+/** Value, in seconds, of the Retry-After header of the response while the metrics module is not loaded. */
 const RETRY_AFTER_S = 5;
 
 /** Answers requests of Prometheus scrapers. */
--- a/src/controller/api/router.test.ts
+++ b/src/controller/api/router.test.ts
@@ -61,7 +61,7 @@
       expected: { status: 503, body: { error: 'no leader just now' }, retryAfterS: 1 },
     },
     {
-      title: 'responds with 503 to a request for metrics before they are loaded',
+      title: 'responds with 503 to a request for metrics before the metrics module is loaded',
       request: ['GET', '/metrics'],
       expected: { status: 503, body: { error: 'starting' }, retryAfterS: 5 },
     },
--- a/src/launcher/application.ts
+++ b/src/launcher/application.ts
@@ -11,7 +11,7 @@
 /** Suffix that is appended to a bundle's name to get the name of its code cache file. */
 const CACHE_SUFFIX = '.cache';
 
-/** The function whose source `Module.wrap` returns for a CommonJS module. */
+/** Type of the function that `Module.wrap` puts around the source of a CommonJS module. */
 type ModuleFunction = (
   exports: object,
   require: NodeJS.Require,
@@ -54,8 +54,9 @@
 }
 
 /**
- * Creates the code cache of a bundle, with every function compiled. V8 accepts a cache only if the flags are
- * the same as at the call of `createCachedData`, so lazy compilation is switched on again before that call.
+ * Creates the code cache of a bundle, with every function compiled. V8 accepts a cache only in a process that
+ * has the same flags as this process at the call of `createCachedData`. So lazy compilation, the default, is
+ * switched on again before that call.
  */
 export function createCache(file: string): Buffer {
   setFlagsFromString('--no-lazy');
