--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -62,14 +62,14 @@
     return false;
   }
 
-  /** Whether a connection to the address is idle, so that a request needs no new one. */
+  /** Whether a connection to the address is idle, so that a request needs no new connection. */
   hasIdleConnection(address: string): boolean {
     return (this.hosts.get(address)?.idle.length ?? 0) > 0;
   }
 
   /**
-   * Sends a request as soon as a connection is available. `done` is called once, with null if no valid
-   * response has arrived within `timeoutMs`.
+   * Sends a request as soon as a connection is available. `done` is called once: with the response, or with
+   * null if the connection fails or no valid response arrives within `timeoutMs`.
    */
   request(
     address: string,
--- a/src/controller/http/formatting.ts
+++ b/src/controller/http/formatting.ts
@@ -42,7 +42,7 @@
   return Buffer.concat([Buffer.from(`${head}\r\n`, 'latin1'), body]);
 }
 
-/** Returns the bytes of a request. A body has to be encoded as CBOR; null sends none. */
+/** Returns the bytes of a request. The body has to be CBOR; null stands for a request without a body. */
 export function formatRequest(
   method: string,
   host: string,
--- a/src/controller/http/parser.ts
+++ b/src/controller/http/parser.ts
@@ -20,13 +20,13 @@
 
 /** Limits on the size of a message. */
 export interface MessageLimits {
-  /** Longest head (start line and headers) that is accepted; also the longest trailer line. */
+  /** Longest head (start line and headers) and longest trailer line that are accepted, in bytes. */
   headBytes: number;
-  /** Longest body that is accepted; of a chunked body, the sum of its chunks. */
+  /** Longest body that is accepted, in bytes; for a chunked body, the sum of its chunks. */
   bodyBytes: number;
 }
 
-/** A message is malformed or too large. `status` is the status of the response to such a request. */
+/** Thrown for a message that is malformed or too large. A server rejects the request with status `status`. */
 export class HttpError extends Error {
   constructor(
     readonly status: number,
@@ -43,7 +43,7 @@
 
 const CR = 13;
 const LF = 10;
-/** Longest line, in bytes, that holds a chunk's size and extensions. */
+/** Limit, in bytes, on the line with a chunk's size and extensions. */
 const CHUNK_SIZE_LINE_BYTES = 128;
 /** Limit, in bytes, on the line after a chunk's data, which has to be empty. */
 const CHUNK_END_LINE_BYTES = 2;
--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -12,7 +12,7 @@
 /** Limits and callbacks of a server's connection. */
 export interface ConnectionOptions {
   limits: MessageLimits;
-  /** Longest time from the arrival of a request's first byte to that of its last. */
+  /** Longest time from the arrival of a request's first byte to the arrival of its last byte. */
   readTimeoutMs: number;
   /** Returns the idle time-out for the path of the connection's last request ('' before the first request). */
   idleTimeoutMs: (path: string) => number;
@@ -25,7 +25,7 @@
 
 const EMPTY_BODY = Buffer.alloc(0);
 
-/** Reads requests from a socket and writes the responses to them. */
+/** Reads requests from a socket and writes their responses. */
 export class ServerConnection {
   private readonly parser: HttpParser;
   /** Whether a request is being handled. */
@@ -34,7 +34,7 @@
   private ended = false;
   /** The idle time-out that is set on the socket. */
   private idleTimeoutMs: number;
-  /** Closes the connection after `readTimeoutMs`; null unless a request has arrived only in part. */
+  /** Closes the connection after `readTimeoutMs`; null unless part of a request, but not all of it, has arrived. */
   private readTimer: NodeJS.Timeout | null = null;
 
   constructor(
@@ -52,7 +52,7 @@
   private receive(bytes: Buffer): void {
     if (this.ended) return;
     this.parser.push(bytes);
-    // Requests are not pipelined: bytes that arrive before the response are buffered and reading pauses.
+    // Requests are not pipelined: reading pauses if bytes arrive before the previous request is answered.
     if (this.busy) this.socket.pause();
     else this.handleNextRequest();
   }
--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -55,8 +55,8 @@
   });
 
   // Guards against refused connections: with 885 workers at one node and a limit of 1200 sockets, the node
-  // refused new connections, workers' connections included.
-  it('the server closes the longest idle connections when its budget is exhausted, and serves new ones', async () => {
+  // refused new connections, also those of workers.
+  it('the server closes the longest idle connections when the socket budget is exhausted, and serves new connections', async () => {
     const closed: number[] = [];
     const openSockets: net.Socket[] = [];
     const openAndRequest = (i: number): Promise<void> =>
--- a/src/controller/http/server.ts
+++ b/src/controller/http/server.ts
@@ -15,7 +15,7 @@
   sockets: SocketBudget;
   /** Largest number of open connections; further connections are closed when they are accepted. */
   maxSockets: number;
-  /** Longest time from the arrival of a request's first byte to that of its last. */
+  /** Longest time from the arrival of a request's first byte to the arrival of its last byte. */
   readTimeoutMs: number;
   /** Returns the idle time-out for the path of a connection's last request ('' before the first request). */
   idleTimeoutMs: (path: string) => number;
--- a/src/controller/http/socket-budget.ts
+++ b/src/controller/http/socket-budget.ts
@@ -1,8 +1,8 @@
 /**
- * Counts the open sockets of the process, whose number the platform limits. Servers and clients share the
- * budget without fixed shares: if a new socket exceeds the budget, an idle connection is closed, so that a new
- * connection can be accepted at any time. The other end of a closed connection reconnects when it next has
- * something to send.
+ * Counts the open sockets of the process, whose number the platform limits. All servers and clients share one
+ * budget; none has a fixed part of it. If a new socket exceeds the budget, an idle connection is closed, so
+ * that a new connection can be accepted at any time. The other end of a closed connection reconnects when it
+ * next has something to send.
  */
 export class SocketBudget {
   private count = 0;
@@ -15,7 +15,7 @@
     return this.count;
   }
 
-  /** Whether the budget is used up, so that calls which can be replaced or delayed should not open sockets. */
+  /** Whether the budget is used up. Calls that can be replaced or delayed should then open no sockets. */
   get exhausted(): boolean {
     return this.count >= this.limit;
   }
