--- a/test/simulation/faults/connection-faults.ts
+++ b/test/simulation/faults/connection-faults.ts
@@ -71,15 +71,15 @@
   }
 
   /**
-   * Blocks responses and commands to a machine, while its heartbeats arrive. Without `mode`, it is
-   * drawn at random whether the blocked messages are held back or lost.
+   * Blocks responses and commands to a machine, while its heartbeats still arrive. Without `mode`,
+   * it is drawn at random whether the blocked messages are held back or lost.
    */
   blockInbound(worker: Worker, ms: number, mode?: CutMode): void {
     for (const host of this.hosts) this.network.cutOneWay(host, worker.id, mode ?? this.drawCut());
     this.healWorker(worker, ms);
   }
 
-  /** Holds back the heartbeats and responses of a machine, while messages to the machine arrive. */
+  /** Holds back the heartbeats and responses of a machine, while messages to it still arrive. */
   holdOutbound(worker: Worker, ms: number): void {
     for (const host of this.hosts) this.network.cutOneWay(worker.id, host, 'hold');
     this.healWorker(worker, ms);
--- a/test/simulation/faults/observed-events.ts
+++ b/test/simulation/faults/observed-events.ts
@@ -31,5 +31,5 @@
   }
 }
 
-/** Time from its rental for which a machine counts as new, in milliseconds. */
+/** Age below which a machine counts as new, counted from its rental, in milliseconds. */
 export const NEW_MACHINE_MS = 5000;
--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -2,14 +2,14 @@
 import { writeJobSpec } from '../../../src/controller/wire/jobs.js';
 import type { Simulation } from '../simulation.js';
 
-/** Number of requests to each controller after a change. */
+/** Number of requests that each controller gets after a change of a job. */
 const REQUESTS_PER_CONTROLLER = 3;
-/** Time after the change within which the requests are sent, in milliseconds. */
+/** Time after a change of a job within which all requests about it are sent, in milliseconds. */
 const REQUEST_WINDOW_MS = 40;
-/** Share of the requests that repeat the submission instead of polling. */
+/** Share of the requests that repeat the job's submission instead of polling its status. */
 const RESUBMISSION_SHARE = 0.3;
 
-/** Polls a job at one controller, or repeats its submission; the rules check the response. */
+/** Polls a job at one controller, or repeats its submission; the rule checker gets the response. */
 function pollOnce(simulation: Simulation, id: string, host: string): void {
   const { checker, random } = simulation;
   const spec = simulation.users.specOf(id);
--- a/test/simulation/faults/random-faults.ts
+++ b/test/simulation/faults/random-faults.ts
@@ -4,7 +4,7 @@
 
 /** Time from the interruption notice of a spot instance to its reclamation, in milliseconds. */
 const INTERRUPTION_NOTICE_MS = 10_000;
-/** Time from the kill of a controller to its restart in ms, unless a shorter time is drawn. */
+/** Time from the kill of a controller to its restart, unless a shorter time is drawn, in milliseconds. */
 const RESTART_MS = 6000;
 
 /** The random parameters of a fault. */
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -74,7 +74,7 @@
   zoneCutOff: cutZone,
 };
 
-/** Kills the leader shortly after the boot of a new machine or the start of a task on one. */
+/** Kills the leader shortly after a new machine has booted or has started a task. */
 function killLeaderWhileMachinesStart(
   simulation: Simulation,
   restartMs: number,
@@ -109,7 +109,10 @@
   observeZoneCut(simulation, hostsInside, ms);
 }
 
-/** Records a leader alone in the zone that is cut off, elections outside it, and task starts. */
+/**
+ * Records observed events of a zone that is cut off: that the leader is alone inside it, that a leader
+ * is elected outside it, and that tasks start while it is cut off.
+ */
 function observeZoneCut(
   simulation: Simulation,
   hostsInside: readonly string[],
--- a/test/simulation/faults/scripted/message-faults.ts
+++ b/test/simulation/faults/scripted/message-faults.ts
@@ -13,7 +13,7 @@
 /** Parameters of the faults of messages. */
 export interface MessageFaults {
   slowNetwork: object;
-  /** Delivers copies of a share of the heartbeats seconds later. */
+  /** For a share of the heartbeats, delivers a copy at least 2 s after the original. */
   duplicatedHeartbeats: { share: number };
   /** Delays a share of the direct commands by several seconds, and loses their responses. */
   delayedCommands: { share: number };
--- a/test/simulation/faults/scripted/state-store-faults.ts
+++ b/test/simulation/faults/scripted/state-store-faults.ts
@@ -4,14 +4,14 @@
 
 /** Parameters of the faults of the state store. */
 export interface StateStoreFaults {
-  /** Refuses all requests of these controllers, so that their leases expire. */
+  /** Refuses all requests of the selected controllers, so that a leader's lease expires. */
   stateStoreRefuses: OnControllers;
-  /** Refuses only the watches of these controllers. */
+  /** Refuses the watches of the selected controllers, but none of their other requests. */
   watchesRefused: OnControllers;
   stateStoreLimitsLowered: object;
   stateStoreOutage: object;
   slowStateStore: object;
-  /** Delays the commits of a share of the transactions, which get no response. */
+  /** Commits a share of the transactions late and sends no response to them. */
   lateWrites: { share: number };
   /** Commits a share of the transactions immediately, but loses their responses. */
   lostResponses: { share: number };
--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -18,7 +18,7 @@
 
 interface JobStream {
   perSecond: number;
-  /** Share of the jobs that users cancel, partly before the jobs start or after they end. */
+  /** Share of the jobs that users cancel. Some jobs have not started or have already ended by then. */
   cancelShare: number;
   template: Partial<JobSpec>;
 }
@@ -42,7 +42,7 @@
 const MAX_CANCEL_DELAY_AFTER_HANDOVER_MS = 2500;
 /** Maximum time from the submission to the cancellation of a job of a stream, in milliseconds. */
 const MAX_CANCEL_DELAY_MS = 12_000;
-/** Time between two polls of each user by `everyonePolls`, in milliseconds. */
+/** Time between two polls of one user during `everyonePolls`, in milliseconds. */
 const POLL_INTERVAL_MS = 1000;
 
 /** Injectors of the actions of users. */
--- a/test/simulation/scenarios/fault-scenario.ts
+++ b/test/simulation/scenarios/fault-scenario.ts
@@ -9,13 +9,13 @@
   name: string;
   /** Fields of the jobs that run when the faults begin; other fields are drawn at random. */
   jobs: Partial<JobSpec>;
-  /** Number of these jobs. */
+  /** Number of jobs that are submitted before the faults begin. */
   jobCount: number;
   /** The simulated deployment; the small one if absent. */
   deployment?: Deployment;
   /**
-   * Returns the faults, with times in seconds from the start of their injection, when the jobs run.
-   * `between` draws a random number.
+   * Returns the faults. Their times are in seconds, counted from the moment when the jobs run and
+   * the injection of faults starts. `between` draws a random number in a range.
    */
   faults(between: (from: number, to: number) => number): Fault[];
   /** Returns counters that must all be above 0 at the end of the scenario. */
@@ -34,7 +34,7 @@
 /** Number of times that a leader renewed its lease after the lease had expired by its own clock. */
 export const leaseGaps = (simulation: Simulation): number =>
   simulation.processes.logCounts.get('lease renewed after a gap') ?? 0;
-/** Number of jobs with tasks on machines when a response first reported them as cancelled. */
+/** Number of jobs that still had tasks on machines when a response first reported them as cancelled. */
 export const cancelledWhileRunning = (simulation: Simulation): number =>
   simulation.checker.cancelledWhileRunning.length;
 /** Number of worker leases that expired. */
--- a/test/simulation/scenarios/fault-scenarios.ts
+++ b/test/simulation/scenarios/fault-scenarios.ts
@@ -14,5 +14,5 @@
   ...workloadScenarios,
 ];
 
-/** All fault scenarios, with those about operations in progress at a failover and responses. */
+/** All fault scenarios, including those about failovers and about responses to users. */
 export const allScenarios = [...faultScenarios, ...failoverScenarios, ...responseScenarios];
--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -21,7 +21,7 @@
 const OUTAGE_MS = 8000;
 /** Share of the spot instances that the cloud reclaims. */
 const RECLAIMED_SPOT_SHARE = 0.75;
-/** Time within which the cloud reclaims these instances, in milliseconds. */
+/** Time within which the cloud reclaims spot instances, in milliseconds. */
 const RECLAIM_WINDOW_MS = 8000;
 /** Time from the kill of a controller to its restart, in milliseconds. */
 const RESTART_MS = 6000;
@@ -32,7 +32,7 @@
 /** Mean time between two submissions in milliseconds, multiplied by the number of machines. */
 const MACHINE_MS_PER_JOB = 450_000;
 
-/** Plays the scenario in a fleet with a capacity of `machines`, until after its last fault. */
+/** Plays the scenario in a fleet of at most `machines` machines, until after its last fault. */
 export function playLargeFleet(machines: number, seed: number): Simulation {
   const deployment = largeFleet(machines);
   const simulation = new Simulation(deployment, seed, rareFaults);
--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -1,4 +1,4 @@
-/** The fault scenarios in the deployment with short leases, and some of its own. */
+/** Adapts fault scenarios to the deployment with short leases, and adds scenarios only for it. */
 import { defaultPlatformOptions } from '../../platform.js';
 import { shortLeases, shortLeasesWithLowerLimits } from '../deployments/short-leases.js';
 import type { Fault } from '../faults/scripted/fault.js';
@@ -10,11 +10,14 @@
   type FaultScenario,
 } from './fault-scenario.js';
 
-/** Value of `lease_s` in this deployment, as a fraction of its default value. */
+/** Value of `lease_s` in the deployment with short leases, as a fraction of the default value. */
 const LEASE_RATIO = shortLeases.platform.leaseS / defaultPlatformOptions.leaseS;
-/** Value of `cancel_s` in this deployment, as a fraction of its default value. */
+/** Value of `cancel_s` in the deployment with short leases, as a fraction of the default value. */
 const CANCEL_RATIO = shortLeases.platform.cancelDeadlineS / defaultPlatformOptions.cancelDeadlineS;
-/** Times up to this number of seconds scale with the lease; later times shift by a constant. */
+/**
+ * Start times of faults up to this number of seconds are scaled with the lease. Later start times are
+ * shifted by a constant.
+ */
 const SCALED_UNTIL_S = 10;
 
 /** Converts the time at which a fault begins, in seconds, to the deployment with short leases. */
@@ -25,7 +28,7 @@
 
 /**
  * Converts a duration in seconds. A duration longer than `cancel_s` scales with `cancel_s`, so that
- * it stays longer than that setting; other durations scale with the lease.
+ * it stays longer than `cancel_s`; other durations scale with the lease.
  */
 function scaledDuration(seconds: number): number {
   return seconds * (seconds > defaultPlatformOptions.cancelDeadlineS ? CANCEL_RATIO : LEASE_RATIO);
--- a/test/simulation/scenarios/steady-work.ts
+++ b/test/simulation/scenarios/steady-work.ts
@@ -13,10 +13,10 @@
 const INTERVAL_FACTORS = { least: 0.3, most: 1.7 };
 /** Share of the jobs submitted after the start that are cancelled. */
 const CANCEL_SHARE = 0.04;
-/** Time from the submission to the cancellation of such a job, in milliseconds. */
+/** Time from the submission of a job to its cancellation, if it is cancelled; in milliseconds. */
 const CANCEL_AFTER_MS = 20_000;
 
-/** Submits `jobsAtStart` random jobs, then one after each interval; some of these are cancelled. */
+/** Submits `jobsAtStart` random jobs, then one job per interval; some of the later jobs are cancelled. */
 export function submitSteadily(
   simulation: Simulation,
   { jobsAtStart, meanIntervalMs, untilMs }: SteadyWork,
