--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -80,7 +80,7 @@
       );
       const after = recordedArrivals(simulation);
       assert.deepEqual(after.images, before.images);
-      // The stored weight changes only when a job is submitted, and none was since the first record.
+      // The stored weight changes only when a job is submitted. No job was submitted since the first reading.
       assert.equal(after.weight, before.weight);
     });
 });
--- a/test/frontend-fixture.ts
+++ b/test/frontend-fixture.ts
@@ -25,7 +25,7 @@
   ...{ price: 1, spotPrice: 1, bootS: 1, zones: ['a'] },
 };
 
-/** Time after which the token buckets of the state store client allow a call, in milliseconds. */
+/** Time in which the token buckets of the state store client refill enough for a call, in milliseconds. */
 const TOKEN_REFILL_MS = 60_000;
 
 /** Time after which every group commit has been sent, in milliseconds. */
@@ -45,10 +45,10 @@
   ...{ shape: 'standing', urgency: 'critical', duties: 4, cores: 2, cards: 1, expect_s: 0 },
 };
 
-/** The user API of one controller; the test moves the clock and answers the calls. */
+/** The user API of one controller; the test moves the clock and answers the controller's calls. */
 export class FrontendFixture {
   readonly runtime = new ManualRuntime();
-  /** The responses to the test's requests, in the order in which they were sent. */
+  /** The responses to the test's requests, in the order in which the controller sent the responses. */
   readonly responses: ApiResponse[] = [];
   private readonly eventLoop = new EventLoop(this.runtime, silentLogger);
   private readonly frontend: Frontend;
@@ -124,7 +124,7 @@
   }
 }
 
-/** The user API of one of several nodes that share a state store, which answers every call immediately. */
+/** The user API of one of several nodes. They share a state store that answers every call immediately. */
 export class FrontendNode {
   private readonly fixture = new FrontendFixture();
 
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -19,7 +19,7 @@
       const { cloud, checker, stateStore } = simulation;
       assert.ok(
         cloud.workers.length > MACHINES * 0.6,
-        `only ${cloud.workers.length} of ${MACHINES} machines are left`,
+        `only ${cloud.workers.length} machines are left, expected more than ${MACHINES * 0.6}`,
       );
       assert.ok(
         checker.startedTasks > MACHINES,
@@ -28,7 +28,7 @@
       // The leader packs records into pages: apart from the three puts per job, one put covers several tasks.
       assert.ok(
         stateStore.puts < checker.startedTasks,
-        `${stateStore.puts} puts for ${checker.startedTasks} starts`,
+        `${stateStore.puts} puts for ${checker.startedTasks} started tasks, expected fewer puts than tasks`,
       );
       simulation.stopFaults(30_000);
       simulation.play(RECOVERY_MS);
--- a/test/mixed-versions/alternating-leaders.test.ts
+++ b/test/mixed-versions/alternating-leaders.test.ts
@@ -24,7 +24,7 @@
   const { versionChanges } = scenario;
   assert.ok(
     versionChanges >= VERSION_CHANGES,
-    `only ${versionChanges} changes of leadership between the versions`,
+    `only ${versionChanges} changes of leadership between the versions, expected at least ${VERSION_CHANGES}`,
   );
   for (const version of [older, present])
     assert.ok(processes.electedVersions.includes(version), `${version.name} was never elected`);
--- a/test/mixed-versions/lower-limits.test.ts
+++ b/test/mixed-versions/lower-limits.test.ts
@@ -10,10 +10,10 @@
 import { describeOlderVersions, playSeeds, seedCountsFor } from './older-versions.js';
 import { RESTART_PAUSE_MS, playRollout, type PlannedEvent, type RolloutEvent } from './rollout.js';
 
-/** A point in time, relative to another event, at which the limits of the state store are lowered. */
+/** A kind of moment at which the limits of the state store are lowered, such as during an outage. */
 interface LimitsDecreaseMoment {
   name: string;
-  /** Plans the decrease for the first such point after `fromMs`. */
+  /** Plans to lower the limits at the first moment of this kind after `fromMs`. */
   plan(scenario: MixedVersionScenario, fromMs: number): PlannedEvent;
 }
 
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -43,12 +43,12 @@
 
 /** The state of the simulation when the limits of the state store were lowered. */
 export interface LimitsDecrease {
-  /** The leader at that time, or null if there was none. */
+  /** The leader when the limits were lowered, or null if there was none. */
   leader: string | null;
   inOutage: boolean;
-  /** Keys of the transaction whose arrival triggered the decrease; null if none did. */
+  /** Keys that the transaction wrote whose arrival triggered the decrease; null without such a trigger. */
   transaction: readonly string[] | null;
-  /** Number of different versions that the processes ran at that time. */
+  /** Number of different versions that the processes ran when the limits were lowered. */
   versionsRunning: number;
 }
 
@@ -158,7 +158,7 @@
     killLeader();
   }
 
-  /** Runs the action once, as soon as the condition holds after `afterMs`. */
+  /** Waits for `afterMs`, then runs the action once, as soon as the condition holds. */
   runWhen(afterMs: number, condition: () => boolean, action: () => void): void {
     const { clock } = this.simulation;
     const evaluate = (): void => {
--- a/test/mixed-versions/older-versions.ts
+++ b/test/mixed-versions/older-versions.ts
@@ -6,9 +6,9 @@
 
 /** The number of seeds with which a scenario is played. */
 export interface SeedCounts {
-  /** For scenarios with the most frequent faults. */
+  /** Number of seeds for scenarios with the most frequent faults. */
   frequent: number;
-  /** For scenarios with rarer faults. */
+  /** Number of seeds for scenarios with rarer faults. */
   rare: number;
 }
 
--- a/test/mixed-versions/rollout.test.ts
+++ b/test/mixed-versions/rollout.test.ts
@@ -1,7 +1,7 @@
 /**
  * Rollouts and rollbacks between an older version and the present one, with faults during the update.
  * Operators roll out a new version while an older one runs, and roll back if the new one fails. So each version
- * has to read the other's records and take over leadership from it. Rules are checked after every step.
+ * has to read the other's records and be able to succeed it as leader. Rules are checked after every step.
  */
 import assert from 'node:assert/strict';
 import { it } from 'node:test';
--- a/test/mixed-versions/services.test.ts
+++ b/test/mixed-versions/services.test.ts
@@ -1,4 +1,4 @@
-/** Services that keep running during a rollout, or through a failover after one. */
+/** Services that keep running during a rollout, or during a failover after a rollout. */
 import assert from 'node:assert/strict';
 import { it } from 'node:test';
 import { presentVersion, type ProgramVersion } from '../simulation/program-version.js';
@@ -88,7 +88,7 @@
   };
   scenario.runWhen(0, () => isServing(scenario, services), rollOut);
   scenario.finish([{ kind: 'jobsCancelled', count: 3, at: simulation.random.between(1, 5) }]);
-  assert.ok(survived, 'the services were not complete after the rollout');
+  assert.ok(survived, 'not all replicas of the services ran after the rollout');
   assert.ok(fewestReplicas > 0, 'a service had no running replica at some time');
   const electedVersions = simulation.processes.electedVersions.slice(electionsBefore);
   assert.ok(electedVersions.includes(to), `${to.name} was never elected while services ran`);
--- a/test/placement-cluster.ts
+++ b/test/placement-cluster.ts
@@ -40,7 +40,7 @@
   jobDefaults: Partial<JobSpec>;
   /** Time that a worker needs to fetch an image. */
   fetchMs: number;
-  /** Replaces the call of `Placement.runPass`. */
+  /** Called in each step instead of `Placement.runPass`. */
   runPass?: (placement: Placement) => void;
 }
 
@@ -104,7 +104,7 @@
     return this.table.jobs.get(spec.id) ?? assert.fail(`${spec.id} was not added`);
   }
 
-  /** Adds a machine `id` like `machineId`, without tasks and with only the given image. */
+  /** Adds machine `id`: a copy of machine `machineId`, but without tasks and with only the given image. */
   addMachineLike(machineId: string, id: string, image: string): void {
     const worker = this.worker(machineId);
     this.simulatedWorkers.push({ ...worker, id, tasks: [], images: new Set([image]) });
@@ -133,7 +133,7 @@
     return tasks.filter((task) => isCurrentTaskOf(task, jobId)).length;
   }
 
-  /** Makes a task of the job on that machine exit with the given cause. */
+  /** Makes one of the job's tasks on the given machine exit with the given cause. */
   exit(job: Job, cause: ExitCause, machineId: string): void {
     const { tasks } = this.worker(machineId);
     const index = tasks.findIndex((task) => isCurrentTaskOf(task, job.spec.id));
--- a/test/placement-worker.ts
+++ b/test/placement-worker.ts
@@ -3,10 +3,10 @@
 import type { TaskStatus } from '../src/controller/wire/workers.js';
 import { makeFencingToken } from '../src/controller/workers/fencing-token.js';
 
-/** The leader's term in these tests. */
+/** The leader's term in the placement tests. */
 export const TERM = 3;
 
-/** The type of every machine in these tests. */
+/** The type of every machine in the placement tests. */
 export const machineType: MachineType = {
   ...{ name: 'g', cpus: 8, gpus: 4, memoryGb: 64, cacheGb: 50, fetchGbPerS: 0.5 },
   ...{ price: 1, spotPrice: 1, bootS: 10, zones: ['a', 'b'] },
--- a/test/rule-checker-fixture.ts
+++ b/test/rule-checker-fixture.ts
@@ -1,4 +1,4 @@
-/** A rule checker with one submitted gang, and steps shared by its tests. */
+/** A rule checker with one submitted gang, and steps that the rule checker's tests share. */
 import type { JobSpec } from '../src/controller/wire/jobs.js';
 import { arraySpec } from './fakes.js';
 import type { FreeCapacity, Placement } from './simulation/rules/placement.js';
--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -119,7 +119,7 @@
   },
   {
     rule: 'ran_cancelled',
-    when: 'a task still runs more than cancel_s after its cancellation was confirmed',
+    when: 'a task still runs more than cancel_s after the cancellation of its job was confirmed',
     play: (checker, time) => {
       checker.taskStarted('req-1', 0, placement);
       cancel(checker);
--- a/test/size.test.ts
+++ b/test/size.test.ts
@@ -6,7 +6,7 @@
 import { submitSteadily } from './simulation/scenarios/steady-work.js';
 import { Simulation } from './simulation/simulation.js';
 
-/** Largest number of machines in the fleet; more of them would only make the test slower. */
+/** Largest number of machines in the fleet; more machines would only make the test slower. */
 const MACHINES = 200;
 const FIRST_JOBS = 30;
 /** Mean time between two submissions, chosen so that most of the machines are busy. */
@@ -82,7 +82,7 @@
     const simulation = playFleet(1, 2 * measureMs, [measure]);
     const after = usageOf(simulation);
     const tasks = after.startedTasks - before.startedTasks;
-    assert.ok(tasks > 300, `only ${tasks} tasks started`);
+    assert.ok(tasks > 300, `only ${tasks} tasks started, expected more than 300`);
     // Records are packed into pages: apart from three puts per job, one put covers several tasks.
     const putsPerTask = (after.puts - before.puts) / tasks;
     assert.ok(putsPerTask < 2, `${putsPerTask} puts per task, expected less than 2`);
@@ -95,7 +95,7 @@
     assertCompletes(simulation);
   });
 
-  // The operators require that no worker's lease expires under such a sequence of controller faults.
+  // The operators require that no worker's lease expires while controllers fail one after the other.
   it('expires no lease and finishes all jobs under one controller fault after the other', () => {
     const simulation = playFleet(2, 240_000, controllerFaults);
     assert.equal(simulation.expiredLeases, 0);
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -54,10 +54,10 @@
   return { key, text, value: JSON.parse(text) as unknown };
 }
 
-/** A wall-clock time later than all in the fixture, in milliseconds. */
+/** A wall-clock time, in milliseconds, that is later than every time in the fixture. */
 const WALL_CLOCK_MS = 1.8e12;
 
-/** A store of machines over the given records, which restores the recorded assignments. */
+/** Creates a machine store over the given records, and the registry into which it restores machines. */
 function machineStore(records: RecordStore): { registry: MachineRegistry; store: MachineStore } {
   const clock = new FakeClock(WALL_CLOCK_MS);
   const eventLoop = new EventLoop(idleRuntime(clock), clock.log);
--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -32,7 +32,7 @@
 const MAX_DELAY_MS = 5000;
 /** Largest allowed size of the conditions and writes of one transaction, in bytes. */
 const MAX_TRANSACTION_SIZE = 64 * 1024;
-/** Longer than any test, so that sizes halved after a refusal are not raised again. */
+/** Time until sizes that a refusal has halved are raised again. It is longer than any test. */
 const SIZE_RETRY_MS = 3_600_000;
 
 function noop(): void {
@@ -75,7 +75,7 @@
     this.records = this.electLeader();
   }
 
-  /** Returns the limits that a leader assumes before any refusal, given those in its settings. */
+  /** Returns the limits that a leader assumes before any refusal, given the limits in its settings. */
   createKnownLimits(present: StateLimits, upcoming: StateLimits): StateStoreLimits {
     const platform = { stateLimits: present, upcomingStateLimits: upcoming };
     return new StateStoreLimits(platform, () => this.now, SIZE_RETRY_MS);
--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -78,7 +78,7 @@
 export class WorkersFixture {
   readonly runtime = new ManualRuntime();
   readonly workers: Workers;
-  /** Number of calls of `onIncompleteGang`. */
+  /** Number of times that the job table has reported a gang as incomplete. */
   incompleteGangs = 0;
   private readonly table: JobTable;
   private lastSequence = 0;
