--- a/test/digest.ts
+++ b/test/digest.ts
@@ -14,10 +14,10 @@
 const expected = write ? {} : expectedDigests();
 let differences = 0;
 const digests = await playDigests((name, { digest, counts }) => {
-  const same = write || digest === expected[name];
-  if (!same) differences++;
+  const isExpected = write || digest === expected[name];
+  if (!isExpected) differences++;
   const events = [...counts.values()].reduce((sum, count) => sum + count, 0);
-  console.log(`${digest}  ${name} (${events} events)${same ? '' : ' DIFFERS'}`);
+  console.log(`${digest}  ${name} (${events} events)${isExpected ? '' : ' DIFFERS'}`);
   if (process.argv.includes('--counts')) console.log(Object.fromEntries(counts));
 });
 console.log(`total ${totalDigest(digests)}`);
