--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -28,9 +28,9 @@
   private readonly cache = new Map<string, { cachedAt: number; response: Response }>();
   private readonly runtime: Runtime;
 
-  constructor(...parts: ConstructorParameters<typeof Controller>) {
-    super(...parts);
-    [this.runtime] = parts;
+  constructor(...controllerArguments: ConstructorParameters<typeof Controller>) {
+    super(...controllerArguments);
+    [this.runtime] = controllerArguments;
   }
 
   override request(...[method, path, bytes, respond]: RequestArguments): void {
