--- a/src/controller/http/parser.test.ts
+++ b/src/controller/http/parser.test.ts
@@ -29,15 +29,15 @@
         }),
         fc.array(fc.nat(50), { minLength: 1 }),
         (messages, pieceSizes) => {
-          const all = Buffer.concat(
+          const allBytes = Buffer.concat(
             messages.map(([path, body]) => formatRequest('POST', 'h', path, Buffer.from(body))),
           );
           const parser = new HttpParser('request', limits);
           const parsed: [string, Uint8Array][] = [];
           let offset = 0;
-          for (let i = 0; offset < all.length; i++) {
+          for (let i = 0; offset < allBytes.length; i++) {
             const size = 1 + (pieceSizes[i % pieceSizes.length] ?? 0);
-            parser.push(all.subarray(offset, offset + size));
+            parser.push(allBytes.subarray(offset, offset + size));
             offset += size;
             for (let m = parser.next(); m !== null; m = parser.next())
               parsed.push([m.path, new Uint8Array(m.body)]);
