--- a/test/simulation/deployments/deployment.ts
+++ b/test/simulation/deployments/deployment.ts
@@ -25,15 +25,15 @@
   /** Maximum number of entries on one page of a read from the state store. */
   pageSize: number;
   /**
-   * Virtual time in milliseconds from which a fault scenario injects faults; late enough for rented
-   * machines to be up and run the jobs of the scenario.
+   * Virtual time at which a fault scenario starts to inject faults, in milliseconds. By then the
+   * rented machines must be up and run the jobs of the scenario.
    */
   startMs?: number;
   /** Fields of a job that a fault scenario submits first, so that controllers rent machines. */
   warmUpJob?: Partial<JobSpec>;
   /** Probability that a rented machine never boots, in a fault scenario. */
   bootFailures?: number;
-  /** Factor by which the CPUs and memory in the job fields of a fault scenario are multiplied. */
+  /** Factor for the CPUs and memory that a fault scenario specifies for its jobs. */
   taskScale?: number;
   /** Returns a random job of a kind that the deployment can run. */
   randomJob(random: SeededRandom, id: string): JobSpec;
@@ -44,7 +44,10 @@
   return Array.from({ length: count }, (_, i) => `kiln-${i}`);
 }
 
-/** Returns the deployment with settings that announce lower upcoming limits of the state store. */
+/**
+ * Returns a copy of the deployment whose settings announce lower upcoming limits of the state
+ * store.
+ */
 export function withLowerStateLimits(deployment: Deployment, writeRps: number): Deployment {
   const limits = ['value_kb = 2.0', 'txn_ops = 6', `write_rps = ${writeRps.toFixed(1)}`];
   const upcomingLimitsToml = ['[params.state.next]', ...limits, ''].join('\n');
--- a/test/simulation/deployments/fleet-jobs.ts
+++ b/test/simulation/deployments/fleet-jobs.ts
@@ -10,9 +10,12 @@
   'id' | 'types' | 'zone' | 'spread' | 'deadlineS' | 'imageGb' | 'estimatedRunS'
 >;
 
-/** A job is a training job if its random draw is below this. */
+/** Random draws from 0 up to this value give a training job. */
 const TRAINING_BELOW = 0.2;
-/** A job is a scoring job if its draw is below this but not below `TRAINING_BELOW`; others are print jobs. */
+/**
+ * Random draws from `TRAINING_BELOW` up to this value give a scoring job; higher draws give a print
+ * job.
+ */
 const SCORING_BELOW = 0.6;
 
 /** Returns a random job for a fleet. */
--- a/test/simulation/deployments/fleets.ts
+++ b/test/simulation/deployments/fleets.ts
@@ -6,7 +6,10 @@
 import { bigMachine, smallMachine } from './machine-types.js';
 import { objectiveToml, teamToml } from './teams.js';
 
-/** A team's guaranteed amount and limit, as fractions of all GPUs. */
+/**
+ * A team's guaranteed GPUs and its limit, as fractions of the GPUs of a fleet of `big` machines
+ * only.
+ */
 interface GpuShares {
   guaranteed: number;
   limit: number;
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -6,20 +6,23 @@
 import { hostNames, withLowerStateLimits, type Deployment } from './deployment.js';
 import { teamToml } from './teams.js';
 
-/** The platform setting `lease_s`, in seconds. */
+/** Duration of a worker's lease (platform setting `lease_s`), in seconds. */
 const LEASE_S = 10;
-/** The platform setting `cancel_s`, in seconds. */
+/**
+ * Maximum time for which tasks of a cancelled job may stay on machines (platform setting
+ * `cancel_s`), in seconds.
+ */
 const CANCEL_S = 35;
 /** CPUs of the only machine type. */
 const CPUS = 64;
 /** GPUs of the only machine type. */
 const GPUS = 8;
-/** Memory of the only machine type. */
+/** Memory of the only machine type, in gigabytes. */
 const MEMORY_GB = 400;
 
 /**
- * Three controllers in two zones, leases of half the usual length, and large machines, of which
- * none exists at the start.
+ * Three controllers in two zones, worker leases of half the usual duration, and large machines. No
+ * machine exists at the start.
  */
 export const shortLeases: Deployment = {
   hosts: hostNames(3),
@@ -54,7 +57,7 @@
   randomJob,
 };
 
-/** The same deployment with lower upcoming limits of the state store. */
+/** The deployment `shortLeases` with lower upcoming limits of the state store. */
 export const shortLeasesWithLowerLimits = withLowerStateLimits(shortLeases, 20);
 
 type CommonFields = Pick<
@@ -72,9 +75,12 @@
   | 'zone'
 >;
 
-/** A job is a training job if its random draw is below this. */
+/** Random draws from 0 up to this value give a training job. */
 const TRAINING_BELOW = 0.3;
-/** A job is a scoring job if its draw is below this but not below `TRAINING_BELOW`; others are print jobs. */
+/**
+ * Random draws from `TRAINING_BELOW` up to this value give a scoring job; higher draws give a print
+ * job.
+ */
 const SCORING_BELOW = 0.8;
 
 /**
--- a/test/simulation/deployments/teams.ts
+++ b/test/simulation/deployments/teams.ts
@@ -1,6 +1,9 @@
 /** Teams and objectives of a deployment, in the TOML form of the platform settings. */
 
-/** Guaranteed amounts and limits (`Max`) of a team; a limit of 0 means no limit. */
+/**
+ * Guaranteed CPUs and GPUs of a team, and its limits, whose names end in `Max`. A limit of 0 means
+ * no limit.
+ */
 export interface TeamAmounts {
   cpus?: number;
   cpusMax?: number;
