--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -14,7 +14,7 @@
 const EXTRA_SNAPSHOT_RETENTION_MS = 2000;
 /** Range of the actual boot time of a machine, as multiples of the boot time of its type. */
 const BOOT_TIME_FACTORS = { least: 0.6, most: 1.5 };
-/** Range of the boot time of machines rented while `bootQuickly` applies, in milliseconds. */
+/** Range of the boot time of machines rented in a period of quick boots, in milliseconds. */
 const QUICK_BOOT_MS = { least: 200, most: 2000 };
 
 interface RentedMachine {
@@ -26,7 +26,7 @@
   id: string;
 }
 
-/** The list of machines as of `takenAt`, in virtual time. */
+/** The list of machines as it was at the virtual time `takenAt`. */
 interface Snapshot {
   takenAt: number;
   body: { id: string }[];
@@ -44,7 +44,7 @@
 /** Simulated cloud that follows PROTOCOL. */
 export class Cloud {
   readonly machines = new Map<string, RentedMachine>();
-  /** The ids of the machines that a request rented, by its idempotency key. */
+  /** Ids of the machines that each request rented, by the request's idempotency key. */
   private readonly rentedIdsByKey = new Map<string, string[]>();
   private snapshots: Snapshot[] = [];
   private nextMachineIndex = 0;
@@ -59,7 +59,10 @@
     private readonly types: MachineType[],
     /** Maximum number of machines that exist at the same time, in any status. */
     private readonly capacity: number,
-    /** Minimum age of the snapshot that a list is taken from; the maximum is twice this time. */
+    /**
+     * Minimum age of the snapshot that answers a list request, in ms; the maximum age is twice as
+     * long.
+     */
     private readonly lagMs: number,
     /** Probability that a rented machine never boots. */
     private readonly bootFailureChance: number,
@@ -68,7 +71,10 @@
     this.takeSnapshot();
   }
 
-  /** Adds a machine that boots in `bootMs`, or never boots if that is null; returns its id. */
+  /**
+   * Adds a machine and returns its id. The machine boots after `bootMs`, or never if `bootMs` is
+   * null.
+   */
   addMachine(type: MachineType, zone: string, spot: boolean, bootMs: number | null): string {
     const index = this.nextMachineIndex++;
     const id = `n-${String(index).padStart(6, '0')}`;
@@ -92,7 +98,7 @@
     );
   }
 
-  /** Makes machines that are rented in the next `ms` boot within two seconds. */
+  /** For `ms`, newly rented machines boot within two seconds. */
   bootQuickly(ms: number): void {
     this.quickBootUntil = this.context.clock.now + ms;
   }
--- a/test/simulation/machines/gangs.ts
+++ b/test/simulation/machines/gangs.ts
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Removes a member that has ended. If its cause is not `done`, the members that are running end
-   * after `peerExitMs`.
+   * Removes a member that has ended. If it ended with a cause other than `done`, the members that
+   * still run end after `peerExitMs`.
    */
   leave(task: Task, peerExitMs: number): void {
     const gang = this.members.get(keyOf(task));
--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -69,7 +69,7 @@
     this.blockedUntil = Math.max(this.blockedUntil, this.context.clock.now + ms);
   }
 
-  /** Notes that the worker's state has changed and schedules a heartbeat that reports it. */
+  /** Schedules a heartbeat that reports a change of the worker's state. */
   stateChanged(): void {
     this.hasUnreportedChange = true;
     this.schedule();
--- a/test/simulation/machines/machine-context.ts
+++ b/test/simulation/machines/machine-context.ts
@@ -7,7 +7,7 @@
 import type { SeededRandom } from '../seeded-random.js';
 import type { VirtualClock } from '../virtual-clock.js';
 
-/** The workers' periods in the platform settings, in milliseconds. */
+/** Intervals and time limits of the workers, from the platform settings, in milliseconds. */
 export interface WorkerSettings {
   heartbeatIntervalMs: number;
   leaseMs: number;
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -10,7 +10,9 @@
 const ROUNDING_TOLERANCE = 1e-6;
 /** Fraction of its run time after which a failing task ends. */
 const FAILURE_RUN_SHARE = 0.3;
-/** Range of the time after which a replica ends without a stop, as multiples of its run time. */
+/**
+ * Range of the time after which a replica ends without being stopped, as multiples of its run time.
+ */
 const REPLICA_RUN_FACTORS = { least: 0.5, most: 2 };
 
 /** A machine as seen by its task runner. */
@@ -18,11 +20,11 @@
   readonly placement: Placement;
   readonly type: MachineType;
   /**
-   * Runs the function now or, if the machine hangs, when it resumes. Does not run it after the
-   * machine has ended.
+   * Runs the function now or, if the machine hangs, when the machine resumes. Has no effect if the
+   * machine has already ended.
    */
   whenAwake(run: () => void): void;
-  /** Schedules a heartbeat that reports the change. */
+  /** Schedules a heartbeat that reports a change of the machine's state. */
   stateChanged(): void;
 }
 
@@ -135,8 +137,8 @@
   }
 
   /**
-   * Runs a replica. A replica should run until it is stopped, but each simulated one also ends
-   * after a random time with a random cause.
+   * Runs a replica. A replica is meant to run until it is stopped, but simulated replicas end by
+   * themselves after a random time, with a random cause.
    */
   private runReplica(task: Task): void {
     const { clock, random } = this.context;
--- a/test/simulation/machines/task.ts
+++ b/test/simulation/machines/task.ts
@@ -22,7 +22,7 @@
   timer: Timer | null;
 }
 
-/** Returns the attempt that a `run` command requests, before its image is fetched. */
+/** Returns a new attempt for a `run` command, in the state before its image is fetched. */
 export function newTask(command: Command): Task {
   const slash = command.duty.lastIndexOf('/');
   return {
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -13,7 +13,10 @@
  */
 const RESPONSE_VALID_MS = 4000;
 
-/** A direct command as on the wire: fencing token (`baton`), agent epoch (`tenure`), commands. */
+/**
+ * A direct command as on the wire: fencing token (`baton`), agent epoch (`tenure`) and commands
+ * (`orders`).
+ */
 interface DirectCommand {
   baton?: number;
   tenure?: number;
@@ -29,7 +32,10 @@
   readonly placement: Placement;
   private heartbeatNumber = 0;
   private fencingToken = 0;
-  /** Send time of the last heartbeat that renewed the lease, or start of the agent epoch. */
+  /**
+   * Virtual time from which the lease runs: when the last heartbeat that renewed the lease was
+   * sent, or when the agent epoch began if that is later.
+   */
   private leaseStartedAt: number;
   /** Virtual time of the interruption that the cloud has announced; null without a notice. */
   private interruptionAt: number | null = null;
@@ -113,8 +119,8 @@
   }
 
   /**
-   * Runs the function now or, if the machine hangs, when it resumes. Does not run it after the
-   * machine has ended.
+   * Runs the function now or, if the machine hangs, when the machine resumes. Has no effect if the
+   * machine has already ended.
    */
   whenAwake(run: () => void): void {
     if (this.dead) return;
@@ -122,7 +128,7 @@
     else run();
   }
 
-  /** Schedules a heartbeat that reports the change. */
+  /** Schedules a heartbeat that reports a change of the machine's state. */
   stateChanged(): void {
     this.heartbeats.stateChanged();
   }
