--- a/test/simulation/rules/cancellation-rule.ts
+++ b/test/simulation/rules/cancellation-rule.ts
@@ -21,8 +21,8 @@
   ) {}
 
   /**
-   * Records that a response reports the job as cancelled. The caller sets the job's `cancelledAt`
-   * after the first of these calls.
+   * Records that a response reports the job as cancelled. The first call must come before the job's
+   * `cancelledAt` is set.
    */
   cancellationReported(job: ObservedJob): void {
     if (job.cancelledAt === null && job.tasksOnMachines > 0)
--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -1,9 +1,14 @@
-/** Finds groups of jobs that were served too little over a whole scenario. */
+/**
+ * Finds teams and classes with too few completed jobs, or with large jobs that started too late.
+ */
 import type { ObservedJob } from './observed-job.js';
 
 /** Maximum time from the submission to the start of a class's largest jobs, in milliseconds. */
 const LARGEST_MAX_WAIT_MS = 240_000;
-/** Share of the jobs of a class, those with the most tasks, that count as its largest. */
+/**
+ * Fraction of the jobs of a class that count as its largest jobs, which are those with the most
+ * tasks.
+ */
 const LARGEST_SHARE = 0.1;
 
 /**
--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -23,7 +23,7 @@
   completedTasks: Set<number>;
   /**
    * Since when requests about the accepted job have got no useful response (200 or 201); null if
-   * the latest request got one.
+   * the latest response was useful.
    */
   unansweredSince: number | null;
   /** Number of tasks on machines, by zone. */
@@ -52,7 +52,8 @@
 }
 
 /**
- * Returns what responses have reported about the job, which is undefined if nobody submitted it.
+ * Returns what responses have reported about the job; `job` is undefined if nobody has submitted
+ * it.
  */
 export function visibleStateOf(job: ObservedJob | undefined): VisibleState {
   return {
--- a/test/simulation/rules/observed-jobs.ts
+++ b/test/simulation/rules/observed-jobs.ts
@@ -45,7 +45,9 @@
   }
 
   /**
-   * Returns the violations of the operators' rule for a whole scenario (see `findNeglectedJobs`).
+   * Returns a description of each team or class with too few completed jobs, and of each of a
+   * class's largest jobs that started too late. Only accepted jobs that nobody has asked to cancel
+   * count.
    */
   neglected(): string[] {
     return findNeglectedJobs(this.notCancelled());
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -31,8 +31,8 @@
   ) {}
 
   /**
-   * Checks a response, or its absence after the user's time-out; see
-   * `RuleChecker.responseReceived`.
+   * Checks a response, or its absence after the user's time-out (status 0). `stateWhenSent` is what
+   * responses had reported about the job when the request was sent.
    */
   responseReceived(
     id: string,
@@ -110,7 +110,9 @@
     this.context.violated('went_back', `${job.spec.id} ${detail}`);
   }
 
-  /** Checks how long jobs have got no useful response; call it at regular intervals. */
+  /**
+   * Checks for how long each accepted job has got no useful response; call it at regular intervals.
+   */
   tick(): void {
     if (this.context.faultsEndedAt === null) return;
     for (const job of this.context.jobs.all()) this.checkAnswered(job);
--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Records that the task starts on the machine, which has pulled its image. Checks the rules about
-   * placement, team limits and cancellation.
+   * Records that the task starts on the machine, where the task's image has been fetched. Checks
+   * the rules about placement, team limits and cancellation.
    */
   taskStarted(id: string, index: number, placement: Placement): void {
     this.startedTasks++;
--- a/test/simulation/rules/rule-context.ts
+++ b/test/simulation/rules/rule-context.ts
@@ -1,7 +1,10 @@
 /** State that the rules share: the jobs, the clock and the list of violations. */
 import { ObservedJobs } from './observed-jobs.js';
 
-/** Names of the checked rules. A rule of the protocol has the protocol's name; the others are the operators'. */
+/**
+ * Names of the checked rules. Rules from the protocol keep the names that they have in it; the
+ * operators have set the other rules.
+ */
 export type Rule =
   | 'accepted_odd'
   | 'forgotten'
--- a/test/simulation/rules/team-usage.ts
+++ b/test/simulation/rules/team-usage.ts
@@ -16,7 +16,10 @@
 
   constructor(private readonly teams: readonly Team[]) {}
 
-  /** Counts a task of the job that starts on a machine (1) or has left it (-1). */
+  /**
+   * Adds a task of the job that starts on a machine (`delta` 1), or subtracts one that has left its
+   * machine (`delta` -1).
+   */
   count(spec: JobSpec, delta: 1 | -1): void {
     const usage = this.usageOf(spec.team);
     this.usages.set(spec.team, usage);
