--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -108,7 +108,9 @@
     for (const [id, lease] of this.leases) if (this.now() > lease.expiresAt) this.revoke(id);
   }
 
-  /** Ends a lease and deletes the entries bound to it; returns false if there is no such lease. */
+  /**
+   * Ends a lease and deletes the entries bound to it; returns false if the lease does not exist.
+   */
   revoke(id: number): boolean {
     if (!this.leases.delete(id)) return false;
     const keys = [...this.entries].filter(([, { leaseId }]) => leaseId === id).map(([key]) => key);
@@ -126,7 +128,10 @@
     return { status: 200, body: { k: key, value: entry.value, stamp: entry.version } };
   }
 
-  /** Returns the response to a read of one page: the keys with a prefix that sort after `after`. */
+  /**
+   * Returns the response to a read of one page: the first `limit` keys that start with the prefix
+   * and sort after `after`.
+   */
   readPage(prefix: string, after: string, limit: number): Reply {
     const keys = [...this.entries.keys()]
       .filter((key) => key.startsWith(prefix) && key > after)
@@ -168,7 +173,7 @@
 
   /**
    * Registers a watch, which is answered as soon as there are changes. Returns false if the log no
-   * longer has all changes after its revision.
+   * longer has all changes after the watch's revision.
    */
   watch(watch: Watch): boolean {
     const oldest = this.log[0]?.revision ?? 0;
@@ -178,7 +183,7 @@
     return true;
   }
 
-  /** Answers a watch with no changes, unless it has been answered already. */
+  /** Answers a watch with an empty list of changes, unless the watch has been answered already. */
   closeWatch(watch: Watch): void {
     if (!watch.open) return;
     watch.open = false;
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -12,11 +12,11 @@
 const EXPIRY_CHECK_INTERVAL_MS = 50;
 /** Fraction of the responses that are delayed while the state store is slow. */
 const DELAYED_RESPONSE_SHARE = 0.3;
-/** Range of the delay of such a response, in milliseconds. */
+/** Range of the delay of a delayed response while the state store is slow, in milliseconds. */
 const RESPONSE_DELAY_MS = { least: 50, most: 2000 };
 /**
- * Default maximum delay of a delayed transaction, in milliseconds; the minimum is a sixth of the
- * maximum.
+ * Default of the maximum delay of the commit of a delayed transaction, in milliseconds. The minimum
+ * delay is a sixth of the maximum.
  */
 const MAX_WRITE_DELAY_MS = 12_000;
 
@@ -49,7 +49,7 @@
   requestsInOutage = 0;
   /** Fraction of the transactions that get no response and are committed later. */
   private delayedWriteShare = 0;
-  /** Maximum delay of these transactions, in milliseconds. */
+  /** Maximum delay of the commit of a delayed transaction, in milliseconds. */
   maxWriteDelayMs = MAX_WRITE_DELAY_MS;
   /**
    * Number of delayed transactions that were applied in the end, and number of those that were
@@ -87,7 +87,10 @@
     return this.store.entries;
   }
 
-  /** Number of reads by a controller of a write for which another controller got no response. */
+  /**
+   * Number of times that a controller read a key that another controller had written without
+   * getting a response.
+   */
   get readsOfUnansweredWrites(): number {
     return this.unanswered.readByOthers;
   }
@@ -106,7 +109,7 @@
     });
   }
 
-  /** Delays some of the responses for `ms`. */
+  /** For `ms`, delays a random share of the responses. */
   slowDown(ms: number): void {
     this.slowUntil = Math.max(this.slowUntil, this.clock.now + ms);
   }
@@ -149,7 +152,10 @@
     });
   }
 
-  /** Returns whether the requests of this host are refused while there is no general outage. */
+  /**
+   * Returns whether the requests of this host are refused although there is no outage of the whole
+   * state store.
+   */
   isRefusing(host: string): boolean {
     return !this.unavailable && this.refusedHosts.has(host);
   }
--- a/test/simulation/state-store/unanswered-writes.ts
+++ b/test/simulation/state-store/unanswered-writes.ts
@@ -1,13 +1,20 @@
 /**
- * Tracks writes of transactions whose responses were lost, and reads of them by other controllers.
+ * Tracks the keys written by transactions whose responses were lost, and reads of those keys by
+ * other controllers.
  */
 import type { Transaction } from './key-value-store.js';
 
-/** Counts the reads by a controller of a write for which another controller got no response. */
+/**
+ * Counts how often a controller reads a key that another controller wrote without getting a
+ * response.
+ */
 export class UnansweredWrites {
   /** The host that last wrote a key without getting a response, by key. */
   private readonly writers = new Map<string, string>();
-  /** Number of reads of a key in `writers` by a host other than the writer. */
+  /**
+   * Number of times that a host read a key that another host had written without getting a
+   * response.
+   */
   readByOthers = 0;
 
   /** Records a transaction that was committed but whose response was lost. */
@@ -16,7 +23,7 @@
       if (set !== undefined) this.writers.set(set, writer);
   }
 
-  /** Records that a host has received the key or named it in a condition. */
+  /** Records that a host has read the key, received a change of it, or named it in a condition. */
   recordRead(reader: string, key: string): void {
     const writer = this.writers.get(key);
     if (writer !== undefined && writer !== reader) this.readByOthers++;
--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -15,7 +15,7 @@
 const POST_TIMEOUT_MS = 5000;
 /** Range of the run time of a service, in milliseconds. */
 const SERVICE_LIFETIME_MS = { least: 20_000, most: 200_000 };
-/** Range of the run time of other jobs' tasks, as multiples of the estimate. */
+/** Range of the run time of tasks of gangs and arrays, as multiples of the job's estimate. */
 const RUN_TIME_FACTORS = { least: 0.4, most: 1.8 };
 
 /** The context that all users of a simulation share. */
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Makes every user poll each `intervalMs` for `durationMs`; a user has at most one request in
-   * flight.
+   * For `durationMs`, makes all users poll once every `intervalMs`. A user whose last request is
+   * still in flight skips a poll.
    */
   everyonePolls(intervalMs: number, durationMs: number): void {
     const { clock } = this.context;
--- a/test/simulation/users/user.ts
+++ b/test/simulation/users/user.ts
@@ -37,7 +37,7 @@
   private nextRequest: Timer | null = null;
   /** The requested action, which is taken once the job is accepted; null if there is none. */
   private pendingAction: 'cancel' | 'submit' | null = null;
-  /** The host to whose controller cancellations are sent; undefined for a random host. */
+  /** The host of the controller that cancellations are sent to; undefined for a random host. */
   private cancelHost: string | undefined;
   private readonly body: unknown;
 
