--- a/test/simulation/digest/digest-scenarios.ts
+++ b/test/simulation/digest/digest-scenarios.ts
@@ -1,4 +1,7 @@
-/** The scenarios of the behaviour digest: fixed seeds that together cover most of the program. */
+/**
+ * The scenarios of the behaviour digest. Each has a fixed seed; together they cover most of the
+ * program.
+ */
 import type { JobSpec } from '../../../src/controller/wire/jobs.js';
 import { smallWithLowerLimits, smallDeployment } from '../deployments/small.js';
 import type { Deployment } from '../deployments/deployment.js';
--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -14,7 +14,8 @@
 /** Time between two rounds of queries to every controller, in milliseconds. */
 const QUERY_INTERVAL_MS = 11_000;
 /**
- * Paths that operators query: existing pages, one that does not allow GET, one that does not exist.
+ * Paths that are queried: existing pages, one path that does not allow GET, and one that does not
+ * exist.
  */
 const QUERIED_PATHS = ['/ready', '/cluster', '/cluster?after=cloud-2', '/submissions', '/nowhere'];
 /** Time from the interruption notice to the interruption of a spot instance, in milliseconds. */
--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -1,6 +1,6 @@
 /**
- * Collects an example of each form of the records that controllers store and of the messages that
- * they send to each other.
+ * Collects one example of each form of stored record and of each form of message between
+ * controllers.
  */
 import { decodePeerMessage } from '../../../src/controller/peers/message-codec.js';
 import { decodeBody, encodeBody } from '../../../src/controller/wire/cbor.js';
@@ -23,11 +23,13 @@
 
 /** The longest example of each form. */
 export interface StoredForms {
-  /** Values in the state store by key prefix; those of ended jobs by state as well. */
+  /**
+   * Values in the state store, by key prefix; values of ended jobs are also distinguished by state.
+   */
   values: Record<string, StoredExample>;
-  /** Records in pages by key prefix; deleted records have entries of their own. */
+  /** Records in pages, by key prefix; deletions of records are separate forms. */
   records: Record<string, RecordExample>;
-  /** Messages between controllers in hex, by the names of their non-empty fields. */
+  /** Messages between controllers, in hex, by the names of their non-empty fields. */
   messages: Record<string, string>;
 }
 
--- a/test/simulation/digest/traffic-digest.ts
+++ b/test/simulation/digest/traffic-digest.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * Hashes the messages to and from controllers, each with the time of the controller's clocks. Log
+ * Hashes each message to and from a controller, with the times of the controller's two clocks. Log
  * lines are not included.
  */
 export class TrafficDigest {
@@ -38,7 +38,9 @@
     this.hash.update(bytes);
   }
 
-  /** Returns the current version with a controller class that records its messages here. */
+  /**
+   * Returns the current version with a controller class that records its messages in this digest.
+   */
   recordingVersion(): ProgramVersion {
     return { ...presentVersion(), Controller: recordingController(this) };
   }
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -13,8 +13,8 @@
   path: string;
   bytes: Buffer;
   /**
-   * True for a copy that the network delivers in addition to the original; not set for retained
-   * heartbeats.
+   * Whether the request is an additional copy of another request. False for originals, and also for
+   * copies of heartbeats that were retained.
    */
   duplicate: boolean;
   /** Decodes `bytes`; returns undefined if the request has no body. */
@@ -25,8 +25,8 @@
 export type RequestHandler = (from: string, request: IncomingRequest, respond: Respond) => void;
 
 /**
- * What happens to messages on a cut connection: `hold` delivers them when it is restored, `reset`
- * loses them.
+ * What happens to messages on a cut connection: `hold` delivers them when the connection is
+ * restored, `reset` loses them.
  */
 export type CutMode = 'hold' | 'reset';
 
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Delivers each retained heartbeat once to each of the addresses, at random times between
-   * `afterMs` and `afterMs + 50` from now.
+   * Delivers each retained heartbeat once to each of the addresses. Each delivery takes place after
+   * a random time between `afterMs` and `afterMs + 50`.
    */
   deliverRetained(addresses: readonly string[], afterMs: number): void {
     const { retainedRequests } = this;
@@ -164,8 +164,8 @@
   }
 
   /**
-   * Sends a request and passes the reply to `done`, or status 0 if none arrives before the
-   * time-out. `done` is not called if `alive()` is false by then.
+   * Sends a request and calls `done` with the reply, or with status 0 if no reply arrives before
+   * the time-out. Does not call `done` if `alive()` is false at that moment.
    */
   call(from: string, call: Call, alive: () => boolean, done: (reply: Reply) => void): void {
     const finish = this.replyOnce(call.timeoutMs, alive, done);
--- a/test/simulation/older-runtime.ts
+++ b/test/simulation/older-runtime.ts
@@ -1,6 +1,6 @@
 /**
- * Runs controllers of older program versions on the current runtime, whose members have been
- * renamed.
+ * Runs controllers of older program versions on the current runtime, whose members had other names
+ * in those versions.
  */
 import type { Controller } from '../../src/controller/controller.js';
 import type { Runtime, Timer } from '../../src/controller/runtime/runtime.js';
@@ -17,7 +17,7 @@
   mayCall(to: string): boolean;
 }
 
-/** Returns the current runtime under the former member names. */
+/** Returns the current runtime with the member names that older versions use. */
 function olderRuntime(runtime: Runtime): OlderRuntime {
   return {
     startedAt: runtime.startedAt,
--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Runs the function now or, if the process is frozen, when it resumes. Does not run it after the
-   * process was killed.
+   * Runs the function now or, if the process is frozen, when the process resumes. The function does
+   * not run after the process was killed.
    */
   whenAwake(fn: () => void): void {
     if (!this.alive) return;
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Returns the hosts whose controllers consider themselves entitled to answer workers, which they
-   * may be beyond their lease as leader.
+   * Returns the hosts whose controllers consider themselves entitled to answer workers. A leader
+   * can remain entitled to answer workers after its lease has ended.
    */
   answeringWorkers(): string[] {
     return [...this.processes]
--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -36,7 +36,7 @@
 
 const root = fileURLToPath(new URL('../../', import.meta.url));
 
-/** Returns the commit in production that deploy/service.toml names, or HEAD if it names none. */
+/** Returns the commit that deploy/service.toml gives as `production`, or HEAD if it gives none. */
 function productionCommit(): string {
   const { production } = parse(readFileSync(join(root, 'deploy', 'service.toml'), 'utf8'));
   if (production === undefined) return 'HEAD';
--- a/test/simulation/seeded-random.ts
+++ b/test/simulation/seeded-random.ts
@@ -2,8 +2,8 @@
 import { seededRandom } from '../../src/controller/runtime/random.js';
 
 /**
- * A sequence of random draws that is determined by a seed. The order of the draws is part of a run:
- * an added draw changes all later ones.
+ * A sequence of random draws that is determined by a seed. All parts of a simulation share one
+ * sequence, so an added draw changes the results of all later draws.
  */
 export class SeededRandom {
   /** Returns a random number from 0 (included) to 1 (excluded). */
--- a/test/simulation/simulation-parts.ts
+++ b/test/simulation/simulation-parts.ts
@@ -41,7 +41,7 @@
   return network;
 }
 
-/** Creates the state store with the present limits of the platform settings. */
+/** Creates the state store with the current limits from the platform settings. */
 export function createStateStore(
   clock: VirtualClock,
   random: SeededRandom,
@@ -74,7 +74,9 @@
   return cloud;
 }
 
-/** Returns the workers' periods in the platform settings, converted to milliseconds. */
+/**
+ * Returns the intervals and time limits of the workers, converted from the platform settings to ms.
+ */
 export function workerSettings({ workers }: Platform): WorkerSettings {
   return {
     heartbeatIntervalMs: workers.heartbeatIntervalS * 1000,
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Returns a random job with the given fields replaced. Given CPUs and memory are multiplied by
-   * the deployment's `taskScale`.
+   * Returns a random job with the given fields replaced. If `fields` contains CPUs or memory, their
+   * values are multiplied by the deployment's `taskScale`.
    */
   jobWith(fields: Partial<JobSpec>): JobSpec {
     const { taskScale = 1 } = this.deployment;
