--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -139,8 +139,8 @@
 
   /** Returns the workers of the machines that run tasks of the job. */
   workersOf(id: string): Worker[] {
-    const names = this.checker.machinesOf(id);
-    return this.workers.filter((worker) => names.includes(worker.id));
+    const machineIds = this.checker.machinesOf(id);
+    return this.workers.filter((worker) => machineIds.includes(worker.id));
   }
 
   /** The first host whose controller considers itself the leader; null if there is none. */
