--- a/test/simulation/digest/traffic-digest.ts
+++ b/test/simulation/digest/traffic-digest.ts
@@ -28,7 +28,10 @@
  */
 export class TrafficDigest {
   private readonly hash = createHash('sha256');
-  /** Number of events by kind. A digest of few events would detect few changes of behaviour. */
+  /**
+   * Number of hashed events, by kind, for checking that the digest covers much behaviour: a digest
+   * of few events detects few changes.
+   */
   readonly counts = new Map<string, number>();
 
   /** Adds an event to the hash. */
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -224,7 +224,10 @@
     );
   }
 
-  /** Draws whether copies of the request are delivered later or retained for `deliverRetained`. */
+  /**
+   * Decides at random whether copies of the request are delivered later, and whether a copy is
+   * retained until `deliverRetained` is called.
+   */
   private copyRequest(
     from: string,
     call: Call,
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -1,7 +1,7 @@
 /**
- * Rules about the responses to users: no response reports a job that nobody submitted, or reports a
- * job as done before all its tasks are; accepted jobs are not lost, and terminal states do not
- * change.
+ * Rules about the responses to users. No response may report a job that nobody submitted, or report
+ * a job as done before all its tasks have completed. Accepted jobs must not be lost, and terminal
+ * states must not change.
  */
 import {
   visibleStateOf,
--- a/test/simulation/rules/waiting-rule.ts
+++ b/test/simulation/rules/waiting-rule.ts
@@ -49,7 +49,10 @@
   }
 }
 
-/** Whether the job is active and has no task on a machine or, as a service, lacks a replica. */
+/**
+ * Whether the job is active and waits. A service waits while it lacks a replica, any other job
+ * while it has no task on a machine.
+ */
 function isWaiting(job: ObservedJob): boolean {
   const { spec } = job;
   const active = job.accepted && !job.cancelRequested && job.completedTasks.size < spec.tasks;
--- a/test/simulation/users/user-population.ts
+++ b/test/simulation/users/user-population.ts
@@ -13,7 +13,10 @@
 const POLL_TIMEOUT_MS = 2000;
 /** Time without a response after which a POST request ends, in milliseconds. */
 const POST_TIMEOUT_MS = 5000;
-/** Range of the run time of a service, in milliseconds. */
+/**
+ * Range of the run time drawn for a service, in milliseconds. Each replica runs for a random
+ * multiple of the drawn time.
+ */
 const SERVICE_LIFETIME_MS = { least: 20_000, most: 200_000 };
 /** Range of the run time of tasks of gangs and arrays, as multiples of the job's estimate. */
 const RUN_TIME_FACTORS = { least: 0.4, most: 1.8 };
