--- a/src/controller/fleet/unused-machines.ts
+++ b/src/controller/fleet/unused-machines.ts
@@ -13,7 +13,7 @@
  * While there is work, an idle machine is released only if its type and market (spot or not) have at least this
  * many idle machines: the last one would soon have to be launched again.
  */
-const MIN_IDLE_OF_KIND = 2;
+const MIN_IDLE_OF_TYPE_AND_MARKET = 2;
 
 /** Parts of the leader that the search for unused machines depends on. */
 export interface UnusedMachinesContext {
@@ -42,8 +42,8 @@
 }
 
 /**
- * Returns how long the machine may be idle. Once jobs have stopped arriving, that is no longer than a new
- * machine of its type takes to boot.
+ * Returns how long the machine may be idle. Once jobs have stopped arriving, the limit is at most the boot time
+ * of a new machine of its type.
  */
 function machineIdleLimitMs(
   machine: Machine,
@@ -71,7 +71,7 @@
       this.settings.workerLeaseExpiryMs * this.settings.get('fleet.silent.ratio');
     const defaultIdleLimitMs = this.defaultIdleLimitMs(now, workload);
     const machineIds = this.findFailedBoots(now, unresponsiveLimitMs);
-    const idleCounts = this.countIdleByKind();
+    const idleCounts = this.countIdleByTypeAndMarket();
     for (const machine of [...this.context.workers.machines.values()]) {
       if (this.context.scaleIn.isReleasing(machine.id)) continue;
       if (machine.cloudState === 'failed') machineIds.push(machine.id);
@@ -116,9 +116,9 @@
   }
 
   /**
-   * Returns how long a machine may be idle. The limit is reduced once a job has lacked capacity for long and
-   * the cloud refuses to launch machines, because idle machines may use up the quota that the job, for
-   * instance a gang, needs. It is not reduced earlier, because a released machine loses its cached images.
+   * Returns how long a machine may be idle. The limit is reduced once a job, such as a gang, has lacked
+   * capacity for long and the cloud refuses to launch machines. Idle machines may then use up the quota that
+   * the job needs. The limit is not reduced earlier, because a released machine loses its cached images.
    */
   private defaultIdleLimitMs(now: number, workload: WorkloadState): number {
     if (workload.noWork) return 0;
@@ -130,7 +130,7 @@
     return jobBlocked ? idleMs * BLOCKED_JOB_IDLE_FACTOR : idleMs;
   }
 
-  private countIdleByKind(): Map<string, number> {
+  private countIdleByTypeAndMarket(): Map<string, number> {
     const { workers } = this.context;
     const counts = new Map<string, number>();
     for (const machine of workers.machines.values()) {
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Whether to release an idle machine: only if another idle machine of its type and market remains, or if there
-   * is no work. Marks the machine as being released if so.
+   * Whether to release an idle machine: only if another idle machine of its type and market remains, or if
+   * there is no work. Marks a machine that is to be released as `releasing`.
    */
   private shouldReleaseIdle(
     machine: Machine,
@@ -169,7 +169,7 @@
   ): boolean {
     const key = typeAndMarketKey(machine);
     const idleCount = idleCounts.get(key) ?? 0;
-    if (idleCount < MIN_IDLE_OF_KIND && !noWork) return false;
+    if (idleCount < MIN_IDLE_OF_TYPE_AND_MARKET && !noWork) return false;
     idleCounts.set(key, idleCount - 1);
     machine.releasing = true;
     this.eventLoop.log.info({ machine: machine.id }, 'idle machine selected for release');
--- a/src/controller/placement/capacity/zones.ts
+++ b/src/controller/placement/capacity/zones.ts
@@ -29,7 +29,7 @@
   return Math.ceil(spec.tasks / 2);
 }
 
-/** Returns how many more tasks of a spread job are allowed in a zone that has `tasks` of them. */
+/** Returns how many more tasks of a spread job are allowed in a zone that has `tasks` tasks of the job. */
 export function spreadAllowance(spec: JobSpec, tasks: number): number {
   return spreadLimit(spec) - tasks;
 }
@@ -42,7 +42,7 @@
 }
 
 /**
- * Returns the zones to search one after the other for a single-zone gang. For other jobs, returns a single
+ * Returns the zones to search one after the other for a single-zone job. For other jobs, returns a single
  * null, which stands for all zones together.
  */
 export function zoneChoices(cluster: ClusterCapacity, spec: JobSpec): (string | null)[] {
--- a/src/controller/placement/headroom/class-statistics-record.ts
+++ b/src/controller/placement/headroom/class-statistics-record.ts
@@ -46,7 +46,8 @@
   { now, wallClockMs }: ClockReading,
 ): void {
   if (!isMap(value) || !Array.isArray(value['classes'])) return;
-  const toControllerClock = (at: unknown): number => now - Math.max(0, wallClockMs - Number(at));
+  const toControllerClock = (wallClockTime: unknown): number =>
+    now - Math.max(0, wallClockMs - Number(wallClockTime));
   table.extendObservation(toControllerClock(value['since']));
   // Earlier versions stored several classes in one record.
   for (const record of value['classes'] as unknown[]) {
@@ -58,7 +59,7 @@
 /** Returns null if the value is not a class record of this version. */
 function readClassStatistics(
   record: unknown,
-  toControllerClock: (at: unknown) => number,
+  toControllerClock: (wallClockTime: unknown) => number,
 ): ClassStatistics | null {
   if (!isMap(record) || !isMap(record['images'])) return null;
   const images = Object.entries(record['images']);
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -15,14 +15,14 @@
 }
 
 /**
- * Returns the rank of a job as a virtual submission time: when a job of the lowest priority without start
- * deadlines would have to be submitted to get the same rank. All jobs age at the same rate, so the order of
+ * Returns the rank of a job as a virtual submission time. A job of the lowest priority without start
+ * deadlines that is submitted at this time has the same rank. All jobs age at the same rate, so the order of
  * two jobs rarely changes while they wait. Every job eventually ranks before all newly submitted jobs, so no
  * job starves.
  *
  * Within a priority, jobs with earlier start deadlines go first. When a job misses a deadline, it is ranked
- * by its next one; when it misses the last one, its rank is lowered by a fixed amount. Each of these steps
- * is bounded and taken once. The steps let jobs that can still meet their deadlines go first.
+ * by its next deadline. When it misses its last deadline, its rank is lowered by a fixed amount. Each of these
+ * changes is bounded and happens once. They let jobs that can still meet their deadlines go first.
  */
 export function rankTime(job: Job, settings: RankSettings, now: number): number {
   const deadlines = settings.startDeadlines(job);
--- a/src/controller/placement/placers/gang-placer.ts
+++ b/src/controller/placement/placers/gang-placer.ts
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Returns whether a gang that fits now should wait nevertheless, because it can run earlier on machines
-   * that will be free soon than on the picked ones, which have to fetch its image.
+   * Returns whether a gang that fits now should wait nevertheless. The picked machines have to fetch its image,
+   * so the gang may run earlier on other machines that will be free soon.
    */
   private worthWaiting(pass: PlacementPass, job: Job, picked: readonly Candidate[]): boolean {
     const { estimator, reservations, settings } = this.parts;
@@ -92,8 +92,8 @@
 }
 
 /**
- * Picks machines for all of the gang's tasks, in the order of `candidates`; within `zone` unless it is null.
- * Returns null if they have too little capacity.
+ * Picks machines for all of the gang's tasks, in the order of `candidates`. If `zone` is not null, skips
+ * the machines of other zones. Returns null if the machines have too little capacity for the whole gang.
  */
 export function pickForGang(
   { spec }: Job,
--- a/src/controller/placement/search/replica-spread.ts
+++ b/src/controller/placement/search/replica-spread.ts
@@ -4,17 +4,17 @@
 
 /** A machine that can take replicas, with the values by which it is compared with others. */
 interface SpreadCandidate extends Candidate {
-  /** Whether the image has to be fetched there. */
+  /** Whether the machine has to fetch the image. */
   needsFetch: boolean;
   /** Number of replicas of the service on the machine. */
   replicas: number;
 }
 
 /**
- * Yields one machine at a time, each for one replica of the service, best first, so that the failure of a
- * machine or a zone affects few replicas. Whether a machine has the image counts more than the spread, but a
- * machine with at least half of the replicas comes after all others. If the caller starts no replica on a
- * yielded machine, that machine is not yielded again.
+ * Yields machines for the replicas of the service, one per replica, best first. The replicas are spread so
+ * that the failure of a machine or a zone affects few of them. Whether a machine has the image counts more
+ * than the spread, but a machine with at least half of the replicas comes after all others. If the caller
+ * starts no replica on a yielded machine, that machine is not yielded again.
  */
 export function* spreadReplicas(job: Job, candidates: readonly Candidate[]): Generator<Candidate> {
   const { machines, zones } = countReplicas(job);
@@ -44,7 +44,7 @@
   }
 }
 
-/** Counts the service's replicas by machine and zone, including replicas that are not proven gone. */
+/** Counts the service's replicas by machine and by zone. A replica counts until it is proven gone. */
 function countReplicas(job: Job): { machines: Map<string, number>; zones: Map<string, number> } {
   const machines = new Map<string, number>();
   const zones = new Map<string, number>();
--- a/test/simulation/digest/traffic-digest.ts
+++ b/test/simulation/digest/traffic-digest.ts
@@ -23,12 +23,15 @@
 }
 
 /**
- * Hashes the messages to and from controllers, each with the time of the controller's clocks. Log
+ * Hashes each message to and from a controller, with the times of the controller's two clocks. Log
  * lines are not included.
  */
 export class TrafficDigest {
   private readonly hash = createHash('sha256');
-  /** Number of events by kind. A digest of few events would detect few changes of behaviour. */
+  /**
+   * Number of hashed events, by kind, for checking that the digest covers much behaviour: a digest
+   * of few events detects few changes.
+   */
   readonly counts = new Map<string, number>();
 
   /** Adds an event to the hash. */
@@ -38,7 +41,9 @@
     this.hash.update(bytes);
   }
 
-  /** Returns the current version with a controller class that records its messages here. */
+  /**
+   * Returns the current version with a controller class that records its messages in this digest.
+   */
   recordingVersion(): ProgramVersion {
     return { ...presentVersion(), Controller: recordingController(this) };
   }
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -1,7 +1,7 @@
 /**
- * Rules about the responses to users: no response reports a job that nobody submitted, or reports a
- * job as done before all its tasks are; accepted jobs are not lost, and terminal states do not
- * change.
+ * Rules about the responses to users. No response may report a job that nobody submitted, or report
+ * a job as done before all its tasks have completed. Accepted jobs must not be lost, and terminal
+ * states must not change.
  */
 import {
   visibleStateOf,
@@ -31,8 +31,8 @@
   ) {}
 
   /**
-   * Checks a response, or its absence after the user's time-out; see
-   * `RuleChecker.responseReceived`.
+   * Checks a response, or its absence after the user's time-out (status 0). `stateWhenSent` is what
+   * responses had reported about the job when the request was sent.
    */
   responseReceived(
     id: string,
@@ -110,7 +110,9 @@
     this.context.violated('went_back', `${job.spec.id} ${detail}`);
   }
 
-  /** Checks how long jobs have got no useful response; call it at regular intervals. */
+  /**
+   * Checks for how long each accepted job has got no useful response; call it at regular intervals.
+   */
   tick(): void {
     if (this.context.faultsEndedAt === null) return;
     for (const job of this.context.jobs.all()) this.checkAnswered(job);
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -139,8 +139,8 @@
 
   /** Returns the workers of the machines that run tasks of the job. */
   workersOf(id: string): Worker[] {
-    const names = this.checker.machinesOf(id);
-    return this.workers.filter((worker) => names.includes(worker.id));
+    const machineIds = this.checker.machinesOf(id);
+    return this.workers.filter((worker) => machineIds.includes(worker.id));
   }
 
   /** The first host whose controller considers itself the leader; null if there is none. */
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Returns a random job with the given fields replaced. Given CPUs and memory are multiplied by
-   * the deployment's `taskScale`.
+   * Returns a random job with the given fields replaced. If `fields` contains CPUs or memory, their
+   * values are multiplied by the deployment's `taskScale`.
    */
   jobWith(fields: Partial<JobSpec>): JobSpec {
     const { taskScale = 1 } = this.deployment;
