--- a/src/controller/leader/active-jobs.test.ts
+++ b/src/controller/leader/active-jobs.test.ts
@@ -4,7 +4,7 @@
 import type { TerminalState } from '../wire/jobs.js';
 import { ActiveJobs } from './active-jobs.js';
 
-/** Creates a table with jobs of the given ids that records the calls of its methods. */
+/** Creates a table that contains jobs of the given ids and records the calls of its methods. */
 function setUp(ids: string[], terminal: Record<string, TerminalState> = {}) {
   const calls: string[] = [];
   const table = {
--- a/src/controller/leader/isolation.test.ts
+++ b/src/controller/leader/isolation.test.ts
@@ -4,8 +4,8 @@
 
 /**
  * Creates the reachability of 100 machines.
- * @param overdueShare - share of all machines that is overdue
- * @param unresponsiveShare - share of the machines seen in this term that is overdue
+ * @param overdueShare - overdue share of all machines
+ * @param unresponsiveShare - overdue share of the machines seen in this term
  */
 function workers(overdueShare: number, unresponsiveShare: number): WorkerReachability {
   return {
--- a/src/controller/leader/isolation.ts
+++ b/src/controller/leader/isolation.ts
@@ -6,10 +6,10 @@
  * considered running.
  */
 const MIN_REDIRECTED_SHARE = 0.1;
-/** If peers receive heartbeats, the leader is isolated if more than this share of the machines is overdue. */
+/** When peers receive heartbeats, the leader is isolated if more than this share of the machines is overdue. */
 const OVERDUE_SHARE = 0.5;
 /**
- * If no peer sends a status, the leader is isolated if more than this share of the machines is overdue by
+ * When no peer sends a status, the leader is isolated if more than this share of the machines is overdue by
  * more than a heartbeat interval. Only machines that have sent a heartbeat in this term are counted.
  */
 const UNRESPONSIVE_SHARE = 0.9;
--- a/src/controller/leader/leader-role.ts
+++ b/src/controller/leader/leader-role.ts
@@ -58,7 +58,7 @@
     this.term.start();
   }
 
-  /** After a gap in the lease the job watch only counts as fresh once the jobs have been read again. */
+  /** Marks the job watch as stale after a gap in the lease, until the jobs have been read again. */
   leaseRecovered(): void {
     this.term?.jobWatch.requireFreshRead();
   }
@@ -71,8 +71,8 @@
 
   /**
    * Whether it is useful to extend the right to answer workers. It is useful only while the state is fresh:
-   * with stale state this node might not know every confirmed cancellation, so it may not answer workers even
-   * within its lease (design.md, invariant 8).
+   * with stale state this node might not know every confirmed cancellation, so it must not answer workers
+   * even within its lease (design.md, invariant 8).
    */
   shouldExtendLease(): boolean {
     return this.hasFreshState;
--- a/src/controller/leader/leader-term.ts
+++ b/src/controller/leader/leader-term.ts
@@ -141,9 +141,9 @@
   private handOverReason(peerStatuses: readonly PeerStatus[]): HandOverReason | null {
     const { leadership, settings } = this.environment;
     const maxStalenessMs = settings.maxWatchStalenessMs * MAX_STALENESS_FACTOR;
-    // With a stale job watch a leader might not know every confirmed cancellation, so it may not act
-    // (design.md, invariant 8). It hands over because no other node can become leader until it gives up its
-    // lease.
+    // With a stale job watch a leader might not know every confirmed cancellation, so it must not act
+    // (design.md, invariant 8). No other node can become leader while this node renews its lease, so this
+    // node hands over.
     if (leadership.holdsLease && this.jobWatch.stalenessMs > maxStalenessMs)
       return 'no view of the jobs';
     if (this.role.mayActAsLeader && this.isIsolated(peerStatuses))
--- a/src/controller/leadership/leadership.ts
+++ b/src/controller/leadership/leadership.ts
@@ -122,7 +122,7 @@
   /**
    * Handles a peer's report of the current leader. The report is only a hint, but sufficient to redirect
    * workers to that leader. If the reported term is higher than this node's own, this node steps down: while
-   * it gets no responses from the state store, it may learn of a later leader only in this way.
+   * it gets no responses from the state store, the report may be its only sign of a later leader.
    */
   peerReportedLeader(host: string, term: number): void {
     if (host === '') return;
@@ -164,7 +164,7 @@
     this.watch.retry();
   }
 
-  /** Steps down and lets other nodes run for leader first, because the reason may not apply to them. */
+  /** Steps down and lets other nodes run for leader first, because the reason possibly does not affect them. */
   handOver(reason: HandOverReason): void {
     this.watch.backOff();
     this.stepDown(reason);
@@ -199,8 +199,8 @@
   }
 
   /**
-   * Begins the term once the lease grant that this node has given expires. Until then the previous leader
-   * may answer workers, so this node must neither read the stored state nor act as leader.
+   * Begins the term once this node is no longer bound by its lease grant. Until then the previous leader may
+   * answer workers, so this node must neither read the stored state nor act as leader.
    */
   private beginTermOnceGrantExpires(lease: LeaderLease): void {
     if (this.lease !== lease) return;
--- a/src/controller/leadership/lease-extension.test.ts
+++ b/src/controller/leadership/lease-extension.test.ts
@@ -54,8 +54,8 @@
     assert.ok(!extension.isActive);
   });
 
-  // In the gap another controller may have acted as leader. If it has restarted since then, it gives grants as
-  // if it had not.
+  // Between the lease and the grants another controller may have acted as leader. If that controller has
+  // restarted since then, it no longer knows that it was leader and gives grants again.
   it('stops requesting grants after a gap between the lease and the grants', () => {
     const { runtime, extension, reply, requests } = setUp(50);
     runtime.advance(60);
--- a/src/controller/leadership/lease-extension.ts
+++ b/src/controller/leadership/lease-extension.ts
@@ -3,11 +3,12 @@
  * tasks if they get no answer for the duration of a worker lease, and an outage may last longer.
  *
  * The leader periodically requests a lease grant from every other controller: a promise not to act as leader
- * for a short time. Once all have granted it, the leader may answer workers for that time, counted from when
- * it sent the requests. So at every moment since the lease was last renewed, either the leader held its lease
- * or all other controllers were bound by grants. In both cases no other leader has acted. If there was a gap
- * between the lease and the grants, or between two rounds of grants, the extension lapses. No further
- * extension begins until the lease has been renewed (design.md, invariant 1: only one leader acts at a time).
+ * for a short time. Once all of them have given the grant, the leader may answer workers for that time,
+ * counted from when it sent the requests. So at every moment since the lease was last renewed, either the
+ * leader held its lease or all other controllers were bound by grants. In both cases no other leader has
+ * acted. If there was a gap between the lease and the grants, or between two rounds of grants, the extension
+ * lapses. No further extension begins until the lease has been renewed (design.md, invariant 1: only one
+ * leader acts at a time).
  */
 import type { EventLoop } from '../runtime/event-loop.js';
 import type { Settings } from '../settings/settings.js';
@@ -15,7 +16,7 @@
 /** Number of rounds of grant requests per duration of a grant. */
 const ROUNDS_PER_GRANT = 3;
 
-/** Requests a lease grant from the controller on a host; `done` receives whether it was given. */
+/** Requests a lease grant from the controller on a host; `done` gets true if the grant is given, else false. */
 export type RequestLeaseGrant = (
   host: string,
   term: number,
@@ -37,7 +38,7 @@
 interface RunningExtension {
   kind: 'running';
   request: ExtensionRequest;
-  /** Until when all other controllers are bound by their grants, on the leader's monotonic clock in ms. */
+  /** Time until which all other controllers are bound by their grants, on the leader's monotonic clock in ms. */
   grantedUntil: number;
 }
 
--- a/src/controller/leadership/lease-grant-request.ts
+++ b/src/controller/leadership/lease-grant-request.ts
@@ -1,7 +1,7 @@
 /**
- * The request by which a leader asks another controller for a lease grant. It is sent like a user request
- * that one controller forwards to another, so older versions, which do not know this request, answer
- * with status 404. This status does not count as a grant.
+ * The request by which a leader asks another controller for a lease grant. It is sent in the same way as a
+ * user request that one controller forwards to another. Older versions do not know this request and answer
+ * with status 404, which does not count as a grant.
  */
 import { decodeBody, encodeBody, isMap } from '../wire/cbor.js';
 
--- a/src/controller/leadership/lease-grant.ts
+++ b/src/controller/leadership/lease-grant.ts
@@ -1,4 +1,4 @@
-/** The lease grant that this controller has given to a leader that cannot renew its lease. */
+/** The lease grant of this controller to a leader. A leader requests it when it cannot renew its lease. */
 import type { EventLoop } from '../runtime/event-loop.js';
 import { MAX_CLOCK_DRIFT, type Settings } from '../settings/settings.js';
 
