--- a/src/controller/placement/capacity/capacity-claim.ts
+++ b/src/controller/placement/capacity/capacity-claim.ts
@@ -17,8 +17,8 @@
   /** Priority level of the class. */
   level: number;
   /**
-   * Minimum ratio of the dominant share of a task of this class to the dominant share of another task. The
-   * headroom binds the other task only if the ratio is at least this high.
+   * The headroom binds a task of another class only if the dominant share of a task of the headroom's class is
+   * at least this many times the dominant share of the other task.
    */
   minSizeRatio: number;
 }
--- a/src/controller/placement/capacity/machine-forecast.ts
+++ b/src/controller/placement/capacity/machine-forecast.ts
@@ -18,6 +18,6 @@
   longestSaveMs: number;
   /** Lowest priority level of the tasks that are old enough to be preempted; `Infinity` if there are none. */
   lowestLevel: number;
-  /** Whether any task that is old enough to be preempted is of a job not covered by its team's guarantee. */
+  /** Whether a task is old enough to be preempted and belongs to a job not covered by its team's guarantee. */
   hasUnguaranteed: boolean;
 }
--- a/src/controller/placement/draining/machine-drainer.ts
+++ b/src/controller/placement/draining/machine-drainer.ts
@@ -12,8 +12,8 @@
 const MIGRATION_LEAD_TIME_INTERVALS = 1.5;
 
 /**
- * Evicts the tasks that would not end in time from machines that are about to be interrupted or released. A
- * running task with checkpoints is given time to save one.
+ * Drains machines that are about to be interrupted or released, by evicting the tasks that would not end in
+ * time. A running task with checkpoints is given time to save one.
  */
 export class MachineDrainer {
   private readonly migrations = new Migrations();
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -6,25 +6,22 @@
 /** Weight of the newest run in the moving averages of its class. */
 const NEWEST_RUN_WEIGHT = 0.15;
 
-/** Upper bound of the observed ratios of actual to estimated run time; the lower bound is its inverse. */
+/**
+ * Observed ratios of actual to estimated run time are limited to this value; their lower limit is its
+ * inverse.
+ */
 const MAX_RUN_TIME_RATIO = 4;
 
 /** Maximum number of classes with statistics. Users choose class names, so there could be any number. */
 const MAX_TRACKED_CLASSES = 40;
 
-/** Maximum length in characters of the names of classes whose statistics are exported. */
+/** Statistics of a class are exported only if its name has at most this many characters. */
 const MAX_EXPORTED_NAME_LENGTH = 64;
 
-/**
- * Standard deviation of the logarithm of the ratio of actual to estimated run time, for a class without
- * observed runs.
- */
+/** Assumed standard deviation of log(actual run time / estimated run time), for a class without observed runs. */
 const PRIOR_DEVIATION = 0.5;
 
-/**
- * Lower bound, used in estimates, of the standard deviation of the logarithm of the ratio of actual to
- * estimated run time.
- */
+/** Estimates use at least this value as the standard deviation of log(actual run time / estimated run time). */
 const MIN_DEVIATION = 0.1;
 
 /** Lower bound in ms of the estimated time until a task that is being stopped has ended. */
@@ -34,12 +31,12 @@
 const MIN_REMAINING_RUN_MS = 1000;
 
 /**
- * Ratio of remaining to elapsed run time that is assumed if the job has no run time estimate, or if the
- * computation of the median overflows.
+ * Assumed ratio of remaining to elapsed run time. It is used if the job has no run time estimate, or if the
+ * computation of the median remaining run time overflows.
  */
 const REMAINING_TO_ELAPSED_RATIO = 1 / 4;
 
-/** Mean and variance of the logarithm of the ratio of actual to estimated run time, for one class. */
+/** Mean and variance of log(actual run time / estimated run time), for one class. */
 interface RunTimeStatistics {
   mean: number;
   variance: number;
--- a/src/controller/placement/headroom/class-headroom.test.ts
+++ b/src/controller/placement/headroom/class-headroom.test.ts
@@ -36,7 +36,10 @@
 }
 
 describe('headroom after a failover', () => {
-  /** The headroom of a leader that observed jobs of one class with two images, and how long a task ran. */
+  /**
+   * Creates the headroom of a leader that has observed jobs of a class with two images, and one task
+   * occupancy.
+   */
   function observedHeadroom(): ClassHeadroom {
     const headroom = newHeadroom();
     for (let submittedAt = 1000; submittedAt <= 10_000; submittedAt += 1000)
@@ -94,7 +97,7 @@
 describe('claims of headroom', () => {
   const GANG: Partial<JobSpec> = { cpus: 4, gpus: 1, tasks: 4 };
 
-  /** The claims on each machine of a pass, for a class of which one gang was submitted. */
+  /** Returns the claims on each machine of a pass after one gang of a class was submitted. */
   function claimsAfterOneGang(waitingClasses: string[], objectiveMs: number | null) {
     const settings = { memoryMs: 300_000, maxShare: 0.5, spareDeviations: 0 };
     const headroom = new ClassHeadroom(settings, new DurationEstimator(), 0, () => objectiveMs);
--- a/src/controller/placement/headroom/class-headroom.ts
+++ b/src/controller/placement/headroom/class-headroom.ts
@@ -34,10 +34,7 @@
  */
 const SPOT_SCORE = 0.7;
 
-/**
- * Weight of the task size in the score of a machine. The size is the dominant share of the machine that a
- * task of the class takes.
- */
+/** Weight of the task size in the score of a machine. The size is the task's dominant share on the machine. */
 const TASK_SIZE_WEIGHT = 0.5;
 
 /** A class and the machines on which its tasks are allowed. */
@@ -181,7 +178,10 @@
   return kind === 'gang' || (kind === 'array' && gpus > 0);
 }
 
-/** Puts classes with fewer allowed machines first; among equally many machines, classes of higher priority. */
+/**
+ * Puts classes with fewer allowed machines first. If the numbers of machines are equal, the class of higher
+ * priority comes first.
+ */
 function compareByMachinesAndPriority(a: ClassWithMachines, b: ClassWithMachines): number {
   return a.capacities.length - b.capacities.length || b.statistics.level - a.statistics.level;
 }
@@ -208,8 +208,8 @@
 
 /**
  * Scores how well the machine suits the class. The score is higher if the machine caches images of the class,
- * if a task fits now, if it is a spot machine that the class may use, and if a task takes much of the machine,
- * because the machine is then less useful to other classes.
+ * if a task fits now, and if it is a spot machine that the class may use. It also rises with the dominant
+ * share of a task: a machine that one task mostly fills is less useful to other classes.
  */
 function scoreMachine({ spec, images }: ClassStatistics, capacity: FreeCapacity): number {
   const { machine } = capacity;
--- a/src/controller/placement/headroom/class-statistics.ts
+++ b/src/controller/placement/headroom/class-statistics.ts
@@ -9,13 +9,13 @@
   spec: JobSpec;
   /** Priority level of the latest job. */
   level: number;
-  /** Exponentially decaying count of the submitted tasks, as of `updatedAt`. */
+  /** Exponentially decaying count of the submitted tasks, as it was when the latest job was submitted. */
   weight: number;
   /** When the latest job was submitted, on the controller's monotonic clock in ms. */
   updatedAt: number;
   /**
-   * Decaying maximum of the number of tasks in one job, but at most `MAX_LARGEST_JOB_TASKS`, the number of
-   * tasks of one job that headroom is kept for.
+   * Decaying maximum of the number of tasks in one job, limited to `MAX_LARGEST_JOB_TASKS`. Headroom for the
+   * next job of the class covers this many tasks.
    */
   largestJobTasks: number;
   /** Decaying number of jobs, by image. */
@@ -30,12 +30,12 @@
 /** Weight of the newest task in the moving average of occupancy times. */
 const NEWEST_OCCUPANCY_WEIGHT = 0.15;
 
-/** Maximum number of tasks of the next job that headroom is kept for. */
+/** Headroom for the next job of a class covers at most this many tasks. */
 const MAX_LARGEST_JOB_TASKS = 4;
 
 /**
- * Minimum decaying count of the submitted tasks of a class. A class with a lower count is removed. This
- * happens several decay time constants after its last job.
+ * A class is removed when its decaying count of submitted tasks falls below this value. That happens several
+ * decay time constants after the last job of the class.
  */
 const MIN_WEIGHT = 0.005;
 
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Returns the rank of a job as a virtual submission time. A job of the lowest priority without start
- * deadlines that is submitted at this time has the same rank. All jobs age at the same rate, so the order of
+ * Returns the rank of a job as a virtual submission time: a job of the lowest priority with no start deadlines
+ * would have the same rank if it were submitted at this time. All jobs age at the same rate, so the order of
  * two jobs rarely changes while they wait. Every job eventually ranks before all newly submitted jobs, so no
  * job starves.
  *
@@ -49,12 +49,12 @@
   /** Result of `rankTime`; the lower value goes first. */
   rank: number;
   /**
-   * Whether tasks were preempted for the job less than the duration of a worker lease ago, and not all of its
-   * tasks have started since then.
+   * Whether tasks were preempted for the job less than the duration of a worker lease ago, and some of its
+   * own tasks have not started since then.
    */
   hasPreempted: boolean;
   /**
-   * Whether this is the second entry of the job in the pass, in which its tasks may also start on machines
+   * Whether this is the job's second entry in the pass. Tasks of a second entry may also start on machines
    * that have to fetch the image.
    */
   acceptsFetch: boolean;
--- a/src/controller/placement/placers/gang-reservations.ts
+++ b/src/controller/placement/placers/gang-reservations.ts
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Claims capacity for the gang, which lower-ranked jobs may not use in this pass, and preempts tasks once
-   * the whole gang is about to fit.
+   * Claims capacity for the gang; lower-ranked jobs may use it in this pass only to backfill it. Preempts
+   * tasks once the whole gang is about to fit.
    */
   reserve(pass: PlacementPass, job: Job): void {
     const { preemptor, settings } = this.parts;
@@ -177,8 +177,9 @@
   }
 
   /**
-   * Searches the zones in which the gang may run, separately if it needs a single zone. Returns the result
-   * with the most candidates; among equal ones, the one that is filled earliest.
+   * Searches the zones in which the gang may run: one zone after the other if it needs a single zone,
+   * otherwise all zones together. Returns the result with the most candidates; among equal ones, the one that
+   * is filled earliest.
    */
   private bestCandidates(pass: PlacementPass, job: Job): GangCandidates {
     const { spec } = job;
--- a/src/controller/placement/placers/independent-task-placer.ts
+++ b/src/controller/placement/placers/independent-task-placer.ts
@@ -15,7 +15,7 @@
 import type { TeamUsage } from '../../workers/team-usage.js';
 import { addTasks, tasksByZone, zoneAllowance, type TasksByZone } from '../capacity/zones.js';
 
-/** Maximum number of tasks of one job for which other tasks are preempted in one pass. */
+/** In one pass, other tasks are preempted for at most this many tasks of a job. */
 const MAX_PREEMPTING_TASKS = 8;
 
 /** Dependencies of `IndependentTaskPlacer`. */
--- a/src/controller/placement/preemption/capacity-planner.ts
+++ b/src/controller/placement/preemption/capacity-planner.ts
@@ -15,7 +15,7 @@
 import type { PreemptionPolicy } from './preemption-policy.js';
 import { VictimSelector } from './victim-selector.js';
 
-/** A plan with preemption waits for at most this many tasks of the machine that the job may not preempt. */
+/** A plan with preemption waits for the ends of at most this many tasks that the job must not preempt. */
 const MAX_AWAITED_TASKS = 4;
 
 /** Plans when machines will have free capacity, and which tasks to preempt for it. */
@@ -91,7 +91,10 @@
     return null;
   }
 
-  /** Releases tasks that are being stopped or are planned victims; returns when all of them will have ended. */
+  /**
+   * Releases tasks that are being stopped or are planned victims. Returns the time at which all of them will
+   * have ended.
+   */
   private releaseStopping(
     forecast: MachineForecast,
     plannedVictims: Set<Assignment>,
@@ -111,8 +114,8 @@
   }
 
   /**
-   * Plans to preempt tasks, unless waiting until `fillAtByWaiting` costs less. If the request does not fit
-   * by preemption alone, the plan also waits for tasks that the job may not preempt, as few as possible.
+   * Plans to preempt tasks, unless waiting until `fillAtByWaiting` costs less. If the request does not fit by
+   * preemption alone, the plan also waits for as few as possible of the tasks that the job must not preempt.
    */
   private planByPreemption(
     search: CapacitySearch,
--- a/src/controller/placement/preemption/preemption-policy.ts
+++ b/src/controller/placement/preemption/preemption-policy.ts
@@ -6,8 +6,8 @@
 import type { TeamUsage } from '../../workers/team-usage.js';
 
 /**
- * Upper bound of the run time that a preempted task with checkpoints is assumed to lose, as a multiple of its
- * checkpoint save time.
+ * A preempted task with checkpoints is assumed to lose a run time of at most this many times its checkpoint
+ * save time.
  */
 const MAX_LOST_SAVE_MULTIPLE = 2;
 
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Sorts tasks in the order of preemption: tasks on borrowed capacity first, and among equal ones the most
-   * recently assigned first (m03 §7).
+   * Sorts tasks in the order of preemption: tasks on borrowed capacity come before all others, and within
+   * both groups the most recently assigned tasks come first (m03 §7).
    */
   sortVictims(ends: ExpectedEnd[]): void {
     ends.sort(
--- a/src/controller/placement/preemption/victim-selector.ts
+++ b/src/controller/placement/preemption/victim-selector.ts
@@ -11,11 +11,11 @@
 export interface TasksByEligibility {
   /** Tasks that the job may preempt. */
   eligible: ExpectedEnd[];
-  /** Tasks that the job may not preempt, in order of their expected ends. */
+  /** Tasks that the job must not preempt, in order of their expected ends. */
   others: ExpectedEnd[];
 }
 
-/** Selects victims, and drops those that the selection turns out not to need. */
+/** Selects victims, and drops those that turn out not to be needed. */
 export class VictimSelector {
   constructor(
     private readonly settings: Pick<Settings, 'heartbeatIntervalMs'>,
--- a/src/controller/placement/search/machine-penalty.ts
+++ b/src/controller/placement/search/machine-penalty.ts
@@ -22,8 +22,8 @@
 const INTRUSION_PENALTY = 25;
 
 /**
- * Multiplied by the share of the machine's GPUs (or of its CPUs, if the job needs no GPUs) that would stay
- * free beside one task, so that tight fits are preferred.
+ * Penalty that is multiplied by the share of the machine's GPUs (or of its CPUs, if the job needs no GPUs)
+ * that would stay free beside one task. Tight fits are therefore preferred.
  */
 const LEFTOVER_PENALTY = 10;
 
--- a/src/controller/placement/search/reservation-candidate-finder.test.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.test.ts
@@ -34,9 +34,9 @@
 }
 
 describe('ReservationCandidateFinder', () => {
-  // Guards against reservations that wait for all tasks of a machine because one of them may not be
-  // preempted. In the benchmark scenario "restart" with hundreds of machines, most machines ran a task covered
-  // by its team's guarantee beside tasks on borrowed capacity.
+  // Guards against reservations that wait for all tasks of a machine because one of them must not be
+  // preempted. In the benchmark scenario "restart" with hundreds of machines, most machines ran a task
+  // covered by its team's guarantee beside tasks on borrowed capacity.
   it('waits for a task that may not be preempted, and preempts others that would run longer', () => {
     const estimator = new DurationEstimator();
     const policy = new PreemptionPolicy(defaultSettings, estimator, new TeamUsage([]));
--- a/src/controller/placement/search/reservation-candidate-finder.ts
+++ b/src/controller/placement/search/reservation-candidate-finder.ts
@@ -111,7 +111,10 @@
     return bestIndex;
   }
 
-  /** A reserved machine is kept unless another machine can be ready earlier by more than this many ms. */
+  /**
+   * The cost of a reserved machine is lowered by this many ms plus the longest checkpoint save of its tasks,
+   * so that only a clearly better machine replaces it.
+   */
   private get stickinessMs(): number {
     return this.settings.heartbeatIntervalMs * this.settings.get('placement.hold.kept.ratio');
   }
@@ -130,8 +133,8 @@
     if (search.onlyByPreemption && plan.victims.length === 0 && !plan.hasStopping) return Infinity;
     const { machine } = capacity;
     // A reserved machine is replaced only by a clearly better one. The longest save is added because tasks on
-    // the machine may already be saving checkpoints to make way for this job. If the job reserved another
-    // machine instead, they would have been stopped in vain.
+    // the machine may already be saving checkpoints to make way for this job. Those tasks would have been
+    // stopped in vain if the job reserved another machine instead.
     const reservedBonusMs = reserved.has(machine.id)
       ? this.stickinessMs + this.forecaster.forecast(capacity, search.now).longestSaveMs
       : 0;
