--- a/src/controller/controller-components.ts
+++ b/src/controller/controller-components.ts
@@ -28,8 +28,8 @@
 /** The components of a controller that exist independently of its terms as leader. */
 export class ControllerComponents implements LeaderEnvironment, ApiContext {
   /**
-   * Sink for this node's metrics; null until it is set, after the start, because loading it takes
-   * time.
+   * Sink for this node's metrics. It is null at first and set after the start, because loading it
+   * takes time.
    */
   metrics: MetricsSink | null = null;
   readonly redirectedHeartbeats: DecayingRate;
--- a/src/controller/jobs/job-end-recorder.ts
+++ b/src/controller/jobs/job-end-recorder.ts
@@ -21,8 +21,9 @@
 /**
  * Records that jobs are done, and reads the terminal states of jobs that another node has ended. A
  * terminal state never changes once reported (invariant 3), so it is never inferred from the
- * removal of an active record. The removal need not be due to a cancellation: a leader that has not
- * noticed yet that it was replaced also sees its successor remove the active records of done jobs.
+ * removal of an active record. A record may also be removed without a cancellation: a leader that
+ * has been replaced, but has not noticed it yet, sees its successor remove the active records of
+ * done jobs.
  */
 export class JobEndRecorder {
   /** @param onTerminal - called, possibly more than once, when a terminal state has been recorded */
@@ -57,9 +58,9 @@
   }
 
   /**
-   * Reads the terminal record of a job that another node has ended or may have ended. Retries after
-   * a delay if it gets no terminal state. If another writer removed the active record, the retry
-   * reads the terminal record again. Otherwise it tries again to record that the job is done.
+   * Reads the terminal record of a job that another node has ended or may have ended. If the read
+   * gives no terminal state, retries after a delay. The retry reads the terminal record again if
+   * another writer removed the active record. Otherwise the retry calls `recordDone` again.
    */
   readTerminalState(job: Job): void {
     const timeoutMs = this.settings.leaderLeaseMs * READ_TIMEOUT_RATIO;
--- a/src/controller/jobs/job-state-cache.ts
+++ b/src/controller/jobs/job-state-cache.ts
@@ -2,7 +2,7 @@
 import type { TerminalState } from '../wire/jobs.js';
 import { BoundedMap } from './bounded-map.js';
 
-/** Value in `activeVersions` of a job that is active, but whose version this node doesn't know. */
+/** Value in `activeVersions` for an active job if this node doesn't know its record's version. */
 const VERSION_UNKNOWN = 0;
 
 /**
--- a/src/controller/jobs/job-table.test.ts
+++ b/src/controller/jobs/job-table.test.ts
@@ -64,7 +64,7 @@
     return this.table.jobs.get(ID) ?? assert.fail('the job was not added');
   }
 
-  /** Answers the oldest open read of a terminal record; null: there is no such record. */
+  /** Answers the oldest open read of a terminal record; null if the record does not exist. */
   answerRead(state: TerminalState | null): void {
     const value = state === null ? null : { key: '', version: 1, value: terminalRecord(state, 0) };
     (this.openReads.shift() ?? assert.fail('no open read'))({ kind: 'ok', value });
--- a/src/controller/jobs/job-table.ts
+++ b/src/controller/jobs/job-table.ts
@@ -102,8 +102,9 @@
   }
 
   /**
-   * Reports a gang with missing members or members of different attempts, so that it is stopped. Its
-   * tasks become pending together, but only after all members that are still assigned are gone.
+   * Reports a gang with missing members or members of different attempts, because it has to be
+   * stopped. Its tasks become pending together, but only after all members that are still assigned
+   * are gone.
    */
   private recoverGang(job: Job): void {
     const assignments = [...job.currentAssignments.values()];
--- a/src/controller/jobs/job-watch.ts
+++ b/src/controller/jobs/job-watch.ts
@@ -72,8 +72,9 @@
   }
 
   /**
-   * True if the view is recent enough to answer workers, send commands and place tasks (invariant
-   * 8: every cancellation that was confirmed longer ago than the maximum staleness is known).
+   * True if the view is recent enough to answer workers, send commands and place tasks. This node
+   * then knows every cancellation that was confirmed more than `Settings.maxWatchStalenessMs` ago
+   * (invariant 8).
    */
   get isFresh(): boolean {
     return (
@@ -119,7 +120,10 @@
     });
   }
 
-  /** Reads all active records. Called if the state store lacks changes since the last read. */
+  /**
+   * Reads all active records. Called if the state store can't report all changes since the last
+   * read.
+   */
   private readSnapshot(): void {
     const requestNumber = ++this.lastRequestNumber;
     const sentAt = this.eventLoop.now();
--- a/src/controller/jobs/recorded-states.ts
+++ b/src/controller/jobs/recorded-states.ts
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Determines the state of a job after a transaction found a record that its conditions require to
+   * Determines the state of a job after a transaction failed because a record existed that had to
    * be absent. The active and the terminal record of a job never exist together (invariant 3).
    */
   resolveConflict(id: string, failedKeys: readonly string[], done: RecordedStateCallback): void {
--- a/src/controller/jobs/shared-requests.ts
+++ b/src/controller/jobs/shared-requests.ts
@@ -2,8 +2,8 @@
 
 /**
  * Unsent requests by key, each with the callers that wait for its result. A caller may join a
- * request only until it is sent: a request in flight may return an older state than the one that
- * another node has already reported to the same user (invariant 3: the state store must confirm
+ * request only until it is sent. A request in flight may return a state that is older than a state
+ * already reported to the same user by another node (invariant 3: the state store must confirm
  * every state that is not known to be terminal).
  */
 export class SharedRequests<Waiter> {
--- a/src/controller/jobs/submissions.ts
+++ b/src/controller/jobs/submissions.ts
@@ -11,7 +11,10 @@
 import { SharedRequests, type SharedRequest } from './shared-requests.js';
 import type { StatusQueries } from './status-queries.js';
 
-/** Accepts jobs. Submissions are idempotent: a repeated one is answered with the job's status. */
+/**
+ * Accepts jobs. Submissions are idempotent: a repeated submission is answered with the job's
+ * status.
+ */
 export class Submissions {
   private readonly sharedRequests = new SharedRequests<Respond>();
 
@@ -56,8 +59,9 @@
   }
 
   /**
-   * Refuses a submission, unless its job was accepted before. In that case responds with the job's
-   * status, since teams, machine types or the validation rules may have changed in the meantime.
+   * Refuses a submission, unless its job was accepted before. An accepted job is answered with its
+   * status, since teams, machine types or the validation rules may have changed after its
+   * acceptance.
    */
   private refuse(id: string, refusal: ApiResponse, respond: Respond): void {
     this.replyUnlessAbsent(id, respond, () => respond(refusal));
--- a/src/controller/model/entities.ts
+++ b/src/controller/model/entities.ts
@@ -22,7 +22,7 @@
  */
 export type AssignmentOutcome = ExitCause | 'lost' | 'unsent';
 
-/** A request to stop a task, which is sent to the worker until it takes effect. */
+/** A request to stop a task. It is sent to the worker repeatedly until it takes effect. */
 export interface StopRequest {
   /** Seconds that the task has to save a checkpoint. */
   readonly graceS: number;
@@ -31,7 +31,7 @@
   /** Reason of the stop, used only in log lines. */
   readonly reason: string;
   /**
-   * Whether the stop has been sent as a direct command; responses to heartbeats carry it as well.
+   * Whether the stop has been sent as a direct command. Responses to heartbeats carry the stop too.
    */
   sentAsDirectCommand: boolean;
 }
@@ -68,9 +68,9 @@
   state: TaskState | null;
   /**
    * Sequence number that a heartbeat must exceed to prove that the task is missing; null if this
-   * leader has not sent the start. After a start in the response to a heartbeat, it is the number of
-   * that heartbeat. After a direct start, it is the number of the last heartbeat before the call
-   * until the worker responds, and then the number in the response.
+   * leader has not sent the start. After a start in the response to a heartbeat, it is the number
+   * of that heartbeat. After a direct start, it is at first the number of the last heartbeat before
+   * the call. Once the worker has responded, it is the number in the response.
    */
   startSentSequence: number | bigint | null;
   /**
@@ -79,8 +79,8 @@
    */
   runningAt: number | null;
   /**
-   * Number of the last heartbeat that listed the task, among the heartbeats of all machines in this
-   * term; 0 if none has listed it.
+   * Number of the last heartbeat that listed the task; 0 if none has listed it. All machines'
+   * heartbeats in this term are numbered in one sequence.
    */
   lastHeartbeatNumber: number;
   /** The stop that has been requested; null if there is none. */
--- a/src/controller/model/job.ts
+++ b/src/controller/model/job.ts
@@ -73,8 +73,8 @@
   /** The assignment of the latest attempt, for each task that has one. */
   readonly currentAssignments = new Map<number, TAssignment>();
   /**
-   * All assignments of the job's tasks, also older attempts and ended ones that are still on
-   * record.
+   * All assignments of the job's tasks, including those of older attempts and ended assignments
+   * that are still on record.
    */
   readonly allAssignments = new Set<TAssignment>();
   /** Number of ended attempts of the job's tasks, by exit cause. */
@@ -111,7 +111,9 @@
   reservation: GangReservation | null = null;
   /** Reason why the job waits, shown to its user; empty if there is none. */
   blockedReason = '';
-  /** How often the job's tasks were preempted for other jobs; each time raises the job's rank. */
+  /**
+   * How often the job's tasks were preempted for other jobs. Each preemption raises the job's rank.
+   */
   preemptionCount = 0;
   /**
    * Until this time the job is placed before all other jobs, because tasks were preempted for it.
--- a/src/controller/model/machine-record-size.ts
+++ b/src/controller/model/machine-record-size.ts
@@ -7,18 +7,21 @@
 import { adjustCount } from './keyed-counts.js';
 import type { ResourceRequest } from './resource-request.js';
 
-/** Bytes of a task in the list of its attempt: its number and a comma. */
+/** Bytes that a task takes in the list of its attempt, for its number and a comma. */
 const TASK_BYTES = 7;
-/** Bytes of an attempt without its tasks: its number, one assignment time, brackets and commas. */
+/**
+ * Bytes that an attempt takes without its tasks, for its number, one assignment time, brackets and
+ * commas.
+ */
 const ATTEMPT_BYTES = 40;
 /**
- * Bytes of a job besides its encoded fields: brackets, a comma, and the escape characters that its
- * quotes need when the record is stored in a page.
+ * Bytes that a job takes besides its encoded fields, for brackets, a comma, and escape characters.
+ * Quotes in the fields are escaped when the record is stored in a page.
  */
 const JOB_BYTES = 6;
 /**
- * Bytes of a record without tasks: the machine's own fields, the record's key, and the page's
- * overhead.
+ * Bytes that a record takes without tasks, for the machine's own fields, the record's key, and the
+ * page's overhead.
  */
 const HEADER_BYTES = 260;
 
@@ -48,7 +51,7 @@
 
 /**
  * Encodes the fields of a job for a machine's record. The caller appends the job's attempts to the
- * list.
+ * returned list.
  */
 export function encodeJob({ jobId, team, request, checkpointSaveS }: RecordedJob): unknown[] {
   return [jobId, team, request.cpus, request.gpus, request.memoryGb, checkpointSaveS];
@@ -64,8 +67,8 @@
 }
 
 /**
- * Returns how many bytes the tasks may take in a machine's record, so that it fits in a stored
- * value.
+ * Returns the maximum number of bytes that the tasks may take in a machine's record. Up to this
+ * size, the record fits in a stored value.
  */
 export function recordCapacityBytes(settings: Settings): number {
   return settings.maxValueBytes - HEADER_BYTES;
--- a/src/controller/model/machine.ts
+++ b/src/controller/model/machine.ts
@@ -10,7 +10,7 @@
   readonly job: { readonly spec: Pick<JobSpec, 'class'> } | null;
 }
 
-/** State of a machine in the cloud's list; `absent` if it was listed before but no longer is. */
+/** State of a machine in the cloud's list; `absent` if the machine is no longer listed. */
 export type CloudState = 'booting' | 'running' | 'failed' | 'absent';
 
 /**
@@ -79,8 +79,8 @@
    */
   lostStartHeartbeats = 0;
   /**
-   * Number of the last heartbeat that was counted in `lostStartHeartbeats`, among the heartbeats of
-   * all machines in this term; 0 before the first.
+   * Number of the last heartbeat that was counted in `lostStartHeartbeats`; 0 before the first. All
+   * machines' heartbeats in this term are numbered in one sequence.
    */
   lastLostStartHeartbeat = 0;
   /**
@@ -93,9 +93,9 @@
   /** Number of calls with direct commands that have not been answered. */
   pendingDirectCalls = 0;
 
-  // Assignments, and the resources of those whose tasks are not proven gone.
+  // Assignments, and the resources used by tasks that are not proven gone.
 
-  /** Assignments by task name, including ended ones that are still on record. */
+  /** Assignments by task name, including ended assignments that are still on record. */
   readonly assignments = new Map<string, TAssignment>();
   cpus = 0;
   gpus = 0;
--- a/src/controller/runtime/event-loop.ts
+++ b/src/controller/runtime/event-loop.ts
@@ -76,7 +76,10 @@
     if (this.queue.length > 0) this.schedule();
   }
 
-  /** Logs an exception of a handler, so that it does not end the process and fail all open requests. */
+  /**
+   * Runs the handler and logs any exception. An uncaught exception would end the process and fail
+   * all open requests.
+   */
   private handleSafely(name: string, handle: Handler): void {
     try {
       handle();
--- a/src/controller/runtime/heap-budget.ts
+++ b/src/controller/runtime/heap-budget.ts
@@ -9,12 +9,12 @@
 const MIB = 1024 * 1024;
 
 /**
- * Memory of the process outside the heap, excluding mapped files: stacks, compiled code, socket
- * buffers. An idle controller uses 58 MB, of which 41 MB are mapped files.
+ * Memory of the process outside the heap in MB, excluding mapped files. It holds stacks, compiled
+ * code and socket buffers. An idle controller uses 58 MB, of which 41 MB are mapped files.
  */
 const OUTSIDE_HEAP_MB = 17;
 
-/** Size of the young generation: three semi-spaces of 16 MB, V8's default. */
+/** Size of the young generation in MB: V8's default of three semi-spaces of 16 MB each. */
 const YOUNG_GENERATION_MB = 48;
 
 /**
--- a/src/controller/runtime/runtime.ts
+++ b/src/controller/runtime/runtime.ts
@@ -28,7 +28,7 @@
   path: string;
   /** Sent encoded as CBOR; undefined if the request has no body. */
   body?: unknown;
-  /** Time without a response after which the call ends with status 0. */
+  /** Time in ms without a response after which the call ends with status 0. */
   timeoutMs: number;
 }
 
--- a/src/controller/runtime/token-bucket.ts
+++ b/src/controller/runtime/token-bucket.ts
@@ -3,9 +3,10 @@
 const MS_PER_S = 1000;
 
 /**
- * Limits calls to an average of `ratePerS` and a burst of `burst`. A caller of low priority passes a
- * `reserve`: the fraction of the burst that it leaves to callers of higher priority. Under load, status polls
- * are therefore delayed before submissions, and submissions before the leader's records and its lease.
+ * Limits calls to an average of `ratePerS` and a burst of `burst`. A caller of low priority passes
+ * a `reserve`: the fraction of the burst that it leaves to callers of higher priority. Under load,
+ * status polls are therefore the first calls to be delayed, and submissions are the second. Writes
+ * of the leader's records and renewals of its lease are delayed last.
  */
 export class TokenBucket {
   /** Number of tokens at `refilledAt`. It can be negative after `forceTake`. */
--- a/src/controller/wire/cloud.ts
+++ b/src/controller/wire/cloud.ts
@@ -21,7 +21,7 @@
   cacheGb: number;
   /** Rate at which a machine fetches images, in GB per second. */
   fetchGbPerS: number;
-  /** Price per hour. */
+  /** Price per hour of a machine that is not a spot machine. */
   price: number;
   /** Price per hour of a spot machine. */
   spotPrice: number;
--- a/src/controller/wire/fields.ts
+++ b/src/controller/wire/fields.ts
@@ -35,7 +35,7 @@
   return value;
 }
 
-/** Reads an optional number as `readAmount` does; returns null if it is absent or null. */
+/** Reads an optional finite number from 0 to 1e12; returns null if it is absent or null. */
 export function readOptionalAmount(map: Fields, name: string): number | null {
   const value = map[name];
   return value === undefined || value === null ? null : readAmount(map, name);
--- a/src/controller/wire/jobs.ts
+++ b/src/controller/wire/jobs.ts
@@ -53,7 +53,7 @@
   checkpointIntervalS: number;
   /** Seconds that a task needs to save a checkpoint when it is stopped; 0 if it saves none. */
   checkpointSaveS: number;
-  /** Seconds after the submission by which the job should end; null if it has no deadline. */
+  /** Deadline by which the job should end, in seconds after its submission; null if it has none. */
   deadlineS: number | null;
 }
 
@@ -160,7 +160,9 @@
   };
 }
 
-/** Encodes a job in the form of a submission, in which it is also recorded at the state store. */
+/**
+ * Encodes a job in the form of a submission. The job's record at the state store has this form too.
+ */
 export function writeJobSpec(spec: JobSpec): Fields {
   return {
     id: spec.id,
--- a/src/controller/wire/workers.ts
+++ b/src/controller/wire/workers.ts
@@ -34,7 +34,7 @@
   name: string;
   attempt: Int;
   state: TaskState;
-  /** Null unless the task has exited. */
+  /** Why the task has exited; null if it has not exited. */
   cause: ExitCause | null;
   /** Whether the task has exited and saved a checkpoint. */
   checkpointSaved: boolean;
--- a/src/controller/workers/assignments.ts
+++ b/src/controller/workers/assignments.ts
@@ -29,10 +29,10 @@
 }
 
 /**
- * All tasks that may be on a machine. A task is counted, also against its team's limits, until one
- * of these facts proves it gone (invariants 5 and 7): the agent epoch has advanced, the worker's
- * lease has certainly expired, the cloud has confirmed the release, or a heartbeat that was sent
- * under this leader's term and after the start was settled does not list the task.
+ * All tasks that may be on a machine. Each task is counted, including against its team's limits,
+ * until one of these facts proves it gone (invariants 5 and 7): the agent epoch has advanced, the
+ * worker's lease has certainly expired, the cloud has confirmed the release, or a heartbeat that
+ * was sent under this leader's term and after the start was settled does not list the task.
  */
 export class Assignments {
   /** Number of tasks that are not yet proven gone, by job class. */
@@ -75,7 +75,7 @@
   /**
    * Stops the assignment. If its start was never sent, it ends immediately. Otherwise a command is
    * sent to the worker, and the task has `graceS` seconds to save a checkpoint. A repeated stop has
-   * an effect only if it allows less time than the one before.
+   * an effect only if it allows less time than the previous stop.
    */
   stop(assignment: Assignment, graceS: number, reason: string): void {
     const { phase, machine, jobId, task } = assignment;
--- a/src/controller/workers/commands.ts
+++ b/src/controller/workers/commands.ts
@@ -4,9 +4,9 @@
 import type { Heartbeat, WorkerCommand } from '../wire/workers.js';
 
 /**
- * Time that a task may take to save a checkpoint, as a multiple of the time declared by its job.
- * `gang_peer_s` and one heartbeat interval are added to it. A task that takes longer after a stop
- * was requested is stopped without a checkpoint.
+ * A task may save a checkpoint for this multiple of the time declared by its job, plus
+ * `gang_peer_s` and one heartbeat interval. If it takes longer after a stop was requested, it is
+ * stopped without a checkpoint.
  */
 const MAX_SAVE_TIME_RATIO = 2;
 
@@ -23,8 +23,8 @@
 }
 
 /**
- * Adds the start or stop command that the response to the heartbeat has to carry for the
- * assignment, if there is one. An assignment whose start is added moves to the phase `sent`.
+ * Adds the start or stop command for the assignment, if it needs one, to the commands in the
+ * response to the heartbeat. An assignment whose start is added moves to the phase `sent`.
  */
 export function addCommand(
   assignment: Assignment,
--- a/src/controller/workers/direct-commands.ts
+++ b/src/controller/workers/direct-commands.ts
@@ -25,7 +25,8 @@
 
 const OK = 200;
 /**
- * Status with which a worker that has seen a higher fencing token refuses all commands of a call.
+ * Status with which a worker refuses all commands of a call because it has seen a higher fencing
+ * token.
  */
 const CONFLICT = 409;
 
--- a/src/controller/workers/fencing-token-sync.ts
+++ b/src/controller/workers/fencing-token-sync.ts
@@ -7,9 +7,9 @@
 import { FENCING_EPOCH_LIMIT, makeFencingToken, termOfToken } from './fencing-token.js';
 
 /**
- * Number of heartbeats without a task whose start was sent, after which the leader assumes that its
- * responses do not reach the machine. Counting begins again when a heartbeat shows that a message
- * has reached the worker.
+ * Number of heartbeats with lost starts at which the leader assumes that its responses do not reach
+ * the machine. A start is lost if the heartbeat lacks a task whose start was sent. Counting begins
+ * again when a heartbeat shows that a message has reached the worker.
  */
 const LOST_START_LIMIT = 2;
 
@@ -37,8 +37,8 @@
   /**
    * Raises the token that the worker has to report before more tasks are placed on the machine. The
    * worker can obtain the new token only from a response that has not been sent yet, so reporting
-   * it proves that responses arrive. Without this check, a machine whose heartbeats arrive while
-   * responses and commands are lost would look idle in every new agent epoch and would be assigned
+   * it proves that responses arrive. A machine may send heartbeats but receive no responses or
+   * commands. Without this check, it would look idle in every new agent epoch and would be assigned
    * the same tasks again and again.
    */
   requireNewToken(machine: Machine): void {
@@ -79,7 +79,7 @@
   /**
    * Records that the heartbeat with this number shows that a start did not arrive. Several lost
    * starts in one heartbeat count once. Returns true if responses are assumed not to reach the
-   * machine, so that the task may be placed on another machine.
+   * machine. The task may then be placed on another machine.
    */
   recordLostStart(machine: Machine, heartbeatNumber: number): boolean {
     if (machine.lastLostStartHeartbeat !== heartbeatNumber) machine.lostStartHeartbeats++;
--- a/src/controller/workers/liveness.ts
+++ b/src/controller/workers/liveness.ts
@@ -10,8 +10,8 @@
 const MAX_HEARTBEAT_INTERVAL_RATIO = 1.35;
 
 /**
- * Time between two calls of `setAnswering` beyond which the controller process itself counts as
- * stalled, as a multiple of the interval at which it has to be called.
+ * The controller process counts as stalled if the time between two calls of `setAnswering` exceeds
+ * this multiple of the interval at which it has to be called.
  */
 const STALL_INTERVALS = 3;
 
--- a/src/controller/workers/reconciliation.ts
+++ b/src/controller/workers/reconciliation.ts
@@ -15,7 +15,9 @@
 export interface HeartbeatInProgress {
   readonly machine: Machine;
   readonly heartbeat: Heartbeat;
-  /** Sequential number of this heartbeat among the heartbeats of all machines in this term. */
+  /**
+   * Number of this heartbeat. All machines' heartbeats in this term are numbered in one sequence.
+   */
   readonly heartbeatNumber: number;
   /**
    * Whether the worker had seen this leader's term when it sent the heartbeat. If not, the
@@ -36,8 +38,8 @@
 }
 
 /**
- * Updates assignments from the tasks that a heartbeat lists, and from the assigned tasks that are
- * missing from it.
+ * Updates assignments according to a heartbeat: those of the tasks that it lists, and those of the
+ * assigned tasks that it lacks.
  */
 export class Reconciliation {
   constructor(
@@ -123,9 +125,9 @@
   }
 
   /**
-   * Restarts a gang member that stopped waiting for its peers while other members still fetch their
-   * image. The member keeps its attempt: a new attempt would require stopping the whole gang, which
-   * would discard the fetches in progress.
+   * Restarts a gang member that has stopped waiting for its peers, and keeps its attempt. A new
+   * attempt would require stopping the whole gang, which would discard the other members' image
+   * fetches in progress.
    */
   private restartGangMember(
     { machine, commands }: HeartbeatInProgress,
@@ -147,9 +149,9 @@
   }
 
   /**
-   * Returns true if the completion of the task is not recorded yet, so that the worker's state is
-   * the only evidence of it. Also marks the task as done if it is not marked yet and belongs to no
-   * gang.
+   * Returns true if the completion of the task is not recorded yet. The worker's state is then the
+   * only evidence of the completion. Also marks the task as done if it is not marked yet and
+   * belongs to no gang.
    */
   private isCompletionUnrecorded({ name }: TaskStatus): boolean {
     const { job: jobId, task } = parseTaskName(name);
@@ -194,8 +196,9 @@
 }
 
 /**
- * Returns true if a gang member that stopped waiting for its peers has to be started again, because
- * another member still fetches its image and nothing else prevents the gang from running.
+ * Returns true if a gang member that stopped waiting for its peers has to be started again. This is
+ * the case if another member still fetches its image or has not been listed by a heartbeat yet, and
+ * nothing else prevents the gang from running.
  */
 function isGangMemberNeeded(assignment: Assignment): boolean {
   const { job, machine } = assignment;
