--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -11,7 +11,7 @@
 
 /** Estimates the mean gap between two jobs from an exponentially decaying count. */
 export class ArrivalMonitor {
-  /** Number of jobs with exponentially decreasing weight, as of the last arrival. */
+  /** Exponentially decaying count of the jobs that have arrived, as of the last arrival. */
   private decayingCount = 0;
   private jobCount = 0;
   private lastJobAt: number;
--- a/src/controller/fleet/booting-machines.ts
+++ b/src/controller/fleet/booting-machines.ts
@@ -4,8 +4,8 @@
 /** A booting machine. Times are readings of the monotonic clock in ms. */
 export interface BootingMachine extends MachineKind {
   /**
-   * When the launch was requested; computed from the age in the cloud's list for a machine first seen in that
-   * list.
+   * When the launch was requested. If the machine was first seen in the cloud's list, this time is computed
+   * from the machine's age in the list.
    */
   requestedAt: number;
   /** When this leader requested the machine, or first saw it in the cloud's list. */
--- a/src/controller/fleet/cloud-client.ts
+++ b/src/controller/fleet/cloud-client.ts
@@ -14,13 +14,18 @@
 
 const CALL_TIMEOUT_MS = 5000;
 const LIST_PAGE_SIZE = 500;
-/** Shortest delay before the next attempt to read a page of the list when no rate-limit token was available. */
+/**
+ * If no rate-limit token is available for reading a page of the list, the next attempt follows after at least
+ * this delay.
+ */
 const MIN_TOKEN_WAIT_MS = 5;
 /** Time after a response with status 429 in which no rate-limit token is available. */
 const RATE_LIMIT_PAUSE_MS = 500;
 /** Share of the cloud's rate limit that the leader uses; followers read the catalogue with the remaining share. */
 const LEADER_RATE_SHARE = 0.8;
-/** Largest share of the leader's calls that list machines, however many machines there are. */
+/**
+ * Reads of the machine list take at most this share of the leader's calls, however many machines there are.
+ */
 const LIST_RATE_SHARE = 0.4;
 /** Fraction of the token bucket's burst that launches leave for lists and releases. */
 const LAUNCH_TOKEN_RESERVE = 0.2;
@@ -69,8 +74,8 @@
   }
 
   /**
-   * Shortest time in ms between two lists of `machineCount` machines that leaves enough calls for launches and
-   * releases.
+   * Shortest time in ms between two reads of a list of `machineCount` machines. With it, enough calls remain
+   * for launches and releases.
    */
   listIntervalMs(machineCount: number): number {
     const pages = Math.ceil(machineCount / LIST_PAGE_SIZE);
--- a/src/controller/fleet/fleet.ts
+++ b/src/controller/fleet/fleet.ts
@@ -16,8 +16,8 @@
 import { UnusedMachines, type WorkloadState } from './unused-machines.js';
 
 /**
- * A time of more than this many leader leases between two steps counts as an interruption of the service,
- * during which no job could arrive.
+ * If more than this many leader leases pass between two steps, the time between them counts as an
+ * interruption of the service, during which no job could arrive.
  */
 const INTERRUPTION_LEASES = 2;
 /**
--- a/src/controller/fleet/headroom.ts
+++ b/src/controller/fleet/headroom.ts
@@ -10,7 +10,10 @@
 
 /** How much free capacity is kept for each job class, and for how long after its last job. */
 export interface HeadroomSettings {
-  /** Tasks to keep capacity for, as a ratio to the class's running tasks; at least one task. 0 turns headroom off. */
+  /**
+   * Number of tasks to keep capacity for, as a ratio to the class's running tasks. Capacity is kept for at
+   * least one task. A ratio of 0 turns headroom off.
+   */
   ratio: number;
   /** A class is forgotten this long after it last had an unfinished job. */
   retentionMs: number;
--- a/src/controller/fleet/machine-inventory.ts
+++ b/src/controller/fleet/machine-inventory.ts
@@ -10,7 +10,7 @@
 
 /** Smallest number of heartbeat intervals between two reads of the list. */
 const HEARTBEATS_PER_LIST = 2;
-/** Fraction of the list's lag by which the next read is due earlier after a failed read. */
+/** After a failed read, the next read is due earlier by this fraction of the list's lag. */
 const RETRY_LAG_SHARE = 0.7;
 /**
  * A machine that is missing from the list counts as absent after this many times the staleness of the list,
--- a/src/controller/fleet/scale-out-plan.ts
+++ b/src/controller/fleet/scale-out-plan.ts
@@ -149,7 +149,7 @@
     return takenTasks;
   }
 
-  /** Adds one machine of the offer's kind. Returns false if that needs more than `MAX_LAUNCHES`. */
+  /** Adds one machine of the offer's kind. Returns false if the plan would then exceed `MAX_LAUNCHES`. */
   private addMachine(offer: InstanceOffer): boolean {
     let launch = this.openLaunches.get(offer.kind);
     if (launch === undefined || launch.count >= MAX_MACHINES_PER_LAUNCH) {
--- a/src/controller/node/api-server.ts
+++ b/src/controller/node/api-server.ts
@@ -9,9 +9,9 @@
 import { splitAddress } from '../runtime/address.js';
 import type { Settings } from '../settings/settings.js';
 
-/** Largest size of the request line and the headers of a request together. */
+/** Largest size of a request's head (request line and headers). */
 const MAX_HEAD_BYTES = 16 * 1024;
-/** Largest size of the body of a request. */
+/** Largest size of a request body. */
 const MAX_BODY_BYTES = 64 * 1024;
 /** Time within which a request must arrive completely. */
 const READ_TIMEOUT_MS = 10_000;
--- a/src/controller/node/node-runtime.ts
+++ b/src/controller/node/node-runtime.ts
@@ -94,7 +94,7 @@
   try {
     return { status, body: body.length > 0 ? decodeBody(body) : null };
   } catch {
-    // As when no response arrives, the request may or may not have been carried out.
+    // The request may or may not have been carried out, just as when no response arrives.
     return NO_REPLY;
   }
 }
--- a/src/controller/node/run.ts
+++ b/src/controller/node/run.ts
@@ -12,8 +12,8 @@
 import { listenToPeers } from './peer-server.js';
 
 /**
- * Number of random bytes in the process's identity, which distinguish it from other processes on the same host.
- * The first four of them also seed the process's random numbers.
+ * Number of random bytes in the process's identity. They distinguish the process from other processes on the
+ * same host. The first four bytes also seed the process's random numbers.
  */
 const SEED_BYTES = 8;
 /** Time between two adjustments of V8's heap growth factor; see `HeapBudget`. */
--- a/src/controller/operators/cluster-view.ts
+++ b/src/controller/operators/cluster-view.ts
@@ -39,7 +39,7 @@
   };
   placement: Pick<Placement, 'shortages'>;
   fleet: Pick<Fleet, 'bootingCount'>;
-  /** Only machines whose ids sort after this one are listed. */
+  /** A machine id; only machines with ids that sort after it are listed. */
   after: string;
 }
 
--- a/src/controller/operators/readiness.ts
+++ b/src/controller/operators/readiness.ts
@@ -4,8 +4,8 @@
 import type { CallHealth } from '../store/call-health.js';
 
 /**
- * A node counts as served by the state store for this long after the store has last served it, as a ratio to
- * the leader's lease. The same limit applies to this node and to its peers.
+ * After the state store has served a node, the node counts as served for this time, as a ratio to the
+ * leader's lease. The ratio applies to this node and to its peers alike.
  */
 const SERVED_LEASE_RATIO = 0.4;
 
--- a/src/controller/peers/peer-publisher.ts
+++ b/src/controller/peers/peer-publisher.ts
@@ -21,7 +21,8 @@
 
   /**
    * @param hosts - the hosts of all other controllers
-   * @param announcementDelayMs - how long an announcement is delayed so that later ones share its message
+   * @param announcementDelayMs - the delay of an announcement in milliseconds; later announcements within the
+   *   delay are sent in the same message
    */
   constructor(
     private readonly eventLoop: EventLoop,
@@ -64,7 +65,7 @@
     } while (start < mostItems);
   }
 
-  /** Sends one controller a message that has only the given parts. */
+  /** Sends a message that contains only the given parts to the controller on `host`. */
   sendTo(host: string, parts: Partial<PeerMessage>): void {
     this.eventLoop.runtime.sendPeer(host, encodePeerMessage({ ...EMPTY_MESSAGE, ...parts }));
   }
--- a/src/controller/peers/peers.ts
+++ b/src/controller/peers/peers.ts
@@ -36,9 +36,12 @@
 export interface PeersOptions {
   /** Hosts of the other controllers. */
   hosts: readonly string[];
-  /** Interval between two messages with this controller's status. */
+  /** Interval in milliseconds between two messages with this controller's status. */
   statusIntervalMs: number;
-  /** How long an announcement is delayed so that later ones share its message. */
+  /**
+   * Delay of an announcement in milliseconds. Later announcements within the delay are sent in the same
+   * message.
+   */
   announcementDelayMs: number;
 }
 
--- a/src/controller/settings/class-objectives.ts
+++ b/src/controller/settings/class-objectives.ts
@@ -13,7 +13,10 @@
    * `finished`.
    */
   readonly ends: number[];
-  /** Multiples of its deadline within which a job should end; one value per objective of kind `deadline`. */
+  /**
+   * Each value is a multiple of a job's deadline, within which the job should end; one value per objective of
+   * kind `deadline`.
+   */
   readonly deadlineFactors: number[];
 }
 
--- a/src/controller/settings/platform.ts
+++ b/src/controller/settings/platform.ts
@@ -87,7 +87,7 @@
   class: string | null;
   /** Time limit in seconds; null if the settings give none. */
   withinS: number | null;
-  /** For objectives about deadlines: the multiple of its deadline within which a job should end. */
+  /** For objectives of kind `deadline`: a job should end within this multiple of its deadline. */
   deadlineFactor: number;
 }
 
--- a/src/controller/settings/settings.ts
+++ b/src/controller/settings/settings.ts
@@ -8,7 +8,10 @@
 /** Largest drift between the monotonic clocks of two hosts, as a ratio to the elapsed time (PROTOCOL). */
 export const MAX_CLOCK_DRIFT = 0.0005;
 
-/** A worker ignores a response that arrives more than this time after it sent the heartbeat (PROTOCOL). */
+/**
+ * A worker ignores a response that arrives more than this time after the worker sent the heartbeat
+ * (PROTOCOL).
+ */
 const HEARTBEAT_RESPONSE_LIMIT_MS = 4000;
 
 /** Duration of a lease grant (see `Settings.leaseGrantMs`), as a ratio to the leader's lease. */
@@ -87,8 +90,9 @@
   }
 
   /**
-   * Duration of a lease grant: a follower's promise to the leader not to act as leader itself (invariant 1:
-   * beyond its lease, a leader may answer workers only while every other controller has made this promise).
+   * Duration of a lease grant. With a lease grant, a follower promises the leader not to act as leader itself
+   * (invariant 1: beyond its lease, a leader may answer workers only while every other controller has made
+   * this promise).
    */
   get leaseGrantMs(): number {
     return this.leaderLeaseMs * LEASE_GRANT_RATIO;
--- a/src/controller/store/batch.ts
+++ b/src/controller/store/batch.ts
@@ -7,7 +7,8 @@
   conditions: Condition[];
   writes: Write[];
   /**
-   * Called when the entry is sent. A request that arrives later cannot share its outcome and needs a new entry.
+   * Called when the entry is sent. A request that arrives later cannot share the entry's outcome and needs a
+   * new entry.
    */
   onSent?: () => void;
   /** Called once with the outcome. */
--- a/src/controller/store/client.ts
+++ b/src/controller/store/client.ts
@@ -42,9 +42,8 @@
 const KEYS_PER_REQUEST = 1000;
 
 /**
- * A watch request times out this long after the end of its hold time, as a ratio to the leader's lease. The
- * grace period bounds by how much a lost response delays an election. It is short compared with the workers'
- * lease.
+ * Time from the end of a watch request's hold time to its time-out, as a ratio to the leader's lease. A lost
+ * response delays an election by at most this time. The time is short compared with the workers' lease.
  */
 const WATCH_GRACE_RATIO = 0.7;
 
--- a/src/controller/store/commit-builder.ts
+++ b/src/controller/store/commit-builder.ts
@@ -22,7 +22,7 @@
   conditions: Condition[];
   pages: Page[];
   /**
-   * The entries of the pages whose newest values have not been sent yet, or have to be sent again after a
+   * Entries in `pages` with a newest value that has not been sent yet, or has to be sent again after a
    * failure.
    */
   entries: RecordEntry[];
--- a/src/controller/store/commit-planner.ts
+++ b/src/controller/store/commit-planner.ts
@@ -11,9 +11,9 @@
 const MAX_DEFERRAL_RATIO = 0.25;
 
 /**
- * Largest share of the leader's write rate that commits with one page each may use. Commits with several pages
- * may use more. The remaining share is for the transactions that end jobs, so that neither kind of write
- * starves the other.
+ * Commits with one page each may use at most this share of the leader's write rate. Commits with several
+ * pages may use more. The remaining share is for the transactions that end jobs, so that neither kind of
+ * write starves the other.
  */
 const PAGE_WRITES_RATIO = 0.45;
 
--- a/src/controller/store/group-commit.ts
+++ b/src/controller/store/group-commit.ts
@@ -40,8 +40,8 @@
   /** Whether entries are sent one by one, to find the one that makes a transaction fail. */
   private oneByOne = false;
   /**
-   * Whether a timer is running. The timer posts an event, and `flush` is called at the end of its batch of
-   * events.
+   * Whether a timer is running. When it fires, it posts an event. `flush` is called after the batch of events
+   * that contains this event.
    */
   private timerRunning = false;
 
--- a/src/controller/store/limits.ts
+++ b/src/controller/store/limits.ts
@@ -1,7 +1,7 @@
 /** The limits of the state store, and the detection that they have changed. */
 import type { Platform, StateLimits } from '../settings/platform.js';
 
-/** Number of rate refusals within the refusal window after which the upcoming rates are considered in force. */
+/** After this many rate refusals within the refusal window, the upcoming rates are considered in force. */
 const REFUSALS_FOR_UPCOMING_RATES = 3;
 /** Time after which a rate refusal no longer counts, in milliseconds. */
 const REFUSAL_WINDOW_MS = 5000;
@@ -25,7 +25,7 @@
   private rates: { rps: number; writeRps: number };
   /** Times of the rate refusals within the window. */
   private rateRefusals: number[] = [];
-  /** Number of halvings that applied to the sizes after the last size refusal, which was at `halvedAt`. */
+  /** Number of halvings in effect right after the last size refusal (at `halvedAt`). */
   private halvingCount = 0;
   private halvedAt = -Infinity;
 
--- a/src/controller/store/page-allocator.ts
+++ b/src/controller/store/page-allocator.ts
@@ -100,10 +100,10 @@
   }
 
   /**
-   * Returns whether only this page's stored copy is known to contain the last stored value of some entry. This
-   * is so if the entry has moved to another page and the write of that page has not succeeded yet. If the
-   * leader rewrote this page without the entry and ended before the other write, the next leader would not find
-   * the record.
+   * Returns whether only this page's stored copy is known to contain the last stored value of some entry. The
+   * reason is then that the entry has moved to another page, whose write has not succeeded yet. If the leader
+   * rewrote this page without the entry and ended before the other write, the next leader would not find the
+   * record.
    */
   private holdsLastDurableCopy(page: Page): boolean {
     for (const key of page.storedKeys) {
--- a/src/controller/store/page.ts
+++ b/src/controller/store/page.ts
@@ -8,8 +8,8 @@
   /** Upper bound of the entry's size in its page, in characters of JSON (`storedSize`). */
   size: number;
   /**
-   * The page that contains the newest value, or will once the value is written; null if none has been chosen
-   * yet.
+   * The page that contains the newest value, or will contain it once it is written; null if no page has been
+   * chosen yet.
    */
   page: Page | null;
   /** Number of pages whose stored copy may contain any value of the key. */
@@ -25,7 +25,7 @@
 /** A value of the state store that contains many records. It is always written as a whole. */
 export interface Page {
   readonly key: string;
-  /** The entries whose newest value is in this page, or will be once it is written. */
+  /** The entries whose newest value is in this page, or will be in it once the page is written. */
   readonly entries: Set<RecordEntry>;
   /** Upper bound of the page's size with its current entries, in characters of JSON (`storedSize`). */
   size: number;
--- a/src/controller/store/pending-writes.ts
+++ b/src/controller/store/pending-writes.ts
@@ -7,13 +7,16 @@
  */
 export type WritePriority = 'deferrable' | 'urgent' | 'immediate';
 
-/** Called once a value, or a newer one of the same key, is stored. */
+/** Called when a value is stored, or when a newer value of the same key is stored. */
 export type StoredCallback = () => void;
 
 /** For each entry in a commit: the callbacks to call once the value that the commit writes is stored. */
 export type StoredCallbacks = Map<RecordEntry, StoredCallback[]>;
 
-/** Entries whose newest value has not been sent, by priority, and the callbacks of values not stored yet. */
+/**
+ * Holds the entries whose newest value has not been sent, by priority, and the callbacks of values that are
+ * not stored yet.
+ */
 export class PendingWrites {
   /** All entries that are not deferrable, including the immediate ones. */
   readonly urgent = new Set<RecordEntry>();
--- a/src/controller/store/rate-budget.ts
+++ b/src/controller/store/rate-budget.ts
@@ -25,7 +25,10 @@
 const WRITE_RATE_TIME_CONSTANT_MS = 3000;
 /** Time in seconds within which the queued writes should be sent. */
 const QUEUE_DRAIN_S = 2;
-/** Smallest burst of the write tokens: a transaction takes the tokens of all its writes at once. */
+/**
+ * Smallest burst of the write tokens, in tokens. It exceeds 1 because a transaction takes the tokens of all
+ * its writes at once.
+ */
 const MIN_WRITE_BURST = 4;
 /** Time in milliseconds for which no tokens are granted after the store has refused a call for its rate. */
 const REFUSAL_PAUSE_MS = 100;
@@ -82,7 +85,10 @@
     return { isLeader: this.isLeader, writesPerSecond };
   }
 
-  /** Sets this node's share of the writes by its own demand and the demands that peers reported recently. */
+  /**
+   * Sets this node's share of the writes. The share is computed from the node's own demand and the demands
+   * that peers reported recently.
+   */
   updateWriteShare(reportedDemands: readonly WriteDemand[]): void {
     const { peers } = this.settings.platform;
     const limit = this.limits.current.writeRps * this.usableRatio;
@@ -92,7 +98,7 @@
     this.writeTokens.setRate(rate, Math.max(rate, MIN_WRITE_BURST));
   }
 
-  /** Counts sent writes, from which the demand is estimated. */
+  /** Counts sent writes. The demand is estimated from the count. */
   recordWrites(count: number): void {
     this.writeRate.count(count);
   }
--- a/src/controller/store/results.ts
+++ b/src/controller/store/results.ts
@@ -11,7 +11,7 @@
   | { kind: 'lease-expired' }
   /** A value or the transaction exceeds the store's limits, or has another fault. Not carried out. */
   | { kind: 'too-large' }
-  /** No response, or a malformed one. It may have been carried out, or may be carried out later. */
+  /** No response, or a malformed one. The transaction may have been carried out, or may be carried out later. */
   | { kind: 'unknown' };
 
 /** Outcome of a call that returns a value. */
--- a/src/controller/store/write-share.ts
+++ b/src/controller/store/write-share.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * Fraction of a controller's fixed share that is added to its demand. It gives an idle controller a share too,
- * since it may have to write at any time.
+ * This fraction of a controller's fixed share is added to the controller's demand. An idle controller
+ * therefore also gets a share, since it may have to write at any time.
  */
 const IDLE_WEIGHT_RATIO = 0.15;
 
