--- a/src/command-line/input-files.ts
+++ b/src/command-line/input-files.ts
@@ -14,9 +14,9 @@
 }
 
 /**
- * Reads and checks both settings files. If a file cannot be read or has an invalid field, throws a
- * `CommandError` that names the file and, if there is one, the field. If fields contradict one another, the
- * error names the fields but no file.
+ * Reads and checks both settings files. Throws a `CommandError` if a file cannot be read or a field is invalid.
+ * The error names the file and, for an invalid field, also the field. If fields contradict one another, it names
+ * the fields but no file.
  */
 export function loadSettings(files: SettingsFiles): Settings {
   const platform = readSettingsFile(files.config, readPlatform);
--- a/src/controller/api/hedged-request.ts
+++ b/src/controller/api/hedged-request.ts
@@ -21,8 +21,8 @@
  */
 const HEDGE_DELAY_DIVISOR = 25;
 /**
- * A peer is asked only if the state store has served it recently: within a heartbeat interval divided by
- * this.
+ * A peer is asked only if the time since the state store last served it is at most a heartbeat interval
+ * divided by this.
  */
 const PEER_FRESHNESS_DIVISOR = 2;
 /** Time-out of a request that is forwarded to a peer: a heartbeat interval divided by this. */
@@ -46,7 +46,7 @@
   private isAnswered = false;
   /** Whether the request has been forwarded to a peer that has neither replied nor timed out. */
   private isPeerReplyPending = false;
-  /** This node's 503 response; sent if no peer gives a better one. */
+  /** This node's 503 response; sent if no peer replies with another status. */
   private localFailure: ApiResponse | null = null;
   /** Forwards the request to a peer if this node has not responded within `hedgeDelayMs`. */
   private hedgeTimer: Timer | null = null;
@@ -75,15 +75,15 @@
     if (response.status !== UNAVAILABLE_STATUS) return this.answer(response);
     this.localFailure = response;
     if (this.isPeerReplyPending) return;
-    // A 503 without a failed call means that only this node's share of the state store's request rate is
-    // used up. Then no peer is asked: the peers' shares are for requests of their own users.
+    // A 503 without a failed call means that this node has merely used up its share of the state store's
+    // request rate. Then no peer is asked, because the peers' shares are for requests of their own users.
     if (this.context.client.health.consecutiveFailures > 0 && this.askPeer()) return;
     this.answer(response);
   }
 
   /**
-   * Forwards the request to a peer if calls of this node to the state store fail or stall and the state
-   * store has recently served the peer. Returns whether a peer's reply is pending.
+   * Forwards the request to a peer that the state store has recently served, if this node's own calls to the
+   * state store fail or stall. Returns whether a peer's reply is pending.
    */
   private askPeer(): boolean {
     if (this.isAnswered || this.isPeerReplyPending) return this.isPeerReplyPending;
--- a/src/controller/api/router.ts
+++ b/src/controller/api/router.ts
@@ -14,7 +14,7 @@
 const SUBMISSIONS_ROUTE = 'submissions';
 /** First path segment of requests for the view of the cluster, which only the leader can answer. */
 const CLUSTER_ROUTE = 'cluster';
-/** Route label in the metrics of requests to unknown paths. */
+/** Route label that requests to unknown paths have in the metrics. */
 const UNKNOWN_ROUTE = 'other';
 
 /** Returns the first segment of the target's path. */
--- a/src/controller/http/client.ts
+++ b/src/controller/http/client.ts
@@ -183,7 +183,8 @@
     if (response === null) return;
     const pending = connection.currentRequest;
     connection.currentRequest = null;
-    // Bytes that no request has asked for would be read as the response to the next request.
+    // Bytes that arrive after the response belong to no request. If the connection were kept, they would be read
+    // as the response to the next request.
     if (pending === null || !connection.parser.idle || !response.keepAlive)
       connection.socket.destroy();
     else {
--- a/src/controller/http/formatting.ts
+++ b/src/controller/http/formatting.ts
@@ -27,7 +27,7 @@
   contentType?: string;
   /** Retry-After in seconds, which is rounded up to a whole number of at least 1; no header if absent. */
   retryAfterS?: number;
-  /** Value of the Allow header: the method that the path allows, in responses with status 405. */
+  /** Value of the Allow header of a response with status 405: the method that the path allows. */
   allow?: string;
 }
 
--- a/src/controller/http/server-connection.ts
+++ b/src/controller/http/server-connection.ts
@@ -34,7 +34,7 @@
   private ended = false;
   /** The idle time-out that is set on the socket. */
   private idleTimeoutMs: number;
-  /** Closes the connection after `readTimeoutMs`; null unless part of a request, but not all of it, has arrived. */
+  /** Closes the connection after `readTimeoutMs`. Null unless a request has arrived in part. */
   private readTimer: NodeJS.Timeout | null = null;
 
   constructor(
--- a/src/controller/http/server.test.ts
+++ b/src/controller/http/server.test.ts
@@ -55,7 +55,7 @@
   });
 
   // Guards against refused connections: with 885 workers at one node and a limit of 1200 sockets, the node
-  // refused new connections, also those of workers.
+  // refused new connections, including those of workers.
   it('the server closes the longest idle connections when the socket budget is exhausted, and serves new connections', async () => {
     const closed: number[] = [];
     const openSockets: net.Socket[] = [];
--- a/src/controller/http/socket-budget.ts
+++ b/src/controller/http/socket-budget.ts
@@ -1,5 +1,5 @@
 /**
- * Counts the open sockets of the process, whose number the platform limits. All servers and clients share one
+ * Counts the open sockets of the process; the platform limits their number. All servers and clients share one
  * budget; none has a fixed part of it. If a new socket exceeds the budget, an idle connection is closed, so
  * that a new connection can be accepted at any time. The other end of a closed connection reconnects when it
  * next has something to send.
--- a/src/launcher/application.ts
+++ b/src/launcher/application.ts
@@ -54,9 +54,9 @@
 }
 
 /**
- * Creates the code cache of a bundle, with every function compiled. V8 accepts a cache only in a process that
- * has the same flags as this process at the call of `createCachedData`. So lazy compilation, the default, is
- * switched on again before that call.
+ * Creates the code cache of a bundle, with every function compiled. V8 accepts a cache only if the flags of the
+ * process that uses it equal the flags of this process when it calls `createCachedData`. Lazy compilation, the
+ * default, is therefore switched on again before the call.
  */
 export function createCache(file: string): Buffer {
   setFlagsFromString('--no-lazy');
