--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -22,7 +22,7 @@
   images: string[];
 }
 
-/** Returns the newest version of the class's learned statistics in the pages at the state store, as text. */
+/** Returns the text of the class's learned statistics, in the newest version that the state store's pages hold. */
 function recordedStatistics(simulation: Simulation): string {
   let newestSequence = -1;
   let text: unknown = null;
--- a/test/injected-bugs.test.ts
+++ b/test/injected-bugs.test.ts
@@ -81,8 +81,8 @@
 }
 
 describe('an injected bug', () => {
-  // Without the bound on the watch's staleness (invariant 8: whoever answers a worker knows of every
-  // cancellation older than the bound), a leader renews workers' leases as long as it renews its own.
+  // A leader without the bound on the watch's staleness renews workers' leases as long as it renews its own.
+  // Invariant 8 requires the bound: whoever answers a worker knows of every cancellation older than the bound.
   it('violates ran_cancelled if a leader answers workers however stale its job watch is', () => {
     const version = presentVersion({ ...defaultProperties(), 'workers.view.ratio': 1000 });
     const scenario = scenarioNamed('refuses the watches of the leader but not its lease renewals');
--- a/test/memory.test.ts
+++ b/test/memory.test.ts
@@ -1,4 +1,4 @@
-/** The memory of a controller: the process stays below the memory quota in the settings, small or large. */
+/** Memory use of a controller: it stays below the settings' memory quota, whether the quota is small or large. */
 import assert from 'node:assert/strict';
 import { spawnSync, type SpawnSyncReturns } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
--- a/test/mixed-versions/mixed-version-scenario.ts
+++ b/test/mixed-versions/mixed-version-scenario.ts
@@ -46,7 +46,7 @@
   /** The leader when the limits were lowered, or null if there was none. */
   leader: string | null;
   inOutage: boolean;
-  /** Keys that the transaction wrote whose arrival triggered the decrease; null without such a trigger. */
+  /** Keys written by the transaction whose arrival triggered the decrease; null if no transaction triggered it. */
   transaction: readonly string[] | null;
   /** Number of different versions that the processes ran when the limits were lowered. */
   versionsRunning: number;
@@ -64,7 +64,7 @@
 export class MixedVersionScenario {
   readonly simulation: Simulation;
   readonly starts: ProcessStart[] = [];
-  /** The circumstances in which the limits were lowered; null until they are. */
+  /** The state of the simulation when the limits of the state store were lowered; null before the decrease. */
   limitsDecrease: LimitsDecrease | null = null;
   private readonly versions = new Map<string, ProgramVersion>();
 
@@ -110,7 +110,7 @@
 
   /**
    * Restarts the processes one by one with version `to`, the leader last.
-   * @param pauseMs - time between two restarts in addition to the random interval
+   * @param pauseMs - pause that is added to the random interval between two restarts
    */
   rollingUpdate(to: ProgramVersion, pauseMs = 0): RollingUpdate {
     const { clock, random, hosts, leader } = this.simulation;
@@ -182,8 +182,8 @@
   }
 
   /**
-   * Lowers the limits when the first transaction after `afterMs` that writes one of the leader's pages
-   * arrives, before the transaction is checked against the limits.
+   * Lowers the limits on the first arrival, after `afterMs`, of a transaction that writes one of the leader's
+   * pages. The transaction is then checked against the lowered limits.
    */
   lowerLimitsDuringCommit(afterMs: number): void {
     const { clock, stateStore } = this.simulation;
--- a/test/mixed-versions/rollout.ts
+++ b/test/mixed-versions/rollout.ts
@@ -16,7 +16,7 @@
 /** An event during or after a rolling update. */
 export interface RolloutEvent {
   name: string;
-  /** Time between two restarts in addition to the random interval, in milliseconds. */
+  /** Pause that is added to the random interval between two restarts, in milliseconds. */
   pauseMs?: number;
   /** Whether the event is rare, and so played with fewer seeds. */
   rare?: boolean;
--- a/test/outage.test.ts
+++ b/test/outage.test.ts
@@ -6,7 +6,7 @@
 import { longJobs } from './simulation/scenarios/fault-scenario.js';
 import { Simulation } from './simulation/simulation.js';
 
-/** Longer than the leases of the deployment: 10 s for a worker, 1.3 s for the leader. */
+/** Duration of the outage. It is longer than the leases: 10 s for a worker, 1.3 s for the leader. */
 const OUTAGE_MS = 20_000;
 /** Time before the outage in which machines boot and jobs start. */
 const WARM_UP_MS = 65_000;
@@ -15,7 +15,7 @@
 /** Interval at which the controllers that answer workers are counted. */
 const CHECK_INTERVAL_MS = 5;
 
-/** Checks repeatedly that at most one controller answers workers, on which the leader's fencing relies. */
+/** Checks repeatedly that at most one controller answers workers, as the leader's fencing requires. */
 function checkSingleResponder(simulation: Simulation): void {
   const { clock, processes } = simulation;
   const checkNow = (): void => {
--- a/test/peer-messages.test.ts
+++ b/test/peer-messages.test.ts
@@ -63,7 +63,7 @@
     this.runEventLoop();
   }
 
-  /** Returns the number of dropped messages and failed connections from the metrics. */
+  /** Reads the number of dropped messages and failed connections from the metrics. */
   async droppedMessages(): Promise<number> {
     const metrics = new Promise<string>((resolve) => {
       this.controller.request('GET', '/metrics', Buffer.alloc(0), ({ encodedBody }) =>
--- a/test/simulation.test.ts
+++ b/test/simulation.test.ts
@@ -14,7 +14,7 @@
 const RECOVERY_MS = 600_000;
 
 const JOBS = 30;
-/** Share of the time with faults in which jobs are submitted. */
+/** Jobs are submitted from the start until this fraction of the time with faults has passed. */
 const SUBMISSION_SHARE = 0.8;
 /** Share of the jobs that are cancelled. */
 const CANCELLED_SHARE = 0.15;
@@ -62,7 +62,7 @@
   );
 }
 
-/** Cuts the connections between the leader and all workers; the other controllers still reach them. */
+/** Cuts the connections between the leader and all workers; the other controllers still reach the workers. */
 function playLeaderCutFromWorkers(seed: number): void {
   const simulation = new Simulation(smallDeployment, seed, noFaults);
   for (let i = 0; i < 10; i++) simulation.submit(simulation.randomJob(), null);
--- a/test/simulation/faults/connection-faults.ts
+++ b/test/simulation/faults/connection-faults.ts
@@ -39,7 +39,7 @@
     this.cutFromPeers(host, ms);
   }
 
-  /** Cuts a controller off from every worker, but neither from the state store nor its peers. */
+  /** Cuts a controller off from every worker, but not from the state store or its peers. */
   cutFromWorkers(host: string, ms: number): void {
     for (const worker of this.workers()) this.cutFor(host, worker.id, ms);
   }
@@ -72,7 +72,7 @@
 
   /**
    * Blocks responses and commands to a machine, while its heartbeats still arrive. Without `mode`,
-   * it is drawn at random whether the blocked messages are held back or lost.
+   * it is drawn at random for each controller whether its blocked messages are held back or lost.
    */
   blockInbound(worker: Worker, ms: number, mode?: CutMode): void {
     for (const host of this.hosts) this.network.cutOneWay(host, worker.id, mode ?? this.drawCut());
--- a/test/simulation/faults/fault-combinations.ts
+++ b/test/simulation/faults/fault-combinations.ts
@@ -7,7 +7,7 @@
 /** Logged reasons for which a leader steps down in favour of another controller. */
 const HANDOVER_REASONS = ['no view of the jobs', 'workers do not reach this node'];
 
-/** Starts to record combinations of faults as observed events, each time that one occurs. */
+/** Starts to record an observed event each time that a combination of faults occurs. */
 export function observeFaultCombinations(simulation: SimulatedDeployment): void {
   const { checker, clock, stateStore, observedEvents } = simulation;
   let cancelledAt = -Infinity;
--- a/test/simulation/faults/poll-after-changes.ts
+++ b/test/simulation/faults/poll-after-changes.ts
@@ -27,9 +27,9 @@
 }
 
 /**
- * For `ms`, reacts to each change of a job: when the job is first reported as accepted, done or
- * cancelled, and when it completes its last task. Within milliseconds of the change, polls the job
- * or repeats its submission at every controller and, with probability `cancelShare`, cancels it.
+ * Reacts for `ms` whenever a job is first reported as accepted, done or cancelled, and whenever a job's last
+ * task completes. Within milliseconds of the change, polls the job or repeats its submission at every
+ * controller. With probability `cancelShare`, also cancels the job.
  */
 export function pollAfterChanges(simulation: Simulation, cancelShare: number, ms: number): void {
   const { checker, clock, random } = simulation;
--- a/test/simulation/faults/scripted/controller-faults.ts
+++ b/test/simulation/faults/scripted/controller-faults.ts
@@ -14,9 +14,9 @@
   /**
    * Selects the zone that is cut off and the controllers inside it.
    *
-   * If the deployment assigns controllers to zones, `leader` and `follower` cut off the zone of the
-   * leader or of one follower, whatever `zone` is, and `single` cuts off `zone`. All controllers of
-   * the zone are inside it.
+   * If the deployment assigns controllers to zones, all controllers of the zone are inside it.
+   * `leader` cuts off the leader's zone, and `follower` the zone of one follower; both ignore `zone`.
+   * `single` cuts off `zone`.
    *
    * If the deployment assigns no zones, `zone` is cut off, and the leader or one follower counts as
    * inside it. `single` is meant only for deployments that assign zones.
--- a/test/simulation/faults/scripted/message-faults.ts
+++ b/test/simulation/faults/scripted/message-faults.ts
@@ -4,9 +4,9 @@
 import type { Injectors } from './injectors.js';
 
 interface HeartbeatReplay {
-  /** Share of the heartbeats of which the network keeps copies. */
+  /** Share of the heartbeats that the network copies; it keeps the copies for later delivery. */
   share: number;
-  /** Seconds from the next election until the copies arrive at every controller. */
+  /** Seconds from each election until the kept copies of heartbeats arrive at every controller. */
   after: number;
 }
 
--- a/test/simulation/faults/scripted/user-actions.ts
+++ b/test/simulation/faults/scripted/user-actions.ts
@@ -18,7 +18,7 @@
 
 interface JobStream {
   perSecond: number;
-  /** Share of the jobs that users cancel. Some jobs have not started or have already ended by then. */
+  /** Share of the jobs that users cancel. A job may be cancelled before it starts or after it has ended. */
   cancelShare: number;
   template: Partial<JobSpec>;
 }
@@ -40,7 +40,7 @@
 const CANCEL_WINDOW_MS = 200;
 /** Maximum time from the handover of the leadership to a cancellation, in milliseconds. */
 const MAX_CANCEL_DELAY_AFTER_HANDOVER_MS = 2500;
-/** Maximum time from the submission to the cancellation of a job of a stream, in milliseconds. */
+/** Maximum time from the submission of a `jobStream` job to its cancellation, in milliseconds. */
 const MAX_CANCEL_DELAY_MS = 12_000;
 /** Time between two polls of one user during `everyonePolls`, in milliseconds. */
 const POLL_INTERVAL_MS = 1000;
--- a/test/simulation/faults/unusual-requests.ts
+++ b/test/simulation/faults/unusual-requests.ts
@@ -25,7 +25,7 @@
   sendNext();
 }
 
-/** Submits a copy of the job that needs more cores than any machine has, or lacks a field. */
+/** Submits an invalid copy of the job: it needs more cores than any machine has, or it lacks a field. */
 function submitInvalidJob(simulation: Simulation, spec: JobSpec): void {
   const { random, checker, users } = simulation;
   const invalidJob = writeJobSpec({ ...spec, id: `req-odd-${users.nextJobNumber()}` });
--- a/test/simulation/scenarios/fault-scenario.ts
+++ b/test/simulation/scenarios/fault-scenario.ts
@@ -14,8 +14,8 @@
   /** The simulated deployment; the small one if absent. */
   deployment?: Deployment;
   /**
-   * Returns the faults. Their times are in seconds, counted from the moment when the jobs run and
-   * the injection of faults starts. `between` draws a random number in a range.
+   * Returns the faults. Their times are in seconds, counted from the moment when the injection of
+   * faults starts; jobs run by then. `between` draws a random number in a range.
    */
   faults(between: (from: number, to: number) => number): Fault[];
   /** Returns counters that must all be above 0 at the end of the scenario. */
@@ -31,7 +31,7 @@
 /** Number of elections of a leader after the first one. */
 export const failovers = (simulation: Simulation): number =>
   (simulation.processes.logCounts.get('elected leader') ?? 0) - 1;
-/** Number of times that a leader renewed its lease after the lease had expired by its own clock. */
+/** Number of times that a leader renewed its lease after the lease had expired by the leader's own clock. */
 export const leaseGaps = (simulation: Simulation): number =>
   simulation.processes.logCounts.get('lease renewed after a gap') ?? 0;
 /** Number of jobs that still had tasks on machines when a response first reported them as cancelled. */
--- a/test/simulation/scenarios/large-fleet-scenario.ts
+++ b/test/simulation/scenarios/large-fleet-scenario.ts
@@ -29,7 +29,7 @@
 const ZONE_CUT_OFF_MS = 30_000;
 /** Time between the restarts of two controllers in the rolling restart, in milliseconds. */
 const RESTART_INTERVAL_MS = 4000;
-/** Mean time between two submissions in milliseconds, multiplied by the number of machines. */
+/** Product of the mean time between two submissions, in milliseconds, and the number of machines. */
 const MACHINE_MS_PER_JOB = 450_000;
 
 /** Plays the scenario in a fleet of at most `machines` machines, until after its last fault. */
--- a/test/simulation/scenarios/play-scenario.ts
+++ b/test/simulation/scenarios/play-scenario.ts
@@ -8,7 +8,7 @@
 import { presentVersion, type ProgramVersion } from '../program-version.js';
 import { Simulation } from '../simulation.js';
 
-/** Time from the first submissions to the injection of faults, so that jobs run; in milliseconds. */
+/** Time from the first submissions to the injection of faults, in milliseconds. Jobs start to run in this time. */
 const START_MS = 15_000;
 /** Time within which all faults of a scenario begin and end, in milliseconds. */
 const FAULTS_MS = 200_000;
--- a/test/simulation/scenarios/short-lease-scenarios.ts
+++ b/test/simulation/scenarios/short-lease-scenarios.ts
@@ -15,8 +15,8 @@
 /** Value of `cancel_s` in the deployment with short leases, as a fraction of the default value. */
 const CANCEL_RATIO = shortLeases.platform.cancelDeadlineS / defaultPlatformOptions.cancelDeadlineS;
 /**
- * Start times of faults up to this number of seconds are scaled with the lease. Later start times are
- * shifted by a constant.
+ * Latest start time of a fault, in seconds, that is scaled with the lease. Later start times are shifted
+ * by a constant.
  */
 const SCALED_UNTIL_S = 10;
 
@@ -44,8 +44,8 @@
 }
 
 /**
- * Faults whose effect depends on how long they last compared with a lease. The durations of other
- * faults only bound the time of an activity and are not scaled.
+ * Faults whose effect depends on the ratio of their duration to a lease. The durations of other faults
+ * only bound the time of an activity and are not scaled.
  */
 const LEASE_RELATED: ReadonlySet<Fault['kind']> = new Set([
   ...([
--- a/test/simulation/scenarios/steady-work.ts
+++ b/test/simulation/scenarios/steady-work.ts
@@ -11,9 +11,9 @@
 
 /** Range of the intervals between submissions, as multiples of the mean interval. */
 const INTERVAL_FACTORS = { least: 0.3, most: 1.7 };
-/** Share of the jobs submitted after the start that are cancelled. */
+/** Share of the jobs that are cancelled, among the jobs submitted after the start. */
 const CANCEL_SHARE = 0.04;
-/** Time from the submission of a job to its cancellation, if it is cancelled; in milliseconds. */
+/** Time from the submission of a cancelled job to its cancellation, in milliseconds. */
 const CANCEL_AFTER_MS = 20_000;
 
 /** Submits `jobsAtStart` random jobs, then one job per interval; some of the later jobs are cancelled. */
--- a/test/stored-forms.test.ts
+++ b/test/stored-forms.test.ts
@@ -131,7 +131,7 @@
     const liveEntries = value.entries.flatMap((entry, i) =>
       i % 2 === 0 && value.entries[i + 1] !== null ? [entry, value.entries[i + 1]] : [],
     );
-    // No other page has an older value of a deleted record, so reading the page drops the deletion.
+    // Reading the page drops deletion entries, because no other page has an older value of a deleted record.
     assert.deepEqual(encodePage(page, value.seq), { seq: value.seq, entries: liveEntries });
   });
 });
--- a/test/unreliable-state-store.ts
+++ b/test/unreliable-state-store.ts
@@ -32,7 +32,7 @@
 const MAX_DELAY_MS = 5000;
 /** Largest allowed size of the conditions and writes of one transaction, in bytes. */
 const MAX_TRANSACTION_SIZE = 64 * 1024;
-/** Time until sizes that a refusal has halved are raised again. It is longer than any test. */
+/** Time after a refusal until the halved size limits are raised again, in milliseconds; longer than any test. */
 const SIZE_RETRY_MS = 3_600_000;
 
 function noop(): void {
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Draws the fault of a transaction, or null for none. A transaction with a fault is refused, or gets no
-   * response and is applied after 2 ms, within `MAX_DELAY_MS`, or never.
+   * Draws the fault of a transaction, or null for none. A transaction with a fault is refused or gets no
+   * response. Without a response, it is applied after 2 ms, within `MAX_DELAY_MS`, or never.
    */
   private nextFault(): 'refused' | { appliedAfterMs: number | null } | null {
     const draw = this.random() < this.faultRate ? this.random() : 1;
--- a/test/workers-fixture.ts
+++ b/test/workers-fixture.ts
@@ -43,7 +43,7 @@
   };
 }
 
-/** The body of a heartbeat like that of `heartbeat`, with the field names of the worker protocol. */
+/** The body of a heartbeat of machine `n-1` without tasks, with the field names of the worker protocol. */
 export function heartbeatBody(sequence: number, fencingToken: number): object {
   return {
     ...{ kiln: 'n-1', address: '10.1.0.1:9', model: 'g', hall: 'a', loaners: false },
