--- a/test/simulation/deployments/deployment.ts
+++ b/test/simulation/deployments/deployment.ts
@@ -29,7 +29,7 @@
    * rented machines must be up and run the jobs of the scenario.
    */
   startMs?: number;
-  /** Fields of a job that a fault scenario submits first, so that controllers rent machines. */
+  /** Fields of the first job of a fault scenario. The job makes the controllers rent machines. */
   warmUpJob?: Partial<JobSpec>;
   /** Probability that a rented machine never boots, in a fault scenario. */
   bootFailures?: number;
@@ -45,8 +45,8 @@
 }
 
 /**
- * Returns a copy of the deployment whose settings announce lower upcoming limits of the state
- * store.
+ * Returns a copy of the deployment. Its settings announce that the state store will have lower
+ * limits.
  */
 export function withLowerStateLimits(deployment: Deployment, writeRps: number): Deployment {
   const limits = ['value_kb = 2.0', 'txn_ops = 6', `write_rps = ${writeRps.toFixed(1)}`];
--- a/test/simulation/deployments/fleets.ts
+++ b/test/simulation/deployments/fleets.ts
@@ -7,8 +7,8 @@
 import { objectiveToml, teamToml } from './teams.js';
 
 /**
- * A team's guaranteed GPUs and its limit, as fractions of the GPUs of a fleet of `big` machines
- * only.
+ * Guaranteed GPUs and GPU limit of a team. Both are fractions of the GPUs that the fleet would have
+ * if all its machines were `big`.
  */
 interface GpuShares {
   guaranteed: number;
@@ -19,8 +19,8 @@
 interface FleetShape {
   zones: string[];
   /**
-   * The machines that exist from the start, as fractions of the capacity; the remaining machines
-   * are rented when they are needed.
+   * The machines that exist from the start. Each `share` is a fraction of the fleet's capacity. The
+   * other machines are rented when they are needed.
    */
   groups: readonly { type: 'big' | 'small'; spot: boolean; share: number }[];
   teams: Readonly<Record<'red' | 'blue', GpuShares>>;
@@ -34,7 +34,10 @@
   objectiveToml({ kind: 'wait', class: 'train', withinS: 60, share: 0.9 }) +
   objectiveToml({ kind: 'finished', class: 'score', withinS: 200, share: 0.9 });
 
-/** Returns a fleet with five controllers, for many small tasks and for gangs of whole machines. */
+/**
+ * Returns a fleet with five controllers. It runs many small tasks and gangs that use whole
+ * machines.
+ */
 function fleet(machines: number, { zones, groups, teams, platform }: FleetShape): Deployment {
   return {
     hosts: hostNames(5),
--- a/test/simulation/deployments/short-leases.ts
+++ b/test/simulation/deployments/short-leases.ts
@@ -57,7 +57,7 @@
   randomJob,
 };
 
-/** The deployment `shortLeases` with lower upcoming limits of the state store. */
+/** The deployment `shortLeases`, with settings that announce lower limits of the state store. */
 export const shortLeasesWithLowerLimits = withLowerStateLimits(shortLeases, 20);
 
 type CommonFields = Pick<
--- a/test/simulation/deployments/small.ts
+++ b/test/simulation/deployments/small.ts
@@ -21,12 +21,12 @@
   ]),
   capacity: 16,
   platform: { ...defaultPlatformOptions, teamsToml: teams.join('') },
-  // Small pages, so that reads need several pages.
+  // Pages are small so that reads need several pages.
   pageSize: 7,
   randomJob,
 };
 
-/** The small deployment with lower upcoming limits of the state store. */
+/** The small deployment, with settings that announce lower limits of the state store. */
 export const smallWithLowerLimits = withLowerStateLimits(smallDeployment, 25);
 
 function randomJob(random: SeededRandom, id: string): JobSpec {
@@ -52,7 +52,7 @@
   };
 }
 
-/** Draws the zone constraints. A job that is spread over zones has none. */
+/** Draws the zone constraints of a job. A job that is spread over zones gets no zone constraint. */
 function drawZones(
   random: SeededRandom,
   gang: boolean,
--- a/test/simulation/deployments/teams.ts
+++ b/test/simulation/deployments/teams.ts
@@ -1,8 +1,8 @@
 /** Teams and objectives of a deployment, in the TOML form of the platform settings. */
 
 /**
- * Guaranteed CPUs and GPUs of a team, and its limits, whose names end in `Max`. A limit of 0 means
- * no limit.
+ * Guaranteed CPUs and GPUs of a team, and the team's limits. The names of the limits end in `Max`;
+ * a limit of 0 means no limit.
  */
 export interface TeamAmounts {
   cpus?: number;
@@ -20,8 +20,9 @@
 }
 
 /**
- * An objective: at least the fraction `share` of the jobs of a class must wait no longer than
- * `withinS` seconds (kind `wait`), or finish within that time (kind `finished`).
+ * An objective for the jobs of a class. At least the fraction `share` of the jobs must wait no
+ * longer than `withinS` seconds (kind `wait`), or finish within `withinS` seconds (kind
+ * `finished`).
  */
 export interface Objective {
   kind: 'wait' | 'finished';
--- a/test/simulation/digest/digest-scenarios.ts
+++ b/test/simulation/digest/digest-scenarios.ts
@@ -18,7 +18,7 @@
   rates: FaultRates;
   /** Number of random jobs, submitted at random times in the first four fifths of the scenario. */
   randomJobs: number;
-  /** Faults and actions of users that occur at given times. */
+  /** Faults and user actions, each at a given time. */
   faults: Fault[];
   /**
    * Time between two interruptions of spot instances, in milliseconds; undefined if there are no
--- a/test/simulation/digest/expected-digests.ts
+++ b/test/simulation/digest/expected-digests.ts
@@ -1,4 +1,4 @@
-/** The expected digests of the scenarios, and their digests with the current sources. */
+/** Reads and writes the expected digests of the scenarios, and computes the current digests. */
 import { createHash } from 'node:crypto';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { digestScenarios } from './digest-scenarios.js';
--- a/test/simulation/digest/play-digest-scenario.ts
+++ b/test/simulation/digest/play-digest-scenario.ts
@@ -4,7 +4,7 @@
 import type { DigestScenario } from './digest-scenarios.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-/** Fraction of a scenario's duration, from its start, in which the random jobs are submitted. */
+/** Fraction of a scenario's duration after which no more random jobs are submitted. */
 const SUBMISSION_SHARE = 0.8;
 /** Fraction of the random jobs that are cancelled. */
 const CANCELLED_SHARE = 0.2;
@@ -20,7 +20,7 @@
 const QUERIED_PATHS = ['/ready', '/cluster', '/cluster?after=cloud-2', '/submissions', '/nowhere'];
 /** Time from the interruption notice to the interruption of a spot instance, in milliseconds. */
 const INTERRUPTION_NOTICE_MS = 15_000;
-/** Virtual time for which the final requests for the metrics are awaited, in milliseconds. */
+/** Virtual time that passes after the final requests for the metrics, in milliseconds. */
 const SCRAPE_WAIT_MS = 100;
 
 /** Interrupts one spot instance per interval, each after a notice. */
@@ -82,7 +82,8 @@
   for (const host of simulation.hosts)
     simulation.sendRequest('GET', '/metrics', undefined, () => undefined, host);
   simulation.play(SCRAPE_WAIT_MS);
-  // Controllers produce the metrics text in promises, which settle outside virtual time.
+  // Controllers produce the metrics text in promises. Advancing virtual time does
+  // not settle promises.
   await new Promise(setImmediate);
 }
 
--- a/test/simulation/digest/stored-forms.ts
+++ b/test/simulation/digest/stored-forms.ts
@@ -21,7 +21,7 @@
   text: string;
 }
 
-/** The longest example of each form. */
+/** The longest example of each form of stored value, record and message. */
 export interface StoredForms {
   /**
    * Values in the state store, by key prefix; values of ended jobs are also distinguished by state.
@@ -29,7 +29,10 @@
   values: Record<string, StoredExample>;
   /** Records in pages, by key prefix; deletions of records are separate forms. */
   records: Record<string, RecordExample>;
-  /** Messages between controllers, in hex, by the names of their non-empty fields. */
+  /**
+   * Messages between controllers, in hex. Each key lists the names of the message's non-empty
+   * fields.
+   */
   messages: Record<string, string>;
 }
 
--- a/test/simulation/digest/traffic-digest.ts
+++ b/test/simulation/digest/traffic-digest.ts
@@ -29,8 +29,8 @@
 export class TrafficDigest {
   private readonly hash = createHash('sha256');
   /**
-   * Number of hashed events, by kind, for checking that the digest covers much behaviour: a digest
-   * of few events detects few changes.
+   * Number of hashed events, by kind. It shows how much behaviour the digest covers, because a
+   * digest of few events detects few changes.
    */
   readonly counts = new Map<string, number>();
 
@@ -42,7 +42,8 @@
   }
 
   /**
-   * Returns the current version with a controller class that records its messages in this digest.
+   * Returns the current program version with a controller class whose messages are added to the
+   * digest.
    */
   recordingVersion(): ProgramVersion {
     return { ...presentVersion(), Controller: recordingController(this) };
--- a/test/simulation/machines/cloud.ts
+++ b/test/simulation/machines/cloud.ts
@@ -10,7 +10,7 @@
 const MAX_LISTED_PER_PAGE = 500;
 /** Time between two snapshots of the list of machines, in milliseconds. */
 const SNAPSHOT_INTERVAL_MS = 500;
-/** Time for which snapshots are kept in addition to four times the list lag, in milliseconds. */
+/** Snapshots are kept for four times the list lag plus this time, in milliseconds. */
 const EXTRA_SNAPSHOT_RETENTION_MS = 2000;
 /** Range of the actual boot time of a machine, as multiples of the boot time of its type. */
 const BOOT_TIME_FACTORS = { least: 0.6, most: 1.5 };
--- a/test/simulation/machines/heartbeat-loop.ts
+++ b/test/simulation/machines/heartbeat-loop.ts
@@ -3,7 +3,7 @@
 import type { MachineContext } from './machine-context.js';
 import type { Command } from './task.js';
 
-/** Minimum time between a heartbeat and a later one that reports a change, in milliseconds. */
+/** Minimum time from a heartbeat to the next heartbeat that reports a change, in milliseconds. */
 const MIN_INTERVAL_MS = 500;
 /** Time without a response after which a heartbeat has failed, in milliseconds. */
 const HEARTBEAT_TIMEOUT_MS = 4000;
--- a/test/simulation/machines/task-runner.ts
+++ b/test/simulation/machines/task-runner.ts
@@ -8,7 +8,7 @@
 
 /** Tolerance for rounding errors in free CPUs, GPUs and gigabytes of memory. */
 const ROUNDING_TOLERANCE = 1e-6;
-/** Fraction of its run time after which a failing task ends. */
+/** A failing task ends after this fraction of its run time. */
 const FAILURE_RUN_SHARE = 0.3;
 /**
  * Range of the time after which a replica ends without being stopped, as multiples of its run time.
--- a/test/simulation/machines/worker.ts
+++ b/test/simulation/machines/worker.ts
@@ -33,8 +33,8 @@
   private heartbeatNumber = 0;
   private fencingToken = 0;
   /**
-   * Virtual time from which the lease runs: when the last heartbeat that renewed the lease was
-   * sent, or when the agent epoch began if that is later.
+   * Virtual time from which the duration of the lease counts. It is the time at which the last
+   * heartbeat that renewed the lease was sent, or the start of the agent epoch, whichever is later.
    */
   private leaseStartedAt: number;
   /** Virtual time of the interruption that the cloud has announced; null without a notice. */
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Makes the machine hang for `ms`; requests and timers that fall into this time are handled
-   * afterwards.
+   * Makes the machine hang for `ms`. Requests that arrive and timers that expire in the meantime
+   * are handled afterwards.
    */
   hang(ms: number): void {
     const { clock } = this.context;
@@ -107,7 +107,7 @@
     this.heartbeats.block(ms);
   }
 
-  /** The capacity that is not used by any task, with the properties of the machine. */
+  /** The capacity that no task uses, and the properties of the machine. */
   get freeCapacity(): FreeCapacity {
     return {
       ...this.tasks.freeCapacity(),
--- a/test/simulation/network.ts
+++ b/test/simulation/network.ts
@@ -13,8 +13,8 @@
   path: string;
   bytes: Buffer;
   /**
-   * Whether the request is an additional copy of another request. False for originals, and also for
-   * copies of heartbeats that were retained.
+   * Whether the request is an additional copy of another request. False for original requests and
+   * for retained copies of heartbeats.
    */
   duplicate: boolean;
   /** Decodes `bytes`; returns undefined if the request has no body. */
@@ -35,7 +35,7 @@
 
 const NO_BYTES = Buffer.alloc(0);
 
-/** Passed to a caller in place of a reply if none arrives. */
+/** The value that a caller receives if no reply arrives. */
 const NO_REPLY: Reply = { status: 0, body: null };
 
 function toIncomingRequest(call: Call): IncomingRequest {
@@ -114,8 +114,9 @@
   }
 
   /**
-   * Delivers a message after a random latency. If the connection is cut, the message is held, or
-   * it is lost and `onLost` is called.
+   * Delivers a message after a random latency. If the connection is cut, the mode of the cut
+   * applies: `hold` keeps the message until the connection is restored, `reset` loses it and calls
+   * `onLost`.
    */
   send(from: string, to: string, deliver: () => void, onLost: () => void): void {
     const cut = this.cutOf(from, to);
@@ -150,7 +151,7 @@
   }
 
   /**
-   * Delays a random share of the direct commands: a delayed command is delivered once, 2 to 16 s
+   * Delays a random share of the direct commands. A delayed command is delivered once, 2 to 16 s
    * later, and gets no response. Returns whether the call is delayed.
    */
   private tryDelay(call: Call, deliver: (respond: Respond) => void): boolean {
@@ -165,7 +166,7 @@
 
   /**
    * Sends a request and calls `done` with the reply, or with status 0 if no reply arrives before
-   * the time-out. Does not call `done` if `alive()` is false at that moment.
+   * the time-out. Does not call `done` if the caller has ended by then (`alive()` returns false).
    */
   call(from: string, call: Call, alive: () => boolean, done: (reply: Reply) => void): void {
     const finish = this.replyOnce(call.timeoutMs, alive, done);
@@ -189,8 +190,8 @@
   }
 
   /**
-   * Returns a function that passes the first reply to `done` and ignores later ones. If there is
-   * none before the time-out, `done` receives `NO_REPLY`.
+   * Returns a function that passes the first reply to `done` and ignores later replies. If no reply
+   * arrives before the time-out, `done` receives `NO_REPLY`.
    */
   private replyOnce(
     timeoutMs: number,
--- a/test/simulation/process-runtime.ts
+++ b/test/simulation/process-runtime.ts
@@ -57,7 +57,7 @@
 
   /**
    * Runs the function now or, if the process is frozen, when the process resumes. The function does
-   * not run after the process was killed.
+   * not run if the process has been killed by then.
    */
   whenAwake(fn: () => void): void {
     if (!this.alive) return;
--- a/test/simulation/processes.ts
+++ b/test/simulation/processes.ts
@@ -34,7 +34,9 @@
 export class ControllerProcesses {
   /** Listeners called with each line that a controller logs at level info. */
   readonly onLog: ((text: string, fields: object) => void)[] = [];
-  /** Listeners called before a process is killed; `leads`: whether its controller is the leader. */
+  /**
+   * Listeners called before a process is killed. `leads` is true if its controller is the leader.
+   */
   readonly onKill: ((host: string, leads: boolean) => void)[] = [];
   /** The lines that controllers have logged at level error. */
   readonly errors: string[] = [];
--- a/test/simulation/program-history.ts
+++ b/test/simulation/program-history.ts
@@ -124,7 +124,7 @@
 
 /**
  * Looks up the older versions. A version counts as unavailable only if git does not have its
- * commit; if the commit exists but fails to load, this throws.
+ * commit. If the commit exists but fails to load, the function throws.
  */
 export async function olderVersions(): Promise<VersionLookup[]> {
   const lookups: VersionLookup[] = [];
--- a/test/simulation/rules/cancellation-rule.ts
+++ b/test/simulation/rules/cancellation-rule.ts
@@ -7,7 +7,8 @@
   /** Cancelled jobs whose tasks may still be on machines. */
   private readonly cancelledJobs = new Set<ObservedJob>();
   /**
-   * Times of the first responses that reported a job as cancelled while its tasks were on machines.
+   * For each job that still had tasks on machines when a response first reported it as cancelled,
+   * the time of the response.
    */
   readonly cancelledWhileRunning: number[] = [];
 
--- a/test/simulation/rules/neglected-jobs.ts
+++ b/test/simulation/rules/neglected-jobs.ts
@@ -1,13 +1,14 @@
 /**
- * Finds teams and classes with too few completed jobs, or with large jobs that started too late.
+ * Finds teams and classes with too few completed jobs, and classes whose largest jobs started too
+ * late.
  */
 import type { ObservedJob } from './observed-job.js';
 
-/** Maximum time from the submission to the start of a class's largest jobs, in milliseconds. */
+/** Maximum time from submission to start for each of a class's largest jobs, in milliseconds. */
 const LARGEST_MAX_WAIT_MS = 240_000;
 /**
- * Fraction of the jobs of a class that count as its largest jobs, which are those with the most
- * tasks.
+ * Fraction of the jobs of a class that count as its largest jobs. The size of a job is its number
+ * of tasks.
  */
 const LARGEST_SHARE = 0.1;
 
--- a/test/simulation/rules/observed-job.ts
+++ b/test/simulation/rules/observed-job.ts
@@ -22,8 +22,8 @@
   reportedDone: boolean;
   completedTasks: Set<number>;
   /**
-   * Since when requests about the accepted job have got no useful response (200 or 201); null if
-   * the latest response was useful.
+   * Time since which requests about the accepted job have got no useful response (200 or 201). Null
+   * if the latest response was useful.
    */
   unansweredSince: number | null;
   /** Number of tasks on machines, by zone. */
@@ -36,8 +36,8 @@
    */
   startedAt: number | null;
   /**
-   * Since when the job has waited although there was capacity for it; a service waits while it
-   * lacks a replica. Null if the job does not wait or there is no capacity for it.
+   * Time since which the job has waited although there was capacity for it. A service waits while
+   * it lacks a replica. Null if the job does not wait or there is no capacity for it.
    */
   runnableSince: number | null;
 }
--- a/test/simulation/rules/observed-jobs.ts
+++ b/test/simulation/rules/observed-jobs.ts
@@ -45,9 +45,8 @@
   }
 
   /**
-   * Returns a description of each team or class with too few completed jobs, and of each of a
-   * class's largest jobs that started too late. Only accepted jobs that nobody has asked to cancel
-   * count.
+   * Describes the teams and classes with too few completed jobs, and the jobs that started too late
+   * among the largest of a class. Considers only accepted jobs that nobody has asked to cancel.
    */
   neglected(): string[] {
     return findNeglectedJobs(this.notCancelled());
--- a/test/simulation/rules/response-rules.ts
+++ b/test/simulation/rules/response-rules.ts
@@ -12,8 +12,8 @@
 import type { RuleContext } from './rule-context.js';
 
 /**
- * Maximum time for which requests about an accepted job may get no useful response after all faults
- * have ended, in milliseconds.
+ * Maximum time without a useful response to requests about an accepted job, once all faults have
+ * ended; in milliseconds.
  */
 const MAX_UNANSWERED_MS = 75_000;
 
@@ -111,7 +111,8 @@
   }
 
   /**
-   * Checks for how long each accepted job has got no useful response; call it at regular intervals.
+   * Checks that no accepted job has gone without a useful response for too long; call it at regular
+   * intervals.
    */
   tick(): void {
     if (this.context.faultsEndedAt === null) return;
--- a/test/simulation/rules/rule-checker.ts
+++ b/test/simulation/rules/rule-checker.ts
@@ -74,7 +74,8 @@
   }
 
   /**
-   * Times of the first responses that reported a job as cancelled while its tasks were on machines.
+   * For each job that still had tasks on machines when a response first reported it as cancelled,
+   * the time of the response.
    */
   get cancelledWhileRunning(): readonly number[] {
     return this.cancellation.cancelledWhileRunning;
@@ -104,7 +105,7 @@
   /**
    * Checks the response to a submission, a poll or a cancellation; status 0 means that no response
    * arrived. `stateWhenSent` is what responses had reported about the job when the request was
-   * sent: whichever controller answers, the response must not report an earlier state.
+   * sent. Whichever controller answers, the response must not report an earlier state.
    */
   responseReceived(
     id: string,
@@ -122,8 +123,8 @@
   }
 
   /**
-   * Records that the task starts on the machine, where the task's image has been fetched. Checks
-   * the rules about placement, team limits and cancellation.
+   * Records that the task starts on the machine, after its image was fetched. Checks the rules
+   * about placement, team limits and cancellation.
    */
   taskStarted(id: string, index: number, placement: Placement): void {
     this.startedTasks++;
--- a/test/simulation/rules/task-placements.ts
+++ b/test/simulation/rules/task-placements.ts
@@ -16,7 +16,10 @@
     return previousMachines;
   }
 
-  /** Removes a placement of the task and returns it, or undefined if it was not on the machine. */
+  /**
+   * Removes the task's placement on the machine and returns it; undefined if the task was not on
+   * the machine.
+   */
   remove(id: string, index: number, machine: string): Placement | undefined {
     const task = `${id}/${index}`;
     const placements = this.byTask.get(task);
--- a/test/simulation/rules/team-usage.ts
+++ b/test/simulation/rules/team-usage.ts
@@ -17,8 +17,8 @@
   constructor(private readonly teams: readonly Team[]) {}
 
   /**
-   * Adds a task of the job that starts on a machine (`delta` 1), or subtracts one that has left its
-   * machine (`delta` -1).
+   * Counts a task of the job: adds it when it starts on a machine (`delta` 1), and subtracts it
+   * when it has left the machine (`delta` -1).
    */
   count(spec: JobSpec, delta: 1 | -1): void {
     const usage = this.usageOf(spec.team);
--- a/test/simulation/simulation-parts.ts
+++ b/test/simulation/simulation-parts.ts
@@ -11,11 +11,11 @@
 import type { VirtualClock } from './virtual-clock.js';
 
 /**
- * Maximum delay of a transaction that gets no response and is committed late, as a multiple of the
- * duration of a worker's lease.
+ * Maximum time from the arrival of a delayed transaction to its commit, as a multiple of the
+ * duration of a worker's lease. A delayed transaction gets no response.
  */
 const MAX_WRITE_DELAY_LEASES = 0.6;
-/** Maximum delay of a duplicate of a request, as a multiple of the duration of a worker's lease. */
+/** Maximum delay of a duplicated request, as a multiple of the duration of a worker's lease. */
 const MAX_DUPLICATE_DELAY_LEASES = 3;
 /** Boot time of the machines that exist from the start, in milliseconds. */
 const INITIAL_BOOT_MS = 100;
--- a/test/simulation/simulation.ts
+++ b/test/simulation/simulation.ts
@@ -39,7 +39,7 @@
 
 /** Optional arguments of a simulation. */
 export interface SimulationOptions {
-  /** Receives the log lines of the controllers, except errors, which make `play` throw. */
+  /** Receives the log lines of the controllers, except errors. Errors make `play` throw. */
   log?: Logger;
   /** Returns the program version for a host's process; called each time a process starts. */
   versionOf?: (host: string) => ProgramVersion;
@@ -62,7 +62,7 @@
   readonly users: UserPopulation;
   readonly connectionFaults: ConnectionFaults;
   readonly machineFaults: MachineFaults;
-  /** The upcoming limits of the state store that the controllers' settings announce. */
+  /** The upcoming limits of the state store, as announced in the controllers' settings. */
   readonly upcomingStateLimits: StateLimits;
   /** Whether the injection of new faults has been stopped. */
   faultsStopped = false;
@@ -199,7 +199,7 @@
     this.users.cancel(id, host);
   }
 
-  /** Sends a request to the controller on the given host, or to a random controller. */
+  /** Sends a request to the controller on the given host, by default a random one. */
   sendRequest(...request: Parameters<RequestSender>): void {
     this.users.sendRequest(...request);
   }
--- a/test/simulation/state-store/key-value-store.ts
+++ b/test/simulation/state-store/key-value-store.ts
@@ -28,7 +28,7 @@
   expiresAt: number;
 }
 
-/** A pending request of a controller for changes of the keys with a prefix. */
+/** A controller's pending request for changes of the keys that start with a given prefix. */
 export interface Watch {
   watcher: string;
   prefix: string;
@@ -66,7 +66,9 @@
   return writes.every(({ value }) => JSON.stringify(value ?? null).length <= valueKb * 1024);
 }
 
-/** Stores versioned entries, leases whose expiry deletes the entries bound to them, and watches. */
+/**
+ * Stores versioned entries, leases and watches. The end of a lease deletes the entries bound to it.
+ */
 export class KeyValueStore {
   readonly entries = new Map<string, Entry>();
   private readonly leases = new Map<number, Lease>();
--- a/test/simulation/state-store/state-store-server.ts
+++ b/test/simulation/state-store/state-store-server.ts
@@ -15,8 +15,8 @@
 /** Range of the delay of a delayed response while the state store is slow, in milliseconds. */
 const RESPONSE_DELAY_MS = { least: 50, most: 2000 };
 /**
- * Default of the maximum delay of the commit of a delayed transaction, in milliseconds. The minimum
- * delay is a sixth of the maximum.
+ * Default maximum time from the arrival of a delayed transaction to its commit, in milliseconds.
+ * The minimum time is a sixth of the maximum.
  */
 const MAX_WRITE_DELAY_MS = 12_000;
 
@@ -49,11 +49,11 @@
   requestsInOutage = 0;
   /** Fraction of the transactions that get no response and are committed later. */
   private delayedWriteShare = 0;
-  /** Maximum delay of the commit of a delayed transaction, in milliseconds. */
+  /** Maximum time from the arrival of a delayed transaction to its commit, in milliseconds. */
   maxWriteDelayMs = MAX_WRITE_DELAY_MS;
   /**
-   * Number of delayed transactions that were applied in the end, and number of those that were
-   * refused because of their conditions or the limits.
+   * Number of delayed transactions that were applied in the end (`applied`), and number of delayed
+   * transactions that were refused because of their conditions or the limits (`refused`).
    */
   readonly lateCommits = { applied: 0, refused: 0 };
   /** Fraction of the transactions that are committed immediately but whose response is lost. */
@@ -61,7 +61,10 @@
   private readonly unanswered = new UnansweredWrites();
   /** Hosts whose watches are refused, while their other requests are served. */
   private readonly watchRefusedHosts = new Set<string>();
-  /** Called with the keys that a transaction writes, when it arrives and before it is checked. */
+  /**
+   * Called with the keys that a transaction writes, before its size, its conditions and the rate
+   * limits are checked. Not called if all requests of the host are refused.
+   */
   onTransaction: (keys: readonly string[]) => void = () => undefined;
 
   constructor(
@@ -88,8 +91,7 @@
   }
 
   /**
-   * Number of times that a controller read a key that another controller had written without
-   * getting a response.
+   * Number of reads of keys whose writer got no response. Only reads by other controllers count.
    */
   get readsOfUnansweredWrites(): number {
     return this.unanswered.readByOthers;
@@ -100,7 +102,7 @@
     return this.unavailable;
   }
 
-  /** Refuses all requests for `ms`; all leases are renewed at the end. */
+  /** Refuses all requests for `ms`, then renews all leases. */
   outage(ms: number): void {
     this.unavailable = true;
     this.clock.after(ms, () => {
--- a/test/simulation/state-store/unanswered-writes.ts
+++ b/test/simulation/state-store/unanswered-writes.ts
@@ -4,17 +4,11 @@
  */
 import type { Transaction } from './key-value-store.js';
 
-/**
- * Counts how often a controller reads a key that another controller wrote without getting a
- * response.
- */
+/** Counts the reads of keys whose writer got no response. Only reads by other controllers count. */
 export class UnansweredWrites {
-  /** The host that last wrote a key without getting a response, by key. */
+  /** By key, the last host that wrote the key without getting a response. */
   private readonly writers = new Map<string, string>();
-  /**
-   * Number of times that a host read a key that another host had written without getting a
-   * response.
-   */
+  /** Number of reads of keys whose writer got no response. Only reads by other hosts count. */
   readByOthers = 0;
 
   /** Records a transaction that was committed but whose response was lost. */
