--- a/src/controller/fleet/arrival-monitor.ts
+++ b/src/controller/fleet/arrival-monitor.ts
@@ -22,7 +22,8 @@
   /**
    * @param decayTimeConstantMs - time constant of the exponential decay
    * @param minStopDelayMs - shortest time without a job after which arrivals can count as stopped, however
-   *   often jobs arrived before: users retry after an error within about this time
+   *   often jobs arrived before. In a shorter gap, submissions may merely have failed: users retry after an
+   *   error within about this time.
    * @param now - current time of the monotonic clock in ms
    */
   constructor(
--- a/src/controller/leader/learned-statistics.ts
+++ b/src/controller/leader/learned-statistics.ts
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Loads the statistics that previous leaders recorded, and then counts the first active job of each class
-   * without a record. Recorded statistics are loaded first: they would be ignored if a counted job had
-   * already given the class newer statistics.
+   * Loads the statistics that previous leaders recorded. If a class has active jobs but no recorded
+   * arrivals, the first of these jobs is then counted as its first arrival. The order matters: a counted job
+   * gives its class statistics as of now, and the older recorded ones would then be ignored.
    * @param activeJobs - all active jobs; they must have been read before
    */
   load(records: Pick<RecordStore, 'list'>, activeJobs: Iterable<Job>): void {
--- a/src/controller/placement/estimates/duration-estimator.ts
+++ b/src/controller/placement/estimates/duration-estimator.ts
@@ -112,9 +112,10 @@
     if (machine.images.has(spec.image)) return 0;
     const gbPerS = machine.type?.fetchGbPerS ?? 0;
     if (gbPerS <= 0) return 0;
-    // Images that are fetched at the same time share the fetch rate. So each other image adds at most its own
-    // size and at most the size of this image. A machine fetches an image only once, so a task waits for a
-    // fetch that is already in progress.
+    // Images that are fetched at the same time are assumed to share the fetch rate equally. While this image is
+    // fetched, at most as much of each other image is fetched as of this one, and never more than the other
+    // image's size. The smaller of the two sizes is therefore added to the amount fetched until this image is
+    // complete. A machine fetches an image only once, so a task waits for a fetch that is already in progress.
     let fetchGb = spec.imageGb;
     let fetchStartedAt = now;
     let otherImages: Set<string> | null = null;
--- a/src/controller/placement/pass/rank.ts
+++ b/src/controller/placement/pass/rank.ts
@@ -95,9 +95,9 @@
 /**
  * Order of the queue of a pass, for use with `sort`:
  * 1. Production services.
- * 2. Jobs for which tasks were preempted recently. The preempted jobs may rank higher, because they were
- *    submitted earlier or because preemption raises their rank, and would otherwise take the freed capacity
- *    back in the next pass.
+ * 2. Jobs for which tasks of other jobs were preempted recently. A preempted job may rank higher than the
+ *    job that it made way for, because it was submitted earlier or because preemption raises its rank.
+ *    If only the rank counted, it would take the freed capacity back in the next pass.
  * 3. Jobs covered by their team's guarantee, which must not wait for capacity that other teams borrow or
  *    reserve.
  * 4. All other jobs.
--- a/test/simulation/deployments/small.ts
+++ b/test/simulation/deployments/small.ts
@@ -26,7 +26,10 @@
   randomJob,
 };
 
-/** The small deployment, with settings that announce lower limits of the state store. */
+/**
+ * The small deployment, with settings that announce lower limits of the state store to the
+ * controllers. The simulated store enforces them only once a scenario lowers its limits.
+ */
 export const smallWithLowerLimits = withLowerStateLimits(smallDeployment, 25);
 
 function randomJob(random: SeededRandom, id: string): JobSpec {
